--- a/internal/drill/check.go
+++ b/internal/drill/check.go
@@ -235,7 +235,7 @@
 		got, asked := map[[2]string]int{}, map[[2]string]int{}
 		for _, o := range ev.Outs {
 			side := "out"
-			if ev.Halls[o.Router] == c.Hall {
+			if ev.Zones[o.Router] == c.Zone {
 				side = "in"
 			}
 			if o.Begun.Sub(c.From) > 6*time.Second && o.Begun.Add(o.Took).Before(c.To) {
@@ -247,13 +247,13 @@
 		}
 		for _, k := range ev.Mix.Kinds {
 			if got[[2]string{"out", k.Name}] == 0 && asked[[2]string{"out", k.Name}] > 5 {
-				say("cut-hall", "no %s was served outside hall %s while its link was cut", k.Name, c.Hall)
+				say("cut-hall", "no %s was served outside hall %s while its link was cut", k.Name, c.Zone)
 			}
 			if !k.Once && got[[2]string{"in", k.Name}] == 0 && asked[[2]string{"in", k.Name}] > 5 {
-				say("cut-hall", "no %s was served in hall %s while its link was cut", k.Name, c.Hall)
+				say("cut-hall", "no %s was served in hall %s while its link was cut", k.Name, c.Zone)
 			}
 			if k.Once && got[[2]string{"in", k.Name}] > 0 {
-				say("cut-hall", "%d %s ran in hall %s, which could not ask the core", got[[2]string{"in", k.Name}], k.Name, c.Hall)
+				say("cut-hall", "%d %s ran in hall %s, which could not ask the core", got[[2]string{"in", k.Name}], k.Name, c.Zone)
 			}
 		}
 	}
--- a/internal/drill/day.go
+++ b/internal/drill/day.go
@@ -67,7 +67,7 @@
 
 // closings end a day.
 var closings = []event{
-	{"hall", "a hall is lost", (*Day).loseHall},
+	{"hall", "a hall is lost", (*Day).loseZone},
 	{"all", "every process is killed", (*Day).loseAll},
 	{"routers", "every router is killed", (*Day).loseRouters},
 }
@@ -386,14 +386,14 @@
 	d.fall(ctx, "half of the routers killed", 4*time.Second, dead)
 }
 
-// cut cuts the primary's hall off, the hardest to lose, with origins on both sides.
+// cut cuts the primary's zone off, the hardest to lose, with origins on both sides.
 func (d *Day) cut(ctx context.Context) {
-	hall := d.lead(ctx).Hall
+	zone := d.lead(ctx).Zone
 	from := time.Now()
-	d.f.Links.Cut(hall)
+	d.f.Links.Cut(zone)
 	env.Wait(ctx, 15*time.Second)
 	d.sure(ctx, d.lay)
-	d.w.note(func(ev *Evidence) { ev.Cuts = append(ev.Cuts, Cut{hall, from, time.Now()}) })
+	d.w.note(func(ev *Evidence) { ev.Cuts = append(ev.Cuts, Cut{zone, from, time.Now()}) })
 	d.f.Links.Cut("")
 }
 
@@ -494,7 +494,7 @@
 // change puts a blank core at a new address in the place of one that is killed for good.
 func (d *Day) change(ctx context.Context, i int) {
 	old := d.f.Cores[i]
-	p, err := d.f.NewCore(fmt.Sprintf("%s-%d", strings.TrimRight(old.Name, "-0123456789"), 10+d.next()), old.Hall)
+	p, err := d.f.NewCore(fmt.Sprintf("%s-%d", strings.TrimRight(old.Name, "-0123456789"), 10+d.next()), old.Zone)
 	if err == nil {
 		err = p.Start()
 	}
@@ -519,14 +519,14 @@
 
 func (d *Day) blank(ctx context.Context) { d.change(ctx, d.rnd.IntN(len(d.f.Cores))) }
 
-func (d *Day) loseHall(ctx context.Context) {
-	hall := d.lead(ctx).Hall
-	dead, runs := d.f.In(hall)
+func (d *Day) loseZone(ctx context.Context) {
+	zone := d.lead(ctx).Zone
+	dead, runs := d.f.In(zone)
 	for _, s := range runs {
 		s.Crash()
 	}
 	d.sure(ctx, d.lay)
-	d.fall(ctx, "hall "+hall+" lost", 5*time.Second, dead)
+	d.fall(ctx, "hall "+zone+" lost", 5*time.Second, dead)
 	for _, s := range runs {
 		d.up(s)
 	}
--- a/internal/drill/evidence.go
+++ b/internal/drill/evidence.go
@@ -63,9 +63,9 @@
 	At   time.Time
 }
 
-// Cut is a hall's link cut, from its cut to its healing.
+// Cut is a zone's link cut, from its cut to its healing.
 type Cut struct {
-	Hall     string
+	Zone     string
 	From, To time.Time
 }
 
@@ -82,7 +82,7 @@
 	Gone   []Gone
 	Hards  []Hard
 	Cuts   []Cut
-	Halls  map[string]string // each router's
+	Zones  map[string]string // each router's
 	Final  *Edit             // what was read back at the end
 	End    time.Time         // of the traffic
 	Slack  time.Duration     // what a slow machine is given beyond a promise's time
@@ -175,9 +175,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ev := w.ev
-	ev.Halls = map[string]string{}
+	ev.Zones = map[string]string{}
 	for _, r := range w.f.Routers {
-		ev.Halls[r.Name] = r.Hall
+		ev.Zones[r.Name] = r.Zone
 	}
 	ev.Mix, ev.Outs, ev.Seen = w.f.Mix, l.All(), w.f.Diary.All()
 	return ev
--- a/internal/drill/fleet.go
+++ b/internal/drill/fleet.go
@@ -33,7 +33,7 @@
 
 // Proc is one daemon of the fleet.
 type Proc struct {
-	Name, Hall string
+	Name, Zone string
 	Addr       string // between processes
 	Origin     string // routers only
 	Runner     string // routers only
@@ -55,7 +55,7 @@
 	Models  []*Standin
 	Apps    []*Standin
 	Diary   *Diary
-	Links   *Links        // nil: halls are not told apart
+	Links   *Links        // nil: zones are not told apart
 	Lost    time.Duration // after which a silent core's seat may go to a spare
 	seeds   string
 	more    []string // added to the daemons' environment
@@ -89,7 +89,7 @@
 	return l.Addr().String(), nil
 }
 
-// NewFleet lays a fleet out: five cores and the mix's routers over its halls, with the binaries
+// NewFleet lays a fleet out: five cores and the mix's routers over its zones, with the binaries
 // router and core from bin and all files under dir.
 //
 //	f, err := drill.NewFleet(drill.Trentvale(), "bin", dir)
@@ -106,13 +106,13 @@
 	}
 	var founders []string
 	for i := range 5 {
-		p := &Proc{Name: fmt.Sprintf("core%d", i+1), Hall: mix.Halls[i%len(mix.Halls)], Addr: at(), Operator: at(), prog: filepath.Join(bin, "core")}
+		p := &Proc{Name: fmt.Sprintf("core%d", i+1), Zone: mix.Zones[i%len(mix.Zones)], Addr: at(), Operator: at(), prog: filepath.Join(bin, "core")}
 		f.Cores = append(f.Cores, p)
 		founders = append(founders, p.Addr)
 	}
 	for i := range mix.Routers {
-		hall := mix.Halls[i%len(mix.Halls)]
-		f.Routers = append(f.Routers, &Proc{Name: fmt.Sprintf("%s%d", hall, i/len(mix.Halls)+1), Hall: hall,
+		zone := mix.Zones[i%len(mix.Zones)]
+		f.Routers = append(f.Routers, &Proc{Name: fmt.Sprintf("%s%d", zone, i/len(mix.Zones)+1), Zone: zone,
 			Addr: at(), Origin: at(), Runner: at(), Operator: at(), prog: filepath.Join(bin, "router")})
 	}
 	f.seeds = strings.Join(founders[:2], ",") + "," + f.Routers[0].Addr
@@ -120,18 +120,18 @@
 		p.args = append(f.coreArgs(p), "-founders", strings.Join(founders, ","))
 	}
 	for _, p := range f.Routers {
-		p.args = []string{"-name", p.Name, "-hall", p.Hall, "-addr", p.Addr, "-origin", p.Origin, "-runner", p.Runner,
+		p.args = []string{"-name", p.Name, "-hall", p.Zone, "-addr", p.Addr, "-origin", p.Origin, "-runner", p.Runner,
 			"-operator", p.Operator, "-operator-key-hash", hash, "-seeds", f.seeds, "-log", "debug"}
 	}
 	for _, p := range append(append([]*Proc{}, f.Cores...), f.Routers...) {
 		p.log = filepath.Join(dir, p.Name+".log")
 	}
 	stand := func(i int, name string, labels map[string]string) *Standin {
-		hall := mix.Halls[i%len(mix.Halls)]
-		labels["hall"] = hall
+		zone := mix.Zones[i%len(mix.Zones)]
+		labels["hall"] = zone
 		s := &Standin{Name: fmt.Sprintf("%s%d", name, i+1), Addr: at(), Labels: labels, Diary: f.Diary}
 		for _, r := range f.Routers {
-			if r.Hall == hall {
+			if r.Zone == zone {
 				s.Beats = append([]string{r.Runner}, s.Beats...)
 			} else {
 				s.Beats = append(s.Beats, r.Runner)
@@ -155,7 +155,7 @@
 
 // coreArgs are a core's flags, but for the founders.
 func (f *Fleet) coreArgs(p *Proc) []string {
-	return []string{"-name", p.Name, "-hall", p.Hall, "-addr", p.Addr, "-operator", p.Operator, "-operator-key-hash", layout.HashKey(OperatorKey),
+	return []string{"-name", p.Name, "-hall", p.Zone, "-addr", p.Addr, "-operator", p.Operator, "-operator-key-hash", layout.HashKey(OperatorKey),
 		"-data", filepath.Join(f.Dir, p.Name), "-log", "debug", "-lost", f.Lost.String()}
 }
 
@@ -172,8 +172,8 @@
 // NewCore makes a core that was not there before: blank, at new addresses, knowing the first seeds only.
 //
 //	p, err := f.NewCore("core6", "north")
-func (f *Fleet) NewCore(name, hall string) (*Proc, error) {
-	p := &Proc{Name: name, Hall: hall, prog: f.Cores[0].prog, more: f.more, log: filepath.Join(f.Dir, name+".log")}
+func (f *Fleet) NewCore(name, zone string) (*Proc, error) {
+	p := &Proc{Name: name, Zone: zone, prog: f.Cores[0].prog, more: f.more, log: filepath.Join(f.Dir, name+".log")}
 	var err error
 	if p.Addr, err = f.port("127.0.0.1"); err != nil {
 		return nil, err
@@ -196,11 +196,11 @@
 	return p, nil
 }
 
-// Link puts forwarders between the halls, before the start.
+// Link puts forwarders between the zones, before the start.
 //
 //	err := f.Link()
 func (f *Fleet) Link() error {
-	f.Links = NewLinks(f.Mix.Halls)
+	f.Links = NewLinks(f.Mix.Zones)
 	was := map[string]string{}
 	for _, p := range slices.Concat(f.Cores, f.Routers) {
 		old := p.Addr
@@ -235,7 +235,7 @@
 		s.dark = func(to string) bool {
 			for _, r := range f.Routers {
 				if r.Runner == to {
-					dark, _ := f.Links.Dark(s.Labels["hall"], r.Hall)
+					dark, _ := f.Links.Dark(s.Labels["hall"], r.Zone)
 					return dark
 				}
 			}
@@ -245,16 +245,16 @@
 	return nil
 }
 
-// link gives a process an address of its hall, and the forwarder by which the others know it.
+// link gives a process an address of its zone, and the forwarder by which the others know it.
 func (f *Fleet) link(p *Proc) error {
-	real, err := f.port(f.Links.IP(p.Hall))
+	real, err := f.port(f.Links.IP(p.Zone))
 	if err != nil {
 		return err
 	}
-	if p.Addr, err = f.Links.Open(p.Hall, real); err != nil {
+	if p.Addr, err = f.Links.Open(p.Zone, real); err != nil {
 		return err
 	}
-	p.args = append(p.args, "-listen", real, "-from", f.Links.IP(p.Hall))
+	p.args = append(p.args, "-listen", real, "-from", f.Links.IP(p.Zone))
 	return nil
 }
 
@@ -440,17 +440,17 @@
 	return len(gjson.GetBytes(raw, `#(standing=="ready")#`).Array())
 }
 
-// In lists the processes and the runners of a hall.
+// In lists the processes and the runners of a zone.
 //
 //	procs, runs := f.In("north")
-func (f *Fleet) In(hall string) (procs []*Proc, runs []*Standin) {
+func (f *Fleet) In(zone string) (procs []*Proc, runs []*Standin) {
 	for _, p := range slices.Concat(f.Cores, f.Routers) {
-		if p.Hall == hall {
+		if p.Zone == zone {
 			procs = append(procs, p)
 		}
 	}
 	for _, s := range slices.Concat(f.Models, f.Apps) {
-		if s.Labels["hall"] == hall {
+		if s.Labels["hall"] == zone {
 			runs = append(runs, s)
 		}
 	}
@@ -486,10 +486,10 @@
 //	f.Describe(os.Stdout)
 func (f *Fleet) Describe(w io.Writer) {
 	for _, p := range f.Cores {
-		fmt.Fprintf(w, "%-8s hall %-6s operators http://%s\n", p.Name, p.Hall, p.Operator)
+		fmt.Fprintf(w, "%-8s hall %-6s operators http://%s\n", p.Name, p.Zone, p.Operator)
 	}
 	for _, p := range f.Routers {
-		fmt.Fprintf(w, "%-8s hall %-6s origins http://%s operators http://%s\n", p.Name, p.Hall, p.Origin, p.Operator)
+		fmt.Fprintf(w, "%-8s hall %-6s origins http://%s operators http://%s\n", p.Name, p.Zone, p.Origin, p.Operator)
 	}
 	var keys []string
 	for _, t := range payers(f.Mix) {
--- a/internal/drill/links.go
+++ b/internal/drill/links.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Links carries all that goes between the halls of a rehearsal fleet: each process is known by a
-// forwarder's address, and dials from its hall's own, so that the link of one hall can be cut.
+// Links carries all that goes between the zones of a rehearsal fleet: each process is known by a
+// forwarder's address, and dials from its zone's own, so that the link of one zone can be cut.
 type Links struct {
-	halls []string
+	zones []string
 	mu    sync.Mutex
-	cut   string        // the hall that is cut off, or ""
+	cut   string        // the zone that is cut off, or ""
 	turn  chan struct{} // closed with each change
 	doors map[string]*door
 	cons  map[net.Conn]bool
@@ -23,35 +23,35 @@
 // door is one forwarder.
 type door struct {
 	ear      net.Listener // nil while it is shut
-	hall, to string
+	zone, to string
 }
 
-// NewLinks makes links between halls.
+// NewLinks makes links between zones.
 //
-//	f.Links = drill.NewLinks(mix.Halls)
-func NewLinks(halls []string) *Links {
-	return &Links{halls: halls, turn: make(chan struct{}), doors: map[string]*door{}, cons: map[net.Conn]bool{}}
+//	f.Links = drill.NewLinks(mix.Zones)
+func NewLinks(zones []string) *Links {
+	return &Links{zones: zones, turn: make(chan struct{}), doors: map[string]*door{}, cons: map[net.Conn]bool{}}
 }
 
-// IP is the loopback address that a hall's processes listen on and dial from.
+// IP is the loopback address that a zone's processes listen on and dial from.
 //
 //	l.IP("north")
-func (l *Links) IP(hall string) string {
-	return fmt.Sprintf("127.0.%d.1", 10+slices.Index(l.halls, hall))
+func (l *Links) IP(zone string) string {
+	return fmt.Sprintf("127.0.%d.1", 10+slices.Index(l.zones, zone))
 }
 
-// Cut cuts a hall off from all others; "" heals. What is under way waits, as on a dark line.
+// Cut cuts a zone off from all others; "" heals. What is under way waits, as on a dark line.
 //
 //	l.Cut("north"); defer l.Cut("")
-func (l *Links) Cut(hall string) {
+func (l *Links) Cut(zone string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut = hall
+	l.cut = zone
 	close(l.turn)
 	l.turn = make(chan struct{})
 }
 
-// Dark tells whether nothing gets from one hall to another, and when to ask again.
+// Dark tells whether nothing gets from one zone to another, and when to ask again.
 //
 //	dark, turn := l.Dark("north", "east")
 func (l *Links) Dark(a, b string) (bool, <-chan struct{}) {
@@ -60,10 +60,10 @@
 	return a != b && l.cut != "" && (a == l.cut || b == l.cut), l.turn
 }
 
-// Open forwards a new address to a process of a hall.
+// Open forwards a new address to a process of a zone.
 //
 //	at, err := l.Open("north", "127.0.11.1:7501")
-func (l *Links) Open(hall, to string) (string, error) {
+func (l *Links) Open(zone, to string) (string, error) {
 	ear, err := freePort("127.0.0.1")
 	if err != nil {
 		return "", err
@@ -71,7 +71,7 @@
 	at := ear.Addr().String()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.doors[at] = &door{hall: hall, to: to}
+	l.doors[at] = &door{zone: zone, to: to}
 	l.serve(l.doors[at], ear)
 	return at, nil
 }
@@ -114,15 +114,15 @@
 			if err != nil {
 				return
 			}
-			go l.carry(con, d.hall, d.to)
+			go l.carry(con, d.zone, d.to)
 		}
 	}()
 }
 
-func (l *Links) carry(in net.Conn, hall, to string) {
-	from := hall // the drill's own calls are never cut
+func (l *Links) carry(in net.Conn, zone, to string) {
+	from := zone // the drill's own calls are never cut
 	ip, _, _ := strings.Cut(in.RemoteAddr().String(), ":")
-	for _, h := range l.halls {
+	for _, h := range l.zones {
 		if l.IP(h) == ip {
 			from = h
 		}
@@ -140,7 +140,7 @@
 		buf := make([]byte, 32<<10)
 		for {
 			n, err := src.Read(buf)
-			for dark, turn := l.Dark(from, hall); dark; dark, turn = l.Dark(from, hall) {
+			for dark, turn := l.Dark(from, zone); dark; dark, turn = l.Dark(from, zone) {
 				<-turn
 			}
 			if _, e := dst.Write(buf[:n]); e != nil || err != nil {
--- a/internal/drill/main.go
+++ b/internal/drill/main.go
@@ -157,7 +157,7 @@
 		close(done)
 	}()
 	if args[0] == "hall" {
-		f.hall(run, *span, out, load)
+		f.loseZone(run, *span, out, load)
 	}
 	<-done
 	outs := load.All()
@@ -190,14 +190,14 @@
 	return env.ExitError
 }
 
-// hall kills every process of one hall, runners too, and starts them again later.
-func (f *Fleet) hall(ctx context.Context, span time.Duration, out io.Writer, load *Load) {
+// loseZone kills every process of one zone, runners too, and starts them again later.
+func (f *Fleet) loseZone(ctx context.Context, span time.Duration, out io.Writer, load *Load) {
 	if !env.Wait(ctx, span/4) {
 		return
 	}
-	lost := f.Mix.Halls[0]
+	lost := f.Mix.Zones[0]
 	if p := f.Primary(ctx); p != nil {
-		lost = p.Hall // the hardest hall to lose
+		lost = p.Zone // the hardest zone to lose
 	}
 	at := time.Now()
 	fmt.Fprintf(out, "hall %s is lost\n", lost)
--- a/internal/drill/mix.go
+++ b/internal/drill/mix.go
@@ -10,10 +10,10 @@
 	"yarrowridge/internal/layout"
 )
 
-// Mix is a deployment as the drill plays it: its halls, runners, layout and traffic.
+// Mix is a deployment as the drill plays it: its zones, runners, layout and traffic.
 type Mix struct {
 	Name    string
-	Halls   []string
+	Zones   []string
 	Routers int
 	Model   string
 	Models  int // model runners
@@ -60,7 +60,7 @@
 //
 //	mix := drill.Trentvale()
 func Trentvale() Mix {
-	return Mix{Name: "trentvale", Halls: []string{"east", "north", "south", "west"}, Routers: 9, Model: "lumen-7b", Models: 12, Apps: 4,
+	return Mix{Name: "trentvale", Zones: []string{"east", "north", "south", "west"}, Routers: 9, Model: "lumen-7b", Models: 12, Apps: 4,
 		Kinds: []Kind{
 			{Name: "checks", Method: "POST", Path: "/v1/checks", Rate: 80, Prefix: 8 << 10, Docs: 24, Tail: 100, Tokens: 2},
 			{Name: "writeups", Method: "POST", Path: "/v1/writeups", Rate: 2, Prefix: 2 << 10, Docs: 4, Tail: 400, Tokens: 60, Stream: true},
@@ -87,7 +87,7 @@
 //
 //	mix := drill.Tokachi()
 func Tokachi() Mix {
-	return Mix{Name: "tokachi", Halls: []string{"hills", "plain", "river"}, Routers: 8, Model: "kumo-13b", Models: 9, Apps: 3,
+	return Mix{Name: "tokachi", Zones: []string{"hills", "plain", "river"}, Routers: 8, Model: "kumo-13b", Models: 9, Apps: 3,
 		Kinds: []Kind{
 			{Name: "notes", Method: "POST", Path: "/v1/notes", Rate: 40, Prefix: 6 << 10, Docs: 40, Tail: 300, Tokens: 12, Once: true},
 			{Name: "replies", Method: "POST", Path: "/v1/replies", Rate: 2, Prefix: 1 << 10, Docs: 4, Tail: 400, Tokens: 60, Stream: true},
--- a/internal/drill/scale.go
+++ b/internal/drill/scale.go
@@ -125,7 +125,7 @@
 	}
 	mix := Mix{Name: "scale", Routers: 1}
 	for i := range settings.Zones {
-		mix.Halls = append(mix.Halls, fmt.Sprintf("zone%02d", i+1))
+		mix.Zones = append(mix.Zones, fmt.Sprintf("zone%02d", i+1))
 	}
 	fleet, err := NewFleet(mix, bin, dir)
 	if err != nil {
