--- a/internal/drill/check.go
+++ b/internal/drill/check.go
@@ -22,7 +22,7 @@
 	var bad []Breach
 	say := func(promise, f string, a ...any) { bad = append(bad, Breach{promise, fmt.Sprintf(f, a...)}) }
 	ev.queries(say)
-	ev.layouts(say)
+	ev.checkConfigs(say)
 	ev.quotas(say)
 	ev.tries(say)
 	ev.times(say)
@@ -116,8 +116,8 @@
 	}
 }
 
-// layouts holds what routers obeyed against what operators were told.
-func (ev Evidence) layouts(say sayer) {
+// configs holds what routers obeyed against what operators were told.
+func (ev Evidence) checkConfigs(say sayer) {
 	acked, doubt := map[uint64]Edit{}, map[string]bool{}
 	var newest Edit
 	for _, e := range ev.Edits {
@@ -178,7 +178,7 @@
 
 // quotas holds each tenant's queries, as runners saw them, against its quota in every rolling window.
 func (ev Evidence) quotas(say sayer) {
-	for ten, v := range ev.Mix.Layout["tenants"].(obj) {
+	for ten, v := range ev.Mix.Config["tenants"].(obj) {
 		q, ok := v.(obj)["quota"].(obj)
 		if !ok {
 			continue
@@ -205,7 +205,7 @@
 
 // tries holds second tries against first ones in every ten seconds, over the whole fleet.
 func (ev Evidence) tries(say sayer) {
-	for svc, v := range ev.Mix.Layout["services"].(obj) {
+	for svc, v := range ev.Mix.Config["services"].(obj) {
 		spare := float64(v.(obj)["second_spare"].(int))
 		for i, j := 0, 0; j < len(ev.Counts); j++ {
 			for ev.Counts[j].At.Sub(ev.Counts[i].At) > 10*time.Second {
--- a/internal/drill/day.go
+++ b/internal/drill/day.go
@@ -25,15 +25,15 @@
 // Day is a deployment's day, compressed: its traffic, its operators, and a course of faults that ends
 // with a closing one, after which all is read back.
 type Day struct {
-	f    *Fleet
-	l    *Load
-	w    *Watch
-	out  io.Writer
-	rnd  *rand.Rand
-	mark int
-	lay  obj // as last acknowledged
-	bad  error
-	own  sync.WaitGroup // queries of the day's own, beside the load
+	f      *Fleet
+	l      *Load
+	w      *Watch
+	out    io.Writer
+	rnd    *rand.Rand
+	mark   int
+	config obj // as last acknowledged
+	bad    error
+	own    sync.WaitGroup // queries of the day's own, beside the load
 }
 
 // event is one entry of a day's course.
@@ -99,7 +99,7 @@
 //
 //	d := drill.NewDay(f, load, seed, os.Stdout)
 func NewDay(f *Fleet, l *Load, seed uint64, out io.Writer) *Day {
-	d := &Day{f: f, l: l, w: NewWatch(f), out: out, rnd: rand.New(rand.NewPCG(seed, 12)), lay: maps.Clone(f.Mix.Layout)}
+	d := &Day{f: f, l: l, w: NewWatch(f), out: out, rnd: rand.New(rand.NewPCG(seed, 12)), config: maps.Clone(f.Mix.Config)}
 	d.w.note(func(ev *Evidence) {
 		ev.Edits = append(ev.Edits, Edit{At: time.Now(), Told: time.Now(), Code: 200, Seq: 1, Hash: layout.HashKey(string(f.Mix.Raw()))})
 	})
@@ -207,16 +207,16 @@
 	d.w.note(func(ev *Evidence) { ev.Hards = append(ev.Hards, Hard{name, time.Now()}) })
 }
 
-// put writes a layout with a mark of its own, and notes what the operator was told.
-func (d *Day) put(ctx context.Context, lay obj, mark int, match string) Edit {
-	lay = maps.Clone(lay)
+// put writes a config with a mark of its own, and notes what the operator was told.
+func (d *Day) put(ctx context.Context, config obj, mark int, match string) Edit {
+	config = maps.Clone(config)
 	limits := obj{}
-	if old, ok := lay["limits"].(obj); ok {
+	if old, ok := config["limits"].(obj); ok {
 		limits = maps.Clone(old)
 	}
 	limits["queue"] = 1000 + mark
-	lay["limits"] = limits
-	raw, _ := json.Marshal(lay)
+	config["limits"] = limits
+	raw, _ := json.Marshal(config)
 	return d.send(ctx, "PUT", raw, match, layout.HashKey(string(raw)))
 }
 
@@ -242,12 +242,12 @@
 	var all sync.WaitGroup
 	for range 3 {
 		m := d.next()
-		all.Go(func() { d.put(ctx, d.lay, m, at) }) // one of them wins
+		all.Go(func() { d.put(ctx, d.config, m, at) }) // one of them wins
 	}
 	all.Wait()
 	env.Wait(ctx, time.Second) // a loser that took effect would be seen
 	for range 8 {
-		d.put(ctx, d.lay, d.next(), "*")
+		d.put(ctx, d.config, d.next(), "*")
 	}
 	d.send(ctx, "PUT", []byte(`{"lanes":7}`), "*", "bad")
 	// A part: what it makes of the whole is known once it is read back.
@@ -267,24 +267,24 @@
 
 func (d *Day) withdraw(ctx context.Context) {
 	who := payers(d.f.Mix)[5]
-	lay := maps.Clone(d.lay)
-	ten := maps.Clone(lay["tenants"].(obj))
+	config := maps.Clone(d.config)
+	ten := maps.Clone(config["tenants"].(obj))
 	less := maps.Clone(ten[who].(obj))
 	less["keys"] = []string{}
 	ten[who] = less
-	lay["tenants"] = ten
-	from := d.sure(ctx, lay)
+	config["tenants"] = ten
+	from := d.sure(ctx, config)
 	env.Wait(ctx, 4*time.Second)
 	to := time.Now()
-	d.sure(ctx, d.lay)
+	d.sure(ctx, d.config)
 	d.w.note(func(ev *Evidence) { ev.Gone = append(ev.Gone, Gone{who, from, to}) })
 }
 
 // sure writes until it is acknowledged, and tells when it was.
-func (d *Day) sure(ctx context.Context, lay obj) time.Time {
+func (d *Day) sure(ctx context.Context, config obj) time.Time {
 	var e Edit
 	d.until(ctx, rest, "a write is acknowledged", func() bool {
-		e = d.put(ctx, lay, d.next(), "*")
+		e = d.put(ctx, config, d.next(), "*")
 		return e.Code == 200
 	})
 	return e.Told
@@ -392,7 +392,7 @@
 	from := time.Now()
 	d.f.Links.Cut(zone)
 	env.Wait(ctx, 15*time.Second)
-	d.sure(ctx, d.lay)
+	d.sure(ctx, d.config)
 	d.w.note(func(ev *Evidence) { ev.Cuts = append(ev.Cuts, Cut{zone, from, time.Now()}) })
 	d.f.Links.Cut("")
 }
@@ -426,13 +426,13 @@
 }
 
 func (d *Day) cores(ctx context.Context) {
-	d.sure(ctx, d.lay)
+	d.sure(ctx, d.config)
 	d.fall(ctx, "every core killed", time.Second, d.f.Cores)
 }
 
 func (d *Day) wipe(ctx context.Context) {
 	lead := d.lead(ctx)
-	d.sure(ctx, d.lay)
+	d.sure(ctx, d.config)
 	d.hard("the primary's disk lost")
 	lead.Kill()
 	if err := os.RemoveAll(filepath.Join(d.f.Dir, lead.Name)); err != nil {
@@ -525,7 +525,7 @@
 	for _, s := range runs {
 		s.Crash()
 	}
-	d.sure(ctx, d.lay)
+	d.sure(ctx, d.config)
 	d.fall(ctx, "hall "+zone+" lost", 5*time.Second, dead)
 	for _, s := range runs {
 		d.up(s)
@@ -533,11 +533,11 @@
 }
 
 func (d *Day) loseAll(ctx context.Context) {
-	d.sure(ctx, d.lay)
+	d.sure(ctx, d.config)
 	d.fall(ctx, "every process killed", 500*time.Millisecond, slices.Concat(d.f.Cores, d.f.Routers))
 }
 
 func (d *Day) loseRouters(ctx context.Context) {
-	d.sure(ctx, d.lay)
+	d.sure(ctx, d.config)
 	d.fall(ctx, "every router killed", 500*time.Millisecond, d.f.Routers)
 }
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// The shipped examples are the mixes' layouts, and hold.
+// The shipped examples are the mixes' configs, and hold.
 func TestExamples(t *testing.T) {
 	for _, mix := range []Mix{Trentvale(), Tokachi()} {
 		raw, err := os.ReadFile(filepath.Join("..", "..", "examples", mix.Name+".json"))
--- a/internal/drill/evidence.go
+++ b/internal/drill/evidence.go
@@ -20,10 +20,10 @@
 	At, Told time.Time
 	Code     int // 0: the connection broke
 	Seq      uint64
-	Hash     string // of the whole layout it would make
+	Hash     string // of the whole config it would make
 }
 
-// Sight is one look at the layout that a router obeys.
+// Sight is one look at the config that a router obeys.
 type Sight struct {
 	Router string
 	At     time.Time // asked
--- a/internal/drill/fault_test.go
+++ b/internal/drill/fault_test.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// Operators write while the primary is killed, frozen and thawed: no acknowledged layout is lost
+// Operators write while the primary is killed, frozen and thawed: no acknowledged config is lost
 // and no sequence acknowledged twice.
 func TestPrimaryFaults(t *testing.T) {
 	f := up(t, Tokachi())
@@ -157,7 +157,7 @@
 		m := mark
 		mu.Unlock()
 		lay := map[string]any{}
-		for k, v := range f.Mix.Layout {
+		for k, v := range f.Mix.Config {
 			lay[k] = v
 		}
 		lay["limits"] = obj{"queue": m}
@@ -230,7 +230,7 @@
 	}
 }
 
-// A primary is frozen until another has acknowledged a layout, and asked for the layout meanwhile: what it
+// A primary is frozen until another has acknowledged a config, and asked for the config meanwhile: what it
 // answers in the moment in which it thaws is never the old one. With its lease struck out it is.
 func TestThawedPrimary(t *testing.T) {
 	for range 2 {
@@ -315,7 +315,7 @@
 func TestQuotaOverRouters(t *testing.T) {
 	mix := Trentvale()
 	const units, window = 24, 3
-	mix.Layout["tenants"].(obj)["casual"].(obj)["quota"] = obj{"units": units, "window_s": window}
+	mix.Config["tenants"].(obj)["casual"].(obj)["quota"] = obj{"units": units, "window_s": window}
 	f := up(t, mix)
 	l := NewLoad(f, 1, 1)
 	ctx, end := context.WithTimeout(t.Context(), time.Minute)
--- a/internal/drill/fleet.go
+++ b/internal/drill/fleet.go
@@ -321,7 +321,7 @@
 	}
 }
 
-// Start begins all daemons and stand-ins, puts the mix's layout and waits until every router is
+// Start begins all daemons and stand-ins, puts the mix's config and waits until every router is
 // ready and knows the runners.
 //
 //	err := f.Start(ctx)
@@ -411,7 +411,7 @@
 	return ans.StatusCode, raw, err
 }
 
-// Put puts a layout through a process and tells the code and the sequence.
+// Put puts a config through a process and tells the code and the sequence.
 //
 //	code, seq, err := f.Put(ctx, f.Cores[0], raw, "*", "write-1")
 func (f *Fleet) Put(ctx context.Context, p *Proc, raw []byte, match, id string) (int, uint64, error) {
@@ -470,7 +470,7 @@
 	return nil
 }
 
-// Sequence is the layout sequence that a router obeys.
+// Sequence is the config sequence that a router obeys.
 //
 //	n := f.Sequence(ctx, r)
 func (f *Fleet) Sequence(ctx context.Context, p *Proc) uint64 {
@@ -496,6 +496,6 @@
 		keys = append(keys, strconv.Quote(Key(t)))
 	}
 	fmt.Fprintf(w, "operators' key %q; origins' keys %s\n", OperatorKey, strings.Join(keys, ", "))
-	raw, _ := json.Marshal(f.Mix.Layout["mappings"])
+	raw, _ := json.Marshal(f.Mix.Config["mappings"])
 	fmt.Fprintf(w, "mappings %s\nlogs under %s\n", raw, f.Dir)
 }
--- a/internal/drill/main.go
+++ b/internal/drill/main.go
@@ -102,11 +102,11 @@
 	if args[0] == "day" {
 		// A quota that the traffic reaches.
 		for _, n := range payers(mix) {
-			if q, ok := mix.Layout["tenants"].(obj)[n].(obj)["quota"].(obj); ok {
+			if q, ok := mix.Config["tenants"].(obj)[n].(obj)["quota"].(obj); ok {
 				q["units"], q["window_s"] = 12, 5
 			}
 		}
-		for _, s := range mix.Layout["services"].(obj) {
+		for _, s := range mix.Config["services"].(obj) {
 			s.(obj)["second_spare"] = mix.Routers
 		}
 	}
--- a/internal/drill/mix.go
+++ b/internal/drill/mix.go
@@ -10,7 +10,7 @@
 	"yarrowridge/internal/layout"
 )
 
-// Mix is a deployment as the drill plays it: its zones, runners, layout and traffic.
+// Mix is a deployment as the drill plays it: its zones, runners, config and traffic.
 type Mix struct {
 	Name    string
 	Zones   []string
@@ -19,7 +19,7 @@
 	Models  int // model runners
 	Apps    int // runners of the ordinary application
 	Kinds   []Kind
-	Layout  map[string]any
+	Config  map[string]any
 }
 
 // Kind is one kind of query.
@@ -37,7 +37,7 @@
 	Plain  bool
 }
 
-// Key is the demonstration key of a tenant in the example layouts.
+// Key is the demonstration key of a tenant in the example configs.
 //
 //	drill.Key("north-counter") // "demo-north-counter"
 func Key(tenant string) string { return "demo-" + tenant }
@@ -66,7 +66,7 @@
 			{Name: "writeups", Method: "POST", Path: "/v1/writeups", Rate: 2, Prefix: 2 << 10, Docs: 4, Tail: 400, Tokens: 60, Stream: true},
 			{Name: "confirmations", Method: "POST", Path: "/v1/confirmations", Rate: 60, Once: true, Plain: true},
 		},
-		Layout: obj{
+		Config: obj{
 			"services": obj{"model": obj{"second_share": 0.1, "second_spare": 20}, "orders": obj{"second_share": 0.1, "second_spare": 20}},
 			"pools": obj{
 				"fit":    obj{"select": "app=model, model=lumen-7b", "service": "model"},
@@ -93,7 +93,7 @@
 			{Name: "replies", Method: "POST", Path: "/v1/replies", Rate: 2, Prefix: 1 << 10, Docs: 4, Tail: 400, Tokens: 60, Stream: true},
 			{Name: "status", Method: "GET", Path: "/v1/status/", Rate: 60, Plain: true},
 		},
-		Layout: obj{
+		Config: obj{
 			"services": obj{"model": obj{"second_share": 0.1, "second_spare": 20}, "status": obj{"second_share": 0.1, "second_spare": 20}},
 			"pools": obj{
 				"loans":  obj{"select": "app=model, model in (kumo-13b)", "service": "model"},
@@ -122,11 +122,11 @@
 	return Mix{}, fmt.Errorf("mix %q: trentvale or tokachi expected", name)
 }
 
-// Raw is the mix's layout as text.
+// Raw is the mix's config as text.
 //
 //	os.WriteFile("examples/trentvale.json", mix.Raw(), 0o644)
 func (m Mix) Raw() []byte {
-	raw, err := json.MarshalIndent(m.Layout, "", "  ")
+	raw, err := json.MarshalIndent(m.Config, "", "  ")
 	if err != nil {
 		panic(err) // a fixed value that marshals or never did
 	}
@@ -157,7 +157,7 @@
 // payers lists a mix's tenants in order, the large ones first.
 func payers(m Mix) []string {
 	var list []string
-	for k := range m.Layout["tenants"].(obj) {
+	for k := range m.Config["tenants"].(obj) {
 		list = append(list, k)
 	}
 	sort.Strings(list)
