--- a/internal/drill/bench_test.go
+++ b/internal/drill/bench_test.go
@@ -43,7 +43,7 @@
 	var near, far []time.Duration
 	for b.Loop() {
 		near = append(near, ask(f.Apps[0].Addr))
-		far = append(far, ask(f.Routers[0].Origin))
+		far = append(far, ask(f.Routers[0].Client))
 	}
 	mid := func(d []time.Duration) float64 {
 		sort.Slice(d, func(i, j int) bool { return d[i] < d[j] })
--- a/internal/drill/check.go
+++ b/internal/drill/check.go
@@ -31,7 +31,7 @@
 
 type sayer func(promise, f string, a ...any)
 
-// queries holds the origins' outcomes against the runners' diaries.
+// queries holds the clients' outcomes against the runners' diaries.
 func (ev Evidence) queries(say sayer) {
 	mix, outs, seen := ev.Mix, ev.Outs, ev.Seen
 	kinds := map[string]Kind{}
@@ -55,7 +55,7 @@
 		case n == 0:
 			say("fidelity", "runner %s saw a query that no origin sent", s.Runner)
 		case !ok:
-			continue // its origin has not been answered yet
+			continue // its client has not been answered yet
 		case s.Path != o.Path || !bytes.Equal(s.Body, o.Body):
 			say("fidelity", "runner %s saw query %d changed", s.Runner, n)
 		case s.Head.Get("X-Yarrowridge-Tenant") != o.Tenant:
--- a/internal/drill/day.go
+++ b/internal/drill/day.go
@@ -386,7 +386,7 @@
 	d.fall(ctx, "half of the routers killed", 4*time.Second, dead)
 }
 
-// cut cuts the primary's zone off, the hardest to lose, with origins on both sides.
+// cut cuts the primary's zone off, the hardest to lose, with clients on both sides.
 func (d *Day) cut(ctx context.Context) {
 	zone := d.lead(ctx).Zone
 	from := time.Now()
@@ -473,7 +473,7 @@
 			d.bad = fmt.Errorf("%s does not stop", p.Name)
 			return
 		}
-		if p.Origin != "" {
+		if p.Client != "" {
 			d.w.note(func(ev *Evidence) { ev.Stops = append(ev.Stops, Stop{p.Name, from, time.Now()}) })
 		}
 		if err := p.Start(); err != nil {
--- a/internal/drill/drain_test.go
+++ b/internal/drill/drain_test.go
@@ -22,7 +22,7 @@
 	mix.Config["lanes"].(obj)["notes"] = obj{"rank": 5, "tenants": []string{"*"}, "once": true}
 	f := up(t, mix)
 	l := NewLoad(f, 1, 1)
-	l.cli.Timeout = 2 * time.Minute
+	l.http.Timeout = 2 * time.Minute
 	r := f.Routers[0]
 	ctx, end := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer end()
@@ -61,7 +61,7 @@
 	r.Signal(syscall.SIGTERM)
 	at := time.Now()
 	if err := f.Until(ctx, "the router is deaf to new origins", func() bool {
-		ans, err := http.Get("http://" + r.Origin + "/ready")
+		ans, err := http.Get("http://" + r.Client + "/ready")
 		if err == nil {
 			ans.Body.Close()
 		}
--- a/internal/drill/evidence.go
+++ b/internal/drill/evidence.go
@@ -168,7 +168,7 @@
 	do(&w.ev)
 }
 
-// Evidence is all that was seen, with the origins' outcomes and the runners' diaries.
+// Evidence is all that was seen, with the clients' outcomes and the runners' diaries.
 //
 //	bad := drill.Check(w.Evidence(load))
 func (w *Watch) Evidence(l *Load) Evidence {
--- a/internal/drill/fleet.go
+++ b/internal/drill/fleet.go
@@ -35,7 +35,7 @@
 type Proc struct {
 	Name, Zone string
 	Addr       string // between processes
-	Origin     string // routers only
+	Client     string // routers only
 	Runner     string // routers only
 	Operator   string
 	prog       string
@@ -113,14 +113,14 @@
 	for i := range mix.Routers {
 		zone := mix.Zones[i%len(mix.Zones)]
 		f.Routers = append(f.Routers, &Proc{Name: fmt.Sprintf("%s%d", zone, i/len(mix.Zones)+1), Zone: zone,
-			Addr: at(), Origin: at(), Runner: at(), Operator: at(), prog: filepath.Join(bin, "router")})
+			Addr: at(), Client: at(), Runner: at(), Operator: at(), prog: filepath.Join(bin, "router")})
 	}
 	f.seeds = strings.Join(founders[:2], ",") + "," + f.Routers[0].Addr
 	for _, p := range f.Cores {
 		p.args = append(f.coreArgs(p), "-founders", strings.Join(founders, ","))
 	}
 	for _, p := range f.Routers {
-		p.args = []string{"-name", p.Name, "-hall", p.Zone, "-addr", p.Addr, "-origin", p.Origin, "-runner", p.Runner,
+		p.args = []string{"-name", p.Name, "-hall", p.Zone, "-addr", p.Addr, "-origin", p.Client, "-runner", p.Runner,
 			"-operator", p.Operator, "-operator-key-hash", hash, "-seeds", f.seeds, "-log", "debug"}
 	}
 	for _, p := range append(append([]*Proc{}, f.Cores...), f.Routers...) {
@@ -489,7 +489,7 @@
 		fmt.Fprintf(w, "%-8s hall %-6s operators http://%s\n", p.Name, p.Zone, p.Operator)
 	}
 	for _, p := range f.Routers {
-		fmt.Fprintf(w, "%-8s hall %-6s origins http://%s operators http://%s\n", p.Name, p.Zone, p.Origin, p.Operator)
+		fmt.Fprintf(w, "%-8s hall %-6s origins http://%s operators http://%s\n", p.Name, p.Zone, p.Client, p.Operator)
 	}
 	var keys []string
 	for _, t := range payers(f.Mix) {
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -21,7 +21,7 @@
 	"yarrowridge/internal/env"
 )
 
-// Outcome is one try of an origin, as the origin saw it.
+// Outcome is one try of an client, as the client saw it.
 type Outcome struct {
 	Kind    string
 	N       uint64
@@ -45,10 +45,10 @@
 	Resumed int    // times the stream was asked for again
 }
 
-// served tells whether the origin has a whole answer.
+// served tells whether the client has a whole answer.
 func (o *Outcome) served() bool { return o.Whole && o.Status == 200 }
 
-// Load plays a mix's origins against a fleet.
+// Load plays a mix's clients against a fleet.
 type Load struct {
 	Fleet *Fleet
 	Scale float64
@@ -58,14 +58,14 @@
 	next atomic.Uint64
 	mu   sync.Mutex
 	all  []Outcome
-	cli  *http.Client
+	http *http.Client
 }
 
 // NewLoad makes a load; equal seeds ask the same things in the same order.
 //
 //	l := drill.NewLoad(fleet, 1, 42)
 func NewLoad(f *Fleet, scale float64, seed uint64) *Load {
-	return &Load{Fleet: f, Scale: scale, Seed: seed, Tries: 6, cli: &http.Client{Timeout: 40 * time.Second, Transport: &http.Transport{
+	return &Load{Fleet: f, Scale: scale, Seed: seed, Tries: 6, http: &http.Client{Timeout: 40 * time.Second, Transport: &http.Transport{
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxIdleConnsPerHost: 64, DisableCompression: true}}}
 }
 
@@ -158,14 +158,14 @@
 //
 //	l.Resume(&o, fleet.Routers[1])
 func (l *Load) Resume(o *Outcome, r *Proc) {
-	req, err := http.NewRequest("GET", "http://"+r.Origin+"/v1/streams/"+o.Query, nil)
+	req, err := http.NewRequest("GET", "http://"+r.Client+"/v1/streams/"+o.Query, nil)
 	if err != nil {
 		return
 	}
 	req.Header.Set("Authorization", "Bearer "+Key(o.Tenant))
 	req.Header.Set("Last-Event-ID", strconv.Itoa(len(o.Pieces)))
 	o.Resumed++
-	ans, err := l.cli.Do(req)
+	ans, err := l.http.Do(req)
 	if err != nil {
 		return
 	}
@@ -190,7 +190,7 @@
 	if k.Method == "GET" {
 		o.Path += strconv.FormatUint(n, 10)
 	}
-	req, err := http.NewRequest(k.Method, "http://"+r.Origin+o.Path, nil)
+	req, err := http.NewRequest(k.Method, "http://"+r.Client+o.Path, nil)
 	if err != nil {
 		o.Err = err.Error()
 		return o
@@ -206,7 +206,7 @@
 		o.Key = fmt.Sprintf("key-%d", n)
 		req.Header.Set("Idempotency-Key", o.Key)
 	}
-	ans, err := l.cli.Do(req)
+	ans, err := l.http.Do(req)
 	if err != nil {
 		o.Err = err.Error()
 		return o
--- a/internal/drill/slow_test.go
+++ b/internal/drill/slow_test.go
@@ -34,7 +34,7 @@
 	r := f.Routers[0]
 	var strange []net.Conn
 	for range 40 {
-		strange = append(strange, dribble(t, r.Origin, "nobody"))
+		strange = append(strange, dribble(t, r.Client, "nobody"))
 	}
 	k := mix.Kinds[0]
 	for n := range uint64(8) {
@@ -49,7 +49,7 @@
 			t.Fatalf("stranger %d: %v %v", i, ans, err)
 		}
 	}
-	slow := dribble(t, r.Origin, Key("yard-a"))
+	slow := dribble(t, r.Client, Key("yard-a"))
 	slow.SetReadDeadline(time.Now().Add(20 * time.Second))
 	ans, err := http.ReadResponse(bufio.NewReader(slow), nil)
 	if err != nil {
@@ -59,9 +59,9 @@
 	if ans.StatusCode != 408 || !strings.Contains(string(raw), `"not run"`) {
 		t.Errorf("a known tenant that sends slowly was answered %d %s", ans.StatusCode, raw)
 	}
-	// An origin that stops reading in the middle of a stream that no socket's buffers hold.
+	// An client that stops reading in the middle of a stream that no socket's buffers hold.
 	body := fmt.Sprintf(`{"model":%q,"prompt":"a","max_tokens":400,"stream":true,"pad":16384}`, mix.Model)
-	deaf, err := net.Dial("tcp", r.Origin)
+	deaf, err := net.Dial("tcp", r.Client)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 	}
 	// A fresh flood while the router is told to stop.
 	for range 40 {
-		dribble(t, r.Origin, "nobody")
+		dribble(t, r.Client, "nobody")
 	}
 	at := time.Now()
 	r.Signal(syscall.SIGTERM)
--- a/internal/drill/standin.go
+++ b/internal/drill/standin.go
@@ -1,5 +1,5 @@
 // Package drill rehearses a whole fleet on one machine: it starts the daemons, stands in for
-// origins and runners, brings faults about and checks the promises from outside.
+// clients and runners, brings faults about and checks the promises from outside.
 package drill
 
 import (
@@ -293,7 +293,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	stream := gjson.GetBytes(body, "stream").Bool()
-	pad := strings.Repeat("w", int(gjson.GetBytes(body, "pad").Int())) // to fill an origin's connection
+	pad := strings.Repeat("w", int(gjson.GetBytes(body, "pad").Int())) // to fill an client's connection
 	if stream {
 		w.Header().Set("Content-Type", "text/event-stream")
 	}
--- a/internal/drill/stream_test.go
+++ b/internal/drill/stream_test.go
@@ -29,13 +29,13 @@
 
 func (l *Load) begin(t *testing.T, r *Proc, k Kind, ten string, n uint64) *reader {
 	t.Helper()
-	req, err := http.NewRequest("POST", "http://"+r.Origin+k.Path, strings.NewReader(string(k.body(l.Fleet.Mix.Model, n, newRand(n)))))
+	req, err := http.NewRequest("POST", "http://"+r.Client+k.Path, strings.NewReader(string(k.body(l.Fleet.Mix.Model, n, newRand(n)))))
 	if err != nil {
 		t.Fatal(err)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Authorization", "Bearer "+Key(ten))
-	ans, err := l.cli.Do(req)
+	ans, err := l.http.Do(req)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,9 +66,9 @@
 // rest resumes a stream after n pieces and reads it to its end.
 func (l *Load) rest(t *testing.T, r *Proc, ten, id string, n int) ([]int, string) {
 	t.Helper()
-	req, _ := http.NewRequest("GET", "http://"+r.Origin+StreamsPath+id+"?after="+strconv.Itoa(n), nil)
+	req, _ := http.NewRequest("GET", "http://"+r.Client+StreamsPath+id+"?after="+strconv.Itoa(n), nil)
 	req.Header.Set("Authorization", "Bearer "+Key(ten))
-	ans, err := l.cli.Do(req)
+	ans, err := l.http.Do(req)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 	return true
 }
 
-// Streams through lost origins, routers and runners: resumed at any piece through any router, with
+// Streams through lost clients, routers and runners: resumed at any piece through any router, with
 // no gap, no repeat and no false end, and only by the tenant that owns them.
 func TestStreams(t *testing.T) {
 	mix := Trentvale()
