--- a/internal/drill/check.go
+++ b/internal/drill/check.go
@@ -21,18 +21,18 @@
 func Check(ev Evidence) []Breach {
 	var bad []Breach
 	say := func(promise, f string, a ...any) { bad = append(bad, Breach{promise, fmt.Sprintf(f, a...)}) }
-	ev.queries(say)
+	ev.checkRequests(say)
 	ev.checkConfigs(say)
-	ev.quotas(say)
-	ev.tries(say)
-	ev.times(say)
+	ev.checkQuotas(say)
+	ev.checkTries(say)
+	ev.checkTimes(say)
 	return bad
 }
 
 type sayer func(promise, f string, a ...any)
 
-// queries holds the clients' outcomes against the runners' diaries.
-func (ev Evidence) queries(say sayer) {
+// requests holds the clients' outcomes against the runners' diaries.
+func (ev Evidence) checkRequests(say sayer) {
 	mix, outs, seen := ev.Mix, ev.Outs, ev.Seen
 	kinds := map[string]Kind{}
 	for _, k := range mix.Kinds {
@@ -41,7 +41,7 @@
 	asked := map[uint64]Outcome{}
 	ids := map[string]bool{}
 	for _, o := range outs {
-		asked[o.N] = o
+		asked[o.Number] = o
 	}
 	ran, tries := map[uint64]int{}, map[string]int{}
 	for _, s := range seen {
@@ -76,41 +76,41 @@
 	}
 	for _, o := range outs {
 		k := kinds[o.Kind]
-		if o.Run == "not run" && ids[o.Query] {
-			say("not-run", "query %s (%d) was said not to have run, code %s, but a runner saw it", o.Query, o.N, o.Code)
+		if o.Run == "not run" && ids[o.RequestID] {
+			say("not-run", "query %s (%d) was said not to have run, code %s, but a runner saw it", o.RequestID, o.Number, o.Code)
 		}
 		if o.served() {
 			if o.Echo != Echo(o.Body) {
-				say("answer", "query %d was answered with another's answer", o.N)
+				say("answer", "query %d was answered with another's answer", o.Number)
 			}
 			if k.Stream && len(o.Pieces) != k.Tokens {
-				say("stream", "query %d: a stream of %d pieces claims to be complete, %d expected", o.N, len(o.Pieces), k.Tokens)
+				say("stream", "query %d: a stream of %d pieces claims to be complete, %d expected", o.Number, len(o.Pieces), k.Tokens)
 			}
 		}
 		if len(o.Marks) > 1 {
-			say("joined", "query %d: the stream joins runs %v", o.N, o.Marks)
+			say("joined", "query %d: the stream joins runs %v", o.Number, o.Marks)
 		}
 		for i, p := range o.Pieces {
 			if i != p {
-				say("stream", "query %d: piece %d came in place %d", o.N, p, i)
+				say("stream", "query %d: piece %d came in place %d", o.Number, p, i)
 				break
 			}
 		}
 		if (o.Status == 503 || o.Status == 429) && o.Retry == "" {
-			say("retry-after", "query %d was bounced with %s and no Retry-After", o.N, o.Code)
+			say("retry-after", "query %d was bounced with %s and no Retry-After", o.Number, o.Code)
 		}
 	}
 	whole := map[uint64]int{}
 	for _, o := range outs {
 		if o.Whole {
-			whole[o.N]++
+			whole[o.Number]++
 		}
 	}
 	for _, o := range outs {
 		for _, s := range ev.Stops {
 			end := o.Begun.Add(o.Took)
-			if o.Err != "" && o.Router == s.Router && o.Begun.Before(s.To) && end.After(s.From) && end.Before(s.To.Add(time.Second)) && ran[o.N] > whole[o.N] {
-				say("planned-stop", "query %d had been read by %s, which was stopped with a warning, and was dropped: %s", o.N, o.Router, o.Err)
+			if o.Err != "" && o.Router == s.Router && o.Begun.Before(s.To) && end.After(s.From) && end.Before(s.To.Add(time.Second)) && ran[o.Number] > whole[o.Number] {
+				say("planned-stop", "query %d had been read by %s, which was stopped with a warning, and was dropped: %s", o.Number, o.Router, o.Err)
 			}
 		}
 	}
@@ -170,14 +170,14 @@
 			end := o.Begun.Add(o.Took)
 			if fresh := o.Begun.Sub(g.From) > late && o.Begun.Before(g.To) && o.Status == 200; fresh ||
 				o.Whole && o.Begun.Before(g.From) && end.Sub(g.From) > late && end.Before(g.To) {
-				say("withdrawn", "query %d of %s was answered %s after its key was withdrawn", o.N, g.Tenant, end.Sub(g.From).Round(time.Millisecond))
+				say("withdrawn", "query %d of %s was answered %s after its key was withdrawn", o.Number, g.Tenant, end.Sub(g.From).Round(time.Millisecond))
 			}
 		}
 	}
 }
 
-// quotas holds each tenant's queries, as runners saw them, against its quota in every rolling window.
-func (ev Evidence) quotas(say sayer) {
+// quotas holds each tenant's requests, as runners saw them, against its quota in every rolling window.
+func (ev Evidence) checkQuotas(say sayer) {
 	for ten, v := range ev.Mix.Config["tenants"].(obj) {
 		q, ok := v.(obj)["quota"].(obj)
 		if !ok {
@@ -204,7 +204,7 @@
 }
 
 // tries holds second tries against first ones in every ten seconds, over the whole fleet.
-func (ev Evidence) tries(say sayer) {
+func (ev Evidence) checkTries(say sayer) {
 	for svc, v := range ev.Mix.Config["services"].(obj) {
 		spare := float64(v.(obj)["second_spare"].(int))
 		for i, j := 0, 0; j < len(ev.Counts); j++ {
@@ -221,7 +221,7 @@
 }
 
 // times holds leaving runners and hard faults against the time that the promises give.
-func (ev Evidence) times(say sayer) {
+func (ev Evidence) checkTimes(say sayer) {
 	for _, s := range ev.Seen {
 		for _, w := range ev.Words {
 			if d := s.At.Sub(w.At); s.Born == w.Born && d > 2*time.Second+ev.Slack {
@@ -274,7 +274,7 @@
 
 // Sum is a load's outcome in figures.
 type Sum struct {
-	Queries, Done, Bounced, Troubled, Broken int
+	Requests, Done, Rejected, Failed, Broken int
 	Codes                                    map[string]int
 	P50, P99                                 time.Duration
 }
@@ -286,7 +286,7 @@
 	s := Sum{Codes: map[string]int{}}
 	var took []time.Duration
 	for _, o := range outs {
-		s.Queries++
+		s.Requests++
 		switch {
 		case o.served():
 			s.Done++
@@ -294,9 +294,9 @@
 		case o.Err != "":
 			s.Broken++
 		case o.Run == "not run":
-			s.Bounced++
+			s.Rejected++
 		default:
-			s.Troubled++
+			s.Failed++
 		}
 		if o.Code != "" {
 			s.Codes[o.Code]++
@@ -314,7 +314,7 @@
 //	sum.Print(os.Stdout)
 func (s Sum) Print(w io.Writer) {
 	fmt.Fprintf(w, "tries %d: done %d, bounced %d, troubled %d, connection lost %d; median %s, 99th of a hundred %s\n",
-		s.Queries, s.Done, s.Bounced, s.Troubled, s.Broken, s.P50.Round(time.Millisecond), s.P99.Round(time.Millisecond))
+		s.Requests, s.Done, s.Rejected, s.Failed, s.Broken, s.P50.Round(time.Millisecond), s.P99.Round(time.Millisecond))
 	var codes []string
 	for c := range s.Codes {
 		codes = append(codes, c)
@@ -325,7 +325,7 @@
 	}
 }
 
-// Gap is the longest time between two moments in which no query of a kind came to a whole answer.
+// Gap is the longest time between two moments in which no request of a kind came to a whole answer.
 //
 //	back := drill.Gap(outs, "checks", fault, time.Now())
 func Gap(outs []Outcome, kind string, from, to time.Time) time.Duration {
--- a/internal/drill/check_test.go
+++ b/internal/drill/check_test.go
@@ -11,7 +11,7 @@
 	order := []byte(`{"order":"1"}`)
 	good := func() ([]Outcome, []Seen) {
 		head := http.Header{"X-Drill-N": {"1"}, "X-Yarrowridge-Query": {"q1"}, "X-Yarrowridge-Tenant": {"casual"}}
-		return []Outcome{{Kind: "confirmations", N: 1, Key: "key-1", Tenant: "casual", Path: "/v1/confirmations", Body: order, Status: 200, Whole: true, Echo: Echo(order), Query: "q1"}},
+		return []Outcome{{Kind: "confirmations", Number: 1, Key: "key-1", Tenant: "casual", Path: "/v1/confirmations", Body: order, Status: 200, Whole: true, Echo: Echo(order), RequestID: "q1"}},
 			[]Seen{{Runner: "orders1", Path: "/v1/confirmations", Head: head, Body: order, Ended: true}}
 	}
 	for name, spoil := range map[string]func(*[]Outcome, *[]Seen){
--- a/internal/drill/day.go
+++ b/internal/drill/day.go
@@ -33,7 +33,7 @@
 	mark   int
 	config obj // as last acknowledged
 	bad    error
-	own    sync.WaitGroup // queries of the day's own, beside the load
+	own    sync.WaitGroup // requests of the day's own, beside the load
 }
 
 // event is one entry of a day's course.
@@ -174,7 +174,7 @@
 // rest is how long a fleet may take to come to rest after an event.
 const rest = 30 * time.Second
 
-// calm waits until every process is ready, every runner known and each kind of query served again.
+// calm waits until every process is ready, every runner known and each kind of request served again.
 func (d *Day) calm(ctx context.Context, what string) {
 	from := time.Now()
 	d.until(ctx, rest, what, func() bool {
@@ -193,7 +193,7 @@
 	})
 }
 
-// came tells whether a query of a kind that began after a moment has come to a whole answer.
+// came tells whether a request of a kind that began after a moment has come to a whole answer.
 func came(outs []Outcome, kind string, from time.Time) bool {
 	for _, o := range outs {
 		if o.Kind == kind && o.served() && o.Begun.After(from) {
@@ -483,7 +483,7 @@
 	}
 }
 
-// ask sends a query of the day's own, beginning at a router, and gives its number.
+// ask sends a request of the day's own, beginning at a router, and gives its number.
 func (d *Day) ask(k Kind, router int) uint64 {
 	n := d.l.next.Add(1)
 	body := k.body(d.f.Mix.Model, n, d.rnd)
--- a/internal/drill/drain_test.go
+++ b/internal/drill/drain_test.go
@@ -11,7 +11,7 @@
 )
 
 // A router is told to read its settings anew and then to stop, with a stream, a whole answer, a
-// once-only query and a waiting query under way that all take longer than half a minute: none of
+// once-only request and a waiting request under way that all take longer than half a minute: none of
 // what it has read is dropped.
 func TestLongDrain(t *testing.T) {
 	mix := Trentvale()
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -68,7 +68,7 @@
 	return f
 }
 
-// play asks n queries of each kind, one after the other at every router in turn.
+// play asks n requests of each kind, one after the other at every router in turn.
 func play(l *Load, n int) {
 	for _, k := range l.Fleet.Mix.Kinds {
 		for i := range n {
@@ -90,8 +90,8 @@
 			l := NewLoad(f, 1, 1)
 			play(l, len(f.Routers))
 			outs := l.All()
-			if s := Total(outs); s.Done != s.Queries || s.Queries != len(mix.Kinds)*len(f.Routers) {
-				t.Errorf("%d of %d queries done: %v", s.Done, s.Queries, s.Codes)
+			if s := Total(outs); s.Done != s.Requests || s.Requests != len(mix.Kinds)*len(f.Routers) {
+				t.Errorf("%d of %d queries done: %v", s.Done, s.Requests, s.Codes)
 			}
 			for _, b := range Check(Evidence{Mix: mix, Outs: outs, Seen: f.Diary.All()}) {
 				t.Errorf("%s: %s", b.Promise, b.What)
--- a/internal/drill/evidence.go
+++ b/internal/drill/evidence.go
@@ -57,7 +57,7 @@
 	From, To time.Time
 }
 
-// Hard is a hard fault, and the kinds of query that have to be served again after it.
+// Hard is a hard fault, and the kinds of request that have to be served again after it.
 type Hard struct {
 	Name string
 	At   time.Time
--- a/internal/drill/fault_test.go
+++ b/internal/drill/fault_test.go
@@ -46,13 +46,13 @@
 		}
 	}
 	s := Total(outs)
-	t.Logf("tries %d: done %d, bounced %d, troubled %d, broken %d %v", s.Queries, s.Done, s.Bounced, s.Troubled, s.Broken, s.Codes)
+	t.Logf("tries %d: done %d, bounced %d, troubled %d, broken %d %v", s.Requests, s.Done, s.Rejected, s.Failed, s.Broken, s.Codes)
 	return outs
 }
 
 // A fleet is rolled to a release one wire format up, and back, under load: every process is stopped with
 // a warning and another started in its place, one by one, routers first one way and cores first the other.
-// No query that was read is dropped, and none waits for its neighbours' release.
+// No request that was read is dropped, and none waits for its neighbours' release.
 func TestPlannedRestarts(t *testing.T) {
 	f := up(t, Tokachi())
 	next := t.TempDir()
@@ -81,10 +81,10 @@
 	answered, ran := map[uint64]int{}, map[uint64]int{}
 	for _, o := range outs {
 		if o.Err == "" {
-			answered[o.N]++
+			answered[o.Number]++
 		}
 		if o.Code == "router-lost" || o.Code == "runner-lost" {
-			t.Errorf("query %d was troubled by a planned restart: %s", o.N, o.Code)
+			t.Errorf("query %d was troubled by a planned restart: %s", o.Number, o.Code)
 		}
 	}
 	for _, s := range f.Diary.All() {
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -23,26 +23,26 @@
 
 // Outcome is one try of an client, as the client saw it.
 type Outcome struct {
-	Kind    string
-	N       uint64
-	Key     string
-	Tenant  string
-	Router  string
-	Path    string
-	Body    []byte
-	Begun   time.Time
-	Took    time.Duration
-	Status  int
-	Code    string   // of a bounce or trouble
-	Run     string   // "not run" or "unknown", as said by the router
-	Retry   string   // Retry-After
-	Query   string   // the router's id
-	Whole   bool     // the whole answer came, and says it is complete
-	Pieces  []int    // numbers of the stream's pieces, as they came
-	Marks   []string // the runs that made them, where pieces tell
-	Echo    string
-	Err     string // the connection broke
-	Resumed int    // times the stream was asked for again
+	Kind      string
+	Number    uint64
+	Key       string
+	Tenant    string
+	Router    string
+	Path      string
+	Body      []byte
+	Begun     time.Time
+	Took      time.Duration
+	Status    int
+	Code      string   // of a rejection or error
+	Run       string   // "not run" or "unknown", as said by the router
+	Retry     string   // Retry-After
+	RequestID string   // the router's id
+	Whole     bool     // the whole answer came, and says it is complete
+	Pieces    []int    // numbers of the stream's pieces, as they came
+	Marks     []string // the runs that made them, where pieces tell
+	Echo      string
+	Err       string // the connection broke
+	Resumed   int    // times the stream was asked for again
 }
 
 // served tells whether the client has a whole answer.
@@ -53,7 +53,7 @@
 	Fleet *Fleet
 	Scale float64
 	Seed  uint64
-	Tries int // of one query, at another router each
+	Tries int // of one request, at another router each
 
 	next atomic.Uint64
 	mu   sync.Mutex
@@ -96,7 +96,7 @@
 	all.Wait()
 }
 
-// kind asks for one kind of query at its pace until ctx ends.
+// kind asks for one kind of request at its pace until ctx ends.
 func (l *Load) kind(ctx context.Context, k Kind, scale float64, r *rand.Rand, all *sync.WaitGroup) {
 	for {
 		wait := time.Duration(r.ExpFloat64() / (k.Rate * scale) * float64(time.Second))
@@ -120,7 +120,7 @@
 	return list[r.IntN(len(list))]
 }
 
-// one asks until the query has an outcome that another try can't better.
+// one asks until the request has an outcome that another try can't better.
 func (l *Load) one(k Kind, n uint64, body []byte, ten string, from int) {
 	for try := range l.Tries {
 		r := l.Fleet.Routers[(from+try)%len(l.Fleet.Routers)]
@@ -151,14 +151,14 @@
 
 // broken tells whether a stream broke off with no word of its end.
 func (o *Outcome) broken(k Kind) bool {
-	return k.Stream && o.Status == 200 && !o.Whole && o.Code == "" && o.Query != ""
+	return k.Stream && o.Status == 200 && !o.Whole && o.Code == "" && o.RequestID != ""
 }
 
 // Resume asks a router for the rest of a stream that broke off.
 //
 //	l.Resume(&o, fleet.Routers[1])
 func (l *Load) Resume(o *Outcome, r *Proc) {
-	req, err := http.NewRequest("GET", "http://"+r.Client+"/v1/streams/"+o.Query, nil)
+	req, err := http.NewRequest("GET", "http://"+r.Client+"/v1/streams/"+o.RequestID, nil)
 	if err != nil {
 		return
 	}
@@ -185,7 +185,7 @@
 //
 //	o := l.Ask(kind, 1, body, "casual", fleet.Routers[0])
 func (l *Load) Ask(k Kind, n uint64, body []byte, ten string, r *Proc) (o Outcome) {
-	o = Outcome{Kind: k.Name, N: n, Tenant: ten, Router: r.Name, Body: body, Begun: time.Now(), Path: k.Path}
+	o = Outcome{Kind: k.Name, Number: n, Tenant: ten, Router: r.Name, Body: body, Begun: time.Now(), Path: k.Path}
 	defer func() { o.Took = time.Since(o.Begun) }()
 	if k.Method == "GET" {
 		o.Path += strconv.FormatUint(n, 10)
@@ -212,7 +212,7 @@
 		return o
 	}
 	defer ans.Body.Close()
-	o.Status, o.Retry, o.Query = ans.StatusCode, ans.Header.Get("Retry-After"), ans.Header.Get("X-Yarrowridge-Query")
+	o.Status, o.Retry, o.RequestID = ans.StatusCode, ans.Header.Get("Retry-After"), ans.Header.Get("X-Yarrowridge-Query")
 	if strings.HasPrefix(ans.Header.Get("Content-Type"), "text/event-stream") {
 		o.stream(ans.Body)
 		return o
--- a/internal/drill/mix.go
+++ b/internal/drill/mix.go
@@ -22,7 +22,7 @@
 	Config  map[string]any
 }
 
-// Kind is one kind of query.
+// Kind is one kind of request.
 type Kind struct {
 	Name   string
 	Method string
@@ -133,7 +133,7 @@
 	return append(raw, '\n')
 }
 
-// body makes one query's body; the number makes it unlike all others.
+// body makes one request's body; the number makes it unlike all others.
 func (k Kind) body(model string, n uint64, r *rand.Rand) []byte {
 	if k.Method == "GET" {
 		return nil
@@ -151,7 +151,7 @@
 	return raw
 }
 
-// newRand makes the source of one query's chances.
+// newRand makes the source of one request's chances.
 func newRand(n uint64) *rand.Rand { return rand.New(rand.NewPCG(n, 0)) }
 
 // payers lists a mix's tenants in order, the large ones first.
--- a/internal/drill/standin.go
+++ b/internal/drill/standin.go
@@ -25,7 +25,7 @@
 	"yarrowridge/internal/env"
 )
 
-// Seen is one query as a stand-in runner received it, byte for byte.
+// Seen is one request as a stand-in runner received it, byte for byte.
 type Seen struct {
 	Runner string
 	Born   string
@@ -90,7 +90,7 @@
 	active atomic.Int64
 	queued atomic.Int64
 	state  atomic.Value
-	hang   atomic.Bool // takes queries and says nothing
+	hang   atomic.Bool // takes requests and says nothing
 	mute   atomic.Bool // does not beat
 	cutAt  atomic.Int64
 	mu     sync.Mutex
@@ -153,7 +153,7 @@
 	s.Deaf()
 }
 
-// Hang has the runner take queries, beat on, and answer nothing.
+// Hang has the runner take requests, beat on, and answer nothing.
 //
 //	s.Hang(true)
 func (s *Standin) Hang(on bool) { s.hang.Store(on) }
@@ -243,7 +243,7 @@
 	return ans.StatusCode == 200
 }
 
-// Echo is what a stand-in answers to show which query its answer belongs to.
+// Echo is what a stand-in answers to show which request its answer belongs to.
 //
 //	if got != drill.Echo(body) { ... }
 func Echo(body []byte) string {
@@ -251,7 +251,7 @@
 	return hex.EncodeToString(sum[:8])
 }
 
-// ServeHTTP answers one query.
+// ServeHTTP answers one request.
 //
 //	http.Serve(l, standin)
 func (s *Standin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
