--- a/internal/drill/bench_test.go
+++ b/internal/drill/bench_test.go
@@ -19,7 +19,7 @@
 	ctx, end := context.WithTimeout(b.Context(), 60*time.Second)
 	defer end()
 	for _, s := range f.Apps {
-		s.Step = 0
+		s.TokenTime = 0
 	}
 	if err := f.Start(ctx); err != nil {
 		b.Fatal(err)
--- a/internal/drill/check.go
+++ b/internal/drill/check.go
@@ -31,7 +31,7 @@
 
 type sayer func(promise, f string, a ...any)
 
-// requests holds the clients' outcomes against the runners' diaries.
+// checkRequests holds the clients' outcomes against the runners' diaries.
 func (ev Evidence) checkRequests(say sayer) {
 	mix, outs, seen := ev.Mix, ev.Outs, ev.Seen
 	kinds := map[string]Kind{}
@@ -45,9 +45,9 @@
 	}
 	ran, tries := map[uint64]int{}, map[string]int{}
 	for _, s := range seen {
-		n, _ := strconv.ParseUint(s.Head.Get("X-Drill-N"), 10, 64)
+		n, _ := strconv.ParseUint(s.Header.Get("X-Drill-N"), 10, 64)
 		o, ok := asked[n]
-		id := s.Head.Get("X-Yarrowridge-Query")
+		id := s.Header.Get("X-Yarrowridge-Query")
 		ids[id] = true
 		ran[n]++
 		tries[id]++
@@ -58,9 +58,9 @@
 			continue // its client has not been answered yet
 		case s.Path != o.Path || !bytes.Equal(s.Body, o.Body):
 			say("fidelity", "runner %s saw query %d changed", s.Runner, n)
-		case s.Head.Get("X-Yarrowridge-Tenant") != o.Tenant:
-			say("fidelity", "runner %s saw tenant %q for query %d, %q expected", s.Runner, s.Head.Get("X-Yarrowridge-Tenant"), n, o.Tenant)
-		case s.Head.Get("Authorization") != "":
+		case s.Header.Get("X-Yarrowridge-Tenant") != o.Tenant:
+			say("fidelity", "runner %s saw tenant %q for query %d, %q expected", s.Runner, s.Header.Get("X-Yarrowridge-Tenant"), n, o.Tenant)
+		case s.Header.Get("Authorization") != "":
 			say("fidelity", "runner %s saw the key of query %d", s.Runner, n)
 		}
 	}
@@ -116,7 +116,7 @@
 	}
 }
 
-// configs holds what routers obeyed against what operators were told.
+// checkConfigs holds what routers obeyed against what operators were told.
 func (ev Evidence) checkConfigs(say sayer) {
 	acked, doubt := map[uint64]Edit{}, map[string]bool{}
 	var newest Edit
@@ -176,7 +176,7 @@
 	}
 }
 
-// quotas holds each tenant's requests, as runners saw them, against its quota in every rolling window.
+// checkQuotas holds each tenant's requests, as runners saw them, against its quota in every rolling window.
 func (ev Evidence) checkQuotas(say sayer) {
 	for ten, v := range ev.Mix.Config["tenants"].(obj) {
 		q, ok := v.(obj)["quota"].(obj)
@@ -186,7 +186,7 @@
 		units, window := q["units"].(int), time.Duration(q["window_s"].(int))*time.Second
 		var at []time.Time
 		for _, s := range ev.Seen {
-			if s.Head.Get("X-Yarrowridge-Tenant") == ten {
+			if s.Header.Get("X-Yarrowridge-Tenant") == ten {
 				at = append(at, s.At)
 			}
 		}
@@ -203,7 +203,7 @@
 	}
 }
 
-// tries holds second tries against first ones in every ten seconds, over the whole fleet.
+// checkTries holds second tries against first ones in every ten seconds, over the whole fleet.
 func (ev Evidence) checkTries(say sayer) {
 	for svc, v := range ev.Mix.Config["services"].(obj) {
 		spare := float64(v.(obj)["second_spare"].(int))
@@ -220,11 +220,11 @@
 	}
 }
 
-// times holds leaving runners and hard faults against the time that the promises give.
+// checkTimes holds leaving runners and hard faults against the time that the promises give.
 func (ev Evidence) checkTimes(say sayer) {
 	for _, s := range ev.Seen {
 		for _, w := range ev.Words {
-			if d := s.At.Sub(w.At); s.Born == w.Born && d > 2*time.Second+ev.Slack {
+			if d := s.At.Sub(w.At); s.RunID == w.Born && d > 2*time.Second+ev.Slack {
 				say("leaving", "runner %s got a query %s after its word that it leaves", s.Runner, d.Round(time.Millisecond))
 			}
 		}
--- a/internal/drill/check_test.go
+++ b/internal/drill/check_test.go
@@ -12,14 +12,14 @@
 	good := func() ([]Outcome, []Seen) {
 		head := http.Header{"X-Drill-N": {"1"}, "X-Yarrowridge-Query": {"q1"}, "X-Yarrowridge-Tenant": {"casual"}}
 		return []Outcome{{Kind: "confirmations", Number: 1, Key: "key-1", Tenant: "casual", Path: "/v1/confirmations", Body: order, Status: 200, Whole: true, Echo: Echo(order), RequestID: "q1"}},
-			[]Seen{{Runner: "orders1", Path: "/v1/confirmations", Head: head, Body: order, Ended: true}}
+			[]Seen{{Runner: "orders1", Path: "/v1/confirmations", Header: head, Body: order, Finished: true}}
 	}
 	for name, spoil := range map[string]func(*[]Outcome, *[]Seen){
 		"": func(*[]Outcome, *[]Seen) {},
 		"once": func(_ *[]Outcome, s *[]Seen) {
 			again := (*s)[0]
-			again.Head = again.Head.Clone()
-			again.Head.Set("X-Yarrowridge-Query", "q2")
+			again.Header = again.Header.Clone()
+			again.Header.Set("X-Yarrowridge-Query", "q2")
 			*s = append(*s, again)
 		},
 		"sent-once": func(o *[]Outcome, s *[]Seen) { (*o)[0].Kind = "checks"; *s = append(*s, (*s)[0]) },
@@ -51,7 +51,7 @@
 		"nowhere": func(h http.Header) { h.Del("X-Drill-N") },
 	} {
 		outs, seen := good()
-		spoil(seen[0].Head)
+		spoil(seen[0].Header)
 		if bad := Check(Evidence{Mix: mix, Outs: outs, Seen: seen}); len(bad) == 0 || bad[0].Promise != "fidelity" {
 			t.Errorf("%s: found %v", name, bad)
 		}
--- a/internal/drill/day.go
+++ b/internal/drill/day.go
@@ -303,7 +303,7 @@
 
 func (d *Day) leave(ctx context.Context) {
 	s := d.model()
-	word := Word{Runner: s.Name, Born: s.born, At: s.Leave(ctx)}
+	word := Word{Runner: s.Name, Born: s.runID, At: s.Leave(ctx)}
 	d.w.note(func(ev *Evidence) { ev.Words = append(ev.Words, word) })
 	env.Wait(ctx, 8*time.Second)
 	s.Crash()
@@ -336,11 +336,11 @@
 func (d *Day) deaf(ctx context.Context) {
 	half := slices.Concat(d.f.Models[1:], d.f.Apps[1:])
 	for _, s := range half {
-		s.Deaf()
+		s.RefuseConnections()
 	}
 	env.Wait(ctx, 5*time.Second)
 	for _, s := range half {
-		if err := s.Hear(); err != nil {
+		if err := s.AcceptConnections(); err != nil {
 			d.bad = err
 		}
 	}
@@ -464,7 +464,7 @@
 		}
 		near, far := context.WithTimeout(ctx, 5*time.Second)
 		d.f.Until(near, "a runner has one of them", func() bool {
-			return slices.ContainsFunc(d.f.Diary.All(), func(s Seen) bool { return mine[s.Head.Get("X-Drill-N")] })
+			return slices.ContainsFunc(d.f.RequestLog.All(), func(s Seen) bool { return mine[s.Header.Get("X-Drill-N")] })
 		})
 		far()
 		from := time.Now()
--- a/internal/drill/drain_test.go
+++ b/internal/drill/drain_test.go
@@ -53,7 +53,7 @@
 	})
 	if err := f.Until(ctx, "three run and one waits", func() bool {
 		_, raw, _ := f.Ask(ctx, "GET", r.Operator, "/metrics", nil, nil)
-		return len(f.Diary.All()) == 3 && bytes.Contains(raw, []byte("yarrowridge_queued 1"))
+		return len(f.RequestLog.All()) == 3 && bytes.Contains(raw, []byte("yarrowridge_queued 1"))
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -72,8 +72,8 @@
 	if err := f.Until(ctx, "more than the old bound of 30 s has passed", func() bool { return time.Since(at) > 31*time.Second }); err != nil {
 		t.Fatal(err)
 	}
-	late := &Standin{Name: "late1", Addr: "127.0.0.1:0", Labels: map[string]string{"app": "late", "model": mix.Model, "hall": "west"}, Room: 4, Most: 8192,
-		Step: time.Millisecond, Diary: f.Diary, Beats: []string{f.Routers[3].Runner}}
+	late := &Standin{Name: "late1", Addr: "127.0.0.1:0", Labels: map[string]string{"app": "late", "model": mix.Model, "hall": "west"}, Slots: 4, MaxLength: 8192,
+		TokenTime: time.Millisecond, RequestLog: f.RequestLog, HeartbeatAddrs: []string{f.Routers[3].Runner}}
 	if err := late.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// The whole path in separate processes: found, join, beat, lay out, serve, whole and streamed.
+// The whole path in separate processes: found, join, heartbeat, lay out, serve, whole and streamed.
 func TestWholePath(t *testing.T) {
 	for _, mix := range []Mix{Trentvale(), Tokachi()} {
 		t.Run(mix.Name, func(t *testing.T) {
@@ -93,7 +93,7 @@
 			if s := Total(outs); s.Done != s.Requests || s.Requests != len(mix.Kinds)*len(f.Routers) {
 				t.Errorf("%d of %d queries done: %v", s.Done, s.Requests, s.Codes)
 			}
-			for _, b := range Check(Evidence{Mix: mix, Outs: outs, Seen: f.Diary.All()}) {
+			for _, b := range Check(Evidence{Mix: mix, Outs: outs, Seen: f.RequestLog.All()}) {
 				t.Errorf("%s: %s", b.Promise, b.What)
 			}
 			// The fleet's state tells with whom each router exchanges news, and the routers say the same.
--- a/internal/drill/evidence.go
+++ b/internal/drill/evidence.go
@@ -39,7 +39,7 @@
 	First, Again map[string]float64
 }
 
-// Word is a runner's word that it leaves, as its beat was answered.
+// Word is a runner's word that it leaves, as its heartbeat was answered.
 type Word struct {
 	Runner, Born string
 	At           time.Time
@@ -179,6 +179,6 @@
 	for _, r := range w.f.Routers {
 		ev.Zones[r.Name] = r.Zone
 	}
-	ev.Mix, ev.Outs, ev.Seen = w.f.Mix, l.All(), w.f.Diary.All()
+	ev.Mix, ev.Outs, ev.Seen = w.f.Mix, l.All(), w.f.RequestLog.All()
 	return ev
 }
--- a/internal/drill/fault_test.go
+++ b/internal/drill/fault_test.go
@@ -40,7 +40,7 @@
 	stop()
 	all.Wait()
 	outs := l.All()
-	for i, b := range Check(Evidence{Mix: f.Mix, Outs: outs, Seen: f.Diary.All()}) {
+	for i, b := range Check(Evidence{Mix: f.Mix, Outs: outs, Seen: f.RequestLog.All()}) {
 		if i < 5 {
 			t.Errorf("%s: %s", b.Promise, b.What)
 		}
@@ -87,8 +87,8 @@
 			t.Errorf("query %d was troubled by a planned restart: %s", o.Number, o.Code)
 		}
 	}
-	for _, s := range f.Diary.All() {
-		n, _ := strconv.ParseUint(s.Head.Get("X-Drill-N"), 10, 64)
+	for _, s := range f.RequestLog.All() {
+		n, _ := strconv.ParseUint(s.Header.Get("X-Drill-N"), 10, 64)
 		ran[n]++
 	}
 	for n, k := range ran {
@@ -108,12 +108,12 @@
 	under(t, f, 1, func(ctx context.Context, l *Load) {
 		var told *Proc
 		for _, r := range f.Routers {
-			if r.Runner == f.Models[0].Beats[0] {
+			if r.Runner == f.Models[0].HeartbeatAddrs[0] {
 				told = r
 			}
 		}
 		for _, s := range append(append([]*Standin{}, f.Models...), f.Apps...) {
-			if s.Beats[0] == told.Runner {
+			if s.HeartbeatAddrs[0] == told.Runner {
 				gone = append(gone, s)
 			}
 		}
@@ -123,9 +123,9 @@
 		}
 		said = time.Now()
 		told.Kill()
-		n := len(f.Diary.All())
+		n := len(f.RequestLog.All())
 		if err := f.Until(ctx, "much more traffic", func() bool {
-			return len(f.Diary.All()) > n+200 && time.Since(said) > 7*time.Second
+			return len(f.RequestLog.All()) > n+200 && time.Since(said) > 7*time.Second
 		}); err != nil {
 			t.Fatal(err)
 		}
@@ -133,7 +133,7 @@
 	if len(gone) == 0 {
 		t.Fatal("no runner beat to the router that was killed")
 	}
-	for _, s := range f.Diary.All() {
+	for _, s := range f.RequestLog.All() {
 		for _, g := range gone {
 			if s.Runner == g.Name && s.At.Sub(said) > 5*time.Second {
 				t.Errorf("%s got a query %s after it had said that it leaves", s.Runner, s.At.Sub(said))
@@ -342,8 +342,8 @@
 	}
 	all.Wait()
 	var at []time.Time
-	for _, s := range f.Diary.All() {
-		if s.Head.Get("X-Yarrowridge-Tenant") == "casual" {
+	for _, s := range f.RequestLog.All() {
+		if s.Header.Get("X-Yarrowridge-Tenant") == "casual" {
 			at = append(at, s.At)
 		}
 	}
--- a/internal/drill/fleet.go
+++ b/internal/drill/fleet.go
@@ -48,18 +48,18 @@
 
 // Fleet is a whole rehearsal fleet.
 type Fleet struct {
-	Mix     Mix
-	Dir     string
-	Cores   []*Proc
-	Routers []*Proc
-	Models  []*Standin
-	Apps    []*Standin
-	Diary   *Diary
-	Links   *Links        // nil: zones are not told apart
-	Lost    time.Duration // after which a silent core's seat may go to a spare
-	seeds   string
-	more    []string // added to the daemons' environment
-	ports   []net.Listener
+	Mix        Mix
+	Dir        string
+	Cores      []*Proc
+	Routers    []*Proc
+	Models     []*Standin
+	Apps       []*Standin
+	RequestLog *RequestLog
+	Links      *Links        // nil: zones are not told apart
+	Lost       time.Duration // after which a silent core's seat may go to a spare
+	seeds      string
+	more       []string // added to the daemons' environment
+	ports      []net.Listener
 }
 
 // Ports are taken from below those that systems give to connections: one that is free for a while, because
@@ -94,7 +94,7 @@
 //
 //	f, err := drill.NewFleet(drill.Trentvale(), "bin", dir)
 func NewFleet(mix Mix, bin, dir string) (*Fleet, error) {
-	f := &Fleet{Mix: mix, Dir: dir, Diary: &Diary{}, Lost: 10 * time.Second}
+	f := &Fleet{Mix: mix, Dir: dir, RequestLog: &RequestLog{}, Lost: 10 * time.Second}
 	hash := layout.HashKey(OperatorKey)
 	var err error
 	at := func() string {
@@ -129,25 +129,25 @@
 	stand := func(i int, name string, labels map[string]string) *Standin {
 		zone := mix.Zones[i%len(mix.Zones)]
 		labels["hall"] = zone
-		s := &Standin{Name: fmt.Sprintf("%s%d", name, i+1), Addr: at(), Labels: labels, Diary: f.Diary}
+		s := &Standin{Name: fmt.Sprintf("%s%d", name, i+1), Addr: at(), Labels: labels, RequestLog: f.RequestLog}
 		for _, r := range f.Routers {
 			if r.Zone == zone {
-				s.Beats = append([]string{r.Runner}, s.Beats...)
+				s.HeartbeatAddrs = append([]string{r.Runner}, s.HeartbeatAddrs...)
 			} else {
-				s.Beats = append(s.Beats, r.Runner)
+				s.HeartbeatAddrs = append(s.HeartbeatAddrs, r.Runner)
 			}
 		}
 		return s
 	}
 	for i := range mix.Models {
 		s := stand(i, "model", map[string]string{"app": "model", "model": mix.Model})
-		s.Room, s.Most, s.Step, s.Slow, s.Cold = 16, 8192, 4*time.Millisecond, 0.1, 4*time.Millisecond
+		s.Slots, s.MaxLength, s.TokenTime, s.Slowdown, s.BlockReadTime = 16, 8192, 4*time.Millisecond, 0.1, 4*time.Millisecond
 		f.Models = append(f.Models, s)
 	}
 	app := map[string]string{"trentvale": "orders", "tokachi": "status"}[mix.Name]
 	for i := range mix.Apps {
 		s := stand(i, app, map[string]string{"app": app})
-		s.Room, s.Plain, s.Step = 64, true, 3*time.Millisecond
+		s.Slots, s.Plain, s.TokenTime = 64, true, 3*time.Millisecond
 		f.Apps = append(f.Apps, s)
 	}
 	return f, err
@@ -225,14 +225,14 @@
 	}
 	for _, s := range slices.Concat(f.Models, f.Apps) {
 		var err error
-		if s.at, err = f.port(f.Links.IP(s.Labels["hall"])); err != nil {
+		if s.listenAddr, err = f.port(f.Links.IP(s.Labels["hall"])); err != nil {
 			return err
 		}
-		if s.Addr, err = f.Links.Open(s.Labels["hall"], s.at); err != nil {
+		if s.Addr, err = f.Links.Open(s.Labels["hall"], s.listenAddr); err != nil {
 			return err
 		}
 		s.links = f.Links
-		s.dark = func(to string) bool {
+		s.unreachable = func(to string) bool {
 			for _, r := range f.Routers {
 				if r.Runner == to {
 					dark, _ := f.Links.Dark(s.Labels["hall"], r.Zone)
@@ -363,7 +363,7 @@
 //	defer f.Stop()
 func (f *Fleet) Stop() {
 	for _, s := range append(append([]*Standin{}, f.Models...), f.Apps...) {
-		if s.end != nil {
+		if s.cancel != nil {
 			s.Crash()
 		}
 	}
@@ -470,9 +470,9 @@
 	return nil
 }
 
-// Sequence is the config version that a router obeys.
+// ConfigVersion is the config version that a router obeys.
 //
-//	n := f.Sequence(ctx, r)
+//	n := f.ConfigVersion(ctx, r)
 func (f *Fleet) ConfigVersion(ctx context.Context, p *Proc) uint64 {
 	_, raw, err := f.Ask(ctx, "GET", p.Operator, "/v1/standing", nil, nil)
 	if err != nil {
--- a/internal/drill/main.go
+++ b/internal/drill/main.go
@@ -162,7 +162,7 @@
 	<-done
 	outs := load.All()
 	Total(outs).Print(out)
-	return verdict(out, Check(Evidence{Mix: mix, Outs: outs, Seen: f.Diary.All()}), nil, *seed, "", *dir, tidy)
+	return verdict(out, Check(Evidence{Mix: mix, Outs: outs, Seen: f.RequestLog.All()}), nil, *seed, "", *dir, tidy)
 }
 
 // verdict prints what became of the promises: each that was broken once, by its first breach.
--- a/internal/drill/standin.go
+++ b/internal/drill/standin.go
@@ -27,38 +27,38 @@
 
 // Seen is one request as a stand-in runner received it, byte for byte.
 type Seen struct {
-	Runner string
-	Born   string
-	At     time.Time
-	Method string
-	Path   string
-	Head   http.Header
-	Body   []byte
-	Ended  bool // answered to the last byte
+	Runner   string
+	RunID    string
+	At       time.Time
+	Method   string
+	Path     string
+	Header   http.Header
+	Body     []byte
+	Finished bool // answered to the last byte
 }
 
 // Diary is what all stand-in runners received, in order.
-type Diary struct {
+type RequestLog struct {
 	mu  sync.Mutex
 	all []*Seen
 }
 
-func (d *Diary) add(s *Seen) {
+func (d *RequestLog) add(s *Seen) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.all = append(d.all, s)
 }
 
-func (d *Diary) end(s *Seen) {
+func (d *RequestLog) end(s *Seen) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	s.Ended = true
+	s.Finished = true
 }
 
 // All copies the diary.
 //
 //	for _, s := range diary.All() { ... }
-func (d *Diary) All() []Seen {
+func (d *RequestLog) All() []Seen {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := make([]Seen, len(d.all))
@@ -69,43 +69,43 @@
 }
 
 // Standin plays a runner: batches with a rate that falls as the batch fills, a prefix cache,
-// streams, beats and late reports. As a plain one it plays the ordinary application.
+// streams, heartbeats and late reports. As a plain one it plays the ordinary application.
 type Standin struct {
-	Name   string
-	Addr   string
-	Labels map[string]string
-	Room   int
-	Most   int
-	Step   time.Duration // one token with an empty batch
-	Slow   float64       // each further stream slows a step by this part
-	Cold   time.Duration // reading 1 KiB of prompt that the cache lacks
-	Plain  bool
-	Beats  []string // the routers' runner listeners, tried in turn
-	Diary  *Diary
+	Name           string
+	Addr           string
+	Labels         map[string]string
+	Slots          int
+	MaxLength      int
+	TokenTime      time.Duration // one token with an empty batch
+	Slowdown       float64       // each further stream slows a step by this part
+	BlockReadTime  time.Duration // reading 1 KiB of prompt that the cache lacks
+	Plain          bool
+	HeartbeatAddrs []string // the routers' runner listeners, tried in turn
+	RequestLog     *RequestLog
 
 	Hits, Misses atomic.Int64 // prompt blocks found in the cache, or not
 
-	born   string
-	turn   atomic.Uint64
-	active atomic.Int64
-	queued atomic.Int64
-	state  atomic.Value
-	hang   atomic.Bool // takes requests and says nothing
-	mute   atomic.Bool // does not beat
-	cutAt  atomic.Int64
-	mu     sync.Mutex
-	cache  map[[32]byte]bool
-	srv    *http.Server
-	at     string            // where it listens, if others know it by another address
-	links  *Links            // that forward to it, if any
-	dark   func(string) bool // whether a router's listener can't be reached
-	ctx    context.Context
-	end    context.CancelFunc
+	runID       string
+	heartbeats  atomic.Uint64
+	active      atomic.Int64
+	queued      atomic.Int64
+	state       atomic.Value
+	hanging     atomic.Bool // takes requests and says nothing
+	silent      atomic.Bool // does not heartbeat
+	cutAt       atomic.Int64
+	mu          sync.Mutex
+	cache       map[[32]byte]bool
+	server      *http.Server
+	listenAddr  string            // where it listens, if others know it by another address
+	links       *Links            // that forward to it, if any
+	unreachable func(string) bool // whether a router's listener can't be reached
+	ctx         context.Context
+	cancel      context.CancelFunc
 }
 
-var births atomic.Uint64
+var runCount atomic.Uint64
 
-// Start listens and begins to beat. A second start at the same address is another run.
+// Start listens and begins to heartbeat. A second start at the same address is another run.
 //
 //	err := s.Start()
 func (s *Standin) Start() error {
@@ -116,22 +116,22 @@
 	if s.links == nil {
 		s.Addr = l.Addr().String()
 	}
-	s.born = fmt.Sprintf("%s-%d", s.Name, births.Add(1))
+	s.runID = fmt.Sprintf("%s-%d", s.Name, runCount.Add(1))
 	s.state.Store("ready")
-	s.hang.Store(false)
+	s.hanging.Store(false)
 	s.cutAt.Store(0)
 	s.mu.Lock()
 	s.cache = map[[32]byte]bool{}
 	s.mu.Unlock()
 	ctx, end := context.WithCancel(context.Background())
-	s.end = end
+	s.cancel = end
 	s.ctx = ctx
 	s.serve(l)
 	go func() {
 		t := time.NewTicker(500 * time.Millisecond)
 		defer t.Stop()
 		for at := 0; ; at++ {
-			if !s.mute.Load() && !s.beat(ctx, s.Beats[at%len(s.Beats)]) && env.Wait(ctx, 20*time.Millisecond) {
+			if !s.silent.Load() && !s.sendHeartbeat(ctx, s.HeartbeatAddrs[at%len(s.HeartbeatAddrs)]) && env.Wait(ctx, 20*time.Millisecond) {
 				continue
 			}
 			at--
@@ -149,39 +149,39 @@
 //
 //	s.Crash()
 func (s *Standin) Crash() {
-	s.end()
-	s.Deaf()
+	s.cancel()
+	s.RefuseConnections()
 }
 
-// Hang has the runner take requests, beat on, and answer nothing.
+// Hang has the runner take requests, heartbeat on, and answer nothing.
 //
 //	s.Hang(true)
-func (s *Standin) Hang(on bool) { s.hang.Store(on) }
+func (s *Standin) Hang(on bool) { s.hanging.Store(on) }
 
-// Mute stops the beats.
+// Mute stops the heartbeats.
 //
 //	s.Mute(true)
-func (s *Standin) Mute(on bool) { s.mute.Store(on) }
+func (s *Standin) Mute(on bool) { s.silent.Store(on) }
 
 // CutAfter breaks every stream off after n tokens; zero stops that.
 //
 //	s.CutAfter(5)
 func (s *Standin) CutAfter(n int) { s.cutAt.Store(int64(n)) }
 
-// Deaf closes the listener and all connections; beats go on. Hear listens again, as the same run.
+// RefuseConnections closes the listener and all connections; heartbeats go on. AcceptConnections listens again, as the same run.
 //
-//	s.Deaf(); defer s.Hear()
-func (s *Standin) Deaf() {
+//	s.RefuseConnections(); defer s.AcceptConnections()
+func (s *Standin) RefuseConnections() {
 	if s.links != nil {
 		s.links.Shut(s.Addr)
 	}
-	s.srv.Close()
+	s.server.Close()
 }
 
-// Hear ends Deaf.
+// AcceptConnections ends RefuseConnections.
 //
-//	err := s.Hear()
-func (s *Standin) Hear() error {
+//	err := s.AcceptConnections()
+func (s *Standin) AcceptConnections() error {
 	l, err := s.listen()
 	if err != nil {
 		return err
@@ -194,7 +194,7 @@
 	if s.links == nil {
 		return net.Listen("tcp", s.Addr)
 	}
-	l, err := net.Listen("tcp", s.at)
+	l, err := net.Listen("tcp", s.listenAddr)
 	if err == nil {
 		err = s.links.Again(s.Addr)
 	}
@@ -203,8 +203,8 @@
 
 func (s *Standin) serve(l net.Listener) {
 	ctx := s.ctx
-	s.srv = &http.Server{Handler: s, BaseContext: func(net.Listener) context.Context { return ctx }}
-	go s.srv.Serve(l)
+	s.server = &http.Server{Handler: s, BaseContext: func(net.Listener) context.Context { return ctx }}
+	go s.server.Serve(l)
 }
 
 // Leave tells the router asked that this runner leaves, and returns once that was taken.
@@ -213,20 +213,20 @@
 func (s *Standin) Leave(ctx context.Context) time.Time {
 	s.state.Store("leaving")
 	for i := 0; ctx.Err() == nil; i++ {
-		if s.beat(ctx, s.Beats[i%len(s.Beats)]) {
+		if s.sendHeartbeat(ctx, s.HeartbeatAddrs[i%len(s.HeartbeatAddrs)]) {
 			break
 		}
 	}
 	return time.Now()
 }
 
-func (s *Standin) beat(ctx context.Context, to string) bool {
-	if s.dark != nil && s.dark(to) {
+func (s *Standin) sendHeartbeat(ctx context.Context, to string) bool {
+	if s.unreachable != nil && s.unreachable(to) {
 		return false
 	}
-	raw, _ := json.Marshal(map[string]any{"name": s.Name, "addr": s.Addr, "born": s.born, "turn": s.turn.Add(1),
-		"labels": s.Labels, "state": s.state.Load(), "room": s.Room, "max_length": s.Most,
-		"fill":          min(1, float64(s.active.Load())/float64(max(1, s.Room))),
+	raw, _ := json.Marshal(map[string]any{"name": s.Name, "addr": s.Addr, "born": s.runID, "turn": s.heartbeats.Add(1),
+		"labels": s.Labels, "state": s.state.Load(), "room": s.Slots, "max_length": s.MaxLength,
+		"fill":          min(1, float64(s.active.Load())/float64(max(1, s.Slots))),
 		"queued_tokens": s.queued.Load()})
 	ctx, end := context.WithTimeout(ctx, 2*time.Second)
 	defer end()
@@ -256,20 +256,20 @@
 //	http.Serve(l, standin)
 func (s *Standin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
-	seen := &Seen{Runner: s.Name, Born: s.born, At: time.Now(), Method: r.Method, Path: r.URL.RequestURI(), Head: r.Header.Clone(), Body: body}
-	s.Diary.add(seen)
+	seen := &Seen{Runner: s.Name, RunID: s.runID, At: time.Now(), Method: r.Method, Path: r.URL.RequestURI(), Header: r.Header.Clone(), Body: body}
+	s.RequestLog.add(seen)
 	if err != nil {
 		return
 	}
 	ctx := r.Context()
-	if s.hang.Load() {
+	if s.hanging.Load() {
 		<-ctx.Done()
 		panic(http.ErrAbortHandler)
 	}
 	s.active.Add(1)
 	defer s.active.Add(-1)
 	if s.Plain {
-		if !env.Wait(ctx, s.Step) {
+		if !env.Wait(ctx, s.TokenTime) {
 			panic(http.ErrAbortHandler)
 		}
 		raw, _ := json.Marshal(map[string]any{"echo": Echo(body), "path": r.URL.RequestURI(), "tenant": r.Header.Get("X-Yarrowridge-Tenant")})
@@ -278,10 +278,10 @@
 		if s.cutAt.Load() > 0 {
 			w.Write(raw[:len(raw)/2])
 			http.NewResponseController(w).Flush()
-			cut(w)
+			breakConnection(w)
 		}
 		w.Write(raw)
-		s.Diary.end(seen)
+		s.RequestLog.end(seen)
 		return
 	}
 	tokens := int(gjson.GetBytes(body, "max_tokens").Int())
@@ -302,11 +302,11 @@
 	from := map[byte]int{0: 0, 1: rand.IntN(max(1, tokens)), 2: tokens}[Echo(body)[0]%3]
 	for i := range tokens {
 		n := s.active.Load()
-		if !env.Wait(ctx, s.Step+time.Duration(s.Slow*float64(n-1)*float64(s.Step))) {
+		if !env.Wait(ctx, s.TokenTime+time.Duration(s.Slowdown*float64(n-1)*float64(s.TokenTime))) {
 			panic(http.ErrAbortHandler)
 		}
 		if c := s.cutAt.Load(); c > 0 && int64(i) >= c {
-			cut(w)
+			breakConnection(w)
 		}
 		s.queued.Add(-1)
 		left--
@@ -326,10 +326,10 @@
 		w.Header().Set("Content-Type", "application/json")
 		w.Write(raw)
 	}
-	s.Diary.end(seen)
+	s.RequestLog.end(seen)
 }
 
-func cut(w http.ResponseWriter) {
+func breakConnection(w http.ResponseWriter) {
 	con, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
 		con.Close()
@@ -355,5 +355,5 @@
 			s.cache[key] = true
 		}
 	}
-	return time.Duration(miss) * s.Cold
+	return time.Duration(miss) * s.BlockReadTime
 }
--- a/internal/drill/stream_test.go
+++ b/internal/drill/stream_test.go
@@ -237,8 +237,8 @@
 	for range 20 {
 		cut.next()
 	}
-	for _, s := range f.Diary.All() {
-		if s.Head.Get("X-Yarrowridge-Query") == cut.id {
+	for _, s := range f.RequestLog.All() {
+		if s.Header.Get("X-Yarrowridge-Query") == cut.id {
 			for _, m := range f.Models {
 				if m.Name == s.Runner {
 					m.CutAfter(1)
