--- a/internal/drill/bench_test.go
+++ b/internal/drill/bench_test.go
@@ -29,14 +29,14 @@
 		req, _ := http.NewRequest("GET", "http://"+to+"/v1/status/1", nil)
 		req.Header.Set("Authorization", "Bearer "+Key("desk-a"))
 		begun := time.Now()
-		ans, err := cli.Do(req)
+		response, err := cli.Do(req)
 		if err != nil {
 			b.Fatal(err)
 		}
-		io.Copy(io.Discard, ans.Body)
-		ans.Body.Close()
-		if ans.StatusCode != 200 {
-			b.Fatalf("status %d", ans.StatusCode)
+		io.Copy(io.Discard, response.Body)
+		response.Body.Close()
+		if response.StatusCode != 200 {
+			b.Fatalf("status %d", response.StatusCode)
 		}
 		return time.Since(begun)
 	}
--- a/internal/drill/check.go
+++ b/internal/drill/check.go
@@ -20,27 +20,27 @@
 //	for _, b := range drill.Check(watch.Evidence(load)) { ... }
 func Check(ev Evidence) []Breach {
 	var bad []Breach
-	say := func(promise, f string, a ...any) { bad = append(bad, Breach{promise, fmt.Sprintf(f, a...)}) }
-	ev.checkRequests(say)
-	ev.checkConfigs(say)
-	ev.checkQuotas(say)
-	ev.checkTries(say)
-	ev.checkTimes(say)
+	report := func(promise, f string, a ...any) { bad = append(bad, Breach{promise, fmt.Sprintf(f, a...)}) }
+	ev.checkRequests(report)
+	ev.checkConfigs(report)
+	ev.checkQuotas(report)
+	ev.checkTries(report)
+	ev.checkTimes(report)
 	return bad
 }
 
-type sayer func(promise, f string, a ...any)
+type reporter func(promise, f string, a ...any)
 
 // checkRequests holds the clients' outcomes against the runners' diaries.
-func (ev Evidence) checkRequests(say sayer) {
-	mix, outs, seen := ev.Mix, ev.Outs, ev.Seen
+func (ev Evidence) checkRequests(report reporter) {
+	mix, outcomes, seen := ev.Mix, ev.Outcomes, ev.Seen
 	kinds := map[string]Kind{}
 	for _, k := range mix.Kinds {
 		kinds[k.Name] = k
 	}
 	asked := map[uint64]Outcome{}
 	ids := map[string]bool{}
-	for _, o := range outs {
+	for _, o := range outcomes {
 		asked[o.Number] = o
 	}
 	ran, tries := map[uint64]int{}, map[string]int{}
@@ -53,78 +53,78 @@
 		tries[id]++
 		switch {
 		case n == 0:
-			say("fidelity", "runner %s saw a query that no origin sent", s.Runner)
+			report("fidelity", "runner %s saw a query that no origin sent", s.Runner)
 		case !ok:
 			continue // its client has not been answered yet
 		case s.Path != o.Path || !bytes.Equal(s.Body, o.Body):
-			say("fidelity", "runner %s saw query %d changed", s.Runner, n)
+			report("fidelity", "runner %s saw query %d changed", s.Runner, n)
 		case s.Header.Get("X-Yarrowridge-Tenant") != o.Tenant:
-			say("fidelity", "runner %s saw tenant %q for query %d, %q expected", s.Runner, s.Header.Get("X-Yarrowridge-Tenant"), n, o.Tenant)
+			report("fidelity", "runner %s saw tenant %q for query %d, %q expected", s.Runner, s.Header.Get("X-Yarrowridge-Tenant"), n, o.Tenant)
 		case s.Header.Get("Authorization") != "":
-			say("fidelity", "runner %s saw the key of query %d", s.Runner, n)
+			report("fidelity", "runner %s saw the key of query %d", s.Runner, n)
 		}
 	}
 	for n, times := range ran {
 		if o, ok := asked[n]; ok && kinds[o.Kind].Once && times > 1 {
-			say("once", "query %d with key %s ran %d times", n, o.Key, times)
+			report("once", "query %d with key %s ran %d times", n, o.Key, times)
 		}
 	}
 	for id, times := range tries {
 		if times > 1 {
-			say("sent-once", "query %s reached runners %d times", id, times)
+			report("sent-once", "query %s reached runners %d times", id, times)
 		}
 	}
-	for _, o := range outs {
+	for _, o := range outcomes {
 		k := kinds[o.Kind]
 		if o.Run == "not run" && ids[o.RequestID] {
-			say("not-run", "query %s (%d) was said not to have run, code %s, but a runner saw it", o.RequestID, o.Number, o.Code)
+			report("not-run", "query %s (%d) was said not to have run, code %s, but a runner saw it", o.RequestID, o.Number, o.Code)
 		}
 		if o.served() {
 			if o.Echo != Echo(o.Body) {
-				say("answer", "query %d was answered with another's answer", o.Number)
+				report("answer", "query %d was answered with another's answer", o.Number)
 			}
 			if k.Stream && len(o.Pieces) != k.Tokens {
-				say("stream", "query %d: a stream of %d pieces claims to be complete, %d expected", o.Number, len(o.Pieces), k.Tokens)
+				report("stream", "query %d: a stream of %d pieces claims to be complete, %d expected", o.Number, len(o.Pieces), k.Tokens)
 			}
 		}
 		if len(o.Marks) > 1 {
-			say("joined", "query %d: the stream joins runs %v", o.Number, o.Marks)
+			report("joined", "query %d: the stream joins runs %v", o.Number, o.Marks)
 		}
 		for i, p := range o.Pieces {
 			if i != p {
-				say("stream", "query %d: piece %d came in place %d", o.Number, p, i)
+				report("stream", "query %d: piece %d came in place %d", o.Number, p, i)
 				break
 			}
 		}
 		if (o.Status == 503 || o.Status == 429) && o.Retry == "" {
-			say("retry-after", "query %d was bounced with %s and no Retry-After", o.Number, o.Code)
+			report("retry-after", "query %d was bounced with %s and no Retry-After", o.Number, o.Code)
 		}
 	}
 	whole := map[uint64]int{}
-	for _, o := range outs {
+	for _, o := range outcomes {
 		if o.Whole {
 			whole[o.Number]++
 		}
 	}
-	for _, o := range outs {
-		for _, s := range ev.Stops {
+	for _, o := range outcomes {
+		for _, s := range ev.PlannedStops {
 			end := o.Begun.Add(o.Took)
 			if o.Err != "" && o.Router == s.Router && o.Begun.Before(s.To) && end.After(s.From) && end.Before(s.To.Add(time.Second)) && ran[o.Number] > whole[o.Number] {
-				say("planned-stop", "query %d had been read by %s, which was stopped with a warning, and was dropped: %s", o.Number, o.Router, o.Err)
+				report("planned-stop", "query %d had been read by %s, which was stopped with a warning, and was dropped: %s", o.Number, o.Router, o.Err)
 			}
 		}
 	}
 }
 
 // checkConfigs holds what routers obeyed against what operators were told.
-func (ev Evidence) checkConfigs(say sayer) {
-	acked, doubt := map[uint64]Edit{}, map[string]bool{}
-	var newest Edit
-	for _, e := range ev.Edits {
+func (ev Evidence) checkConfigs(report reporter) {
+	acked, doubt := map[uint64]ConfigWrite{}, map[string]bool{}
+	var newest ConfigWrite
+	for _, e := range ev.ConfigWrites {
 		switch {
 		case e.Code == 200:
 			if was, twice := acked[e.Version]; twice && was.Hash != e.Hash {
-				say("layout", "sequence %d was acknowledged for two layouts", e.Version)
+				report("layout", "sequence %d was acknowledged for two layouts", e.Version)
 			}
 			acked[e.Version] = e
 			if e.Version > newest.Version {
@@ -140,45 +140,45 @@
 	}
 	best := map[string]high{}
 	late := 2*time.Second + ev.Slack
-	for _, s := range ev.Sights {
+	for _, s := range ev.ConfigReadings {
 		if e, ok := acked[s.Version]; ok && e.Hash != s.Hash || !ok && !doubt[s.Hash] {
-			say("losing-layout", "%s obeys a layout at sequence %d that no operator was told to have won", s.Router, s.Version)
+			report("losing-layout", "%s obeys a layout at sequence %d that no operator was told to have won", s.Router, s.Version)
 		}
-		if b := best[s.Router]; s.Version < b.seq && s.At.Sub(b.at) > 250*time.Millisecond {
-			say("slipped-back", "%s obeys sequence %d, %s after it had obeyed %d", s.Router, s.Version, s.At.Sub(b.at).Round(time.Millisecond), b.seq)
+		if b := best[s.Router]; s.Version < b.seq && s.AskedAt.Sub(b.at) > 250*time.Millisecond {
+			report("slipped-back", "%s obeys sequence %d, %s after it had obeyed %d", s.Router, s.Version, s.AskedAt.Sub(b.at).Round(time.Millisecond), b.seq)
 		}
 		if s.Version > best[s.Router].seq {
-			best[s.Router] = high{s.Version, s.Told}
+			best[s.Router] = high{s.Version, s.AnsweredAt}
 		}
 		for _, e := range acked {
-			if e.Version > s.Version && !s.Stale && s.At.Sub(e.Told) > late {
-				say("layout-late", "%s obeys sequence %d, %s after %d was acknowledged", s.Router, s.Version, s.At.Sub(e.Told).Round(time.Millisecond), e.Version)
+			if e.Version > s.Version && !s.Stale && s.AskedAt.Sub(e.AnsweredAt) > late {
+				report("layout-late", "%s obeys sequence %d, %s after %d was acknowledged", s.Router, s.Version, s.AskedAt.Sub(e.AnsweredAt).Round(time.Millisecond), e.Version)
 				break
 			}
 		}
 	}
 	if f := ev.Final; f != nil {
 		if e, ok := acked[f.Version]; f.Version < newest.Version || ok && e.Hash != f.Hash || !ok && !doubt[f.Hash] {
-			say("read-back", "sequence %d was read back at the end, %d is the newest acknowledged", f.Version, newest.Version)
+			report("read-back", "sequence %d was read back at the end, %d is the newest acknowledged", f.Version, newest.Version)
 		}
 	}
-	for _, g := range ev.Gone {
-		for _, o := range ev.Outs {
+	for _, g := range ev.KeyWithdrawals {
+		for _, o := range ev.Outcomes {
 			if o.Tenant != g.Tenant {
 				continue
 			}
 			end := o.Begun.Add(o.Took)
 			if fresh := o.Begun.Sub(g.From) > late && o.Begun.Before(g.To) && o.Status == 200; fresh ||
 				o.Whole && o.Begun.Before(g.From) && end.Sub(g.From) > late && end.Before(g.To) {
-				say("withdrawn", "query %d of %s was answered %s after its key was withdrawn", o.Number, g.Tenant, end.Sub(g.From).Round(time.Millisecond))
+				report("withdrawn", "query %d of %s was answered %s after its key was withdrawn", o.Number, g.Tenant, end.Sub(g.From).Round(time.Millisecond))
 			}
 		}
 	}
 }
 
 // checkQuotas holds each tenant's requests, as runners saw them, against its quota in every rolling window.
-func (ev Evidence) checkQuotas(say sayer) {
-	for ten, v := range ev.Mix.Config["tenants"].(obj) {
+func (ev Evidence) checkQuotas(report reporter) {
+	for tenant, v := range ev.Mix.Config["tenants"].(obj) {
 		q, ok := v.(obj)["quota"].(obj)
 		if !ok {
 			continue
@@ -186,7 +186,7 @@
 		units, window := q["units"].(int), time.Duration(q["window_s"].(int))*time.Second
 		var at []time.Time
 		for _, s := range ev.Seen {
-			if s.Header.Get("X-Yarrowridge-Tenant") == ten {
+			if s.Header.Get("X-Yarrowridge-Tenant") == tenant {
 				at = append(at, s.At)
 			}
 		}
@@ -196,7 +196,7 @@
 				j++
 			}
 			if i-j+1 > units {
-				say("quota", "%d queries of %s ran within %s, its quota is %d", i-j+1, ten, window, units)
+				report("quota", "%d queries of %s ran within %s, its quota is %d", i-j+1, tenant, window, units)
 				break
 			}
 		}
@@ -204,16 +204,16 @@
 }
 
 // checkTries holds second tries against first ones in every ten seconds, over the whole fleet.
-func (ev Evidence) checkTries(say sayer) {
-	for svc, v := range ev.Mix.Config["services"].(obj) {
+func (ev Evidence) checkTries(report reporter) {
+	for service, v := range ev.Mix.Config["services"].(obj) {
 		spare := float64(v.(obj)["second_spare"].(int))
-		for i, j := 0, 0; j < len(ev.Counts); j++ {
-			for ev.Counts[j].At.Sub(ev.Counts[i].At) > 10*time.Second {
+		for i, j := 0, 0; j < len(ev.TryCounts); j++ {
+			for ev.TryCounts[j].At.Sub(ev.TryCounts[i].At) > 10*time.Second {
 				i++
 			}
-			a, b := ev.Counts[i], ev.Counts[j]
-			if first, again := b.First[svc]-a.First[svc], b.Again[svc]-a.Again[svc]; again > 0.2*first+spare {
-				say("second-tries", "%g second tries to %s beside %g first ones within %s", again, svc, first, b.At.Sub(a.At).Round(time.Millisecond))
+			a, b := ev.TryCounts[i], ev.TryCounts[j]
+			if first, again := b.First[service]-a.First[service], b.Again[service]-a.Again[service]; again > 0.2*first+spare {
+				report("second-tries", "%g second tries to %s beside %g first ones within %s", again, service, first, b.At.Sub(a.At).Round(time.Millisecond))
 				break
 			}
 		}
@@ -221,19 +221,19 @@
 }
 
 // checkTimes holds leaving runners and hard faults against the time that the promises give.
-func (ev Evidence) checkTimes(say sayer) {
+func (ev Evidence) checkTimes(report reporter) {
 	for _, s := range ev.Seen {
-		for _, w := range ev.Words {
-			if d := s.At.Sub(w.At); s.RunID == w.Born && d > 2*time.Second+ev.Slack {
-				say("leaving", "runner %s got a query %s after its word that it leaves", s.Runner, d.Round(time.Millisecond))
+		for _, w := range ev.Departures {
+			if d := s.At.Sub(w.At); s.RunID == w.RunID && d > 2*time.Second+ev.Slack {
+				report("leaving", "runner %s got a query %s after its word that it leaves", s.Runner, d.Round(time.Millisecond))
 			}
 		}
 	}
-	for _, c := range ev.Cuts {
+	for _, c := range ev.LinkCuts {
 		// Silent runners are found out after 5 s; from then on both sides serve what needs no core, and
 		// the greater part everything.
 		got, asked := map[[2]string]int{}, map[[2]string]int{}
-		for _, o := range ev.Outs {
+		for _, o := range ev.Outcomes {
 			side := "out"
 			if ev.Zones[o.Router] == c.Zone {
 				side = "in"
@@ -247,26 +247,26 @@
 		}
 		for _, k := range ev.Mix.Kinds {
 			if got[[2]string{"out", k.Name}] == 0 && asked[[2]string{"out", k.Name}] > 5 {
-				say("cut-hall", "no %s was served outside hall %s while its link was cut", k.Name, c.Zone)
+				report("cut-hall", "no %s was served outside hall %s while its link was cut", k.Name, c.Zone)
 			}
 			if !k.Once && got[[2]string{"in", k.Name}] == 0 && asked[[2]string{"in", k.Name}] > 5 {
-				say("cut-hall", "no %s was served in hall %s while its link was cut", k.Name, c.Zone)
+				report("cut-hall", "no %s was served in hall %s while its link was cut", k.Name, c.Zone)
 			}
 			if k.Once && got[[2]string{"in", k.Name}] > 0 {
-				say("cut-hall", "%d %s ran in hall %s, which could not ask the core", got[[2]string{"in", k.Name}], k.Name, c.Zone)
+				report("cut-hall", "%d %s ran in hall %s, which could not ask the core", got[[2]string{"in", k.Name}], k.Name, c.Zone)
 			}
 		}
 	}
-	for _, h := range ev.Hards {
+	for _, h := range ev.HardFaults {
 		for _, k := range ev.Mix.Kinds {
 			back := time.Duration(-1)
-			for _, o := range ev.Outs {
+			for _, o := range ev.Outcomes {
 				if d := o.Begun.Add(o.Took).Sub(h.At); o.Kind == k.Name && o.served() && o.Begun.After(h.At) && (back < 0 || d < back) {
 					back = d
 				}
 			}
 			if most := 12*time.Second + ev.Slack; back > most || back < 0 && ev.End.Sub(h.At) > most {
-				say("service-back", "no %s was served within %s of this fault: %s", k.Name, most, h.Name)
+				report("service-back", "no %s was served within %s of this fault: %s", k.Name, most, h.Name)
 			}
 		}
 	}
@@ -282,10 +282,10 @@
 // Total sums outcomes up.
 //
 //	sum := drill.Total(load.All())
-func Total(outs []Outcome) Sum {
+func Total(outcomes []Outcome) Sum {
 	s := Sum{Codes: map[string]int{}}
 	var took []time.Duration
-	for _, o := range outs {
+	for _, o := range outcomes {
 		s.Requests++
 		switch {
 		case o.served():
@@ -328,9 +328,9 @@
 // Gap is the longest time between two moments in which no request of a kind came to a whole answer.
 //
 //	back := drill.Gap(outs, "checks", fault, time.Now())
-func Gap(outs []Outcome, kind string, from, to time.Time) time.Duration {
+func Gap(outcomes []Outcome, kind string, from, to time.Time) time.Duration {
 	var ends []time.Time
-	for _, o := range outs {
+	for _, o := range outcomes {
 		if o.Kind == kind && o.served() {
 			if end := o.Begun.Add(o.Took); end.After(from) && end.Before(to) {
 				ends = append(ends, end)
--- a/internal/drill/check_test.go
+++ b/internal/drill/check_test.go
@@ -34,9 +34,9 @@
 			*s = nil
 		},
 	} {
-		outs, seen := good()
-		spoil(&outs, &seen)
-		bad := Check(Evidence{Mix: mix, Outs: outs, Seen: seen})
+		outcomes, seen := good()
+		spoil(&outcomes, &seen)
+		bad := Check(Evidence{Mix: mix, Outcomes: outcomes, Seen: seen})
 		found := name == "" && len(bad) == 0
 		for _, b := range bad {
 			found = found || b.Promise == name
@@ -50,9 +50,9 @@
 		"key":     func(h http.Header) { h.Set("Authorization", "Bearer demo-casual") },
 		"nowhere": func(h http.Header) { h.Del("X-Drill-N") },
 	} {
-		outs, seen := good()
+		outcomes, seen := good()
 		spoil(seen[0].Header)
-		if bad := Check(Evidence{Mix: mix, Outs: outs, Seen: seen}); len(bad) == 0 || bad[0].Promise != "fidelity" {
+		if bad := Check(Evidence{Mix: mix, Outcomes: outcomes, Seen: seen}); len(bad) == 0 || bad[0].Promise != "fidelity" {
 			t.Errorf("%s: found %v", name, bad)
 		}
 	}
--- a/internal/drill/day.go
+++ b/internal/drill/day.go
@@ -101,7 +101,7 @@
 func NewDay(f *Fleet, l *Load, seed uint64, out io.Writer) *Day {
 	d := &Day{f: f, l: l, w: NewWatch(f), out: out, rnd: rand.New(rand.NewPCG(seed, 12)), config: maps.Clone(f.Mix.Config)}
 	d.w.note(func(ev *Evidence) {
-		ev.Edits = append(ev.Edits, Edit{At: time.Now(), Told: time.Now(), Code: 200, Version: 1, Hash: layout.HashKey(string(f.Mix.Raw()))})
+		ev.ConfigWrites = append(ev.ConfigWrites, ConfigWrite{SentAt: time.Now(), AnsweredAt: time.Now(), Code: 200, Version: 1, Hash: layout.HashKey(string(f.Mix.Raw()))})
 	})
 	return d
 }
@@ -135,7 +135,7 @@
 	all.Wait()
 	d.own.Wait()
 	end := time.Now()
-	var last Edit
+	var last ConfigWrite
 	near, far := context.WithTimeout(ctx, 20*time.Second)
 	defer far()
 	err := d.f.Until(near, "the layout is read back", func() bool {
@@ -183,9 +183,9 @@
 				return false
 			}
 		}
-		outs := d.l.All()
+		outcomes := d.l.All()
 		for _, k := range d.f.Mix.Kinds {
-			if !came(outs, k.Name, from) {
+			if !came(outcomes, k.Name, from) {
 				return false
 			}
 		}
@@ -194,8 +194,8 @@
 }
 
 // came tells whether a request of a kind that began after a moment has come to a whole answer.
-func came(outs []Outcome, kind string, from time.Time) bool {
-	for _, o := range outs {
+func came(outcomes []Outcome, kind string, from time.Time) bool {
+	for _, o := range outcomes {
 		if o.Kind == kind && o.served() && o.Begun.After(from) {
 			return true
 		}
@@ -204,11 +204,11 @@
 }
 
 func (d *Day) hard(name string) {
-	d.w.note(func(ev *Evidence) { ev.Hards = append(ev.Hards, Hard{name, time.Now()}) })
+	d.w.note(func(ev *Evidence) { ev.HardFaults = append(ev.HardFaults, HardFault{name, time.Now()}) })
 }
 
 // put writes a config with a mark of its own, and notes what the operator was told.
-func (d *Day) put(ctx context.Context, config obj, mark int, match string) Edit {
+func (d *Day) put(ctx context.Context, config obj, mark int, match string) ConfigWrite {
 	config = maps.Clone(config)
 	limits := obj{}
 	if old, ok := config["limits"].(obj); ok {
@@ -220,14 +220,14 @@
 	return d.send(ctx, "PUT", raw, match, layout.HashKey(string(raw)))
 }
 
-func (d *Day) send(ctx context.Context, method string, raw []byte, match, hash string) Edit {
-	e := Edit{At: time.Now(), Hash: hash}
-	code, ans, err := d.f.Ask(ctx, method, d.f.Routers[int(time.Now().UnixNano())%len(d.f.Routers)].Operator, "/v1/layout", raw, map[string]string{"If-Match": match})
-	e.Told, e.Version = time.Now(), gjson.GetBytes(ans, "sequence").Uint()
+func (d *Day) send(ctx context.Context, method string, raw []byte, match, hash string) ConfigWrite {
+	e := ConfigWrite{SentAt: time.Now(), Hash: hash}
+	code, response, err := d.f.Ask(ctx, method, d.f.Routers[int(time.Now().UnixNano())%len(d.f.Routers)].Operator, "/v1/layout", raw, map[string]string{"If-Match": match})
+	e.AnsweredAt, e.Version = time.Now(), gjson.GetBytes(response, "sequence").Uint()
 	if err == nil {
 		e.Code = code
 	}
-	d.w.note(func(ev *Evidence) { ev.Edits = append(ev.Edits, e) })
+	d.w.note(func(ev *Evidence) { ev.ConfigWrites = append(ev.ConfigWrites, e) })
 	return e
 }
 
@@ -255,9 +255,9 @@
 	if patch.Code == 200 {
 		_, whole, _ := d.f.Ask(ctx, "GET", d.router().Operator, fmt.Sprintf("/v1/layout?sequence=%d", patch.Version), nil, nil)
 		d.w.note(func(ev *Evidence) {
-			for i := range ev.Edits {
-				if ev.Edits[i].Version == patch.Version && ev.Edits[i].Hash == "patch" {
-					ev.Edits[i].Hash = layout.HashKey(string(whole))
+			for i := range ev.ConfigWrites {
+				if ev.ConfigWrites[i].Version == patch.Version && ev.ConfigWrites[i].Hash == "patch" {
+					ev.ConfigWrites[i].Hash = layout.HashKey(string(whole))
 				}
 			}
 		})
@@ -268,26 +268,26 @@
 func (d *Day) withdraw(ctx context.Context) {
 	who := payers(d.f.Mix)[5]
 	config := maps.Clone(d.config)
-	ten := maps.Clone(config["tenants"].(obj))
-	less := maps.Clone(ten[who].(obj))
+	tenant := maps.Clone(config["tenants"].(obj))
+	less := maps.Clone(tenant[who].(obj))
 	less["keys"] = []string{}
-	ten[who] = less
-	config["tenants"] = ten
+	tenant[who] = less
+	config["tenants"] = tenant
 	from := d.sure(ctx, config)
 	env.Wait(ctx, 4*time.Second)
 	to := time.Now()
 	d.sure(ctx, d.config)
-	d.w.note(func(ev *Evidence) { ev.Gone = append(ev.Gone, Gone{who, from, to}) })
+	d.w.note(func(ev *Evidence) { ev.KeyWithdrawals = append(ev.KeyWithdrawals, KeyWithdrawal{who, from, to}) })
 }
 
 // sure writes until it is acknowledged, and tells when it was.
 func (d *Day) sure(ctx context.Context, config obj) time.Time {
-	var e Edit
+	var e ConfigWrite
 	d.until(ctx, rest, "a write is acknowledged", func() bool {
 		e = d.put(ctx, config, d.next(), "*")
 		return e.Code == 200
 	})
-	return e.Told
+	return e.AnsweredAt
 }
 
 func (d *Day) more(ctx context.Context, scale float64, docs int) {
@@ -303,8 +303,8 @@
 
 func (d *Day) leave(ctx context.Context) {
 	s := d.model()
-	word := Word{Runner: s.Name, Born: s.runID, At: s.Leave(ctx)}
-	d.w.note(func(ev *Evidence) { ev.Words = append(ev.Words, word) })
+	word := Departure{Runner: s.Name, RunID: s.runID, At: s.Leave(ctx)}
+	d.w.note(func(ev *Evidence) { ev.Departures = append(ev.Departures, word) })
 	env.Wait(ctx, 8*time.Second)
 	s.Crash()
 	d.up(s)
@@ -393,7 +393,7 @@
 	d.f.Links.Cut(zone)
 	env.Wait(ctx, 15*time.Second)
 	d.sure(ctx, d.config)
-	d.w.note(func(ev *Evidence) { ev.Cuts = append(ev.Cuts, Cut{zone, from, time.Now()}) })
+	d.w.note(func(ev *Evidence) { ev.LinkCuts = append(ev.LinkCuts, LinkCut{zone, from, time.Now()}) })
 	d.f.Links.Cut("")
 }
 
@@ -474,7 +474,7 @@
 			return
 		}
 		if p.Client != "" {
-			d.w.note(func(ev *Evidence) { ev.Stops = append(ev.Stops, Stop{p.Name, from, time.Now()}) })
+			d.w.note(func(ev *Evidence) { ev.PlannedStops = append(ev.PlannedStops, PlannedStop{p.Name, from, time.Now()}) })
 		}
 		if err := p.Start(); err != nil {
 			d.bad = err
--- a/internal/drill/drain_test.go
+++ b/internal/drill/drain_test.go
@@ -61,9 +61,9 @@
 	r.Signal(syscall.SIGTERM)
 	at := time.Now()
 	if err := f.Until(ctx, "the router is deaf to new origins", func() bool {
-		ans, err := http.Get("http://" + r.Client + "/ready")
+		response, err := http.Get("http://" + r.Client + "/ready")
 		if err == nil {
-			ans.Body.Close()
+			response.Body.Close()
 		}
 		return err != nil
 	}); err != nil {
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -89,11 +89,11 @@
 			f := up(t, mix)
 			l := NewLoad(f, 1, 1)
 			play(l, len(f.Routers))
-			outs := l.All()
-			if s := Total(outs); s.Done != s.Requests || s.Requests != len(mix.Kinds)*len(f.Routers) {
+			outcomes := l.All()
+			if s := Total(outcomes); s.Done != s.Requests || s.Requests != len(mix.Kinds)*len(f.Routers) {
 				t.Errorf("%d of %d queries done: %v", s.Done, s.Requests, s.Codes)
 			}
-			for _, b := range Check(Evidence{Mix: mix, Outs: outs, Seen: f.RequestLog.All()}) {
+			for _, b := range Check(Evidence{Mix: mix, Outcomes: outcomes, Seen: f.RequestLog.All()}) {
 				t.Errorf("%s: %s", b.Promise, b.What)
 			}
 			// The fleet's state tells with whom each router exchanges news, and the routers say the same.
--- a/internal/drill/fault_test.go
+++ b/internal/drill/fault_test.go
@@ -39,15 +39,15 @@
 	}
 	stop()
 	all.Wait()
-	outs := l.All()
-	for i, b := range Check(Evidence{Mix: f.Mix, Outs: outs, Seen: f.RequestLog.All()}) {
+	outcomes := l.All()
+	for i, b := range Check(Evidence{Mix: f.Mix, Outcomes: outcomes, Seen: f.RequestLog.All()}) {
 		if i < 5 {
 			t.Errorf("%s: %s", b.Promise, b.What)
 		}
 	}
-	s := Total(outs)
+	s := Total(outcomes)
 	t.Logf("tries %d: done %d, bounced %d, troubled %d, broken %d %v", s.Requests, s.Done, s.Rejected, s.Failed, s.Broken, s.Codes)
-	return outs
+	return outcomes
 }
 
 // A fleet is rolled to a release one wire format up, and back, under load: every process is stopped with
@@ -62,7 +62,7 @@
 	if out, err := exec.Command(filepath.Join(next, "router"), "-version").CombinedOutput(); err != nil || !strings.Contains(string(out), "wire format 2") {
 		t.Fatalf("the next release says %q, %v", out, err)
 	}
-	outs := under(t, f, 0.7, func(ctx context.Context, l *Load) {
+	outcomes := under(t, f, 0.7, func(ctx context.Context, l *Load) {
 		up, down := slices.Concat(f.Routers, f.Cores), slices.Concat(f.Cores, f.Routers)
 		for i, p := range slices.Concat(up, down) {
 			p.Signal(syscall.SIGTERM)
@@ -79,7 +79,7 @@
 		}
 	})
 	answered, ran := map[uint64]int{}, map[uint64]int{}
-	for _, o := range outs {
+	for _, o := range outcomes {
 		if o.Err == "" {
 			answered[o.Number]++
 		}
--- a/internal/drill/fleet.go
+++ b/internal/drill/fleet.go
@@ -358,9 +358,9 @@
 	})
 }
 
-// Stop ends all that the fleet started.
+// PlannedStop ends all that the fleet started.
 //
-//	defer f.Stop()
+//	defer f.PlannedStop()
 func (f *Fleet) Stop() {
 	for _, s := range append(append([]*Standin{}, f.Models...), f.Apps...) {
 		if s.cancel != nil {
@@ -402,21 +402,21 @@
 	for k, v := range head {
 		req.Header.Set(k, v)
 	}
-	ans, err := httpc.DoRequest(req)
+	response, err := httpc.DoRequest(req)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer ans.Body.Close()
-	raw, err := io.ReadAll(ans.Body)
-	return ans.StatusCode, raw, err
+	defer response.Body.Close()
+	raw, err := io.ReadAll(response.Body)
+	return response.StatusCode, raw, err
 }
 
 // Put puts a config through a process and tells the code and the version.
 //
 //	code, version, err := f.Put(ctx, f.Cores[0], raw, "*", "write-1")
 func (f *Fleet) Put(ctx context.Context, p *Proc, raw []byte, match, id string) (int, uint64, error) {
-	code, ans, err := f.Ask(ctx, "PUT", p.Operator, "/v1/layout", raw, map[string]string{"If-Match": match, "X-Write-Id": id})
-	return code, gjson.GetBytes(ans, "sequence").Uint(), err
+	code, response, err := f.Ask(ctx, "PUT", p.Operator, "/v1/layout", raw, map[string]string{"If-Match": match, "X-Write-Id": id})
+	return code, gjson.GetBytes(response, "sequence").Uint(), err
 }
 
 // Ready asks a process whether it is ready.
--- a/internal/drill/links.go
+++ b/internal/drill/links.go
@@ -40,9 +40,9 @@
 	return fmt.Sprintf("127.0.%d.1", 10+slices.Index(l.zones, zone))
 }
 
-// Cut cuts a zone off from all others; "" heals. What is under way waits, as on a dark line.
+// LinkCut cuts a zone off from all others; "" heals. What is under way waits, as on a dark line.
 //
-//	l.Cut("north"); defer l.Cut("")
+//	l.LinkCut("north"); defer l.LinkCut("")
 func (l *Links) Cut(zone string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -106,8 +106,8 @@
 		n := l.next.Add(1)
 		body := k.body(l.Fleet.Mix.Model, n, r)
 		from := r.IntN(len(l.Fleet.Routers))
-		ten := l.tenant(r)
-		all.Go(func() { l.one(k, n, body, ten, from) })
+		tenant := l.tenant(r)
+		all.Go(func() { l.one(k, n, body, tenant, from) })
 	}
 }
 
@@ -121,10 +121,10 @@
 }
 
 // one asks until the request has an outcome that another try can't better.
-func (l *Load) one(k Kind, n uint64, body []byte, ten string, from int) {
+func (l *Load) one(k Kind, n uint64, body []byte, tenant string, from int) {
 	for try := range l.Tries {
 		r := l.Fleet.Routers[(from+try)%len(l.Fleet.Routers)]
-		o := l.Ask(k, n, body, ten, r)
+		o := l.Ask(k, n, body, tenant, r)
 		for i := 1; i < len(l.Fleet.Routers) && o.broken(k); i++ {
 			l.Resume(&o, l.Fleet.Routers[(from+try+i)%len(l.Fleet.Routers)])
 		}
@@ -165,27 +165,27 @@
 	req.Header.Set("Authorization", "Bearer "+Key(o.Tenant))
 	req.Header.Set("Last-Event-ID", strconv.Itoa(len(o.Pieces)))
 	o.Resumed++
-	ans, err := l.http.Do(req)
+	response, err := l.http.Do(req)
 	if err != nil {
 		return
 	}
-	defer ans.Body.Close()
-	if ans.StatusCode != 200 {
-		raw, _ := io.ReadAll(ans.Body)
+	defer response.Body.Close()
+	if response.StatusCode != 200 {
+		raw, _ := io.ReadAll(response.Body)
 		if c := gjson.GetBytes(raw, "error.code").String(); c == "no-stream" {
 			o.Code, o.Run = c, "unknown"
 		}
 		return
 	}
 	o.Err = ""
-	o.stream(ans.Body)
+	o.stream(response.Body)
 }
 
 // Ask makes one try at one router.
 //
 //	o := l.Ask(kind, 1, body, "casual", fleet.Routers[0])
-func (l *Load) Ask(k Kind, n uint64, body []byte, ten string, r *Proc) (o Outcome) {
-	o = Outcome{Kind: k.Name, Number: n, Tenant: ten, Router: r.Name, Body: body, Begun: time.Now(), Path: k.Path}
+func (l *Load) Ask(k Kind, n uint64, body []byte, tenant string, r *Proc) (o Outcome) {
+	o = Outcome{Kind: k.Name, Number: n, Tenant: tenant, Router: r.Name, Body: body, Begun: time.Now(), Path: k.Path}
 	defer func() { o.Took = time.Since(o.Begun) }()
 	if k.Method == "GET" {
 		o.Path += strconv.FormatUint(n, 10)
@@ -199,30 +199,30 @@
 		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
 		req.Header.Set("Content-Type", "application/json")
 	}
-	req.Header.Set("Authorization", "Bearer "+Key(ten))
+	req.Header.Set("Authorization", "Bearer "+Key(tenant))
 	req.Header.Set("X-Drill-N", strconv.FormatUint(n, 10))
 	req.Header.Set("X-Yarrowridge-Tenant", "somebody-else")
 	if k.Once {
 		o.Key = fmt.Sprintf("key-%d", n)
 		req.Header.Set("Idempotency-Key", o.Key)
 	}
-	ans, err := l.http.Do(req)
+	response, err := l.http.Do(req)
 	if err != nil {
 		o.Err = err.Error()
 		return o
 	}
-	defer ans.Body.Close()
-	o.Status, o.Retry, o.RequestID = ans.StatusCode, ans.Header.Get("Retry-After"), ans.Header.Get("X-Yarrowridge-Query")
-	if strings.HasPrefix(ans.Header.Get("Content-Type"), "text/event-stream") {
-		o.stream(ans.Body)
+	defer response.Body.Close()
+	o.Status, o.Retry, o.RequestID = response.StatusCode, response.Header.Get("Retry-After"), response.Header.Get("X-Yarrowridge-Query")
+	if strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
+		o.stream(response.Body)
 		return o
 	}
-	raw, err := io.ReadAll(ans.Body)
+	raw, err := io.ReadAll(response.Body)
 	if err != nil {
 		o.Err = err.Error()
 		return o
 	}
-	if ans.StatusCode == 200 {
+	if response.StatusCode == 200 {
 		o.Whole, o.Echo = true, gjson.GetBytes(raw, "echo").String()
 		if !gjson.ValidBytes(raw) {
 			o.Echo = "cut"
--- a/internal/drill/main.go
+++ b/internal/drill/main.go
@@ -145,8 +145,8 @@
 	if args[0] == "day" {
 		fmt.Fprintf(out, "course %s\n", strings.Join(names, ","))
 		ev, err := NewDay(f, load, *seed, out).Run(ctx, names, *slack)
-		Total(ev.Outs).Print(out)
-		fmt.Fprintf(out, "seen: %d queries at runners, %d writes, %d looks at layouts\n", len(ev.Seen), len(ev.Edits), len(ev.Sights))
+		Total(ev.Outcomes).Print(out)
+		fmt.Fprintf(out, "seen: %d queries at runners, %d writes, %d looks at layouts\n", len(ev.Seen), len(ev.ConfigWrites), len(ev.ConfigReadings))
 		return verdict(out, Check(ev), err, *seed, strings.Join(names, ","), *dir, tidy)
 	}
 	run, stop := context.WithTimeout(ctx, *span)
@@ -160,9 +160,9 @@
 		f.loseZone(run, *span, out, load)
 	}
 	<-done
-	outs := load.All()
-	Total(outs).Print(out)
-	return verdict(out, Check(Evidence{Mix: mix, Outs: outs, Seen: f.RequestLog.All()}), nil, *seed, "", *dir, tidy)
+	outcomes := load.All()
+	Total(outcomes).Print(out)
+	return verdict(out, Check(Evidence{Mix: mix, Outcomes: outcomes, Seen: f.RequestLog.All()}), nil, *seed, "", *dir, tidy)
 }
 
 // verdict prints what became of the promises: each that was broken once, by its first breach.
--- a/internal/drill/slow_test.go
+++ b/internal/drill/slow_test.go
@@ -44,20 +44,20 @@
 	}
 	for i, con := range strange {
 		con.SetReadDeadline(time.Now().Add(20 * time.Second))
-		ans, err := http.ReadResponse(bufio.NewReader(con), nil)
-		if err != nil || ans.StatusCode != 401 {
-			t.Fatalf("stranger %d: %v %v", i, ans, err)
+		response, err := http.ReadResponse(bufio.NewReader(con), nil)
+		if err != nil || response.StatusCode != 401 {
+			t.Fatalf("stranger %d: %v %v", i, response, err)
 		}
 	}
 	slow := dribble(t, r.Client, Key("yard-a"))
 	slow.SetReadDeadline(time.Now().Add(20 * time.Second))
-	ans, err := http.ReadResponse(bufio.NewReader(slow), nil)
+	response, err := http.ReadResponse(bufio.NewReader(slow), nil)
 	if err != nil {
 		t.Fatalf("a known tenant that sends slowly: %v", err)
 	}
-	raw, _ := io.ReadAll(ans.Body)
-	if ans.StatusCode != 408 || !strings.Contains(string(raw), `"not run"`) {
-		t.Errorf("a known tenant that sends slowly was answered %d %s", ans.StatusCode, raw)
+	raw, _ := io.ReadAll(response.Body)
+	if response.StatusCode != 408 || !strings.Contains(string(raw), `"not run"`) {
+		t.Errorf("a known tenant that sends slowly was answered %d %s", response.StatusCode, raw)
 	}
 	// An client that stops reading in the middle of a stream that no socket's buffers hold.
 	body := fmt.Sprintf(`{"model":%q,"prompt":"a","max_tokens":400,"stream":true,"pad":16384}`, mix.Model)
--- a/internal/drill/standin.go
+++ b/internal/drill/standin.go
@@ -234,13 +234,13 @@
 	if err != nil {
 		return false
 	}
-	ans, err := httpc.DoRequest(req)
+	response, err := httpc.DoRequest(req)
 	if err != nil {
 		return false
 	}
-	io.Copy(io.Discard, ans.Body)
-	ans.Body.Close()
-	return ans.StatusCode == 200
+	io.Copy(io.Discard, response.Body)
+	response.Body.Close()
+	return response.StatusCode == 200
 }
 
 // Echo is what a stand-in answers to show which request its answer belongs to.
--- a/internal/drill/stream_test.go
+++ b/internal/drill/stream_test.go
@@ -22,28 +22,28 @@
 	sc  *bufio.Scanner
 }
 
-func (l *Load) open(t *testing.T, r *Proc, ten string, n uint64, tokens int) *reader {
+func (l *Load) open(t *testing.T, r *Proc, tenant string, n uint64, tokens int) *reader {
 	t.Helper()
-	return l.begin(t, r, Kind{Path: "/v1/writeups", Tail: 10, Tokens: tokens, Stream: true}, ten, n)
+	return l.begin(t, r, Kind{Path: "/v1/writeups", Tail: 10, Tokens: tokens, Stream: true}, tenant, n)
 }
 
-func (l *Load) begin(t *testing.T, r *Proc, k Kind, ten string, n uint64) *reader {
+func (l *Load) begin(t *testing.T, r *Proc, k Kind, tenant string, n uint64) *reader {
 	t.Helper()
 	req, err := http.NewRequest("POST", "http://"+r.Client+k.Path, strings.NewReader(string(k.body(l.Fleet.Mix.Model, n, newRand(n)))))
 	if err != nil {
 		t.Fatal(err)
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set("Authorization", "Bearer "+Key(ten))
-	ans, err := l.http.Do(req)
+	req.Header.Set("Authorization", "Bearer "+Key(tenant))
+	response, err := l.http.Do(req)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if ans.StatusCode != 200 {
-		raw, _ := io.ReadAll(ans.Body)
-		t.Fatalf("status %d: %s", ans.StatusCode, raw)
+	if response.StatusCode != 200 {
+		raw, _ := io.ReadAll(response.Body)
+		t.Fatalf("status %d: %s", response.StatusCode, raw)
 	}
-	return &reader{ans.Header.Get("X-Yarrowridge-Query"), ans, lines(ans.Body)}
+	return &reader{response.Header.Get("X-Yarrowridge-Query"), response, lines(response.Body)}
 }
 
 // next gives the next piece's number, or -1 and why there is none.
@@ -64,20 +64,20 @@
 }
 
 // rest resumes a stream after n pieces and reads it to its end.
-func (l *Load) rest(t *testing.T, r *Proc, ten, id string, n int) ([]int, string) {
+func (l *Load) rest(t *testing.T, r *Proc, tenant, id string, n int) ([]int, string) {
 	t.Helper()
 	req, _ := http.NewRequest("GET", "http://"+r.Client+StreamsPath+id+"?after="+strconv.Itoa(n), nil)
-	req.Header.Set("Authorization", "Bearer "+Key(ten))
-	ans, err := l.http.Do(req)
+	req.Header.Set("Authorization", "Bearer "+Key(tenant))
+	response, err := l.http.Do(req)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ans.Body.Close()
-	if ans.StatusCode != 200 {
-		raw, _ := io.ReadAll(ans.Body)
+	defer response.Body.Close()
+	if response.StatusCode != 200 {
+		raw, _ := io.ReadAll(response.Body)
 		return nil, gjson.GetBytes(raw, "error.code").String()
 	}
-	rd := &reader{id, ans, lines(ans.Body)}
+	rd := &reader{id, response, lines(response.Body)}
 	var got []int
 	for {
 		i, why := rd.next()
