--- a/internal/drill/fleet.go
+++ b/internal/drill/fleet.go
@@ -235,8 +235,8 @@
 		s.unreachable = func(to string) bool {
 			for _, r := range f.Routers {
 				if r.Runner == to {
-					dark, _ := f.Links.Dark(s.Labels["hall"], r.Zone)
-					return dark
+					blocked, _ := f.Links.Blocked(s.Labels["hall"], r.Zone)
+					return blocked
 				}
 			}
 			return false
--- a/internal/drill/links.go
+++ b/internal/drill/links.go
@@ -12,17 +12,17 @@
 // Links carries all that goes between the zones of a rehearsal fleet: each process is known by a
 // forwarder's address, and dials from its zone's own, so that the link of one zone can be cut.
 type Links struct {
-	zones []string
-	mu    sync.Mutex
-	cut   string        // the zone that is cut off, or ""
-	turn  chan struct{} // closed with each change
-	doors map[string]*door
-	cons  map[net.Conn]bool
+	zones       []string
+	mu          sync.Mutex
+	cut         string        // the zone that is cut off, or ""
+	changed     chan struct{} // closed with each change
+	forwarders  map[string]*forwarder
+	connections map[net.Conn]bool
 }
 
-// door is one forwarder.
-type door struct {
-	ear      net.Listener // nil while it is shut
+// forwarder is one forwarder.
+type forwarder struct {
+	listener net.Listener // nil while it is shut
 	zone, to string
 }
 
@@ -30,7 +30,7 @@
 //
 //	f.Links = drill.NewLinks(mix.Zones)
 func NewLinks(zones []string) *Links {
-	return &Links{zones: zones, turn: make(chan struct{}), doors: map[string]*door{}, cons: map[net.Conn]bool{}}
+	return &Links{zones: zones, changed: make(chan struct{}), forwarders: map[string]*forwarder{}, connections: map[net.Conn]bool{}}
 }
 
 // IP is the loopback address that a zone's processes listen on and dial from.
@@ -40,86 +40,86 @@
 	return fmt.Sprintf("127.0.%d.1", 10+slices.Index(l.zones, zone))
 }
 
-// LinkCut cuts a zone off from all others; "" heals. What is under way waits, as on a dark line.
+// LinkCut cuts a zone off from all others; "" heals. What is under way waits, as on a blocked line.
 //
 //	l.LinkCut("north"); defer l.LinkCut("")
 func (l *Links) Cut(zone string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = zone
-	close(l.turn)
-	l.turn = make(chan struct{})
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
-// Dark tells whether nothing gets from one zone to another, and when to ask again.
+// Blocked tells whether nothing gets from one zone to another, and when to ask again.
 //
-//	dark, turn := l.Dark("north", "east")
-func (l *Links) Dark(a, b string) (bool, <-chan struct{}) {
+//	blocked, turn := l.Blocked("north", "east")
+func (l *Links) Blocked(a, b string) (bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return a != b && l.cut != "" && (a == l.cut || b == l.cut), l.turn
+	return a != b && l.cut != "" && (a == l.cut || b == l.cut), l.changed
 }
 
 // Open forwards a new address to a process of a zone.
 //
 //	at, err := l.Open("north", "127.0.11.1:7501")
 func (l *Links) Open(zone, to string) (string, error) {
-	ear, err := freePort("127.0.0.1")
+	listener, err := freePort("127.0.0.1")
 	if err != nil {
 		return "", err
 	}
-	at := ear.Addr().String()
+	at := listener.Addr().String()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.doors[at] = &door{zone: zone, to: to}
-	l.serve(l.doors[at], ear)
+	l.forwarders[at] = &forwarder{zone: zone, to: to}
+	l.serve(l.forwarders[at], listener)
 	return at, nil
 }
 
-// Shut refuses connections to a forwarder's address, as a machine does on which nobody listens.
+// Refuse refuses connections to a forwarder's address, as a machine does on which nobody listens.
 //
-//	l.Shut(at)
-func (l *Links) Shut(at string) {
+//	l.Refuse(at)
+func (l *Links) Refuse(at string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if d := l.doors[at]; d.ear != nil {
-		d.ear.Close()
-		d.ear = nil
+	if d := l.forwarders[at]; d.listener != nil {
+		d.listener.Close()
+		d.listener = nil
 	}
 }
 
-// Again ends Shut.
+// Accept ends Refuse.
 //
-//	err := l.Again(at)
-func (l *Links) Again(at string) error {
+//	err := l.Accept(at)
+func (l *Links) Accept(at string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	d := l.doors[at]
-	if d.ear != nil {
+	d := l.forwarders[at]
+	if d.listener != nil {
 		return nil
 	}
-	ear, err := net.Listen("tcp", at)
+	listener, err := net.Listen("tcp", at)
 	if err == nil {
-		l.serve(d, ear)
+		l.serve(d, listener)
 	}
 	return err
 }
 
 // serve begins to forward; the caller holds the lock.
-func (l *Links) serve(d *door, ear net.Listener) {
-	d.ear = ear
+func (l *Links) serve(d *forwarder, listener net.Listener) {
+	d.listener = listener
 	go func() {
 		for {
-			con, err := ear.Accept()
+			con, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go l.carry(con, d.zone, d.to)
+			go l.forward(con, d.zone, d.to)
 		}
 	}()
 }
 
-func (l *Links) carry(in net.Conn, zone, to string) {
+func (l *Links) forward(in net.Conn, zone, to string) {
 	from := zone // the drill's own calls are never cut
 	ip, _, _ := strings.Cut(in.RemoteAddr().String(), ":")
 	for _, h := range l.zones {
@@ -133,15 +133,15 @@
 		return
 	}
 	l.mu.Lock()
-	l.cons[in], l.cons[out] = true, true
+	l.connections[in], l.connections[out] = true, true
 	l.mu.Unlock()
 	var all sync.WaitGroup
 	pass := func(dst, src net.Conn) {
 		buf := make([]byte, 32<<10)
 		for {
 			n, err := src.Read(buf)
-			for dark, turn := l.Dark(from, zone); dark; dark, turn = l.Dark(from, zone) {
-				<-turn
+			for blocked, changed := l.Blocked(from, zone); blocked; blocked, changed = l.Blocked(from, zone) {
+				<-changed
 			}
 			if _, e := dst.Write(buf[:n]); e != nil || err != nil {
 				break
@@ -153,8 +153,8 @@
 	pass(in, out)
 	all.Wait()
 	l.mu.Lock()
-	delete(l.cons, in)
-	delete(l.cons, out)
+	delete(l.connections, in)
+	delete(l.connections, out)
 	l.mu.Unlock()
 	in.Close()
 	out.Close()
@@ -167,12 +167,12 @@
 	l.Cut("")
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, d := range l.doors {
-		if d.ear != nil {
-			d.ear.Close()
+	for _, d := range l.forwarders {
+		if d.listener != nil {
+			d.listener.Close()
 		}
 	}
-	for c := range l.cons {
+	for c := range l.connections {
 		c.Close()
 	}
 }
--- a/internal/drill/standin.go
+++ b/internal/drill/standin.go
@@ -173,7 +173,7 @@
 //	s.RefuseConnections(); defer s.AcceptConnections()
 func (s *Standin) RefuseConnections() {
 	if s.links != nil {
-		s.links.Shut(s.Addr)
+		s.links.Refuse(s.Addr)
 	}
 	s.server.Close()
 }
@@ -196,7 +196,7 @@
 	}
 	l, err := net.Listen("tcp", s.listenAddr)
 	if err == nil {
-		err = s.links.Again(s.Addr)
+		err = s.links.Accept(s.Addr)
 	}
 	return l, err
 }
