--- a/internal/drill/check.go
+++ b/internal/drill/check.go
@@ -178,8 +178,8 @@
 
 // checkQuotas holds each tenant's requests, as runners saw them, against its quota in every rolling window.
 func (ev Evidence) checkQuotas(report reporter) {
-	for tenant, v := range ev.Mix.Config["tenants"].(obj) {
-		q, ok := v.(obj)["quota"].(obj)
+	for tenant, v := range ev.Mix.Config["tenants"].(object) {
+		q, ok := v.(object)["quota"].(object)
 		if !ok {
 			continue
 		}
@@ -205,8 +205,8 @@
 
 // checkTries holds second tries against first ones in every ten seconds, over the whole fleet.
 func (ev Evidence) checkTries(report reporter) {
-	for service, v := range ev.Mix.Config["services"].(obj) {
-		spare := float64(v.(obj)["second_spare"].(int))
+	for service, v := range ev.Mix.Config["services"].(object) {
+		spare := float64(v.(object)["second_spare"].(int))
 		for i, j := 0, 0; j < len(ev.TryCounts); j++ {
 			for ev.TryCounts[j].At.Sub(ev.TryCounts[i].At) > 10*time.Second {
 				i++
@@ -265,8 +265,8 @@
 					back = d
 				}
 			}
-			if most := 12*time.Second + ev.Slack; back > most || back < 0 && ev.End.Sub(h.At) > most {
-				report("service-back", "no %s was served within %s of this fault: %s", k.Name, most, h.Name)
+			if limit := 12*time.Second + ev.Slack; back > limit || back < 0 && ev.End.Sub(h.At) > limit {
+				report("service-back", "no %s was served within %s of this fault: %s", k.Name, limit, h.Name)
 			}
 		}
 	}
--- a/internal/drill/drain_test.go
+++ b/internal/drill/drain_test.go
@@ -15,11 +15,11 @@
 // what it has read is dropped.
 func TestLongDrain(t *testing.T) {
 	mix := Trentvale()
-	mix.Config["pools"].(obj)["late"] = obj{"select": "app=late", "service": "model"}
-	mix.Config["lanes"].(obj)["late"] = obj{"rank": 5, "patience_ms": 120000, "tenants": []string{"*"}}
-	mix.Config["mappings"] = append(mix.Config["mappings"].([]obj), obj{"method": "POST", "path": "/v1/late", "lane": "late", "pool": "late"},
-		obj{"method": "POST", "path": "/v1/notes", "lane": "notes", "pool": "fit"})
-	mix.Config["lanes"].(obj)["notes"] = obj{"rank": 5, "tenants": []string{"*"}, "once": true}
+	mix.Config["pools"].(object)["late"] = object{"select": "app=late", "service": "model"}
+	mix.Config["lanes"].(object)["late"] = object{"rank": 5, "patience_ms": 120000, "tenants": []string{"*"}}
+	mix.Config["mappings"] = append(mix.Config["mappings"].([]object), object{"method": "POST", "path": "/v1/late", "lane": "late", "pool": "late"},
+		object{"method": "POST", "path": "/v1/notes", "lane": "notes", "pool": "fit"})
+	mix.Config["lanes"].(object)["notes"] = object{"rank": 5, "tenants": []string{"*"}, "once": true}
 	f := up(t, mix)
 	l := NewLoad(f, 1, 1)
 	l.http.Timeout = 2 * time.Minute
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -74,7 +74,7 @@
 		for i := range n {
 			no := l.next.Add(1)
 			r := l.Fleet.Routers[i%len(l.Fleet.Routers)]
-			o := l.Ask(k, no, k.body(l.Fleet.Mix.Model, no, newRand(no)), payers(l.Fleet.Mix)[0], r)
+			o := l.Ask(k, no, k.body(l.Fleet.Mix.Model, no, newRand(no)), tenantNames(l.Fleet.Mix)[0], r)
 			l.mu.Lock()
 			l.all = append(l.all, o)
 			l.mu.Unlock()
@@ -82,7 +82,7 @@
 	}
 }
 
-// The whole path in separate processes: found, join, heartbeat, lay out, serve, whole and streamed.
+// The whole path in separate processes: found, join, heartbeats, configuration, serve, whole and streamed.
 func TestWholePath(t *testing.T) {
 	for _, mix := range []Mix{Trentvale(), Tokachi()} {
 		t.Run(mix.Name, func(t *testing.T) {
--- a/internal/drill/evidence.go
+++ b/internal/drill/evidence.go
@@ -26,8 +26,8 @@
 // ConfigReading is one look at the config that a router obeys.
 type ConfigReading struct {
 	Router     string
-	AskedAt    time.Time // asked
-	AnsweredAt time.Time // answered
+	AskedAt    time.Time
+	AnsweredAt time.Time
 	Version    uint64
 	Hash       string
 	Stale      bool
@@ -90,18 +90,18 @@
 
 // Watch gathers what the fleet's processes tell of themselves.
 type Watch struct {
-	f    *Fleet
-	mu   sync.Mutex
-	ev   Evidence
-	sum  TryCount
-	last map[string]float64
+	fleet    *Fleet
+	mu       sync.Mutex
+	evidence Evidence
+	tries    TryCount
+	counters map[string]float64
 }
 
 // NewWatch begins with nothing seen.
 //
 //	w := drill.NewWatch(fleet)
 func NewWatch(f *Fleet) *Watch {
-	return &Watch{f: f, sum: TryCount{First: map[string]float64{}, Again: map[string]float64{}}, last: map[string]float64{}}
+	return &Watch{fleet: f, tries: TryCount{First: map[string]float64{}, Again: map[string]float64{}}, counters: map[string]float64{}}
 }
 
 // Run looks at every router, again and again, until ctx ends.
@@ -110,33 +110,33 @@
 func (w *Watch) Run(ctx context.Context) {
 	env.Loop(ctx, nil, 200*time.Millisecond, func(struct{}) {}, func() {
 		var all sync.WaitGroup
-		for _, r := range w.f.Routers {
-			all.Go(func() { w.look(ctx, r) })
+		for _, r := range w.fleet.Routers {
+			all.Go(func() { w.readRouter(ctx, r) })
 		}
 		all.Wait()
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.sum.At = time.Now()
-		w.ev.TryCounts = append(w.ev.TryCounts, TryCount{w.sum.At, maps.Clone(w.sum.First), maps.Clone(w.sum.Again)})
+		w.tries.At = time.Now()
+		w.evidence.TryCounts = append(w.evidence.TryCounts, TryCount{w.tries.At, maps.Clone(w.tries.First), maps.Clone(w.tries.Again)})
 	})
 }
 
-func (w *Watch) look(ctx context.Context, r *Proc) {
+func (w *Watch) readRouter(ctx context.Context, r *Proc) {
 	ctx, end := context.WithTimeout(ctx, time.Second)
 	defer end()
 	at := time.Now()
-	code, raw, err := w.f.Ask(ctx, "GET", r.Operator, "/v1/standing", nil, nil)
+	code, raw, err := w.fleet.Ask(ctx, "GET", r.Operator, "/v1/standing", nil, nil)
 	if err != nil || code != 200 {
 		return
 	}
 	s := ConfigReading{Router: r.Name, AskedAt: at, AnsweredAt: time.Now(), Version: gjson.GetBytes(raw, "node.sequence").Uint(),
 		Hash: gjson.GetBytes(raw, "layout_sha256").Str, Stale: gjson.GetBytes(raw, "stale").Bool()}
 	born := gjson.GetBytes(raw, "node.born").Raw
-	_, raw, err = w.f.Ask(ctx, "GET", r.Operator, "/metrics", nil, nil)
+	_, raw, err = w.fleet.Ask(ctx, "GET", r.Operator, "/metrics", nil, nil)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if s.Hash != "" {
-		w.ev.ConfigReadings = append(w.ev.ConfigReadings, s)
+		w.evidence.ConfigReadings = append(w.evidence.ConfigReadings, s)
 	}
 	if err != nil {
 		return
@@ -150,13 +150,13 @@
 		_, service, _ := strings.Cut(name, `service="`)
 		service, _, _ = strings.Cut(service, `"`)
 		key := r.Name + born + name // a router that starts again counts from zero
-		d := v - w.last[key]
-		w.last[key] = v
+		d := v - w.counters[key]
+		w.counters[key] = v
 		switch {
 		case strings.HasPrefix(name, "yarrowridge_first_tries_total"):
-			w.sum.First[service] += d
+			w.tries.First[service] += d
 		case strings.HasPrefix(name, "yarrowridge_second_tries_total") && strings.Contains(name, `let="yes"`):
-			w.sum.Again[service] += d
+			w.tries.Again[service] += d
 		}
 	}
 }
@@ -165,7 +165,7 @@
 func (w *Watch) note(do func(ev *Evidence)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	do(&w.ev)
+	do(&w.evidence)
 }
 
 // Evidence is all that was seen, with the clients' outcomes and the runners' diaries.
@@ -174,11 +174,11 @@
 func (w *Watch) Evidence(l *Load) Evidence {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	ev := w.ev
+	ev := w.evidence
 	ev.Zones = map[string]string{}
-	for _, r := range w.f.Routers {
+	for _, r := range w.fleet.Routers {
 		ev.Zones[r.Name] = r.Zone
 	}
-	ev.Mix, ev.Outcomes, ev.Seen = w.f.Mix, l.All(), w.f.RequestLog.All()
+	ev.Mix, ev.Outcomes, ev.Seen = w.fleet.Mix, l.All(), w.fleet.RequestLog.All()
 	return ev
 }
--- a/internal/drill/fault_test.go
+++ b/internal/drill/fault_test.go
@@ -160,7 +160,7 @@
 		for k, v := range f.Mix.Config {
 			lay[k] = v
 		}
-		lay["limits"] = obj{"queue": m}
+		lay["limits"] = object{"queue": m}
 		raw, _ := json.Marshal(lay)
 		code, version, err := f.Put(ctx, f.Routers[m%len(f.Routers)], raw, "*", fmt.Sprintf("w%d", m))
 		if err != nil || code != 200 {
@@ -315,7 +315,7 @@
 func TestQuotaOverRouters(t *testing.T) {
 	mix := Trentvale()
 	const units, window = 24, 3
-	mix.Config["tenants"].(obj)["casual"].(obj)["quota"] = obj{"units": units, "window_s": window}
+	mix.Config["tenants"].(object)["casual"].(object)["quota"] = object{"units": units, "window_s": window}
 	f := up(t, mix)
 	l := NewLoad(f, 1, 1)
 	ctx, end := context.WithTimeout(t.Context(), time.Minute)
@@ -348,16 +348,16 @@
 		}
 	}
 	sort.Slice(at, func(i, j int) bool { return at[i].Before(at[j]) })
-	most := 0
+	limit := 0
 	for i, j := 0, 0; i < len(at); i++ {
 		for at[i].Sub(at[j]) >= window*time.Second {
 			j++
 		}
-		most = max(most, i-j+1)
+		limit = max(limit, i-j+1)
 	}
-	t.Logf("%d ran, at most %d in any %d s of a quota of %d", len(at), most, window, units)
-	if most > units {
-		t.Errorf("%d queries in a window of a quota of %d", most, units)
+	t.Logf("%d ran, at most %d in any %d s of a quota of %d", len(at), limit, window, units)
+	if limit > units {
+		t.Errorf("%d queries in a window of a quota of %d", limit, units)
 	}
 	if len(at) < units/2 {
 		t.Errorf("only %d queries ran", len(at))
@@ -388,7 +388,7 @@
 			}
 			for _, k := range f.Mix.Kinds {
 				from := time.Now()
-				if err := f.Until(ctx, k.Name+" flows", func() bool { return came(l.All(), k.Name, from) }); err != nil {
+				if err := f.Until(ctx, k.Name+" flows", func() bool { return servedSince(l.All(), k.Name, from) }); err != nil {
 					t.Fatal(err)
 				}
 				t.Logf("%d processes killed: %s came through after %s", len(set), k.Name, time.Since(at).Round(10*time.Millisecond))
--- a/internal/drill/fleet.go
+++ b/internal/drill/fleet.go
@@ -358,9 +358,9 @@
 	})
 }
 
-// PlannedStop ends all that the fleet started.
+// Stop ends all that the fleet started.
 //
-//	defer f.PlannedStop()
+//	defer f.Stop()
 func (f *Fleet) Stop() {
 	for _, s := range append(append([]*Standin{}, f.Models...), f.Apps...) {
 		if s.cancel != nil {
@@ -492,7 +492,7 @@
 		fmt.Fprintf(w, "%-8s hall %-6s origins http://%s operators http://%s\n", p.Name, p.Zone, p.Client, p.Operator)
 	}
 	var keys []string
-	for _, t := range payers(f.Mix) {
+	for _, t := range tenantNames(f.Mix) {
 		keys = append(keys, strconv.Quote(Key(t)))
 	}
 	fmt.Fprintf(w, "operators' key %q; origins' keys %s\n", OperatorKey, strings.Join(keys, ", "))
--- a/internal/drill/links.go
+++ b/internal/drill/links.go
@@ -20,7 +20,7 @@
 	connections map[net.Conn]bool
 }
 
-// forwarder is one forwarder.
+// forwarder listens for one process, in front of it.
 type forwarder struct {
 	listener net.Listener // nil while it is shut
 	zone, to string
@@ -40,9 +40,9 @@
 	return fmt.Sprintf("127.0.%d.1", 10+slices.Index(l.zones, zone))
 }
 
-// LinkCut cuts a zone off from all others; "" heals. What is under way waits, as on a blocked line.
+// Cut cuts a zone off from all others; "" heals. What is under way waits, as on a line that is down.
 //
-//	l.LinkCut("north"); defer l.LinkCut("")
+//	l.Cut("north"); defer l.Cut("")
 func (l *Links) Cut(zone string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -53,7 +53,7 @@
 
 // Blocked tells whether nothing gets from one zone to another, and when to ask again.
 //
-//	blocked, turn := l.Blocked("north", "east")
+//	blocked, changed := l.Blocked("north", "east")
 func (l *Links) Blocked(a, b string) (bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -112,7 +112,7 @@
 }
 
 func (l *Load) tenant(r *rand.Rand) string {
-	list := payers(l.Fleet.Mix)
+	list := tenantNames(l.Fleet.Mix)
 	// A few tenants are large: half of the traffic is two of them's. None has a quota.
 	if r.IntN(2) == 0 {
 		return list[1+r.IntN(2)]
--- a/internal/drill/main.go
+++ b/internal/drill/main.go
@@ -67,12 +67,12 @@
 		out.Write(mix.Raw())
 		return env.ExitOk
 	}
-	names := course(mix, *seed, *many)
+	names := drawCourse(mix, *seed, *many)
 	if *plan != "" {
 		names = strings.Split(*plan, ",")
 	}
 	for _, n := range names {
-		if c, ok := strings.CutPrefix(n, "closing-"); find(events, n) == nil && !(ok && find(closings, c) != nil) {
+		if c, ok := strings.CutPrefix(n, "closing-"); findEvent(events, n) == nil && !(ok && findEvent(closings, c) != nil) {
 			fmt.Fprintf(out, "drill: -course: %q is no event; expected are:\n", n)
 			for _, e := range events {
 				fmt.Fprintf(out, "  %-9s %s\n", e.name, e.what)
@@ -101,13 +101,13 @@
 	defer end()
 	if args[0] == "day" {
 		// A quota that the traffic reaches.
-		for _, n := range payers(mix) {
-			if q, ok := mix.Config["tenants"].(obj)[n].(obj)["quota"].(obj); ok {
+		for _, n := range tenantNames(mix) {
+			if q, ok := mix.Config["tenants"].(object)[n].(object)["quota"].(object); ok {
 				q["units"], q["window_s"] = 12, 5
 			}
 		}
-		for _, s := range mix.Config["services"].(obj) {
-			s.(obj)["second_spare"] = mix.Routers
+		for _, s := range mix.Config["services"].(object) {
+			s.(object)["second_spare"] = mix.Routers
 		}
 	}
 	f, err := NewFleet(mix, *bin, *dir)
--- a/internal/drill/mix.go
+++ b/internal/drill/mix.go
@@ -42,14 +42,14 @@
 //	drill.Key("north-counter") // "demo-north-counter"
 func Key(tenant string) string { return "demo-" + tenant }
 
-type obj = map[string]any
+type object = map[string]any
 
-func tenants(names []string, funded, quota int) obj {
-	out := obj{}
+func tenants(names []string, funded, quota int) object {
+	out := object{}
 	for i, n := range names {
-		t := obj{"keys": []string{layout.HashKey(Key(n))}, "funded": i < funded}
+		t := object{"keys": []string{layout.HashKey(Key(n))}, "funded": i < funded}
 		if i >= len(names)-quota {
-			t["quota"] = obj{"units": 600, "window_s": 10}
+			t["quota"] = object{"units": 600, "window_s": 10}
 		}
 		out[n] = t
 	}
@@ -66,16 +66,16 @@
 			{Name: "writeups", Method: "POST", Path: "/v1/writeups", Rate: 2, Prefix: 2 << 10, Docs: 4, Tail: 400, Tokens: 60, Stream: true},
 			{Name: "confirmations", Method: "POST", Path: "/v1/confirmations", Rate: 60, Once: true, Plain: true},
 		},
-		Config: obj{
-			"services": obj{"model": obj{"second_share": 0.1, "second_spare": 20}, "orders": obj{"second_share": 0.1, "second_spare": 20}},
-			"pools": obj{
-				"fit":    obj{"select": "app=model, model=lumen-7b", "service": "model"},
-				"orders": obj{"select": "app=orders", "service": "orders"}},
-			"lanes": obj{
-				"checks":        obj{"rank": 2, "patience_ms": 10000, "tenants": []string{"*"}},
-				"writeups":      obj{"rank": 4, "patience_ms": 30000, "tenants": []string{"*"}, "repeat": true},
-				"confirmations": obj{"rank": 1, "patience_ms": 5000, "tenants": []string{"*"}, "once": true, "plain": true}},
-			"mappings": []obj{
+		Config: object{
+			"services": object{"model": object{"second_share": 0.1, "second_spare": 20}, "orders": object{"second_share": 0.1, "second_spare": 20}},
+			"pools": object{
+				"fit":    object{"select": "app=model, model=lumen-7b", "service": "model"},
+				"orders": object{"select": "app=orders", "service": "orders"}},
+			"lanes": object{
+				"checks":        object{"rank": 2, "patience_ms": 10000, "tenants": []string{"*"}},
+				"writeups":      object{"rank": 4, "patience_ms": 30000, "tenants": []string{"*"}, "repeat": true},
+				"confirmations": object{"rank": 1, "patience_ms": 5000, "tenants": []string{"*"}, "once": true, "plain": true}},
+			"mappings": []object{
 				{"method": "POST", "path": "/v1/checks", "lane": "checks", "pool": "fit"},
 				{"method": "POST", "path": "/v1/writeups", "lane": "writeups", "pool": "fit"},
 				{"method": "POST", "path": "/v1/confirmations", "lane": "confirmations", "pool": "orders"}},
@@ -93,16 +93,16 @@
 			{Name: "replies", Method: "POST", Path: "/v1/replies", Rate: 2, Prefix: 1 << 10, Docs: 4, Tail: 400, Tokens: 60, Stream: true},
 			{Name: "status", Method: "GET", Path: "/v1/status/", Rate: 60, Plain: true},
 		},
-		Config: obj{
-			"services": obj{"model": obj{"second_share": 0.1, "second_spare": 20}, "status": obj{"second_share": 0.1, "second_spare": 20}},
-			"pools": obj{
-				"loans":  obj{"select": "app=model, model in (kumo-13b)", "service": "model"},
-				"status": obj{"select": "app=status, !retired", "service": "status"}},
-			"lanes": obj{
-				"notes":   obj{"rank": 2, "patience_ms": 10000, "tenants": []string{"*"}, "once": true},
-				"replies": obj{"rank": 4, "patience_ms": 30000, "tenants": []string{"*"}, "repeat": true},
-				"status":  obj{"rank": 1, "patience_ms": 3000, "tenants": []string{"*"}, "plain": true}},
-			"mappings": []obj{
+		Config: object{
+			"services": object{"model": object{"second_share": 0.1, "second_spare": 20}, "status": object{"second_share": 0.1, "second_spare": 20}},
+			"pools": object{
+				"loans":  object{"select": "app=model, model in (kumo-13b)", "service": "model"},
+				"status": object{"select": "app=status, !retired", "service": "status"}},
+			"lanes": object{
+				"notes":   object{"rank": 2, "patience_ms": 10000, "tenants": []string{"*"}, "once": true},
+				"replies": object{"rank": 4, "patience_ms": 30000, "tenants": []string{"*"}, "repeat": true},
+				"status":  object{"rank": 1, "patience_ms": 3000, "tenants": []string{"*"}, "plain": true}},
+			"mappings": []object{
 				{"method": "POST", "path": "/v1/notes", "lane": "notes", "pool": "loans"},
 				{"method": "POST", "path": "/v1/replies", "lane": "replies", "pool": "loans"},
 				{"method": "GET", "path": "/v1/status/*", "lane": "status", "pool": "status"}},
@@ -138,7 +138,7 @@
 	if k.Method == "GET" {
 		return nil
 	}
-	v := obj{"nonce": n}
+	v := object{"nonce": n}
 	if k.Plain {
 		v["order"] = fmt.Sprintf("order %d", n)
 	} else {
@@ -155,9 +155,9 @@
 func newRand(n uint64) *rand.Rand { return rand.New(rand.NewPCG(n, 0)) }
 
 // payers lists a mix's tenants in order, the large ones first.
-func payers(m Mix) []string {
+func tenantNames(m Mix) []string {
 	var list []string
-	for k := range m.Config["tenants"].(obj) {
+	for k := range m.Config["tenants"].(object) {
 		list = append(list, k)
 	}
 	sort.Strings(list)
--- a/internal/drill/slow_test.go
+++ b/internal/drill/slow_test.go
@@ -28,7 +28,7 @@
 // tenant's body has its time and no more.
 func TestSlowSenders(t *testing.T) {
 	mix := Trentvale()
-	mix.Config["limits"] = obj{"open": 4, "body_ms": 1000}
+	mix.Config["limits"] = object{"open": 4, "body_ms": 1000}
 	f := up(t, mix)
 	l := NewLoad(f, 1, 1)
 	r := f.Routers[0]
--- a/internal/drill/standin.go
+++ b/internal/drill/standin.go
@@ -91,7 +91,7 @@
 	queued      atomic.Int64
 	state       atomic.Value
 	hanging     atomic.Bool // takes requests and says nothing
-	silent      atomic.Bool // does not heartbeat
+	silent      atomic.Bool // sends no heartbeats
 	cutAt       atomic.Int64
 	mu          sync.Mutex
 	cache       map[[32]byte]bool
@@ -105,7 +105,7 @@
 
 var runCount atomic.Uint64
 
-// Start listens and begins to heartbeat. A second start at the same address is another run.
+// Start listens and begins its heartbeats. A second start at the same address is another run.
 //
 //	err := s.Start()
 func (s *Standin) Start() error {
@@ -153,7 +153,7 @@
 	s.RefuseConnections()
 }
 
-// Hang has the runner take requests, heartbeat on, and answer nothing.
+// Hang has the runner take requests, go on with its heartbeats, and answer nothing.
 //
 //	s.Hang(true)
 func (s *Standin) Hang(on bool) { s.hanging.Store(on) }
--- a/internal/drill/stream_test.go
+++ b/internal/drill/stream_test.go
@@ -103,7 +103,7 @@
 // no gap, no repeat and no false end, and only by the tenant that owns them.
 func TestStreams(t *testing.T) {
 	mix := Trentvale()
-	mix.Config["lanes"].(obj)["writeups"].(obj)["repeat"] = false
+	mix.Config["lanes"].(object)["writeups"].(object)["repeat"] = false
 	f := up(t, mix)
 	l := NewLoad(f, 1, 1)
 	ctx, end := context.WithTimeout(t.Context(), 2*time.Minute)
