--- a/internal/drill/day.go
+++ b/internal/drill/day.go
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// course draws a day's events: n of them, and what this deployment has every day.
+// drawCourse draws a day's events: n of them, and what this deployment has every day.
 func drawCourse(mix Mix, seed uint64, n int) []string {
 	rnd := rand.New(rand.NewPCG(seed, 11))
 	own := map[string]string{"trentvale": "swap", "tokachi": "blank"}[mix.Name]
@@ -160,7 +160,7 @@
 
 func (d *Day) pickRouter() *Proc { return d.fleet.Routers[d.random.IntN(len(d.fleet.Routers))] }
 
-// until waits for what the day needs to go on, for so long at the most. The first wait in vain cuts the day
+// waitUntil waits for what the day needs to go on, for so long at the most. The first wait in vain cuts the day
 // short: traffic that runs on over a fleet which never comes to rest only piles up.
 func (d *Day) waitUntil(ctx context.Context, limit time.Duration, what string, ok func() bool) {
 	if d.err != nil {
@@ -171,10 +171,10 @@
 	d.err = d.fleet.Until(ctx, what, ok)
 }
 
-// rest is how long a fleet may take to come to rest after an event.
+// restLimit is how long a fleet may take to come to rest after an event.
 const restLimit = 30 * time.Second
 
-// calm waits until every process is ready, every runner known and each kind of request served again.
+// waitReady waits until every process is ready, every runner known and each kind of request served again.
 func (d *Day) waitReady(ctx context.Context, what string) {
 	from := time.Now()
 	d.waitUntil(ctx, restLimit, what, func() bool {
@@ -193,7 +193,7 @@
 	})
 }
 
-// came tells whether a request of a kind that began after a moment has come to a whole answer.
+// servedSince tells whether a request of a kind that began after a moment has come to a whole answer.
 func servedSince(outcomes []Outcome, kind string, from time.Time) bool {
 	for _, o := range outcomes {
 		if o.Kind == kind && o.served() && o.Begun.After(from) {
@@ -207,7 +207,7 @@
 	d.watch.note(func(ev *Evidence) { ev.HardFaults = append(ev.HardFaults, HardFault{name, time.Now()}) })
 }
 
-// put writes a config with a mark of its own, and notes what the operator was told.
+// putConfig writes a config with a mark of its own, and notes what the operator was told.
 func (d *Day) putConfig(ctx context.Context, config object, mark int, match string) ConfigWrite {
 	config = maps.Clone(config)
 	limits := object{}
@@ -280,7 +280,7 @@
 	d.watch.note(func(ev *Evidence) { ev.KeyWithdrawals = append(ev.KeyWithdrawals, KeyWithdrawal{who, from, to}) })
 }
 
-// sure writes until it is acknowledged, and tells when it was.
+// putUntilAcknowledged writes until it is acknowledged, and tells when it was.
 func (d *Day) putUntilAcknowledged(ctx context.Context, config object) time.Time {
 	var e ConfigWrite
 	d.waitUntil(ctx, restLimit, "a write is acknowledged", func() bool {
@@ -363,7 +363,7 @@
 	}
 }
 
-// fall kills processes at once and starts them again after a while.
+// killAndRestart kills processes at once and starts them again after a while.
 func (d *Day) killAndRestart(ctx context.Context, name string, down time.Duration, procs []*Proc) {
 	d.noteFault(name)
 	for _, p := range procs {
@@ -386,7 +386,7 @@
 	d.killAndRestart(ctx, "half of the routers killed", 4*time.Second, dead)
 }
 
-// cut cuts the primary's zone off, the hardest to lose, with clients on both sides.
+// cutLink cuts the primary's zone off, the hardest to lose, with clients on both sides.
 func (d *Day) cutLink(ctx context.Context) {
 	zone := d.primaryCore(ctx).Zone
 	from := time.Now()
@@ -483,7 +483,7 @@
 	}
 }
 
-// ask sends a request of the day's own, beginning at a router, and gives its number.
+// sendRequest sends a request of the day's own, beginning at a router, and gives its number.
 func (d *Day) sendRequest(k Kind, router int) uint64 {
 	n := d.load.next.Add(1)
 	body := k.body(d.fleet.Mix.Model, n, d.random)
@@ -491,7 +491,7 @@
 	return n
 }
 
-// change puts a blank core at a new address in the place of one that is killed for good.
+// replaceCore puts a blank core at a new address in the place of one that is killed for good.
 func (d *Day) replaceCore(ctx context.Context, i int) {
 	old := d.fleet.Cores[i]
 	p, err := d.fleet.NewCore(fmt.Sprintf("%s-%d", strings.TrimRight(old.Name, "-0123456789"), 10+d.nextMark()), old.Zone)
--- a/internal/drill/mix.go
+++ b/internal/drill/mix.go
@@ -154,7 +154,7 @@
 // newRand makes the source of one request's chances.
 func newRand(n uint64) *rand.Rand { return rand.New(rand.NewPCG(n, 0)) }
 
-// payers lists a mix's tenants in order, the large ones first.
+// tenantNames lists a mix's tenants in order, the large ones first.
 func tenantNames(m Mix) []string {
 	var list []string
 	for k := range m.Config["tenants"].(object) {
