--- a/internal/drill/fleet.go
+++ b/internal/drill/fleet.go
@@ -1,51 +1,21 @@
 package drill
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"fmt"
 	"io"
-	"math/rand/v2"
 	"net"
-	"net/http"
-	"os"
-	"os/exec"
 	"path/filepath"
 	"slices"
 	"strconv"
 	"strings"
-	"sync"
-	"sync/atomic"
 	"syscall"
 	"time"
 
-	"github.com/rotisserie/eris"
-	"github.com/tidwall/gjson"
-	"github.com/zeromicro/go-zero/rest/httpc"
-
-	"yarrowridge/internal/env"
 	"yarrowridge/internal/layout"
 )
 
-// OperatorKey is the operators' key of a rehearsal fleet.
-const OperatorKey = "demo-operator"
-
-// Proc is one daemon of the fleet.
-type Proc struct {
-	Name, Zone string
-	Addr       string // between processes
-	Client     string // routers only
-	Runner     string // routers only
-	Operator   string
-	prog       string
-	args, more []string
-	log        string
-	mu         sync.Mutex
-	cmd        *exec.Cmd
-	gone       chan struct{}
-}
-
 // Fleet is a whole rehearsal fleet.
 type Fleet struct {
 	Mix        Mix
@@ -62,33 +32,6 @@
 	ports      []net.Listener
 }
 
-// Ports are taken from below those that systems give to connections: one that is free for a while, because
-// its process is down, must not become the near end of somebody's connection meanwhile.
-const portLow, portHigh = 10000, 32000
-
-var portNext, portFrom = new(atomic.Uint32), rand.Uint32N(portHigh - portLow)
-
-// freePort listens at a port that no other call of this process was given.
-func freePort(ip string) (l net.Listener, err error) {
-	for range portHigh - portLow {
-		at := portLow + (portFrom+portNext.Add(1))%(portHigh-portLow)
-		if l, err = net.Listen("tcp", fmt.Sprintf("%s:%d", ip, at)); err == nil {
-			break
-		}
-	}
-	return l, err
-}
-
-// port reserves a port of the loopback range until the fleet starts.
-func (f *Fleet) port(ip string) (string, error) {
-	l, err := freePort(ip)
-	if err != nil {
-		return "", err
-	}
-	f.ports = append(f.ports, l)
-	return l.Addr().String(), nil
-}
-
 // NewFleet lays a fleet out: five cores and the mix's routers over its zones, with the binaries
 // router and core from bin and all files under dir.
 //
@@ -258,69 +201,6 @@
 	return nil
 }
 
-// Start begins a process.
-//
-//	err := f.Cores[0].Start()
-func (p *Proc) Start() error {
-	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
-	if err != nil {
-		return err
-	}
-	defer out.Close()
-	cmd := exec.Command(p.prog, p.args...)
-	cmd.Stdout, cmd.Stderr, cmd.Env = out, out, append(os.Environ(), p.more...)
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := cmd.Start(); err != nil {
-		return eris.Wrapf(err, "drill: start %s", p.Name)
-	}
-	gone := make(chan struct{})
-	p.mu.Lock()
-	p.cmd, p.gone = cmd, gone
-	p.mu.Unlock()
-	go func() {
-		cmd.Wait()
-		close(gone)
-	}()
-	return nil
-}
-
-// Signal sends a signal to the process.
-//
-//	p.Signal(syscall.SIGSTOP)
-func (p *Proc) Signal(sig syscall.Signal) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.cmd != nil && p.cmd.Process != nil {
-		p.cmd.Process.Signal(sig)
-	}
-}
-
-// Kill ends the process at once and waits until it is gone.
-//
-//	p.Kill()
-func (p *Proc) Kill() {
-	p.Signal(syscall.SIGKILL)
-	p.Wait(10 * time.Second)
-}
-
-// Wait waits for the process to end.
-//
-//	if !p.Wait(time.Minute) { ... }
-func (p *Proc) Wait(d time.Duration) bool {
-	p.mu.Lock()
-	gone := p.gone
-	p.mu.Unlock()
-	if gone == nil {
-		return true
-	}
-	select {
-	case <-gone:
-		return true
-	case <-time.After(d):
-		return false
-	}
-}
-
 // Start begins all daemons and stand-ins, puts the mix's config and waits until every router is
 // ready and knows the runners.
 //
@@ -376,70 +256,6 @@
 	}
 }
 
-// Until asks until what is awaited holds, or ctx ends.
-//
-//	err := f.Until(ctx, "all are ready", func() bool { ... })
-func (f *Fleet) Until(ctx context.Context, what string, ok func() bool) error {
-	for !ok() {
-		if !env.Wait(ctx, 50*time.Millisecond) {
-			return eris.Errorf("drill: gave up waiting until %s", what)
-		}
-	}
-	return nil
-}
-
-// Ask makes one operator's call.
-//
-//	code, raw, err := f.Ask(ctx, "GET", p.Operator, "/v1/fleet", nil, nil)
-func (f *Fleet) Ask(ctx context.Context, method, at, path string, body []byte, head map[string]string) (int, []byte, error) {
-	ctx, end := context.WithTimeout(ctx, 8*time.Second)
-	defer end()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+at+path, bytes.NewReader(body))
-	if err != nil {
-		return 0, nil, err
-	}
-	req.Header.Set("Authorization", "Bearer "+OperatorKey)
-	for k, v := range head {
-		req.Header.Set(k, v)
-	}
-	response, err := httpc.DoRequest(req)
-	if err != nil {
-		return 0, nil, err
-	}
-	defer response.Body.Close()
-	raw, err := io.ReadAll(response.Body)
-	return response.StatusCode, raw, err
-}
-
-// Put puts a config through a process and tells the code and the version.
-//
-//	code, version, err := f.Put(ctx, f.Cores[0], raw, "*", "write-1")
-func (f *Fleet) Put(ctx context.Context, p *Proc, raw []byte, match, id string) (int, uint64, error) {
-	code, response, err := f.Ask(ctx, "PUT", p.Operator, "/v1/layout", raw, map[string]string{"If-Match": match, "X-Write-Id": id})
-	return code, gjson.GetBytes(response, "sequence").Uint(), err
-}
-
-// Ready asks a process whether it is ready.
-//
-//	if f.Ready(ctx, r) { ... }
-func (f *Fleet) Ready(ctx context.Context, p *Proc) bool {
-	ctx, end := context.WithTimeout(ctx, time.Second)
-	defer end()
-	code, _, err := f.Ask(ctx, "GET", p.Operator, "/ready", nil, nil)
-	return err == nil && code == 200
-}
-
-// Serving counts the runners that a router would send to.
-//
-//	n := f.Serving(ctx, r)
-func (f *Fleet) Serving(ctx context.Context, p *Proc) int {
-	code, raw, err := f.Ask(ctx, "GET", p.Operator, "/v1/runners", nil, nil)
-	if err != nil || code != 200 {
-		return 0
-	}
-	return len(gjson.GetBytes(raw, `#(standing=="ready")#`).Array())
-}
-
 // In lists the processes and the runners of a zone.
 //
 //	procs, runs := f.In("north")
@@ -457,30 +273,6 @@
 	return procs, runs
 }
 
-// Primary finds the core that leads.
-//
-//	p := f.Primary(ctx)
-func (f *Fleet) Primary(ctx context.Context) *Proc {
-	for _, c := range f.Cores {
-		code, raw, err := f.Ask(ctx, "GET", c.Operator, "/v1/standing", nil, nil)
-		if err == nil && code == 200 && gjson.GetBytes(raw, "ready").Bool() {
-			return c
-		}
-	}
-	return nil
-}
-
-// ConfigVersion is the config version that a router obeys.
-//
-//	n := f.ConfigVersion(ctx, r)
-func (f *Fleet) ConfigVersion(ctx context.Context, p *Proc) uint64 {
-	_, raw, err := f.Ask(ctx, "GET", p.Operator, "/v1/standing", nil, nil)
-	if err != nil {
-		return 0
-	}
-	return gjson.GetBytes(raw, "node.sequence").Uint()
-}
-
 // Describe prints where everything listens.
 //
 //	f.Describe(os.Stdout)
--- /dev/null
+++ b/internal/drill/runnerfaults.go
@@ -0,0 +1,73 @@
+package drill
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"yarrowridge/internal/env"
+)
+
+func (d *Day) pickModelRunner() *Standin { return d.fleet.Models[d.random.IntN(len(d.fleet.Models))] }
+
+func (d *Day) announceLeaving(ctx context.Context) {
+	s := d.pickModelRunner()
+	word := Departure{Runner: s.Name, RunID: s.runID, At: s.Leave(ctx)}
+	d.watch.note(func(ev *Evidence) { ev.Departures = append(ev.Departures, word) })
+	env.Wait(ctx, 8*time.Second)
+	s.Crash()
+	d.startRunner(s)
+}
+
+func (d *Day) startRunner(s *Standin) {
+	if err := s.Start(); err != nil {
+		d.err = err
+	}
+}
+
+func (d *Day) replaceRunners(ctx context.Context) {
+	for _, s := range slices.Concat(d.fleet.Models[:len(d.fleet.Models)/2], d.fleet.Apps[:1]) {
+		s.Crash()
+		env.Wait(ctx, 100*time.Millisecond)
+		d.startRunner(s)
+		env.Wait(ctx, 300*time.Millisecond)
+	}
+}
+
+func (d *Day) hangRunner(ctx context.Context) {
+	s := d.pickModelRunner()
+	s.Hang(true)
+	env.Wait(ctx, 4*time.Second)
+	s.Crash()
+	d.startRunner(s)
+}
+
+func (d *Day) refuseConnections(ctx context.Context) {
+	half := slices.Concat(d.fleet.Models[1:], d.fleet.Apps[1:])
+	for _, s := range half {
+		s.RefuseConnections()
+	}
+	env.Wait(ctx, 5*time.Second)
+	for _, s := range half {
+		if err := s.AcceptConnections(); err != nil {
+			d.err = err
+		}
+	}
+}
+
+func (d *Day) breakStreams(ctx context.Context) {
+	half := slices.Concat(d.fleet.Models[:len(d.fleet.Models)/2], d.fleet.Apps[:len(d.fleet.Apps)/2])
+	for _, s := range half {
+		s.CutAfter(10)
+	}
+	// The traffic alone brings few streams in that time, and fewer on a slow machine.
+	for _, k := range d.fleet.Mix.Kinds {
+		for i := 0; k.Stream && i < 24; i++ {
+			d.sendRequest(k, i)
+		}
+	}
+	env.Wait(ctx, 4*time.Second)
+	for _, s := range half {
+		s.CutAfter(0)
+	}
+}
--- a/internal/drill/scale.go
+++ b/internal/drill/scale.go
@@ -172,15 +172,3 @@
 	var kinds map[string]wire.Traffic
 	return kinds, json.Unmarshal(raw, &kinds)
 }
-
-// PID is the process's number; 0 before it was started.
-//
-//	usage := fmt.Sprintf("/proc/%d/stat", p.PID())
-func (p *Proc) PID() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.cmd == nil || p.cmd.Process == nil {
-		return 0
-	}
-	return p.cmd.Process.Pid
-}
--- a/internal/drill/standin.go
+++ b/internal/drill/standin.go
@@ -25,49 +25,6 @@
 	"yarrowridge/internal/env"
 )
 
-// Seen is one request as a stand-in runner received it, byte for byte.
-type Seen struct {
-	Runner   string
-	RunID    string
-	At       time.Time
-	Method   string
-	Path     string
-	Header   http.Header
-	Body     []byte
-	Finished bool // answered to the last byte
-}
-
-// Diary is what all stand-in runners received, in order.
-type RequestLog struct {
-	mu  sync.Mutex
-	all []*Seen
-}
-
-func (d *RequestLog) add(s *Seen) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.all = append(d.all, s)
-}
-
-func (d *RequestLog) end(s *Seen) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	s.Finished = true
-}
-
-// All copies the diary.
-//
-//	for _, s := range diary.All() { ... }
-func (d *RequestLog) All() []Seen {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	out := make([]Seen, len(d.all))
-	for i, s := range d.all {
-		out[i] = *s
-	}
-	return out
-}
-
 // Standin plays a runner: batches with a rate that falls as the batch fills, a prefix cache,
 // streams, heartbeats and late reports. As a plain one it plays the ordinary application.
 type Standin struct {
