--- a/internal/drill/course.go
+++ b/internal/drill/course.go
@@ -34,6 +34,9 @@
 	{"blank", "a control machine comes back empty at a new address", (*Day).replaceOneCore},
 }
 
+// closingPrefix begins the names of closing events in a course.
+const closingPrefix = "closing-"
+
 // closings end a day.
 var closings = []event{
 	{"hall", "a hall is lost", (*Day).loseZone},
@@ -61,5 +64,5 @@
 		}
 	}
 	rnd.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-	return append(out, "closing-"+closings[rnd.IntN(len(closings))].name)
+	return append(out, closingPrefix+closings[rnd.IntN(len(closings))].name)
 }
--- a/internal/drill/day.go
+++ b/internal/drill/day.go
@@ -55,7 +55,7 @@
 	d.waitReady(ctx, "the day begins")
 	for _, n := range names {
 		e := findEvent(events, n)
-		if c, ok := strings.CutPrefix(n, "closing-"); ok {
+		if c, ok := strings.CutPrefix(n, closingPrefix); ok {
 			e = findEvent(closings, c)
 		}
 		fmt.Fprintf(d.out, "  %s: %s\n", n, e.what)
--- a/internal/drill/main.go
+++ b/internal/drill/main.go
@@ -2,10 +2,8 @@
 
 import (
 	"context"
-	"flag"
 	"fmt"
 	"io"
-	"os"
 	"os/signal"
 	"strings"
 	"syscall"
@@ -44,134 +42,74 @@
 	if args[0] == "scale" {
 		return measureScale(args[1:], out)
 	}
-	fs := flag.NewFlagSet("drill "+args[0], flag.ContinueOnError)
-	fs.SetOutput(out)
-	name := fs.String("mix", "trentvale", "deployment to play: trentvale or tokachi")
-	bin := fs.String("bin", "bin", "folder of the programs router and core")
-	dir := fs.String("dir", "", "folder for data and logs; none: a new one, removed after a good end")
-	scale := fs.Float64("scale", 1, "traffic, as a multiple of the deployment's own")
-	span := fs.Duration("for", 10*time.Second, "how long to play")
-	seed := fs.Uint64("seed", 1, "seed of the traffic, and of a day's course")
-	plan := fs.String("course", "", "a day's events, comma-separated, in place of those drawn; the last may be closing-hall, closing-all or closing-routers")
-	many := fs.Int("events", 8, "how many events a day has")
-	slack := fs.Duration("slack", 3*time.Second, "what a slow machine is given beyond a promise's time")
-	if err := fs.Parse(args[1:]); err != nil {
-		return env.ExitUsage
-	}
-	mix, err := MixOf(*name)
-	if err != nil || *scale <= 0 || *span <= 0 || fs.NArg() > 0 {
-		fmt.Fprintf(out, "drill: -mix %s -scale %g -for %s: a known mix, a scale and a time above zero, and nothing after the flags are expected\n", *name, *scale, *span)
-		return env.ExitUsage
+	r := &rehearsal{command: args[0], out: out}
+	if code, done := r.readFlags(args[1:]); done {
+		return code
 	}
-	if args[0] == "layout" {
-		out.Write(mix.Raw())
-		return env.ExitOk
-	}
-	names := drawCourse(mix, *seed, *many)
-	if *plan != "" {
-		names = strings.Split(*plan, ",")
-	}
-	for _, n := range names {
-		if c, ok := strings.CutPrefix(n, "closing-"); findEvent(events, n) == nil && !(ok && findEvent(closings, c) != nil) {
-			fmt.Fprintf(out, "drill: -course: %q is no event; expected are:\n", n)
-			for _, e := range events {
-				fmt.Fprintf(out, "  %-9s %s\n", e.name, e.what)
-			}
-			for _, e := range closings {
-				fmt.Fprintf(out, "  closing-%s: %s\n", e.name, e.what)
-			}
-			return env.ExitUsage
-		}
-	}
-	if args[0] != "fleet" && args[0] != "load" && args[0] != "hall" && args[0] != "day" {
-		fmt.Fprintf(out, "drill: %q is not a command\n\n%s", args[0], usage)
-		return env.ExitUsage
-	}
-	fresh := *dir == ""
-	if fresh {
-		*dir, err = os.MkdirTemp("", "yarrowridge-drill-")
-	} else {
-		err = os.MkdirAll(*dir, 0o700)
-	}
-	if err != nil {
+	if err := r.makeDir(); err != nil {
 		fmt.Fprintf(out, "drill: -dir: %s\n", err)
 		return env.ExitError
 	}
 	ctx, end := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer end()
-	if args[0] == "day" {
-		// A quota that the traffic reaches.
-		for _, n := range tenantNames(mix) {
-			if q, ok := mix.Config["tenants"].(object)[n].(object)["quota"].(object); ok {
-				q["units"], q["window_s"] = 12, 5
-			}
-		}
-		for _, s := range mix.Config["services"].(object) {
-			s.(object)["second_spare"] = mix.Routers
-		}
-	}
-	f, err := NewFleet(mix, *bin, *dir)
-	if err == nil {
-		f.more = more
-	}
-	if err == nil && args[0] == "day" {
-		f.SetLost(2 * time.Second)
-		err = f.Link()
-	}
-	if err == nil {
-		defer f.Stop()
-		up, stop := context.WithTimeout(ctx, 60*time.Second)
-		err = f.Start(up)
-		stop()
+	err := r.startFleet(ctx, more)
+	if r.fleet != nil {
+		defer r.fleet.Stop()
 	}
 	if err != nil {
-		fmt.Fprintf(out, "drill: %s; logs are under %s\n", err, *dir)
+		fmt.Fprintf(out, "drill: %s; logs are under %s\n", err, r.dir)
 		return env.ExitError
 	}
-	tidy := func() int {
-		if fresh {
-			f.Stop()
-			os.RemoveAll(*dir)
-		}
-		return env.ExitOk
-	}
-	if args[0] == "fleet" {
+	return r.play(ctx)
+}
+
+// play runs the command over the fleet, which is up, and returns the exit code.
+func (r *rehearsal) play(ctx context.Context) int {
+	f, out := r.fleet, r.out
+	if r.command == "fleet" {
 		f.Describe(out)
 		<-ctx.Done()
-		return tidy()
-	}
-	fmt.Fprintf(out, "fleet is up: %d cores, %d routers, %d runners; seed %d\n", len(f.Cores), len(f.Routers), len(f.Models)+len(f.Apps), *seed)
-	load := NewLoad(f, *scale, *seed)
-	if args[0] == "day" {
-		fmt.Fprintf(out, "course %s\n", strings.Join(names, ","))
-		ev, err := NewDay(f, load, *seed, out).Run(ctx, names, *slack)
-		Total(ev.Outcomes).Print(out)
-		fmt.Fprintf(out, "seen: %d queries at runners, %d writes, %d looks at layouts\n", len(ev.Seen), len(ev.ConfigWrites), len(ev.ConfigReadings))
-		return verdict(out, Check(ev), err, *seed, strings.Join(names, ","), *dir, tidy)
-	}
-	run, stop := context.WithTimeout(ctx, *span)
+		return r.removeDir()
+	}
+	fmt.Fprintf(out, "fleet is up: %d cores, %d routers, %d runners; seed %d\n", len(f.Cores), len(f.Routers), len(f.Models)+len(f.Apps), r.seed)
+	load := NewLoad(f, r.scale, r.seed)
+	if r.command == "day" {
+		return r.playDay(ctx, load)
+	}
+	run, stop := context.WithTimeout(ctx, r.span)
 	defer stop()
 	done := make(chan struct{})
 	go func() {
 		load.Run(run)
 		close(done)
 	}()
-	if args[0] == "hall" {
-		f.loseZone(run, *span, out, load)
+	if r.command == "hall" {
+		f.loseZone(run, r.span, out, load)
 	}
 	<-done
 	outcomes := load.All()
 	Total(outcomes).Print(out)
-	return verdict(out, Check(Evidence{Mix: mix, Outcomes: outcomes, Seen: f.RequestLog.All()}), nil, *seed, "", *dir, tidy)
+	return r.verdict(Check(Evidence{Mix: r.mix, Outcomes: outcomes, Seen: f.RequestLog.All()}), "", nil)
+}
+
+// playDay plays the course of events under traffic and returns the exit code.
+func (r *rehearsal) playDay(ctx context.Context, load *Load) int {
+	course := strings.Join(r.course, ",")
+	fmt.Fprintf(r.out, "course %s\n", course)
+	ev, err := NewDay(r.fleet, load, r.seed, r.out).Run(ctx, r.course, r.slack)
+	Total(ev.Outcomes).Print(r.out)
+	fmt.Fprintf(r.out, "seen: %d queries at runners, %d writes, %d looks at layouts\n", len(ev.Seen), len(ev.ConfigWrites), len(ev.ConfigReadings))
+	return r.verdict(Check(ev), course, err)
 }
 
 // verdict prints what became of the promises: each that was broken once, by its first breach.
-func verdict(out io.Writer, bad []Breach, err error, seed uint64, course, dir string, tidy func() int) int {
+func (r *rehearsal) verdict(bad []Breach, course string, err error) int {
+	out := r.out
 	if len(bad) == 0 && err == nil {
-		fmt.Fprintf(out, "all promises held (seed %d)\n", seed)
-		return tidy()
+		fmt.Fprintf(out, "all promises held (seed %d)\n", r.seed)
+		return r.removeDir()
 	}
-	fmt.Fprintf(out, "BROKEN with seed %d", seed)
+	fmt.Fprintf(out, "BROKEN with seed %d", r.seed)
 	if course != "" {
 		fmt.Fprintf(out, " and course %s", course)
 	}
@@ -186,7 +124,7 @@
 	if err != nil {
 		fmt.Fprintf(out, "  the day was cut short: %s\n", err)
 	}
-	fmt.Fprintf(out, "logs are under %s\n", dir)
+	fmt.Fprintf(out, "logs are under %s\n", r.dir)
 	return env.ExitError
 }
 
--- /dev/null
+++ b/internal/drill/rehearsal.go
@@ -0,0 +1,148 @@
+package drill
+
+import (
+	"context"
+	"flag"
+	"fmt"
+	"io"
+	"os"
+	"strings"
+	"time"
+
+	"yarrowridge/internal/env"
+)
+
+// fleetStartLimit is how long a fleet may take to come up.
+const fleetStartLimit = 60 * time.Second
+
+// dayCoreLost is after which silence a core may be replaced on a day, which has little time.
+const dayCoreLost = 2 * time.Second
+
+// rehearsal is one call of the drill on a fleet: its command, its flags and what was made from them.
+type rehearsal struct {
+	command string
+	out     io.Writer
+	mix     Mix
+	bin     string
+	dir     string
+	ownDir  bool // made here, to be removed after a good end
+	scale   float64
+	span    time.Duration
+	seed    uint64
+	course  []string // names of a day's events
+	slack   time.Duration
+	fleet   *Fleet
+}
+
+// readFlags reads the command line. Where the call ends with that, done is set, and code is its exit code.
+func (r *rehearsal) readFlags(args []string) (code int, done bool) {
+	fs := flag.NewFlagSet("drill "+r.command, flag.ContinueOnError)
+	fs.SetOutput(r.out)
+	name := fs.String("mix", "trentvale", "deployment to play: trentvale or tokachi")
+	fs.StringVar(&r.bin, "bin", "bin", "folder of the programs router and core")
+	fs.StringVar(&r.dir, "dir", "", "folder for data and logs; none: a new one, removed after a good end")
+	fs.Float64Var(&r.scale, "scale", 1, "traffic, as a multiple of the deployment's own")
+	fs.DurationVar(&r.span, "for", 10*time.Second, "how long to play")
+	fs.Uint64Var(&r.seed, "seed", 1, "seed of the traffic, and of a day's course")
+	course := fs.String("course", "", "a day's events, comma-separated, in place of those drawn; the last may be closing-hall, closing-all or closing-routers")
+	eventCount := fs.Int("events", 8, "how many events a day has")
+	fs.DurationVar(&r.slack, "slack", 3*time.Second, "what a slow machine is given beyond a promise's time")
+	if err := fs.Parse(args); err != nil {
+		return env.ExitUsage, true
+	}
+	mix, err := MixOf(*name)
+	if err != nil || r.scale <= 0 || r.span <= 0 || fs.NArg() > 0 {
+		fmt.Fprintf(r.out, "drill: -mix %s -scale %g -for %s: a known mix, a scale and a time above zero, and nothing after the flags are expected\n", *name, r.scale, r.span)
+		return env.ExitUsage, true
+	}
+	r.mix = mix
+	if r.command == "layout" {
+		r.out.Write(mix.Raw())
+		return env.ExitOk, true
+	}
+	r.course = drawCourse(mix, r.seed, *eventCount)
+	if *course != "" {
+		r.course = strings.Split(*course, ",")
+	}
+	if !r.checkCourse() {
+		return env.ExitUsage, true
+	}
+	if r.command != "fleet" && r.command != "load" && r.command != "hall" && r.command != "day" {
+		fmt.Fprintf(r.out, "drill: %q is not a command\n\n%s", r.command, usage)
+		return env.ExitUsage, true
+	}
+	return 0, false
+}
+
+// checkCourse tells whether every event of the course is known, and prints which are if one is not.
+func (r *rehearsal) checkCourse() bool {
+	for _, name := range r.course {
+		closing, isClosing := strings.CutPrefix(name, closingPrefix)
+		if findEvent(events, name) != nil || isClosing && findEvent(closings, closing) != nil {
+			continue
+		}
+		fmt.Fprintf(r.out, "drill: -course: %q is no event; expected are:\n", name)
+		for _, e := range events {
+			fmt.Fprintf(r.out, "  %-9s %s\n", e.name, e.what)
+		}
+		for _, e := range closings {
+			fmt.Fprintf(r.out, "  %s%s: %s\n", closingPrefix, e.name, e.what)
+		}
+		return false
+	}
+	return true
+}
+
+// makeDir makes the folder for data and logs.
+func (r *rehearsal) makeDir() (err error) {
+	r.ownDir = r.dir == ""
+	if !r.ownDir {
+		return os.MkdirAll(r.dir, 0o700)
+	}
+	r.dir, err = os.MkdirTemp("", "yarrowridge-drill-")
+	return err
+}
+
+// removeDir ends the fleet and removes the folder if it was made here: the end of a call in which all went well.
+func (r *rehearsal) removeDir() int {
+	if r.ownDir {
+		r.fleet.Stop()
+		os.RemoveAll(r.dir)
+	}
+	return env.ExitOk
+}
+
+// startFleet starts the fleet, with something added to the daemons' environment. The fleet is set, for the
+// caller to stop, once there are processes to stop.
+func (r *rehearsal) startFleet(ctx context.Context, more []string) error {
+	if r.command == "day" {
+		r.prepareDayConfig()
+	}
+	fleet, err := NewFleet(r.mix, r.bin, r.dir)
+	if err != nil {
+		return err
+	}
+	fleet.more = more
+	if r.command == "day" {
+		fleet.SetLost(dayCoreLost)
+		if err := fleet.Link(); err != nil {
+			return err
+		}
+	}
+	r.fleet = fleet
+	ctx, end := context.WithTimeout(ctx, fleetStartLimit)
+	defer end()
+	return fleet.Start(ctx)
+}
+
+// prepareDayConfig gives tenants a quota that the traffic reaches, and services second tries for every router.
+func (r *rehearsal) prepareDayConfig() {
+	for _, name := range tenantNames(r.mix) {
+		if quota, ok := r.mix.Config["tenants"].(object)[name].(object)["quota"].(object); ok {
+			quota["units"], quota["window_s"] = 12, 5
+		}
+	}
+	for _, service := range r.mix.Config["services"].(object) {
+		service.(object)["second_spare"] = r.mix.Routers
+	}
+}
--- a/internal/drill/standin.go
+++ b/internal/drill/standin.go
@@ -226,64 +226,90 @@
 	s.active.Add(1)
 	defer s.active.Add(-1)
 	if s.Plain {
-		if !env.Wait(ctx, s.TokenTime) {
-			panic(http.ErrAbortHandler)
-		}
-		raw, _ := json.Marshal(map[string]any{"echo": Echo(body), "path": r.URL.RequestURI(), "tenant": r.Header.Get("X-Yarrowridge-Tenant")})
-		w.Header().Set("Content-Type", "application/json")
-		w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
-		if s.cutAt.Load() > 0 {
-			w.Write(raw[:len(raw)/2])
-			http.NewResponseController(w).Flush()
-			breakConnection(w)
-		}
-		w.Write(raw)
-		s.RequestLog.end(seen)
-		return
+		s.servePlain(w, r, body)
+	} else {
+		s.serveModel(w, r, body)
 	}
+	s.RequestLog.end(seen)
+}
+
+// servePlain answers as the ordinary application.
+func (s *Standin) servePlain(w http.ResponseWriter, r *http.Request, body []byte) {
+	if !env.Wait(r.Context(), s.TokenTime) {
+		panic(http.ErrAbortHandler)
+	}
+	raw, _ := json.Marshal(map[string]any{"echo": Echo(body), "path": r.URL.RequestURI(), "tenant": r.Header.Get("X-Yarrowridge-Tenant")})
+	w.Header().Set("Content-Type", "application/json")
+	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
+	if s.cutAt.Load() > 0 {
+		w.Write(raw[:len(raw)/2])
+		http.NewResponseController(w).Flush()
+		breakConnection(w)
+	}
+	w.Write(raw)
+}
+
+// serveModel answers as a model runner: a stream, or an answer as a whole.
+func (s *Standin) serveModel(w http.ResponseWriter, r *http.Request, body []byte) {
 	tokens := int(gjson.GetBytes(body, "max_tokens").Int())
 	s.queued.Add(int64(tokens))
 	left := tokens
 	defer func() { s.queued.Add(-int64(left)) }()
 	text := gjson.GetBytes(body, "prompt").String() + gjson.GetBytes(body, "messages").Raw
-	if !env.Wait(ctx, s.prefill(text)) {
+	if !env.Wait(r.Context(), s.prefill(text)) {
 		panic(http.ErrAbortHandler)
 	}
 	stream := gjson.GetBytes(body, "stream").Bool()
-	pad := strings.Repeat("w", int(gjson.GetBytes(body, "pad").Int())) // to fill an client's connection
+	pad := strings.Repeat("w", int(gjson.GetBytes(body, "pad").Int())) // to fill a client's connection
 	if stream {
 		w.Header().Set("Content-Type", "text/event-stream")
 	}
-	// A third of the prompts is answered alike by every run. Of the others each piece, or each from some
-	// piece on, carries its run's mark, so that two runs that were joined can be told.
-	from := map[byte]int{0: 0, 1: rand.IntN(max(1, tokens)), 2: tokens}[Echo(body)[0]%3]
+	from := markedFrom(body, tokens)
 	for i := range tokens {
-		n := s.active.Load()
-		if !env.Wait(ctx, s.TokenTime+time.Duration(s.Slowdown*float64(n-1)*float64(s.TokenTime))) {
-			panic(http.ErrAbortHandler)
-		}
-		if c := s.cutAt.Load(); c > 0 && int64(i) >= c {
-			breakConnection(w)
-		}
+		s.makeToken(w, r, i)
 		s.queued.Add(-1)
 		left--
 		if stream {
-			run := ""
+			mark := ""
 			if i >= from {
-				run = fmt.Sprintf(`,"run":%q`, r.Header.Get("X-Yarrowridge-Query"))
+				mark = fmt.Sprintf(`,"run":%q`, r.Header.Get("X-Yarrowridge-Query"))
 			}
-			fmt.Fprintf(w, "data: {\"i\":%d,\"echo\":%q%s,\"text\":\"w%d %s\"}\n\n", i, Echo(body), run, i, pad)
+			fmt.Fprintf(w, "data: {\"i\":%d,\"echo\":%q%s,\"text\":\"w%d %s\"}\n\n", i, Echo(body), mark, i, pad)
 			http.NewResponseController(w).Flush()
 		}
 	}
 	if stream {
 		io.WriteString(w, "data: [DONE]\n\n")
-	} else {
-		raw, _ := json.Marshal(map[string]any{"echo": Echo(body), "usage": map[string]int{"completion_tokens": tokens}})
-		w.Header().Set("Content-Type", "application/json")
-		w.Write(raw)
+		return
+	}
+	raw, _ := json.Marshal(map[string]any{"echo": Echo(body), "usage": map[string]int{"completion_tokens": tokens}})
+	w.Header().Set("Content-Type", "application/json")
+	w.Write(raw)
+}
+
+// makeToken takes the time of one token, and breaks the connection off where that was asked for.
+func (s *Standin) makeToken(w http.ResponseWriter, r *http.Request, i int) {
+	others := s.active.Load() - 1
+	if !env.Wait(r.Context(), s.TokenTime+time.Duration(s.Slowdown*float64(others)*float64(s.TokenTime))) {
+		panic(http.ErrAbortHandler)
+	}
+	if at := s.cutAt.Load(); at > 0 && int64(i) >= at {
+		breakConnection(w)
+	}
+}
+
+// markedFrom is the piece from which on a stream's pieces carry their run's mark, so that two runs that were
+// joined can be told: the first, one on the way, or none. By that a third of the prompts is answered alike
+// by every run.
+func markedFrom(body []byte, tokens int) int {
+	switch Echo(body)[0] % 3 {
+	case 0:
+		return 0
+	case 1:
+		return rand.IntN(max(1, tokens))
+	default:
+		return tokens
 	}
-	s.RequestLog.end(seen)
 }
 
 func breakConnection(w http.ResponseWriter) {
