--- a/internal/core/hand.go
+++ b/internal/core/hand.go
@@ -371,7 +371,7 @@
 	}
 	if sheet.Seq > 0 {
 		s.ctx.Log.Info("Layout taken.", "sequence", sheet.Seq)
-		s.push(relay.LayoutRec(sheet.Seq, sheet.Raw))
+		s.push(relay.ConfigRecord(sheet.Seq, sheet.Raw))
 		if !s.stands(s.vot.View()) {
 			return nil, wire.Fault{Code: InDoubt}
 		}
@@ -419,27 +419,27 @@
 
 // push hands records to the first nodes of every hall and waits a quarter second at most, so
 // that the news outlives us once we have answered.
-func (s *Server) push(recs ...relay.Rec) { s.pushTo(2, recs) }
+func (s *Server) push(records ...relay.Record) { s.pushTo(2, records) }
 
 // pushRunners is push for runners. A primary that has just begun has named no roll yet: routers that have
 // none from before can't hand news on, so all are told.
-func (s *Server) pushRunners(recs ...relay.Rec) {
+func (s *Server) pushRunners(records ...relay.Record) {
 	perHall := 2
 	s.mu.Lock()
 	if time.Since(s.since) <= nodeTerm+time.Second {
 		perHall = len(s.nodes)
 	}
 	s.mu.Unlock()
-	s.pushTo(perHall, recs)
+	s.pushTo(perHall, records)
 }
 
 // pushTo hands records to so many nodes of every hall.
-func (s *Server) pushTo(perHall int, recs []relay.Rec) {
+func (s *Server) pushTo(perHall int, records []relay.Record) {
 	ctx, end := context.WithTimeout(s.ctx, 250*time.Millisecond)
 	s.mu.Lock()
 	all := s.live()
 	s.mu.Unlock()
-	tell := relay.Tell{Recs: recs}
+	tell := relay.Tell{Records: records}
 	halls := map[string]int{}
 	done := make(chan bool, len(all))
 	sent := 0
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -231,7 +231,7 @@
 	if err != nil {
 		return nil
 	}
-	return s.news.add(relay.Rec{Key: relay.RunnerHead + runner.ID, Turn: runner.Sequence, Body: body}, s.pushRunners)
+	return s.news.add(relay.Record{Key: relay.RunnerPrefix + runner.ID, Version: runner.Sequence, Body: body}, s.pushRunners)
 }
 
 // runnerNews gathers changes of runners that come close together, and pushes them as one.
@@ -241,12 +241,12 @@
 }
 
 type runnerBatch struct {
-	recs []relay.Rec
+	recs []relay.Record
 	done chan struct{} // closed once the push has ended
 }
 
 // add puts a record into the next batch. The channel is closed once the batch has been pushed.
-func (n *runnerNews) add(rec relay.Rec, push func(...relay.Rec)) <-chan struct{} {
+func (n *runnerNews) add(record relay.Record, push func(...relay.Record)) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	batch := n.next
@@ -255,12 +255,12 @@
 		n.next = batch
 		go n.send(batch, push)
 	}
-	batch.recs = append(batch.recs, rec)
+	batch.recs = append(batch.recs, record)
 	return batch.done
 }
 
 // send waits a moment for more changes, and pushes the batch. Batches don't wait for each other.
-func (n *runnerNews) send(batch *runnerBatch, push func(...relay.Rec)) {
+func (n *runnerNews) send(batch *runnerBatch, push func(...relay.Record)) {
 	time.Sleep(runnerGather)
 	n.mu.Lock()
 	n.next = nil
--- a/internal/core/registry_test.go
+++ b/internal/core/registry_test.go
@@ -257,10 +257,10 @@
 func TestChangesShareOnePush(t *testing.T) {
 	var news runnerNews
 	pushes := make(chan int, 100)
-	push := func(recs ...relay.Rec) { pushes <- len(recs) }
+	push := func(records ...relay.Record) { pushes <- len(records) }
 	var waits []<-chan struct{}
 	for range 50 {
-		waits = append(waits, news.add(relay.Rec{}, push))
+		waits = append(waits, news.add(relay.Record{}, push))
 	}
 	for _, wait := range waits {
 		<-wait
--- a/internal/node/hub.go
+++ b/internal/node/hub.go
@@ -41,7 +41,7 @@
 	box   chan relay.Tell
 	now   atomic.Pointer[configuration] // in force; nil before the first
 	turn  atomic.Pointer[chan struct{}] // closed by the next layout
-	hook  func(relay.Rec)
+	hook  func(relay.Record)
 
 	told     uint64                                  // the sequence that the core last named; only the beat touches it
 	document func(sequence uint64, raw []byte) error // nil: the configuration is a layout
@@ -99,7 +99,7 @@
 // registered runners.
 //
 //	hub := node.NewHub(ctx, "127.0.0.1:7501", "127.0.0.1:8501", seeds, hook)
-func NewHub(ctx env.Ctx, addr, face string, seeds []string, hook func(relay.Rec), options ...Option) *Hub {
+func NewHub(ctx env.Ctx, addr, face string, seeds []string, hook func(relay.Record), options ...Option) *Hub {
 	h := &Hub{ctx: ctx, addr: addr, face: face, cal: wire.NewCaller(ctx.Net), hook: hook,
 		box: make(chan relay.Tell, 1024), begun: time.Now(), more: map[string]wire.Hand{}}
 	h.Core = core.NewClient(ctx, h.cal, seeds)
@@ -114,11 +114,11 @@
 }
 
 // see runs under the board's lock, for one key from older to newer.
-func (h *Hub) see(r relay.Rec) {
+func (h *Hub) see(r relay.Record) {
 	switch {
-	case r.Key == relay.LayoutKey && h.document != nil:
+	case r.Key == relay.ConfigKey && h.document != nil:
 		h.takeDocument(r)
-	case r.Key == relay.LayoutKey:
+	case r.Key == relay.ConfigKey:
 		h.takeLayout(r)
 	case h.runners != nil && registry.Owns(r):
 		h.runners.See(r)
@@ -127,22 +127,22 @@
 	}
 }
 
-func (h *Hub) takeDocument(r relay.Rec) {
-	if err := h.document(r.Turn, r.Body); err != nil {
-		h.ctx.Log.Error("Configuration from the core is not understood. The old one stays.", "sequence", r.Turn, "trouble", err.Error())
+func (h *Hub) takeDocument(r relay.Record) {
+	if err := h.document(r.Version, r.Body); err != nil {
+		h.ctx.Log.Error("Configuration from the core is not understood. The old one stays.", "sequence", r.Version, "trouble", err.Error())
 		return
 	}
-	h.obey(&configuration{sequence: r.Turn, raw: r.Body})
-	h.ctx.Log.Info("Configuration taken up.", "sequence", r.Turn)
+	h.obey(&configuration{sequence: r.Version, raw: r.Body})
+	h.ctx.Log.Info("Configuration taken up.", "sequence", r.Version)
 }
 
-func (h *Hub) takeLayout(r relay.Rec) {
+func (h *Hub) takeLayout(r relay.Record) {
 	lay, bad := layout.Parse(r.Body)
 	if len(bad) > 0 {
-		h.ctx.Log.Error("Layout from the core is not understood. The old one stays.", "sequence", r.Turn, "trouble", bad[0].Path+": "+bad[0].Text)
+		h.ctx.Log.Error("Layout from the core is not understood. The old one stays.", "sequence", r.Version, "trouble", bad[0].Path+": "+bad[0].Text)
 		return
 	}
-	lay.Version = r.Turn
+	lay.Version = r.Version
 	next := &configuration{sequence: lay.Version, raw: lay.Raw, layout: lay}
 	if old := h.now.Load(); strike.Out("late") && old != nil {
 		time.AfterFunc(12*time.Second, func() { h.now.Store(next) })
@@ -151,7 +151,7 @@
 		time.AfterFunc(time.Second, func() { h.now.Store(old) })
 	}
 	h.obey(next)
-	h.ctx.Log.Info("Layout taken up.", "sequence", r.Turn)
+	h.ctx.Log.Info("Layout taken up.", "sequence", r.Version)
 }
 
 // obey puts a configuration in force and wakes those who wait for the next.
@@ -338,8 +338,8 @@
 		})
 	case "node.fix":
 		return wire.On(body, func(in *relay.Fix) (*relay.Tell, error) {
-			h.Spread(relay.Tell{From: in.From, Recs: in.Recs})
-			return &relay.Tell{From: h.ctx.Name, Recs: h.Board.Pick(in.Want)}, nil
+			h.Spread(relay.Tell{From: in.From, Records: in.Records})
+			return &relay.Tell{From: h.ctx.Name, Records: h.Board.Pick(in.Want)}, nil
 		})
 	case "node.view":
 		return wire.On(body, func(in *view.Learn) (*core.Done, error) {
@@ -354,14 +354,14 @@
 
 // Spread takes news and hands on what was new to the neighbours, but for the one it came from.
 //
-//	hub.Spread(relay.Tell{Recs: recs})
+//	hub.Spread(relay.Tell{Records: recs})
 func (h *Hub) Spread(t relay.Tell) {
-	fresh := h.Board.Take(t.Recs)
+	fresh := h.Board.Take(t.Records)
 	if len(fresh) == 0 {
 		return
 	}
 	select {
-	case h.box <- relay.Tell{From: t.From, Recs: fresh}:
+	case h.box <- relay.Tell{From: t.From, Records: fresh}:
 	default: // the digests will carry it
 	}
 }
@@ -394,7 +394,7 @@
 		go func() {
 			ctx, end := context.WithTimeout(h.ctx, time.Second)
 			defer end()
-			h.cal.Call(ctx, n.Addr, "node.tell", &relay.Tell{From: h.ctx.Name, Recs: t.Recs}, nil)
+			h.cal.Call(ctx, n.Addr, "node.tell", &relay.Tell{From: h.ctx.Name, Records: t.Records}, nil)
 		}()
 	}
 }
@@ -404,7 +404,7 @@
 // tree that led through us must not be what others depend on.
 //
 //	if hub.Sure(ctx, recs) { ... }
-func (h *Hub) Sure(ctx context.Context, recs []relay.Rec) bool {
+func (h *Hub) Sure(ctx context.Context, records []relay.Record) bool {
 	nodes := h.Nodes()
 	ch := make(chan bool, len(nodes))
 	ask := 0
@@ -416,7 +416,7 @@
 		go func() {
 			one, end := context.WithTimeout(h.ctx, time.Second)
 			defer end()
-			ch <- h.cal.Call(one, n.Addr, "node.tell", &relay.Tell{From: h.ctx.Name, Recs: recs}, nil) == nil
+			ch <- h.cal.Call(one, n.Addr, "node.tell", &relay.Tell{From: h.ctx.Name, Records: records}, nil) == nil
 		}()
 	}
 	wait := time.NewTimer(250 * time.Millisecond)
@@ -495,13 +495,13 @@
 	}
 	// One that was not understood is not fetched again and again. A new one is on its way by the relays: it is
 	// fetched only if it was missing for a whole beat, else a large part of the fleet would ask the primary at once.
-	rec, _, _ := h.Board.Get(relay.LayoutKey)
-	overdue := h.Sequence() == 0 || rec.Turn < h.told
+	record, _, _ := h.Board.Get(relay.ConfigKey)
+	overdue := h.Sequence() == 0 || record.Version < h.told
 	h.told = out.Seq
-	if h.Sequence() < out.Seq && rec.Turn < out.Seq && overdue {
+	if h.Sequence() < out.Seq && record.Version < out.Seq && overdue {
 		var sheet core.Sheet
 		if h.Core.Call(ctx, "core.layout", &core.Want{}, &sheet, true) == nil && sheet.Seq > 0 {
-			h.Spread(relay.Tell{Recs: []relay.Rec{relay.LayoutRec(sheet.Seq, sheet.Raw)}})
+			h.Spread(relay.Tell{Records: []relay.Record{relay.ConfigRecord(sheet.Seq, sheet.Raw)}})
 		}
 	}
 	if h.now.Load() == nil || h.Sequence() < out.Seq {
@@ -594,7 +594,7 @@
 		return false
 	}
 	fix := h.Board.Fix(h.ctx.Name, diff)
-	if len(fix.Recs)+len(fix.Want) == 0 {
+	if len(fix.Records)+len(fix.Want) == 0 {
 		return true
 	}
 	var back relay.Tell
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -79,10 +79,10 @@
 
 // See takes a record that relays brought.
 //
-//	reg.See(rec)
-func (r *Registry) See(rec relay.Rec) {
+//	reg.See(record)
+func (r *Registry) See(rec relay.Record) {
 	var runner routing.Runner
-	if _, err := runner.UnmarshalMsg(rec.Body); err != nil || relay.RunnerHead+runner.ID != rec.Key {
+	if _, err := runner.UnmarshalMsg(rec.Body); err != nil || relay.RunnerPrefix+runner.ID != rec.Key {
 		return
 	}
 	r.mu.Lock()
@@ -193,5 +193,5 @@
 
 // Owns tells whether a record is about a registered runner.
 //
-//	if registry.Owns(rec) { ... }
-func Owns(rec relay.Rec) bool { return strings.HasPrefix(rec.Key, relay.RunnerHead) }
+//	if registry.Owns(record) { ... }
+func Owns(rec relay.Record) bool { return strings.HasPrefix(rec.Key, relay.RunnerPrefix) }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -15,12 +15,12 @@
 	return routing.Runner{ID: id, Sequence: sequence, State: state}
 }
 
-func record(t *testing.T, r routing.Runner) relay.Rec {
+func record(t *testing.T, r routing.Runner) relay.Record {
 	body, err := r.MarshalMsg(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return relay.Rec{Key: relay.RunnerHead + r.ID, Turn: r.Sequence, Body: body}
+	return relay.Record{Key: relay.RunnerPrefix + r.ID, Version: r.Sequence, Body: body}
 }
 
 func states(r *Registry) string {
@@ -54,9 +54,9 @@
 			t.Errorf("after %s %d: %q, %q expected", step.word.State, step.word.Sequence, got, step.want)
 		}
 	}
-	reg.See(relay.Rec{Key: relay.RunnerHead + "b", Body: []byte("no record")})
+	reg.See(relay.Record{Key: relay.RunnerPrefix + "b", Body: []byte("no record")})
 	wrong := record(t, runner("c", 1, routing.RunnerReady))
-	wrong.Key = relay.RunnerHead + "d"
+	wrong.Key = relay.RunnerPrefix + "d"
 	reg.See(wrong)
 	if got := states(reg); got != "a:gone " {
 		t.Errorf("after broken records: %q", got)
@@ -187,7 +187,7 @@
 		for i := range 600 {
 			word := runner(fmt.Sprintf("r%03d", i), 1, routing.RunnerReady)
 			body, _ := word.MarshalMsg(nil)
-			reg.See(relay.Rec{Key: relay.RunnerHead + word.ID, Turn: 1, Body: body})
+			reg.See(relay.Record{Key: relay.RunnerPrefix + word.ID, Version: 1, Body: body})
 		}
 	}
 }
--- a/internal/relay/board.go
+++ b/internal/relay/board.go
@@ -13,39 +13,41 @@
 // Ranges is how many ranges of keys have a digest of their own.
 const Ranges = 64
 
-// LayoutKey is the key of the layout's record.
-const LayoutKey = "layout"
+// ConfigKey is the key of the layout's record.
+const ConfigKey = "layout"
 
-// LayoutRec makes the record of a layout.
+// ConfigRecord makes the record of a layout.
 //
-//	rec := relay.LayoutRec(7, raw)
-func LayoutRec(seq uint64, raw []byte) Rec { return Rec{Key: LayoutKey, Turn: seq, Body: raw} }
+//	record := relay.ConfigRecord(7, raw)
+func ConfigRecord(seq uint64, raw []byte) Record {
+	return Record{Key: ConfigKey, Version: seq, Body: raw}
+}
 
 // RunnerHead begins the key of a registered runner's record; its ID follows.
-const RunnerHead = "runners/"
+const RunnerPrefix = "runners/"
 
 // Newer tells whether a is newer than b.
 //
 //	if relay.Newer(a, b) { ... }
-func Newer(a, b Rec) bool {
-	if a.Gen != b.Gen {
-		return a.Gen > b.Gen
+func Newer(a, b Record) bool {
+	if a.Generation != b.Generation {
+		return a.Generation > b.Generation
 	}
-	if a.Turn != b.Turn {
-		return a.Turn > b.Turn
+	if a.Version != b.Version {
+		return a.Version > b.Version
 	}
 	return string(a.Body) > string(b.Body)
 }
 
 type held struct {
-	rec Rec
-	at  time.Time
+	record Record
+	at     time.Time
 }
 
 // dropped is a record that was forgotten. A neighbour that still has it must not bring it back.
 type dropped struct {
-	gen, turn uint64
-	at        time.Time
+	generation, version uint64
+	at                  time.Time
 }
 
 // Board is one node's copy of the news, in shards with a lock each.
@@ -55,14 +57,14 @@
 		all map[string]held
 		old map[string]dropped
 	}
-	see func(Rec)
+	see func(Record)
 }
 
 // NewBoard makes an empty board. see is called for every record that is taken, in no fixed order
 // between keys, and for one key from the older to the newer.
 //
-//	b := relay.NewBoard(func(r relay.Rec) { ... })
-func NewBoard(see func(Rec)) *Board {
+//	b := relay.NewBoard(func(r relay.Record) { ... })
+func NewBoard(see func(Record)) *Board {
 	b := &Board{see: see}
 	for i := range b.shard {
 		b.shard[i].all = map[string]held{}
@@ -84,19 +86,19 @@
 
 // Take takes the records that are newer than what stands here, and returns those.
 //
-//	fresh := b.Take(tell.Recs)
-func (b *Board) Take(recs []Rec) []Rec {
-	var fresh []Rec
-	for _, r := range recs {
+//	fresh := b.Take(tell.Records)
+func (b *Board) Take(records []Record) []Record {
+	var fresh []Record
+	for _, r := range records {
 		s := &b.shard[rangeOf(r.Key)]
 		s.mu.Lock()
 		old, ok := s.all[r.Key]
 		gone, was := s.old[r.Key]
-		if was && gone.gen == r.Gen && gone.turn == r.Turn {
+		if was && gone.generation == r.Generation && gone.version == r.Version {
 			s.mu.Unlock()
 			continue
 		}
-		if !ok || Newer(r, old.rec) {
+		if !ok || Newer(r, old.record) {
 			s.all[r.Key] = held{r, time.Now()}
 			fresh = append(fresh, r)
 			if b.see != nil {
@@ -110,25 +112,25 @@
 
 // Get reads one record and how long ago it came.
 //
-//	rec, age, ok := b.Get("runner/a")
-func (b *Board) Get(key string) (Rec, time.Duration, bool) {
+//	record, age, ok := b.Get("runner/a")
+func (b *Board) Get(key string) (Record, time.Duration, bool) {
 	s := &b.shard[rangeOf(key)]
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	h, ok := s.all[key]
-	return h.rec, time.Since(h.at), ok
+	return h.record, time.Since(h.at), ok
 }
 
 // Each visits the records whose key begins with head.
 //
-//	b.Each("runner/", func(r relay.Rec, age time.Duration) { ... })
-func (b *Board) Each(head string, do func(Rec, time.Duration)) {
+//	b.Each("runner/", func(r relay.Record, age time.Duration) { ... })
+func (b *Board) Each(head string, do func(Record, time.Duration)) {
 	for i := range b.shard {
 		s := &b.shard[i]
 		s.mu.RLock()
 		for k, h := range s.all {
 			if strings.HasPrefix(k, head) {
-				do(h.rec, time.Since(h.at))
+				do(h.record, time.Since(h.at))
 			}
 		}
 		s.mu.RUnlock()
@@ -143,9 +145,9 @@
 		s := &b.shard[i]
 		s.mu.Lock()
 		for k, h := range s.all {
-			if k != LayoutKey && time.Since(h.at) > d {
+			if k != ConfigKey && time.Since(h.at) > d {
 				delete(s.all, k)
-				s.old[k] = dropped{h.rec.Gen, h.rec.Turn, time.Now()}
+				s.old[k] = dropped{h.record.Generation, h.record.Version, time.Now()}
 			}
 		}
 		for k, gone := range s.old {
@@ -174,7 +176,7 @@
 		s := &b.shard[i]
 		s.mu.RLock()
 		for k, h := range s.all {
-			out.Dig[i] ^= hash(k, word(h.rec.Gen), word(h.rec.Turn))
+			out.Dig[i] ^= hash(k, word(h.record.Generation), word(h.record.Version))
 		}
 		s.mu.RUnlock()
 	}
@@ -195,7 +197,7 @@
 		s := &b.shard[i]
 		s.mu.RLock()
 		for _, h := range s.all {
-			out.Names = append(out.Names, Name{h.rec.Key, h.rec.Gen, h.rec.Turn})
+			out.Names = append(out.Names, Name{h.record.Key, h.record.Generation, h.record.Version})
 		}
 		s.mu.RUnlock()
 	}
@@ -211,7 +213,7 @@
 	for _, n := range diff.Names {
 		far[n.Key] = n
 		mine, _, ok := b.Get(n.Key)
-		if !ok || n.Gen > mine.Gen || n.Gen == mine.Gen && n.Turn > mine.Turn {
+		if !ok || n.Generation > mine.Generation || n.Generation == mine.Generation && n.Version > mine.Version {
 			out.Want = append(out.Want, n.Key)
 		}
 	}
@@ -223,21 +225,21 @@
 		s.mu.RLock()
 		for k, h := range s.all {
 			n, ok := far[k]
-			if !ok || h.rec.Gen > n.Gen || h.rec.Gen == n.Gen && h.rec.Turn > n.Turn {
-				out.Recs = append(out.Recs, h.rec)
+			if !ok || h.record.Generation > n.Generation || h.record.Generation == n.Generation && h.record.Version > n.Version {
+				out.Records = append(out.Records, h.record)
 			}
 		}
 		s.mu.RUnlock()
 	}
-	sort.Slice(out.Recs, func(i, j int) bool { return out.Recs[i].Key < out.Recs[j].Key })
+	sort.Slice(out.Records, func(i, j int) bool { return out.Records[i].Key < out.Records[j].Key })
 	return out
 }
 
 // Pick gives the records asked for.
 //
 //	recs := b.Pick(fix.Want)
-func (b *Board) Pick(keys []string) []Rec {
-	var out []Rec
+func (b *Board) Pick(keys []string) []Record {
+	var out []Record
 	for _, k := range keys {
 		if r, _, ok := b.Get(k); ok {
 			out = append(out, r)
--- a/internal/relay/drop_test.go
+++ b/internal/relay/drop_test.go
@@ -11,8 +11,8 @@
 func TestDroppedRecordsStayAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := NewBoard(nil), NewBoard(nil)
-		rec := Rec{Key: "runners/x", Turn: 3, Body: []byte("x")}
-		a.Take([]Rec{rec})
+		rec := Record{Key: "runners/x", Version: 3, Body: []byte("x")}
+		a.Take([]Record{rec})
 		time.Sleep(700 * time.Millisecond)
 		mend(a, b)
 		for range 250 {
@@ -27,8 +27,8 @@
 				t.Error("the record is still there after 75 s")
 			}
 		}
-		rec.Turn = 4
-		if fresh := a.Take([]Rec{rec}); len(fresh) != 1 {
+		rec.Version = 4
+		if fresh := a.Take([]Record{rec}); len(fresh) != 1 {
 			t.Error("a newer word is refused")
 		}
 	})
--- a/internal/relay/msgs.go
+++ b/internal/relay/msgs.go
@@ -5,18 +5,18 @@
 // A length read from the wire is believed up to this only.
 //msgp:limit arrays:10000000 maps:200000
 
-// Rec is one piece of news. Of two with one key the one with the higher (Gen, Turn) is newer.
-type Rec struct {
-	Key  string `msg:"k"`
-	Gen  uint64 `msg:"g"`
-	Turn uint64 `msg:"t"`
-	Body []byte `msg:"b"`
+// Record is one piece of news. Of two with one key the one with the higher (Gen, Turn) is newer.
+type Record struct {
+	Key        string `msg:"k"`
+	Generation uint64 `msg:"g"`
+	Version    uint64 `msg:"t"`
+	Body       []byte `msg:"b"`
 }
 
 // Tell hands on news.
 type Tell struct {
-	From string `msg:"f"`
-	Recs []Rec  `msg:"r"`
+	From    string   `msg:"f"`
+	Records []Record `msg:"r"`
 }
 
 // Sum is what one says of its copy: a digest for each range of keys.
@@ -27,9 +27,9 @@
 
 // Name is a record without its body.
 type Name struct {
-	Key  string `msg:"k"`
-	Gen  uint64 `msg:"g"`
-	Turn uint64 `msg:"t"`
+	Key        string `msg:"k"`
+	Generation uint64 `msg:"g"`
+	Version    uint64 `msg:"t"`
 }
 
 // Diff names the records of every range that differed.
@@ -40,7 +40,7 @@
 
 // Fix hands over the records that the far side lacks and asks for those that we lack.
 type Fix struct {
-	From string   `msg:"f"`
-	Recs []Rec    `msg:"r"`
-	Want []string `msg:"w"`
+	From    string   `msg:"f"`
+	Records []Record `msg:"r"`
+	Want    []string `msg:"w"`
 }
--- a/internal/relay/msgs_gen.go
+++ b/internal/relay/msgs_gen.go
@@ -32,10 +32,10 @@
 		o = msgp.AppendString(o, z.Names[za0002].Key)
 		// string "g"
 		o = append(o, 0xa1, 0x67)
-		o = msgp.AppendUint64(o, z.Names[za0002].Gen)
+		o = msgp.AppendUint64(o, z.Names[za0002].Generation)
 		// string "t"
 		o = append(o, 0xa1, 0x74)
-		o = msgp.AppendUint64(o, z.Names[za0002].Turn)
+		o = msgp.AppendUint64(o, z.Names[za0002].Version)
 	}
 	return
 }
@@ -127,15 +127,15 @@
 							return
 						}
 					case "g":
-						z.Names[za0002].Gen, bts, err = msgp.ReadUint64Bytes(bts)
+						z.Names[za0002].Generation, bts, err = msgp.ReadUint64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Names", za0002, "Gen")
+							err = msgp.WrapError(err, "Names", za0002, "Generation")
 							return
 						}
 					case "t":
-						z.Names[za0002].Turn, bts, err = msgp.ReadUint64Bytes(bts)
+						z.Names[za0002].Version, bts, err = msgp.ReadUint64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Names", za0002, "Turn")
+							err = msgp.WrapError(err, "Names", za0002, "Version")
 							return
 						}
 					default:
@@ -177,11 +177,11 @@
 	o = msgp.AppendString(o, z.From)
 	// string "r"
 	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Recs)))
-	for za0001 := range z.Recs {
-		o, err = z.Recs[za0001].MarshalMsg(o)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
+	for za0001 := range z.Records {
+		o, err = z.Records[za0001].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Recs", za0001)
+			err = msgp.WrapError(err, "Records", za0001)
 			return
 		}
 	}
@@ -226,22 +226,22 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Recs")
+				err = msgp.WrapError(err, "Records")
 				return
 			}
 			if zb0002 > z78411aa4limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Recs) >= int(zb0002) {
-				z.Recs = (z.Recs)[:zb0002]
+			if cap(z.Records) >= int(zb0002) {
+				z.Records = (z.Records)[:zb0002]
 			} else {
-				z.Recs = make([]Rec, zb0002)
+				z.Records = make([]Record, zb0002)
 			}
-			for za0001 := range z.Recs {
-				bts, err = z.Recs[za0001].UnmarshalMsg(bts)
+			for za0001 := range z.Records {
+				bts, err = z.Records[za0001].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Recs", za0001)
+					err = msgp.WrapError(err, "Records", za0001)
 					return
 				}
 			}
@@ -283,8 +283,8 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Fix) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Recs {
-		s += z.Recs[za0001].Msgsize()
+	for za0001 := range z.Records {
+		s += z.Records[za0001].Msgsize()
 	}
 	s += 2 + msgp.ArrayHeaderSize
 	for za0002 := range z.Want {
@@ -302,10 +302,10 @@
 	o = msgp.AppendString(o, z.Key)
 	// string "g"
 	o = append(o, 0xa1, 0x67)
-	o = msgp.AppendUint64(o, z.Gen)
+	o = msgp.AppendUint64(o, z.Generation)
 	// string "t"
 	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendUint64(o, z.Turn)
+	o = msgp.AppendUint64(o, z.Version)
 	return
 }
 
@@ -338,15 +338,15 @@
 				return
 			}
 		case "g":
-			z.Gen, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Generation, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Gen")
+				err = msgp.WrapError(err, "Generation")
 				return
 			}
 		case "t":
-			z.Turn, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Turn")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
 		default:
@@ -368,7 +368,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Rec) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Record) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 4
 	// string "k"
@@ -376,10 +376,10 @@
 	o = msgp.AppendString(o, z.Key)
 	// string "g"
 	o = append(o, 0xa1, 0x67)
-	o = msgp.AppendUint64(o, z.Gen)
+	o = msgp.AppendUint64(o, z.Generation)
 	// string "t"
 	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendUint64(o, z.Turn)
+	o = msgp.AppendUint64(o, z.Version)
 	// string "b"
 	o = append(o, 0xa1, 0x62)
 	o = msgp.AppendBytes(o, z.Body)
@@ -387,7 +387,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Rec) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Record) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -415,15 +415,15 @@
 				return
 			}
 		case "g":
-			z.Gen, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Generation, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Gen")
+				err = msgp.WrapError(err, "Generation")
 				return
 			}
 		case "t":
-			z.Turn, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Turn")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
 		case "b":
@@ -461,7 +461,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Rec) Msgsize() (s int) {
+func (z *Record) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.BytesPrefixSize + len(z.Body)
 	return
 }
@@ -560,11 +560,11 @@
 	o = msgp.AppendString(o, z.From)
 	// string "r"
 	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Recs)))
-	for za0001 := range z.Recs {
-		o, err = z.Recs[za0001].MarshalMsg(o)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
+	for za0001 := range z.Records {
+		o, err = z.Records[za0001].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Recs", za0001)
+			err = msgp.WrapError(err, "Records", za0001)
 			return
 		}
 	}
@@ -603,22 +603,22 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Recs")
+				err = msgp.WrapError(err, "Records")
 				return
 			}
 			if zb0002 > z78411aa4limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Recs) >= int(zb0002) {
-				z.Recs = (z.Recs)[:zb0002]
+			if cap(z.Records) >= int(zb0002) {
+				z.Records = (z.Records)[:zb0002]
 			} else {
-				z.Recs = make([]Rec, zb0002)
+				z.Records = make([]Record, zb0002)
 			}
-			for za0001 := range z.Recs {
-				bts, err = z.Recs[za0001].UnmarshalMsg(bts)
+			for za0001 := range z.Records {
+				bts, err = z.Records[za0001].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Recs", za0001)
+					err = msgp.WrapError(err, "Records", za0001)
 					return
 				}
 			}
@@ -637,8 +637,8 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Tell) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Recs {
-		s += z.Recs[za0001].Msgsize()
+	for za0001 := range z.Records {
+		s += z.Records[za0001].Msgsize()
 	}
 	return
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -17,9 +17,9 @@
 		return bytes
 	}
 	fix := a.Fix("a", diff)
-	b.Take(fix.Recs)
-	back := Tell{Recs: b.Pick(fix.Want)}
-	a.Take(back.Recs)
+	b.Take(fix.Records)
+	back := Tell{Records: b.Pick(fix.Want)}
+	a.Take(back.Records)
 	return bytes + fix.Msgsize() + back.Msgsize()
 }
 
@@ -27,27 +27,27 @@
 func TestMendAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := NewBoard(nil), NewBoard(nil)
-		model := map[string]Rec{}
+		model := map[string]Record{}
 		for range rapid.IntRange(0, 60).Draw(t, "records") {
-			r := Rec{Key: fmt.Sprintf("k%d", rapid.IntRange(0, 20).Draw(t, "key")), Gen: rapid.Uint64Range(1, 3).Draw(t, "gen"), Turn: rapid.Uint64Range(1, 5).Draw(t, "turn")}
-			r.Body = []byte(fmt.Sprintf("%s %d %d", r.Key, r.Gen, r.Turn)) // one writer a key and turn
+			r := Record{Key: fmt.Sprintf("k%d", rapid.IntRange(0, 20).Draw(t, "key")), Generation: rapid.Uint64Range(1, 3).Draw(t, "gen"), Version: rapid.Uint64Range(1, 5).Draw(t, "turn")}
+			r.Body = []byte(fmt.Sprintf("%s %d %d", r.Key, r.Generation, r.Version)) // one writer a key and turn
 			if old, ok := model[r.Key]; !ok || Newer(r, old) {
 				model[r.Key] = r
 			}
 			switch rapid.IntRange(0, 2).Draw(t, "where") {
 			case 0:
-				a.Take([]Rec{r})
+				a.Take([]Record{r})
 			case 1:
-				b.Take([]Rec{r})
+				b.Take([]Record{r})
 			default:
-				a.Take([]Rec{r})
-				b.Take([]Rec{r})
+				a.Take([]Record{r})
+				b.Take([]Record{r})
 			}
 		}
 		mend(a, b)
 		for _, x := range []*Board{a, b} {
 			n := 0
-			x.Each("", func(Rec, time.Duration) { n++ })
+			x.Each("", func(Record, time.Duration) { n++ })
 			if n != len(model) {
 				t.Fatalf("%d records, %d expected", n, len(model))
 			}
@@ -70,11 +70,11 @@
 		a, b := NewBoard(nil), NewBoard(nil)
 		full := Tell{}
 		for i := range all {
-			r := Rec{Key: fmt.Sprintf("runner/10.0.0.%d:1", i), Gen: 1, Turn: 7, Body: make([]byte, 400)}
-			full.Recs = append(full.Recs, r)
-			a.Take([]Rec{r})
+			r := Record{Key: fmt.Sprintf("runner/10.0.0.%d:1", i), Generation: 1, Version: 7, Body: make([]byte, 400)}
+			full.Records = append(full.Records, r)
+			a.Take([]Record{r})
 			if i >= lost {
-				b.Take([]Rec{r})
+				b.Take([]Record{r})
 			}
 		}
 		cost := mend(a, b)
--- a/internal/router/gateway.go
+++ b/internal/router/gateway.go
@@ -109,7 +109,7 @@
 }
 
 // seeRecord takes news that is neither a configuration nor a runner.
-func (g *Gateway) seeRecord(record relay.Rec) { g.sessions.see(record) }
+func (g *Gateway) seeRecord(record relay.Record) { g.sessions.see(record) }
 
 // take puts a newer configuration in force.
 func (g *Gateway) take(sequence uint64, raw []byte) error {
--- a/internal/router/sessions.go
+++ b/internal/router/sessions.go
@@ -41,7 +41,7 @@
 	balancer  *balance.Balancer
 	directory *session.Directory
 	spread    func(relay.Tell)
-	sure      func(context.Context, []relay.Rec) bool // hands records to all routers directly
+	sure      func(context.Context, []relay.Record) bool // hands records to all routers directly
 	nodes     func() []core.Node
 	call      func(ctx context.Context, addr, kind string, in msgp.Marshaler, out msgp.Unmarshaler) error
 	core      func(ctx context.Context, kind string, in msgp.Marshaler, out msgp.Unmarshaler, again bool) error
@@ -62,7 +62,7 @@
 }
 
 // see takes a record that the relays brought. Others are passed over.
-func (s *sessionNews) see(record relay.Rec) {
+func (s *sessionNews) see(record relay.Record) {
 	if !strings.HasPrefix(record.Key, sessionHead) {
 		return
 	}
@@ -123,7 +123,7 @@
 		return
 	}
 	if record, ok := s.record(entries); ok {
-		s.spread(relay.Tell{Recs: []relay.Rec{record}})
+		s.spread(relay.Tell{Records: []relay.Record{record}})
 	}
 }
 
@@ -132,21 +132,21 @@
 func (s *sessionNews) leave() {
 	entries := s.directory.Take()
 	if record, ok := s.record(entries); ok && len(entries) > 0 {
-		s.sure(s.ctx, []relay.Rec{record})
+		s.sure(s.ctx, []relay.Record{record})
 	}
 }
 
 // record makes the next record of the board. It takes the place of an older one, which the tree has carried to
 // all by then.
-func (s *sessionNews) record(entries []session.Entry) (relay.Rec, bool) {
+func (s *sessionNews) record(entries []session.Entry) (relay.Record, bool) {
 	body, err := session.Pack(entries).MarshalMsg(nil)
 	if err != nil {
 		s.ctx.Log.Error("Entries of sessions cannot be written.", "error", err.Error())
-		return relay.Rec{}, false
+		return relay.Record{}, false
 	}
 	s.turn++
 	key := fmt.Sprintf("%s%s/%x/%d", sessionHead, s.ctx.Name, s.ctx.Born, s.turn%sessionSlots)
-	return relay.Rec{Key: key, Turn: s.turn, Body: body}, true
+	return relay.Record{Key: key, Version: s.turn, Body: body}, true
 }
 
 // fetch asks the core for what it kept, which is all that there is after the loss of all routers, and another
--- a/internal/router/sessions_test.go
+++ b/internal/router/sessions_test.go
@@ -42,10 +42,10 @@
 	balancer := balance.New("east")
 	s := &sessionNews{ctx: ctx, balancer: balancer, directory: balancer.Sessions, nodes: f.nodes, call: f.call, core: f.core}
 	s.spread = func(tell relay.Tell) {
-		f.records += len(tell.Recs)
-		f.deliver(tell.Recs)
+		f.records += len(tell.Records)
+		f.deliver(tell.Records)
 	}
-	s.sure = func(_ context.Context, records []relay.Rec) bool {
+	s.sure = func(_ context.Context, records []relay.Record) bool {
 		f.handed += len(records)
 		f.deliver(records)
 		return true
@@ -60,7 +60,7 @@
 	return s
 }
 
-func (f *newsFleet) deliver(records []relay.Rec) {
+func (f *newsFleet) deliver(records []relay.Record) {
 	for _, router := range f.routers {
 		for _, record := range records {
 			router.see(record)
@@ -226,7 +226,7 @@
 func TestOtherRecordsArePassedOver(t *testing.T) {
 	f := newNewsFleet(t, "a")
 	body, _ := session.Pack([]session.Entry{{Session: 7, Version: 1, Holders: []string{"runner"}}}).MarshalMsg(nil)
-	f.deliver([]relay.Rec{{Key: "other/a", Turn: 1, Body: body}, {Key: sessionHead + "x/1/1", Turn: 1, Body: []byte("no batch")}})
+	f.deliver([]relay.Record{{Key: "other/a", Version: 1, Body: body}, {Key: sessionHead + "x/1/1", Version: 1, Body: []byte("no batch")}})
 	if f.routers[0].directory.Len() != 0 {
 		t.Error("a record that is none of the session directory's was taken")
 	}
@@ -238,7 +238,7 @@
 	keys := map[string]bool{}
 	for i := range 3 * sessionSlots {
 		record, ok := f.routers[0].record([]session.Entry{{Session: 1, Version: 1, Holders: []string{"runner"}}})
-		if !ok || record.Turn != uint64(i+1) {
+		if !ok || record.Version != uint64(i+1) {
 			t.Fatal(record, ok)
 		}
 		keys[record.Key] = true
--- a/internal/runner/api.go
+++ b/internal/runner/api.go
@@ -115,8 +115,8 @@
 		report.Zone = api.Hub.Me().Hall
 	}
 	record, fresh := NextRecord(api.Hub.Board, report, turn)
-	recs := []relay.Rec{record}
-	api.Hub.Spread(relay.Tell{Recs: recs})
+	recs := []relay.Record{record}
+	api.Hub.Spread(relay.Tell{Records: recs})
 	// A word of leaving, or any change of state, must outlive this router before we say it is taken.
 	if fresh {
 		ctx, end := context.WithTimeout(r.Context(), time.Second)
@@ -133,21 +133,21 @@
 // NextRecord makes the news store's next record for a runner's word, and tells whether its state changed.
 // Another run at a known address gets a generation of its own, whatever its clock says.
 //
-//	rec, fresh := runner.NextRecord(board, news, turn)
-func NextRecord(store *relay.Board, report Report, turn uint64) (relay.Rec, bool) {
-	record := relay.Rec{Key: KeyPrefix + report.Addr, Gen: 1, Turn: max(turn, 1)}
+//	record, fresh := runner.NextRecord(board, news, turn)
+func NextRecord(store *relay.Board, report Report, turn uint64) (relay.Record, bool) {
+	record := relay.Record{Key: KeyPrefix + report.Addr, Generation: 1, Version: max(turn, 1)}
 	fresh := true
 	if old, _, ok := store.Get(record.Key); ok {
 		var was Report
 		was.UnmarshalMsg(old.Body)
-		record.Gen = old.Gen
+		record.Generation = old.Generation
 		if was.Born != report.Born {
-			record.Gen++
+			record.Generation++
 		} else {
 			// A heartbeat without a turn counts as the newest. One with a turn keeps it: a heartbeat that was
 			// long under way must not undo a later word.
 			if turn == 0 {
-				record.Turn = old.Turn + 1
+				record.Version = old.Version + 1
 			}
 			fresh = was.State != report.State
 		}
--- a/internal/runner/pool.go
+++ b/internal/runner/pool.go
@@ -79,7 +79,7 @@
 // Apply takes a record of news.
 //
 //	hub := node.NewHub(ctx, addr, clientAddr, seeds, pool.Apply)
-func (p *Pool) Apply(record relay.Rec) {
+func (p *Pool) Apply(record relay.Record) {
 	switch {
 	case strings.HasPrefix(record.Key, KeyPrefix):
 		var report Report
@@ -91,14 +91,14 @@
 		}
 		p.mu.Lock()
 		instance := p.byAddr[report.Addr]
-		if instance == nil || instance.gen != record.Gen {
+		if instance == nil || instance.gen != record.Generation {
 			// Another run at a known address is another runner: nothing of the old counts for it.
 			if instance != nil {
 				instance.mu.Lock()
 				instance.gone = true
 				instance.mu.Unlock()
 			}
-			instance = &Instance{Index: len(p.all), Addr: report.Addr, gen: record.Gen}
+			instance = &Instance{Index: len(p.all), Addr: report.Addr, gen: record.Generation}
 			p.all = append(p.all, instance)
 			p.byAddr[report.Addr] = instance
 		}
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -189,7 +189,7 @@
 	if f.options != nil {
 		options = f.options(r)
 	}
-	r.hub = node.NewHub(ec.Part("node"), r.addr, r.addr, []string{f.founder[0], f.founder[1], "10.0.1.1:1"}, func(relay.Rec) {}, options...)
+	r.hub = node.NewHub(ec.Part("node"), r.addr, r.addr, []string{f.founder[0], f.founder[1], "10.0.1.1:1"}, func(relay.Record) {}, options...)
 	r.mu.Lock()
 	r.seen = nil
 	r.mu.Unlock()
