--- a/internal/node/hub.go
+++ b/internal/node/hub.go
@@ -31,17 +31,17 @@
 
 // Hub is one router's share in the fleet's control.
 type Hub struct {
-	ctx   env.Ctx
-	addr  string
-	face  string
-	seeds atomic.Pointer[[]string]
-	cal   *wire.Caller
-	Core  *core.Client
-	Board *relay.Board
-	box   chan relay.Tell
-	now   atomic.Pointer[configuration] // in force; nil before the first
-	turn  atomic.Pointer[chan struct{}] // closed by the next layout
-	hook  func(relay.Record)
+	ctx     env.Ctx
+	addr    string
+	face    string
+	seeds   atomic.Pointer[[]string]
+	cal     *wire.Caller
+	Core    *core.Client
+	Records *relay.Store
+	box     chan relay.Tell
+	now     atomic.Pointer[configuration] // in force; nil before the first
+	turn    atomic.Pointer[chan struct{}] // closed by the next layout
+	hook    func(relay.Record)
 
 	told     uint64                                  // the sequence that the core last named; only the beat touches it
 	document func(sequence uint64, raw []byte) error // nil: the configuration is a layout
@@ -73,7 +73,7 @@
 type Option func(*Hub)
 
 // Document has the hub pass on configurations in place of reading them as layouts. take is called for
-// each newer one, in order, under the board's lock. With an error the old one stays in force.
+// each newer one, in order, under the store's lock. With an error the old one stays in force.
 //
 //	hub := node.NewHub(ctx, addr, face, seeds, hook, node.Document(take))
 func Document(take func(sequence uint64, raw []byte) error) Option {
@@ -104,7 +104,7 @@
 		box: make(chan relay.Tell, 1024), begun: time.Now(), more: map[string]wire.Hand{}}
 	h.Core = core.NewClient(ctx, h.cal, seeds)
 	h.seeds.Store(&seeds)
-	h.Board = relay.NewBoard(h.see)
+	h.Records = relay.NewStore(h.see)
 	next := make(chan struct{})
 	h.turn.Store(&next)
 	for _, option := range options {
@@ -113,7 +113,7 @@
 	return h
 }
 
-// see runs under the board's lock, for one key from older to newer.
+// see runs under the store's lock, for one key from older to newer.
 func (h *Hub) see(r relay.Record) {
 	switch {
 	case r.Key == relay.ConfigKey && h.document != nil:
@@ -333,13 +333,13 @@
 		})
 	case "node.sum":
 		return wire.On(body, func(in *relay.Sum) (*relay.Diff, error) {
-			d := h.Board.Diff(*in)
+			d := h.Records.Diff(*in)
 			return &d, nil
 		})
 	case "node.fix":
 		return wire.On(body, func(in *relay.Fix) (*relay.Tell, error) {
 			h.Spread(relay.Tell{From: in.From, Records: in.Records})
-			return &relay.Tell{From: h.ctx.Name, Records: h.Board.Pick(in.Want)}, nil
+			return &relay.Tell{From: h.ctx.Name, Records: h.Records.Select(in.Want)}, nil
 		})
 	case "node.view":
 		return wire.On(body, func(in *view.Learn) (*core.Done, error) {
@@ -356,7 +356,7 @@
 //
 //	hub.Spread(relay.Tell{Records: recs})
 func (h *Hub) Spread(t relay.Tell) {
-	fresh := h.Board.Take(t.Records)
+	fresh := h.Records.Take(t.Records)
 	if len(fresh) == 0 {
 		return
 	}
@@ -495,7 +495,7 @@
 	}
 	// One that was not understood is not fetched again and again. A new one is on its way by the relays: it is
 	// fetched only if it was missing for a whole beat, else a large part of the fleet would ask the primary at once.
-	record, _, _ := h.Board.Get(relay.ConfigKey)
+	record, _, _ := h.Records.Get(relay.ConfigKey)
 	overdue := h.Sequence() == 0 || record.Version < h.told
 	h.told = out.Seq
 	if h.Sequence() < out.Seq && record.Version < out.Seq && overdue {
@@ -564,7 +564,7 @@
 
 // mend compares our news with one neighbour's, or any node's every other time, by digests.
 func (h *Hub) mend() {
-	h.Board.Drop(forget)
+	h.Records.Drop(forget)
 	near := h.Near()
 	nodes := h.Nodes()
 	// A neighbour that does not answer may be what news is stuck behind: another is asked at once.
@@ -588,12 +588,12 @@
 }
 
 func (h *Hub) mendWith(ctx context.Context, to string) bool {
-	sum := h.Board.Sum(h.ctx.Name)
+	sum := h.Records.Sum(h.ctx.Name)
 	var diff relay.Diff
 	if h.cal.Call(ctx, to, "node.sum", &sum, &diff) != nil {
 		return false
 	}
-	fix := h.Board.Fix(h.ctx.Name, diff)
+	fix := h.Records.Fix(h.ctx.Name, diff)
 	if len(fix.Records)+len(fix.Want) == 0 {
 		return true
 	}
--- a/internal/relay/drop_test.go
+++ b/internal/relay/drop_test.go
@@ -10,7 +10,7 @@
 // each other's copies in between. A newer word of its key is taken.
 func TestDroppedRecordsStayAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, b := NewBoard(nil), NewBoard(nil)
+		a, b := NewStore(nil), NewStore(nil)
 		rec := Record{Key: "runners/x", Version: 3, Body: []byte("x")}
 		a.Take([]Record{rec})
 		time.Sleep(700 * time.Millisecond)
@@ -22,8 +22,8 @@
 			b.Drop(time.Minute)
 			mend(b, a)
 		}
-		for _, board := range []*Board{a, b} {
-			if _, _, ok := board.Get("runners/x"); ok {
+		for _, store := range []*Store{a, b} {
+			if _, _, ok := store.Get("runners/x"); ok {
 				t.Error("the record is still there after 75 s")
 			}
 		}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -9,7 +9,7 @@
 )
 
 // mend makes two boards alike by digests, and tells the bytes that went between them.
-func mend(a, b *Board) int {
+func mend(a, b *Store) int {
 	sum := a.Sum("a")
 	diff := b.Diff(sum)
 	bytes := sum.Msgsize() + diff.Msgsize()
@@ -18,7 +18,7 @@
 	}
 	fix := a.Fix("a", diff)
 	b.Take(fix.Records)
-	back := Tell{Records: b.Pick(fix.Want)}
+	back := Tell{Records: b.Select(fix.Want)}
 	a.Take(back.Records)
 	return bytes + fix.Msgsize() + back.Msgsize()
 }
@@ -26,7 +26,7 @@
 // Two copies that went apart in any way are alike after one exchange, each key at its newest.
 func TestMendAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := NewBoard(nil), NewBoard(nil)
+		a, b := NewStore(nil), NewStore(nil)
 		model := map[string]Record{}
 		for range rapid.IntRange(0, 60).Draw(t, "records") {
 			r := Record{Key: fmt.Sprintf("k%d", rapid.IntRange(0, 20).Draw(t, "key")), Generation: rapid.Uint64Range(1, 3).Draw(t, "gen"), Version: rapid.Uint64Range(1, 5).Draw(t, "turn")}
@@ -45,7 +45,7 @@
 			}
 		}
 		mend(a, b)
-		for _, x := range []*Board{a, b} {
+		for _, x := range []*Store{a, b} {
 			n := 0
 			x.Each("", func(Record, time.Duration) { n++ })
 			if n != len(model) {
@@ -67,7 +67,7 @@
 func TestMendCost(t *testing.T) {
 	const all = 200
 	for _, lost := range []int{0, 1, 5, 20, 200} {
-		a, b := NewBoard(nil), NewBoard(nil)
+		a, b := NewStore(nil), NewStore(nil)
 		full := Tell{}
 		for i := range all {
 			r := Record{Key: fmt.Sprintf("runner/10.0.0.%d:1", i), Generation: 1, Version: 7, Body: make([]byte, 400)}
--- a/internal/relay/board.go
+++ b/internal/relay/store.go
@@ -1,4 +1,4 @@
-// Package relay brings news to every node: a board of records on each, a tree over which new ones
+// Package relay brings news to every node: a store of records on each, a tree over which new ones
 // flow, and a repair by digests over ranges that mends copies from the newer.
 package relay
 
@@ -50,25 +50,25 @@
 	at                  time.Time
 }
 
-// Board is one node's copy of the news, in shards with a lock each.
-type Board struct {
-	shard [Ranges]struct {
+// Store is one node's copy of the news, in shards with a lock each.
+type Store struct {
+	shards [Ranges]struct {
 		mu  sync.RWMutex
 		all map[string]held
 		old map[string]dropped
 	}
-	see func(Record)
+	onRecord func(Record)
 }
 
-// NewBoard makes an empty board. see is called for every record that is taken, in no fixed order
+// NewStore makes an empty store. see is called for every record that is taken, in no fixed order
 // between keys, and for one key from the older to the newer.
 //
-//	b := relay.NewBoard(func(r relay.Record) { ... })
-func NewBoard(see func(Record)) *Board {
-	b := &Board{see: see}
-	for i := range b.shard {
-		b.shard[i].all = map[string]held{}
-		b.shard[i].old = map[string]dropped{}
+//	b := relay.NewStore(func(r relay.Record) { ... })
+func NewStore(onRecord func(Record)) *Store {
+	b := &Store{onRecord: onRecord}
+	for i := range b.shards {
+		b.shards[i].all = map[string]held{}
+		b.shards[i].old = map[string]dropped{}
 	}
 	return b
 }
@@ -87,10 +87,10 @@
 // Take takes the records that are newer than what stands here, and returns those.
 //
 //	fresh := b.Take(tell.Records)
-func (b *Board) Take(records []Record) []Record {
+func (b *Store) Take(records []Record) []Record {
 	var fresh []Record
 	for _, r := range records {
-		s := &b.shard[rangeOf(r.Key)]
+		s := &b.shards[rangeOf(r.Key)]
 		s.mu.Lock()
 		old, ok := s.all[r.Key]
 		gone, was := s.old[r.Key]
@@ -101,8 +101,8 @@
 		if !ok || Newer(r, old.record) {
 			s.all[r.Key] = held{r, time.Now()}
 			fresh = append(fresh, r)
-			if b.see != nil {
-				b.see(r)
+			if b.onRecord != nil {
+				b.onRecord(r)
 			}
 		}
 		s.mu.Unlock()
@@ -113,8 +113,8 @@
 // Get reads one record and how long ago it came.
 //
 //	record, age, ok := b.Get("runner/a")
-func (b *Board) Get(key string) (Record, time.Duration, bool) {
-	s := &b.shard[rangeOf(key)]
+func (b *Store) Get(key string) (Record, time.Duration, bool) {
+	s := &b.shards[rangeOf(key)]
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	h, ok := s.all[key]
@@ -124,9 +124,9 @@
 // Each visits the records whose key begins with head.
 //
 //	b.Each("runner/", func(r relay.Record, age time.Duration) { ... })
-func (b *Board) Each(head string, do func(Record, time.Duration)) {
-	for i := range b.shard {
-		s := &b.shard[i]
+func (b *Store) Each(head string, do func(Record, time.Duration)) {
+	for i := range b.shards {
+		s := &b.shards[i]
 		s.mu.RLock()
 		for k, h := range s.all {
 			if strings.HasPrefix(k, head) {
@@ -140,9 +140,9 @@
 // Drop forgets records untouched for longer than d: their owner is long gone. The layout stays.
 //
 //	b.Drop(time.Minute)
-func (b *Board) Drop(d time.Duration) {
-	for i := range b.shard {
-		s := &b.shard[i]
+func (b *Store) Drop(d time.Duration) {
+	for i := range b.shards {
+		s := &b.shards[i]
 		s.mu.Lock()
 		for k, h := range s.all {
 			if k != ConfigKey && time.Since(h.at) > d {
@@ -170,10 +170,10 @@
 // Sum digests every range.
 //
 //	sum := b.Sum("n1")
-func (b *Board) Sum(from string) Sum {
+func (b *Store) Sum(from string) Sum {
 	out := Sum{From: from, Dig: make([]uint64, Ranges)}
-	for i := range b.shard {
-		s := &b.shard[i]
+	for i := range b.shards {
+		s := &b.shards[i]
 		s.mu.RLock()
 		for k, h := range s.all {
 			out.Dig[i] ^= hash(k, word(h.record.Generation), word(h.record.Version))
@@ -186,15 +186,15 @@
 // Diff names what stands in the ranges whose digest differs from the far side's.
 //
 //	diff := b.Diff(sum)
-func (b *Board) Diff(far Sum) Diff {
+func (b *Store) Diff(far Sum) Diff {
 	var out Diff
 	mine := b.Sum("")
-	for i := range b.shard {
+	for i := range b.shards {
 		if i < len(far.Dig) && far.Dig[i] == mine.Dig[i] {
 			continue
 		}
 		out.Range = append(out.Range, i)
-		s := &b.shard[i]
+		s := &b.shards[i]
 		s.mu.RLock()
 		for _, h := range s.all {
 			out.Names = append(out.Names, Name{h.record.Key, h.record.Generation, h.record.Version})
@@ -207,7 +207,7 @@
 // Fix works out, from the far side's names, what to hand over and what to ask for.
 //
 //	fix := b.Fix("n1", diff)
-func (b *Board) Fix(from string, diff Diff) Fix {
+func (b *Store) Fix(from string, diff Diff) Fix {
 	out := Fix{From: from}
 	far := map[string]Name{}
 	for _, n := range diff.Names {
@@ -221,7 +221,7 @@
 		if i < 0 || i >= Ranges {
 			continue
 		}
-		s := &b.shard[i]
+		s := &b.shards[i]
 		s.mu.RLock()
 		for k, h := range s.all {
 			n, ok := far[k]
@@ -238,7 +238,7 @@
 // Pick gives the records asked for.
 //
 //	recs := b.Pick(fix.Want)
-func (b *Board) Pick(keys []string) []Record {
+func (b *Store) Select(keys []string) []Record {
 	var out []Record
 	for _, k := range keys {
 		if r, _, ok := b.Get(k); ok {
--- a/internal/router/main.go
+++ b/internal/router/main.go
@@ -234,7 +234,7 @@
 		turn, last, still = turn+1, now, 0
 		// Word of an earlier run of ours comes back from the others; ours goes above it. No clock
 		// is asked which run is the later.
-		if old, _, ok := r.Hub.Board.Get(key); ok && (old.Generation > gen || old.Generation == gen && old.Version >= turn) {
+		if old, _, ok := r.Hub.Records.Get(key); ok && (old.Generation > gen || old.Generation == gen && old.Version >= turn) {
 			gen = old.Generation + 1
 		}
 		r.Hub.Spread(relay.Tell{Records: []relay.Record{{Key: key, Generation: gen, Version: turn, Body: raw}}})
--- a/internal/runner/api.go
+++ b/internal/runner/api.go
@@ -114,7 +114,7 @@
 	if report.Zone == "" {
 		report.Zone = api.Hub.Me().Hall
 	}
-	record, fresh := NextRecord(api.Hub.Board, report, turn)
+	record, fresh := NextRecord(api.Hub.Records, report, turn)
 	recs := []relay.Record{record}
 	api.Hub.Spread(relay.Tell{Records: recs})
 	// A word of leaving, or any change of state, must outlive this router before we say it is taken.
@@ -134,7 +134,7 @@
 // Another run at a known address gets a generation of its own, whatever its clock says.
 //
 //	record, fresh := runner.NextRecord(board, news, turn)
-func NextRecord(store *relay.Board, report Report, turn uint64) (relay.Record, bool) {
+func NextRecord(store *relay.Store, report Report, turn uint64) (relay.Record, bool) {
 	record := relay.Record{Key: KeyPrefix + report.Addr, Generation: 1, Version: max(turn, 1)}
 	fresh := true
 	if old, _, ok := store.Get(record.Key); ok {
--- a/internal/runner/api_test.go
+++ b/internal/runner/api_test.go
@@ -11,7 +11,7 @@
 // A heartbeat long under way does not undo a later word of leaving; another run at the address does.
 func TestLateBeat(t *testing.T) {
 	var yard *Pool
-	store := relay.NewBoard(func(record relay.Record) { yard.Apply(record) })
+	store := relay.NewStore(func(record relay.Record) { yard.Apply(record) })
 	yard = NewPool("r1", func() {})
 	word := func(born, state string, turn uint64) {
 		record, _ := NextRecord(store, Report{Name: "a", Addr: "10.0.0.1:1", Born: born, State: state}, turn)
