--- a/internal/core/hand.go
+++ b/internal/core/hand.go
@@ -439,7 +439,7 @@
 	s.mu.Lock()
 	all := s.live()
 	s.mu.Unlock()
-	tell := relay.Tell{Records: records}
+	tell := relay.News{Records: records}
 	halls := map[string]int{}
 	done := make(chan bool, len(all))
 	sent := 0
--- a/internal/node/hub.go
+++ b/internal/node/hub.go
@@ -38,7 +38,7 @@
 	cal     *wire.Caller
 	Core    *core.Client
 	Records *relay.Store
-	box     chan relay.Tell
+	outbox  chan relay.News
 	now     atomic.Pointer[configuration] // in force; nil before the first
 	turn    atomic.Pointer[chan struct{}] // closed by the next layout
 	hook    func(relay.Record)
@@ -101,7 +101,7 @@
 //	hub := node.NewHub(ctx, "127.0.0.1:7501", "127.0.0.1:8501", seeds, hook)
 func NewHub(ctx env.Ctx, addr, face string, seeds []string, hook func(relay.Record), options ...Option) *Hub {
 	h := &Hub{ctx: ctx, addr: addr, face: face, cal: wire.NewCaller(ctx.Net), hook: hook,
-		box: make(chan relay.Tell, 1024), begun: time.Now(), more: map[string]wire.Hand{}}
+		outbox: make(chan relay.News, 1024), begun: time.Now(), more: map[string]wire.Hand{}}
 	h.Core = core.NewClient(ctx, h.cal, seeds)
 	h.seeds.Store(&seeds)
 	h.Records = relay.NewStore(h.see)
@@ -327,7 +327,7 @@
 	case "view.ask":
 		return &view.Told{Addr: h.addr, View: h.Core.View()}, nil
 	case "node.tell":
-		return wire.On(body, func(in *relay.Tell) (*core.Done, error) {
+		return wire.On(body, func(in *relay.News) (*core.Done, error) {
 			h.Spread(*in)
 			return &core.Done{}, nil
 		})
@@ -337,9 +337,9 @@
 			return &d, nil
 		})
 	case "node.fix":
-		return wire.On(body, func(in *relay.Fix) (*relay.Tell, error) {
-			h.Spread(relay.Tell{From: in.From, Records: in.Records})
-			return &relay.Tell{From: h.ctx.Name, Records: h.Records.Select(in.Want)}, nil
+		return wire.On(body, func(in *relay.Fix) (*relay.News, error) {
+			h.Spread(relay.News{From: in.From, Records: in.Records})
+			return &relay.News{From: h.ctx.Name, Records: h.Records.Select(in.Want)}, nil
 		})
 	case "node.view":
 		return wire.On(body, func(in *view.Learn) (*core.Done, error) {
@@ -354,14 +354,14 @@
 
 // Spread takes news and hands on what was new to the neighbours, but for the one it came from.
 //
-//	hub.Spread(relay.Tell{Records: recs})
-func (h *Hub) Spread(t relay.Tell) {
-	fresh := h.Records.Take(t.Records)
+//	hub.Spread(relay.News{Records: records})
+func (h *Hub) Spread(news relay.News) {
+	fresh := h.Records.Take(news.Records)
 	if len(fresh) == 0 {
 		return
 	}
 	select {
-	case h.box <- relay.Tell{From: t.From, Records: fresh}:
+	case h.outbox <- relay.News{From: news.From, Records: fresh}:
 	default: // the digests will carry it
 	}
 }
@@ -372,7 +372,7 @@
 func (h *Hub) Run() {
 	go h.every(beatEvery, h.beat)
 	go h.every(mendEvery, h.mend)
-	env.Loop(h.ctx, h.box, 0, h.hand, nil)
+	env.Loop(h.ctx, h.outbox, 0, h.forward, nil)
 	h.cal.Close()
 }
 
@@ -386,15 +386,15 @@
 }
 
 // hand sends news on, with all that has piled up behind it.
-func (h *Hub) hand(t relay.Tell) {
+func (h *Hub) forward(news relay.News) {
 	for _, n := range h.Near() {
-		if n.Name == t.From {
+		if n.Name == news.From {
 			continue
 		}
 		go func() {
 			ctx, end := context.WithTimeout(h.ctx, time.Second)
 			defer end()
-			h.cal.Call(ctx, n.Addr, "node.tell", &relay.Tell{From: h.ctx.Name, Records: t.Records}, nil)
+			h.cal.Call(ctx, n.Addr, "node.tell", &relay.News{From: h.ctx.Name, Records: news.Records}, nil)
 		}()
 	}
 }
@@ -416,7 +416,7 @@
 		go func() {
 			one, end := context.WithTimeout(h.ctx, time.Second)
 			defer end()
-			ch <- h.cal.Call(one, n.Addr, "node.tell", &relay.Tell{From: h.ctx.Name, Records: records}, nil) == nil
+			ch <- h.cal.Call(one, n.Addr, "node.tell", &relay.News{From: h.ctx.Name, Records: records}, nil) == nil
 		}()
 	}
 	wait := time.NewTimer(250 * time.Millisecond)
@@ -501,7 +501,7 @@
 	if h.Sequence() < out.Seq && record.Version < out.Seq && overdue {
 		var sheet core.Sheet
 		if h.Core.Call(ctx, "core.layout", &core.Want{}, &sheet, true) == nil && sheet.Seq > 0 {
-			h.Spread(relay.Tell{Records: []relay.Record{relay.ConfigRecord(sheet.Seq, sheet.Raw)}})
+			h.Spread(relay.News{Records: []relay.Record{relay.ConfigRecord(sheet.Seq, sheet.Raw)}})
 		}
 	}
 	if h.now.Load() == nil || h.Sequence() < out.Seq {
@@ -597,7 +597,7 @@
 	if len(fix.Records)+len(fix.Want) == 0 {
 		return true
 	}
-	var back relay.Tell
+	var back relay.News
 	if h.cal.Call(ctx, to, "node.fix", &fix, &back) != nil {
 		return false
 	}
--- a/internal/relay/msgs.go
+++ b/internal/relay/msgs.go
@@ -5,7 +5,7 @@
 // A length read from the wire is believed up to this only.
 //msgp:limit arrays:10000000 maps:200000
 
-// Record is one piece of news. Of two with one key the one with the higher (Gen, Turn) is newer.
+// Record is one piece of news. Of two with one key the one with the higher (Generation, Version) is newer.
 type Record struct {
 	Key        string `msg:"k"`
 	Generation uint64 `msg:"g"`
@@ -13,8 +13,8 @@
 	Body       []byte `msg:"b"`
 }
 
-// Tell hands on news.
-type Tell struct {
+// News hands on news.
+type News struct {
 	From    string   `msg:"f"`
 	Records []Record `msg:"r"`
 }
--- a/internal/relay/msgs_gen.go
+++ b/internal/relay/msgs_gen.go
@@ -367,6 +367,98 @@
 	return
 }
 
+// MarshalMsg implements msgp.Marshaler
+func (z *News) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 2
+	// string "f"
+	o = append(o, 0x82, 0xa1, 0x66)
+	o = msgp.AppendString(o, z.From)
+	// string "r"
+	o = append(o, 0xa1, 0x72)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
+	for za0001 := range z.Records {
+		o, err = z.Records[za0001].MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Records", za0001)
+			return
+		}
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *News) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > z78411aa4limitMaps {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "f":
+			z.From, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "From")
+				return
+			}
+		case "r":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Records")
+				return
+			}
+			if zb0002 > z78411aa4limitArrays {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			if cap(z.Records) >= int(zb0002) {
+				z.Records = (z.Records)[:zb0002]
+			} else {
+				z.Records = make([]Record, zb0002)
+			}
+			for za0001 := range z.Records {
+				bts, err = z.Records[za0001].UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Records", za0001)
+					return
+				}
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *News) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Records {
+		s += z.Records[za0001].Msgsize()
+	}
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z *Record) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -550,95 +642,3 @@
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.ArrayHeaderSize + (len(z.Dig) * (msgp.Uint64Size))
 	return
 }
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Tell) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "f"
-	o = append(o, 0x82, 0xa1, 0x66)
-	o = msgp.AppendString(o, z.From)
-	// string "r"
-	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
-	for za0001 := range z.Records {
-		o, err = z.Records[za0001].MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Records", za0001)
-			return
-		}
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Tell) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 > z78411aa4limitMaps {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "f":
-			z.From, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "From")
-				return
-			}
-		case "r":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Records")
-				return
-			}
-			if zb0002 > z78411aa4limitArrays {
-				err = msgp.ErrLimitExceeded
-				return
-			}
-			if cap(z.Records) >= int(zb0002) {
-				z.Records = (z.Records)[:zb0002]
-			} else {
-				z.Records = make([]Record, zb0002)
-			}
-			for za0001 := range z.Records {
-				bts, err = z.Records[za0001].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Records", za0001)
-					return
-				}
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Tell) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Records {
-		s += z.Records[za0001].Msgsize()
-	}
-	return
-}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -18,7 +18,7 @@
 	}
 	fix := a.Fix("a", diff)
 	b.Take(fix.Records)
-	back := Tell{Records: b.Select(fix.Want)}
+	back := News{Records: b.Select(fix.Want)}
 	a.Take(back.Records)
 	return bytes + fix.Msgsize() + back.Msgsize()
 }
@@ -68,7 +68,7 @@
 	const all = 200
 	for _, lost := range []int{0, 1, 5, 20, 200} {
 		a, b := NewStore(nil), NewStore(nil)
-		full := Tell{}
+		full := News{}
 		for i := range all {
 			r := Record{Key: fmt.Sprintf("runner/10.0.0.%d:1", i), Generation: 1, Version: 7, Body: make([]byte, 400)}
 			full.Records = append(full.Records, r)
@@ -122,7 +122,7 @@
 func TestFalseLength(t *testing.T) {
 	raw := []byte{0x82, 0xa1, 'f', 0xa1, 'x', 0xa1, 'r', 0xdd, 0xff, 0xff, 0xff, 0xf0} // a list of four thousand million
 	if n := testing.AllocsPerRun(1, func() {
-		var tell Tell
+		var tell News
 		if _, err := tell.UnmarshalMsg(raw); err == nil {
 			t.Error("read")
 		}
--- a/internal/relay/store.go
+++ b/internal/relay/store.go
@@ -60,7 +60,7 @@
 	onRecord func(Record)
 }
 
-// NewStore makes an empty store. see is called for every record that is taken, in no fixed order
+// NewStore makes an empty store. onRecord is called for every record that is taken, in no fixed order
 // between keys, and for one key from the older to the newer.
 //
 //	b := relay.NewStore(func(r relay.Record) { ... })
@@ -86,7 +86,7 @@
 
 // Take takes the records that are newer than what stands here, and returns those.
 //
-//	fresh := b.Take(tell.Records)
+//	fresh := b.Take(news.Records)
 func (b *Store) Take(records []Record) []Record {
 	var fresh []Record
 	for _, r := range records {
--- a/internal/router/main.go
+++ b/internal/router/main.go
@@ -237,6 +237,6 @@
 		if old, _, ok := r.Hub.Records.Get(key); ok && (old.Generation > gen || old.Generation == gen && old.Version >= turn) {
 			gen = old.Generation + 1
 		}
-		r.Hub.Spread(relay.Tell{Records: []relay.Record{{Key: key, Generation: gen, Version: turn, Body: raw}}})
+		r.Hub.Spread(relay.News{Records: []relay.Record{{Key: key, Generation: gen, Version: turn, Body: raw}}})
 	}
 }
--- a/internal/router/sessions.go
+++ b/internal/router/sessions.go
@@ -40,7 +40,7 @@
 	ctx       env.Ctx
 	balancer  *balance.Balancer
 	directory *session.Directory
-	spread    func(relay.Tell)
+	spread    func(relay.News)
 	sure      func(context.Context, []relay.Record) bool // hands records to all routers directly
 	nodes     func() []core.Node
 	call      func(ctx context.Context, addr, kind string, in msgp.Marshaler, out msgp.Unmarshaler) error
@@ -123,7 +123,7 @@
 		return
 	}
 	if record, ok := s.record(entries); ok {
-		s.spread(relay.Tell{Records: []relay.Record{record}})
+		s.spread(relay.News{Records: []relay.Record{record}})
 	}
 }
 
--- a/internal/router/sessions_test.go
+++ b/internal/router/sessions_test.go
@@ -41,9 +41,9 @@
 	ctx := env.Ctx{Context: f.Context(), Name: name, Zone: "east", Born: uint64(len(f.routers) + 1), Log: slog.New(slog.DiscardHandler)}
 	balancer := balance.New("east")
 	s := &sessionNews{ctx: ctx, balancer: balancer, directory: balancer.Sessions, nodes: f.nodes, call: f.call, core: f.core}
-	s.spread = func(tell relay.Tell) {
-		f.records += len(tell.Records)
-		f.deliver(tell.Records)
+	s.spread = func(news relay.News) {
+		f.records += len(news.Records)
+		f.deliver(news.Records)
 	}
 	s.sure = func(_ context.Context, records []relay.Record) bool {
 		f.handed += len(records)
--- a/internal/runner/api.go
+++ b/internal/runner/api.go
@@ -116,7 +116,7 @@
 	}
 	record, fresh := NextRecord(api.Hub.Records, report, turn)
 	recs := []relay.Record{record}
-	api.Hub.Spread(relay.Tell{Records: recs})
+	api.Hub.Spread(relay.News{Records: recs})
 	// A word of leaving, or any change of state, must outlive this router before we say it is taken.
 	if fresh {
 		ctx, end := context.WithTimeout(r.Context(), time.Second)
