--- a/internal/node/hub.go
+++ b/internal/node/hub.go
@@ -332,14 +332,14 @@
 			return &core.Done{}, nil
 		})
 	case "node.sum":
-		return wire.On(body, func(in *relay.Sum) (*relay.Diff, error) {
-			d := h.Records.Diff(*in)
+		return wire.On(body, func(in *relay.Digests) (*relay.Difference, error) {
+			d := h.Records.Compare(*in)
 			return &d, nil
 		})
 	case "node.fix":
-		return wire.On(body, func(in *relay.Fix) (*relay.News, error) {
+		return wire.On(body, func(in *relay.Repair) (*relay.News, error) {
 			h.Spread(relay.News{From: in.From, Records: in.Records})
-			return &relay.News{From: h.ctx.Name, Records: h.Records.Select(in.Want)}, nil
+			return &relay.News{From: h.ctx.Name, Records: h.Records.Select(in.Wanted)}, nil
 		})
 	case "node.view":
 		return wire.On(body, func(in *view.Learn) (*core.Done, error) {
@@ -564,7 +564,7 @@
 
 // mend compares our news with one neighbour's, or any node's every other time, by digests.
 func (h *Hub) mend() {
-	h.Records.Drop(forget)
+	h.Records.Forget(forget)
 	neighbours := h.Neighbours()
 	nodes := h.Nodes()
 	// A neighbour that does not answer may be what news is stuck behind: another is asked at once.
@@ -588,13 +588,13 @@
 }
 
 func (h *Hub) mendWith(ctx context.Context, to string) bool {
-	sum := h.Records.Sum(h.ctx.Name)
-	var diff relay.Diff
+	sum := h.Records.Digests(h.ctx.Name)
+	var diff relay.Difference
 	if h.cal.Call(ctx, to, "node.sum", &sum, &diff) != nil {
 		return false
 	}
-	fix := h.Records.Fix(h.ctx.Name, diff)
-	if len(fix.Records)+len(fix.Want) == 0 {
+	fix := h.Records.Repair(h.ctx.Name, diff)
+	if len(fix.Records)+len(fix.Wanted) == 0 {
 		return true
 	}
 	var back relay.News
--- a/internal/relay/drop_test.go
+++ b/internal/relay/drop_test.go
@@ -17,9 +17,9 @@
 		mend(a, b)
 		for range 250 {
 			time.Sleep(300 * time.Millisecond)
-			a.Drop(time.Minute)
+			a.Forget(time.Minute)
 			mend(a, b)
-			b.Drop(time.Minute)
+			b.Forget(time.Minute)
 			mend(b, a)
 		}
 		for _, store := range []*Store{a, b} {
--- a/internal/relay/msgs.go
+++ b/internal/relay/msgs.go
@@ -19,28 +19,28 @@
 	Records []Record `msg:"r"`
 }
 
-// Sum is what one says of its copy: a digest for each range of keys.
-type Sum struct {
-	From string   `msg:"f"`
-	Dig  []uint64 `msg:"d"`
+// Digests is what one says of its copy: a digest for each range of keys.
+type Digests struct {
+	From   string   `msg:"f"`
+	Ranges []uint64 `msg:"d"`
 }
 
 // Name is a record without its body.
-type Name struct {
+type RecordVersion struct {
 	Key        string `msg:"k"`
 	Generation uint64 `msg:"g"`
 	Version    uint64 `msg:"t"`
 }
 
-// Diff names the records of every range that differed.
-type Diff struct {
-	Range []int  `msg:"r"`
-	Names []Name `msg:"n"`
+// Difference names the records of every range that differed.
+type Difference struct {
+	Ranges  []int           `msg:"r"`
+	Records []RecordVersion `msg:"n"`
 }
 
-// Fix hands over the records that the far side lacks and asks for those that we lack.
-type Fix struct {
+// Repair hands over the records that the far side lacks and asks for those that we lack.
+type Repair struct {
 	From    string   `msg:"f"`
 	Records []Record `msg:"r"`
-	Want    []string `msg:"w"`
+	Wanted  []string `msg:"w"`
 }
--- a/internal/relay/msgs_gen.go
+++ b/internal/relay/msgs_gen.go
@@ -13,35 +13,35 @@
 )
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Diff) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Difference) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "r"
 	o = append(o, 0x82, 0xa1, 0x72)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Range)))
-	for za0001 := range z.Range {
-		o = msgp.AppendInt(o, z.Range[za0001])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Ranges)))
+	for za0001 := range z.Ranges {
+		o = msgp.AppendInt(o, z.Ranges[za0001])
 	}
 	// string "n"
 	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Names)))
-	for za0002 := range z.Names {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
+	for za0002 := range z.Records {
 		// map header, size 3
 		// string "k"
 		o = append(o, 0x83, 0xa1, 0x6b)
-		o = msgp.AppendString(o, z.Names[za0002].Key)
+		o = msgp.AppendString(o, z.Records[za0002].Key)
 		// string "g"
 		o = append(o, 0xa1, 0x67)
-		o = msgp.AppendUint64(o, z.Names[za0002].Generation)
+		o = msgp.AppendUint64(o, z.Records[za0002].Generation)
 		// string "t"
 		o = append(o, 0xa1, 0x74)
-		o = msgp.AppendUint64(o, z.Names[za0002].Version)
+		o = msgp.AppendUint64(o, z.Records[za0002].Version)
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Diff) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Difference) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -66,22 +66,22 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Range")
+				err = msgp.WrapError(err, "Ranges")
 				return
 			}
 			if zb0002 > z78411aa4limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Range) >= int(zb0002) {
-				z.Range = (z.Range)[:zb0002]
+			if cap(z.Ranges) >= int(zb0002) {
+				z.Ranges = (z.Ranges)[:zb0002]
 			} else {
-				z.Range = make([]int, zb0002)
+				z.Ranges = make([]int, zb0002)
 			}
-			for za0001 := range z.Range {
-				z.Range[za0001], bts, err = msgp.ReadIntBytes(bts)
+			for za0001 := range z.Ranges {
+				z.Ranges[za0001], bts, err = msgp.ReadIntBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Range", za0001)
+					err = msgp.WrapError(err, "Ranges", za0001)
 					return
 				}
 			}
@@ -89,23 +89,23 @@
 			var zb0003 uint32
 			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Names")
+				err = msgp.WrapError(err, "Records")
 				return
 			}
 			if zb0003 > z78411aa4limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Names) >= int(zb0003) {
-				z.Names = (z.Names)[:zb0003]
+			if cap(z.Records) >= int(zb0003) {
+				z.Records = (z.Records)[:zb0003]
 			} else {
-				z.Names = make([]Name, zb0003)
+				z.Records = make([]RecordVersion, zb0003)
 			}
-			for za0002 := range z.Names {
+			for za0002 := range z.Records {
 				var zb0004 uint32
 				zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Names", za0002)
+					err = msgp.WrapError(err, "Records", za0002)
 					return
 				}
 				if zb0004 > z78411aa4limitMaps {
@@ -116,32 +116,32 @@
 					zb0004--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Names", za0002)
+						err = msgp.WrapError(err, "Records", za0002)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "k":
-						z.Names[za0002].Key, bts, err = msgp.ReadStringBytes(bts)
+						z.Records[za0002].Key, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Names", za0002, "Key")
+							err = msgp.WrapError(err, "Records", za0002, "Key")
 							return
 						}
 					case "g":
-						z.Names[za0002].Generation, bts, err = msgp.ReadUint64Bytes(bts)
+						z.Records[za0002].Generation, bts, err = msgp.ReadUint64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Names", za0002, "Generation")
+							err = msgp.WrapError(err, "Records", za0002, "Generation")
 							return
 						}
 					case "t":
-						z.Names[za0002].Version, bts, err = msgp.ReadUint64Bytes(bts)
+						z.Records[za0002].Version, bts, err = msgp.ReadUint64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Names", za0002, "Version")
+							err = msgp.WrapError(err, "Records", za0002, "Version")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Names", za0002)
+							err = msgp.WrapError(err, "Records", za0002)
 							return
 						}
 					}
@@ -160,42 +160,32 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Diff) Msgsize() (s int) {
-	s = 1 + 2 + msgp.ArrayHeaderSize + (len(z.Range) * (msgp.IntSize)) + 2 + msgp.ArrayHeaderSize
-	for za0002 := range z.Names {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Names[za0002].Key) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
+func (z *Difference) Msgsize() (s int) {
+	s = 1 + 2 + msgp.ArrayHeaderSize + (len(z.Ranges) * (msgp.IntSize)) + 2 + msgp.ArrayHeaderSize
+	for za0002 := range z.Records {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.Records[za0002].Key) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Fix) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Digests) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
+	// map header, size 2
 	// string "f"
-	o = append(o, 0x83, 0xa1, 0x66)
+	o = append(o, 0x82, 0xa1, 0x66)
 	o = msgp.AppendString(o, z.From)
-	// string "r"
-	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
-	for za0001 := range z.Records {
-		o, err = z.Records[za0001].MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Records", za0001)
-			return
-		}
-	}
-	// string "w"
-	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Want)))
-	for za0002 := range z.Want {
-		o = msgp.AppendString(o, z.Want[za0002])
+	// string "d"
+	o = append(o, 0xa1, 0x64)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Ranges)))
+	for za0001 := range z.Ranges {
+		o = msgp.AppendUint64(o, z.Ranges[za0001])
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Fix) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Digests) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -222,133 +212,29 @@
 				err = msgp.WrapError(err, "From")
 				return
 			}
-		case "r":
+		case "d":
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Records")
+				err = msgp.WrapError(err, "Ranges")
 				return
 			}
 			if zb0002 > z78411aa4limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Records) >= int(zb0002) {
-				z.Records = (z.Records)[:zb0002]
+			if cap(z.Ranges) >= int(zb0002) {
+				z.Ranges = (z.Ranges)[:zb0002]
 			} else {
-				z.Records = make([]Record, zb0002)
+				z.Ranges = make([]uint64, zb0002)
 			}
-			for za0001 := range z.Records {
-				bts, err = z.Records[za0001].UnmarshalMsg(bts)
+			for za0001 := range z.Ranges {
+				z.Ranges[za0001], bts, err = msgp.ReadUint64Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Records", za0001)
+					err = msgp.WrapError(err, "Ranges", za0001)
 					return
 				}
 			}
-		case "w":
-			var zb0003 uint32
-			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Want")
-				return
-			}
-			if zb0003 > z78411aa4limitArrays {
-				err = msgp.ErrLimitExceeded
-				return
-			}
-			if cap(z.Want) >= int(zb0003) {
-				z.Want = (z.Want)[:zb0003]
-			} else {
-				z.Want = make([]string, zb0003)
-			}
-			for za0002 := range z.Want {
-				z.Want[za0002], bts, err = msgp.ReadStringBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Want", za0002)
-					return
-				}
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Fix) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Records {
-		s += z.Records[za0001].Msgsize()
-	}
-	s += 2 + msgp.ArrayHeaderSize
-	for za0002 := range z.Want {
-		s += msgp.StringPrefixSize + len(z.Want[za0002])
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z Name) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
-	// string "k"
-	o = append(o, 0x83, 0xa1, 0x6b)
-	o = msgp.AppendString(o, z.Key)
-	// string "g"
-	o = append(o, 0xa1, 0x67)
-	o = msgp.AppendUint64(o, z.Generation)
-	// string "t"
-	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendUint64(o, z.Version)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Name) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 > z78411aa4limitMaps {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Key, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Key")
-				return
-			}
-		case "g":
-			z.Generation, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Generation")
-				return
-			}
-		case "t":
-			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Version")
-				return
-			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -362,8 +248,8 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Name) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
+func (z *Digests) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.ArrayHeaderSize + (len(z.Ranges) * (msgp.Uint64Size))
 	return
 }
 
@@ -559,23 +445,107 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Sum) MarshalMsg(b []byte) (o []byte, err error) {
+func (z RecordVersion) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
+	// map header, size 3
+	// string "k"
+	o = append(o, 0x83, 0xa1, 0x6b)
+	o = msgp.AppendString(o, z.Key)
+	// string "g"
+	o = append(o, 0xa1, 0x67)
+	o = msgp.AppendUint64(o, z.Generation)
+	// string "t"
+	o = append(o, 0xa1, 0x74)
+	o = msgp.AppendUint64(o, z.Version)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *RecordVersion) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > z78411aa4limitMaps {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "k":
+			z.Key, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Key")
+				return
+			}
+		case "g":
+			z.Generation, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Generation")
+				return
+			}
+		case "t":
+			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Version")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z RecordVersion) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *Repair) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 3
 	// string "f"
-	o = append(o, 0x82, 0xa1, 0x66)
+	o = append(o, 0x83, 0xa1, 0x66)
 	o = msgp.AppendString(o, z.From)
-	// string "d"
-	o = append(o, 0xa1, 0x64)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Dig)))
-	for za0001 := range z.Dig {
-		o = msgp.AppendUint64(o, z.Dig[za0001])
+	// string "r"
+	o = append(o, 0xa1, 0x72)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
+	for za0001 := range z.Records {
+		o, err = z.Records[za0001].MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Records", za0001)
+			return
+		}
+	}
+	// string "w"
+	o = append(o, 0xa1, 0x77)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Wanted)))
+	for za0002 := range z.Wanted {
+		o = msgp.AppendString(o, z.Wanted[za0002])
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Sum) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Repair) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -602,26 +572,49 @@
 				err = msgp.WrapError(err, "From")
 				return
 			}
-		case "d":
+		case "r":
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Dig")
+				err = msgp.WrapError(err, "Records")
 				return
 			}
 			if zb0002 > z78411aa4limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Dig) >= int(zb0002) {
-				z.Dig = (z.Dig)[:zb0002]
+			if cap(z.Records) >= int(zb0002) {
+				z.Records = (z.Records)[:zb0002]
+			} else {
+				z.Records = make([]Record, zb0002)
+			}
+			for za0001 := range z.Records {
+				bts, err = z.Records[za0001].UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Records", za0001)
+					return
+				}
+			}
+		case "w":
+			var zb0003 uint32
+			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Wanted")
+				return
+			}
+			if zb0003 > z78411aa4limitArrays {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			if cap(z.Wanted) >= int(zb0003) {
+				z.Wanted = (z.Wanted)[:zb0003]
 			} else {
-				z.Dig = make([]uint64, zb0002)
+				z.Wanted = make([]string, zb0003)
 			}
-			for za0001 := range z.Dig {
-				z.Dig[za0001], bts, err = msgp.ReadUint64Bytes(bts)
+			for za0002 := range z.Wanted {
+				z.Wanted[za0002], bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Dig", za0001)
+					err = msgp.WrapError(err, "Wanted", za0002)
 					return
 				}
 			}
@@ -638,7 +631,14 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Sum) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.ArrayHeaderSize + (len(z.Dig) * (msgp.Uint64Size))
+func (z *Repair) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Records {
+		s += z.Records[za0001].Msgsize()
+	}
+	s += 2 + msgp.ArrayHeaderSize
+	for za0002 := range z.Wanted {
+		s += msgp.StringPrefixSize + len(z.Wanted[za0002])
+	}
 	return
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -10,15 +10,15 @@
 
 // mend makes two boards alike by digests, and tells the bytes that went between them.
 func mend(a, b *Store) int {
-	sum := a.Sum("a")
-	diff := b.Diff(sum)
+	sum := a.Digests("a")
+	diff := b.Compare(sum)
 	bytes := sum.Msgsize() + diff.Msgsize()
-	if len(diff.Range) == 0 {
+	if len(diff.Ranges) == 0 {
 		return bytes
 	}
-	fix := a.Fix("a", diff)
+	fix := a.Repair("a", diff)
 	b.Take(fix.Records)
-	back := News{Records: b.Select(fix.Want)}
+	back := News{Records: b.Select(fix.Wanted)}
 	a.Take(back.Records)
 	return bytes + fix.Msgsize() + back.Msgsize()
 }
@@ -57,8 +57,8 @@
 				}
 			}
 		}
-		if d := b.Diff(a.Sum("a")); len(d.Range) != 0 {
-			t.Fatalf("ranges %v still differ", d.Range)
+		if d := b.Compare(a.Digests("a")); len(d.Ranges) != 0 {
+			t.Fatalf("ranges %v still differ", d.Ranges)
 		}
 	})
 }
--- a/internal/relay/store.go
+++ b/internal/relay/store.go
@@ -11,7 +11,7 @@
 )
 
 // Ranges is how many ranges of keys have a digest of their own.
-const Ranges = 64
+const RangeCount = 64
 
 // ConfigKey is the key of the layout's record.
 const ConfigKey = "layout"
@@ -39,23 +39,23 @@
 	return string(a.Body) > string(b.Body)
 }
 
-type held struct {
+type heldRecord struct {
 	record Record
 	at     time.Time
 }
 
 // dropped is a record that was forgotten. A neighbour that still has it must not bring it back.
-type dropped struct {
+type forgotten struct {
 	generation, version uint64
 	at                  time.Time
 }
 
 // Store is one node's copy of the news, in shards with a lock each.
 type Store struct {
-	shards [Ranges]struct {
+	shards [RangeCount]struct {
 		mu  sync.RWMutex
-		all map[string]held
-		old map[string]dropped
+		all map[string]heldRecord
+		old map[string]forgotten
 	}
 	onRecord func(Record)
 }
@@ -67,8 +67,8 @@
 func NewStore(onRecord func(Record)) *Store {
 	b := &Store{onRecord: onRecord}
 	for i := range b.shards {
-		b.shards[i].all = map[string]held{}
-		b.shards[i].old = map[string]dropped{}
+		b.shards[i].all = map[string]heldRecord{}
+		b.shards[i].old = map[string]forgotten{}
 	}
 	return b
 }
@@ -82,7 +82,7 @@
 	return h.Sum64()
 }
 
-func rangeOf(key string) int { return int(hash(key) % Ranges) }
+func rangeOf(key string) int { return int(hash(key) % RangeCount) }
 
 // Take takes the records that are newer than what stands here, and returns those.
 //
@@ -90,22 +90,22 @@
 func (b *Store) Take(records []Record) []Record {
 	var fresh []Record
 	for _, r := range records {
-		s := &b.shards[rangeOf(r.Key)]
-		s.mu.Lock()
-		old, ok := s.all[r.Key]
-		gone, was := s.old[r.Key]
+		shard := &b.shards[rangeOf(r.Key)]
+		shard.mu.Lock()
+		old, ok := shard.all[r.Key]
+		gone, was := shard.old[r.Key]
 		if was && gone.generation == r.Generation && gone.version == r.Version {
-			s.mu.Unlock()
+			shard.mu.Unlock()
 			continue
 		}
 		if !ok || Newer(r, old.record) {
-			s.all[r.Key] = held{r, time.Now()}
+			shard.all[r.Key] = heldRecord{r, time.Now()}
 			fresh = append(fresh, r)
 			if b.onRecord != nil {
 				b.onRecord(r)
 			}
 		}
-		s.mu.Unlock()
+		shard.mu.Unlock()
 	}
 	return fresh
 }
@@ -114,10 +114,10 @@
 //
 //	record, age, ok := b.Get("runner/a")
 func (b *Store) Get(key string) (Record, time.Duration, bool) {
-	s := &b.shards[rangeOf(key)]
-	s.mu.RLock()
-	defer s.mu.RUnlock()
-	h, ok := s.all[key]
+	shard := &b.shards[rangeOf(key)]
+	shard.mu.RLock()
+	defer shard.mu.RUnlock()
+	h, ok := shard.all[key]
 	return h.record, time.Since(h.at), ok
 }
 
@@ -126,40 +126,40 @@
 //	b.Each("runner/", func(r relay.Record, age time.Duration) { ... })
 func (b *Store) Each(head string, do func(Record, time.Duration)) {
 	for i := range b.shards {
-		s := &b.shards[i]
-		s.mu.RLock()
-		for k, h := range s.all {
+		shard := &b.shards[i]
+		shard.mu.RLock()
+		for k, h := range shard.all {
 			if strings.HasPrefix(k, head) {
 				do(h.record, time.Since(h.at))
 			}
 		}
-		s.mu.RUnlock()
+		shard.mu.RUnlock()
 	}
 }
 
 // Drop forgets records untouched for longer than d: their owner is long gone. The layout stays.
 //
 //	b.Drop(time.Minute)
-func (b *Store) Drop(d time.Duration) {
+func (b *Store) Forget(d time.Duration) {
 	for i := range b.shards {
-		s := &b.shards[i]
-		s.mu.Lock()
-		for k, h := range s.all {
+		shard := &b.shards[i]
+		shard.mu.Lock()
+		for k, h := range shard.all {
 			if k != ConfigKey && time.Since(h.at) > d {
-				delete(s.all, k)
-				s.old[k] = dropped{h.record.Generation, h.record.Version, time.Now()}
+				delete(shard.all, k)
+				shard.old[k] = forgotten{h.record.Generation, h.record.Version, time.Now()}
 			}
 		}
-		for k, gone := range s.old {
+		for k, gone := range shard.old {
 			if time.Since(gone.at) > d {
-				delete(s.old, k)
+				delete(shard.old, k)
 			}
 		}
-		s.mu.Unlock()
+		shard.mu.Unlock()
 	}
 }
 
-func word(n uint64) string {
+func littleEndian(n uint64) string {
 	var b [8]byte
 	for i := range b {
 		b[i] = byte(n >> (8 * i))
@@ -167,77 +167,77 @@
 	return string(b[:])
 }
 
-// Sum digests every range.
+// Digests digests every range.
 //
-//	sum := b.Sum("n1")
-func (b *Store) Sum(from string) Sum {
-	out := Sum{From: from, Dig: make([]uint64, Ranges)}
+//	sum := b.Digests("n1")
+func (b *Store) Digests(from string) Digests {
+	out := Digests{From: from, Ranges: make([]uint64, RangeCount)}
 	for i := range b.shards {
-		s := &b.shards[i]
-		s.mu.RLock()
-		for k, h := range s.all {
-			out.Dig[i] ^= hash(k, word(h.record.Generation), word(h.record.Version))
+		shard := &b.shards[i]
+		shard.mu.RLock()
+		for k, h := range shard.all {
+			out.Ranges[i] ^= hash(k, littleEndian(h.record.Generation), littleEndian(h.record.Version))
 		}
-		s.mu.RUnlock()
+		shard.mu.RUnlock()
 	}
 	return out
 }
 
-// Diff names what stands in the ranges whose digest differs from the far side's.
+// Difference names what stands in the ranges whose digest differs from the far side's.
 //
-//	diff := b.Diff(sum)
-func (b *Store) Diff(far Sum) Diff {
-	var out Diff
-	mine := b.Sum("")
+//	diff := b.Difference(sum)
+func (b *Store) Compare(far Digests) Difference {
+	var out Difference
+	mine := b.Digests("")
 	for i := range b.shards {
-		if i < len(far.Dig) && far.Dig[i] == mine.Dig[i] {
+		if i < len(far.Ranges) && far.Ranges[i] == mine.Ranges[i] {
 			continue
 		}
-		out.Range = append(out.Range, i)
-		s := &b.shards[i]
-		s.mu.RLock()
-		for _, h := range s.all {
-			out.Names = append(out.Names, Name{h.record.Key, h.record.Generation, h.record.Version})
+		out.Ranges = append(out.Ranges, i)
+		shard := &b.shards[i]
+		shard.mu.RLock()
+		for _, h := range shard.all {
+			out.Records = append(out.Records, RecordVersion{h.record.Key, h.record.Generation, h.record.Version})
 		}
-		s.mu.RUnlock()
+		shard.mu.RUnlock()
 	}
 	return out
 }
 
-// Fix works out, from the far side's names, what to hand over and what to ask for.
+// Repair works out, from the far side's names, what to hand over and what to ask for.
 //
-//	fix := b.Fix("n1", diff)
-func (b *Store) Fix(from string, diff Diff) Fix {
-	out := Fix{From: from}
-	far := map[string]Name{}
-	for _, n := range diff.Names {
+//	fix := b.Repair("n1", diff)
+func (b *Store) Repair(from string, diff Difference) Repair {
+	out := Repair{From: from}
+	far := map[string]RecordVersion{}
+	for _, n := range diff.Records {
 		far[n.Key] = n
 		mine, _, ok := b.Get(n.Key)
 		if !ok || n.Generation > mine.Generation || n.Generation == mine.Generation && n.Version > mine.Version {
-			out.Want = append(out.Want, n.Key)
+			out.Wanted = append(out.Wanted, n.Key)
 		}
 	}
-	for _, i := range diff.Range {
-		if i < 0 || i >= Ranges {
+	for _, i := range diff.Ranges {
+		if i < 0 || i >= RangeCount {
 			continue
 		}
-		s := &b.shards[i]
-		s.mu.RLock()
-		for k, h := range s.all {
+		shard := &b.shards[i]
+		shard.mu.RLock()
+		for k, h := range shard.all {
 			n, ok := far[k]
 			if !ok || h.record.Generation > n.Generation || h.record.Generation == n.Generation && h.record.Version > n.Version {
 				out.Records = append(out.Records, h.record)
 			}
 		}
-		s.mu.RUnlock()
+		shard.mu.RUnlock()
 	}
 	sort.Slice(out.Records, func(i, j int) bool { return out.Records[i].Key < out.Records[j].Key })
 	return out
 }
 
-// Pick gives the records asked for.
+// Select gives the records asked for.
 //
-//	recs := b.Pick(fix.Want)
+//	recs := b.Select(fix.Want)
 func (b *Store) Select(keys []string) []Record {
 	var out []Record
 	for _, k := range keys {
