--- a/internal/relay/store.go
+++ b/internal/relay/store.go
@@ -87,10 +87,10 @@
 // Take takes the records that are newer than what stands here, and returns those.
 //
 //	fresh := b.Take(news.Records)
-func (b *Store) Take(records []Record) []Record {
+func (s *Store) Take(records []Record) []Record {
 	var fresh []Record
 	for _, r := range records {
-		shard := &b.shards[rangeOf(r.Key)]
+		shard := &s.shards[rangeOf(r.Key)]
 		shard.mu.Lock()
 		old, ok := shard.all[r.Key]
 		gone, was := shard.old[r.Key]
@@ -101,8 +101,8 @@
 		if !ok || Newer(r, old.record) {
 			shard.all[r.Key] = heldRecord{r, time.Now()}
 			fresh = append(fresh, r)
-			if b.onRecord != nil {
-				b.onRecord(r)
+			if s.onRecord != nil {
+				s.onRecord(r)
 			}
 		}
 		shard.mu.Unlock()
@@ -113,8 +113,8 @@
 // Get reads one record and how long ago it came.
 //
 //	record, age, ok := b.Get("runner/a")
-func (b *Store) Get(key string) (Record, time.Duration, bool) {
-	shard := &b.shards[rangeOf(key)]
+func (s *Store) Get(key string) (Record, time.Duration, bool) {
+	shard := &s.shards[rangeOf(key)]
 	shard.mu.RLock()
 	defer shard.mu.RUnlock()
 	h, ok := shard.all[key]
@@ -124,9 +124,9 @@
 // Each visits the records whose key begins with head.
 //
 //	b.Each("runner/", func(r relay.Record, age time.Duration) { ... })
-func (b *Store) Each(head string, do func(Record, time.Duration)) {
-	for i := range b.shards {
-		shard := &b.shards[i]
+func (s *Store) Each(head string, do func(Record, time.Duration)) {
+	for i := range s.shards {
+		shard := &s.shards[i]
 		shard.mu.RLock()
 		for k, h := range shard.all {
 			if strings.HasPrefix(k, head) {
@@ -140,9 +140,9 @@
 // Drop forgets records untouched for longer than d: their owner is long gone. The layout stays.
 //
 //	b.Drop(time.Minute)
-func (b *Store) Forget(d time.Duration) {
-	for i := range b.shards {
-		shard := &b.shards[i]
+func (s *Store) Forget(d time.Duration) {
+	for i := range s.shards {
+		shard := &s.shards[i]
 		shard.mu.Lock()
 		for k, h := range shard.all {
 			if k != ConfigKey && time.Since(h.at) > d {
@@ -170,10 +170,10 @@
 // Digests digests every range.
 //
 //	sum := b.Digests("n1")
-func (b *Store) Digests(from string) Digests {
+func (s *Store) Digests(from string) Digests {
 	out := Digests{From: from, Ranges: make([]uint64, RangeCount)}
-	for i := range b.shards {
-		shard := &b.shards[i]
+	for i := range s.shards {
+		shard := &s.shards[i]
 		shard.mu.RLock()
 		for k, h := range shard.all {
 			out.Ranges[i] ^= hash(k, littleEndian(h.record.Generation), littleEndian(h.record.Version))
@@ -186,15 +186,15 @@
 // Difference names what stands in the ranges whose digest differs from the far side's.
 //
 //	diff := b.Difference(sum)
-func (b *Store) Compare(far Digests) Difference {
+func (s *Store) Compare(far Digests) Difference {
 	var out Difference
-	mine := b.Digests("")
-	for i := range b.shards {
+	mine := s.Digests("")
+	for i := range s.shards {
 		if i < len(far.Ranges) && far.Ranges[i] == mine.Ranges[i] {
 			continue
 		}
 		out.Ranges = append(out.Ranges, i)
-		shard := &b.shards[i]
+		shard := &s.shards[i]
 		shard.mu.RLock()
 		for _, h := range shard.all {
 			out.Records = append(out.Records, RecordVersion{h.record.Key, h.record.Generation, h.record.Version})
@@ -207,12 +207,12 @@
 // Repair works out, from the far side's names, what to hand over and what to ask for.
 //
 //	fix := b.Repair("n1", diff)
-func (b *Store) Repair(from string, diff Difference) Repair {
+func (s *Store) Repair(from string, diff Difference) Repair {
 	out := Repair{From: from}
 	far := map[string]RecordVersion{}
 	for _, n := range diff.Records {
 		far[n.Key] = n
-		mine, _, ok := b.Get(n.Key)
+		mine, _, ok := s.Get(n.Key)
 		if !ok || n.Generation > mine.Generation || n.Generation == mine.Generation && n.Version > mine.Version {
 			out.Wanted = append(out.Wanted, n.Key)
 		}
@@ -221,7 +221,7 @@
 		if i < 0 || i >= RangeCount {
 			continue
 		}
-		shard := &b.shards[i]
+		shard := &s.shards[i]
 		shard.mu.RLock()
 		for k, h := range shard.all {
 			n, ok := far[k]
@@ -238,10 +238,10 @@
 // Select gives the records asked for.
 //
 //	recs := b.Select(fix.Want)
-func (b *Store) Select(keys []string) []Record {
+func (s *Store) Select(keys []string) []Record {
 	var out []Record
 	for _, k := range keys {
-		if r, _, ok := b.Get(k); ok {
+		if r, _, ok := s.Get(k); ok {
 			out = append(out, r)
 		}
 	}
