--- a/internal/node/hub.go
+++ b/internal/node/hub.go
@@ -298,7 +298,7 @@
 
 // Near lists our neighbours in the relay tree.
 //
-//	for _, s := range hub.Near() { ... }
+//	for _, s := range hub.Neighbours() { ... }
 func (h *Hub) Neighbours() []relay.Node {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/relay/msgs.go
+++ b/internal/relay/msgs.go
@@ -25,7 +25,7 @@
 	Ranges []uint64 `msg:"d"`
 }
 
-// Name is a record without its body.
+// RecordVersion is a record without its body.
 type RecordVersion struct {
 	Key        string `msg:"k"`
 	Generation uint64 `msg:"g"`
--- a/internal/relay/store.go
+++ b/internal/relay/store.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Ranges is how many ranges of keys have a digest of their own.
+// RangeCount is how many ranges of keys have a digest of their own.
 const RangeCount = 64
 
 // ConfigKey is the key of the layout's record.
@@ -23,7 +23,7 @@
 	return Record{Key: ConfigKey, Version: seq, Body: raw}
 }
 
-// RunnerHead begins the key of a registered runner's record; its ID follows.
+// RunnerPrefix begins the key of a registered runner's record; its ID follows.
 const RunnerPrefix = "runners/"
 
 // Newer tells whether a is newer than b.
@@ -44,7 +44,7 @@
 	at     time.Time
 }
 
-// dropped is a record that was forgotten. A neighbour that still has it must not bring it back.
+// forgotten is a record that was forgotten. A neighbour that still has it must not bring it back.
 type forgotten struct {
 	generation, version uint64
 	at                  time.Time
@@ -63,7 +63,7 @@
 // NewStore makes an empty store. onRecord is called for every record that is taken, in no fixed order
 // between keys, and for one key from the older to the newer.
 //
-//	b := relay.NewStore(func(r relay.Record) { ... })
+//	store := relay.NewStore(func(r relay.Record) { ... })
 func NewStore(onRecord func(Record)) *Store {
 	b := &Store{onRecord: onRecord}
 	for i := range b.shards {
@@ -86,7 +86,7 @@
 
 // Take takes the records that are newer than what stands here, and returns those.
 //
-//	fresh := b.Take(news.Records)
+//	fresh := store.Take(news.Records)
 func (s *Store) Take(records []Record) []Record {
 	var fresh []Record
 	for _, r := range records {
@@ -112,7 +112,7 @@
 
 // Get reads one record and how long ago it came.
 //
-//	record, age, ok := b.Get("runner/a")
+//	record, age, ok := store.Get("runner/a")
 func (s *Store) Get(key string) (Record, time.Duration, bool) {
 	shard := &s.shards[rangeOf(key)]
 	shard.mu.RLock()
@@ -121,15 +121,15 @@
 	return h.record, time.Since(h.at), ok
 }
 
-// Each visits the records whose key begins with head.
+// Each visits the records whose key begins with a prefix.
 //
-//	b.Each("runner/", func(r relay.Record, age time.Duration) { ... })
-func (s *Store) Each(head string, do func(Record, time.Duration)) {
+//	store.Each("runner/", func(r relay.Record, age time.Duration) { ... })
+func (s *Store) Each(prefix string, do func(Record, time.Duration)) {
 	for i := range s.shards {
 		shard := &s.shards[i]
 		shard.mu.RLock()
 		for k, h := range shard.all {
-			if strings.HasPrefix(k, head) {
+			if strings.HasPrefix(k, prefix) {
 				do(h.record, time.Since(h.at))
 			}
 		}
@@ -137,9 +137,9 @@
 	}
 }
 
-// Drop forgets records untouched for longer than d: their owner is long gone. The layout stays.
+// Forget forgets records untouched for longer than d: their owner is long gone. The layout stays.
 //
-//	b.Drop(time.Minute)
+//	store.Forget(time.Minute)
 func (s *Store) Forget(d time.Duration) {
 	for i := range s.shards {
 		shard := &s.shards[i]
@@ -169,7 +169,7 @@
 
 // Digests digests every range.
 //
-//	sum := b.Digests("n1")
+//	digests := store.Digests("n1")
 func (s *Store) Digests(from string) Digests {
 	out := Digests{From: from, Ranges: make([]uint64, RangeCount)}
 	for i := range s.shards {
@@ -183,9 +183,9 @@
 	return out
 }
 
-// Difference names what stands in the ranges whose digest differs from the far side's.
+// Compare names what stands in the ranges whose digest differs from the far side's.
 //
-//	diff := b.Difference(sum)
+//	difference := store.Compare(digests)
 func (s *Store) Compare(far Digests) Difference {
 	var out Difference
 	mine := s.Digests("")
@@ -206,7 +206,7 @@
 
 // Repair works out, from the far side's names, what to hand over and what to ask for.
 //
-//	fix := b.Repair("n1", diff)
+//	repair := store.Repair("n1", difference)
 func (s *Store) Repair(from string, diff Difference) Repair {
 	out := Repair{From: from}
 	far := map[string]RecordVersion{}
@@ -237,7 +237,7 @@
 
 // Select gives the records asked for.
 //
-//	recs := b.Select(fix.Want)
+//	records := store.Select(repair.Wanted)
 func (s *Store) Select(keys []string) []Record {
 	var out []Record
 	for _, k := range keys {
--- a/internal/relay/tree.go
+++ b/internal/relay/tree.go
@@ -9,14 +9,14 @@
 	Addr string `json:"Addr"`
 }
 
-// Fan is how many children a relay hands news to.
+// Fanout is how many children a relay hands news to.
 const Fanout = 3
 
-// Near names the neighbours of a node: its parent and children in its zone's tree, and for the
+// Neighbours names the neighbours of a node: its parent and children in its zone's tree, and for the
 // first of a zone the first of every other. All nodes work it out from the same list, so it needs
 // no talk; while lists differ, the repair by digests covers the gaps.
 //
-//	for _, n := range relay.Near("n1", seats) { ... }
+//	for _, n := range relay.Neighbours("n1", nodes) { ... }
 func Neighbours(me string, all []Node) []Node {
 	zones := map[string][]Node{}
 	zone := ""
@@ -47,8 +47,8 @@
 		neighbours = append(neighbours, zoneNodes[i])
 	}
 	if position == 0 {
-		for nodes, list := range zones {
-			if nodes != zone {
+		for other, list := range zones {
+			if other != zone {
 				neighbours = append(neighbours, list[0])
 			}
 		}
