--- a/internal/allow/allow.go
+++ b/internal/allow/allow.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 )
 
 // Estimate is what is known of one eligible runner at the moment of judging.
@@ -19,7 +19,7 @@
 // for these runners and is not yet on any of them.
 //
 //	w := allow.Wait(rule, []allow.Estimate{{Queued: 600, Rate: 20}}, 0) // 30s
-func Wait(rule layout.Allowance, estimates []Estimate, waiting float64) time.Duration {
+func Wait(rule fleetconfig.Allowance, estimates []Estimate, waiting float64) time.Duration {
 	queued, rate := waiting, 0.0
 	for _, estimate := range estimates {
 		queued += estimate.Queued
@@ -42,7 +42,7 @@
 // Size is the allowance in tokens for a wait: the ceiling, then a straight line, then the floor.
 //
 //	n := allow.Size(rule, 180*time.Second) // 2304 with the defaults
-func Size(rule layout.Allowance, wait time.Duration) int {
+func Size(rule fleetconfig.Allowance, wait time.Duration) int {
 	switch {
 	case wait <= rule.Full:
 		return rule.Ceiling
@@ -83,7 +83,7 @@
 // Decide judges a prompt. estimates are of the runners eligible at the asked length.
 //
 //	v := allow.Decide(rule, allow.Demand{Tokens: 2000}, estimates, 0)
-func Decide(rule layout.Allowance, demand Demand, estimates []Estimate, waiting float64) Verdict {
+func Decide(rule fleetconfig.Allowance, demand Demand, estimates []Estimate, waiting float64) Verdict {
 	verdict := Verdict{Tokens: demand.Tokens, Size: rule.Floor}
 	if len(estimates) > 0 {
 		verdict.Wait = Wait(rule, estimates, waiting)
--- a/internal/allow/allow_test.go
+++ b/internal/allow/allow_test.go
@@ -7,10 +7,10 @@
 
 	"pgregory.net/rapid"
 
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 )
 
-var rule = layout.Allowance{Ceiling: 4096, Floor: 512, Full: 60 * time.Second, Low: 300 * time.Second, Rate: 10}
+var rule = fleetconfig.Allowance{Ceiling: 4096, Floor: 512, Full: 60 * time.Second, Low: 300 * time.Second, Rate: 10}
 
 // The curve at its thresholds, between them and past them.
 func TestCurve(t *testing.T) {
@@ -22,7 +22,7 @@
 }
 
 // plain is the rule as the paper tells it, by big steps and with no care for speed.
-func plain(r layout.Allowance, demand Demand, estimates []Estimate, waiting float64) (Outcome, int) {
+func plain(r fleetconfig.Allowance, demand Demand, estimates []Estimate, waiting float64) (Outcome, int) {
 	size := r.Floor
 	if len(estimates) > 0 {
 		sum, rate := waiting, 0.0
@@ -55,7 +55,7 @@
 func TestDecideAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		floor := rapid.IntRange(1, 2000).Draw(t, "floor")
-		r := layout.Allowance{Floor: floor, Ceiling: floor + rapid.IntRange(0, 8000).Draw(t, "above"),
+		r := fleetconfig.Allowance{Floor: floor, Ceiling: floor + rapid.IntRange(0, 8000).Draw(t, "above"),
 			Full: time.Duration(rapid.IntRange(0, 200).Draw(t, "full")) * time.Second, Rate: 10}
 		r.Low = r.Full + time.Duration(rapid.IntRange(1, 500).Draw(t, "low"))*time.Second
 		estimates := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Estimate {
--- a/internal/clientapi/retries.go
+++ b/internal/clientapi/retries.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 	"yarrowridge/internal/metrics"
 	"yarrowridge/internal/strike"
 )
@@ -55,7 +55,7 @@
 // CountFirst counts a first try. part is what this router has of the fleet's spare tries.
 //
 //	budget.CountFirst(service, hub.Part(service.Spare))
-func (b *RetryBudget) CountFirst(service layout.Service, part int) {
+func (b *RetryBudget) CountFirst(service fleetconfig.Service, part int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	counts := b.countsOf(service.Name)
@@ -77,7 +77,7 @@
 // Allow tells whether a second try may be made now, and counts it.
 //
 //	if budget.Allow(service) { ... }
-func (b *RetryBudget) Allow(service layout.Service) bool {
+func (b *RetryBudget) Allow(service fleetconfig.Service) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	counts := b.countsOf(service.Name)
--- a/internal/clientapi/route.go
+++ b/internal/clientapi/route.go
@@ -4,7 +4,7 @@
 	"strings"
 	"time"
 
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 	"yarrowridge/internal/request"
 )
 
@@ -16,7 +16,7 @@
 	x.config = x.server.Hub.Layout()
 	key, ok := strings.CutPrefix(x.incoming.Header.Get("Authorization"), "Bearer ")
 	if ok {
-		x.keyHash = layout.HashKey(strings.TrimSpace(key))
+		x.keyHash = fleetconfig.HashKey(strings.TrimSpace(key))
 		x.tenantIndex, ok = x.config.TenantByHash(x.keyHash)
 	}
 	if !ok {
@@ -79,7 +79,7 @@
 
 // applyConfig takes tenant, lane and pool anew from a config, by the key's hash and the route. The lane has
 // to stay the one it was, if there was one.
-func (x *exchange) applyConfig(config *layout.Config) *Rejection {
+func (x *exchange) applyConfig(config *fleetconfig.Config) *Rejection {
 	tenant, ok := x.findTenant(config)
 	if !ok {
 		return rejectKey
@@ -95,7 +95,7 @@
 
 // findTenant finds the request's tenant in a config by its key. ok is false where the key is another's by now,
 // or nobody's.
-func (x *exchange) findTenant(config *layout.Config) (tenant int, ok bool) {
+func (x *exchange) findTenant(config *fleetconfig.Config) (tenant int, ok bool) {
 	tenant, ok = config.TenantByHash(x.keyHash)
 	return tenant, ok && config.Tenants[tenant].Name == x.request.Tenant
 }
--- a/internal/clientapi/server.go
+++ b/internal/clientapi/server.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"yarrowridge/internal/env"
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 	"yarrowridge/internal/metrics"
 	"yarrowridge/internal/node"
 	"yarrowridge/internal/place"
@@ -84,11 +84,11 @@
 	request      *request.Request
 	writer       http.ResponseWriter
 	incoming     *http.Request
-	config       *layout.Config
+	config       *fleetconfig.Config
 	tenantIndex  int
-	tenant       *layout.Tenant
-	lane         *layout.Lane
-	pool         *layout.Pool
+	tenant       *fleetconfig.Tenant
+	lane         *fleetconfig.Lane
+	pool         *fleetconfig.Pool
 	body         []byte
 	bodyRead     bool         // the body was read whole
 	keyHash      string       // hash of the key it came with
--- a/internal/core/layoutcodec.go
+++ b/internal/core/layoutcodec.go
@@ -3,17 +3,17 @@
 import (
 	"time"
 
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 )
 
-const defaultRanMost = layout.RanMost
+const defaultRanMost = fleetconfig.RanMost
 
 // layoutCodec reads layouts. A layout does not number itself: the core counts.
 type layoutCodec struct{}
 
 // Check reads a whole layout.
 func (layoutCodec) Check(raw []byte) (Document, []Flaw) {
-	lay, troubles := layout.Parse(raw)
+	lay, troubles := fleetconfig.Parse(raw)
 	if len(troubles) > 0 {
 		flaws := make([]Flaw, len(troubles))
 		for i, trouble := range troubles {
@@ -35,8 +35,8 @@
 
 // Merge applies a JSON merge patch.
 func (layoutCodec) Merge(current, change []byte) ([]byte, error) {
-	return layout.Merge(current, change)
+	return fleetconfig.Merge(current, change)
 }
 
 // MaxBytes is the size of the largest layout.
-func (layoutCodec) MaxBytes() int { return layout.MaxBytes }
+func (layoutCodec) MaxBytes() int { return fleetconfig.MaxBytes }
--- a/internal/drill/configfaults.go
+++ b/internal/drill/configfaults.go
@@ -12,7 +12,7 @@
 	"github.com/tidwall/gjson"
 
 	"yarrowridge/internal/env"
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 )
 
 // putConfig writes a config with a mark of its own, and notes what the operator was told.
@@ -25,7 +25,7 @@
 	limits["queue"] = 1000 + mark
 	config["limits"] = limits
 	raw, _ := json.Marshal(config)
-	return d.sendConfig(ctx, "PUT", raw, match, layout.HashKey(string(raw)))
+	return d.sendConfig(ctx, "PUT", raw, match, fleetconfig.HashKey(string(raw)))
 }
 
 func (d *Day) sendConfig(ctx context.Context, method string, raw []byte, match, hash string) ConfigWrite {
@@ -65,7 +65,7 @@
 		d.watch.note(func(ev *Evidence) {
 			for i := range ev.ConfigWrites {
 				if ev.ConfigWrites[i].Version == patch.Version && ev.ConfigWrites[i].Hash == "patch" {
-					ev.ConfigWrites[i].Hash = layout.HashKey(string(whole))
+					ev.ConfigWrites[i].Hash = fleetconfig.HashKey(string(whole))
 				}
 			}
 		})
--- a/internal/drill/day.go
+++ b/internal/drill/day.go
@@ -13,7 +13,7 @@
 	"github.com/tidwall/gjson"
 
 	"yarrowridge/internal/env"
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 )
 
 // Day is a deployment's day, compressed: its traffic, its operators, and a course of faults that ends
@@ -36,7 +36,7 @@
 func NewDay(f *Fleet, l *Load, seed uint64, out io.Writer) *Day {
 	d := &Day{fleet: f, load: l, watch: NewWatch(f), out: out, random: rand.New(rand.NewPCG(seed, 12)), config: maps.Clone(f.Mix.Config)}
 	d.watch.note(func(ev *Evidence) {
-		ev.ConfigWrites = append(ev.ConfigWrites, ConfigWrite{SentAt: time.Now(), AnsweredAt: time.Now(), Code: 200, Version: 1, Hash: layout.HashKey(string(f.Mix.Raw()))})
+		ev.ConfigWrites = append(ev.ConfigWrites, ConfigWrite{SentAt: time.Now(), AnsweredAt: time.Now(), Code: 200, Version: 1, Hash: fleetconfig.HashKey(string(f.Mix.Raw()))})
 	})
 	return d
 }
@@ -78,7 +78,7 @@
 		if err != nil || code != 200 {
 			return false
 		}
-		last.Hash = layout.HashKey(string(raw))
+		last.Hash = fleetconfig.HashKey(string(raw))
 		_, raw, _ = d.fleet.Ask(ctx, "GET", d.pickRouter().Operator, "/v1/fleet", nil, nil)
 		last.Version = gjson.GetBytes(raw, "sequence").Uint()
 		return last.Version > 0
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -14,7 +14,7 @@
 	"github.com/tidwall/gjson"
 	"github.com/zeromicro/go-zero/core/logx"
 
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 )
 
 var bin string
@@ -120,7 +120,7 @@
 		if json.Unmarshal(raw, &a) != nil || json.Unmarshal(mix.Raw(), &b) != nil || fmt.Sprint(a) != fmt.Sprint(b) {
 			t.Errorf("examples/%s.json differs from the mix: write it anew with drill layout", mix.Name)
 		}
-		if _, bad := layout.Parse(raw); len(bad) > 0 {
+		if _, bad := fleetconfig.Parse(raw); len(bad) > 0 {
 			t.Errorf("examples/%s.json: %v", mix.Name, bad)
 		}
 	}
--- a/internal/drill/fleet.go
+++ b/internal/drill/fleet.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 )
 
 // Fleet is a whole rehearsal fleet.
@@ -38,7 +38,7 @@
 //	f, err := drill.NewFleet(drill.Trentvale(), "bin", dir)
 func NewFleet(mix Mix, bin, dir string) (*Fleet, error) {
 	f := &Fleet{Mix: mix, Dir: dir, RequestLog: &RequestLog{}, Lost: 10 * time.Second}
-	hash := layout.HashKey(OperatorKey)
+	hash := fleetconfig.HashKey(OperatorKey)
 	var err error
 	at := func() string {
 		a, e := f.port("127.0.0.1")
@@ -98,7 +98,7 @@
 
 // coreArgs are a core's flags, but for the founders.
 func (f *Fleet) coreArgs(p *Proc) []string {
-	return []string{"-name", p.Name, "-hall", p.Zone, "-addr", p.Addr, "-operator", p.Operator, "-operator-key-hash", layout.HashKey(OperatorKey),
+	return []string{"-name", p.Name, "-hall", p.Zone, "-addr", p.Addr, "-operator", p.Operator, "-operator-key-hash", fleetconfig.HashKey(OperatorKey),
 		"-data", filepath.Join(f.Dir, p.Name), "-log", "debug", "-lost", f.Lost.String()}
 }
 
--- a/internal/drill/mix.go
+++ b/internal/drill/mix.go
@@ -7,7 +7,7 @@
 	"sort"
 	"strings"
 
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 )
 
 // Mix is a deployment as the drill plays it: its zones, runners, config and traffic.
@@ -47,7 +47,7 @@
 func tenants(names []string, funded, quota int) object {
 	out := object{}
 	for i, n := range names {
-		t := object{"keys": []string{layout.HashKey(Key(n))}, "funded": i < funded}
+		t := object{"keys": []string{fleetconfig.HashKey(Key(n))}, "funded": i < funded}
 		if i >= len(names)-quota {
 			t["quota"] = object{"units": 600, "window_s": 10}
 		}
--- a/internal/layout/config.go
+++ b/internal/fleetconfig/config.go
@@ -1,6 +1,6 @@
-// Package layout reads and checks the operators' config: pools, lanes, routes, tenants and limits.
+// Package fleetconfig reads and checks the operators' config: pools, lanes, routes, tenants and limits.
 // A document with an error in it is never made into a Config.
-package layout
+package fleetconfig
 
 import (
 	"crypto/sha256"
@@ -107,7 +107,7 @@
 
 // HashKey is how a key is written in a config: the hex SHA-256 of its text.
 //
-//	"keys": ["<layout.HashKey("s3cret")>"]
+//	"keys": ["<fleetconfig.HashKey("s3cret")>"]
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
@@ -122,7 +122,7 @@
 
 // TenantByHash finds the tenant by the hash of a key, for those who hold only that.
 //
-//	tenant, ok := config.TenantByHash(layout.HashKey("s3cret"))
+//	tenant, ok := config.TenantByHash(fleetconfig.HashKey("s3cret"))
 func (c *Config) TenantByHash(hash string) (int, bool) {
 	i, ok := c.tenantByHash[hash]
 	return i, ok
--- a/internal/layout/merge.go
+++ b/internal/fleetconfig/merge.go
@@ -1,4 +1,4 @@
-package layout
+package fleetconfig
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 
 // Merge applies a JSON merge patch (RFC 7386) to a config's text.
 //
-//	next, err := layout.Merge(raw, []byte(`{"lanes":{"old":null}}`))
+//	next, err := fleetconfig.Merge(raw, []byte(`{"lanes":{"old":null}}`))
 func Merge(raw, patch []byte) ([]byte, error) {
 	var base, change any
 	if len(raw) > 0 {
--- a/internal/layout/parse.go
+++ b/internal/fleetconfig/parse.go
@@ -1,4 +1,4 @@
-package layout
+package fleetconfig
 
 import (
 	"crypto/sha256"
@@ -23,7 +23,7 @@
 
 // Parse checks raw whole and tells every error, or gives the config.
 //
-//	config, errors := layout.Parse(raw)
+//	config, errors := fleetconfig.Parse(raw)
 func Parse(raw []byte) (*Config, []FieldError) {
 	if len(raw) > MaxBytes {
 		return nil, []FieldError{{"", fmt.Sprintf("%d bytes; at most %d expected", len(raw), MaxBytes)}}
--- a/internal/layout/reader.go
+++ b/internal/fleetconfig/reader.go
@@ -1,4 +1,4 @@
-package layout
+package fleetconfig
 
 import (
 	"fmt"
--- a/internal/layout/selector.go
+++ b/internal/fleetconfig/selector.go
@@ -1,4 +1,4 @@
-package layout
+package fleetconfig
 
 import (
 	"slices"
@@ -18,7 +18,7 @@
 // ParseSelector reads "model=a, hall in (north,east), gpu, !canary"; the second value is
 // the plain sentence of what is wrong, or "".
 //
-//	sel, bad := layout.ParseSelector("model=lumen, hall notin (west)")
+//	sel, bad := fleetconfig.ParseSelector("model=lumen, hall notin (west)")
 func ParseSelector(s string) (Selector, string) {
 	var out Selector
 	for _, part := range splitTerms(s) {
--- a/internal/gateway/allowance.go
+++ b/internal/gateway/allowance.go
@@ -4,7 +4,7 @@
 	"sync"
 
 	"yarrowridge/internal/allow"
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 	"yarrowridge/internal/routing"
 )
 
@@ -56,8 +56,8 @@
 }
 
 // allowanceRule gives the allowance's figures of a route, of which ceiling tokens at most were asked for.
-func allowanceRule(route *routing.RouteSpec, ceiling int) layout.Allowance {
-	return layout.Allowance{Ceiling: ceiling, Floor: ceiling / allowanceFloorPart, Full: route.TargetLatency,
+func allowanceRule(route *routing.RouteSpec, ceiling int) fleetconfig.Allowance {
+	return fleetconfig.Allowance{Ceiling: ceiling, Floor: ceiling / allowanceFloorPart, Full: route.TargetLatency,
 		Low: allowanceLowWaits * route.TargetLatency, Rate: assumedRate}
 }
 
--- a/internal/node/hub.go
+++ b/internal/node/hub.go
@@ -13,7 +13,7 @@
 
 	"yarrowridge/internal/core"
 	"yarrowridge/internal/env"
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 	"yarrowridge/internal/registry"
 	"yarrowridge/internal/relay"
 	"yarrowridge/internal/strike"
@@ -66,7 +66,7 @@
 type configuration struct {
 	sequence uint64
 	raw      []byte
-	layout   *layout.Config // nil where the configuration is another document
+	layout   *fleetconfig.Config // nil where the configuration is another document
 }
 
 // Option changes what a hub does with its news.
@@ -137,7 +137,7 @@
 }
 
 func (h *Hub) takeLayout(r relay.Record) {
-	lay, bad := layout.Parse(r.Body)
+	lay, bad := fleetconfig.Parse(r.Body)
 	if len(bad) > 0 {
 		h.ctx.Log.Error("Layout from the core is not understood. The old one stays.", "sequence", r.Version, "trouble", bad[0].Path+": "+bad[0].Text)
 		return
@@ -172,7 +172,7 @@
 // Layout is the newest layout held; nil before the first, and where the configuration is another document.
 //
 //	lay := hub.Layout()
-func (h *Hub) Layout() *layout.Config {
+func (h *Hub) Layout() *fleetconfig.Config {
 	if c := h.now.Load(); c != nil {
 		return c.layout
 	}
@@ -191,10 +191,10 @@
 
 // Hash is the hex SHA-256 of the configuration obeyed, as it was put; "" before the first.
 //
-//	same := hub.Hash() == layout.HashKey(string(raw))
+//	same := hub.Hash() == fleetconfig.HashKey(string(raw))
 func (h *Hub) Hash() string {
 	if c := h.now.Load(); c != nil {
-		return layout.HashKey(string(c.raw))
+		return fleetconfig.HashKey(string(c.raw))
 	}
 	return ""
 }
--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -10,7 +10,7 @@
 
 	"yarrowridge/internal/core"
 	"yarrowridge/internal/env"
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 	"yarrowridge/internal/web"
 )
 
@@ -70,7 +70,7 @@
 func (api *API) keyed(handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-		if !ok || layout.HashKey(key) != api.KeyHash() {
+		if !ok || fleetconfig.HashKey(key) != api.KeyHash() {
 			web.WriteError(w, http.StatusUnauthorized, "unknown-key", "The operators' key is expected, as Authorization: Bearer KEY.")
 			return
 		}
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"yarrowridge/internal/core"
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 	"yarrowridge/internal/web"
 	"yarrowridge/internal/wire"
 )
@@ -65,13 +65,13 @@
 		}
 		write.Match, write.Any = version, false
 	}
-	raw, err := io.ReadAll(io.LimitReader(r.Body, layout.MaxBytes+1))
+	raw, err := io.ReadAll(io.LimitReader(r.Body, fleetconfig.MaxBytes+1))
 	if err != nil {
 		web.WriteError(w, http.StatusBadRequest, "body-unread", "The body broke off before its end.")
 		return write, false
 	}
-	if len(raw) > layout.MaxBytes {
-		web.WriteError(w, http.StatusRequestEntityTooLarge, "too-large", fmt.Sprintf("A layout of at most %d bytes is taken.", layout.MaxBytes))
+	if len(raw) > fleetconfig.MaxBytes {
+		web.WriteError(w, http.StatusRequestEntityTooLarge, "too-large", fmt.Sprintf("A layout of at most %d bytes is taken.", fleetconfig.MaxBytes))
 		return write, false
 	}
 	write.Raw = raw
@@ -103,7 +103,7 @@
 	case written.Code == 412:
 		web.WriteError(w, http.StatusPreconditionFailed, "lost-race", fmt.Sprintf("The layout is at sequence %d by now.", written.Seq))
 	case written.Code == 413:
-		web.WriteError(w, http.StatusRequestEntityTooLarge, "too-large", fmt.Sprintf("A layout of at most %d bytes is taken.", layout.MaxBytes))
+		web.WriteError(w, http.StatusRequestEntityTooLarge, "too-large", fmt.Sprintf("A layout of at most %d bytes is taken.", fleetconfig.MaxBytes))
 	case written.Code == 422:
 		web.WriteError(w, http.StatusUnprocessableEntity, "write-id-clash", "This "+WriteIDHeader+" was used for another write.")
 	default:
--- a/internal/runner/api.go
+++ b/internal/runner/api.go
@@ -12,7 +12,7 @@
 	"github.com/tidwall/gjson"
 	"github.com/zeromicro/go-zero/rest"
 
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 	"yarrowridge/internal/node"
 	"yarrowridge/internal/relay"
 	"yarrowridge/internal/web"
@@ -96,7 +96,7 @@
 func (api *API) Heartbeat(w http.ResponseWriter, r *http.Request) {
 	if hash := api.KeyHash(); hash != "" {
 		key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-		if layout.HashKey(key) != hash {
+		if fleetconfig.HashKey(key) != hash {
 			web.WriteError(w, http.StatusUnauthorized, "unknown-key", "The runners' key is expected.")
 			return
 		}
--- a/internal/runner/pool.go
+++ b/internal/runner/pool.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 	"yarrowridge/internal/node"
 	"yarrowridge/internal/relay"
 	"yarrowridge/internal/strike"
@@ -284,7 +284,7 @@
 // Serves tells whether the runner is of the kind asked for, whatever its health.
 //
 //	if instance.Serves(pool, "lumen", 512) { ... }
-func (instance *Instance) Serves(selector layout.Selector, model string, tokens int) bool {
+func (instance *Instance) Serves(selector fleetconfig.Selector, model string, tokens int) bool {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
 	if model != "" && instance.report.Labels["model"] != model {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"yarrowridge/internal/env"
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 	"yarrowridge/internal/routing"
 	"yarrowridge/internal/wire"
 )
@@ -115,7 +115,7 @@
 	shortest := time.Hour
 	for range 5 {
 		begun := time.Now()
-		layout.Parse(raw)
+		fleetconfig.Parse(raw)
 		shortest = min(shortest, time.Since(begun))
 	}
 	return shortest
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 	"yarrowridge/internal/wire"
 )
 
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	parsed, troubles := layout.Parse(raw)
+	parsed, troubles := fleetconfig.Parse(raw)
 	if len(troubles) > 0 {
 		t.Fatalf("%d troubles, the first %v", len(troubles), troubles[0])
 	}
--- a/internal/sim/router_test.go
+++ b/internal/sim/router_test.go
@@ -20,7 +20,7 @@
 	"github.com/tidwall/gjson"
 
 	"yarrowridge/internal/env"
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 	"yarrowridge/internal/router"
 	"yarrowridge/internal/runner"
 	"yarrowridge/internal/wire"
@@ -509,7 +509,7 @@
 	return map[string]any{"model": "m", "prompt": "hello", "max_tokens": tokens}
 }
 
-func key(tenant string) string { return layout.HashKey("demo-" + tenant) }
+func key(tenant string) string { return fleetconfig.HashKey("demo-" + tenant) }
 
 // plainLay is a layout with one pool of model runners and one of an ordinary application.
 func plainLay(more string) string {
