--- a/internal/clientapi/secondrun.go
+++ b/internal/clientapi/secondrun.go
@@ -108,7 +108,7 @@
 // config in force. made is false where none may be made.
 func (x *exchange) runAgain() (err error, made bool) {
 	again := *x
-	if again.applyConfig(x.server.Hub.Layout()) != nil || !again.lane.Repeat {
+	if again.applyConfig(x.server.Hub.Config()) != nil || !again.lane.Repeat {
 		return nil, false
 	}
 	if carrier := again.carrier; carrier.stream != nil {
@@ -199,7 +199,7 @@
 	}
 	incoming.Header = saved.Header
 	x.incoming, x.request.Tenant = incoming, stream.Tenant
-	if rejection := x.applyConfig(x.server.Hub.Layout()); rejection != nil {
+	if rejection := x.applyConfig(x.server.Hub.Config()); rejection != nil {
 		return rejection
 	}
 	if err := x.parseBody(); err != nil {
--- a/internal/node/hub.go
+++ b/internal/node/hub.go
@@ -23,56 +23,56 @@
 
 // How often the hub does what.
 const (
-	beatEvery = 400 * time.Millisecond
-	mendEvery = 300 * time.Millisecond
-	staleFrom = 3 * time.Second
-	forget    = 60 * time.Second
+	heartbeatEvery = 400 * time.Millisecond
+	repairEvery    = 300 * time.Millisecond
+	staleAfter     = 3 * time.Second
+	forgetAfter    = 60 * time.Second
 )
 
 // Hub is one router's share in the fleet's control.
 type Hub struct {
-	ctx     env.Ctx
-	addr    string
-	face    string
-	seeds   atomic.Pointer[[]string]
-	cal     *wire.Caller
-	Core    *core.Client
-	Records *relay.Store
-	outbox  chan relay.News
-	now     atomic.Pointer[configuration] // in force; nil before the first
-	turn    atomic.Pointer[chan struct{}] // closed by the next layout
-	hook    func(relay.Record)
-
-	told     uint64                                  // the sequence that the core last named; only the beat touches it
-	document func(sequence uint64, raw []byte) error // nil: the configuration is a layout
-	runners  *registry.Registry                      // nil: none is kept
-	tally    func() []core.RunnerTally               // nil: none is told
-	failing  func([]core.FailingRunner)
-
-	mu         sync.Mutex
-	roll       uint64
-	nodes      []core.Node
-	neighbours []relay.Node
-	heard      time.Time // last answer of the core
-	asked      bool      // the core, or failing that all hall peers that answer, have been asked
-	begun      time.Time
-	short      []string
-	quit       bool // no new origins, please
-	leave      bool // the lease is given up
-	more       map[string]wire.Hand
+	ctx           env.Ctx
+	addr          string
+	clientAddr    string
+	seeds         atomic.Pointer[[]string]
+	caller        *wire.Caller
+	Core          *core.Client
+	Records       *relay.Store
+	outbox        chan relay.News
+	current       atomic.Pointer[configuration] // in force; nil before the first
+	configChanged atomic.Pointer[chan struct{}] // closed by the next layout
+	onNews        func(relay.Record)
+
+	announcedVersion uint64                                  // the sequence that the core last named; only the beat touches it
+	document         func(sequence uint64, raw []byte) error // nil: the configuration is a layout
+	runners          *registry.Registry                      // nil: none is kept
+	tally            func() []core.RunnerTally               // nil: none is told
+	failing          func([]core.FailingRunner)
+
+	mu            sync.Mutex
+	roll          uint64
+	nodes         []core.Node
+	neighbours    []relay.Node
+	coreHeard     time.Time // last answer of the core
+	asked         bool      // the core, or failing that all hall peers that answer, have been asked
+	started       time.Time
+	scarceTenants []string
+	draining      bool // no new origins, please
+	leaving       bool // the lease is given up
+	handlers      map[string]wire.Hand
 }
 
 // configuration is what the core gave and this router obeys.
 type configuration struct {
-	sequence uint64
-	raw      []byte
-	layout   *fleetconfig.Config // nil where the configuration is another document
+	version uint64
+	raw     []byte
+	config  *fleetconfig.Config // nil where the configuration is another document
 }
 
 // Option changes what a hub does with its news.
 type Option func(*Hub)
 
-// Document has the hub pass on configurations in place of reading them as layouts. take is called for
+// Document has the hub pass on configurations in place of reading them as configurations. take is called for
 // each newer one, in order, under the store's lock. With an error the old one stays in force.
 //
 //	hub := node.NewHub(ctx, addr, face, seeds, hook, node.Document(take))
@@ -99,14 +99,14 @@
 // registered runners.
 //
 //	hub := node.NewHub(ctx, "127.0.0.1:7501", "127.0.0.1:8501", seeds, hook)
-func NewHub(ctx env.Ctx, addr, face string, seeds []string, hook func(relay.Record), options ...Option) *Hub {
-	h := &Hub{ctx: ctx, addr: addr, face: face, cal: wire.NewCaller(ctx.Net), hook: hook,
-		outbox: make(chan relay.News, 1024), begun: time.Now(), more: map[string]wire.Hand{}}
-	h.Core = core.NewClient(ctx, h.cal, seeds)
+func NewHub(ctx env.Ctx, addr, clientAddr string, seeds []string, onNews func(relay.Record), options ...Option) *Hub {
+	h := &Hub{ctx: ctx, addr: addr, clientAddr: clientAddr, caller: wire.NewCaller(ctx.Net), onNews: onNews,
+		outbox: make(chan relay.News, 1024), started: time.Now(), handlers: map[string]wire.Hand{}}
+	h.Core = core.NewClient(ctx, h.caller, seeds)
 	h.seeds.Store(&seeds)
 	h.Records = relay.NewStore(h.see)
 	next := make(chan struct{})
-	h.turn.Store(&next)
+	h.configChanged.Store(&next)
 	for _, option := range options {
 		option(h)
 	}
@@ -119,11 +119,11 @@
 	case r.Key == relay.ConfigKey && h.document != nil:
 		h.takeDocument(r)
 	case r.Key == relay.ConfigKey:
-		h.takeLayout(r)
+		h.takeConfig(r)
 	case h.runners != nil && registry.Owns(r):
 		h.runners.See(r)
-	case h.hook != nil:
-		h.hook(r)
+	case h.onNews != nil:
+		h.onNews(r)
 	}
 }
 
@@ -132,23 +132,23 @@
 		h.ctx.Log.Error("Configuration from the core is not understood. The old one stays.", "sequence", r.Version, "trouble", err.Error())
 		return
 	}
-	h.obey(&configuration{sequence: r.Version, raw: r.Body})
+	h.obey(&configuration{version: r.Version, raw: r.Body})
 	h.ctx.Log.Info("Configuration taken up.", "sequence", r.Version)
 }
 
-func (h *Hub) takeLayout(r relay.Record) {
-	lay, bad := fleetconfig.Parse(r.Body)
+func (h *Hub) takeConfig(r relay.Record) {
+	config, bad := fleetconfig.Parse(r.Body)
 	if len(bad) > 0 {
 		h.ctx.Log.Error("Layout from the core is not understood. The old one stays.", "sequence", r.Version, "trouble", bad[0].Path+": "+bad[0].Text)
 		return
 	}
-	lay.Version = r.Version
-	next := &configuration{sequence: lay.Version, raw: lay.Raw, layout: lay}
-	if old := h.now.Load(); strike.Out("late") && old != nil {
-		time.AfterFunc(12*time.Second, func() { h.now.Store(next) })
+	config.Version = r.Version
+	next := &configuration{version: config.Version, raw: config.Raw, config: config}
+	if old := h.current.Load(); strike.Out("late") && old != nil {
+		time.AfterFunc(12*time.Second, func() { h.current.Store(next) })
 		return
 	} else if strike.Out("slip") && old != nil {
-		time.AfterFunc(time.Second, func() { h.now.Store(old) })
+		time.AfterFunc(time.Second, func() { h.current.Store(old) })
 	}
 	h.obey(next)
 	h.ctx.Log.Info("Layout taken up.", "sequence", r.Version)
@@ -156,9 +156,9 @@
 
 // obey puts a configuration in force and wakes those who wait for the next.
 func (h *Hub) obey(c *configuration) {
-	h.now.Store(c)
+	h.current.Store(c)
 	next := make(chan struct{})
-	close(*h.turn.Swap(&next))
+	close(*h.configChanged.Swap(&next))
 }
 
 // SetSeeds replaces the seeds: the settings have changed.
@@ -172,9 +172,9 @@
 // Layout is the newest layout held; nil before the first, and where the configuration is another document.
 //
 //	lay := hub.Layout()
-func (h *Hub) Layout() *fleetconfig.Config {
-	if c := h.now.Load(); c != nil {
-		return c.layout
+func (h *Hub) Config() *fleetconfig.Config {
+	if c := h.current.Load(); c != nil {
+		return c.config
 	}
 	return nil
 }
@@ -182,9 +182,9 @@
 // Sequence is the sequence of the configuration obeyed; 0 before the first.
 //
 //	seq := hub.Sequence()
-func (h *Hub) Sequence() uint64 {
-	if c := h.now.Load(); c != nil {
-		return c.sequence
+func (h *Hub) ConfigVersion() uint64 {
+	if c := h.current.Load(); c != nil {
+		return c.version
 	}
 	return 0
 }
@@ -193,7 +193,7 @@
 //
 //	same := hub.Hash() == fleetconfig.HashKey(string(raw))
 func (h *Hub) Hash() string {
-	if c := h.now.Load(); c != nil {
+	if c := h.current.Load(); c != nil {
 		return fleetconfig.HashKey(string(c.raw))
 	}
 	return ""
@@ -202,14 +202,14 @@
 // Turn is closed once a newer layout is in force. Ask for it before Layout, so as to miss none.
 //
 //	turn, lay := hub.Turn(), hub.Layout()
-func (h *Hub) Turn() <-chan struct{} { return *h.turn.Load() }
+func (h *Hub) ConfigChanged() <-chan struct{} { return *h.configChanged.Load() }
 
 // Me is this node as its peers know it.
 //
 //	n := hub.Me()
 func (h *Hub) Me() core.Node {
-	n := core.Node{Name: h.ctx.Name, Hall: h.ctx.Zone, Addr: h.addr, Face: h.face, Born: h.ctx.Born}
-	n.Seq = h.Sequence()
+	n := core.Node{Name: h.ctx.Name, Hall: h.ctx.Zone, Addr: h.addr, Face: h.clientAddr, Born: h.ctx.Born}
+	n.Seq = h.ConfigVersion()
 	n.Ready = h.Ready() == ""
 	return n
 }
@@ -219,31 +219,31 @@
 //	if why := hub.Ready(); why != "" { ... }
 func (h *Hub) Ready() string {
 	h.mu.Lock()
-	quit := h.quit
+	quit := h.draining
 	h.mu.Unlock()
 	if quit {
 		return "leaving"
 	}
-	return h.Can()
+	return h.Servable()
 }
 
 // Quit begins leaving: we are no longer ready, but go on serving what comes.
 //
 //	hub.Quit()
-func (h *Hub) Quit() {
+func (h *Hub) StartDraining() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.quit = true
+	h.draining = true
 }
 
 // Can tells why this node can't serve at all yet, or "".
 //
 //	if why := hub.Can(); why != "" { ... }
-func (h *Hub) Can() string {
+func (h *Hub) Servable() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
-	case h.now.Load() == nil:
+	case h.current.Load() == nil:
 		return "no layout yet"
 	case !h.asked:
 		return "neither the core nor the hall's nodes have been asked yet"
@@ -257,7 +257,7 @@
 func (h *Hub) Stale() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return time.Since(h.heard) > staleFrom
+	return time.Since(h.coreHeard) > staleAfter
 }
 
 // Fresh tells whether the core has answered one of the last two beats.
@@ -266,7 +266,7 @@
 func (h *Hub) Fresh() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return time.Since(h.heard) < 2*beatEvery+beatEvery/2
+	return time.Since(h.coreHeard) < 2*heartbeatEvery+heartbeatEvery/2
 }
 
 // Nodes lists the nodes that the core last named.
@@ -308,21 +308,21 @@
 // Short lists the tenants whose idle units the core wants back.
 //
 //	for _, t := range hub.Short() { ... }
-func (h *Hub) Short() []string {
+func (h *Hub) ScarceTenants() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.short
+	return h.scarceTenants
 }
 
 // Own adds a hand for another owner's calls on the same listener.
 //
 //	hub.Own("piece", pool.Hand)
-func (h *Hub) Own(name string, hand wire.Hand) { h.more[name] = hand }
+func (h *Hub) Handle(name string, hand wire.Hand) { h.handlers[name] = hand }
 
 // Hand answers calls from other processes.
 //
 //	go wire.Serve(ctx, l, hub.Hand)
-func (h *Hub) Hand(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
+func (h *Hub) Serve(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 	switch kind {
 	case "view.ask":
 		return &view.Told{Addr: h.addr, View: h.Core.View()}, nil
@@ -349,7 +349,7 @@
 	case "node.roll":
 		return &Roll{h.Nodes()}, nil
 	}
-	return wire.Hands(h.more).Do(ctx, kind, body)
+	return wire.Hands(h.handlers).Do(ctx, kind, body)
 }
 
 // Spread takes news and hands on what was new to the neighbours, but for the one it came from.
@@ -370,10 +370,10 @@
 //
 //	hub.Run()
 func (h *Hub) Run() {
-	go h.every(beatEvery, h.beat)
-	go h.every(mendEvery, h.mend)
+	go h.every(heartbeatEvery, h.sendHeartbeat)
+	go h.every(repairEvery, h.repair)
 	env.Loop(h.ctx, h.outbox, 0, h.forward, nil)
-	h.cal.Close()
+	h.caller.Close()
 }
 
 // every does something again and again. The first time is at random, so that nodes that started together do
@@ -394,7 +394,7 @@
 		go func() {
 			ctx, end := context.WithTimeout(h.ctx, time.Second)
 			defer end()
-			h.cal.Call(ctx, n.Addr, "node.tell", &relay.News{From: h.ctx.Name, Records: news.Records}, nil)
+			h.caller.Call(ctx, n.Addr, "node.tell", &relay.News{From: h.ctx.Name, Records: news.Records}, nil)
 		}()
 	}
 }
@@ -404,7 +404,7 @@
 // tree that led through us must not be what others depend on.
 //
 //	if hub.Sure(ctx, recs) { ... }
-func (h *Hub) Sure(ctx context.Context, records []relay.Record) bool {
+func (h *Hub) SpreadToAll(ctx context.Context, records []relay.Record) bool {
 	nodes := h.Nodes()
 	ch := make(chan bool, len(nodes))
 	ask := 0
@@ -416,37 +416,37 @@
 		go func() {
 			one, end := context.WithTimeout(h.ctx, time.Second)
 			defer end()
-			ch <- h.cal.Call(one, n.Addr, "node.tell", &relay.News{From: h.ctx.Name, Records: records}, nil) == nil
+			ch <- h.caller.Call(one, n.Addr, "node.tell", &relay.News{From: h.ctx.Name, Records: records}, nil) == nil
 		}()
 	}
 	wait := time.NewTimer(250 * time.Millisecond)
 	defer wait.Stop()
 	late := wait.C
-	sure := ask == 0
+	held := ask == 0
 	for ; ask > 0; ask-- {
 		select {
 		case ok := <-ch:
-			sure = sure || ok
-			if sure && late == nil {
+			held = held || ok
+			if held && late == nil {
 				return true
 			}
 		case <-late:
-			if sure {
+			if held {
 				return true
 			}
 			late = nil // nobody yet: wait on for the first
 			ask++
 		case <-ctx.Done():
-			return sure
+			return held
 		}
 	}
-	return sure
+	return held
 }
 
 // beat renews our lease at the core and learns what has changed.
-func (h *Hub) beat() {
+func (h *Hub) sendHeartbeat() {
 	h.mu.Lock()
-	roll, leave := h.roll, h.leave
+	roll, leave := h.roll, h.leaving
 	h.mu.Unlock()
 	if leave {
 		return
@@ -454,7 +454,7 @@
 	ctx, end := context.WithTimeout(h.ctx, 1500*time.Millisecond)
 	defer end()
 	var out core.Told
-	in := core.Beat{Node: h.Me(), Roll: roll, AgeMs: int(time.Since(h.begun).Milliseconds()), ViewEpoch: h.Core.View().Epoch}
+	in := core.Beat{Node: h.Me(), Roll: roll, AgeMs: int(time.Since(h.started).Milliseconds()), ViewEpoch: h.Core.View().Epoch}
 	if h.runners != nil {
 		in.RunnersWanted = true
 		in.RunnersEpoch, in.RunnersVersion = h.runners.Position()
@@ -471,14 +471,14 @@
 			return
 		}
 		h.ctx.Log.Debug("No answer from the core.", "trouble", err.Error())
-		h.alone()
+		h.askZone()
 		return
 	}
 	h.Core.Learn(out.View)
 	h.mu.Lock()
-	was := time.Since(h.heard) > staleFrom && !h.heard.IsZero()
-	h.heard = time.Now()
-	h.short = out.Short
+	was := time.Since(h.coreHeard) > staleAfter && !h.coreHeard.IsZero()
+	h.coreHeard = time.Now()
+	h.scarceTenants = out.Short
 	if out.Whole {
 		h.roll = out.Roll
 		h.takeNodes(out.Nodes)
@@ -496,15 +496,15 @@
 	// One that was not understood is not fetched again and again. A new one is on its way by the relays: it is
 	// fetched only if it was missing for a whole beat, else a large part of the fleet would ask the primary at once.
 	record, _, _ := h.Records.Get(relay.ConfigKey)
-	overdue := h.Sequence() == 0 || record.Version < h.told
-	h.told = out.Seq
-	if h.Sequence() < out.Seq && record.Version < out.Seq && overdue {
+	overdue := h.ConfigVersion() == 0 || record.Version < h.announcedVersion
+	h.announcedVersion = out.Seq
+	if h.ConfigVersion() < out.Seq && record.Version < out.Seq && overdue {
 		var sheet core.Sheet
 		if h.Core.Call(ctx, "core.layout", &core.Want{}, &sheet, true) == nil && sheet.Seq > 0 {
 			h.Spread(relay.News{Records: []relay.Record{relay.ConfigRecord(sheet.Seq, sheet.Raw)}})
 		}
 	}
-	if h.now.Load() == nil || h.Sequence() < out.Seq {
+	if h.current.Load() == nil || h.ConfigVersion() < out.Seq {
 		return // asked, but not answered in full
 	}
 	h.mu.Lock()
@@ -528,11 +528,11 @@
 }
 
 // alone is what a node without a core does: a blank one asks all hall peers it can reach.
-func (h *Hub) alone() {
+func (h *Hub) askZone() {
 	h.mu.Lock()
 	asked, nodes := h.asked, h.nodes
 	h.mu.Unlock()
-	if asked || time.Since(h.begun) < 2*time.Second {
+	if asked || time.Since(h.started) < 2*time.Second {
 		return
 	}
 	ctx, end := context.WithTimeout(h.ctx, time.Second)
@@ -540,17 +540,17 @@
 	if len(nodes) == 0 {
 		for _, a := range *h.seeds.Load() {
 			var r Roll
-			if h.cal.Call(ctx, a, "node.roll", &Ask{}, &r) == nil && len(r.Nodes) > len(nodes) {
+			if h.caller.Call(ctx, a, "node.roll", &Ask{}, &r) == nil && len(r.Nodes) > len(nodes) {
 				nodes = r.Nodes
 			}
 		}
 	}
 	for _, n := range nodes {
 		if n.Hall == h.ctx.Zone && n.Name != h.ctx.Name {
-			h.mendWith(ctx, n.Addr)
+			h.repairWith(ctx, n.Addr)
 		}
 	}
-	if h.now.Load() == nil {
+	if h.current.Load() == nil {
 		return
 	}
 	h.ctx.Log.Warn("No core to be found. Serving with the hall's layout.")
@@ -563,8 +563,8 @@
 }
 
 // mend compares our news with one neighbour's, or any node's every other time, by digests.
-func (h *Hub) mend() {
-	h.Records.Forget(forget)
+func (h *Hub) repair() {
+	h.Records.Forget(forgetAfter)
 	neighbours := h.Neighbours()
 	nodes := h.Nodes()
 	// A neighbour that does not answer may be what news is stuck behind: another is asked at once.
@@ -579,7 +579,7 @@
 			continue
 		}
 		ctx, end := context.WithTimeout(h.ctx, 500*time.Millisecond)
-		ok := h.mendWith(ctx, to)
+		ok := h.repairWith(ctx, to)
 		end()
 		if ok {
 			return
@@ -587,10 +587,10 @@
 	}
 }
 
-func (h *Hub) mendWith(ctx context.Context, to string) bool {
+func (h *Hub) repairWith(ctx context.Context, to string) bool {
 	sum := h.Records.Digests(h.ctx.Name)
 	var diff relay.Difference
-	if h.cal.Call(ctx, to, "node.sum", &sum, &diff) != nil {
+	if h.caller.Call(ctx, to, "node.sum", &sum, &diff) != nil {
 		return false
 	}
 	fix := h.Records.Repair(h.ctx.Name, diff)
@@ -598,7 +598,7 @@
 		return true
 	}
 	var back relay.News
-	if h.cal.Call(ctx, to, "node.fix", &fix, &back) != nil {
+	if h.caller.Call(ctx, to, "node.fix", &fix, &back) != nil {
 		return false
 	}
 	h.Spread(back)
@@ -611,7 +611,7 @@
 //	hub.Leave()
 func (h *Hub) Leave() {
 	h.mu.Lock()
-	h.leave = true
+	h.leaving = true
 	h.mu.Unlock()
 	ctx, end := context.WithTimeout(h.ctx, time.Second)
 	defer end()
@@ -624,5 +624,5 @@
 //
 //	err := hub.Call(ctx, addr, "piece.copy", &in, nil)
 func (h *Hub) Call(ctx context.Context, addr, kind string, in msgp.Marshaler, out msgp.Unmarshaler) error {
-	return h.cal.Call(ctx, addr, kind, in, out)
+	return h.caller.Call(ctx, addr, kind, in, out)
 }
--- a/internal/node/streams.go
+++ b/internal/node/streams.go
@@ -65,7 +65,7 @@
 //	streams := node.NewStreams(ctx, hub)
 func NewStreams(ctx env.Ctx, hub *Hub) *Streams {
 	s := &Streams{ctx: ctx, hub: hub, byID: map[string]*Stream{}}
-	hub.Own("stream", s.handle)
+	hub.Handle("stream", s.handle)
 	return s
 }
 
--- a/internal/router/gateway.go
+++ b/internal/router/gateway.go
@@ -82,9 +82,9 @@
 	g.Hub = node.NewHub(ctx.Part("node"), settings.Internal, settings.Data, settings.Seeds, g.seeRecord,
 		node.Document(g.take), node.Runners(g.Registry), node.Health(g.tally, g.failing))
 	g.sessions = newSessionNews(g)
-	g.Hub.Own("session", g.sessions.hand)
+	g.Hub.Handle("session", g.sessions.hand)
 	g.Purses = share.NewPurses(ctx.Part("share"), share.Ways{Move: newMoveQueue(ctx, g.Hub).move, Nodes: func() int { return len(g.Hub.Nodes()) },
-		Short: g.Hub.Short, Rules: g.rules, Fresh: g.Hub.Fresh, Live: func() bool { return !g.Hub.Stale() }, Margin: quotaMargin})
+		Short: g.Hub.ScarceTenants, Rules: g.rules, Fresh: g.Hub.Fresh, Live: func() bool { return !g.Hub.Stale() }, Margin: quotaMargin})
 	g.Front = gateway.New(gateway.Options{Dialect: settings.Dialect, Table: g.table.Load, Ready: g.canServe, Balancer: g.Balancer,
 		Pool: g.Pool, Quotas: quotas{g.Purses}, Retries: settings.Retries, Part: g.part, Log: ctx.Part("gateway").Log})
 	return g
@@ -127,7 +127,7 @@
 	if g.table.Load() == nil {
 		return "no configuration yet"
 	}
-	if why := g.Hub.Can(); why != "" {
+	if why := g.Hub.Servable(); why != "" {
 		return why
 	}
 	if g.sessions.awaited() {
@@ -226,7 +226,7 @@
 		}
 		go web.NewServer(listener, handler).Run()
 	}
-	go wire.Serve(ctx, internal, g.Hub.Hand)
+	go wire.Serve(ctx, internal, g.Hub.Serve)
 	g.Start()
 	ctx.Log.Info("Router is up.", "internal", settings.Internal, "data", settings.Data, "zone", ctx.Zone)
 	data, err := settings.listen(settings.Data)
@@ -247,7 +247,7 @@
 func (g *Gateway) stop(ctx env.Ctx, server *gateway.Server) {
 	ctx.Log.Info("Router leaves. Requests under way are finished.", slog.Int("open", g.Front.Open()))
 	begun := time.Now()
-	g.Hub.Quit()
+	g.Hub.StartDraining()
 	g.Front.Drain()
 	env.Wait(ctx, g.settings.Notice)
 	left, end := context.WithTimeout(ctx, g.settings.Grace-time.Since(begun)-leaveReserve)
--- a/internal/router/main.go
+++ b/internal/router/main.go
@@ -89,7 +89,7 @@
 		"yarrowridge_stale":           func() float64 { return map[bool]float64{true: 1}[r.Hub.Stale()] },
 	})
 	r.QuotaShares = share.NewPurses(ctx.Part("share"), share.Ways{Move: newMoveQueue(ctx, r.Hub).move, Nodes: func() int { return len(r.Hub.Nodes()) },
-		Short: r.Hub.Short, Rules: quotaRules(r.Hub), Fresh: r.Hub.Fresh, Live: func() bool { return !r.Hub.Stale() }})
+		Short: r.Hub.ScarceTenants, Rules: quotaRules(r.Hub), Fresh: r.Hub.Fresh, Live: func() bool { return !r.Hub.Stale() }})
 	r.Claims = clientapi.NewClaims(ctx.Part("claim"), r.Hub)
 	r.Streams = node.NewStreams(ctx.Part("stream"), r.Hub)
 	r.Clients = &clientapi.Server{Ctx: ctx.Part("origin"), Hub: r.Hub, Runners: r.Runners, Scheduler: r.Scheduler, Sender: r.sender,
@@ -127,7 +127,7 @@
 	if err != nil {
 		return err
 	}
-	go wire.Serve(ctx, listener, router.Hub.Hand)
+	go wire.Serve(ctx, listener, router.Hub.Serve)
 	router.Start()
 	ctx.Log.Info("Router is up.", "addr", process.Set["addr"], "origin", process.Set["origin"], "hall", ctx.Zone)
 
@@ -178,7 +178,7 @@
 func (r *Router) drain(process *env.Proc, servers []*web.Server) {
 	ctx := process.Ctx
 	ctx.Log.Info("Router leaves. Queries under way are finished.")
-	r.Hub.Quit()
+	r.Hub.StartDraining()
 	env.Wait(ctx, process.Set.Span("notice"))
 	// What was read is finished however long it takes; the platform's kill is the bound, unless an
 	// operator has set one below it.
@@ -202,7 +202,7 @@
 func quotaRules(hub *node.Hub) func() []share.Rule {
 	return func() []share.Rule {
 		var out []share.Rule
-		if config := hub.Layout(); config != nil {
+		if config := hub.Config(); config != nil {
 			for _, tenant := range config.Tenants {
 				if tenant.Quota.Units > 0 {
 					out = append(out, share.Rule{Tenant: tenant.Name, Units: tenant.Quota.Units, Window: tenant.Quota.Window})
--- a/internal/router/sessions.go
+++ b/internal/router/sessions.go
@@ -58,7 +58,7 @@
 
 func newSessionNews(g *Gateway) *sessionNews {
 	return &sessionNews{ctx: g.ctx.Part("session"), balancer: g.Balancer, directory: g.Balancer.Sessions, spread: g.Hub.Spread,
-		sure: g.Hub.Sure, nodes: g.Hub.Nodes, call: g.Hub.Call, core: g.Hub.Core.Call}
+		sure: g.Hub.SpreadToAll, nodes: g.Hub.Nodes, call: g.Hub.Call, core: g.Hub.Core.Call}
 }
 
 // see takes a record that the relays brought. Others are passed over.
--- a/internal/runner/api.go
+++ b/internal/runner/api.go
@@ -121,7 +121,7 @@
 	if fresh {
 		ctx, end := context.WithTimeout(r.Context(), time.Second)
 		defer end()
-		if !api.Hub.Sure(ctx, recs) && report.State == "leaving" {
+		if !api.Hub.SpreadToAll(ctx, recs) && report.State == "leaving" {
 			w.Header().Set("Retry-After", "1")
 			web.WriteError(w, http.StatusServiceUnavailable, "not-spread", "No other router could be told yet. Beat again.")
 			return
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -41,7 +41,7 @@
 	r := &hollowRouter{registry: registry.New(nil), taken: map[uint64]time.Time{}}
 	address := listener.Addr().String()
 	r.hub = node.NewHub(ctx, address, address, seeds, nil, node.Document(r.take), node.Runners(r.registry))
-	go wire.Serve(ctx, listener, r.hub.Hand)
+	go wire.Serve(ctx, listener, r.hub.Serve)
 	go r.hub.Run()
 	return r, nil
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -147,7 +147,7 @@
 	}
 	return until(ctx, "every router is ready and knows every other", func() bool {
 		return r.every(func(router *hollowRouter) bool {
-			return router.hub.Can() == "" && len(router.hub.Nodes()) == r.settings.Routers
+			return router.hub.Servable() == "" && len(router.hub.Nodes()) == r.settings.Routers
 		})
 	})
 }
--- a/internal/sim/core_test.go
+++ b/internal/sim/core_test.go
@@ -61,7 +61,7 @@
 		b.add(p)
 		f.within(2*time.Second, "every router obeys the acknowledged layout", func() bool {
 			for _, r := range f.routers {
-				if lay := r.hub.Layout(); lay == nil || lay.Version < p.seq {
+				if lay := r.hub.Config(); lay == nil || lay.Version < p.seq {
 					return false
 				}
 			}
@@ -191,7 +191,7 @@
 		}
 		f.within(2*time.Second, "routers follow to the new machines", func() bool {
 			for _, r := range f.routers {
-				if lay := r.hub.Layout(); lay == nil || lay.Version != p.seq || r.hub.Stale() {
+				if lay := r.hub.Config(); lay == nil || lay.Version != p.seq || r.hub.Stale() {
 					return false
 				}
 			}
@@ -200,7 +200,7 @@
 		// Every router starts again with seeds that name machines long gone; then every process does.
 		ready := func() bool {
 			for _, r := range f.routers {
-				if lay := r.hub.Layout(); lay == nil || lay.Version < p.seq || r.hub.Ready() != "" {
+				if lay := r.hub.Config(); lay == nil || lay.Version < p.seq || r.hub.Ready() != "" {
 					return false
 				}
 			}
@@ -256,7 +256,7 @@
 			}
 			f.within(2*time.Second, "every router obeys the acknowledged layout", func() bool {
 				for _, r := range f.routers {
-					if lay := r.hub.Layout(); lay == nil || lay.Version < p.seq {
+					if lay := r.hub.Config(); lay == nil || lay.Version < p.seq {
 						return false
 					}
 				}
--- a/internal/sim/document_test.go
+++ b/internal/sim/document_test.go
@@ -78,7 +78,7 @@
 func (f *fleet) everyRouterAt(sequence uint64) func() bool {
 	return func() bool {
 		for _, r := range f.routers {
-			if r.hub.Sequence() != sequence || r.hub.Ready() != "" {
+			if r.hub.ConfigVersion() != sequence || r.hub.Ready() != "" {
 				return false
 			}
 		}
@@ -181,7 +181,7 @@
 		f.crashRouter(r)
 		f.startRouter(r)
 		f.within(3*time.Second, "a new router has it", f.everyRouterAt(last+1))
-		if mine := got[r.name]; !bytes.Equal(mine.raw, huge) || r.hub.Layout() != nil || r.hub.Me().Seq != last+1 {
+		if mine := got[r.name]; !bytes.Equal(mine.raw, huge) || r.hub.Config() != nil || r.hub.Me().Seq != last+1 {
 			t.Errorf("the new router has %d bytes", len(mine.raw))
 		}
 
@@ -189,8 +189,8 @@
 		hash := r.hub.Hash()
 		write(core.Write{Any: true, Raw: whole(last+2, "strange")}, 200, last+2)
 		time.Sleep(time.Second)
-		if r.hub.Sequence() != last+1 || r.hub.Hash() != hash || r.hub.Ready() != "" {
-			t.Errorf("after a strange document the router is at %d, %q", r.hub.Sequence(), r.hub.Ready())
+		if r.hub.ConfigVersion() != last+1 || r.hub.Hash() != hash || r.hub.Ready() != "" {
+			t.Errorf("after a strange document the router is at %d, %q", r.hub.ConfigVersion(), r.hub.Ready())
 		}
 		write(core.Write{Any: true, Raw: whole(last+3, "a 10")}, 200, last+3)
 		f.within(2*time.Second, "every router takes the next", f.everyRouterAt(last+3))
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -198,11 +198,11 @@
 		f.t.Fatalf("router %s: %v", r.name, err)
 	}
 	r.up = true
-	go wire.Serve(ctx, l, r.hub.Hand)
+	go wire.Serve(ctx, l, r.hub.Serve)
 	go r.hub.Run()
 	hub := r.hub
 	go env.Loop(ctx, nil, 20*time.Millisecond, func(struct{}) {}, func() {
-		lay := hub.Layout()
+		lay := hub.Config()
 		if lay == nil {
 			return
 		}
--- a/internal/sim/load_test.go
+++ b/internal/sim/load_test.go
@@ -158,7 +158,7 @@
 					}
 					return f.within(2*time.Second, "all routers obey", func() bool {
 						for _, r := range f.routers {
-							if lay := r.hub.Layout(); lay == nil || lay.Version < p.seq {
+							if lay := r.hub.Config(); lay == nil || lay.Version < p.seq {
 								return false
 							}
 						}
@@ -253,7 +253,7 @@
 		}
 		f.within(2*time.Second, "all obey", func() bool {
 			for _, r := range f.routers {
-				if l := r.hub.Layout(); l == nil || l.Version < p.seq {
+				if l := r.hub.Config(); l == nil || l.Version < p.seq {
 					return false
 				}
 			}
--- a/internal/sim/promise_test.go
+++ b/internal/sim/promise_test.go
@@ -274,7 +274,7 @@
 		w.w.Heal()
 		w.within(2*time.Second, "all obey the newest layout", func() bool {
 			for _, r := range w.full {
-				if r.r.Hub.Layout().Version < p.seq || r.r.Hub.Stale() {
+				if r.r.Hub.Config().Version < p.seq || r.r.Hub.Stale() {
 					return false
 				}
 			}
--- a/internal/sim/router_test.go
+++ b/internal/sim/router_test.go
@@ -158,7 +158,7 @@
 			if r.now() == nil {
 				continue
 			}
-			l := r.r.Hub.Layout()
+			l := r.r.Hub.Config()
 			if l == nil || l.Version < p.seq || r.r.Hub.Ready() != "" || len(r.r.Runners.List()) < len(w.runners) {
 				return false
 			}
@@ -194,7 +194,7 @@
 	r.r, r.up = run, true
 	r.crash = func() { end(); crash(); srv.Close() }
 	r.mu.Unlock()
-	go wire.Serve(ctx, l, run.Hub.Hand)
+	go wire.Serve(ctx, l, run.Hub.Serve)
 	run.Start()
 }
 
--- a/internal/sim/stream_test.go
+++ b/internal/sim/stream_test.go
@@ -248,7 +248,7 @@
 			if _, s := w.holders(id); s == nil || ended(s, id) {
 				return // it was over before its router fell
 			}
-			if lay := w.full[0].r.Hub.Layout(); !slices.ContainsFunc(lay.Lanes, func(l fleetconfig.Lane) bool { return l.Repeat }) {
+			if lay := w.full[0].r.Hub.Config(); !slices.ContainsFunc(lay.Lanes, func(l fleetconfig.Lane) bool { return l.Repeat }) {
 				return
 			}
 			w.within(9*time.Second, "taken over and guarded again", func() bool {
