--- /dev/null
+++ b/internal/node/config.go
@@ -0,0 +1,85 @@
+package node
+
+import (
+	"time"
+
+	"yarrowridge/internal/fleetconfig"
+	"yarrowridge/internal/relay"
+	"yarrowridge/internal/strike"
+)
+
+// configuration is what the core gave and this router obeys.
+type configuration struct {
+	version uint64
+	raw     []byte
+	config  *fleetconfig.Config // nil where the configuration is another document
+}
+
+func (h *Hub) takeDocument(r relay.Record) {
+	if err := h.document(r.Version, r.Body); err != nil {
+		h.ctx.Log.Error("Configuration from the core is not understood. The old one stays.", "sequence", r.Version, "trouble", err.Error())
+		return
+	}
+	h.obey(&configuration{version: r.Version, raw: r.Body})
+	h.ctx.Log.Info("Configuration taken up.", "sequence", r.Version)
+}
+
+func (h *Hub) takeConfig(r relay.Record) {
+	config, bad := fleetconfig.Parse(r.Body)
+	if len(bad) > 0 {
+		h.ctx.Log.Error("Layout from the core is not understood. The old one stays.", "sequence", r.Version, "trouble", bad[0].Path+": "+bad[0].Text)
+		return
+	}
+	config.Version = r.Version
+	next := &configuration{version: config.Version, raw: config.Raw, config: config}
+	if old := h.current.Load(); strike.Out("late") && old != nil {
+		time.AfterFunc(12*time.Second, func() { h.current.Store(next) })
+		return
+	} else if strike.Out("slip") && old != nil {
+		time.AfterFunc(time.Second, func() { h.current.Store(old) })
+	}
+	h.obey(next)
+	h.ctx.Log.Info("Layout taken up.", "sequence", r.Version)
+}
+
+// obey puts a configuration in force and wakes those who wait for the next.
+func (h *Hub) obey(c *configuration) {
+	h.current.Store(c)
+	next := make(chan struct{})
+	close(*h.configChanged.Swap(&next))
+}
+
+// Layout is the newest layout held; nil before the first, and where the configuration is another document.
+//
+//	lay := hub.Layout()
+func (h *Hub) Config() *fleetconfig.Config {
+	if c := h.current.Load(); c != nil {
+		return c.config
+	}
+	return nil
+}
+
+// Sequence is the sequence of the configuration obeyed; 0 before the first.
+//
+//	seq := hub.Sequence()
+func (h *Hub) ConfigVersion() uint64 {
+	if c := h.current.Load(); c != nil {
+		return c.version
+	}
+	return 0
+}
+
+// Hash is the hex SHA-256 of the configuration obeyed, as it was put; "" before the first.
+//
+//	same := hub.Hash() == fleetconfig.HashKey(string(raw))
+func (h *Hub) Hash() string {
+	if c := h.current.Load(); c != nil {
+		return fleetconfig.HashKey(string(c.raw))
+	}
+	return ""
+}
+
+// Turn is closed once a newer layout is in force. Ask for it before Layout, so as to miss none.
+//
+//	turn, lay := hub.Turn(), hub.Layout()
+func (h *Hub) ConfigChanged() <-chan struct{} { return *h.configChanged.Load() }
--- /dev/null
+++ b/internal/node/heartbeat.go
@@ -0,0 +1,129 @@
+package node
+
+import (
+	"context"
+	"time"
+
+	"yarrowridge/internal/core"
+	"yarrowridge/internal/relay"
+	"yarrowridge/internal/wire"
+)
+
+// beat renews our lease at the core and learns what has changed.
+func (h *Hub) sendHeartbeat() {
+	h.mu.Lock()
+	roll, leave := h.roll, h.leaving
+	h.mu.Unlock()
+	if leave {
+		return
+	}
+	ctx, end := context.WithTimeout(h.ctx, 1500*time.Millisecond)
+	defer end()
+	var out core.Told
+	in := core.Beat{Node: h.Me(), Roll: roll, AgeMs: int(time.Since(h.started).Milliseconds()), ViewEpoch: h.Core.View().Epoch}
+	if h.runners != nil {
+		in.RunnersWanted = true
+		in.RunnersEpoch, in.RunnersVersion = h.runners.Position()
+		if in.RunnersVersion == 0 {
+			in.RunnersDigest = h.runners.Digest()
+		}
+	}
+	if h.tally != nil {
+		in.Tallies = h.tally()
+	}
+	if err := h.Core.Call(ctx, "core.beat", &in, &out, true); err != nil {
+		if wire.Is(err, core.NameTaken) {
+			h.ctx.Log.Error("Another router has our name. Each needs its own.", "name", h.ctx.Name)
+			return
+		}
+		h.ctx.Log.Debug("No answer from the core.", "trouble", err.Error())
+		h.askZone()
+		return
+	}
+	h.Core.Learn(out.View)
+	h.mu.Lock()
+	was := time.Since(h.coreHeard) > staleAfter && !h.coreHeard.IsZero()
+	h.coreHeard = time.Now()
+	h.scarceTenants = out.Short
+	if out.Whole {
+		h.roll = out.Roll
+		h.takeNodes(out.Nodes)
+	}
+	h.mu.Unlock()
+	if was {
+		h.ctx.Log.Info("The core is heard again.")
+	}
+	if h.runners != nil {
+		h.runners.Apply(&out)
+	}
+	if h.failing != nil {
+		h.failing(out.Failing)
+	}
+	// One that was not understood is not fetched again and again. A new one is on its way by the relays: it is
+	// fetched only if it was missing for a whole beat, else a large part of the fleet would ask the primary at once.
+	record, _, _ := h.Records.Get(relay.ConfigKey)
+	overdue := h.ConfigVersion() == 0 || record.Version < h.announcedVersion
+	h.announcedVersion = out.Seq
+	if h.ConfigVersion() < out.Seq && record.Version < out.Seq && overdue {
+		var sheet core.Sheet
+		if h.Core.Call(ctx, "core.layout", &core.Want{}, &sheet, true) == nil && sheet.Seq > 0 {
+			h.Spread(relay.News{Records: []relay.Record{relay.ConfigRecord(sheet.Seq, sheet.Raw)}})
+		}
+	}
+	if h.current.Load() == nil || h.ConfigVersion() < out.Seq {
+		return // asked, but not answered in full
+	}
+	h.mu.Lock()
+	h.asked = true
+	h.mu.Unlock()
+}
+
+// alone is what a node without a core does: a blank one asks all hall peers it can reach.
+func (h *Hub) askZone() {
+	h.mu.Lock()
+	asked, nodes := h.asked, h.nodes
+	h.mu.Unlock()
+	if asked || time.Since(h.started) < 2*time.Second {
+		return
+	}
+	ctx, end := context.WithTimeout(h.ctx, time.Second)
+	defer end()
+	if len(nodes) == 0 {
+		for _, a := range *h.seeds.Load() {
+			var r Roll
+			if h.caller.Call(ctx, a, "node.roll", &Ask{}, &r) == nil && len(r.Nodes) > len(nodes) {
+				nodes = r.Nodes
+			}
+		}
+	}
+	for _, n := range nodes {
+		if n.Hall == h.ctx.Zone && n.Name != h.ctx.Name {
+			h.repairWith(ctx, n.Addr)
+		}
+	}
+	if h.current.Load() == nil {
+		return
+	}
+	h.ctx.Log.Warn("No core to be found. Serving with the hall's layout.")
+	h.mu.Lock()
+	h.asked = true
+	if len(h.nodes) == 0 {
+		h.takeNodes(append(nodes, core.Node{Name: h.ctx.Name, Hall: h.ctx.Zone, Addr: h.addr, Born: h.ctx.Born}))
+	}
+	h.mu.Unlock()
+}
+
+// Leave gives up the lease: the core names us no more, our units cool. Serving what has been
+// read goes on meanwhile.
+//
+//	hub.Leave()
+func (h *Hub) Leave() {
+	h.mu.Lock()
+	h.leaving = true
+	h.mu.Unlock()
+	ctx, end := context.WithTimeout(h.ctx, time.Second)
+	defer end()
+	if err := h.Core.Call(ctx, "core.beat", &core.Beat{Node: h.Me(), Leave: true}, &core.Told{}, true); err != nil {
+		h.ctx.Log.Warn("The core was not told that we leave.", "trouble", err.Error())
+	}
+}
--- /dev/null
+++ b/internal/node/nodes.go
@@ -0,0 +1,76 @@
+package node
+
+import (
+	"yarrowridge/internal/core"
+	"yarrowridge/internal/relay"
+)
+
+// Me is this node as its peers know it.
+//
+//	n := hub.Me()
+func (h *Hub) Me() core.Node {
+	n := core.Node{Name: h.ctx.Name, Hall: h.ctx.Zone, Addr: h.addr, Face: h.clientAddr, Born: h.ctx.Born}
+	n.Seq = h.ConfigVersion()
+	n.Ready = h.Ready() == ""
+	return n
+}
+
+// Nodes lists the nodes that the core last named.
+//
+//	all := hub.Nodes()
+func (h *Hub) Nodes() []core.Node {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.nodes
+}
+
+// Part splits a number between the nodes of the roll: the parts of all add up to no more than it.
+//
+//	mine := hub.Part(4)
+func (h *Hub) Part(n int) int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for i, o := range h.nodes {
+		if o.Name == h.ctx.Name {
+			part := n / len(h.nodes)
+			if i < n%len(h.nodes) {
+				part++
+			}
+			return part
+		}
+	}
+	return 0
+}
+
+// Near lists our neighbours in the relay tree.
+//
+//	for _, s := range hub.Neighbours() { ... }
+func (h *Hub) Neighbours() []relay.Node {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.neighbours
+}
+
+// Short lists the tenants whose idle units the core wants back.
+//
+//	for _, t := range hub.Short() { ... }
+func (h *Hub) ScarceTenants() []string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.scarceTenants
+}
+
+// seat takes a new roll; the caller holds the lock.
+func (h *Hub) takeNodes(nodes []core.Node) {
+	h.nodes = nodes
+	var relayNodes []relay.Node
+	var addrs []string
+	for _, n := range nodes {
+		relayNodes = append(relayNodes, relay.Node{Name: n.Name, Zone: n.Hall, Addr: n.Addr})
+		if n.Name != h.ctx.Name {
+			addrs = append(addrs, n.Addr)
+		}
+	}
+	h.neighbours = relay.Neighbours(h.ctx.Name, relayNodes)
+	h.Core.Peers(addrs)
+}
--- /dev/null
+++ b/internal/node/repair.go
@@ -0,0 +1,52 @@
+package node
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"yarrowridge/internal/relay"
+)
+
+// mend compares our news with one neighbour's, or any node's every other time, by digests.
+func (h *Hub) repair() {
+	h.Records.Forget(forgetAfter)
+	neighbours := h.Neighbours()
+	nodes := h.Nodes()
+	// A neighbour that does not answer may be what news is stuck behind: another is asked at once.
+	for range 3 {
+		to := ""
+		if len(neighbours) > 0 && rand.N(2) > 0 {
+			to = neighbours[rand.N(len(neighbours))].Addr
+		} else if len(nodes) > 0 {
+			to = nodes[rand.N(len(nodes))].Addr
+		}
+		if to == "" || to == h.addr {
+			continue
+		}
+		ctx, end := context.WithTimeout(h.ctx, 500*time.Millisecond)
+		ok := h.repairWith(ctx, to)
+		end()
+		if ok {
+			return
+		}
+	}
+}
+
+func (h *Hub) repairWith(ctx context.Context, to string) bool {
+	sum := h.Records.Digests(h.ctx.Name)
+	var diff relay.Difference
+	if h.caller.Call(ctx, to, "node.sum", &sum, &diff) != nil {
+		return false
+	}
+	fix := h.Records.Repair(h.ctx.Name, diff)
+	if len(fix.Records)+len(fix.Wanted) == 0 {
+		return true
+	}
+	var back relay.News
+	if h.caller.Call(ctx, to, "node.fix", &fix, &back) != nil {
+		return false
+	}
+	h.Spread(back)
+	return true
+}
