--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -49,9 +49,9 @@
 	close(*h.configChanged.Swap(&next))
 }
 
-// Layout is the newest layout held; nil before the first, and where the configuration is another document.
+// Config is the newest configuration held; nil before the first, and where it is another document.
 //
-//	lay := hub.Layout()
+//	config := hub.Config()
 func (h *Hub) Config() *fleetconfig.Config {
 	if c := h.current.Load(); c != nil {
 		return c.config
@@ -59,9 +59,9 @@
 	return nil
 }
 
-// Sequence is the sequence of the configuration obeyed; 0 before the first.
+// ConfigVersion is the version of the configuration obeyed; 0 before the first.
 //
-//	seq := hub.Sequence()
+//	version := hub.ConfigVersion()
 func (h *Hub) ConfigVersion() uint64 {
 	if c := h.current.Load(); c != nil {
 		return c.version
@@ -79,7 +79,7 @@
 	return ""
 }
 
-// Turn is closed once a newer layout is in force. Ask for it before Layout, so as to miss none.
+// ConfigChanged is closed once a newer configuration is in force. Ask for it before Config, so as to miss none.
 //
-//	turn, lay := hub.Turn(), hub.Layout()
+//	changed, config := hub.ConfigChanged(), hub.Config()
 func (h *Hub) ConfigChanged() <-chan struct{} { return *h.configChanged.Load() }
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -9,7 +9,7 @@
 	"yarrowridge/internal/wire"
 )
 
-// beat renews our lease at the core and learns what has changed.
+// sendHeartbeat renews our lease at the core and learns what has changed.
 func (h *Hub) sendHeartbeat() {
 	h.mu.Lock()
 	roll, leave := h.roll, h.leaving
@@ -19,7 +19,29 @@
 	}
 	ctx, end := context.WithTimeout(h.ctx, 1500*time.Millisecond)
 	defer end()
+	in := h.makeHeartbeat(roll)
 	var out core.Told
+	if err := h.Core.Call(ctx, "core.beat", &in, &out, true); err != nil {
+		if wire.Is(err, core.NameTaken) {
+			h.ctx.Log.Error("Another router has our name. Each needs its own.", "name", h.ctx.Name)
+			return
+		}
+		h.ctx.Log.Debug("No answer from the core.", "trouble", err.Error())
+		h.askZone()
+		return
+	}
+	h.takeHeartbeatResponse(&out)
+	h.fetchConfig(ctx, out.Seq)
+	if h.current.Load() == nil || h.ConfigVersion() < out.Seq {
+		return // asked, but not answered in full
+	}
+	h.mu.Lock()
+	h.asked = true
+	h.mu.Unlock()
+}
+
+// makeHeartbeat says what this node is, what it holds already, and how its attempts at runners ended.
+func (h *Hub) makeHeartbeat(roll uint64) core.Beat {
 	in := core.Beat{Node: h.Me(), Roll: roll, AgeMs: int(time.Since(h.started).Milliseconds()), ViewEpoch: h.Core.View().Epoch}
 	if h.runners != nil {
 		in.RunnersWanted = true
@@ -31,18 +53,14 @@
 	if h.tally != nil {
 		in.Tallies = h.tally()
 	}
-	if err := h.Core.Call(ctx, "core.beat", &in, &out, true); err != nil {
-		if wire.Is(err, core.NameTaken) {
-			h.ctx.Log.Error("Another router has our name. Each needs its own.", "name", h.ctx.Name)
-			return
-		}
-		h.ctx.Log.Debug("No answer from the core.", "trouble", err.Error())
-		h.askZone()
-		return
-	}
+	return in
+}
+
+// takeHeartbeatResponse takes the view, the nodes and the runners that the core has answered with.
+func (h *Hub) takeHeartbeatResponse(out *core.Told) {
 	h.Core.Learn(out.View)
 	h.mu.Lock()
-	was := time.Since(h.coreHeard) > staleAfter && !h.coreHeard.IsZero()
+	wasSilent := time.Since(h.coreHeard) > staleAfter && !h.coreHeard.IsZero()
 	h.coreHeard = time.Now()
 	h.scarceTenants = out.Short
 	if out.Whole {
@@ -50,35 +68,34 @@
 		h.takeNodes(out.Nodes)
 	}
 	h.mu.Unlock()
-	if was {
+	if wasSilent {
 		h.ctx.Log.Info("The core is heard again.")
 	}
 	if h.runners != nil {
-		h.runners.Apply(&out)
+		h.runners.Apply(out)
 	}
 	if h.failing != nil {
 		h.failing(out.Failing)
 	}
-	// One that was not understood is not fetched again and again. A new one is on its way by the relays: it is
-	// fetched only if it was missing for a whole beat, else a large part of the fleet would ask the primary at once.
+}
+
+// fetchConfig asks the core for the configuration of a version that it has named, if it is not here yet. One that
+// was not understood is not fetched again and again. A new one is on its way by the relays: it is fetched only
+// if it was missing for a whole heartbeat, else a large part of the fleet would ask the primary at once.
+func (h *Hub) fetchConfig(ctx context.Context, version uint64) {
 	record, _, _ := h.Records.Get(relay.ConfigKey)
 	overdue := h.ConfigVersion() == 0 || record.Version < h.announcedVersion
-	h.announcedVersion = out.Seq
-	if h.ConfigVersion() < out.Seq && record.Version < out.Seq && overdue {
-		var sheet core.Sheet
-		if h.Core.Call(ctx, "core.layout", &core.Want{}, &sheet, true) == nil && sheet.Seq > 0 {
-			h.Spread(relay.News{Records: []relay.Record{relay.ConfigRecord(sheet.Seq, sheet.Raw)}})
-		}
+	h.announcedVersion = version
+	if h.ConfigVersion() >= version || record.Version >= version || !overdue {
+		return
 	}
-	if h.current.Load() == nil || h.ConfigVersion() < out.Seq {
-		return // asked, but not answered in full
+	var sheet core.Sheet
+	if h.Core.Call(ctx, "core.layout", &core.Want{}, &sheet, true) == nil && sheet.Seq > 0 {
+		h.Spread(relay.News{Records: []relay.Record{relay.ConfigRecord(sheet.Seq, sheet.Raw)}})
 	}
-	h.mu.Lock()
-	h.asked = true
-	h.mu.Unlock()
 }
 
-// alone is what a node without a core does: a blank one asks all hall peers it can reach.
+// askZone is what a node without a core does: a blank one asks all nodes of its zone that it can reach.
 func (h *Hub) askZone() {
 	h.mu.Lock()
 	asked, nodes := h.asked, h.nodes
--- a/internal/node/hub.go
+++ b/internal/node/hub.go
@@ -34,13 +34,13 @@
 	Records       *relay.Store
 	outbox        chan relay.News
 	current       atomic.Pointer[configuration] // in force; nil before the first
-	configChanged atomic.Pointer[chan struct{}] // closed by the next layout
+	configChanged atomic.Pointer[chan struct{}] // closed by the next configuration
 	onNews        func(relay.Record)
 
-	announcedVersion uint64                                  // the sequence that the core last named; only the beat touches it
-	document         func(sequence uint64, raw []byte) error // nil: the configuration is a layout
-	runners          *registry.Registry                      // nil: none is kept
-	tally            func() []core.RunnerTally               // nil: none is told
+	announcedVersion uint64                                 // the version that the core last named; only the heartbeat touches it
+	document         func(version uint64, raw []byte) error // nil: the configuration is read here
+	runners          *registry.Registry                     // nil: none is kept
+	tally            func() []core.RunnerTally              // nil: none is told
 	failing          func([]core.FailingRunner)
 
 	mu            sync.Mutex
@@ -48,10 +48,10 @@
 	nodes         []core.Node
 	neighbours    []relay.Node
 	coreHeard     time.Time // last answer of the core
-	asked         bool      // the core, or failing that all hall peers that answer, have been asked
+	asked         bool      // the core, or failing that all nodes of the zone that answer, have been asked
 	started       time.Time
 	scarceTenants []string
-	draining      bool // no new origins, please
+	draining      bool // no new clients, please
 	leaving       bool // the lease is given up
 	handlers      map[string]wire.Hand
 }
@@ -59,33 +59,33 @@
 // Option changes what a hub does with its news.
 type Option func(*Hub)
 
-// Document has the hub pass on configurations in place of reading them as configurations. take is called for
+// Document has the hub pass on configurations as they are, in place of reading them. take is called for
 // each newer one, in order, under the store's lock. With an error the old one stays in force.
 //
-//	hub := node.NewHub(ctx, addr, face, seeds, hook, node.Document(take))
-func Document(take func(sequence uint64, raw []byte) error) Option {
+//	hub := node.NewHub(ctx, addr, clientAddr, seeds, onNews, node.Document(take))
+func Document(take func(version uint64, raw []byte) error) Option {
 	return func(h *Hub) { h.document = take }
 }
 
 // Runners has the hub keep a copy of the core's registry of runners.
 //
-//	hub := node.NewHub(ctx, addr, face, seeds, hook, node.Runners(registry.New(nil)))
+//	hub := node.NewHub(ctx, addr, clientAddr, seeds, onNews, node.Runners(registry.New(nil)))
 func Runners(reg *registry.Registry) Option {
 	return func(h *Hub) { h.runners = reg }
 }
 
-// Health has the hub tell the core how attempts at runners ended since the last beat, and pass on which
+// Health has the hub tell the core how attempts at runners ended since the last heartbeat, and pass on which
 // runners fail for all routers together.
 //
-//	hub := node.NewHub(ctx, addr, face, seeds, hook, node.Health(balancer.Tally, balancer.Failing))
+//	hub := node.NewHub(ctx, addr, clientAddr, seeds, onNews, node.Health(balancer.Tally, balancer.Failing))
 func Health(tally func() []core.RunnerTally, failing func([]core.FailingRunner)) Option {
 	return func(h *Hub) { h.tally, h.failing = tally, failing }
 }
 
-// NewHub makes a hub. hook sees every record of news that is taken, besides the configuration and the
+// NewHub makes a hub. onNews sees every record of news that is taken, besides the configuration and the
 // registered runners.
 //
-//	hub := node.NewHub(ctx, "127.0.0.1:7501", "127.0.0.1:8501", seeds, hook)
+//	hub := node.NewHub(ctx, "127.0.0.1:7501", "127.0.0.1:8501", seeds, onNews)
 func NewHub(ctx env.Ctx, addr, clientAddr string, seeds []string, onNews func(relay.Record), options ...Option) *Hub {
 	h := &Hub{ctx: ctx, addr: addr, clientAddr: clientAddr, caller: wire.NewCaller(ctx.Net), onNews: onNews,
 		outbox: make(chan relay.News, 1024), started: time.Now(), handlers: map[string]wire.Hand{}}
@@ -108,7 +108,7 @@
 	h.Core.SetSeeds(seeds)
 }
 
-// Run beats, spreads and mends until the context ends.
+// Run sends heartbeats, spreads news and repairs until the context ends.
 //
 //	hub.Run()
 func (h *Hub) Run() {
--- a/internal/node/news.go
+++ b/internal/node/news.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// hand sends news on, with all that has piled up behind it.
+// forward sends news on, with all that has piled up behind it.
 func (h *Hub) forward(news relay.News) {
 	for _, n := range h.Neighbours() {
 		if n.Name == news.From {
@@ -50,11 +50,11 @@
 	}
 }
 
-// Sure hands records to every node directly, beside the tree, and tells whether one at least holds
+// SpreadToAll hands records to every node directly, beside the tree, and tells whether one at least holds
 // them. It waits until all have answered, a quarter second at most: if we are gone right after, the
 // tree that led through us must not be what others depend on.
 //
-//	if hub.Sure(ctx, recs) { ... }
+//	if hub.SpreadToAll(ctx, records) { ... }
 func (h *Hub) SpreadToAll(ctx context.Context, records []relay.Record) bool {
 	nodes := h.Nodes()
 	ch := make(chan bool, len(nodes))
--- a/internal/node/nodes.go
+++ b/internal/node/nodes.go
@@ -24,7 +24,7 @@
 	return h.nodes
 }
 
-// Part splits a number between the nodes of the roll: the parts of all add up to no more than it.
+// Part splits a number between the nodes that the core last named: the parts of all add up to no more than it.
 //
 //	mine := hub.Part(4)
 func (h *Hub) Part(n int) int {
@@ -42,7 +42,7 @@
 	return 0
 }
 
-// Near lists our neighbours in the relay tree.
+// Neighbours lists our neighbours in the relay tree.
 //
 //	for _, s := range hub.Neighbours() { ... }
 func (h *Hub) Neighbours() []relay.Node {
@@ -51,16 +51,16 @@
 	return h.neighbours
 }
 
-// Short lists the tenants whose idle units the core wants back.
+// ScarceTenants lists the tenants whose idle units the core wants back.
 //
-//	for _, t := range hub.Short() { ... }
+//	for _, t := range hub.ScarceTenants() { ... }
 func (h *Hub) ScarceTenants() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.scarceTenants
 }
 
-// seat takes a new roll; the caller holds the lock.
+// takeNodes takes a new list of nodes; the caller holds the lock.
 func (h *Hub) takeNodes(nodes []core.Node) {
 	h.nodes = nodes
 	var relayNodes []relay.Node
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Ready tells why no new origins should be sent to this node, or "".
+// Ready tells why no new clients should be sent to this node, or "".
 //
 //	if why := hub.Ready(); why != "" { ... }
 func (h *Hub) Ready() string {
@@ -17,18 +17,18 @@
 	return h.Servable()
 }
 
-// Quit begins leaving: we are no longer ready, but go on serving what comes.
+// StartDraining begins leaving: we are no longer ready, but go on serving what comes.
 //
-//	hub.Quit()
+//	hub.StartDraining()
 func (h *Hub) StartDraining() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.draining = true
 }
 
-// Can tells why this node can't serve at all yet, or "".
+// Servable tells why this node can't serve at all yet, or "".
 //
-//	if why := hub.Can(); why != "" { ... }
+//	if why := hub.Servable(); why != "" { ... }
 func (h *Hub) Servable() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -41,7 +41,7 @@
 	return ""
 }
 
-// Stale tells whether the core has not been heard for a while: the layout may be old.
+// Stale tells whether the core has not been heard for a while: the configuration may be old.
 //
 //	if hub.Stale() { ... }
 func (h *Hub) Stale() bool {
@@ -50,7 +50,7 @@
 	return time.Since(h.coreHeard) > staleAfter
 }
 
-// Fresh tells whether the core has answered one of the last two beats.
+// Fresh tells whether the core has answered one of the last two heartbeats.
 //
 //	if hub.Fresh() { ... }
 func (h *Hub) Fresh() bool {
--- a/internal/node/repair.go
+++ b/internal/node/repair.go
@@ -8,7 +8,7 @@
 	"yarrowridge/internal/relay"
 )
 
-// mend compares our news with one neighbour's, or any node's every other time, by digests.
+// repair compares our news with one neighbour's, or any node's every other time, by digests.
 func (h *Hub) repair() {
 	h.Records.Forget(forgetAfter)
 	neighbours := h.Neighbours()
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -11,14 +11,14 @@
 	"yarrowridge/internal/wire"
 )
 
-// Own adds a hand for another owner's calls on the same listener.
+// Handle adds a handler of another owner's calls on the same listener.
 //
-//	hub.Own("piece", pool.Hand)
+//	hub.Handle("piece", pool.Hand)
 func (h *Hub) Handle(name string, hand wire.Hand) { h.handlers[name] = hand }
 
-// Hand answers calls from other processes.
+// Serve answers calls from other processes.
 //
-//	go wire.Serve(ctx, l, hub.Hand)
+//	go wire.Serve(ctx, l, hub.Serve)
 func (h *Hub) Serve(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 	switch kind {
 	case "view.ask":
