--- a/internal/clientapi/route.go
+++ b/internal/clientapi/route.go
@@ -4,19 +4,19 @@
 	"strings"
 	"time"
 
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 	"yarrowridge/internal/request"
 )
 
 // authenticate finds the tenant by the headers alone.
 func (x *exchange) authenticate() error {
-	if why := x.server.Hub.Can(); why != "" {
+	if why := x.server.Hub.Servable(); why != "" {
 		return &Rejection{Status: 503, Code: "not-ready", Message: "This router is not ready: " + why + ".", RetryAfter: time.Second}
 	}
-	x.config = x.server.Hub.Layout()
+	x.config = x.server.Hub.Config()
 	key, ok := strings.CutPrefix(x.incoming.Header.Get("Authorization"), "Bearer ")
 	if ok {
-		x.keyHash = layout.HashKey(strings.TrimSpace(key))
+		x.keyHash = fleetconfig.HashKey(strings.TrimSpace(key))
 		x.tenantIndex, ok = x.config.TenantByHash(x.keyHash)
 	}
 	if !ok {
@@ -59,7 +59,7 @@
 // checkConfig holds a waiting request against the config in force, if that is no longer the one it came
 // under: its key, its route, its lane's doors. The pool's selector counts as it is now.
 func (x *exchange) checkConfig() error {
-	config := x.server.Hub.Layout()
+	config := x.server.Hub.Config()
 	if config.Version == x.config.Version {
 		return nil
 	}
@@ -79,7 +79,7 @@
 
 // applyConfig takes tenant, lane and pool anew from a config, by the key's hash and the route. The lane has
 // to stay the one it was, if there was one.
-func (x *exchange) applyConfig(config *layout.Config) *Rejection {
+func (x *exchange) applyConfig(config *fleetconfig.Config) *Rejection {
 	tenant, ok := x.findTenant(config)
 	if !ok {
 		return rejectKey
@@ -95,7 +95,7 @@
 
 // findTenant finds the request's tenant in a config by its key. ok is false where the key is another's by now,
 // or nobody's.
-func (x *exchange) findTenant(config *layout.Config) (tenant int, ok bool) {
+func (x *exchange) findTenant(config *fleetconfig.Config) (tenant int, ok bool) {
 	tenant, ok = config.TenantByHash(x.keyHash)
 	return tenant, ok && config.Tenants[tenant].Name == x.request.Tenant
 }
--- a/internal/drill/bench_test.go
+++ b/internal/drill/bench_test.go
@@ -19,7 +19,7 @@
 	ctx, end := context.WithTimeout(b.Context(), 60*time.Second)
 	defer end()
 	for _, s := range f.Apps {
-		s.Step = 0
+		s.TokenTime = 0
 	}
 	if err := f.Start(ctx); err != nil {
 		b.Fatal(err)
@@ -29,21 +29,21 @@
 		req, _ := http.NewRequest("GET", "http://"+to+"/v1/status/1", nil)
 		req.Header.Set("Authorization", "Bearer "+Key("desk-a"))
 		begun := time.Now()
-		ans, err := cli.Do(req)
+		response, err := cli.Do(req)
 		if err != nil {
 			b.Fatal(err)
 		}
-		io.Copy(io.Discard, ans.Body)
-		ans.Body.Close()
-		if ans.StatusCode != 200 {
-			b.Fatalf("status %d", ans.StatusCode)
+		io.Copy(io.Discard, response.Body)
+		response.Body.Close()
+		if response.StatusCode != 200 {
+			b.Fatalf("status %d", response.StatusCode)
 		}
 		return time.Since(begun)
 	}
 	var near, far []time.Duration
 	for b.Loop() {
 		near = append(near, ask(f.Apps[0].Addr))
-		far = append(far, ask(f.Routers[0].Origin))
+		far = append(far, ask(f.Routers[0].Client))
 	}
 	mid := func(d []time.Duration) float64 {
 		sort.Slice(d, func(i, j int) bool { return d[i] < d[j] })
--- a/internal/drill/drain_test.go
+++ b/internal/drill/drain_test.go
@@ -11,18 +11,18 @@
 )
 
 // A router is told to read its settings anew and then to stop, with a stream, a whole answer, a
-// once-only query and a waiting query under way that all take longer than half a minute: none of
+// once-only request and a waiting request under way that all take longer than half a minute: none of
 // what it has read is dropped.
 func TestLongDrain(t *testing.T) {
 	mix := Trentvale()
-	mix.Layout["pools"].(obj)["late"] = obj{"select": "app=late", "service": "model"}
-	mix.Layout["lanes"].(obj)["late"] = obj{"rank": 5, "patience_ms": 120000, "tenants": []string{"*"}}
-	mix.Layout["mappings"] = append(mix.Layout["mappings"].([]obj), obj{"method": "POST", "path": "/v1/late", "lane": "late", "pool": "late"},
-		obj{"method": "POST", "path": "/v1/notes", "lane": "notes", "pool": "fit"})
-	mix.Layout["lanes"].(obj)["notes"] = obj{"rank": 5, "tenants": []string{"*"}, "once": true}
+	mix.Config["pools"].(object)["late"] = object{"select": "app=late", "service": "model"}
+	mix.Config["lanes"].(object)["late"] = object{"rank": 5, "patience_ms": 120000, "tenants": []string{"*"}}
+	mix.Config["mappings"] = append(mix.Config["mappings"].([]object), object{"method": "POST", "path": "/v1/late", "lane": "late", "pool": "late"},
+		object{"method": "POST", "path": "/v1/notes", "lane": "notes", "pool": "fit"})
+	mix.Config["lanes"].(object)["notes"] = object{"rank": 5, "tenants": []string{"*"}, "once": true}
 	f := up(t, mix)
 	l := NewLoad(f, 1, 1)
-	l.cli.Timeout = 2 * time.Minute
+	l.http.Timeout = 2 * time.Minute
 	r := f.Routers[0]
 	ctx, end := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer end()
@@ -53,7 +53,7 @@
 	})
 	if err := f.Until(ctx, "three run and one waits", func() bool {
 		_, raw, _ := f.Ask(ctx, "GET", r.Operator, "/metrics", nil, nil)
-		return len(f.Diary.All()) == 3 && bytes.Contains(raw, []byte("yarrowridge_queued 1"))
+		return len(f.RequestLog.All()) == 3 && bytes.Contains(raw, []byte("yarrowridge_queued 1"))
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -61,9 +61,9 @@
 	r.Signal(syscall.SIGTERM)
 	at := time.Now()
 	if err := f.Until(ctx, "the router is deaf to new origins", func() bool {
-		ans, err := http.Get("http://" + r.Origin + "/ready")
+		response, err := http.Get("http://" + r.Client + "/ready")
 		if err == nil {
-			ans.Body.Close()
+			response.Body.Close()
 		}
 		return err != nil
 	}); err != nil {
@@ -72,8 +72,8 @@
 	if err := f.Until(ctx, "more than the old bound of 30 s has passed", func() bool { return time.Since(at) > 31*time.Second }); err != nil {
 		t.Fatal(err)
 	}
-	late := &Standin{Name: "late1", Addr: "127.0.0.1:0", Labels: map[string]string{"app": "late", "model": mix.Model, "hall": "west"}, Room: 4, Most: 8192,
-		Step: time.Millisecond, Diary: f.Diary, Beats: []string{f.Routers[3].Runner}}
+	late := &Standin{Name: "late1", Addr: "127.0.0.1:0", Labels: map[string]string{"app": "late", "model": mix.Model, "hall": "west"}, Slots: 4, MaxLength: 8192,
+		TokenTime: time.Millisecond, RequestLog: f.RequestLog, HeartbeatAddrs: []string{f.Routers[3].Runner}}
 	if err := late.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -14,7 +14,7 @@
 	"github.com/tidwall/gjson"
 	"github.com/zeromicro/go-zero/core/logx"
 
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 )
 
 var bin string
@@ -68,13 +68,13 @@
 	return f
 }
 
-// play asks n queries of each kind, one after the other at every router in turn.
+// play asks n requests of each kind, one after the other at every router in turn.
 func play(l *Load, n int) {
 	for _, k := range l.Fleet.Mix.Kinds {
 		for i := range n {
 			no := l.next.Add(1)
 			r := l.Fleet.Routers[i%len(l.Fleet.Routers)]
-			o := l.Ask(k, no, k.body(l.Fleet.Mix.Model, no, newRand(no)), payers(l.Fleet.Mix)[0], r)
+			o := l.Ask(k, no, k.body(l.Fleet.Mix.Model, no, newRand(no)), tenantNames(l.Fleet.Mix)[0], r)
 			l.mu.Lock()
 			l.all = append(l.all, o)
 			l.mu.Unlock()
@@ -82,18 +82,18 @@
 	}
 }
 
-// The whole path in separate processes: found, join, beat, lay out, serve, whole and streamed.
+// The whole path in separate processes: found, join, heartbeats, configuration, serve, whole and streamed.
 func TestWholePath(t *testing.T) {
 	for _, mix := range []Mix{Trentvale(), Tokachi()} {
 		t.Run(mix.Name, func(t *testing.T) {
 			f := up(t, mix)
 			l := NewLoad(f, 1, 1)
 			play(l, len(f.Routers))
-			outs := l.All()
-			if s := Total(outs); s.Done != s.Queries || s.Queries != len(mix.Kinds)*len(f.Routers) {
-				t.Errorf("%d of %d queries done: %v", s.Done, s.Queries, s.Codes)
+			outcomes := l.All()
+			if s := Total(outcomes); s.Done != s.Requests || s.Requests != len(mix.Kinds)*len(f.Routers) {
+				t.Errorf("%d of %d queries done: %v", s.Done, s.Requests, s.Codes)
 			}
-			for _, b := range Check(Evidence{Mix: mix, Outs: outs, Seen: f.Diary.All()}) {
+			for _, b := range Check(Evidence{Mix: mix, Outcomes: outcomes, Seen: f.RequestLog.All()}) {
 				t.Errorf("%s: %s", b.Promise, b.What)
 			}
 			// The fleet's state tells with whom each router exchanges news, and the routers say the same.
@@ -109,7 +109,7 @@
 	}
 }
 
-// The shipped examples are the mixes' layouts, and hold.
+// The shipped examples are the mixes' configs, and hold.
 func TestExamples(t *testing.T) {
 	for _, mix := range []Mix{Trentvale(), Tokachi()} {
 		raw, err := os.ReadFile(filepath.Join("..", "..", "examples", mix.Name+".json"))
@@ -120,7 +120,7 @@
 		if json.Unmarshal(raw, &a) != nil || json.Unmarshal(mix.Raw(), &b) != nil || fmt.Sprint(a) != fmt.Sprint(b) {
 			t.Errorf("examples/%s.json differs from the mix: write it anew with drill layout", mix.Name)
 		}
-		if _, bad := layout.Parse(raw); len(bad) > 0 {
+		if _, bad := fleetconfig.Parse(raw); len(bad) > 0 {
 			t.Errorf("examples/%s.json: %v", mix.Name, bad)
 		}
 	}
--- a/internal/drill/evidence.go
+++ b/internal/drill/evidence.go
@@ -15,93 +15,93 @@
 	"yarrowridge/internal/env"
 )
 
-// Edit is one write of an operator, and what came of it.
-type Edit struct {
-	At, Told time.Time
-	Code     int // 0: the connection broke
-	Seq      uint64
-	Hash     string // of the whole layout it would make
+// ConfigWrite is one write of an operator, and what came of it.
+type ConfigWrite struct {
+	SentAt, AnsweredAt time.Time
+	Code               int // 0: the connection broke
+	Version            uint64
+	Hash               string // of the whole config it would make
 }
 
-// Sight is one look at the layout that a router obeys.
-type Sight struct {
-	Router string
-	At     time.Time // asked
-	Told   time.Time // answered
-	Seq    uint64
-	Hash   string
-	Stale  bool
+// ConfigReading is one look at the config that a router obeys.
+type ConfigReading struct {
+	Router     string
+	AskedAt    time.Time
+	AnsweredAt time.Time
+	Version    uint64
+	Hash       string
+	Stale      bool
 }
 
-// Count is the fleet's tries so far, by service, at one moment.
-type Count struct {
+// TryCount is the fleet's tries so far, by service, at one moment.
+type TryCount struct {
 	At           time.Time
 	First, Again map[string]float64
 }
 
-// Word is a runner's word that it leaves, as its beat was answered.
-type Word struct {
-	Runner, Born string
-	At           time.Time
+// Departure is a runner's word that it leaves, as its heartbeat was answered.
+type Departure struct {
+	Runner, RunID string
+	At            time.Time
 }
 
-// Stop is a planned stop of a router, from its warning to its end.
-type Stop struct {
+// PlannedStop is a planned stop of a router, from its warning to its end.
+type PlannedStop struct {
 	Router   string
 	From, To time.Time
 }
 
-// Gone is a tenant without a key, from the write's acknowledgement to the next that gives it one.
-type Gone struct {
+// KeyWithdrawal is a tenant without a key, from the write's acknowledgement to the next that gives it one.
+type KeyWithdrawal struct {
 	Tenant   string
 	From, To time.Time
 }
 
-// Hard is a hard fault, and the kinds of query that have to be served again after it.
-type Hard struct {
+// HardFault is a hard fault, and the kinds of request that have to be served again after it.
+type HardFault struct {
 	Name string
 	At   time.Time
 }
 
-// Cut is a hall's link cut, from its cut to its healing.
-type Cut struct {
-	Hall     string
+// LinkCut is a zone's link cut, from its cut to its healing.
+type LinkCut struct {
+	Zone     string
 	From, To time.Time
 }
 
 // Evidence is all that was seen of a fleet from outside.
 type Evidence struct {
-	Mix    Mix
-	Outs   []Outcome
-	Seen   []Seen
-	Edits  []Edit
-	Sights []Sight
-	Counts []Count
-	Words  []Word
-	Stops  []Stop
-	Gone   []Gone
-	Hards  []Hard
-	Cuts   []Cut
-	Halls  map[string]string // each router's
-	Final  *Edit             // what was read back at the end
-	End    time.Time         // of the traffic
-	Slack  time.Duration     // what a slow machine is given beyond a promise's time
+	Mix            Mix
+	Outcomes       []Outcome
+	Seen           []Seen
+	ConfigWrites   []ConfigWrite
+	ConfigReadings []ConfigReading
+	TryCounts      []TryCount
+	Departures     []Departure
+	PlannedStops   []PlannedStop
+	KeyWithdrawals []KeyWithdrawal
+	HardFaults     []HardFault
+	LinkCuts       []LinkCut
+	Zones          map[string]string // each router's
+	Final          *ConfigWrite      // what was read back at the end
+	End            time.Time         // of the traffic
+	Slack          time.Duration     // what a slow machine is given beyond a promise's time
 }
 
 // Watch gathers what the fleet's processes tell of themselves.
 type Watch struct {
-	f    *Fleet
-	mu   sync.Mutex
-	ev   Evidence
-	sum  Count
-	last map[string]float64
+	fleet    *Fleet
+	mu       sync.Mutex
+	evidence Evidence
+	tries    TryCount
+	counters map[string]float64
 }
 
 // NewWatch begins with nothing seen.
 //
 //	w := drill.NewWatch(fleet)
 func NewWatch(f *Fleet) *Watch {
-	return &Watch{f: f, sum: Count{First: map[string]float64{}, Again: map[string]float64{}}, last: map[string]float64{}}
+	return &Watch{fleet: f, tries: TryCount{First: map[string]float64{}, Again: map[string]float64{}}, counters: map[string]float64{}}
 }
 
 // Run looks at every router, again and again, until ctx ends.
@@ -110,33 +110,33 @@
 func (w *Watch) Run(ctx context.Context) {
 	env.Loop(ctx, nil, 200*time.Millisecond, func(struct{}) {}, func() {
 		var all sync.WaitGroup
-		for _, r := range w.f.Routers {
-			all.Go(func() { w.look(ctx, r) })
+		for _, r := range w.fleet.Routers {
+			all.Go(func() { w.readRouter(ctx, r) })
 		}
 		all.Wait()
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.sum.At = time.Now()
-		w.ev.Counts = append(w.ev.Counts, Count{w.sum.At, maps.Clone(w.sum.First), maps.Clone(w.sum.Again)})
+		w.tries.At = time.Now()
+		w.evidence.TryCounts = append(w.evidence.TryCounts, TryCount{w.tries.At, maps.Clone(w.tries.First), maps.Clone(w.tries.Again)})
 	})
 }
 
-func (w *Watch) look(ctx context.Context, r *Proc) {
+func (w *Watch) readRouter(ctx context.Context, r *Proc) {
 	ctx, end := context.WithTimeout(ctx, time.Second)
 	defer end()
 	at := time.Now()
-	code, raw, err := w.f.Ask(ctx, "GET", r.Operator, "/v1/standing", nil, nil)
+	code, raw, err := w.fleet.Ask(ctx, "GET", r.Operator, "/v1/standing", nil, nil)
 	if err != nil || code != 200 {
 		return
 	}
-	s := Sight{Router: r.Name, At: at, Told: time.Now(), Seq: gjson.GetBytes(raw, "node.sequence").Uint(),
+	s := ConfigReading{Router: r.Name, AskedAt: at, AnsweredAt: time.Now(), Version: gjson.GetBytes(raw, "node.sequence").Uint(),
 		Hash: gjson.GetBytes(raw, "layout_sha256").Str, Stale: gjson.GetBytes(raw, "stale").Bool()}
 	born := gjson.GetBytes(raw, "node.born").Raw
-	_, raw, err = w.f.Ask(ctx, "GET", r.Operator, "/metrics", nil, nil)
+	_, raw, err = w.fleet.Ask(ctx, "GET", r.Operator, "/metrics", nil, nil)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if s.Hash != "" {
-		w.ev.Sights = append(w.ev.Sights, s)
+		w.evidence.ConfigReadings = append(w.evidence.ConfigReadings, s)
 	}
 	if err != nil {
 		return
@@ -147,16 +147,16 @@
 		if !ok || e != nil || !strings.Contains(name, "service=") {
 			continue
 		}
-		_, svc, _ := strings.Cut(name, `service="`)
-		svc, _, _ = strings.Cut(svc, `"`)
+		_, service, _ := strings.Cut(name, `service="`)
+		service, _, _ = strings.Cut(service, `"`)
 		key := r.Name + born + name // a router that starts again counts from zero
-		d := v - w.last[key]
-		w.last[key] = v
+		d := v - w.counters[key]
+		w.counters[key] = v
 		switch {
 		case strings.HasPrefix(name, "yarrowridge_first_tries_total"):
-			w.sum.First[svc] += d
+			w.tries.First[service] += d
 		case strings.HasPrefix(name, "yarrowridge_second_tries_total") && strings.Contains(name, `let="yes"`):
-			w.sum.Again[svc] += d
+			w.tries.Again[service] += d
 		}
 	}
 }
@@ -165,20 +165,20 @@
 func (w *Watch) note(do func(ev *Evidence)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	do(&w.ev)
+	do(&w.evidence)
 }
 
-// Evidence is all that was seen, with the origins' outcomes and the runners' diaries.
+// Evidence is all that was seen, with the clients' outcomes and the runners' diaries.
 //
 //	bad := drill.Check(w.Evidence(load))
 func (w *Watch) Evidence(l *Load) Evidence {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	ev := w.ev
-	ev.Halls = map[string]string{}
-	for _, r := range w.f.Routers {
-		ev.Halls[r.Name] = r.Hall
+	ev := w.evidence
+	ev.Zones = map[string]string{}
+	for _, r := range w.fleet.Routers {
+		ev.Zones[r.Name] = r.Zone
 	}
-	ev.Mix, ev.Outs, ev.Seen = w.f.Mix, l.All(), w.f.Diary.All()
+	ev.Mix, ev.Outcomes, ev.Seen = w.fleet.Mix, l.All(), w.fleet.RequestLog.All()
 	return ev
 }
--- a/internal/drill/fault_test.go
+++ b/internal/drill/fault_test.go
@@ -39,20 +39,20 @@
 	}
 	stop()
 	all.Wait()
-	outs := l.All()
-	for i, b := range Check(Evidence{Mix: f.Mix, Outs: outs, Seen: f.Diary.All()}) {
+	outcomes := l.All()
+	for i, b := range Check(Evidence{Mix: f.Mix, Outcomes: outcomes, Seen: f.RequestLog.All()}) {
 		if i < 5 {
 			t.Errorf("%s: %s", b.Promise, b.What)
 		}
 	}
-	s := Total(outs)
-	t.Logf("tries %d: done %d, bounced %d, troubled %d, broken %d %v", s.Queries, s.Done, s.Bounced, s.Troubled, s.Broken, s.Codes)
-	return outs
+	s := Total(outcomes)
+	t.Logf("tries %d: done %d, bounced %d, troubled %d, broken %d %v", s.Requests, s.Done, s.Rejected, s.Failed, s.Broken, s.Codes)
+	return outcomes
 }
 
 // A fleet is rolled to a release one wire format up, and back, under load: every process is stopped with
 // a warning and another started in its place, one by one, routers first one way and cores first the other.
-// No query that was read is dropped, and none waits for its neighbours' release.
+// No request that was read is dropped, and none waits for its neighbours' release.
 func TestPlannedRestarts(t *testing.T) {
 	f := up(t, Tokachi())
 	next := t.TempDir()
@@ -62,7 +62,7 @@
 	if out, err := exec.Command(filepath.Join(next, "router"), "-version").CombinedOutput(); err != nil || !strings.Contains(string(out), "wire format 2") {
 		t.Fatalf("the next release says %q, %v", out, err)
 	}
-	outs := under(t, f, 0.7, func(ctx context.Context, l *Load) {
+	outcomes := under(t, f, 0.7, func(ctx context.Context, l *Load) {
 		up, down := slices.Concat(f.Routers, f.Cores), slices.Concat(f.Cores, f.Routers)
 		for i, p := range slices.Concat(up, down) {
 			p.Signal(syscall.SIGTERM)
@@ -79,16 +79,16 @@
 		}
 	})
 	answered, ran := map[uint64]int{}, map[uint64]int{}
-	for _, o := range outs {
+	for _, o := range outcomes {
 		if o.Err == "" {
-			answered[o.N]++
+			answered[o.Number]++
 		}
 		if o.Code == "router-lost" || o.Code == "runner-lost" {
-			t.Errorf("query %d was troubled by a planned restart: %s", o.N, o.Code)
+			t.Errorf("query %d was troubled by a planned restart: %s", o.Number, o.Code)
 		}
 	}
-	for _, s := range f.Diary.All() {
-		n, _ := strconv.ParseUint(s.Head.Get("X-Drill-N"), 10, 64)
+	for _, s := range f.RequestLog.All() {
+		n, _ := strconv.ParseUint(s.Header.Get("X-Drill-N"), 10, 64)
 		ran[n]++
 	}
 	for n, k := range ran {
@@ -108,12 +108,12 @@
 	under(t, f, 1, func(ctx context.Context, l *Load) {
 		var told *Proc
 		for _, r := range f.Routers {
-			if r.Runner == f.Models[0].Beats[0] {
+			if r.Runner == f.Models[0].HeartbeatAddrs[0] {
 				told = r
 			}
 		}
 		for _, s := range append(append([]*Standin{}, f.Models...), f.Apps...) {
-			if s.Beats[0] == told.Runner {
+			if s.HeartbeatAddrs[0] == told.Runner {
 				gone = append(gone, s)
 			}
 		}
@@ -123,9 +123,9 @@
 		}
 		said = time.Now()
 		told.Kill()
-		n := len(f.Diary.All())
+		n := len(f.RequestLog.All())
 		if err := f.Until(ctx, "much more traffic", func() bool {
-			return len(f.Diary.All()) > n+200 && time.Since(said) > 7*time.Second
+			return len(f.RequestLog.All()) > n+200 && time.Since(said) > 7*time.Second
 		}); err != nil {
 			t.Fatal(err)
 		}
@@ -133,7 +133,7 @@
 	if len(gone) == 0 {
 		t.Fatal("no runner beat to the router that was killed")
 	}
-	for _, s := range f.Diary.All() {
+	for _, s := range f.RequestLog.All() {
 		for _, g := range gone {
 			if s.Runner == g.Name && s.At.Sub(said) > 5*time.Second {
 				t.Errorf("%s got a query %s after it had said that it leaves", s.Runner, s.At.Sub(said))
@@ -142,8 +142,8 @@
 	}
 }
 
-// Operators write while the primary is killed, frozen and thawed: no acknowledged layout is lost
-// and no sequence acknowledged twice.
+// Operators write while the primary is killed, frozen and thawed: no acknowledged config is lost
+// and no version acknowledged twice.
 func TestPrimaryFaults(t *testing.T) {
 	f := up(t, Tokachi())
 	ctx, end := context.WithTimeout(t.Context(), 2*time.Minute)
@@ -157,21 +157,21 @@
 		m := mark
 		mu.Unlock()
 		lay := map[string]any{}
-		for k, v := range f.Mix.Layout {
+		for k, v := range f.Mix.Config {
 			lay[k] = v
 		}
-		lay["limits"] = obj{"queue": m}
+		lay["limits"] = object{"queue": m}
 		raw, _ := json.Marshal(lay)
-		code, seq, err := f.Put(ctx, f.Routers[m%len(f.Routers)], raw, "*", fmt.Sprintf("w%d", m))
+		code, version, err := f.Put(ctx, f.Routers[m%len(f.Routers)], raw, "*", fmt.Sprintf("w%d", m))
 		if err != nil || code != 200 {
 			return false
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		if was, twice := acked[seq]; twice && was != m {
-			t.Errorf("sequence %d acknowledged for %d and %d", seq, was, m)
+		if was, twice := acked[version]; twice && was != m {
+			t.Errorf("sequence %d acknowledged for %d and %d", version, was, m)
 		}
-		acked[seq] = m
+		acked[version] = m
 		return true
 	}
 	lead := func() *Proc {
@@ -224,13 +224,13 @@
 	sort.Slice(seqs, func(i, j int) bool { return seqs[i] < seqs[j] })
 	last := seqs[len(seqs)-1]
 	for _, r := range f.Routers {
-		if err := f.Until(ctx, r.Name+" obeys", func() bool { return f.Sequence(ctx, r) >= last }); err != nil {
+		if err := f.Until(ctx, r.Name+" obeys", func() bool { return f.ConfigVersion(ctx, r) >= last }); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-// A primary is frozen until another has acknowledged a layout, and asked for the layout meanwhile: what it
+// A primary is frozen until another has acknowledged a config, and asked for the config meanwhile: what it
 // answers in the moment in which it thaws is never the old one. With its lease struck out it is.
 func TestThawedPrimary(t *testing.T) {
 	for range 2 {
@@ -283,10 +283,10 @@
 		}
 	}
 	p.Signal(syscall.SIGSTOP)
-	var seq uint64
+	var version uint64
 	if err := f.Until(ctx, "another primary takes a layout", func() bool {
 		var code int
-		code, seq, _ = f.Put(ctx, f.Routers[0], f.Mix.Raw(), "*", "thaw")
+		code, version, _ = f.Put(ctx, f.Routers[0], f.Mix.Raw(), "*", "thaw")
 		return code == 200
 	}); err != nil {
 		t.Fatal(err)
@@ -300,7 +300,7 @@
 			defer mu.Unlock()
 			if err != nil {
 				bounced++
-			} else if got < seq {
+			} else if got < version {
 				old++
 			}
 		})
@@ -315,7 +315,7 @@
 func TestQuotaOverRouters(t *testing.T) {
 	mix := Trentvale()
 	const units, window = 24, 3
-	mix.Layout["tenants"].(obj)["casual"].(obj)["quota"] = obj{"units": units, "window_s": window}
+	mix.Config["tenants"].(object)["casual"].(object)["quota"] = object{"units": units, "window_s": window}
 	f := up(t, mix)
 	l := NewLoad(f, 1, 1)
 	ctx, end := context.WithTimeout(t.Context(), time.Minute)
@@ -342,22 +342,22 @@
 	}
 	all.Wait()
 	var at []time.Time
-	for _, s := range f.Diary.All() {
-		if s.Head.Get("X-Yarrowridge-Tenant") == "casual" {
+	for _, s := range f.RequestLog.All() {
+		if s.Header.Get("X-Yarrowridge-Tenant") == "casual" {
 			at = append(at, s.At)
 		}
 	}
 	sort.Slice(at, func(i, j int) bool { return at[i].Before(at[j]) })
-	most := 0
+	limit := 0
 	for i, j := 0, 0; i < len(at); i++ {
 		for at[i].Sub(at[j]) >= window*time.Second {
 			j++
 		}
-		most = max(most, i-j+1)
+		limit = max(limit, i-j+1)
 	}
-	t.Logf("%d ran, at most %d in any %d s of a quota of %d", len(at), most, window, units)
-	if most > units {
-		t.Errorf("%d queries in a window of a quota of %d", most, units)
+	t.Logf("%d ran, at most %d in any %d s of a quota of %d", len(at), limit, window, units)
+	if limit > units {
+		t.Errorf("%d queries in a window of a quota of %d", limit, units)
 	}
 	if len(at) < units/2 {
 		t.Errorf("only %d queries ran", len(at))
@@ -388,7 +388,7 @@
 			}
 			for _, k := range f.Mix.Kinds {
 				from := time.Now()
-				if err := f.Until(ctx, k.Name+" flows", func() bool { return came(l.All(), k.Name, from) }); err != nil {
+				if err := f.Until(ctx, k.Name+" flows", func() bool { return servedSince(l.All(), k.Name, from) }); err != nil {
 					t.Fatal(err)
 				}
 				t.Logf("%d processes killed: %s came through after %s", len(set), k.Name, time.Since(at).Round(10*time.Millisecond))
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -21,51 +21,51 @@
 	"yarrowridge/internal/env"
 )
 
-// Outcome is one try of an origin, as the origin saw it.
+// Outcome is one try of an client, as the client saw it.
 type Outcome struct {
-	Kind    string
-	N       uint64
-	Key     string
-	Tenant  string
-	Router  string
-	Path    string
-	Body    []byte
-	Begun   time.Time
-	Took    time.Duration
-	Status  int
-	Code    string   // of a bounce or trouble
-	Run     string   // "not run" or "unknown", as said by the router
-	Retry   string   // Retry-After
-	Query   string   // the router's id
-	Whole   bool     // the whole answer came, and says it is complete
-	Pieces  []int    // numbers of the stream's pieces, as they came
-	Marks   []string // the runs that made them, where pieces tell
-	Echo    string
-	Err     string // the connection broke
-	Resumed int    // times the stream was asked for again
+	Kind      string
+	Number    uint64
+	Key       string
+	Tenant    string
+	Router    string
+	Path      string
+	Body      []byte
+	Begun     time.Time
+	Took      time.Duration
+	Status    int
+	Code      string   // of a rejection or error
+	Run       string   // "not run" or "unknown", as said by the router
+	Retry     string   // Retry-After
+	RequestID string   // the router's id
+	Whole     bool     // the whole answer came, and says it is complete
+	Pieces    []int    // numbers of the stream's pieces, as they came
+	Marks     []string // the runs that made them, where pieces tell
+	Echo      string
+	Err       string // the connection broke
+	Resumed   int    // times the stream was asked for again
 }
 
-// served tells whether the origin has a whole answer.
+// served tells whether the client has a whole answer.
 func (o *Outcome) served() bool { return o.Whole && o.Status == 200 }
 
-// Load plays a mix's origins against a fleet.
+// Load plays a mix's clients against a fleet.
 type Load struct {
 	Fleet *Fleet
 	Scale float64
 	Seed  uint64
-	Tries int // of one query, at another router each
+	Tries int // of one request, at another router each
 
 	next atomic.Uint64
 	mu   sync.Mutex
 	all  []Outcome
-	cli  *http.Client
+	http *http.Client
 }
 
 // NewLoad makes a load; equal seeds ask the same things in the same order.
 //
 //	l := drill.NewLoad(fleet, 1, 42)
 func NewLoad(f *Fleet, scale float64, seed uint64) *Load {
-	return &Load{Fleet: f, Scale: scale, Seed: seed, Tries: 6, cli: &http.Client{Timeout: 40 * time.Second, Transport: &http.Transport{
+	return &Load{Fleet: f, Scale: scale, Seed: seed, Tries: 6, http: &http.Client{Timeout: 40 * time.Second, Transport: &http.Transport{
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxIdleConnsPerHost: 64, DisableCompression: true}}}
 }
 
@@ -96,7 +96,7 @@
 	all.Wait()
 }
 
-// kind asks for one kind of query at its pace until ctx ends.
+// kind asks for one kind of request at its pace until ctx ends.
 func (l *Load) kind(ctx context.Context, k Kind, scale float64, r *rand.Rand, all *sync.WaitGroup) {
 	for {
 		wait := time.Duration(r.ExpFloat64() / (k.Rate * scale) * float64(time.Second))
@@ -106,13 +106,13 @@
 		n := l.next.Add(1)
 		body := k.body(l.Fleet.Mix.Model, n, r)
 		from := r.IntN(len(l.Fleet.Routers))
-		ten := l.tenant(r)
-		all.Go(func() { l.one(k, n, body, ten, from) })
+		tenant := l.tenant(r)
+		all.Go(func() { l.one(k, n, body, tenant, from) })
 	}
 }
 
 func (l *Load) tenant(r *rand.Rand) string {
-	list := payers(l.Fleet.Mix)
+	list := tenantNames(l.Fleet.Mix)
 	// A few tenants are large: half of the traffic is two of them's. None has a quota.
 	if r.IntN(2) == 0 {
 		return list[1+r.IntN(2)]
@@ -120,11 +120,11 @@
 	return list[r.IntN(len(list))]
 }
 
-// one asks until the query has an outcome that another try can't better.
-func (l *Load) one(k Kind, n uint64, body []byte, ten string, from int) {
+// one asks until the request has an outcome that another try can't better.
+func (l *Load) one(k Kind, n uint64, body []byte, tenant string, from int) {
 	for try := range l.Tries {
 		r := l.Fleet.Routers[(from+try)%len(l.Fleet.Routers)]
-		o := l.Ask(k, n, body, ten, r)
+		o := l.Ask(k, n, body, tenant, r)
 		for i := 1; i < len(l.Fleet.Routers) && o.broken(k); i++ {
 			l.Resume(&o, l.Fleet.Routers[(from+try+i)%len(l.Fleet.Routers)])
 		}
@@ -151,46 +151,46 @@
 
 // broken tells whether a stream broke off with no word of its end.
 func (o *Outcome) broken(k Kind) bool {
-	return k.Stream && o.Status == 200 && !o.Whole && o.Code == "" && o.Query != ""
+	return k.Stream && o.Status == 200 && !o.Whole && o.Code == "" && o.RequestID != ""
 }
 
 // Resume asks a router for the rest of a stream that broke off.
 //
 //	l.Resume(&o, fleet.Routers[1])
 func (l *Load) Resume(o *Outcome, r *Proc) {
-	req, err := http.NewRequest("GET", "http://"+r.Origin+"/v1/streams/"+o.Query, nil)
+	req, err := http.NewRequest("GET", "http://"+r.Client+"/v1/streams/"+o.RequestID, nil)
 	if err != nil {
 		return
 	}
 	req.Header.Set("Authorization", "Bearer "+Key(o.Tenant))
 	req.Header.Set("Last-Event-ID", strconv.Itoa(len(o.Pieces)))
 	o.Resumed++
-	ans, err := l.cli.Do(req)
+	response, err := l.http.Do(req)
 	if err != nil {
 		return
 	}
-	defer ans.Body.Close()
-	if ans.StatusCode != 200 {
-		raw, _ := io.ReadAll(ans.Body)
+	defer response.Body.Close()
+	if response.StatusCode != 200 {
+		raw, _ := io.ReadAll(response.Body)
 		if c := gjson.GetBytes(raw, "error.code").String(); c == "no-stream" {
 			o.Code, o.Run = c, "unknown"
 		}
 		return
 	}
 	o.Err = ""
-	o.stream(ans.Body)
+	o.stream(response.Body)
 }
 
 // Ask makes one try at one router.
 //
 //	o := l.Ask(kind, 1, body, "casual", fleet.Routers[0])
-func (l *Load) Ask(k Kind, n uint64, body []byte, ten string, r *Proc) (o Outcome) {
-	o = Outcome{Kind: k.Name, N: n, Tenant: ten, Router: r.Name, Body: body, Begun: time.Now(), Path: k.Path}
+func (l *Load) Ask(k Kind, n uint64, body []byte, tenant string, r *Proc) (o Outcome) {
+	o = Outcome{Kind: k.Name, Number: n, Tenant: tenant, Router: r.Name, Body: body, Begun: time.Now(), Path: k.Path}
 	defer func() { o.Took = time.Since(o.Begun) }()
 	if k.Method == "GET" {
 		o.Path += strconv.FormatUint(n, 10)
 	}
-	req, err := http.NewRequest(k.Method, "http://"+r.Origin+o.Path, nil)
+	req, err := http.NewRequest(k.Method, "http://"+r.Client+o.Path, nil)
 	if err != nil {
 		o.Err = err.Error()
 		return o
@@ -199,30 +199,30 @@
 		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
 		req.Header.Set("Content-Type", "application/json")
 	}
-	req.Header.Set("Authorization", "Bearer "+Key(ten))
+	req.Header.Set("Authorization", "Bearer "+Key(tenant))
 	req.Header.Set("X-Drill-N", strconv.FormatUint(n, 10))
 	req.Header.Set("X-Yarrowridge-Tenant", "somebody-else")
 	if k.Once {
 		o.Key = fmt.Sprintf("key-%d", n)
 		req.Header.Set("Idempotency-Key", o.Key)
 	}
-	ans, err := l.cli.Do(req)
+	response, err := l.http.Do(req)
 	if err != nil {
 		o.Err = err.Error()
 		return o
 	}
-	defer ans.Body.Close()
-	o.Status, o.Retry, o.Query = ans.StatusCode, ans.Header.Get("Retry-After"), ans.Header.Get("X-Yarrowridge-Query")
-	if strings.HasPrefix(ans.Header.Get("Content-Type"), "text/event-stream") {
-		o.stream(ans.Body)
+	defer response.Body.Close()
+	o.Status, o.Retry, o.RequestID = response.StatusCode, response.Header.Get("Retry-After"), response.Header.Get("X-Yarrowridge-Query")
+	if strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
+		o.stream(response.Body)
 		return o
 	}
-	raw, err := io.ReadAll(ans.Body)
+	raw, err := io.ReadAll(response.Body)
 	if err != nil {
 		o.Err = err.Error()
 		return o
 	}
-	if ans.StatusCode == 200 {
+	if response.StatusCode == 200 {
 		o.Whole, o.Echo = true, gjson.GetBytes(raw, "echo").String()
 		if !gjson.ValidBytes(raw) {
 			o.Echo = "cut"
--- a/internal/drill/mix.go
+++ b/internal/drill/mix.go
@@ -7,22 +7,22 @@
 	"sort"
 	"strings"
 
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 )
 
-// Mix is a deployment as the drill plays it: its halls, runners, layout and traffic.
+// Mix is a deployment as the drill plays it: its zones, runners, config and traffic.
 type Mix struct {
 	Name    string
-	Halls   []string
+	Zones   []string
 	Routers int
 	Model   string
 	Models  int // model runners
 	Apps    int // runners of the ordinary application
 	Kinds   []Kind
-	Layout  map[string]any
+	Config  map[string]any
 }
 
-// Kind is one kind of query.
+// Kind is one kind of request.
 type Kind struct {
 	Name   string
 	Method string
@@ -37,19 +37,19 @@
 	Plain  bool
 }
 
-// Key is the demonstration key of a tenant in the example layouts.
+// Key is the demonstration key of a tenant in the example configs.
 //
 //	drill.Key("north-counter") // "demo-north-counter"
 func Key(tenant string) string { return "demo-" + tenant }
 
-type obj = map[string]any
+type object = map[string]any
 
-func tenants(names []string, funded, quota int) obj {
-	out := obj{}
+func tenants(names []string, funded, quota int) object {
+	out := object{}
 	for i, n := range names {
-		t := obj{"keys": []string{layout.HashKey(Key(n))}, "funded": i < funded}
+		t := object{"keys": []string{fleetconfig.HashKey(Key(n))}, "funded": i < funded}
 		if i >= len(names)-quota {
-			t["quota"] = obj{"units": 600, "window_s": 10}
+			t["quota"] = object{"units": 600, "window_s": 10}
 		}
 		out[n] = t
 	}
@@ -60,22 +60,22 @@
 //
 //	mix := drill.Trentvale()
 func Trentvale() Mix {
-	return Mix{Name: "trentvale", Halls: []string{"east", "north", "south", "west"}, Routers: 9, Model: "lumen-7b", Models: 12, Apps: 4,
+	return Mix{Name: "trentvale", Zones: []string{"east", "north", "south", "west"}, Routers: 9, Model: "lumen-7b", Models: 12, Apps: 4,
 		Kinds: []Kind{
 			{Name: "checks", Method: "POST", Path: "/v1/checks", Rate: 80, Prefix: 8 << 10, Docs: 24, Tail: 100, Tokens: 2},
 			{Name: "writeups", Method: "POST", Path: "/v1/writeups", Rate: 2, Prefix: 2 << 10, Docs: 4, Tail: 400, Tokens: 60, Stream: true},
 			{Name: "confirmations", Method: "POST", Path: "/v1/confirmations", Rate: 60, Once: true, Plain: true},
 		},
-		Layout: obj{
-			"services": obj{"model": obj{"second_share": 0.1, "second_spare": 20}, "orders": obj{"second_share": 0.1, "second_spare": 20}},
-			"pools": obj{
-				"fit":    obj{"select": "app=model, model=lumen-7b", "service": "model"},
-				"orders": obj{"select": "app=orders", "service": "orders"}},
-			"lanes": obj{
-				"checks":        obj{"rank": 2, "patience_ms": 10000, "tenants": []string{"*"}},
-				"writeups":      obj{"rank": 4, "patience_ms": 30000, "tenants": []string{"*"}, "repeat": true},
-				"confirmations": obj{"rank": 1, "patience_ms": 5000, "tenants": []string{"*"}, "once": true, "plain": true}},
-			"mappings": []obj{
+		Config: object{
+			"services": object{"model": object{"second_share": 0.1, "second_spare": 20}, "orders": object{"second_share": 0.1, "second_spare": 20}},
+			"pools": object{
+				"fit":    object{"select": "app=model, model=lumen-7b", "service": "model"},
+				"orders": object{"select": "app=orders", "service": "orders"}},
+			"lanes": object{
+				"checks":        object{"rank": 2, "patience_ms": 10000, "tenants": []string{"*"}},
+				"writeups":      object{"rank": 4, "patience_ms": 30000, "tenants": []string{"*"}, "repeat": true},
+				"confirmations": object{"rank": 1, "patience_ms": 5000, "tenants": []string{"*"}, "once": true, "plain": true}},
+			"mappings": []object{
 				{"method": "POST", "path": "/v1/checks", "lane": "checks", "pool": "fit"},
 				{"method": "POST", "path": "/v1/writeups", "lane": "writeups", "pool": "fit"},
 				{"method": "POST", "path": "/v1/confirmations", "lane": "confirmations", "pool": "orders"}},
@@ -87,22 +87,22 @@
 //
 //	mix := drill.Tokachi()
 func Tokachi() Mix {
-	return Mix{Name: "tokachi", Halls: []string{"hills", "plain", "river"}, Routers: 8, Model: "kumo-13b", Models: 9, Apps: 3,
+	return Mix{Name: "tokachi", Zones: []string{"hills", "plain", "river"}, Routers: 8, Model: "kumo-13b", Models: 9, Apps: 3,
 		Kinds: []Kind{
 			{Name: "notes", Method: "POST", Path: "/v1/notes", Rate: 40, Prefix: 6 << 10, Docs: 40, Tail: 300, Tokens: 12, Once: true},
 			{Name: "replies", Method: "POST", Path: "/v1/replies", Rate: 2, Prefix: 1 << 10, Docs: 4, Tail: 400, Tokens: 60, Stream: true},
 			{Name: "status", Method: "GET", Path: "/v1/status/", Rate: 60, Plain: true},
 		},
-		Layout: obj{
-			"services": obj{"model": obj{"second_share": 0.1, "second_spare": 20}, "status": obj{"second_share": 0.1, "second_spare": 20}},
-			"pools": obj{
-				"loans":  obj{"select": "app=model, model in (kumo-13b)", "service": "model"},
-				"status": obj{"select": "app=status, !retired", "service": "status"}},
-			"lanes": obj{
-				"notes":   obj{"rank": 2, "patience_ms": 10000, "tenants": []string{"*"}, "once": true},
-				"replies": obj{"rank": 4, "patience_ms": 30000, "tenants": []string{"*"}, "repeat": true},
-				"status":  obj{"rank": 1, "patience_ms": 3000, "tenants": []string{"*"}, "plain": true}},
-			"mappings": []obj{
+		Config: object{
+			"services": object{"model": object{"second_share": 0.1, "second_spare": 20}, "status": object{"second_share": 0.1, "second_spare": 20}},
+			"pools": object{
+				"loans":  object{"select": "app=model, model in (kumo-13b)", "service": "model"},
+				"status": object{"select": "app=status, !retired", "service": "status"}},
+			"lanes": object{
+				"notes":   object{"rank": 2, "patience_ms": 10000, "tenants": []string{"*"}, "once": true},
+				"replies": object{"rank": 4, "patience_ms": 30000, "tenants": []string{"*"}, "repeat": true},
+				"status":  object{"rank": 1, "patience_ms": 3000, "tenants": []string{"*"}, "plain": true}},
+			"mappings": []object{
 				{"method": "POST", "path": "/v1/notes", "lane": "notes", "pool": "loans"},
 				{"method": "POST", "path": "/v1/replies", "lane": "replies", "pool": "loans"},
 				{"method": "GET", "path": "/v1/status/*", "lane": "status", "pool": "status"}},
@@ -122,23 +122,23 @@
 	return Mix{}, fmt.Errorf("mix %q: trentvale or tokachi expected", name)
 }
 
-// Raw is the mix's layout as text.
+// Raw is the mix's config as text.
 //
 //	os.WriteFile("examples/trentvale.json", mix.Raw(), 0o644)
 func (m Mix) Raw() []byte {
-	raw, err := json.MarshalIndent(m.Layout, "", "  ")
+	raw, err := json.MarshalIndent(m.Config, "", "  ")
 	if err != nil {
 		panic(err) // a fixed value that marshals or never did
 	}
 	return append(raw, '\n')
 }
 
-// body makes one query's body; the number makes it unlike all others.
+// body makes one request's body; the number makes it unlike all others.
 func (k Kind) body(model string, n uint64, r *rand.Rand) []byte {
 	if k.Method == "GET" {
 		return nil
 	}
-	v := obj{"nonce": n}
+	v := object{"nonce": n}
 	if k.Plain {
 		v["order"] = fmt.Sprintf("order %d", n)
 	} else {
@@ -151,13 +151,13 @@
 	return raw
 }
 
-// newRand makes the source of one query's chances.
+// newRand makes the source of one request's chances.
 func newRand(n uint64) *rand.Rand { return rand.New(rand.NewPCG(n, 0)) }
 
-// payers lists a mix's tenants in order, the large ones first.
-func payers(m Mix) []string {
+// tenantNames lists a mix's tenants in order, the large ones first.
+func tenantNames(m Mix) []string {
 	var list []string
-	for k := range m.Layout["tenants"].(obj) {
+	for k := range m.Config["tenants"].(object) {
 		list = append(list, k)
 	}
 	sort.Strings(list)
--- a/internal/relay/drop_test.go
+++ b/internal/relay/drop_test.go
@@ -10,25 +10,25 @@
 // each other's copies in between. A newer word of its key is taken.
 func TestDroppedRecordsStayAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, b := NewBoard(nil), NewBoard(nil)
-		rec := Rec{Key: "runners/x", Turn: 3, Body: []byte("x")}
-		a.Take([]Rec{rec})
+		a, b := NewStore(nil), NewStore(nil)
+		rec := Record{Key: "runners/x", Version: 3, Body: []byte("x")}
+		a.Take([]Record{rec})
 		time.Sleep(700 * time.Millisecond)
 		mend(a, b)
 		for range 250 {
 			time.Sleep(300 * time.Millisecond)
-			a.Drop(time.Minute)
+			a.Forget(time.Minute)
 			mend(a, b)
-			b.Drop(time.Minute)
+			b.Forget(time.Minute)
 			mend(b, a)
 		}
-		for _, board := range []*Board{a, b} {
-			if _, _, ok := board.Get("runners/x"); ok {
+		for _, store := range []*Store{a, b} {
+			if _, _, ok := store.Get("runners/x"); ok {
 				t.Error("the record is still there after 75 s")
 			}
 		}
-		rec.Turn = 4
-		if fresh := a.Take([]Rec{rec}); len(fresh) != 1 {
+		rec.Version = 4
+		if fresh := a.Take([]Record{rec}); len(fresh) != 1 {
 			t.Error("a newer word is refused")
 		}
 	})
--- a/internal/relay/msgs.go
+++ b/internal/relay/msgs.go
@@ -5,42 +5,42 @@
 // A length read from the wire is believed up to this only.
 //msgp:limit arrays:10000000 maps:200000
 
-// Rec is one piece of news. Of two with one key the one with the higher (Gen, Turn) is newer.
-type Rec struct {
-	Key  string `msg:"k"`
-	Gen  uint64 `msg:"g"`
-	Turn uint64 `msg:"t"`
-	Body []byte `msg:"b"`
+// Record is one piece of news. Of two with one key the one with the higher (Generation, Version) is newer.
+type Record struct {
+	Key        string `msg:"k"`
+	Generation uint64 `msg:"g"`
+	Version    uint64 `msg:"t"`
+	Body       []byte `msg:"b"`
 }
 
-// Tell hands on news.
-type Tell struct {
-	From string `msg:"f"`
-	Recs []Rec  `msg:"r"`
+// News hands on news.
+type News struct {
+	From    string   `msg:"f"`
+	Records []Record `msg:"r"`
 }
 
-// Sum is what one says of its copy: a digest for each range of keys.
-type Sum struct {
-	From string   `msg:"f"`
-	Dig  []uint64 `msg:"d"`
+// Digests is what one says of its copy: a digest for each range of keys.
+type Digests struct {
+	From   string   `msg:"f"`
+	Ranges []uint64 `msg:"d"`
 }
 
-// Name is a record without its body.
-type Name struct {
-	Key  string `msg:"k"`
-	Gen  uint64 `msg:"g"`
-	Turn uint64 `msg:"t"`
+// RecordVersion is a record without its body.
+type RecordVersion struct {
+	Key        string `msg:"k"`
+	Generation uint64 `msg:"g"`
+	Version    uint64 `msg:"t"`
 }
 
-// Diff names the records of every range that differed.
-type Diff struct {
-	Range []int  `msg:"r"`
-	Names []Name `msg:"n"`
+// Difference names the records of every range that differed.
+type Difference struct {
+	Ranges  []int           `msg:"r"`
+	Records []RecordVersion `msg:"n"`
 }
 
-// Fix hands over the records that the far side lacks and asks for those that we lack.
-type Fix struct {
-	From string   `msg:"f"`
-	Recs []Rec    `msg:"r"`
-	Want []string `msg:"w"`
+// Repair hands over the records that the far side lacks and asks for those that we lack.
+type Repair struct {
+	From    string   `msg:"f"`
+	Records []Record `msg:"r"`
+	Wanted  []string `msg:"w"`
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -9,45 +9,45 @@
 )
 
 // mend makes two boards alike by digests, and tells the bytes that went between them.
-func mend(a, b *Board) int {
-	sum := a.Sum("a")
-	diff := b.Diff(sum)
+func mend(a, b *Store) int {
+	sum := a.Digests("a")
+	diff := b.Compare(sum)
 	bytes := sum.Msgsize() + diff.Msgsize()
-	if len(diff.Range) == 0 {
+	if len(diff.Ranges) == 0 {
 		return bytes
 	}
-	fix := a.Fix("a", diff)
-	b.Take(fix.Recs)
-	back := Tell{Recs: b.Pick(fix.Want)}
-	a.Take(back.Recs)
+	fix := a.Repair("a", diff)
+	b.Take(fix.Records)
+	back := News{Records: b.Select(fix.Wanted)}
+	a.Take(back.Records)
 	return bytes + fix.Msgsize() + back.Msgsize()
 }
 
 // Two copies that went apart in any way are alike after one exchange, each key at its newest.
 func TestMendAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := NewBoard(nil), NewBoard(nil)
-		model := map[string]Rec{}
+		a, b := NewStore(nil), NewStore(nil)
+		model := map[string]Record{}
 		for range rapid.IntRange(0, 60).Draw(t, "records") {
-			r := Rec{Key: fmt.Sprintf("k%d", rapid.IntRange(0, 20).Draw(t, "key")), Gen: rapid.Uint64Range(1, 3).Draw(t, "gen"), Turn: rapid.Uint64Range(1, 5).Draw(t, "turn")}
-			r.Body = []byte(fmt.Sprintf("%s %d %d", r.Key, r.Gen, r.Turn)) // one writer a key and turn
+			r := Record{Key: fmt.Sprintf("k%d", rapid.IntRange(0, 20).Draw(t, "key")), Generation: rapid.Uint64Range(1, 3).Draw(t, "gen"), Version: rapid.Uint64Range(1, 5).Draw(t, "turn")}
+			r.Body = []byte(fmt.Sprintf("%s %d %d", r.Key, r.Generation, r.Version)) // one writer a key and turn
 			if old, ok := model[r.Key]; !ok || Newer(r, old) {
 				model[r.Key] = r
 			}
 			switch rapid.IntRange(0, 2).Draw(t, "where") {
 			case 0:
-				a.Take([]Rec{r})
+				a.Take([]Record{r})
 			case 1:
-				b.Take([]Rec{r})
+				b.Take([]Record{r})
 			default:
-				a.Take([]Rec{r})
-				b.Take([]Rec{r})
+				a.Take([]Record{r})
+				b.Take([]Record{r})
 			}
 		}
 		mend(a, b)
-		for _, x := range []*Board{a, b} {
+		for _, x := range []*Store{a, b} {
 			n := 0
-			x.Each("", func(Rec, time.Duration) { n++ })
+			x.Each("", func(Record, time.Duration) { n++ })
 			if n != len(model) {
 				t.Fatalf("%d records, %d expected", n, len(model))
 			}
@@ -57,8 +57,8 @@
 				}
 			}
 		}
-		if d := b.Diff(a.Sum("a")); len(d.Range) != 0 {
-			t.Fatalf("ranges %v still differ", d.Range)
+		if d := b.Compare(a.Digests("a")); len(d.Ranges) != 0 {
+			t.Fatalf("ranges %v still differ", d.Ranges)
 		}
 	})
 }
@@ -67,14 +67,14 @@
 func TestMendCost(t *testing.T) {
 	const all = 200
 	for _, lost := range []int{0, 1, 5, 20, 200} {
-		a, b := NewBoard(nil), NewBoard(nil)
-		full := Tell{}
+		a, b := NewStore(nil), NewStore(nil)
+		full := News{}
 		for i := range all {
-			r := Rec{Key: fmt.Sprintf("runner/10.0.0.%d:1", i), Gen: 1, Turn: 7, Body: make([]byte, 400)}
-			full.Recs = append(full.Recs, r)
-			a.Take([]Rec{r})
+			r := Record{Key: fmt.Sprintf("runner/10.0.0.%d:1", i), Generation: 1, Version: 7, Body: make([]byte, 400)}
+			full.Records = append(full.Records, r)
+			a.Take([]Record{r})
 			if i >= lost {
-				b.Take([]Rec{r})
+				b.Take([]Record{r})
 			}
 		}
 		cost := mend(a, b)
@@ -85,22 +85,22 @@
 	}
 }
 
-// The tree reaches every node from the first of any hall, over live edges known to both ends.
+// The tree reaches every node from the first of any zone, over live edges known to both ends.
 func TestTreeReachesAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var all []Seat
+		var all []Node
 		for i := range rapid.IntRange(1, 60).Draw(t, "nodes") {
-			all = append(all, Seat{Name: fmt.Sprintf("n%02d", i), Hall: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "hall")})
+			all = append(all, Node{Name: fmt.Sprintf("n%02d", i), Zone: rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "hall")})
 		}
 		seen := map[string]bool{all[0].Name: true}
 		for work := []string{all[0].Name}; len(work) > 0; work = work[1:] {
-			near := Near(work[0], all)
-			if len(near) > Fan+4 {
+			near := Neighbours(work[0], all)
+			if len(near) > Fanout+4 {
 				t.Fatalf("%s has %d neighbours", work[0], len(near))
 			}
 			for _, s := range near {
 				back := false
-				for _, o := range Near(s.Name, all) {
+				for _, o := range Neighbours(s.Name, all) {
 					back = back || o.Name == work[0]
 				}
 				if !back {
@@ -122,7 +122,7 @@
 func TestFalseLength(t *testing.T) {
 	raw := []byte{0x82, 0xa1, 'f', 0xa1, 'x', 0xa1, 'r', 0xdd, 0xff, 0xff, 0xff, 0xf0} // a list of four thousand million
 	if n := testing.AllocsPerRun(1, func() {
-		var tell Tell
+		var tell News
 		if _, err := tell.UnmarshalMsg(raw); err == nil {
 			t.Error("read")
 		}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"yarrowridge/internal/env"
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 	"yarrowridge/internal/routing"
 	"yarrowridge/internal/wire"
 )
@@ -115,7 +115,7 @@
 	shortest := time.Hour
 	for range 5 {
 		begun := time.Now()
-		layout.Parse(raw)
+		fleetconfig.Parse(raw)
 		shortest = min(shortest, time.Since(begun))
 	}
 	return shortest
@@ -147,7 +147,7 @@
 	}
 	return until(ctx, "every router is ready and knows every other", func() bool {
 		return r.every(func(router *hollowRouter) bool {
-			return router.hub.Can() == "" && len(router.hub.Nodes()) == r.settings.Routers
+			return router.hub.Servable() == "" && len(router.hub.Nodes()) == r.settings.Routers
 		})
 	})
 }
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -189,7 +189,7 @@
 	if f.options != nil {
 		options = f.options(r)
 	}
-	r.hub = node.NewHub(ec.Part("node"), r.addr, r.addr, []string{f.founder[0], f.founder[1], "10.0.1.1:1"}, func(relay.Rec) {}, options...)
+	r.hub = node.NewHub(ec.Part("node"), r.addr, r.addr, []string{f.founder[0], f.founder[1], "10.0.1.1:1"}, func(relay.Record) {}, options...)
 	r.mu.Lock()
 	r.seen = nil
 	r.mu.Unlock()
@@ -198,11 +198,11 @@
 		f.t.Fatalf("router %s: %v", r.name, err)
 	}
 	r.up = true
-	go wire.Serve(ctx, l, r.hub.Hand)
+	go wire.Serve(ctx, l, r.hub.Serve)
 	go r.hub.Run()
 	hub := r.hub
 	go env.Loop(ctx, nil, 20*time.Millisecond, func(struct{}) {}, func() {
-		lay := hub.Layout()
+		lay := hub.Config()
 		if lay == nil {
 			return
 		}
--- a/internal/sim/router_test.go
+++ b/internal/sim/router_test.go
@@ -20,7 +20,7 @@
 	"github.com/tidwall/gjson"
 
 	"yarrowridge/internal/env"
-	"yarrowridge/internal/layout"
+	"yarrowridge/internal/fleetconfig"
 	"yarrowridge/internal/router"
 	"yarrowridge/internal/runner"
 	"yarrowridge/internal/wire"
@@ -158,7 +158,7 @@
 			if r.now() == nil {
 				continue
 			}
-			l := r.r.Hub.Layout()
+			l := r.r.Hub.Config()
 			if l == nil || l.Version < p.seq || r.r.Hub.Ready() != "" || len(r.r.Runners.List()) < len(w.runners) {
 				return false
 			}
@@ -194,7 +194,7 @@
 	r.r, r.up = run, true
 	r.crash = func() { end(); crash(); srv.Close() }
 	r.mu.Unlock()
-	go wire.Serve(ctx, l, run.Hub.Hand)
+	go wire.Serve(ctx, l, run.Hub.Serve)
 	run.Start()
 }
 
@@ -509,7 +509,7 @@
 	return map[string]any{"model": "m", "prompt": "hello", "max_tokens": tokens}
 }
 
-func key(tenant string) string { return layout.HashKey("demo-" + tenant) }
+func key(tenant string) string { return fleetconfig.HashKey("demo-" + tenant) }
 
 // plainLay is a layout with one pool of model runners and one of an ordinary application.
 func plainLay(more string) string {
