--- a/internal/drill/check.go
+++ b/internal/drill/check.go
@@ -220,11 +220,14 @@
 	}
 }
 
+// leavingTime is how long after a runner's word that it leaves routers may still send to it.
+const leavingTime = 2 * time.Second
+
 // times holds leaving runners and hard faults against the time that the promises give.
 func (ev Evidence) times(say sayer) {
 	for _, s := range ev.Seen {
 		for _, w := range ev.Words {
-			if d := s.At.Sub(w.At); s.Born == w.Born && d > 2*time.Second+ev.Slack {
+			if d := s.At.Sub(w.At); s.Born == w.Born && d > leavingTime+ev.Slack {
 				say("leaving", "runner %s got a query %s after its word that it leaves", s.Runner, d.Round(time.Millisecond))
 			}
 		}
--- a/internal/drill/day.go
+++ b/internal/drill/day.go
@@ -34,6 +34,8 @@
 	lay  obj // as last acknowledged
 	bad  error
 	own  sync.WaitGroup // queries of the day's own, beside the load
+
+	slack time.Duration // what a slow machine is given beyond a promise's time
 }
 
 // event is one entry of a day's course.
@@ -110,6 +112,7 @@
 //
 //	ev, err := d.Run(ctx, []string{"edits", "routers", "closing-all"}, 3*time.Second)
 func (d *Day) Run(ctx context.Context, names []string, slack time.Duration) (Evidence, error) {
+	d.slack = slack
 	run, stop := context.WithCancel(ctx)
 	defer stop()
 	var all sync.WaitGroup
@@ -301,15 +304,36 @@
 
 func (d *Day) model() *Standin { return d.f.Models[d.rnd.IntN(len(d.f.Models))] }
 
+// requestsWhileLeaving is how many requests for each model runner the day sends while one of them leaves.
+const requestsWhileLeaving = 24
+
+// leave has a runner leave for longer than routers may still send to it, and has so many requests come after
+// that time that a runner still in use surely gets one. The ordinary traffic of a second may bring it none.
 func (d *Day) leave(ctx context.Context) {
 	s := d.model()
 	word := Word{Runner: s.Name, Born: s.born, At: s.Leave(ctx)}
 	d.w.note(func(ev *Evidence) { ev.Words = append(ev.Words, word) })
-	env.Wait(ctx, 8*time.Second)
+	env.Wait(ctx, leavingTime+d.slack)
+	kind := d.f.Mix.Kinds[0] // the most frequent one that goes to model runners
+	var numbers []uint64
+	for i := range requestsWhileLeaving * len(d.f.Models) {
+		numbers = append(numbers, d.ask(kind, i))
+		env.Wait(ctx, 10*time.Millisecond)
+	}
+	d.until(ctx, rest, "the requests sent while "+s.Name+" leaves have ended", func() bool { return ended(d.l.All(), numbers) })
 	s.Crash()
 	d.up(s)
 }
 
+// ended tells whether each of these requests has had an answer.
+func ended(outs []Outcome, numbers []uint64) bool {
+	answered := map[uint64]bool{}
+	for _, o := range outs {
+		answered[o.N] = true
+	}
+	return !slices.ContainsFunc(numbers, func(n uint64) bool { return !answered[n] })
+}
+
 func (d *Day) up(s *Standin) {
 	if err := s.Start(); err != nil {
 		d.bad = err
