--- a/internal/drill/checktimes.go
+++ b/internal/drill/checktimes.go
@@ -4,11 +4,14 @@
 	"time"
 )
 
+// leavingTime is how long after a runner's word that it leaves routers may still send to it.
+const leavingTime = 2 * time.Second
+
 // checkTimes holds leaving runners and hard faults against the time that the promises give.
 func (ev Evidence) checkTimes(report reporter) {
 	for _, s := range ev.Seen {
 		for _, w := range ev.Departures {
-			if d := s.At.Sub(w.At); s.RunID == w.RunID && d > 2*time.Second+ev.Slack {
+			if d := s.At.Sub(w.At); s.RunID == w.RunID && d > leavingTime+ev.Slack {
 				report("leaving", "runner %s got a query %s after its word that it leaves", s.Runner, d.Round(time.Millisecond))
 			}
 		}
--- a/internal/drill/day.go
+++ b/internal/drill/day.go
@@ -28,6 +28,7 @@
 	config   object // as last acknowledged
 	err      error
 	requests sync.WaitGroup // requests of the day's own, beside the load
+	slack    time.Duration  // what a slow machine is given beyond a promise's time
 }
 
 // NewDay makes a day over a fleet that is up.
@@ -45,6 +46,7 @@
 //
 //	ev, err := d.Run(ctx, []string{"edits", "routers", "closing-all"}, 3*time.Second)
 func (d *Day) Run(ctx context.Context, names []string, slack time.Duration) (Evidence, error) {
+	d.slack = slack
 	run, stop := context.WithCancel(ctx)
 	defer stop()
 	var all sync.WaitGroup
--- a/internal/drill/runnerfaults.go
+++ b/internal/drill/runnerfaults.go
@@ -10,15 +10,37 @@
 
 func (d *Day) pickModelRunner() *Standin { return d.fleet.Models[d.random.IntN(len(d.fleet.Models))] }
 
+// requestsWhileLeaving is how many requests for each model runner the day sends while one of them leaves.
+const requestsWhileLeaving = 24
+
+// announceLeaving has a runner leave for longer than routers may still send to it, and has so many requests come
+// after that time that a runner still in use surely gets one. The ordinary traffic of a second may bring it none.
 func (d *Day) announceLeaving(ctx context.Context) {
 	s := d.pickModelRunner()
 	word := Departure{Runner: s.Name, RunID: s.runID, At: s.Leave(ctx)}
 	d.watch.note(func(ev *Evidence) { ev.Departures = append(ev.Departures, word) })
-	env.Wait(ctx, 8*time.Second)
+	env.Wait(ctx, leavingTime+d.slack)
+	kind := d.fleet.Mix.Kinds[0] // the most frequent one that goes to model runners
+	var numbers []uint64
+	for i := range requestsWhileLeaving * len(d.fleet.Models) {
+		numbers = append(numbers, d.sendRequest(kind, i))
+		env.Wait(ctx, 10*time.Millisecond)
+	}
+	what := "the requests sent while " + s.Name + " leaves have ended"
+	d.waitUntil(ctx, restLimit, what, func() bool { return allEnded(d.load.All(), numbers) })
 	s.Crash()
 	d.startRunner(s)
 }
 
+// allEnded tells whether each of these requests has had an answer.
+func allEnded(outcomes []Outcome, numbers []uint64) bool {
+	answered := map[uint64]bool{}
+	for _, outcome := range outcomes {
+		answered[outcome.Number] = true
+	}
+	return !slices.ContainsFunc(numbers, func(number uint64) bool { return !answered[number] })
+}
+
 func (d *Day) startRunner(s *Standin) {
 	if err := s.Start(); err != nil {
 		d.err = err
