--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -23,6 +23,7 @@
 	NewSeeds    <-chan []string // seeds as the settings have them later
 	Bootstrap   bool            // the seeds found the fleet
 	Losses      int             // machines with a disk that may be lost at once
+	Alone       bool            // none may: a fleet's only core needs no backup
 	Lost        time.Duration   // silence after which a member may be replaced by a newcomer
 	Term        time.Duration   // lease of the primacy; 0: the default
 	MemoryLimit int64           // bytes; 0: none
@@ -40,7 +41,7 @@
 		return err
 	}
 	server, err := core.Open(process.Ctx.Part("core"), core.Set{Addr: settings.Internal, Seeds: settings.Seeds, Bootstrap: settings.Bootstrap,
-		Losses: settings.Losses, Lost: settings.Lost, Term: settings.Term, Codec: settings.Codec}, disk)
+		Losses: settings.Losses, Alone: settings.Alone, Lost: settings.Lost, Term: settings.Term, Codec: settings.Codec}, disk)
 	if err != nil {
 		return err
 	}
--- a/internal/core/backups.go
+++ b/internal/core/backups.go
@@ -42,6 +42,27 @@
 	return next
 }
 
+// backups tells how many members hold a write beside the primary before it is acknowledged.
+func (s Set) backups(v view.View) int {
+	if s.Alone {
+		return min(s.Losses, len(v.Members)-1)
+	}
+	return s.Losses
+}
+
+// afterLeaving is the view once the primary has left as planned. The last but one member gives up its
+// place too, where no loss is to be borne: the last one is no majority of two.
+func (s *Server) afterLeaving(v view.View) (next view.View, ok bool) {
+	if len(v.Backups()) == 0 {
+		return v, false
+	}
+	next = heir(v, v.Backups()[0])
+	if s.set.Alone && len(v.Members) == 2 {
+		next = next.Without(v.Prime)
+	}
+	return next, true
+}
+
 // watch takes over from a primary whose lease has run out.
 func (s *Server) watch(v view.View, me string) {
 	if s.vot.Leased() || strike.Out("takeover") {
@@ -85,7 +106,7 @@
 		s.ctx.Log.Warn("Backups are let go.", "kept", addrs(v, keep), "before", addrs(v, v.Backups()))
 		s.decide(v, v.WithBackups(keep), false)
 		return
-	case len(keep) < s.set.Losses:
+	case len(keep) < s.set.backups(v):
 		s.setReady(false)
 		if !s.enlist(v, me, ls) {
 			s.seats(v, me, ls, began) // newcomers may be what is missing
@@ -139,7 +160,7 @@
 // enlist finds a primary its missing backups, copies everything to them, and only then puts them
 // into the view. Nothing is acknowledged in between, so the copies are whole.
 func (s *Server) enlist(v view.View, me string, ls *lease.Lease) bool {
-	chosen := s.choose(v, me, ls, s.set.Losses-len(v.Backups()))
+	chosen := s.choose(v, me, ls, s.set.backups(v)-len(v.Backups()))
 	for _, id := range chosen {
 		delete(s.synced, id)
 	}
--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -28,6 +28,7 @@
 	Seeds      []string
 	Bootstrap  bool          // without founders, the seeds found the fleet
 	Losses     int           // disks that may be lost at once: so many backups hold a write before it is acknowledged
+	Alone      bool          // no loss is to be borne: a fleet's only member needs no backup
 	MaxMembers int           // the most cores that vote; more wait until one is lost
 	Term       time.Duration // lease of the primacy
 	Lost       time.Duration // silence after which a member may be replaced by a newcomer
@@ -565,8 +566,14 @@
 		if v.Prime != me || !ready {
 			return
 		}
+		next, ok := s.afterLeaving(v)
+		if !ok {
+			return
+		}
 		s.setReady(false)
-		s.decide(v, heir(v, v.Backups()[0]), false)
+		if s.decide(v, next, false) {
+			s.tellHeir()
+		}
 	}}
 	t := time.NewTimer(2 * time.Second)
 	defer t.Stop()
@@ -581,6 +588,16 @@
 	}
 }
 
+// tellHeir waits until the primary of the newest view knows it: the process that decided it is about to end.
+func (s *Server) tellHeir() {
+	v := s.vot.View()
+	ctx, end := context.WithTimeout(s.ctx, step)
+	defer end()
+	if err := s.call(ctx, v.Addr(v.Prime), "view.learn", &view.Learn{View: v}, nil); err != nil {
+		s.ctx.Log.Warn("The next primary was not told.", "peer", v.Addr(v.Prime), "trouble", err.Error())
+	}
+}
+
 // Why tells why this core is of no use to its fleet now, or "".
 //
 //	if why := srv.Why(); why != "" { ... }
--- a/internal/sim/membership_test.go
+++ b/internal/sim/membership_test.go
@@ -19,7 +19,7 @@
 	for i := range cores {
 		f.cores = append(f.cores, &coreProc{addr: fmt.Sprintf("10.0.0.%d:1", i+1), hall: f.halls[i%4], disk: sim.NewDisk()})
 	}
-	for _, c := range f.cores[:3] {
+	for _, c := range f.cores[:min(3, cores)] {
 		f.founder = append(f.founder, c.addr)
 	}
 	f.place = func(c *coreProc) core.Set {
@@ -184,6 +184,49 @@
 	})
 }
 
+// Where no loss is to be borne, a core that is the only one founds its fleet, acknowledges writes, reads
+// them back after a crash, and hands all over to the core that comes in its place.
+func TestOnlyCore(t *testing.T) {
+	overSeeds(t, func(t *testing.T, seed uint64) {
+		f := seedFleet(t, seed, 1, 1)
+		f.place = func(c *coreProc) core.Set {
+			return core.Set{Addr: c.addr, Seeds: f.founder, Bootstrap: c.addr == f.founder[0], Losses: 1, Alone: true, Lost: f.lost}
+		}
+		first := f.cores[0]
+		f.startCore(first)
+		f.within(2*time.Second, "founding", func() bool { return f.primary() == first })
+		o, b := f.operator(), &book{}
+		b.add(o.put(1, 0, ""))
+		if b.all[0].code != 200 {
+			t.Fatalf("a write was answered %d", b.all[0].code)
+		}
+		f.crashCore(first)
+		time.Sleep(time.Duration(f.chance(3000)) * time.Millisecond)
+		f.startCore(first)
+		f.within(5*time.Second, "the core leads again", func() bool { return f.primary() == first })
+		o.look(b)
+
+		second := &coreProc{addr: "10.0.0.2:1", hall: f.halls[1], disk: sim.NewDisk()}
+		f.cores = append(f.cores, second)
+		f.startCore(second)
+		f.founder = append(f.founder, second.addr)
+		o = f.operator()
+		f.within(5*time.Second, "the second holds a copy", func() bool { return f.whole(1) })
+		b.add(o.put(2, 0, ""))
+		first.srv.Yield()
+		f.crashCore(first)
+		f.within(5*time.Second, "the second leads alone", func() bool { return f.primary() == second && f.whole(0) })
+		o.look(b)
+		b.add(o.put(3, 0, ""))
+		for _, p := range b.all {
+			if p.code != 200 {
+				t.Errorf("write %d was answered %d", p.seq, p.code)
+			}
+		}
+		f.check(b)
+	})
+}
+
 // As many disks as may be lost go right after an acknowledgement, and the power of all cores with
 // them: the state is read again within five seconds, and the blank cores become members in place of
 // what they were.
