--- a/internal/core/backups.go
+++ b/internal/core/backups.go
@@ -149,11 +149,11 @@
 	return s.decide(v, v.WithBackups(append(slices.Clone(v.Backups()), chosen...)), false)
 }
 
-// choose picks members that answer as new backups, halls that hold no copy yet first.
+// choose picks members that answer as new backups, zones that hold no copy yet first.
 func (s *Server) choose(v view.View, me string, ls *lease.Lease, count int) []string {
 	used := map[string]bool{s.ctx.Zone: true}
 	for _, id := range v.Backups() {
-		used[v.Hall(id)] = true
+		used[v.ZoneOf(id)] = true
 	}
 	var free []view.Member
 	for _, m := range v.Members {
@@ -165,21 +165,21 @@
 	return spread(free, used, count)
 }
 
-// spread picks members, those of halls not used yet first.
+// spread picks members, those of zones not used yet first.
 func spread(from []view.Member, used map[string]bool, count int) []string {
 	free := slices.Clone(from)
 	var out []string
 	for len(out) < count && len(free) > 0 {
-		best := max(0, slices.IndexFunc(free, func(m view.Member) bool { return !used[m.Hall] }))
+		best := max(0, slices.IndexFunc(free, func(m view.Member) bool { return !used[m.Zone] }))
 		out = append(out, free[best].Id)
-		used[free[best].Hall] = true
+		used[free[best].Zone] = true
 		free = slices.Delete(free, best, best+1)
 	}
 	return out
 }
 
-// misplaced is a backup in a hall that holds another copy, while a member of a hall without one
-// has answered steadily: a backup there outlives the loss of a whole hall.
+// misplaced is a backup in a zone that holds another copy, while a member of a zone without one
+// has answered steadily: a backup there outlives the loss of a whole zone.
 func (s *Server) misplaced(v view.View, ls *lease.Lease) string {
 	s.mu.Lock()
 	calm := s.ready && time.Since(s.since) > calmFor
@@ -189,13 +189,13 @@
 	}
 	used, worst := map[string]bool{s.ctx.Zone: true}, ""
 	for _, id := range v.Backups() {
-		if used[v.Hall(id)] {
+		if used[v.ZoneOf(id)] {
 			worst = id
 		}
-		used[v.Hall(id)] = true
+		used[v.ZoneOf(id)] = true
 	}
 	for _, m := range v.Members {
-		if worst != "" && !used[m.Hall] && ls.Gone(m.Id, time.Time{}) < alive && time.Since(s.bad[m.Id]) > awayFor {
+		if worst != "" && !used[m.Zone] && ls.Gone(m.Id, time.Time{}) < alive && time.Since(s.bad[m.Id]) > awayFor {
 			return worst
 		}
 	}
--- a/internal/core/hand.go
+++ b/internal/core/hand.go
@@ -312,7 +312,7 @@
 }
 
 // write checks and takes an operator's change. It is answered once both disks hold it and each
-// hall's first relays have it, or a short time for that has passed.
+// zone's first relays have it, or a short time for that has passed.
 func (s *Server) write(ctx context.Context, in *Write) (*Wrote, error) {
 	out := &Wrote{Code: 200}
 	if len(in.Raw) > s.set.Codec.MaxBytes() {
@@ -417,34 +417,34 @@
 	return nil
 }
 
-// push hands records to the first nodes of every hall and waits a quarter second at most, so
+// push hands records to the first nodes of every zone and waits a quarter second at most, so
 // that the news outlives us once we have answered.
 func (s *Server) push(records ...relay.Record) { s.pushTo(2, records) }
 
 // pushRunners is push for runners. A primary that has just begun has named no roll yet: routers that have
 // none from before can't hand news on, so all are told.
 func (s *Server) pushRunners(records ...relay.Record) {
-	perHall := 2
+	perZone := 2
 	s.mu.Lock()
 	if time.Since(s.since) <= nodeTerm+time.Second {
-		perHall = len(s.nodes)
+		perZone = len(s.nodes)
 	}
 	s.mu.Unlock()
-	s.pushTo(perHall, records)
+	s.pushTo(perZone, records)
 }
 
-// pushTo hands records to so many nodes of every hall.
-func (s *Server) pushTo(perHall int, records []relay.Record) {
+// pushTo hands records to so many nodes of every zone.
+func (s *Server) pushTo(perZone int, records []relay.Record) {
 	ctx, end := context.WithTimeout(s.ctx, 250*time.Millisecond)
 	s.mu.Lock()
 	all := s.live()
 	s.mu.Unlock()
 	tell := relay.News{Records: records}
-	halls := map[string]int{}
+	zones := map[string]int{}
 	done := make(chan bool, len(all))
 	sent := 0
 	for _, n := range all {
-		if halls[n.Hall]++; halls[n.Hall] > perHall {
+		if zones[n.Zone]++; zones[n.Zone] > perZone {
 			continue
 		}
 		sent++
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -51,18 +51,18 @@
 		if !ok || t.View.Epoch > 0 || t.Id == "" {
 			return
 		}
-		cur.Members = append(cur.Members, view.Member{Id: t.Id, Addr: a, Hall: t.Hall})
+		cur.Members = append(cur.Members, view.Member{Id: t.Id, Addr: a, Zone: t.Zone})
 	}
 	s.decide(cur, founded(cur, s.set.Losses), true)
 }
 
-// founded is the first view: the first member leads, its backups stand in other halls than it and
+// founded is the first view: the first member leads, its backups stand in other zones than it and
 // one another where there are such.
 func founded(cur view.View, losses int) view.View {
 	next := cur
 	next.Seats = len(cur.Members)
 	next.Prime = cur.Members[0].Id
-	used := map[string]bool{cur.Members[0].Hall: true}
+	used := map[string]bool{cur.Members[0].Zone: true}
 	return next.WithBackups(spread(cur.Members[1:], used, losses))
 }
 
@@ -78,7 +78,7 @@
 		return
 	}
 	ctx, end := context.WithTimeout(s.ctx, step)
-	err := s.call(ctx, v.Addr(v.Prime), "core.join", &Join{Who: view.Member{Id: s.vot.Id(), Addr: s.set.Addr, Hall: s.ctx.Zone}}, nil)
+	err := s.call(ctx, v.Addr(v.Prime), "core.join", &Join{Who: view.Member{Id: s.vot.Id(), Addr: s.set.Addr, Zone: s.ctx.Zone}}, nil)
 	end()
 	if err == nil {
 		s.pause(joinPause)
--- a/internal/core/msgs.go
+++ b/internal/core/msgs.go
@@ -42,7 +42,7 @@
 // Node is a router as the core and its peers know it.
 type Node struct {
 	Name  string `msg:"n" json:"name"`
-	Hall  string `msg:"h" json:"hall"`
+	Zone  string `msg:"h" json:"hall"`
 	Addr  string `msg:"a" json:"addr"`
 	Face  string `msg:"f" json:"origin"` // where origins reach it
 	Born  uint64 `msg:"b" json:"born"`
--- a/internal/core/msgs_gen.go
+++ b/internal/core/msgs_gen.go
@@ -1413,7 +1413,7 @@
 	o = msgp.AppendString(o, z.Name)
 	// string "h"
 	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendString(o, z.Hall)
+	o = msgp.AppendString(o, z.Zone)
 	// string "a"
 	o = append(o, 0xa1, 0x61)
 	o = msgp.AppendString(o, z.Addr)
@@ -1461,9 +1461,9 @@
 				return
 			}
 		case "h":
-			z.Hall, bts, err = msgp.ReadStringBytes(bts)
+			z.Zone, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Hall")
+				err = msgp.WrapError(err, "Zone")
 				return
 			}
 		case "a":
@@ -1510,7 +1510,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Node) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.StringPrefixSize + len(z.Hall) + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.Face) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.BoolSize
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.Face) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.BoolSize
 	return
 }
 
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -114,7 +114,7 @@
 		}
 	}
 	for _, n := range nodes {
-		if n.Hall == h.ctx.Zone && n.Name != h.ctx.Name {
+		if n.Zone == h.ctx.Zone && n.Name != h.ctx.Name {
 			h.repairWith(ctx, n.Addr)
 		}
 	}
@@ -125,7 +125,7 @@
 	h.mu.Lock()
 	h.asked = true
 	if len(h.nodes) == 0 {
-		h.takeNodes(append(nodes, core.Node{Name: h.ctx.Name, Hall: h.ctx.Zone, Addr: h.addr, Born: h.ctx.Born}))
+		h.takeNodes(append(nodes, core.Node{Name: h.ctx.Name, Zone: h.ctx.Zone, Addr: h.addr, Born: h.ctx.Born}))
 	}
 	h.mu.Unlock()
 }
--- a/internal/node/nodes.go
+++ b/internal/node/nodes.go
@@ -9,7 +9,7 @@
 //
 //	n := hub.Me()
 func (h *Hub) Me() core.Node {
-	n := core.Node{Name: h.ctx.Name, Hall: h.ctx.Zone, Addr: h.addr, Face: h.clientAddr, Born: h.ctx.Born}
+	n := core.Node{Name: h.ctx.Name, Zone: h.ctx.Zone, Addr: h.addr, Face: h.clientAddr, Born: h.ctx.Born}
 	n.Seq = h.ConfigVersion()
 	n.Ready = h.Ready() == ""
 	return n
@@ -66,7 +66,7 @@
 	var relayNodes []relay.Node
 	var addrs []string
 	for _, n := range nodes {
-		relayNodes = append(relayNodes, relay.Node{Name: n.Name, Zone: n.Hall, Addr: n.Addr})
+		relayNodes = append(relayNodes, relay.Node{Name: n.Name, Zone: n.Zone, Addr: n.Addr})
 		if n.Name != h.ctx.Name {
 			addrs = append(addrs, n.Addr)
 		}
--- a/internal/node/standby.go
+++ b/internal/node/standby.go
@@ -94,7 +94,7 @@
 	}
 	for i := range nodes {
 		n := nodes[((hash+i+stream.failedStandbys)%len(nodes)+len(nodes))%len(nodes)]
-		if n.Hall != s.ctx.Zone && n.Ready && n.Name != stream.standbyName {
+		if n.Zone != s.ctx.Zone && n.Ready && n.Name != stream.standbyName {
 			stream.standbyAddr, stream.standbyName = n.Addr, n.Name
 			return true
 		}
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -21,7 +21,7 @@
 	}
 	routers := make([]relay.Node, len(state.Nodes))
 	for i, node := range state.Nodes {
-		routers[i] = relay.Node{Name: node.Name, Zone: node.Hall, Addr: node.Addr}
+		routers[i] = relay.Node{Name: node.Name, Zone: node.Zone, Addr: node.Addr}
 	}
 	neighbours := map[string][]string{}
 	for _, router := range routers {
--- a/internal/router/sessions.go
+++ b/internal/router/sessions.go
@@ -241,7 +241,7 @@
 		if node.Name == s.ctx.Name || !node.Ready {
 			continue
 		}
-		if node.Hall == s.ctx.Zone {
+		if node.Zone == s.ctx.Zone {
 			return node, true
 		}
 		best, found = node, true
--- a/internal/router/sessions_test.go
+++ b/internal/router/sessions_test.go
@@ -71,7 +71,7 @@
 func (f *newsFleet) nodes() []core.Node {
 	var out []core.Node
 	for _, router := range f.routers {
-		out = append(out, core.Node{Name: router.ctx.Name, Addr: router.ctx.Name, Hall: "east", Ready: true})
+		out = append(out, core.Node{Name: router.ctx.Name, Addr: router.ctx.Name, Zone: "east", Ready: true})
 	}
 	return out
 }
--- a/internal/runner/api.go
+++ b/internal/runner/api.go
@@ -112,7 +112,7 @@
 		return
 	}
 	if report.Zone == "" {
-		report.Zone = api.Hub.Me().Hall
+		report.Zone = api.Hub.Me().Zone
 	}
 	record, fresh := NextRecord(api.Hub.Records, report, turn)
 	recs := []relay.Record{record}
--- a/internal/sim/beat_test.go
+++ b/internal/sim/beat_test.go
@@ -19,7 +19,7 @@
 			ctx, end := context.WithTimeout(f.ctx, 5*time.Second)
 			defer end()
 			var told core.Told
-			in := core.Beat{Node: core.Node{Name: "n", Hall: "h", Addr: o.addr, Born: 7}, ViewEpoch: known}
+			in := core.Beat{Node: core.Node{Name: "n", Zone: "h", Addr: o.addr, Born: 7}, ViewEpoch: known}
 			if err := o.cli.Call(ctx, "core.beat", &in, &told, true); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/sim/core_test.go
+++ b/internal/sim/core_test.go
@@ -244,8 +244,8 @@
 			}
 			b.add(p)
 			lost := f.primary()
-			if v := lost.srv.Peek().View; v.Hall(v.Prime) == v.Hall(v.Back) {
-				t.Errorf("primary and backup both stand in hall %s", v.Hall(v.Prime))
+			if v := lost.srv.Peek().View; v.ZoneOf(v.Prime) == v.ZoneOf(v.Back) {
+				t.Errorf("primary and backup both stand in hall %s", v.ZoneOf(v.Prime))
 			}
 			f.crashCore(lost)
 			lost.disk = sim.NewDisk()
--- a/internal/view/msgs.go
+++ b/internal/view/msgs.go
@@ -9,7 +9,7 @@
 type Member struct {
 	Id   string `msg:"i" json:"id"`
 	Addr string `msg:"a" json:"addr"`
-	Hall string `msg:"h" json:"hall"`
+	Zone string `msg:"h" json:"hall"`
 }
 
 // View is the small record that a majority of members decides: who is primary and who are backups.
@@ -98,6 +98,6 @@
 type Told struct {
 	Id   string `msg:"i"`
 	Addr string `msg:"a"`
-	Hall string `msg:"h"`
+	Zone string `msg:"h"`
 	View View   `msg:"v"`
 }
--- a/internal/view/msgs_gen.go
+++ b/internal/view/msgs_gen.go
@@ -463,7 +463,7 @@
 	o = msgp.AppendString(o, z.Addr)
 	// string "h"
 	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendString(o, z.Hall)
+	o = msgp.AppendString(o, z.Zone)
 	return
 }
 
@@ -502,9 +502,9 @@
 				return
 			}
 		case "h":
-			z.Hall, bts, err = msgp.ReadStringBytes(bts)
+			z.Zone, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Hall")
+				err = msgp.WrapError(err, "Zone")
 				return
 			}
 		default:
@@ -521,7 +521,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z Member) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Id) + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.Hall)
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Id) + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.Zone)
 	return
 }
 
@@ -918,7 +918,7 @@
 	o = msgp.AppendString(o, z.Addr)
 	// string "h"
 	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendString(o, z.Hall)
+	o = msgp.AppendString(o, z.Zone)
 	// string "v"
 	o = append(o, 0xa1, 0x76)
 	o, err = z.View.MarshalMsg(o)
@@ -964,9 +964,9 @@
 				return
 			}
 		case "h":
-			z.Hall, bts, err = msgp.ReadStringBytes(bts)
+			z.Zone, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Hall")
+				err = msgp.WrapError(err, "Zone")
 				return
 			}
 		case "v":
@@ -989,7 +989,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Told) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Id) + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.Hall) + 2 + z.View.Msgsize()
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Id) + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + z.View.Msgsize()
 	return
 }
 
@@ -1013,7 +1013,7 @@
 		o = msgp.AppendString(o, z.Members[za0001].Addr)
 		// string "h"
 		o = append(o, 0xa1, 0x68)
-		o = msgp.AppendString(o, z.Members[za0001].Hall)
+		o = msgp.AppendString(o, z.Members[za0001].Zone)
 	}
 	// string "p"
 	o = append(o, 0xa1, 0x70)
@@ -1109,9 +1109,9 @@
 							return
 						}
 					case "h":
-						z.Members[za0001].Hall, bts, err = msgp.ReadStringBytes(bts)
+						z.Members[za0001].Zone, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Members", za0001, "Hall")
+							err = msgp.WrapError(err, "Members", za0001, "Zone")
 							return
 						}
 					default:
@@ -1180,7 +1180,7 @@
 func (z *View) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Members {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Members[za0001].Id) + 2 + msgp.StringPrefixSize + len(z.Members[za0001].Addr) + 2 + msgp.StringPrefixSize + len(z.Members[za0001].Hall)
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.Members[za0001].Id) + 2 + msgp.StringPrefixSize + len(z.Members[za0001].Addr) + 2 + msgp.StringPrefixSize + len(z.Members[za0001].Zone)
 	}
 	s += 2 + msgp.StringPrefixSize + len(z.Prime) + 2 + msgp.StringPrefixSize + len(z.Back) + 2 + msgp.ArrayHeaderSize
 	for za0002 := range z.Backs {
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -38,10 +38,10 @@
 // Hall finds the zone a member stands in.
 //
 //	if v.Hall(v.Back) == v.Hall(v.Prime) { ... }
-func (v View) Hall(id string) string {
+func (v View) ZoneOf(id string) string {
 	for _, m := range v.Members {
 		if m.Id == id {
-			return m.Hall
+			return m.Zone
 		}
 	}
 	return ""
@@ -211,7 +211,7 @@
 //	t := v.Told("127.0.0.1:7401", "north")
 func (v *Voter) Told(addr, hall string) *Told {
 	b := v.seen.Load()
-	return &Told{Id: b.Id, Addr: addr, Hall: hall, View: b.View}
+	return &Told{Id: b.Id, Addr: addr, Zone: hall, View: b.View}
 }
 
 // Learn takes a decided view if it is newer.
