--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -35,9 +35,9 @@
 	return ""
 }
 
-// Hall finds the zone a member stands in.
+// ZoneOf finds the zone a member stands in.
 //
-//	if v.Hall(v.Back) == v.Hall(v.Prime) { ... }
+//	if v.ZoneOf(v.Back) == v.ZoneOf(v.Prime) { ... }
 func (v View) ZoneOf(id string) string {
 	for _, m := range v.Members {
 		if m.Id == id {
@@ -209,9 +209,9 @@
 // Told answers an Ask.
 //
 //	t := v.Told("127.0.0.1:7401", "north")
-func (v *Voter) Told(addr, hall string) *Told {
+func (v *Voter) Told(addr, zone string) *Told {
 	b := v.seen.Load()
-	return &Told{Id: b.Id, Addr: addr, Zone: hall, View: b.View}
+	return &Told{Id: b.Id, Addr: addr, Zone: zone, View: b.View}
 }
 
 // Learn takes a decided view if it is newer.
