--- /dev/null
+++ b/internal/core/handlers.go
@@ -0,0 +1,94 @@
+package core
+
+import (
+	"context"
+	"time"
+
+	"github.com/tinylib/msgp/msgp"
+
+	"yarrowridge/internal/view"
+	"yarrowridge/internal/wire"
+)
+
+func (s *Server) viewHand(_ context.Context, kind string, body []byte) (msgp.Marshaler, error) {
+	ans, err := s.vote(kind, body)
+	if err != nil && !isFault(err) {
+		s.trouble(err)
+		return nil, wire.Fault{Code: DiskBad}
+	}
+	return ans, err
+}
+
+func isFault(err error) bool {
+	_, ok := err.(wire.Fault)
+	return ok
+}
+
+func (s *Server) vote(kind string, body []byte) (msgp.Marshaler, error) {
+	switch kind {
+	case "view.ask":
+		return s.vot.Told(s.set.Addr, s.ctx.Zone), nil
+	case "view.prep":
+		return wire.On(body, s.vot.Prep)
+	case "view.pick":
+		return wire.On(body, s.vot.Pick)
+	case "view.learn":
+		return wire.On(body, func(in *view.Learn) (*Done, error) { return &Done{}, s.vot.Learn(in.View) })
+	case "view.renew":
+		return wire.On(body, s.vot.Renew)
+	case "view.release":
+		return wire.On(body, func(in *view.Release) (*Done, error) { s.vot.Release(in); return &Done{}, nil })
+	}
+	return nil, wire.Fault{Code: "unknown-kind"}
+}
+
+func (s *Server) coreHand(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
+	ctx, end := context.WithTimeout(ctx, 4*time.Second)
+	defer end()
+	switch kind {
+	case "core.hold":
+		return wire.On(body, s.hold)
+	case "core.copy":
+		return wire.On(body, s.copy)
+	case "core.join":
+		return wire.On(body, func(in *Join) (*Done, error) { return s.takeJoin(ctx, in) })
+	case "core.beat":
+		return wire.On(body, func(in *Beat) (*Told, error) { return s.takeBeat(ctx, in) })
+	case "core.runner":
+		return wire.On(body, func(in *RunnerBeat) (*Done, error) { return s.takeRunner(ctx, in) })
+	case "core.layout":
+		return wire.On(body, s.giveLayout)
+	case "core.write":
+		return wire.On(body, func(in *Write) (*Wrote, error) { return s.write(ctx, in) })
+	case "core.take":
+		return wire.On(body, func(in *Take) (*Took, error) { return s.take(ctx, in) })
+	case "core.settle":
+		return wire.On(body, func(in *Settle) (*Done, error) { return s.settle(ctx, in) })
+	case "core.move":
+		return wire.On(body, func(in *Move) (*Moved, error) { return s.move(ctx, in) })
+	case "core.moves":
+		return wire.On(body, func(in *Moves) (*MovedAll, error) { return s.moveAll(ctx, in) })
+	case "core.sessions":
+		return wire.On(body, func(*Want) (*Sessions, error) { return s.giveSessions() })
+	case "core.sessions.keep":
+		return wire.On(body, func(in *Sessions) (*Done, error) { return s.keepSessions(ctx, in) })
+	case "core.peek":
+		return wire.On(body, func(*Peek) (*State, error) { return s.Peek(), nil })
+	}
+	return nil, wire.Fault{Code: "unknown-kind"}
+}
+
+// prime bounces what only a ready primary may answer.
+func (s *Server) prime() error {
+	v := s.vot.View()
+	if v.Prime != s.vot.Id() {
+		return wire.Fault{Code: NotPrimary}
+	}
+	s.mu.Lock()
+	ready := s.ready
+	s.mu.Unlock()
+	if !ready || !s.stands(v) {
+		return wire.Fault{Code: NotReady}
+	}
+	return nil
+}
