--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -61,50 +61,9 @@
 	sum := sha256.Sum256(in.Raw)
 	hash := hex.EncodeToString(sum[:])
 	var sheet Sheet
-	err := s.Submit(ctx, func(tx *Tx) error {
-		cur, err := tx.sheet()
-		if err != nil {
-			return err
-		}
-		if in.Id != "" {
-			if raw, ok := tx.Get("mark/" + in.Id); ok {
-				var m Mark
-				if _, err := m.UnmarshalMsg(raw); err != nil {
-					return err
-				}
-				out.Seq, out.Again = m.Seq, true
-				if m.Sum != hash {
-					out.Code = 422
-				}
-				return nil
-			}
-		}
-		out.Seq = cur.Seq
-		if !in.Any && in.Match != cur.Seq {
-			out.Code = 412
-			if !strike.Out("race") {
-				return nil
-			}
-		}
-		raw := in.Raw
-		if in.Patch {
-			if raw, err = s.set.Codec.Merge(cur.Raw, in.Raw); err != nil {
-				out.Code, out.Flaws = 400, []Flaw{{Text: "valid JSON expected"}}
-				return nil
-			}
-			if len(raw) > s.set.Codec.MaxBytes() {
-				out.Code = 413
-				return nil
-			}
-		}
-		next, numbered, flaws := s.check(cur, raw)
-		if len(flaws) > 0 {
-			out.Code, out.Flaws = 400, flaws
-			return nil
-		}
-		sheet = next
-		out.Seq = sheet.Seq
-		return tx.record(cur, sheet, numbered, in.Id, hash)
+	err := s.Submit(ctx, func(tx *Tx) (err error) {
+		sheet, err = s.applyWrite(tx, in, hash, out)
+		return err
 	})
 	if err != nil {
 		return nil, err
@@ -119,6 +78,64 @@
 	return out, nil
 }
 
+// applyWrite checks one write against what stands and records it. out says what came of it; the sheet is the
+// new one, or empty where the write changes nothing.
+func (s *Server) applyWrite(tx *Tx, in *Write, hash string, out *Wrote) (Sheet, error) {
+	cur, err := tx.sheet()
+	if err != nil {
+		return Sheet{}, err
+	}
+	if again, err := tx.isRepeated(in, hash, out); again || err != nil {
+		return Sheet{}, err
+	}
+	out.Seq = cur.Seq
+	if !in.Any && in.Match != cur.Seq {
+		out.Code = 412
+		if !strike.Out("race") {
+			return Sheet{}, nil
+		}
+	}
+	raw := in.Raw
+	if in.Patch {
+		if raw, err = s.set.Codec.Merge(cur.Raw, in.Raw); err != nil {
+			out.Code, out.Flaws = 400, []Flaw{{Text: "valid JSON expected"}}
+			return Sheet{}, nil
+		}
+		if len(raw) > s.set.Codec.MaxBytes() {
+			out.Code = 413
+			return Sheet{}, nil
+		}
+	}
+	next, numbered, flaws := s.check(cur, raw)
+	if len(flaws) > 0 {
+		out.Code, out.Flaws = 400, flaws
+		return Sheet{}, nil
+	}
+	out.Seq = next.Seq
+	return next, tx.record(cur, next, numbered, in.Id, hash)
+}
+
+// isRepeated tells whether a write with this id was taken before. out is then what was answered, or says that
+// the id stands for another document.
+func (t *Tx) isRepeated(in *Write, hash string, out *Wrote) (bool, error) {
+	if in.Id == "" {
+		return false, nil
+	}
+	raw, ok := t.Get("mark/" + in.Id)
+	if !ok {
+		return false, nil
+	}
+	var mark Mark
+	if _, err := mark.UnmarshalMsg(raw); err != nil {
+		return true, err
+	}
+	out.Seq, out.Again = mark.Seq, true
+	if mark.Sum != hash {
+		out.Code = 422
+	}
+	return true, nil
+}
+
 // check reads a new configuration and gives it its sequence. numbered: the document numbers itself.
 func (s *Server) check(cur Sheet, raw []byte) (next Sheet, numbered bool, flaws []Flaw) {
 	doc, flaws := s.set.Codec.Check(raw)
