--- a/internal/control/main.go
+++ b/internal/control/main.go
@@ -36,7 +36,7 @@
 }
 
 // check holds the settings against one another.
-func check(set env.Set) env.Problems {
+func check(set env.Settings) env.Problems {
 	bad := founders(set)
 	for _, n := range []struct {
 		name        string
@@ -55,13 +55,13 @@
 }
 
 // number reads a setting that check has passed.
-func number(set env.Set, name string) int {
+func number(set env.Settings, name string) int {
 	n, _ := strconv.Atoi(set[name])
 	return n
 }
 
 // founders checks that the list of founders can found anything.
-func founders(set env.Set) env.Problems {
+func founders(set env.Settings) env.Problems {
 	all := set.Addrs("founders")
 	if len(all) == 0 {
 		if len(set.Addrs("seeds")) == 0 {
--- a/internal/env/env.go
+++ b/internal/env/env.go
@@ -100,13 +100,13 @@
 	Help       string
 }
 
-// Set is what was settled: every setting by name.
-type Set map[string]string
+// Settings is what was settled: every setting by name.
+type Settings map[string]string
 
 // Addrs splits a List setting.
 //
 //	for _, a := range set.Addrs("seeds") { ... }
-func (s Set) Addrs(name string) []string {
+func (s Settings) Addrs(name string) []string {
 	if s[name] == "" {
 		return nil
 	}
@@ -116,7 +116,7 @@
 // Span reads a Span setting, already checked.
 //
 //	d := set.Span("drain")
-func (s Set) Span(name string) time.Duration {
+func (s Settings) Span(name string) time.Duration {
 	duration, _ := time.ParseDuration(s[name])
 	return duration
 }
@@ -124,7 +124,7 @@
 // Or reads a setting, or another where it is not set.
 //
 //	at := set.Or("listen", "addr")
-func (s Set) Or(name, other string) string {
+func (s Settings) Or(name, other string) string {
 	if s[name] != "" {
 		return s[name]
 	}
@@ -148,7 +148,7 @@
 // Read settles the settings from args and, where -env names one, a JSON file. Flags win.
 //
 //	set, ask, err := env.Read("core", items, os.Args[1:])
-func Read(prog string, items []Setting, args []string) (Set, Command, error) {
+func Read(prog string, items []Setting, args []string) (Settings, Command, error) {
 	var command Command
 	flagSet := flag.NewFlagSet(prog, flag.ContinueOnError)
 	flagSet.StringVar(&command.File, "env", "", "settings file (JSON); flags win over it")
@@ -162,12 +162,12 @@
 		return nil, command, err
 	}
 	if command.Version {
-		return Set{}, command, nil
+		return Settings{}, command, nil
 	}
 	if flagSet.NArg() > 0 {
 		return nil, command, Problems{fmt.Sprintf("argument %q: nothing expected after the flags", flagSet.Arg(0))}
 	}
-	set := Set{}
+	set := Settings{}
 	for _, setting := range items {
 		set[setting.Name] = *values[setting.Name]
 	}
@@ -194,7 +194,7 @@
 	return set, command, nil
 }
 
-func parse(items []Setting, raw []byte) (Set, Problems) {
+func parse(items []Setting, raw []byte) (Settings, Problems) {
 	if !gjson.ValidBytes(raw) {
 		return nil, Problems{"settings file: valid JSON expected"}
 	}
@@ -206,7 +206,7 @@
 	for _, setting := range items {
 		know[setting.Name] = setting
 	}
-	set, problems := Set{}, Problems{}
+	set, problems := Settings{}, Problems{}
 	doc.ForEach(func(k, v gjson.Result) bool {
 		setting, ok := know[k.String()]
 		switch {
@@ -231,7 +231,7 @@
 // Check tells everything that is wrong with a set, by name, value and what was expected.
 //
 //	if bad := env.Check(items, set); len(bad) > 0 { ... }
-func Check(items []Setting, set Set) Problems {
+func Check(items []Setting, set Settings) Problems {
 	var problems Problems
 	say := func(name, value, want string) {
 		problems = append(problems, fmt.Sprintf("setting %q: value %q: %s expected", name, value, want))
--- a/internal/env/proc.go
+++ b/internal/env/proc.go
@@ -29,9 +29,9 @@
 // Proc is a running program: its settings, and what the signals ask for.
 type Proc struct {
 	Ctx      Ctx
-	Set      Set             // as at the start
+	Set      Settings        // as at the start
 	Stop     <-chan struct{} // closed upon SIGTERM or SIGINT: drain, then end
-	now      atomic.Pointer[Set]
+	now      atomic.Pointer[Settings]
 	logLevel *slog.LevelVar
 	cancel   context.CancelFunc
 }
@@ -68,7 +68,7 @@
 // more are checks of settings against each other.
 //
 //	p, code := env.Start("core", items, args, os.Stderr)
-func Start(prog string, items []Setting, args []string, out io.Writer, more ...func(Set) Problems) (*Proc, int) {
+func Start(prog string, items []Setting, args []string, out io.Writer, more ...func(Settings) Problems) (*Proc, int) {
 	set, command, err := Read(prog, items, args)
 	for _, check := range more {
 		if err == nil && !command.Version {
@@ -98,15 +98,15 @@
 // Begin sets up log and signals of a program whose settings come from elsewhere. The settings used are
 // "name", "hall", "log" and "from". reload is called for each SIGHUP.
 //
-//	p := env.Begin(env.Set{"name": "n1", "hall": "north", "log": "info"}, os.Stderr, reload)
-func Begin(set Set, out io.Writer, reload func()) *Proc {
+//	p := env.Begin(env.Settings{"name": "n1", "hall": "north", "log": "info"}, os.Stderr, reload)
+func Begin(set Settings, out io.Writer, reload func()) *Proc {
 	process, hangup := begin(set, out)
 	go Loop(process.Ctx, hangup, 0, func(os.Signal) { reload() }, nil)
 	return process
 }
 
 // begin makes the process and tells the channel of its SIGHUPs.
-func begin(set Set, out io.Writer) (*Proc, <-chan os.Signal) {
+func begin(set Settings, out io.Writer) (*Proc, <-chan os.Signal) {
 	level := &slog.LevelVar{}
 	level.Set(logLevelOf(set["log"]))
 	ctx, cancel := context.WithCancel(context.Background())
