--- a/internal/drill/evidence.go
+++ b/internal/drill/evidence.go
@@ -168,7 +168,7 @@
 	do(&w.evidence)
 }
 
-// Evidence is all that was seen, with the clients' outcomes and the runners' diaries.
+// Evidence is all that was seen, with the clients' outcomes and the runners' request logs.
 //
 //	bad := drill.Check(w.Evidence(load))
 func (w *Watch) Evidence(l *Load) Evidence {
--- a/internal/drill/requestlog.go
+++ b/internal/drill/requestlog.go
@@ -18,7 +18,7 @@
 	Finished bool // answered to the last byte
 }
 
-// Diary is what all stand-in runners received, in order.
+// RequestLog is what all stand-in runners received, in order.
 type RequestLog struct {
 	mu  sync.Mutex
 	all []*Seen
@@ -36,9 +36,9 @@
 	s.Finished = true
 }
 
-// All copies the diary.
+// All copies the log.
 //
-//	for _, s := range diary.All() { ... }
+//	for _, s := range requestLog.All() { ... }
 func (d *RequestLog) All() []Seen {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/runner/send.go
+++ b/internal/runner/send.go
@@ -53,6 +53,7 @@
 // from resending a GET on a stale connection by itself.
 type body struct{ io.Reader }
 
+// Close does nothing: the reader belongs to the caller.
 func (body) Close() error { return nil }
 
 // hopByHop are the headers that concern one connection only.
