--- a/internal/core/codec.go
+++ b/internal/core/codec.go
@@ -21,9 +21,11 @@
 	Windows  map[string]time.Duration // in which a tenant's units may be spent once
 	Claims   ClaimLimits
 
-	// Tolerances are units of each tenant that may be held on top of its quota while as many cool: what a
-	// holder that is gone may have spent counts whole, though it seldom spent all.
-	Tolerances map[string]int
+	// Tolerances are units of each tenant that may be drawn on top of its quota while as many cool: what a
+	// holder that is gone may have spent counts whole, though it seldom spent all. Any ToleranceWindow sees each
+	// tenant's tolerance spent once at the most.
+	Tolerances      map[string]int
+	ToleranceWindow time.Duration
 }
 
 // ClaimLimits bound how long and how many once-only keys are kept. Zeros mean the defaults.
--- a/internal/core/hand.go
+++ b/internal/core/hand.go
@@ -512,7 +512,7 @@
 		s.sweepClaims(doc.Claims)
 		s.sweepRunners(s.runners.List(time.Now()))
 	}
-	s.sweepQuotas(doc.Windows, live, here)
+	s.sweepQuotas(doc, live, here)
 }
 
 // How often the run loop looks for what has had its time: in general, and while units of quotas cool.
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"fmt"
+	"math/rand/v2"
 	"strings"
 	"sync"
 	"time"
@@ -108,19 +110,44 @@
 		out.Have, changed = p.Give(who, in.Turn, in.Units)
 	} else {
 		was := p.Held[who].Units
-		most := p.Most(quota, tolerance)
-		out.Have, changed = p.Draw(who, in.Turn, min(in.Units, drawMost(most-p.Out())), most)
+		free := p.Most(quota, tolerance) - p.Out()
+		out.Have, changed = p.DrawAbove(who, in.Turn, min(in.Units, drawMost(free)), quota, tolerance, s.chargeFor(in.Tenant))
 		if in.Units > 0 {
-			s.noteShort(in.Tenant, out.Have == was, quota, most-p.Out())
+			s.noteShort(in.Tenant, out.Have == was, quota, p.Most(quota, tolerance)-p.Out())
 		}
 	}
-	out.Under = p.Under(quota, tolerance)
+	out.Under = p.Under(quota)
 	if changed {
 		err = s.pot.put(tx, in.Tenant, p)
 	}
 	return out, err
 }
 
+// openCharge is the charge to which what is drawn of a tenant's tolerance is added for a while.
+type openCharge struct {
+	id    uint64
+	since time.Time
+}
+
+// chargeSpan is how long one charge of a tolerance is added to.
+const chargeSpan = 250 * time.Millisecond
+
+// chargeFor gives the ID of the charge that what is drawn now of a tenant's tolerance counts to. IDs are drawn at
+// random: no other primary has used one, and what this run knows of its age is never that of another charge.
+// Only the run loop calls it.
+func (s *Server) chargeFor(tenant string) uint64 {
+	now := time.Now()
+	open, ok := s.charges[tenant]
+	if !ok || now.Sub(open.since) >= chargeSpan {
+		open = openCharge{rand.Uint64(), now}
+		if s.charges == nil {
+			s.charges = map[string]openCharge{}
+		}
+		s.charges[tenant] = open
+	}
+	return open.id
+}
+
 // lowPart is the part of a small quota from which on idle units are wanted back: there are more routers than
 // units, and each that has some idle keeps them from many others.
 const lowPart = 2
@@ -252,8 +279,20 @@
 // holding names one holder's units of one tenant.
 type holding struct{ tenant, who string }
 
+// finishedCharge names a charge of a tenant's tolerance that counts no longer.
+type finishedCharge struct {
+	tenant string
+	id     uint64
+}
+
+func chargeKey(tenant string, id uint64) string { return fmt.Sprintf("charge/%s/%d", tenant, id) }
+
+// chargeKeep is how long a charge of a tolerance counts once it has been seen. A spend that it stands for comes
+// within a window of the last draw, and any window that holds this spend has ended a window later.
+func chargeKeep(window time.Duration) time.Duration { return chargeSpan + 2*window + 2*share.Margin }
+
 // sweepQuotas frees units that have cooled, and sets those of holders that are gone cooling.
-func (s *Server) sweepQuotas(windows map[string]time.Duration, live, here map[string]bool) {
+func (s *Server) sweepQuotas(doc *Document, live, here map[string]bool) {
 	now := time.Now()
 	seen := map[string]bool{}
 	aged := func(key string, span time.Duration) bool {
@@ -266,6 +305,7 @@
 		return now.Sub(at) > span
 	}
 	var thaw, out []holding
+	var finished []finishedCharge
 	s.cooling = false
 	tx := &Tx{st: s.st.Load()}
 	for _, tenant := range potTenants(tx) {
@@ -275,10 +315,15 @@
 		}
 		for who := range p.Cool {
 			s.cooling = true
-			if aged(coolKey(tenant, who), windows[tenant]+share.Margin) {
+			if aged(coolKey(tenant, who), doc.Windows[tenant]+share.Margin) {
 				thaw = append(thaw, holding{tenant, who})
 			}
 		}
+		for _, charge := range p.Charges {
+			if aged(chargeKey(tenant, charge.ID), chargeKeep(max(doc.ToleranceWindow, doc.Windows[tenant]))) {
+				finished = append(finished, finishedCharge{tenant, charge.ID})
+			}
+		}
 		for who := range p.Held {
 			if live[who] {
 				continue
@@ -295,7 +340,12 @@
 			delete(s.aged, key)
 		}
 	}
-	if len(thaw)+len(out) == 0 {
+	s.endQuotas(thaw, out, finished)
+}
+
+// endQuotas frees units that have cooled, sets those of holders that are gone cooling, and ends charges.
+func (s *Server) endQuotas(thaw, out []holding, finished []finishedCharge) {
+	if len(thaw)+len(out)+len(finished) == 0 {
 		return
 	}
 	s.later(func(tx *Tx) error {
@@ -307,6 +357,9 @@
 			for _, h := range out {
 				changed = h.tenant == tenant && p.Retire(h.who) || changed
 			}
+			for _, charge := range finished {
+				changed = charge.tenant == tenant && p.Uncharge(charge.id) || changed
+			}
 			return changed
 		})
 	})
--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -110,7 +110,8 @@
 	bad     map[string]time.Time // members that lately failed as backup
 	aged    map[string]time.Time // cooling and silent holders: since when
 	pot     potCache
-	claims  map[string]time.Time // since when this run knows each claim, and each part of the keys that ran
+	charges map[string]openCharge // of tenants' tolerances
+	claims  map[string]time.Time  // since when this run knows each claim, and each part of the keys that ran
 	swept   time.Time
 	swept10 time.Time            // of the claims
 	cooling bool                 // units of some quota cool
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -295,12 +295,11 @@
 type Quota struct {
 	Requests  int
 	Period    time.Duration
-	Tolerance int // requests on top, while it is not known what a router that died has spent
+	Tolerance int // requests on top in any window, while it is not known what a router that died has spent
 }
 
-// toleranceUse is the part of the overshoot that each period may make use of: so little that a window keeps it
-// where routers die in each of its periods.
-const toleranceUse = 0.99 / quotaPeriods
+// toleranceUse is the part of the overshoot that may be used in any window.
+const toleranceUse = 0.99
 
 // For gives a tenant's quota. Its rate must be set.
 func (q QuotaRule) For(t *Tenant) Quota {
--- a/internal/share/msgs.go
+++ b/internal/share/msgs.go
@@ -11,9 +11,19 @@
 	Turn  uint64 `msg:"t"`
 }
 
+// Charge is a part of the tolerance that was drawn. It counts until no window holds both a spend that it stands
+// for and a later one.
+type Charge struct {
+	ID    uint64 `msg:"i"`
+	Units int    `msg:"u"`
+}
+
 // Pot is a tenant's quota as the core keeps it: who holds how many units. Cool are units of
-// holders that are surely gone, not yet free since the last spends may still count.
+// holders that are surely gone, not yet free since the last spends may still count. Above is how many units are
+// out above the quota by the tolerance, and Charges what of the tolerance was drawn lately.
 type Pot struct {
-	Held map[string]Hold `msg:"h"`
-	Cool map[string]int  `msg:"c"`
+	Held    map[string]Hold `msg:"h"`
+	Cool    map[string]int  `msg:"c"`
+	Above   int             `msg:"a"`
+	Charges []Charge        `msg:"x"`
 }
--- a/internal/share/msgs_gen.go
+++ b/internal/share/msgs_gen.go
@@ -12,6 +12,71 @@
 	z78411aa4limitMaps   = 200000
 )
 
+// MarshalMsg implements msgp.Marshaler
+func (z Charge) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 2
+	// string "i"
+	o = append(o, 0x82, 0xa1, 0x69)
+	o = msgp.AppendUint64(o, z.ID)
+	// string "u"
+	o = append(o, 0xa1, 0x75)
+	o = msgp.AppendInt(o, z.Units)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Charge) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > z78411aa4limitMaps {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "i":
+			z.ID, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ID")
+				return
+			}
+		case "u":
+			z.Units, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Units")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z Charge) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.IntSize
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z Hold) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -80,9 +145,9 @@
 // MarshalMsg implements msgp.Marshaler
 func (z *Pot) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
+	// map header, size 4
 	// string "h"
-	o = append(o, 0x82, 0xa1, 0x68)
+	o = append(o, 0x84, 0xa1, 0x68)
 	o = msgp.AppendMapHeader(o, uint32(len(z.Held)))
 	for za0001, za0002 := range z.Held {
 		o = msgp.AppendString(o, za0001)
@@ -101,6 +166,21 @@
 		o = msgp.AppendString(o, za0003)
 		o = msgp.AppendInt(o, za0004)
 	}
+	// string "a"
+	o = append(o, 0xa1, 0x61)
+	o = msgp.AppendInt(o, z.Above)
+	// string "x"
+	o = append(o, 0xa1, 0x78)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Charges)))
+	for za0005 := range z.Charges {
+		// map header, size 2
+		// string "i"
+		o = append(o, 0x82, 0xa1, 0x69)
+		o = msgp.AppendUint64(o, z.Charges[za0005].ID)
+		// string "u"
+		o = append(o, 0xa1, 0x75)
+		o = msgp.AppendInt(o, z.Charges[za0005].Units)
+	}
 	return
 }
 
@@ -223,6 +303,68 @@
 				}
 				z.Cool[za0003] = za0004
 			}
+		case "a":
+			z.Above, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Above")
+				return
+			}
+		case "x":
+			var zb0005 uint32
+			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Charges")
+				return
+			}
+			if zb0005 > z78411aa4limitArrays {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			if cap(z.Charges) >= int(zb0005) {
+				z.Charges = (z.Charges)[:zb0005]
+			} else {
+				z.Charges = make([]Charge, zb0005)
+			}
+			for za0005 := range z.Charges {
+				var zb0006 uint32
+				zb0006, bts, err = msgp.ReadMapHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Charges", za0005)
+					return
+				}
+				if zb0006 > z78411aa4limitMaps {
+					err = msgp.ErrLimitExceeded
+					return
+				}
+				for zb0006 > 0 {
+					zb0006--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Charges", za0005)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "i":
+						z.Charges[za0005].ID, bts, err = msgp.ReadUint64Bytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Charges", za0005, "ID")
+							return
+						}
+					case "u":
+						z.Charges[za0005].Units, bts, err = msgp.ReadIntBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Charges", za0005, "Units")
+							return
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Charges", za0005)
+							return
+						}
+					}
+				}
+			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -251,5 +393,6 @@
 			s += msgp.StringPrefixSize + len(za0003) + msgp.IntSize
 		}
 	}
+	s += 2 + msgp.IntSize + 2 + msgp.ArrayHeaderSize + (len(z.Charges) * (5 + msgp.Uint64Size + msgp.IntSize))
 	return
 }
--- a/internal/share/pot.go
+++ b/internal/share/pot.go
@@ -3,6 +3,8 @@
 // units move, giver first: so no rolling window sees more than the quota, whoever is cut off.
 package share
 
+import "slices"
+
 // Out is how many units are not free: held, or cooling.
 //
 //	free := quota - pot.Out()
@@ -25,20 +27,70 @@
 	return n
 }
 
-// Most is how many units may be out under a quota: while some cool, as many again on top of it, up to the
-// tolerance that the limit allows.
+// Charged is how much of the tolerance was drawn lately.
 //
-//	have, changed := pot.Draw("n1/7", 3, 10, pot.Most(600, 40))
-func (p *Pot) Most(quota, tolerance int) int { return quota + min(tolerance, p.Cooling()) }
+//	left := tolerance - pot.Charged()
+func (p *Pot) Charged() int {
+	n := 0
+	for _, c := range p.Charges {
+		n += c.Units
+	}
+	return n
+}
+
+// Most is how many units may be out under a quota: while some cool, as many again on top of it, as far as the
+// tolerance that the limit allows has not been drawn lately.
+//
+//	n := min(wanted, pot.Most(600, 40)-pot.Out())
+func (p *Pot) Most(quota, tolerance int) int {
+	left := max(0, tolerance-p.Charged())
+	return min(max(quota, p.Out())+left, quota+p.Cooling())
+}
 
 // Under is what holders measure their units against: the quota, or what is out if that is more, since the quota
 // was lowered. What is out by the tolerance does not count: it is held to be spent.
 //
-//	out.Under = pot.Under(600, 40)
-func (p *Pot) Under(quota, tolerance int) int {
-	return max(quota, p.Out()-min(tolerance, p.Cooling()))
+//	out.Under = pot.Under(600)
+func (p *Pot) Under(quota int) int { return max(quota, p.Out()-p.Above) }
+
+// DrawAbove is Draw where the tolerance may be used as well: what is drawn above the quota counts as a charge of
+// the given ID, until Uncharge. Each unit of it adds one spend at most to the spends under the quota: the next
+// spend of the unit comes when the unit that cooled is free.
+//
+//	have, changed := pot.DrawAbove("n1/7", 3, 10, 600, 40, id)
+func (p *Pot) DrawAbove(who string, turn uint64, want, quota, tolerance int, id uint64) (int, bool) {
+	before := p.Out()
+	have, changed := p.Draw(who, turn, want, p.Most(quota, tolerance))
+	if above := p.Out() - max(quota, before); above > 0 {
+		p.Above += above
+		p.charge(id, above)
+	}
+	return have, changed
+}
+
+func (p *Pot) charge(id uint64, units int) {
+	charges := slices.Clone(p.Charges)
+	at := slices.IndexFunc(charges, func(c Charge) bool { return c.ID == id })
+	if at < 0 {
+		at = len(charges)
+		charges = append(charges, Charge{ID: id})
+	}
+	charges[at].Units += units
+	p.Charges = charges
 }
 
+// Uncharge ends a charge of the tolerance, once no window holds a spend that it stands for.
+//
+//	if pot.Uncharge(id) { ... }
+func (p *Pot) Uncharge(id uint64) bool {
+	was := len(p.Charges)
+	p.Charges = slices.DeleteFunc(slices.Clone(p.Charges), func(c Charge) bool { return c.ID == id })
+	return len(p.Charges) < was
+}
+
+// less notes that so many units are out no longer. Those above the quota go first.
+func (p *Pot) less(units int) { p.Above = max(0, p.Above-units) }
+
 // Draw gives a holder up to want units of what is free under the quota. A turn already taken
 // changes nothing: the answer to it was lost. It returns what the holder has now, and whether
 // the pot changed.
@@ -66,7 +118,9 @@
 		return h.Units, false
 	}
 	h.Turn = turn
-	h.Units -= min(max(units, 0), h.Units)
+	given := min(max(units, 0), h.Units)
+	h.Units -= given
+	p.less(given)
 	p.set(who, h)
 	return h.Units, true
 }
@@ -101,7 +155,8 @@
 //
 //	if pot.Thaw("n1/7") { ... }
 func (p *Pot) Thaw(who string) bool {
-	_, ok := p.Cool[who]
+	units, ok := p.Cool[who]
 	delete(p.Cool, who)
+	p.less(units)
 	return ok
 }
