--- a/internal/node/hub.go
+++ b/internal/node/hub.go
@@ -443,6 +443,19 @@
 	return sure
 }
 
+// agedBeat is a beat that tells the age of our run as of each time that it is sent: it may look for a primary for
+// long, and the units of earlier runs at our address are free so much sooner as we are older.
+type agedBeat struct {
+	core.Beat
+	begun time.Time
+}
+
+// MarshalMsg implements msgp.Marshaler.
+func (b *agedBeat) MarshalMsg(raw []byte) ([]byte, error) {
+	b.AgeMs = int(time.Since(b.begun).Milliseconds())
+	return b.Beat.MarshalMsg(raw)
+}
+
 // beat renews our lease at the core and learns what has changed.
 func (h *Hub) beat() {
 	h.mu.Lock()
@@ -454,7 +467,7 @@
 	ctx, end := context.WithTimeout(h.ctx, 1500*time.Millisecond)
 	defer end()
 	var out core.Told
-	in := core.Beat{Node: h.Me(), Roll: roll, AgeMs: int(time.Since(h.begun).Milliseconds()), ViewEpoch: h.Core.View().Epoch}
+	in := agedBeat{Beat: core.Beat{Node: h.Me(), Roll: roll, ViewEpoch: h.Core.View().Epoch}, begun: h.begun}
 	if h.runners != nil {
 		in.RunnersWanted = true
 		in.RunnersEpoch, in.RunnersVersion = h.runners.Position()
