--- a/internal/core/hand.go
+++ b/internal/core/hand.go
@@ -183,11 +183,34 @@
 	return nil
 }
 
+// runWait is how long a node may take to say which run of it there is.
+const runWait = 250 * time.Millisecond
+
+// isEndedRun tells whether a beat is of a run that another one at the same address has replaced: it was long under
+// way. Believed, it would set the units of the living run cooling. Whoever listens there says which run it is;
+// where nobody answers, the beat is believed.
+func (s *Server) isEndedRun(ctx context.Context, n Node) bool {
+	s.mu.Lock()
+	known := s.nodes[n.Name]
+	s.mu.Unlock()
+	if known == nil || known.node.Addr != n.Addr || known.node.Born == n.Born {
+		return false
+	}
+	ctx, end := context.WithTimeout(ctx, runWait)
+	defer end()
+	var there Node
+	err := s.call(ctx, n.Addr, "node.run", &Done{}, &there)
+	return err == nil && there.Born != n.Born
+}
+
 func (s *Server) takeBeat(ctx context.Context, in *Beat) (*Told, error) {
 	if err := s.prime(); err != nil {
 		return nil, err
 	}
 	n := in.Node
+	if !in.Leave && s.isEndedRun(ctx, n) {
+		return nil, wire.Fault{Code: RunEnded}
+	}
 	s.mu.Lock()
 	old := s.nodes[n.Name]
 	if old != nil && old.node.Addr != n.Addr && time.Since(old.at) <= nodeTerm {
--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -82,6 +82,7 @@
 	OldEpoch   = "old-epoch"
 	DiskBad    = "disk-trouble"
 	NameTaken  = "name-taken" // another node with this name holds a lease
+	RunEnded   = "run-ended"  // a beat of a run that another at its address has replaced
 	BadRunner  = "bad-runner" // a heartbeat without an ID or with a state that no runner has
 )
 
--- a/internal/node/hub.go
+++ b/internal/node/hub.go
@@ -346,6 +346,9 @@
 			h.Core.Learn(in.View)
 			return &core.Done{}, nil
 		})
+	case "node.run":
+		me := h.Me()
+		return &me, nil
 	case "node.roll":
 		return &Roll{h.Nodes()}, nil
 	}
