--- a/internal/core/hand.go
+++ b/internal/core/hand.go
@@ -251,14 +251,7 @@
 	s.runners.Tell(in, out, time.Now())
 	s.health.note(in.Tallies, time.Now())
 	out.Failing = s.health.failing(time.Now())
-	for t, at := range s.short {
-		if time.Since(at) < 5*time.Second {
-			out.Short = append(out.Short, t)
-		} else {
-			delete(s.short, t)
-		}
-	}
-	sort.Strings(out.Short)
+	out.Short = s.shortTenants()
 	s.mu.Unlock()
 	if in.Leave {
 		if err := s.retire(ctx, Holder(n)); err != nil {
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
+	"sort"
 	"strings"
 	"sync"
 	"time"
@@ -161,6 +162,23 @@
 	}
 }
 
+// shortFor is how long idle units of a tenant are wanted back after a draw that got too little.
+const shortFor = 5 * time.Second
+
+// shortTenants lists the tenants whose idle units are wanted back. The caller holds the lock.
+func (s *Server) shortTenants() []string {
+	var tenants []string
+	for tenant, at := range s.short {
+		if time.Since(at) < shortFor {
+			tenants = append(tenants, tenant)
+		} else {
+			delete(s.short, tenant)
+		}
+	}
+	sort.Strings(tenants)
+	return tenants
+}
+
 // drawPart is the part of the free units that one draw may take: after a restart all routers draw at once, and
 // the first must not leave the others without any.
 const drawPart = 8
