--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -9,11 +9,34 @@
 	"yarrowridge/internal/wire"
 )
 
+// runWait is how long a node may take to say which run of it there is.
+const runWait = 250 * time.Millisecond
+
+// isEndedRun tells whether a beat is of a run that another one at the same address has replaced: it was long under
+// way. Believed, it would set the units of the living run cooling. Whoever listens there says which run it is;
+// where nobody answers, the beat is believed.
+func (s *Server) isEndedRun(ctx context.Context, n Node) bool {
+	s.mu.Lock()
+	known := s.nodes[n.Name]
+	s.mu.Unlock()
+	if known == nil || known.node.Addr != n.Addr || known.node.Born == n.Born {
+		return false
+	}
+	ctx, end := context.WithTimeout(ctx, runWait)
+	defer end()
+	var there Node
+	err := s.call(ctx, n.Addr, "node.run", &Done{}, &there)
+	return err == nil && there.Born != n.Born
+}
+
 func (s *Server) takeBeat(ctx context.Context, in *Beat) (*Told, error) {
 	if err := s.prime(); err != nil {
 		return nil, err
 	}
 	n := in.Node
+	if !in.Leave && s.isEndedRun(ctx, n) {
+		return nil, wire.Fault{Code: RunEnded}
+	}
 	s.mu.Lock()
 	old := s.nodes[n.Name]
 	if old != nil && old.node.Addr != n.Addr && time.Since(old.at) <= nodeTerm {
@@ -54,14 +77,7 @@
 	s.runners.Tell(in, out, time.Now())
 	s.health.note(in.Tallies, time.Now())
 	out.Failing = s.health.failing(time.Now())
-	for t, at := range s.short {
-		if time.Since(at) < 5*time.Second {
-			out.Short = append(out.Short, t)
-		} else {
-			delete(s.short, t)
-		}
-	}
-	sort.Strings(out.Short)
+	out.Short = s.shortTenants()
 	s.mu.Unlock()
 	if in.Leave {
 		if err := s.retire(ctx, Holder(n)); err != nil {
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -9,6 +9,19 @@
 	"yarrowridge/internal/wire"
 )
 
+// agedHeartbeat is a heartbeat that tells the age of our run as of each time that it is sent: the call may look for
+// a primary for long, and the units of earlier runs at our address are free so much sooner as we are older.
+type agedHeartbeat struct {
+	core.Beat
+	started time.Time
+}
+
+// MarshalMsg implements msgp.Marshaler.
+func (b *agedHeartbeat) MarshalMsg(raw []byte) ([]byte, error) {
+	b.AgeMs = int(time.Since(b.started).Milliseconds())
+	return b.Beat.MarshalMsg(raw)
+}
+
 // sendHeartbeat renews our lease at the core and learns what has changed.
 func (h *Hub) sendHeartbeat() {
 	h.mu.Lock()
@@ -19,7 +32,7 @@
 	}
 	ctx, end := context.WithTimeout(h.ctx, 1500*time.Millisecond)
 	defer end()
-	in := h.makeHeartbeat(roll)
+	in := agedHeartbeat{Beat: h.makeHeartbeat(roll), started: h.started}
 	var out core.Told
 	if err := h.Core.Call(ctx, "core.beat", &in, &out, true); err != nil {
 		if wire.Is(err, core.NameTaken) {
@@ -42,7 +55,7 @@
 
 // makeHeartbeat says what this node is, what it holds already, and how its attempts at runners ended.
 func (h *Hub) makeHeartbeat(roll uint64) core.Beat {
-	in := core.Beat{Node: h.Me(), Roll: roll, AgeMs: int(time.Since(h.started).Milliseconds()), ViewEpoch: h.Core.View().Epoch}
+	in := core.Beat{Node: h.Me(), Roll: roll, ViewEpoch: h.Core.View().Epoch}
 	if h.runners != nil {
 		in.RunnersWanted = true
 		in.RunnersEpoch, in.RunnersVersion = h.runners.Position()
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -43,6 +43,9 @@
 			h.Core.Learn(in.View)
 			return &core.Done{}, nil
 		})
+	case "node.run":
+		me := h.Me()
+		return &me, nil
 	case "node.roll":
 		return &Roll{h.Nodes()}, nil
 	}
