--- a/internal/core/client.go
+++ b/internal/core/client.go
@@ -23,13 +23,14 @@
 	view  view.View
 	peers []string
 	hunt  chan struct{} // closed when the search under way ends; nil: there is none
+	newer chan struct{} // closed when a newer view is heard of
 }
 
 // NewClient makes a client that starts from the seeds: addresses of any processes of the fleet.
 //
 //	c := core.NewClient(ctx, cal, set.Addrs("seeds"))
 func NewClient(ctx env.Ctx, cal *wire.Caller, seeds []string) *Client {
-	return &Client{ctx: ctx, cal: cal, seeds: seeds}
+	return &Client{ctx: ctx, cal: cal, seeds: seeds, newer: make(chan struct{})}
 }
 
 // View is the newest view heard of.
@@ -49,6 +50,8 @@
 	defer c.mu.Unlock()
 	if v.Epoch > c.view.Epoch {
 		c.view = v
+		close(c.newer)
+		c.newer = make(chan struct{})
 	}
 }
 
@@ -70,30 +73,51 @@
 	c.peers = addrs
 }
 
-// look joins the search for the primary that is under way, or begins one, and waits until it has ended:
-// however many calls wait for a primary, the fleet is asked as for one.
+// searchPause is between two searches for a primary, and between two tries at the primary that is known.
+const searchPause = 50 * time.Millisecond
+
+// look searches for a primary until a newer view is known or the search has ended, and no longer than until the
+// known primary may be tried again: machines gone dark must not hold up those that answer.
 func (c *Client) look(ctx context.Context) bool {
+	pause := time.NewTimer(searchPause)
+	defer pause.Stop()
+	return c.lookUntil(ctx, pause.C)
+}
+
+// lookUntil joins the search for the primary that is under way, or begins one: however many calls wait for a
+// primary, the fleet is asked as for one. A nil pause never ends the wait.
+func (c *Client) lookUntil(ctx context.Context, pause <-chan time.Time) bool {
+	done, newer := c.search()
+	select {
+	case <-done:
+		return true
+	case <-newer:
+		return true
+	case <-pause:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+// search begins a search where none is under way. It gives what is closed at its end, and what is closed once a
+// newer view is known.
+func (c *Client) search() (done, newer <-chan struct{}) {
 	c.mu.Lock()
-	done := c.hunt
-	if done == nil {
-		done = make(chan struct{})
-		c.hunt = done
+	defer c.mu.Unlock()
+	if c.hunt == nil {
+		hunt := make(chan struct{})
+		c.hunt = hunt
 		go func() {
 			c.find(c.ctx)
-			env.Wait(c.ctx, 50*time.Millisecond)
+			env.Wait(c.ctx, searchPause)
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.hunt = nil
-			close(done)
+			close(hunt)
 		}()
 	}
-	c.mu.Unlock()
-	select {
-	case <-done:
-		return true
-	case <-ctx.Done():
-		return false
-	}
+	return c.hunt, c.newer
 }
 
 // find asks members, seeds and peers which view they know.
@@ -191,7 +215,7 @@
 
 // lookView asks the fleet for its view, and gives the newest one known.
 func (c *Client) lookView(ctx context.Context) view.View {
-	c.look(ctx)
+	c.lookUntil(ctx, nil)
 	return c.View()
 }
 
--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -280,10 +280,19 @@
 //	srv.Run()
 func (s *Server) Run() {
 	go env.Loop(s.ctx, nil, s.set.Term/6, func(struct{}) {}, s.renew)
+	s.beat()
 	env.Loop(s.ctx, s.box, tick, s.work, s.beat)
 	s.cal.Close()
 }
 
+// hurry has the run loop take its next step at once, not at the next tick: what that step waited for has come.
+func (s *Server) hurry() {
+	select {
+	case s.box <- &job{done: make(chan error, 1), ctl: s.beat}:
+	default: // the tick will do it
+	}
+}
+
 // call reaches a voter; ourselves without the wire.
 func (s *Server) call(ctx context.Context, addr, kind string, in msgp.Marshaler, out msgp.Unmarshaler) error {
 	if addr != s.set.Addr {
@@ -359,7 +368,11 @@
 	ls.Saw(m.Id)
 	switch {
 	case g.Ok:
+		stood := ls.Stands(in.View.Most)
 		ls.Grant(m.Id, asked)
+		if !stood && ls.Stands(in.View.Most) {
+			s.hurry()
+		}
 	case g.View.Epoch > in.View.Epoch:
 		s.learn(g.View)
 	case g.Vow:
@@ -518,6 +531,7 @@
 			}
 		}
 	}
+	s.hurry()
 	s.ctx.Log.Info("View decided.", "epoch", got.Epoch, "primary", got.Addr(got.Prime), "backups", addrs(got, got.Backups()), "members", len(got.Members))
 	return true
 }
--- a/internal/node/hub.go
+++ b/internal/node/hub.go
@@ -370,12 +370,27 @@
 //
 //	hub.Run()
 func (h *Hub) Run() {
-	go h.every(beatEvery, h.beat)
+	go h.beats()
 	go h.every(mendEvery, h.mend)
 	env.Loop(h.ctx, h.box, 0, h.hand, nil)
 	h.cal.Close()
 }
 
+// startPause is between tries of a router that the core has not answered yet. Each try looks for a primary itself.
+const startPause = 50 * time.Millisecond
+
+// beats beats again and again. Nothing is served before the core has been asked, so a router that starts does not
+// wait for its turn. Its later beats begin at random, so that nodes that started together do not all call the core
+// at one moment.
+func (h *Hub) beats() {
+	for !h.beat() {
+		if !env.Wait(h.ctx, startPause) {
+			return
+		}
+	}
+	h.every(beatEvery, func() { h.beat() })
+}
+
 // every does something again and again. The first time is at random, so that nodes that started together do
 // not all call the core at one moment.
 func (h *Hub) every(span time.Duration, do func()) {
@@ -443,13 +458,13 @@
 	return sure
 }
 
-// beat renews our lease at the core and learns what has changed.
-func (h *Hub) beat() {
+// beat renews our lease at the core and learns what has changed. It tells whether the core has answered.
+func (h *Hub) beat() bool {
 	h.mu.Lock()
 	roll, leave := h.roll, h.leave
 	h.mu.Unlock()
 	if leave {
-		return
+		return true
 	}
 	ctx, end := context.WithTimeout(h.ctx, 1500*time.Millisecond)
 	defer end()
@@ -468,11 +483,11 @@
 	if err := h.Core.Call(ctx, "core.beat", &in, &out, true); err != nil {
 		if wire.Is(err, core.NameTaken) {
 			h.ctx.Log.Error("Another router has our name. Each needs its own.", "name", h.ctx.Name)
-			return
+			return true
 		}
 		h.ctx.Log.Debug("No answer from the core.", "trouble", err.Error())
 		h.alone()
-		return
+		return false
 	}
 	h.Core.Learn(out.View)
 	h.mu.Lock()
@@ -505,11 +520,12 @@
 		}
 	}
 	if h.now.Load() == nil || h.Sequence() < out.Seq {
-		return // asked, but not answered in full
+		return true // asked, but not answered in full
 	}
 	h.mu.Lock()
 	h.asked = true
 	h.mu.Unlock()
+	return true
 }
 
 // seat takes a new roll; the caller holds the lock.
