--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -72,6 +72,7 @@
 	sizeSinceBase int    // bytes put since the base
 	baseSize      int    // bytes of the base
 	unfolded      []Put  // put since the fold
+	folds         int    // folds since the base
 	writing       env.Gate
 	closed        bool
 }
@@ -179,7 +180,10 @@
 	defer s.mu.Unlock()
 	if batch.Base {
 		s.values = map[string][]byte{}
-		s.sizeSinceBase = 0
+		s.sizeSinceBase, s.folds = 0, 0
+	}
+	if batch.From > 0 {
+		s.folds++
 	}
 	if batch.Base || batch.From > 0 {
 		s.foldedUpTo, s.unfolded = batch.Seq, nil
@@ -319,14 +323,15 @@
 	return nil
 }
 
-// Tidy keeps the files few: every foldAt versions are folded into one file, and once as much has
-// been put since the last base as the base holds, a new one is written. So what is written stays
-// within a few times what is put, however much is kept. It may take a while: call it after answering.
+// Tidy keeps the files few, since each costs time when a process starts: some versions are folded into one file,
+// the more the more folds there are, and once as much has been put since the last base as the base holds, a new
+// one is written. So what is written stays within a few times what is put, however much is kept, and the number
+// of files grows as the root of the number of versions. It may take a while: call it after answering.
 //
 //	err := s.Tidy()
 func (s *Store) Tidy() error {
 	s.mu.RLock()
-	base, fold := s.sizeSinceBase > max(8<<20, s.baseSize), s.version-s.foldedUpTo >= foldEvery
+	base, fold := s.sizeSinceBase > max(8<<20, s.baseSize), s.version-s.foldedUpTo >= uint64(foldLeast+s.folds)
 	s.mu.RUnlock()
 	switch {
 	case base:
@@ -337,7 +342,8 @@
 	return nil
 }
 
-const foldEvery = 512
+// foldLeast is the fewest versions that are folded into one.
+const foldLeast = 64
 
 // Rebase writes the state as a base in place of the newest version and drops what is older.
 //
@@ -365,6 +371,7 @@
 	}
 	s.mu.Lock()
 	s.foldedUpTo, s.unfolded = batch.Seq, nil
+	s.folds++
 	s.mu.Unlock()
 	return removeVersions(s.disk, func(name string) bool { return name >= fileName(batch.From) && name < fileName(batch.Seq) })
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -210,3 +210,38 @@
 		t.Errorf("%d claims read back", n)
 	}
 }
+
+// Few files are left to read at a start, however many versions were written: each costs time there.
+func TestFewFilesAtTheStart(t *testing.T) {
+	disk := sim.NewDisk()
+	handle := disk.Use()
+	s, err := store.Open(handle, quiet)
+	if err != nil {
+		t.Fatal(err)
+	}
+	most := 0
+	for version := uint64(1); version <= 6000; version++ {
+		put := store.Put{Key: fmt.Sprintf("k%d", version%50), Val: []byte(fmt.Sprint(version))}
+		if err := s.Add(store.Batch{Seq: version, Puts: []store.Put{put}}); err != nil {
+			t.Fatal(err)
+		}
+		if err := s.Tidy(); err != nil {
+			t.Fatal(err)
+		}
+		names, err := handle.List()
+		if err != nil {
+			t.Fatal(err)
+		}
+		most = max(most, len(names))
+	}
+	if most > 200 {
+		t.Errorf("%d files after at most 6000 versions, 200 at most expected", most)
+	}
+	again, err := store.Open(disk.Use(), quiet)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if raw, _ := again.Get("k0"); again.Seq() != 6000 || string(raw) != "6000" {
+		t.Errorf("read anew: version %d, %q", again.Seq(), raw)
+	}
+}
