--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -23,6 +23,10 @@
 // is lost, and the system sends it again after a second only: the next try comes sooner.
 const dialWait = 250 * time.Millisecond
 
+// dialAgain is between the tries of one dial, which go on side by side: a machine that starts meanwhile answers
+// the next one.
+const dialAgain = 50 * time.Millisecond
+
 // idleAfter is how long a connection is kept unused once others are opened. Digests go to random nodes: without
 // a bound every router would in time hold a connection to every other.
 const idleAfter = 10 * time.Second
@@ -306,7 +310,7 @@
 func (c *Caller) connect(ctx context.Context, addr string, d *dial) {
 	ctx, end := context.WithTimeout(ctx, dialWait)
 	defer end()
-	con, err := c.net.Dial(ctx, addr)
+	con, err := c.dialUntil(ctx, addr)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err == nil && c.shut {
@@ -323,6 +327,42 @@
 	close(d.done)
 }
 
+// dialled is what came of one try.
+type dialled struct {
+	con net.Conn
+	err error
+}
+
+// dialUntil tries until one try has ended, however: one that was refused has met a machine that is there.
+func (c *Caller) dialUntil(ctx context.Context, addr string) (net.Conn, error) {
+	ctx, end := context.WithCancel(ctx)
+	defer end()
+	ended := make(chan dialled)
+	try := func() {
+		con, err := c.net.Dial(ctx, addr)
+		select {
+		case ended <- dialled{con, err}:
+		case <-ctx.Done():
+			if con != nil {
+				con.Close()
+			}
+		}
+	}
+	again := time.NewTicker(dialAgain)
+	defer again.Stop()
+	go try()
+	for {
+		select {
+		case first := <-ended:
+			return first.con, first.err
+		case <-again.C:
+			go try()
+		case <-ctx.Done():
+			return nil, ctx.Err()
+		}
+	}
+}
+
 // closeIdle closes connections unused for long, and forgets broken ones; the caller holds the lock. One that was
 // just asked for is not idle, so no call meets a connection that is closed under it.
 func (c *Caller) closeIdle() {
