--- a/internal/core/leaserenewal.go
+++ b/internal/core/leaserenewal.go
@@ -57,7 +57,11 @@
 	ls.Saw(m.Id)
 	switch {
 	case g.Ok:
+		stood := ls.Stands(in.View.Most)
 		ls.Grant(m.Id, asked)
+		if !stood && ls.Stands(in.View.Most) {
+			s.hurry()
+		}
 	case g.View.Epoch > in.View.Epoch:
 		s.learn(g.View)
 	case g.Vow:
--- a/internal/core/primary.go
+++ b/internal/core/primary.go
@@ -118,6 +118,7 @@
 			}
 		}
 	}
+	s.hurry()
 	s.ctx.Log.Info("View decided.", "epoch", got.Epoch, "primary", got.Addr(got.Prime), "backups", addrs(got, got.Backups()), "members", len(got.Members))
 	return true
 }
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -22,13 +22,13 @@
 	return b.Beat.MarshalMsg(raw)
 }
 
-// sendHeartbeat renews our lease at the core and learns what has changed.
-func (h *Hub) sendHeartbeat() {
+// sendHeartbeat renews our lease at the core and learns what has changed. It tells whether the core has answered.
+func (h *Hub) sendHeartbeat() bool {
 	h.mu.Lock()
 	roll, leave := h.roll, h.leaving
 	h.mu.Unlock()
 	if leave {
-		return
+		return true
 	}
 	ctx, end := context.WithTimeout(h.ctx, 1500*time.Millisecond)
 	defer end()
@@ -37,20 +37,21 @@
 	if err := h.Core.Call(ctx, "core.beat", &in, &out, true); err != nil {
 		if wire.Is(err, core.NameTaken) {
 			h.ctx.Log.Error("Another router has our name. Each needs its own.", "name", h.ctx.Name)
-			return
+			return true
 		}
 		h.ctx.Log.Debug("No answer from the core.", "trouble", err.Error())
 		h.askZone()
-		return
+		return false
 	}
 	h.takeHeartbeatResponse(&out)
 	h.fetchConfig(ctx, out.Seq)
 	if h.current.Load() == nil || h.ConfigVersion() < out.Seq {
-		return // asked, but not answered in full
+		return true // asked, but not answered in full
 	}
 	h.mu.Lock()
 	h.asked = true
 	h.mu.Unlock()
+	return true
 }
 
 // makeHeartbeat says what this node is, what it holds already, and how its attempts at runners ended.
--- a/internal/node/hub.go
+++ b/internal/node/hub.go
@@ -112,12 +112,27 @@
 //
 //	hub.Run()
 func (h *Hub) Run() {
-	go h.every(heartbeatEvery, h.sendHeartbeat)
+	go h.sendHeartbeats()
 	go h.every(repairEvery, h.repair)
 	env.Loop(h.ctx, h.outbox, 0, h.forward, nil)
 	h.caller.Close()
 }
 
+// startPause is between tries of a router that the core has not answered yet. Each try looks for a primary itself.
+const startPause = 50 * time.Millisecond
+
+// sendHeartbeats sends one heartbeat after the other. Nothing is served before the core has been asked, so a router
+// that starts does not wait for its turn. Its later heartbeats begin at random, so that nodes that started together do
+// not all call the core at one moment.
+func (h *Hub) sendHeartbeats() {
+	for !h.sendHeartbeat() {
+		if !env.Wait(h.ctx, startPause) {
+			return
+		}
+	}
+	h.every(heartbeatEvery, func() { h.sendHeartbeat() })
+}
+
 // every does something again and again. The first time is at random, so that nodes that started together do
 // not all call the core at one moment.
 func (h *Hub) every(span time.Duration, do func()) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -22,6 +22,10 @@
 // is lost, and the system sends it again after a second only: the next try comes sooner.
 const dialWait = 250 * time.Millisecond
 
+// dialAgain is between the tries of one dial, which go on side by side: a machine that starts meanwhile answers
+// the next one.
+const dialAgain = 50 * time.Millisecond
+
 // idleAfter is how long a connection is kept unused once others are opened. Digests go to random nodes: without
 // a bound every router would in time hold a connection to every other.
 const idleAfter = 10 * time.Second
