--- a/internal/core/runnerstore.go
+++ b/internal/core/runnerstore.go
@@ -46,6 +46,21 @@
 	return runner, err == nil
 }
 
+// keepSilent keeps on disk which runners have fallen silent. Without it a crashed runner would count as ready again
+// after the loss of all core processes, until it has been silent once more. Only a ready runner becomes silent there:
+// that one is leaving must not be forgotten.
+func (s *Server) keepSilent(known []routing.Runner) {
+	for _, runner := range known {
+		if runner.State != routing.RunnerSilent {
+			continue
+		}
+		if stored, ok := s.storedRunner(runner.ID); !ok || stored.State != routing.RunnerReady {
+			continue
+		}
+		s.later(func(tx *Tx) error { return tx.Put(runnerHead+runner.ID, &runner) })
+	}
+}
+
 // storedRunners are the runners that the disk has.
 func (s *Server) storedRunners() []routing.Runner {
 	var out []routing.Runner
--- a/internal/core/runnerstore_test.go
+++ b/internal/core/runnerstore_test.go
@@ -86,3 +86,54 @@
 		}
 	})
 }
+
+// A runner that has crashed is not ready again for a primary that starts from the disk, and is once it is heard.
+func TestSilentRunnerIsStored(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s, commit := keepingServer(t)
+		restarted := func() routing.RunnerState {
+			registry := NewRunnerRegistry(4*time.Second, func(routing.Runner) <-chan struct{} { return nil })
+			registry.Begin(2, time.Now(), time.Now(), s.storedRunners())
+			return registry.Known("a").State
+		}
+		sweep := func() {
+			s.keepSilent(s.runners.List(time.Now()))
+			commit()
+		}
+		hear(t, s, commit, routing.RunnerReady, 1)
+		time.Sleep(3 * time.Second)
+		sweep()
+		if state := restarted(); state != routing.RunnerReady {
+			t.Errorf("%q from the disk 3 s after a heartbeat", state)
+		}
+		time.Sleep(2 * time.Second)
+		sweep()
+		if state := restarted(); state != routing.RunnerSilent {
+			t.Errorf("%q from the disk while the runner is silent", state)
+		}
+		writes := s.st.Load().Seq()
+		sweep()
+		if again := s.st.Load().Seq(); again != writes {
+			t.Error("what the disk has is written again")
+		}
+		hear(t, s, commit, routing.RunnerReady, 2)
+		if state := restarted(); state != routing.RunnerReady {
+			t.Errorf("%q from the disk once the runner is heard again", state)
+		}
+	})
+}
+
+// A runner that said that it leaves and then falls silent is still known to leave.
+func TestSilentRunnerThatLeaves(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s, commit := keepingServer(t)
+		hear(t, s, commit, routing.RunnerReady, 1)
+		hear(t, s, commit, routing.RunnerDraining, 2)
+		time.Sleep(5 * time.Second)
+		s.keepSilent(s.runners.List(time.Now()))
+		commit()
+		if stored, _ := s.storedRunner("a"); stored.State != routing.RunnerDraining {
+			t.Errorf("the disk has %q", stored.State)
+		}
+	})
+}
