--- a/internal/sim/answer_test.go
+++ b/internal/sim/answer_test.go
@@ -18,6 +18,7 @@
 // A whole answer sends nothing until it is finished. However long the length asked for takes, it is
 // neither lost nor held against its runner, which goes on getting queries meanwhile.
 func TestLongWhole(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		w := newWhole(t, seed, 2, strings.ReplaceAll(plainLay(""), `"patience_ms":20000`, `"patience_ms":2000`), model(8, 60*time.Millisecond))
 		l := &ledger{}
@@ -47,6 +48,7 @@
 // A lane says how long a runner may say nothing; a runner that hangs is given up after that, with
 // the time that the length asked for may take where the answer comes whole.
 func TestLaneSilence(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		a := model(8, 10*time.Millisecond)
 		w := newWhole(t, seed, 1, strings.ReplaceAll(plainLay(""), `"patience_ms":20000`, `"patience_ms":20000,"silence_ms":4000`), a)
@@ -101,6 +103,7 @@
 // An origin that stops reading holds up neither its runner nor the copy at the understudy, and the
 // runner does not pay for it with its standing.
 func TestOriginStopsReading(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		w := newWhole(t, seed, 4, plainLay(""), model(1, 50*time.Millisecond))
 		r := w.full[0]
@@ -135,6 +138,7 @@
 
 // Answers that can't be told from cut ones never become a success, and those that can do.
 func TestFraming(t *testing.T) {
+	t.Parallel()
 	const head, json = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n", "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
 	one := "data: {\"i\":0,\"n\":#}\n\n"
 	for name, c := range map[string]struct {
@@ -184,6 +188,7 @@
 // that is being resumed elsewhere, and a whole answer. A once-only query runs to its end, so that its
 // outcome is known, but its answer is not handed over.
 func TestWithdrawnQuiet(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		gone := `,"gone":{"funded":true,"keys":["` + key("gone") + `"]}`
 		w := newWhole(t, seed, 4, plainLay(gone), model(8, 5*time.Second))
--- a/internal/sim/beat_test.go
+++ b/internal/sim/beat_test.go
@@ -11,6 +11,7 @@
 
 // The answer to a beat holds the view only where the router does not know it.
 func TestViewIsToldOnce(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 1)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
@@ -39,7 +40,8 @@
 }
 
 // A new configuration reaches routers by relays. They do not all fetch it from the primary as well, as soon as a beat
-// has told them of it; one that relays do not reach fetches it.
+// has told them of it; one that relays do not reach fetches it. It runs beside no other test: traffic is counted over
+// the whole process.
 func TestRelaysComeFirst(t *testing.T) {
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 40)
--- a/internal/sim/core_test.go
+++ b/internal/sim/core_test.go
@@ -18,6 +18,7 @@
 // Faults of every kind, at random, under operators who race: no acknowledged layout is lost, no
 // bounced one is ever obeyed, no router goes back, and service returns in time.
 func TestCoreStorm(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 6)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
@@ -151,6 +152,7 @@
 // A core's disk is lost, again and again: a blank core at a new address gets the seat, unattended,
 // until all five machines have been swapped, while routers know the old seeds only.
 func TestSwapAll(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 4)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
@@ -232,6 +234,7 @@
 // The primary's machine, disk and all, is gone right after an acknowledgement: nothing is lost,
 // and service is back in time. Primary and backup never stand in one hall where they need not.
 func TestPrimaryLost(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 4)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
@@ -274,6 +277,7 @@
 // A primary cut off from the other cores, but not from its readers, answers nothing once its
 // lease is over: whoever reaches it must not read what another primary has replaced.
 func TestStalePrimary(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 2)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
@@ -308,6 +312,7 @@
 // A primary that reaches its backup but no majority must let the backup go on: the backup can
 // reach the others, and the fleet must not wait for the primary's links.
 func TestHeldBackup(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 2)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
@@ -342,6 +347,7 @@
 // A claim let go before its own taking has arrived (the taking was long under way) must not stand
 // afterwards: nobody would ever end it, and the key could not be used again.
 func TestLateClaim(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 1)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
@@ -374,6 +380,7 @@
 // A once-only key is known with its outcome for as long as documented, over a hand-over, and that it
 // ran for far longer; then, and when its query was let go unsent, it may be taken anew.
 func TestKeysAreKept(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 1)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
@@ -451,6 +458,7 @@
 // When as many keys that ran are kept as allowed, a new key is refused in plain words, and none of
 // the old ones is forgotten.
 func TestKeysFull(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		w := newWhole(t, seed, 1, strings.Replace(plainLay(""), `{"services"`, `{"limits":{"claim_keep_s":10,"ran_most":5},"services"`, 1), orders())
 		l := &ledger{}
@@ -480,6 +488,7 @@
 // After a hand-over an hour's claims end at once: in batches that fit a frame, so that none of it costs
 // the primary its backup.
 func TestManyClaimsEnd(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 1)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
@@ -516,6 +525,7 @@
 // A write to the backup that was long under way arrives after that backup has taken over: its primary's
 // lease can't help any more, the epoch has to.
 func TestLateHold(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 2)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
--- a/internal/sim/day_test.go
+++ b/internal/sim/day_test.go
@@ -84,8 +84,7 @@
 	"swap": func(w *whole) {
 		old := w.cores[w.chance(len(w.cores))]
 		w.crashCore(old)
-		machines++
-		old.addr, old.disk = fmt.Sprintf("10.0.7.%d:1", machines%250+1), sim.NewDisk()
+		old.addr, old.disk = fmt.Sprintf("10.0.7.%d:1", machines.Add(1)), sim.NewDisk()
 		w.startCore(old)
 		time.Sleep(15 * time.Second)
 	},
@@ -128,8 +127,7 @@
 	},
 	"crowd": func(w *whole) {
 		for range 400 {
-			machines++
-			n := uint64(80000000 + machines)
+			n := 80000000 + machines.Add(1)
 			go w.send(w.ctx, w.full[w.chance(len(w.full))], ask{n: n, tenant: "rich", path: "/ask", body: map[string]any{"model": "m", "max_tokens": 5, "prompt": fmt.Sprint(n)}})
 		}
 		w.pass(3000)
@@ -238,8 +236,7 @@
 		w.settle()
 		for i, r := range w.full {
 			w.within(12*time.Second, r.name+" serves after the closing fault", func() bool {
-				machines++
-				n := uint64(90000000 + machines)
+				n := 90000000 + machines.Add(1)
 				return w.send(w.ctx, r, ask{n: n, tenant: "rich", path: "/orders", key: fmt.Sprintf("end%d-%d", i, n), body: map[string]any{"n": n}}).status == 200
 			})
 		}
@@ -266,6 +263,7 @@
 // A whole day in simulated time: a course of faults out of the seed, and a closing one. If a promise
 // breaks, the seed, its course and the shortest part of it that still breaks are printed.
 func TestDays(t *testing.T) {
+	t.Parallel()
 	for i := range uint64(*seeds) {
 		seed := *first + i
 		course := drawn(seed)
--- a/internal/sim/document_test.go
+++ b/internal/sim/document_test.go
@@ -89,6 +89,7 @@
 // Documents that number themselves: later ones are taken, however far the step, others are not; the order of
 // the checks; what is kept for reading back; and all of it through changes of the primary.
 func TestDocumentsNumberThemselves(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f, got := newDocumentFleet(t, seed, 6)
 		o := f.operator()
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -10,6 +10,7 @@
 	"os"
 	"sort"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -273,11 +274,11 @@
 	cli  *core.Client
 }
 
-var machines = 0
+// machines counts the machines and requests that runs have made beside those of their fleets; runs are parallel.
+var machines atomic.Uint64
 
 func (f *fleet) operator() *operator {
-	machines++
-	addr := fmt.Sprintf("10.0.9.%d:1", machines)
+	addr := fmt.Sprintf("10.0.9.%d:1", machines.Add(1))
 	n, _ := f.w.Net(addr)
 	ec := env.Ctx{Context: f.ctx, Name: "op", Log: f.log, Net: n}
 	return &operator{f, addr, core.NewClient(ec, wire.NewCaller(n), append([]string{"10.0.1.1:1", "10.0.1.2:1", "10.0.1.3:1"}, f.founder...))}
--- a/internal/sim/load_test.go
+++ b/internal/sim/load_test.go
@@ -18,6 +18,7 @@
 // Runners that refuse every connection, under a crowd: second tries stay under a fifth of the first
 // ones and the fleet's small allowance in any ten seconds, counted over all routers together.
 func TestSecondTries(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		var all []*simRunner
 		for range 4 {
@@ -66,6 +67,7 @@
 // A crowd of ten times the capacity: the first rank keeps its goodput, all runners stay busy, the
 // queue stays bounded, and every bounce comes with its Retry-After as soon as it is certain.
 func TestCrowd(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		// Two runners of 4 streams, 50 ms a token, 4 tokens: 40 queries a second.
 		lay := strings.Replace(plainLay(""), `{"services"`, `{"limits":{"queue":60},"services"`, 1)
@@ -138,6 +140,7 @@
 // From acknowledgement to the last router, also when the primary dies with its answer: within 2 s,
 // for 14, 50 and 200 routers. The log gives the time and the messages a layout costs.
 func TestReach(t *testing.T) {
+	t.Parallel()
 	for _, n := range []int{14, 50, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			overSeeds(t, func(t *testing.T, seed uint64) {
@@ -186,6 +189,7 @@
 // While there is no core, what each router asks of the fleet does not grow with the queries that wait for
 // it: a hundred look for a primary as one does, and are served once there is one.
 func TestNoHerd(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		w := newWhole(t, seed, 4, plainLay(""), model(200, 5*time.Millisecond), orders())
 		time.Sleep(2 * time.Second)
@@ -228,6 +232,7 @@
 
 // A layout near the largest size goes through, one beyond it does not.
 func TestLargeLayout(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 6)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
@@ -268,6 +273,7 @@
 // Many operators put layouts near the largest size at once: each is answered, and none of it costs
 // the primary its backup.
 func TestLargeStorm(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 2)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
@@ -295,6 +301,7 @@
 
 // A damaged version on a core's disk: the core says so, counts as blank, and the fleet loses nothing.
 func TestDamagedDisk(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 2)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
@@ -338,6 +345,7 @@
 // Prefixes: how much of the prompts runners find in their caches, and how even the load is, against
 // least-loaded and plain rendezvous placement on the same traffic. The log gives the figures.
 func TestPrefixHits(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		var all []*simRunner
 		for range 8 {
@@ -415,6 +423,7 @@
 // and other routers' streams. The log gives the ratio of estimate to wait; the bounds are wide, they
 // catch an estimate that has come loose altogether.
 func TestEstimate(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		for _, c := range []struct {
 			name    string
@@ -474,6 +483,7 @@
 // kind of query that the deployments have, on runners that were measured under half a load of the same. The
 // log gives the ratio of estimate to wait.
 func TestEstimateBacklog(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		for _, c := range []struct {
 			name   string
--- a/internal/sim/membership_test.go
+++ b/internal/sim/membership_test.go
@@ -97,6 +97,7 @@
 // Cores that know three seeds only, started in any order, become one fleet: founded within a second of
 // the last seed, and all cores are members within a second and a half more.
 func TestFoundingFromSeeds(t *testing.T) {
+	t.Parallel()
 	for _, n := range []int{3, 5, 9} {
 		t.Run(fmt.Sprint(n, " cores"), func(t *testing.T) {
 			overSeeds(t, func(t *testing.T, seed uint64) {
@@ -140,6 +141,7 @@
 // A core that is told to ask only founds nothing, whoever it is; seeds that are unlike its address,
 // stand there twice, or are none at all, do it no harm.
 func TestNoFoundingWithoutBootstrap(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := seedFleet(t, seed, 5, 1)
 		seeds := [][]string{f.founder, {"10.0.0.9:1"}, {f.founder[0], f.founder[0]}, nil, f.founder}
@@ -161,6 +163,7 @@
 
 // With fewer cores alive than hold a write and may be lost, nothing is acknowledged.
 func TestNothingAcknowledgedAlone(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := grown(t, seed, 3, 2)
 		o, b := f.operator(), &book{}
@@ -188,6 +191,7 @@
 // them: the state is read again within five seconds, and the blank cores become members in place of
 // what they were.
 func TestWipedAfterAcknowledgement(t *testing.T) {
+	t.Parallel()
 	for _, losses := range []int{1, 2} {
 		for _, who := range []string{"primary first", "backups only"} {
 			t.Run(fmt.Sprintf("%d %s", losses, who), func(t *testing.T) {
@@ -240,6 +244,7 @@
 // The primary is lost with its disk, and the backup that takes over right after it has: with two losses
 // to bear, the other backup leads on with all that was acknowledged.
 func TestHeirLost(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := grown(t, seed, 5, 2)
 		o, b := f.operator(), &book{}
@@ -276,6 +281,7 @@
 // A write reaches one of two backups only before the primary is lost, and is in doubt. Once it was read
 // from the backup that took over, it must be with the other one too: no reader goes back.
 func TestHeirCopiesWhatItShows(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := grown(t, seed, 5, 2)
 		o, b := f.operator(), &book{}
@@ -314,6 +320,7 @@
 // One core after the other is lost for good and replaced, at a new address or at its own with an empty
 // disk: writes go on, nothing is lost, and the members are the cores that live.
 func TestSerialReplacement(t *testing.T) {
+	t.Parallel()
 	for _, c := range []struct{ cores, losses int }{{3, 1}, {5, 1}, {5, 2}, {9, 2}} {
 		for _, same := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%d cores, %d losses, same address %v", c.cores, c.losses, same), func(t *testing.T) {
@@ -375,6 +382,7 @@
 // A member that was only cut off is dropped for a newcomer; it comes back as a member once it is heard,
 // also where it was started again meanwhile and knows the old view only.
 func TestDroppedMemberReturns(t *testing.T) {
+	t.Parallel()
 	for _, again := range []bool{false, true} {
 		t.Run(fmt.Sprint("started again ", again), func(t *testing.T) {
 			overSeeds(t, func(t *testing.T, seed uint64) {
@@ -416,6 +424,7 @@
 // A core that comes back with an empty disk at its address proves gone what it was: it is a member in
 // its own place at once, long before a silent member would count as lost.
 func TestBlankCoreTakesItsOwnPlace(t *testing.T) {
+	t.Parallel()
 	for _, role := range []string{"primary", "backup", "member"} {
 		t.Run(role, func(t *testing.T) {
 			overSeeds(t, func(t *testing.T, seed uint64) {
@@ -456,6 +465,7 @@
 
 // More cores than may be members wait, and one of them takes the place of one that is lost.
 func TestMostMembers(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := seedFleet(t, seed, 7, 1)
 		old := f.place
@@ -490,6 +500,7 @@
 
 // A member lost for good, with nobody to take its place, stays a member: the others lose no safety.
 func TestLostMemberStaysWithoutNewcomer(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := grown(t, seed, 5, 1)
 		f.crashCore(f.cores[f.chance(5)])
@@ -502,6 +513,7 @@
 
 // What the fleet may go without writes after a fault, over the seeds.
 func TestTroubles(t *testing.T) {
+	t.Parallel()
 	cut := func(f *fleet, lead *coreProc, out, in bool) {
 		for _, a := range f.rest(lead) {
 			if out {
@@ -569,6 +581,7 @@
 // Faults of every kind at random, on a fleet of seven founded from three seeds that bears two losses,
 // while cores are replaced for good: no acknowledged layout is lost.
 func TestMembershipStorm(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := grown(t, seed, 7, 2)
 		b := &book{}
--- a/internal/sim/moment_test.go
+++ b/internal/sim/moment_test.go
@@ -14,6 +14,7 @@
 // plain and streamed queries. The log tells in which states those queries were that ended badly; queued,
 // nominated (which lasts until the runner's headers are there) and answering have to be among them.
 func TestFallAtEachMoment(t *testing.T) {
+	t.Parallel()
 	var mu sync.Mutex
 	hit := map[string]int{}
 	for _, kind := range []string{"/orders", "/notes", "/ask", "stream"} {
--- a/internal/sim/promise_test.go
+++ b/internal/sim/promise_test.go
@@ -94,6 +94,7 @@
 // Everything at once: cores, routers and runners crash, hang and are cut off while origins ask and
 // ask again elsewhere. Once-only stays once-only, "not run" stays true, answers stay whole.
 func TestQueryStorm(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		w := newWhole(t, seed, 6, plainLay(`,"metered":{"funded":true,"keys":["`+key("metered")+`"],"quota":{"units":30,"window_s":5}}`),
 			model(8, 10*time.Millisecond), model(8, 10*time.Millisecond), model(8, 10*time.Millisecond), orders(), orders())
@@ -143,8 +144,7 @@
 		// And after all of it, service: every router answers a once-only query soon.
 		for i, r := range w.full {
 			w.within(12*time.Second, r.name+" serves", func() bool {
-				machines++
-				n := uint64(900000 + machines)
+				n := 900000 + machines.Add(1)
 				return w.send(w.ctx, r, ask{n: n, tenant: "rich", path: "/orders", key: fmt.Sprintf("end%d-%d", i, n), body: map[string]any{"n": n}}).status == 200
 			})
 		}
@@ -210,6 +210,7 @@
 // A hall is cut off for long: it serves on with its last layout, marked stale, spends its own share
 // of quotas, bounces keyed once-only queries as not run, and upon rejoining obeys the newest layout.
 func TestCutHall(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		quota := func(n int) string {
 			return fmt.Sprintf(`,"metered":{"funded":true,"keys":["%s"],"quota":{"units":%d,"window_s":10}}`, key("metered"), n)
@@ -301,6 +302,7 @@
 
 // A withdrawn key bounces at once on whatever connection, and its running streams end explicitly.
 func TestWithdrawnKey(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		w := newWhole(t, seed, 4, plainLay(`,"gone":{"funded":true,"keys":["`+key("gone")+`"]}`), model(8, 100*time.Millisecond))
 		done := make(chan got, 1)
@@ -332,6 +334,7 @@
 // A runner that beats but answers nothing is found out by its answers, and does not come back into
 // standing by its beats alone.
 func TestStuckRunner(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		a, b := model(8, 10*time.Millisecond), model(8, 10*time.Millisecond)
 		a.name, b.name = "a", "b"
@@ -380,6 +383,7 @@
 
 // A leaving runner's word, told to a router that dies at once, binds every other within 2 s.
 func TestLeavingWord(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		a, b := model(8, 5*time.Millisecond), model(8, 5*time.Millisecond)
 		a.name, b.name = "a", "b"
@@ -419,6 +423,7 @@
 // Queries of one kind differ in length: a runner gets none that is longer than it serves, also from
 // a queue in which shorter ones stand before it.
 func TestLengths(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		short, long := model(2, 20*time.Millisecond), model(2, 20*time.Millisecond)
 		short.most, long.most = 50, 5000
@@ -449,6 +454,7 @@
 
 // A query that waits obeys the layout in force when it goes, not the one it came under.
 func TestQueuedObeyNewLayout(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		a, b := model(1, 100*time.Millisecond), model(1, 100*time.Millisecond)
 		a.name, b.name = "a", "b"
@@ -487,6 +493,7 @@
 
 // Beyond the bound on queries under way, a crowd is bounced before its bodies are read.
 func TestTooMany(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		w := newWhole(t, seed, 1, strings.Replace(plainLay(""), `{"services"`, `{"limits":{"open":5},"services"`, 1), model(8, 100*time.Millisecond))
 		l := &ledger{}
@@ -512,6 +519,7 @@
 
 // Every bad query gets its own answer, and none of them reaches a runner.
 func TestBounces(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		w := newWhole(t, seed, 1, strings.Replace(plainLay(""), `{"services"`, `{"limits":{"body_bytes":2000},"services"`, 1), model(8, 5*time.Millisecond))
 		big := map[string]any{"model": "m", "max_tokens": 1, "prompt": strings.Repeat("x", 3000)}
@@ -570,6 +578,7 @@
 
 // A word that reached one node only, behind a router that is then gone, still comes to all in 2 s.
 func TestWordBehindDeadRouter(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		a := model(8, 5*time.Millisecond)
 		a.hall = "south" // it beats to another hall than the one in question
@@ -602,6 +611,7 @@
 // A runner whose late report can't be true (more output queued than its room times its longest answer)
 // is not believed: one wrong figure must not take the allowance of all who use its model.
 func TestWrongReports(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		liar := model(8, 10*time.Millisecond)
 		liar.name = "liar"
@@ -622,6 +632,7 @@
 // Standing does not flap: beats that come late but within 5 s change nothing, and a runner that
 // refuses every connection while it beats on is tried ever more rarely.
 func TestStandingHolds(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		var all []*simRunner
 		for range 4 {
--- a/internal/sim/recovery_test.go
+++ b/internal/sim/recovery_test.go
@@ -11,6 +11,7 @@
 // The longest time without a write being taken after each fault, over the seeds: 12 s at most.
 // The log is the table of docs/measurements.md.
 func TestRecovery(t *testing.T) {
+	t.Parallel()
 	for _, c := range []struct {
 		name  string
 		fault func(f *fleet, lead, back *coreProc)
--- a/internal/sim/registry_test.go
+++ b/internal/sim/registry_test.go
@@ -96,6 +96,7 @@
 // acknowledgement though the primary falls right then, of one that fell silent, of its return, and of one
 // that left; a new router knows them too, and what is over is forgotten.
 func TestRunnersAreKnownEverywhere(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f, regs := newRegistryFleet(t, seed, 9)
 		var all []*beater
@@ -189,6 +190,7 @@
 // A runner that dies together with the primary was never heard by the next one. Routers drop it with the first
 // whole list, five seconds into the next primary's time.
 func TestRunnerDiesWithThePrimary(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f, regs := newRegistryFleet(t, seed, 5)
 		dies, lives := f.beater(0), f.beater(1)
@@ -212,6 +214,7 @@
 // Primaries fall one after the other. No router loses a runner that lives, whole lists notwithstanding,
 // and one that died meanwhile is dropped in the end.
 func TestLivingRunnersStayThroughChanges(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f, regs := newRegistryFleet(t, seed, 5)
 		var all []*beater
--- a/internal/sim/router_test.go
+++ b/internal/sim/router_test.go
@@ -531,6 +531,7 @@
 
 // Every stream counts once in every router's account of a runner, its own router's included.
 func TestStreamsCountOnce(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		w := newWhole(t, seed, 3, plainLay(""), model(64, 100*time.Millisecond))
 		for i := range 6 {
@@ -553,6 +554,7 @@
 // A router that starts again after its machine's clock was set back is heard as before: its streams
 // count at the others, its lease and its quota go on.
 func TestClockSetBack(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		w := newWhole(t, seed, 3, plainLay(`,"metered":{"funded":true,"keys":["`+key("metered")+`"],"quota":{"units":30,"window_s":5}}`), model(64, 100*time.Millisecond))
 		r := w.full[1]
@@ -576,6 +578,7 @@
 // Two routers with one name: the one that holds the lease keeps it, the other never becomes ready,
 // and the roll does not flap.
 func TestNameTaken(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		w := newWhole(t, seed, 3, plainLay(""), model(8, 10*time.Millisecond))
 		twin := &fullRouter{name: w.full[1].name, hall: "north", addr: "10.0.8.1:1", face: "10.0.8.1:2"}
--- a/internal/sim/sessions_test.go
+++ b/internal/sim/sessions_test.go
@@ -14,6 +14,7 @@
 // The session directory that routers keep at the core is there after the loss of all cores' processes; the one
 // kept last stands, and one that is too large is refused.
 func TestSessionsAreKept(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := grown(t, seed, 5, 1)
 		network, _ := f.w.Net("10.0.7.1:1")
--- a/internal/sim/stream_test.go
+++ b/internal/sim/stream_test.go
@@ -231,6 +231,7 @@
 // What becomes of a stream when its router, runner, understudy or two of them fall at any moment, with
 // and without a second run. The log is the table of docs/measurements.md.
 func TestCarryOn(t *testing.T) {
+	t.Parallel()
 	for _, c := range []struct {
 		name  string
 		fault func(w *whole, id, addr string)
@@ -343,6 +344,7 @@
 // Everything falls at once and again, origins come and go: no stream loses a piece, repeats one, joins
 // two runs or claims an end that is none, whether runs are alike or not.
 func TestStreamStorm(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		var all []*simRunner
 		for i := range 5 {
@@ -486,6 +488,7 @@
 
 // An understudy that is cut off from a living router must not carry its stream on beside it.
 func TestTwoCarriers(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		p := course(t, seed, time.Second, nil)
 		p.differFrom(60)
@@ -504,6 +507,7 @@
 // A router that was quiet while its understudy took over learns of it before it shows another piece;
 // the origin has the rest of the second run.
 func TestLateCarrier(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		var once sync.Once
 		p := course(t, seed, time.Second, func(i int) (d time.Duration) {
@@ -534,6 +538,7 @@
 // A second run that comes to its end before it has repeated what was handed over is not the same run:
 // its end is not the stream's.
 func TestShorterRun(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		p := course(t, seed, time.Second, nil)
 		for _, s := range p.runners {
@@ -555,6 +560,7 @@
 
 // No reader sees a piece that the understudy does not hold, resumed at the router itself neither.
 func TestShownIsHeld(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		p := course(t, seed, time.Second, nil)
 		p.w.Split([]string{p.owner.addr}, p.everyb)
@@ -580,6 +586,7 @@
 // A hall cut off serves streams on, on repeatable lanes too: those that begin during the cut end whole on
 // both sides, those that run when it comes are told to nobody as joined or as whole before their end.
 func TestCutStreams(t *testing.T) {
+	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		var all []*simRunner
 		for range 8 {
