--- a/internal/core/runnerstore.go
+++ b/internal/core/runnerstore.go
@@ -37,9 +37,13 @@
 	return s.Submit(ctx, put)
 }
 
-func (s *Server) storedRunner(id string) (runner routing.Runner, ok bool) {
-	raw, ok := s.st.Load().Get(runnerHead + id)
-	if !ok {
+func (s *Server) storedRunner(id string) (routing.Runner, bool) {
+	return decodeRunner(s.st.Load().Get(runnerHead + id))
+}
+
+// decodeRunner reads a stored runner, if there is one.
+func decodeRunner(raw []byte, found bool) (runner routing.Runner, ok bool) {
+	if !found {
 		return runner, false
 	}
 	_, err := runner.UnmarshalMsg(raw)
@@ -57,7 +61,14 @@
 		if stored, ok := s.storedRunner(runner.ID); !ok || stored.State != routing.RunnerReady {
 			continue
 		}
-		s.later(func(tx *Tx) error { return tx.Put(runnerHead+runner.ID, &runner) })
+		s.later(func(tx *Tx) error {
+			// Its word that it leaves may have been written since.
+			stored, ok := decodeRunner(tx.Get(runnerHead + runner.ID))
+			if !ok || stored.State != routing.RunnerReady {
+				return nil
+			}
+			return tx.Put(runnerHead+runner.ID, &runner)
+		})
 	}
 }
 
--- a/internal/core/runnerstore_test.go
+++ b/internal/core/runnerstore_test.go
@@ -137,3 +137,27 @@
 		}
 	})
 }
+
+// A runner whose word that it leaves is written between the look at the disk and the write of its silence is
+// still known to leave.
+func TestSilenceComesAfterTheWordThatItLeaves(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s, commit := keepingServer(t)
+		hear(t, s, commit, routing.RunnerReady, 1)
+		time.Sleep(5 * time.Second)
+		silent := s.runners.List(time.Now())
+		s.keepSilent(silent)
+		st := s.st.Load()
+		tx := &Tx{st: st, over: map[string]*store.Put{}}
+		if err := tx.Put(runnerHead+"a", &routing.Runner{ID: "a", State: routing.RunnerDraining}); err != nil {
+			t.Fatal(err)
+		}
+		if err := st.Add(store.Batch{Seq: st.Seq() + 1, Puts: tx.last()}); err != nil {
+			t.Fatal(err)
+		}
+		commit()
+		if stored, _ := s.storedRunner("a"); stored.State != routing.RunnerDraining {
+			t.Errorf("the disk has %q", stored.State)
+		}
+	})
+}
--- a/internal/core/sweep.go
+++ b/internal/core/sweep.go
@@ -28,6 +28,7 @@
 	if time.Since(s.greeted) > time.Second {
 		s.greeted = time.Now()
 		s.greet(at)
+		s.keepSilent(s.runners.List(time.Now()))
 	}
 	if doc == nil {
 		return
