--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -145,14 +145,14 @@
 }
 
 // Leave gives up the lease: the core names us no more, our units cool. Serving what has been
-// read goes on meanwhile.
+// read goes on meanwhile. It ends after a second at the latest, and with the context.
 //
-//	hub.Leave()
-func (h *Hub) Leave() {
+//	hub.Leave(ctx)
+func (h *Hub) Leave(ctx context.Context) {
 	h.mu.Lock()
 	h.leaving = true
 	h.mu.Unlock()
-	ctx, end := context.WithTimeout(h.ctx, time.Second)
+	ctx, end := context.WithTimeout(ctx, time.Second)
 	defer end()
 	if err := h.Core.Call(ctx, "core.beat", &core.Beat{Node: h.Me(), Leave: true}, &core.Told{}, true); err != nil {
 		h.ctx.Log.Warn("The core was not told that we leave.", "trouble", err.Error())
--- a/internal/router/gateway.go
+++ b/internal/router/gateway.go
@@ -243,6 +243,9 @@
 // leaveReserve is kept of the grace for giving up the lease after the last request.
 const leaveReserve = time.Second
 
+// exitReserve is kept of the grace for the end of the process itself.
+const exitReserve = 200 * time.Millisecond
+
 // stop finishes what was read and leaves.
 func (g *Gateway) stop(ctx env.Ctx, server *gateway.Server) {
 	ctx.Log.Info("Router leaves. Requests under way are finished.", slog.Int("open", g.Front.Open()))
@@ -255,7 +258,17 @@
 	if err := server.Drain(left); err != nil {
 		ctx.Log.Warn("The grace ended before the requests did.", slog.Int("open", g.Front.Open()))
 	}
-	g.sessions.leave()
-	g.Hub.Leave()
+	g.leave(ctx, begun.Add(g.settings.Grace-exitReserve))
 	g.Pool.Close()
 }
+
+// leave hands over the last news of sessions and gives up the lease, both before a deadline: where no peer answers,
+// the process must still end by itself.
+func (g *Gateway) leave(ctx env.Ctx, deadline time.Time) {
+	within, end := context.WithDeadline(ctx, deadline)
+	defer end()
+	half, endHalf := context.WithTimeout(within, time.Until(deadline)/2)
+	defer endHalf()
+	g.sessions.leave(half)
+	g.Hub.Leave(within)
+}
--- a/internal/router/main.go
+++ b/internal/router/main.go
@@ -194,7 +194,7 @@
 	}
 	for r.Claims.Settling()+r.Clients.Open() > 0 && env.Wait(within, 20*time.Millisecond) {
 	}
-	r.Hub.Leave()
+	r.Hub.Leave(ctx)
 	r.sender.Close()
 }
 
--- a/internal/router/sessions.go
+++ b/internal/router/sessions.go
@@ -129,10 +129,10 @@
 
 // leave hands the last news to the other routers directly: the part of the tree that leads through this one
 // must not be what others depend on.
-func (s *sessionNews) leave() {
+func (s *sessionNews) leave(ctx context.Context) {
 	entries := s.directory.Take()
 	if record, ok := s.record(entries); ok && len(entries) > 0 {
-		s.sure(s.ctx, []relay.Record{record})
+		s.sure(ctx, []relay.Record{record})
 	}
 }
 
--- a/internal/router/sessions_test.go
+++ b/internal/router/sessions_test.go
@@ -212,12 +212,12 @@
 func TestRouterThatLeaves(t *testing.T) {
 	f := newNewsFleet(t, "a", "b", "c")
 	f.round()
-	f.routers[0].leave()
+	f.routers[0].leave(t.Context())
 	if f.handed != 0 {
 		t.Error("something was handed over though nothing was new")
 	}
 	f.routers[0].directory.Hold(7, "runner")
-	f.routers[0].leave()
+	f.routers[0].leave(t.Context())
 	if _, known := f.routers[2].directory.Lookup(7); !known {
 		t.Error("the last news of a router that left is lost")
 	}
