--- a/internal/router/gateway.go
+++ b/internal/router/gateway.go
@@ -258,17 +258,17 @@
 	if err := server.Drain(left); err != nil {
 		ctx.Log.Warn("The grace ended before the requests did.", slog.Int("open", g.Front.Open()))
 	}
-	g.leave(ctx, begun.Add(g.settings.Grace-exitReserve))
+	leave(ctx, begun.Add(g.settings.Grace-exitReserve), g.sessions.leave, g.Hub.Leave)
 	g.Pool.Close()
 }
 
 // leave hands over the last news of sessions and gives up the lease, both before a deadline: where no peer answers,
 // the process must still end by itself.
-func (g *Gateway) leave(ctx env.Ctx, deadline time.Time) {
+func leave(ctx context.Context, deadline time.Time, handOver, giveUpLease func(context.Context)) {
 	within, end := context.WithDeadline(ctx, deadline)
 	defer end()
 	half, endHalf := context.WithTimeout(within, time.Until(deadline)/2)
 	defer endHalf()
-	g.sessions.leave(half)
-	g.Hub.Leave(within)
+	handOver(half)
+	giveUpLease(within)
 }
