--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -48,13 +48,17 @@
 		t.Fatal(err)
 	}
 	at := l.Addr().String()
-	go Serve(ctx, l, func(ctx context.Context, kind string, _ []byte) (msgp.Marshaler, error) {
-		if kind == "a.no" {
-			return nil, Fault{"not-primary"}
-		}
-		<-ctx.Done()
-		return nil, ctx.Err()
-	})
+	served := make(chan struct{})
+	go func() {
+		defer close(served)
+		Serve(ctx, l, func(ctx context.Context, kind string, _ []byte) (msgp.Marshaler, error) {
+			if kind == "a.no" {
+				return nil, Fault{"not-primary"}
+			}
+			<-ctx.Done()
+			return nil, ctx.Err()
+		})
+	}()
 	cal := NewCaller(TCP{})
 	defer cal.Close()
 	if err := cal.Call(ctx, at, "a.no", nil, nil); !Is(err, "not-primary") || errors.Is(err, ErrDoubt) {
@@ -72,6 +76,7 @@
 		t.Errorf("a broken call came as %v", err)
 	}
 	l.Close()
+	<-served // until then the system takes connections
 	if err := NewCaller(TCP{}).Call(t.Context(), at, "a.no", nil, nil); !errors.Is(err, ErrUnsent) {
 		t.Errorf("a call to nobody came as %v", err)
 	}
