--- a/internal/clientapi/server.go
+++ b/internal/clientapi/server.go
@@ -41,7 +41,7 @@
 	Sender      *runner.Sender
 	Metrics     *metrics.Metrics
 	Log         *request.Log
-	QuotaShares *share.Purses
+	QuotaShares *share.QuotaShares
 	Retries     *RetryBudget
 	Claims      *Claims
 	Streams     *node.Streams
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -13,54 +13,54 @@
 	"yarrowridge/internal/store"
 )
 
-// potCache keeps the decoded pots of tenants: each has an entry for every router, and is read and written with
+// poolCache keeps the decoded pools of tenants: each has an entry for every router, and is read and written with
 // every move. Only the run loop touches it.
-type potCache map[string]*cachedPot
+type poolCache map[string]*cachedPot
 
-// cachedPot is a pot and the bytes that it was decoded from or encoded to. It is good for as long as the
+// cachedPot is a pool and the bytes that it was decoded from or encoded to. It is good for as long as the
 // store, or the batch under way, has these very bytes.
 type cachedPot struct {
-	raw []byte
-	pot share.Pot
+	raw  []byte
+	pool share.QuotaPool
 }
 
-// get gives a tenant's pot as the batch under way has it. One that is changed must be put.
-func (c potCache) get(tx *Tx, tenant string) (*share.Pot, error) {
-	raw, ok := tx.Get(potKey(tenant))
+// get gives a tenant's pool as the batch under way has it. One that is changed must be put.
+func (c poolCache) get(tx *Tx, tenant string) (*share.QuotaPool, error) {
+	raw, ok := tx.Get(poolKey(tenant))
 	if !ok {
-		return &share.Pot{}, nil
+		return &share.QuotaPool{}, nil
 	}
 	if known := c[tenant]; known != nil && len(raw) > 0 && len(raw) == len(known.raw) && &raw[0] == &known.raw[0] {
-		return &known.pot, nil
+		return &known.pool, nil
 	}
 	fresh := &cachedPot{raw: raw}
-	if _, err := fresh.pot.UnmarshalMsg(raw); err != nil {
+	if _, err := fresh.pool.UnmarshalMsg(raw); err != nil {
 		return nil, err
 	}
 	c[tenant] = fresh
-	return &fresh.pot, nil
+	return &fresh.pool, nil
 }
 
-// put puts a changed pot.
-func (c potCache) put(tx *Tx, tenant string, pot *share.Pot) error {
+// put puts a changed pool.
+func (c poolCache) put(tx *Tx, tenant string, pool *share.QuotaPool) error {
 	delete(c, tenant)
-	raw, err := pot.MarshalMsg(nil)
+	raw, err := pool.MarshalMsg(nil)
 	if err != nil {
 		return err
 	}
-	tx.add(store.Put{Key: potKey(tenant), Val: raw})
-	c[tenant] = &cachedPot{raw: raw, pot: *pot}
+	tx.add(store.Put{Key: poolKey(tenant), Val: raw})
+	c[tenant] = &cachedPot{raw: raw, pool: *pool}
 	return nil
 }
 
-func potKey(tenant string) string { return potHead + tenant }
+func poolKey(tenant string) string { return poolHead + tenant }
 
-const potHead = "share/"
+const poolHead = "share/"
 
-// potTenants lists the tenants that have a pot in the committed state.
-func potTenants(tx *Tx) []string {
+// poolTenants lists the tenants that have a pool in the committed state.
+func poolTenants(tx *Tx) []string {
 	var tenants []string
-	tx.st.Each(potHead, func(key string, _ []byte) { tenants = append(tenants, strings.TrimPrefix(key, potHead)) })
+	tx.st.Each(poolHead, func(key string, _ []byte) { tenants = append(tenants, strings.TrimPrefix(key, poolHead)) })
 	return tenants
 }
 
@@ -101,7 +101,7 @@
 
 // moveIn makes one move. Only the run loop calls it.
 func (s *Server) moveIn(tx *Tx, who string, in *Move, doc *Document) (out Moved, err error) {
-	p, err := s.pot.get(tx, in.Tenant)
+	p, err := s.pool.get(tx, in.Tenant)
 	if err != nil {
 		return out, err
 	}
@@ -119,7 +119,7 @@
 	}
 	out.Under = p.Under(quota)
 	if changed {
-		err = s.pot.put(tx, in.Tenant, p)
+		err = s.pool.put(tx, in.Tenant, p)
 	}
 	return out, err
 }
@@ -189,18 +189,18 @@
 // retire sets a holder's units cooling: its process is surely gone.
 func (s *Server) retire(ctx context.Context, who string) error {
 	return s.Submit(ctx, func(tx *Tx) error {
-		return s.pots(tx, func(_ string, p *share.Pot) bool { return p.Retire(who) })
+		return s.pools(tx, func(_ string, p *share.QuotaPool) bool { return p.Retire(who) })
 	})
 }
 
-func (s *Server) pots(tx *Tx, do func(ten string, p *share.Pot) bool) error {
-	for _, t := range potTenants(tx) {
-		p, err := s.pot.get(tx, t)
+func (s *Server) pools(tx *Tx, do func(ten string, p *share.QuotaPool) bool) error {
+	for _, t := range poolTenants(tx) {
+		p, err := s.pool.get(tx, t)
 		if err != nil {
 			return err
 		}
 		if do(t, p) {
-			if err := s.pot.put(tx, t, p); err != nil {
+			if err := s.pool.put(tx, t, p); err != nil {
 				return err
 			}
 		}
@@ -215,7 +215,7 @@
 const flightTime = 50 * time.Millisecond
 
 // replacedRuns gathers the places whose earlier runs have ended. After a restart of the whole fleet there are
-// as many as routers, and each would have all pots written anew.
+// as many as routers, and each would have all pools written anew.
 type replacedRuns struct {
 	mu   sync.Mutex
 	runs map[string]replacedRun // by place
@@ -268,7 +268,7 @@
 		run, known := runs[place]
 		return run, known && who != run.holder
 	}
-	return s.pots(tx, func(tenant string, p *share.Pot) bool {
+	return s.pools(tx, func(tenant string, p *share.QuotaPool) bool {
 		changed := false
 		for who := range p.Held {
 			if _, is := earlier(who); is {
@@ -326,8 +326,8 @@
 	var finished []finishedCharge
 	s.cooling = false
 	tx := &Tx{st: s.st.Load()}
-	for _, tenant := range potTenants(tx) {
-		p, err := s.pot.get(tx, tenant)
+	for _, tenant := range poolTenants(tx) {
+		p, err := s.pool.get(tx, tenant)
 		if err != nil {
 			continue
 		}
@@ -367,7 +367,7 @@
 		return
 	}
 	s.later(func(tx *Tx) error {
-		return s.pots(tx, func(tenant string, p *share.Pot) bool {
+		return s.pools(tx, func(tenant string, p *share.QuotaPool) bool {
 			changed := false
 			for _, h := range thaw {
 				changed = h.tenant == tenant && p.Thaw(h.who) || changed
--- a/internal/core/quota_test.go
+++ b/internal/core/quota_test.go
@@ -20,12 +20,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &Server{pot: potCache{}, short: map[string]time.Time{}, aged: map[string]time.Time{}}
+	s := &Server{pool: poolCache{}, short: map[string]time.Time{}, aged: map[string]time.Time{}}
 	s.st.Store(st)
 	return s, st
 }
 
-// A pot is decoded once, and one that a failed job or a failed batch changed is read anew.
+// A pool is decoded once, and one that a failed job or a failed batch changed is read anew.
 func TestPotsAreReadAnewAfterAFailure(t *testing.T) {
 	s, st := quotaServer(t)
 	begin := func() *Tx { return &Tx{st: st, over: map[string]*store.Put{}} }
@@ -45,7 +45,7 @@
 	draw(tx, 1)
 	draw(tx, 2)
 	if puts := tx.last(); len(puts) != 1 {
-		t.Fatalf("%d puts of one pot, 1 expected", len(puts))
+		t.Fatalf("%d puts of one pool, 1 expected", len(puts))
 	}
 	commit(tx)
 
@@ -63,7 +63,7 @@
 		t.Errorf("%d units after a lost batch and an undone job, 3 expected", have)
 	}
 	commit(tx)
-	p, err := s.pot.get(begin(), "t")
+	p, err := s.pool.get(begin(), "t")
 	if err != nil || p.Held["a"] != (share.Hold{Turn: 3, Units: 3}) {
 		t.Errorf("pot %+v, %v", p, err)
 	}
@@ -80,10 +80,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &Server{pot: potCache{}, short: map[string]time.Time{}}
+	s := &Server{pool: poolCache{}, short: map[string]time.Time{}}
 	s.st.Store(st)
 	tx := &Tx{st: st, over: map[string]*store.Put{}}
-	if err := s.pot.put(tx, "t", &share.Pot{Cool: map[string]int{"dead/1": 10}}); err != nil {
+	if err := s.pool.put(tx, "t", &share.QuotaPool{Cool: map[string]int{"dead/1": 10}}); err != nil {
 		t.Fatal(err)
 	}
 	doc := &Document{Quotas: map[string]int{"t": 10}, Tolerances: map[string]int{"t": 4}}
@@ -94,19 +94,19 @@
 			t.Fatal(err)
 		}
 		held += out.Have
-		purse := share.NewPurse()
-		purse.Rule(10, time.Minute)
-		purse.Await(1)
-		turn, _, ok := purse.Want(4)
+		quotaShare := share.NewQuotaShare()
+		quotaShare.Rule(10, time.Minute)
+		quotaShare.Await(1)
+		turn, _, ok := quotaShare.Want(4)
 		if !ok {
 			t.Fatal("no draw is wanted")
 		}
-		purse.Got(turn, out.Have, out.Under)
+		quotaShare.Got(turn, out.Have, out.Under)
 		for {
-			if ok, _ := purse.Keep(1); !ok {
+			if ok, _ := quotaShare.Keep(1); !ok {
 				break
 			}
-			purse.Spend(1)
+			quotaShare.Spend(1)
 			spent++
 		}
 	}
@@ -115,12 +115,12 @@
 	}
 }
 
-// After a restart of a whole fleet the units of all earlier runs cool with one write of each pot.
+// After a restart of a whole fleet the units of all earlier runs cool with one write of each pool.
 func TestAllReplacedRunsCoolTogether(t *testing.T) {
 	s, st := quotaServer(t)
 	tx := &Tx{st: st, over: map[string]*store.Put{}}
-	pot := &share.Pot{Held: map[string]share.Hold{"a@1/1": {Units: 2, Turn: 1}, "b@2/1": {Units: 3, Turn: 1}, "c@3/1": {Units: 4, Turn: 1}}}
-	if err := s.pot.put(tx, "t", pot); err != nil {
+	pool := &share.QuotaPool{Held: map[string]share.Hold{"a@1/1": {Units: 2, Turn: 1}, "b@2/1": {Units: 3, Turn: 1}, "c@3/1": {Units: 4, Turn: 1}}}
+	if err := s.pool.put(tx, "t", pool); err != nil {
 		t.Fatal(err)
 	}
 	if err := st.Add(store.Batch{Seq: 1, Puts: tx.last()}); err != nil {
@@ -137,7 +137,7 @@
 	if n := len(tx.puts); n != 1 {
 		t.Errorf("%d puts, 1 expected", n)
 	}
-	got, err := s.pot.get(tx, "t")
+	got, err := s.pool.get(tx, "t")
 	if err != nil || got.Cooling() != 5 || got.Held["c@3/1"].Units != 4 {
 		t.Errorf("pot %+v, %v: 5 units cooling and 4 held by c expected", got, err)
 	}
--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -68,7 +68,7 @@
 	next    time.Time            // earliest next try at taking over
 	bad     map[string]time.Time // members that lately failed as backup
 	aged    map[string]time.Time // cooling and silent holders: since when
-	pot     potCache
+	pool    poolCache
 	charges map[string]openCharge // of tenants' tolerances
 	claims  map[string]time.Time  // since when this run knows each claim, and each part of the keys that ran
 	swept   time.Time
@@ -153,7 +153,7 @@
 	s := &Server{keep: env.NewGate(), run: rand.Uint64() | 1, ctx: ctx, set: set, disk: disk, vot: vot, cal: wire.NewCaller(ctx.Net),
 		box: make(chan *job, 4*most), bad: map[string]time.Time{},
 		synced: map[string]bool{},
-		aged:   map[string]time.Time{}, pot: potCache{}, mute: map[string]time.Time{}, ls: lease.New(set.Term), nodes: map[string]*seat{},
+		aged:   map[string]time.Time{}, pool: poolCache{}, mute: map[string]time.Time{}, ls: lease.New(set.Term), nodes: map[string]*seat{},
 		short: map[string]time.Time{}, spare: map[string]spare{}}
 	s.runners = NewRunnerRegistry(set.RunnerSilence, s.announce)
 	s.st.Store(st)
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -24,7 +24,7 @@
 	st.Each("claim/", func(string, []byte) { out.Claims++ })
 	st.Each(ranHead, func(_ string, v []byte) { out.Parts, out.Ran = out.Parts+1, out.Ran+len(v)/8 })
 	st.Each("share/", func(k string, raw []byte) {
-		var p share.Pot
+		var p share.QuotaPool
 		if _, err := p.UnmarshalMsg(raw); err != nil {
 			return
 		}
--- a/internal/router/gateway.go
+++ b/internal/router/gateway.go
@@ -55,12 +55,12 @@
 
 // Gateway is the parts of a router that carries opaque requests, put together.
 type Gateway struct {
-	Hub      *node.Hub
-	Registry *registry.Registry
-	Balancer *balance.Balancer
-	Purses   *share.Purses
-	Pool     *upstream.Pool
-	Front    *gateway.Gateway
+	Hub         *node.Hub
+	Registry    *registry.Registry
+	Balancer    *balance.Balancer
+	QuotaShares *share.QuotaShares
+	Pool        *upstream.Pool
+	Front       *gateway.Gateway
 
 	ctx      env.Ctx
 	settings GatewaySettings
@@ -83,10 +83,10 @@
 		node.Document(g.take), node.Runners(g.Registry), node.Health(g.tally, g.failing))
 	g.sessions = newSessionNews(g)
 	g.Hub.Handle("session", g.sessions.hand)
-	g.Purses = share.NewPurses(ctx.Part("share"), share.Ways{Move: newMoveQueue(ctx, g.Hub).move, Nodes: func() int { return len(g.Hub.Nodes()) },
+	g.QuotaShares = share.NewQuotaShares(ctx.Part("share"), share.Ways{Move: newMoveQueue(ctx, g.Hub).move, Nodes: func() int { return len(g.Hub.Nodes()) },
 		Short: g.Hub.ScarceTenants, Rules: g.rules, Fresh: g.Hub.Fresh, Live: func() bool { return !g.Hub.Stale() }, Margin: quotaMargin})
 	g.Front = gateway.New(gateway.Options{Dialect: settings.Dialect, Table: g.table.Load, Ready: g.canServe, Balancer: g.Balancer,
-		Pool: g.Pool, Quotas: quotas{g.Purses}, Retries: settings.Retries, Part: g.part, Log: ctx.Part("gateway").Log})
+		Pool: g.Pool, Quotas: quotas{g.QuotaShares}, Retries: settings.Retries, Part: g.part, Log: ctx.Part("gateway").Log})
 	return g
 }
 
@@ -118,7 +118,7 @@
 		return eris.Wrapf(flaws[0], "router: configuration %d", sequence)
 	}
 	g.table.Store(table)
-	g.Purses.Wake()
+	g.QuotaShares.Wake()
 	return nil
 }
 
@@ -176,25 +176,25 @@
 }
 
 // quotas spends tenants' quotas from this router's shares of them.
-type quotas struct{ purses *share.Purses }
+type quotas struct{ quotaShares *share.QuotaShares }
 
 // Reserve holds one request of the tenant's quota.
 func (q quotas) Reserve(ctx context.Context, tenant string) (bool, time.Duration) {
-	return q.purses.Keep(ctx, tenant, 1)
+	return q.quotaShares.Keep(ctx, tenant, 1)
 }
 
 // Spend turns a reservation into a spent request.
-func (q quotas) Spend(tenant string) { q.purses.For(tenant).Spend(1) }
+func (q quotas) Spend(tenant string) { q.quotaShares.For(tenant).Spend(1) }
 
 // Release ends a reservation unspent.
-func (q quotas) Release(tenant string) { q.purses.For(tenant).Loose(1) }
+func (q quotas) Release(tenant string) { q.quotaShares.For(tenant).Loose(1) }
 
 // Scarce tells whether the core lately had too little left of the tenant's quota.
-func (q quotas) Scarce(tenant string) bool { return q.purses.For(tenant).Scarce() }
+func (q quotas) Scarce(tenant string) bool { return q.quotaShares.For(tenant).Scarce() }
 
 // Start begins all parts but the clients' listener; they end with the context.
 func (g *Gateway) Start() {
-	go g.Purses.Run()
+	go g.QuotaShares.Run()
 	go g.sessions.run()
 	go g.Hub.Run()
 	go env.Loop(g.ctx, g.settings.NewSeeds, 0, g.Hub.SetSeeds, nil)
--- a/internal/router/main.go
+++ b/internal/router/main.go
@@ -66,7 +66,7 @@
 	Hub         *node.Hub
 	Runners     *runner.Pool
 	Scheduler   *place.Scheduler
-	QuotaShares *share.Purses
+	QuotaShares *share.QuotaShares
 	Claims      *clientapi.Claims
 	Streams     *node.Streams
 	Log         *request.Log
@@ -88,7 +88,7 @@
 		"yarrowridge_layout_sequence": func() float64 { return float64(r.Hub.Me().Seq) },
 		"yarrowridge_stale":           func() float64 { return map[bool]float64{true: 1}[r.Hub.Stale()] },
 	})
-	r.QuotaShares = share.NewPurses(ctx.Part("share"), share.Ways{Move: newMoveQueue(ctx, r.Hub).move, Nodes: func() int { return len(r.Hub.Nodes()) },
+	r.QuotaShares = share.NewQuotaShares(ctx.Part("share"), share.Ways{Move: newMoveQueue(ctx, r.Hub).move, Nodes: func() int { return len(r.Hub.Nodes()) },
 		Short: r.Hub.ScarceTenants, Rules: quotaRules(r.Hub), Fresh: r.Hub.Fresh, Live: func() bool { return !r.Hub.Stale() }})
 	r.Claims = clientapi.NewClaims(ctx.Part("claim"), r.Hub)
 	r.Streams = node.NewStreams(ctx.Part("stream"), r.Hub)
--- a/internal/scale/sizes_test.go
+++ b/internal/scale/sizes_test.go
@@ -18,12 +18,12 @@
 //	go test ./internal/scale -run XXX -bench Sizes -benchtime 1x
 func BenchmarkSizes(b *testing.B) {
 	var roll, runners core.Told
-	pot := share.Pot{Held: map[string]share.Hold{}}
+	pool := share.QuotaPool{Held: map[string]share.Hold{}}
 	for i := range 360 {
 		node := core.Node{Name: fmt.Sprintf("router%04d", i), Zone: zone(i % 11), Addr: fmt.Sprintf("10.%d.%d.7:7501", i%11, i/11),
 			Face: fmt.Sprintf("10.%d.%d.7:8501", i%11, i/11), Born: uint64(i+1) * 0x9e3779b97f4a7c15, Seq: 2600, Ready: true}
 		roll.Nodes = append(roll.Nodes, node)
-		pot.Held[core.Holder(node)] = share.Hold{Units: 100 + i, Turn: uint64(1000 + i)}
+		pool.Held[core.Holder(node)] = share.Hold{Units: 100 + i, Turn: uint64(1000 + i)}
 	}
 	for i := range 610 {
 		runners.Runners = append(runners.Runners, routing.Runner{ID: fmt.Sprintf("runner-%016x", uint64(i+1)*0x9e3779b97f4a7c15), Service: "models",
@@ -38,7 +38,7 @@
 	for _, one := range []struct {
 		name string
 		what msgp.Marshaler
-	}{{"roll", &roll}, {"runners", &runners}, {"pot", &pot}, {"configuration", &sheet}} {
+	}{{"roll", &roll}, {"runners", &runners}, {"quota pool", &pool}, {"configuration", &sheet}} {
 		b.Run(one.name, func(b *testing.B) {
 			for b.Loop() {
 				body, err := one.what.MarshalMsg(nil)
--- a/internal/share/grown_test.go
+++ b/internal/share/grown_test.go
@@ -17,34 +17,34 @@
 
 // crowd is a large fleet of holders that share one tenant's small quota.
 type crowd struct {
-	purses []*Purses
-	moves  atomic.Int64
-	short  atomic.Bool
+	quotaShares []*QuotaShares
+	moves       atomic.Int64
+	short       atomic.Bool
 }
 
 // newCrowd starts so many holders. A move takes five milliseconds.
 func newCrowd(ctx context.Context, holders, quota int, window time.Duration) *crowd {
 	c := &crowd{}
 	var mu sync.Mutex
-	var pot Pot
+	var pool QuotaPool
 	for i := range holders {
 		name := string(rune('A' + i))
-		ps := NewPurses(env.Ctx{Context: ctx}, Ways{
+		ps := NewQuotaShares(env.Ctx{Context: ctx}, Ways{
 			Move: func(_ context.Context, _ string, turn uint64, n int, give bool) (int, int, error) {
 				c.moves.Add(1)
 				time.Sleep(5 * time.Millisecond)
 				mu.Lock()
 				defer mu.Unlock()
 				if give {
-					have, _ := pot.Give(name, turn, n)
-					return have, max(quota, pot.Out()), nil
+					have, _ := pool.Give(name, turn, n)
+					return have, max(quota, pool.Out()), nil
 				}
-				was := pot.Held[name].Units
-				have, _ := pot.Draw(name, turn, n, quota)
+				was := pool.Held[name].Units
+				have, _ := pool.Draw(name, turn, n, quota)
 				if have-was < n {
 					c.short.Store(true)
 				}
-				return have, max(quota, pot.Out()), nil
+				return have, max(quota, pool.Out()), nil
 			},
 			Nodes: func() int { return holders },
 			Short: func() []string {
@@ -55,7 +55,7 @@
 			},
 			Rules: func() []Rule { return []Rule{{"t", quota, window}} },
 			Live:  func() bool { return true }})
-		c.purses = append(c.purses, ps)
+		c.quotaShares = append(c.quotaShares, ps)
 		go ps.Run()
 	}
 	return c
@@ -81,7 +81,7 @@
 		var all sync.WaitGroup
 		for range 400 { // four a second: half of the quota
 			asked++
-			ps := c.purses[random.IntN(holders)]
+			ps := c.quotaShares[random.IntN(holders)]
 			all.Go(func() {
 				if ok, _ := ps.Keep(ctx, "t", 1); ok {
 					ps.For("t").Spend(1)
@@ -112,7 +112,7 @@
 		var all sync.WaitGroup
 		for range 20 {
 			all.Go(func() {
-				if ok, _ := c.purses[0].Keep(ctx, "t", 1); !ok {
+				if ok, _ := c.quotaShares[0].Keep(ctx, "t", 1); !ok {
 					refused.Add(1)
 				}
 			})
@@ -134,7 +134,7 @@
 		defer synctest.Wait()
 		defer time.Sleep(time.Second)
 		defer end()
-		ps := NewPurses(env.Ctx{Context: ctx}, Ways{
+		ps := NewQuotaShares(env.Ctx{Context: ctx}, Ways{
 			Move: func(_ context.Context, _ string, _ uint64, n int, _ bool) (int, int, error) {
 				time.Sleep(600 * time.Millisecond)
 				return n, 40, nil
@@ -168,60 +168,60 @@
 			}
 			quota := rapid.IntRange(1, 60).Draw(rt, "quota")
 			tolerance := rapid.IntRange(0, 20).Draw(rt, "tolerance")
-			var pot Pot
+			var pool QuotaPool
 			var spendings []spending
 			names := []string{"a", "b", "c", "d"}
-			purses, runs, cools := map[string]*Purse{}, map[string]int{}, map[string]time.Time{}
+			quotaShares, runs, cools := map[string]*QuotaShare{}, map[string]int{}, map[string]time.Time{}
 			charge, charged := uint64(0), map[uint64]time.Time{}
 			const spans = 3
 			for _, name := range names {
-				purses[name] = NewPurse()
+				quotaShares[name] = NewQuotaShare()
 			}
 			for range rapid.IntRange(20, 150).Draw(rt, "steps") {
 				name := names[rapid.IntRange(0, 3).Draw(rt, "who")]
-				purse, who := purses[name], fmt.Sprintf("%s/%d", name, runs[name])
+				quotaShare, who := quotaShares[name], fmt.Sprintf("%s/%d", name, runs[name])
 				switch rapid.IntRange(0, 10).Draw(rt, "step") {
 				case 0, 1, 2, 3:
-					purse.Rule(quota, window)
-					if turn, units, ok := purse.Want(4); ok {
+					quotaShare.Rule(quota, window)
+					if turn, units, ok := quotaShare.Want(4); ok {
 						charge++
 						charged[charge] = time.Now()
-						have, _ := pot.DrawAbove(who, turn, units, quota, tolerance, charge)
+						have, _ := pool.DrawAbove(who, turn, units, quota, tolerance, charge)
 						if rapid.Bool().Draw(rt, "lost") {
-							have, _ = pot.DrawAbove(who, turn, units, quota, tolerance, charge)
+							have, _ = pool.DrawAbove(who, turn, units, quota, tolerance, charge)
 						}
-						purse.Got(turn, have, pot.Under(quota))
+						quotaShare.Got(turn, have, pool.Under(quota))
 					}
 				case 4, 5, 6:
 					for {
-						if ok, _ := purse.Keep(1); !ok {
+						if ok, _ := quotaShare.Keep(1); !ok {
 							break
 						}
-						purse.Spend(1)
+						quotaShare.Spend(1)
 						spendings = append(spendings, spending{1, time.Now()})
 					}
 				case 7:
 					time.Sleep(time.Duration(rapid.IntRange(1, 1500).Draw(rt, "ms")) * time.Millisecond)
 				case 8: // the holder dies and comes back as another run
-					pot.Retire(who)
+					pool.Retire(who)
 					cools[who] = time.Now()
 					runs[name]++
-					purses[name] = NewPurse()
+					quotaShares[name] = NewQuotaShare()
 				case 10:
-					if turn, units, ok := purse.Spare(rapid.Bool().Draw(rt, "short"), 4); ok {
-						have, _ := pot.Give(who, turn, units)
-						purse.Got(turn, have, pot.Under(quota))
+					if turn, units, ok := quotaShare.Spare(rapid.Bool().Draw(rt, "short"), 4); ok {
+						have, _ := pool.Give(who, turn, units)
+						quotaShare.Got(turn, have, pool.Under(quota))
 					}
 				case 9:
 					for dead, at := range cools {
 						if time.Since(at) > window+Margin {
-							pot.Thaw(dead)
+							pool.Thaw(dead)
 							delete(cools, dead)
 						}
 					}
 					for id, at := range charged {
 						if time.Since(at) > (spans+1)*window+Margin {
-							pot.Uncharge(id)
+							pool.Uncharge(id)
 							delete(charged, id)
 						}
 					}
@@ -257,7 +257,7 @@
 		defer time.Sleep(10 * time.Second)
 		defer end()
 		var gone atomic.Bool
-		ps := NewPurses(env.Ctx{Context: ctx}, Ways{
+		ps := NewQuotaShares(env.Ctx{Context: ctx}, Ways{
 			Move: func(ctx context.Context, _ string, _ uint64, n int, _ bool) (int, int, error) {
 				if gone.Load() {
 					<-ctx.Done()
--- a/internal/share/msgs.go
+++ b/internal/share/msgs.go
@@ -18,10 +18,10 @@
 	Units int    `msg:"u"`
 }
 
-// Pot is a tenant's quota as the core keeps it: who holds how many units. Cool are units of
+// QuotaPool is a tenant's quota as the core keeps it: who holds how many units. Cool are units of
 // holders that are surely gone, not yet free since the last spends may still count. Above is how many units are
 // out above the quota by the tolerance, and Charges what of the tolerance was drawn lately.
-type Pot struct {
+type QuotaPool struct {
 	Held    map[string]Hold `msg:"h"`
 	Cool    map[string]int  `msg:"c"`
 	Above   int             `msg:"a"`
--- a/internal/share/msgs_gen.go
+++ b/internal/share/msgs_gen.go
@@ -143,7 +143,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Pot) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *QuotaPool) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 4
 	// string "h"
@@ -185,7 +185,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Pot) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *QuotaPool) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -378,7 +378,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Pot) Msgsize() (s int) {
+func (z *QuotaPool) Msgsize() (s int) {
 	s = 1 + 2 + msgp.MapHeaderSize
 	if z.Held != nil {
 		for za0001, za0002 := range z.Held {
--- a/internal/share/pot.go
+++ b/internal/share/pool.go
@@ -7,8 +7,8 @@
 
 // Out is how many units are not free: held, or cooling.
 //
-//	free := quota - pot.Out()
-func (p *Pot) Out() int {
+//	free := quota - pool.Out()
+func (p *QuotaPool) Out() int {
 	n := 0
 	for _, h := range p.Held {
 		n += h.Units
@@ -18,8 +18,8 @@
 
 // Cooling is how many units holders that are gone may have spent within the window.
 //
-//	n := pot.Cooling()
-func (p *Pot) Cooling() int {
+//	n := pool.Cooling()
+func (p *QuotaPool) Cooling() int {
 	n := 0
 	for _, c := range p.Cool {
 		n += c
@@ -29,8 +29,8 @@
 
 // Charged is how much of the tolerance was drawn lately.
 //
-//	left := tolerance - pot.Charged()
-func (p *Pot) Charged() int {
+//	left := tolerance - pool.Charged()
+func (p *QuotaPool) Charged() int {
 	n := 0
 	for _, c := range p.Charges {
 		n += c.Units
@@ -41,8 +41,8 @@
 // Most is how many units may be out under a quota: while some cool, as many again on top of it, as far as the
 // tolerance that the limit allows has not been drawn lately.
 //
-//	n := min(wanted, pot.Most(600, 40)-pot.Out())
-func (p *Pot) Most(quota, tolerance int) int {
+//	n := min(wanted, pool.Most(600, 40)-pot.Out())
+func (p *QuotaPool) Most(quota, tolerance int) int {
 	left := max(0, tolerance-p.Charged())
 	return min(max(quota, p.Out())+left, quota+p.Cooling())
 }
@@ -50,15 +50,15 @@
 // Under is what holders measure their units against: the quota, or what is out if that is more, since the quota
 // was lowered. What is out by the tolerance does not count: it is held to be spent.
 //
-//	out.Under = pot.Under(600)
-func (p *Pot) Under(quota int) int { return max(quota, p.Out()-p.Above) }
+//	out.Under = pool.Under(600)
+func (p *QuotaPool) Under(quota int) int { return max(quota, p.Out()-p.Above) }
 
 // DrawAbove is Draw where the tolerance may be used as well: what is drawn above the quota counts as a charge of
 // the given ID, until Uncharge. Each unit of it adds one spend at most to the spends under the quota: the next
 // spend of the unit comes when the unit that cooled is free.
 //
-//	have, changed := pot.DrawAbove("n1/7", 3, 10, 600, 40, id)
-func (p *Pot) DrawAbove(who string, turn uint64, want, quota, tolerance int, id uint64) (int, bool) {
+//	have, changed := pool.DrawAbove("n1/7", 3, 10, 600, 40, id)
+func (p *QuotaPool) DrawAbove(who string, turn uint64, want, quota, tolerance int, id uint64) (int, bool) {
 	before := p.Out()
 	have, changed := p.Draw(who, turn, want, p.Most(quota, tolerance))
 	if above := p.Out() - max(quota, before); above > 0 {
@@ -68,7 +68,7 @@
 	return have, changed
 }
 
-func (p *Pot) charge(id uint64, units int) {
+func (p *QuotaPool) charge(id uint64, units int) {
 	charges := slices.Clone(p.Charges)
 	at := slices.IndexFunc(charges, func(c Charge) bool { return c.ID == id })
 	if at < 0 {
@@ -81,22 +81,22 @@
 
 // Uncharge ends a charge of the tolerance, once no window holds a spend that it stands for.
 //
-//	if pot.Uncharge(id) { ... }
-func (p *Pot) Uncharge(id uint64) bool {
+//	if pool.Uncharge(id) { ... }
+func (p *QuotaPool) Uncharge(id uint64) bool {
 	was := len(p.Charges)
 	p.Charges = slices.DeleteFunc(slices.Clone(p.Charges), func(c Charge) bool { return c.ID == id })
 	return len(p.Charges) < was
 }
 
 // less notes that so many units are out no longer. Those above the quota go first.
-func (p *Pot) less(units int) { p.Above = max(0, p.Above-units) }
+func (p *QuotaPool) less(units int) { p.Above = max(0, p.Above-units) }
 
 // Draw gives a holder up to want units of what is free under the quota. A turn already taken
 // changes nothing: the answer to it was lost. It returns what the holder has now, and whether
-// the pot changed.
+// the pool changed.
 //
-//	have, changed := pot.Draw("n1/7", 3, 10, 600)
-func (p *Pot) Draw(who string, turn uint64, want, quota int) (int, bool) {
+//	have, changed := pool.Draw("n1/7", 3, 10, 600)
+func (p *QuotaPool) Draw(who string, turn uint64, want, quota int) (int, bool) {
 	h := p.Held[who]
 	if turn <= h.Turn {
 		return h.Units, false
@@ -111,8 +111,8 @@
 
 // Give takes back units that the holder has already struck off.
 //
-//	have, changed := pot.Give("n1/7", 4, 5)
-func (p *Pot) Give(who string, turn uint64, units int) (int, bool) {
+//	have, changed := pool.Give("n1/7", 4, 5)
+func (p *QuotaPool) Give(who string, turn uint64, units int) (int, bool) {
 	h := p.Held[who]
 	if turn <= h.Turn {
 		return h.Units, false
@@ -125,7 +125,7 @@
 	return h.Units, true
 }
 
-func (p *Pot) set(who string, h Hold) {
+func (p *QuotaPool) set(who string, h Hold) {
 	if p.Held == nil {
 		p.Held = map[string]Hold{}
 	}
@@ -135,8 +135,8 @@
 // Retire moves a holder's units to cooling: it can spend no more, but what it spent last may
 // still count in a window.
 //
-//	if pot.Retire("n1/7") { ... }
-func (p *Pot) Retire(who string) bool {
+//	if pool.Retire("n1/7") { ... }
+func (p *QuotaPool) Retire(who string) bool {
 	h, ok := p.Held[who]
 	if !ok {
 		return false
@@ -153,8 +153,8 @@
 
 // Thaw frees a retired holder's units, a window after the retirement.
 //
-//	if pot.Thaw("n1/7") { ... }
-func (p *Pot) Thaw(who string) bool {
+//	if pool.Thaw("n1/7") { ... }
+func (p *QuotaPool) Thaw(who string) bool {
 	units, ok := p.Cool[who]
 	delete(p.Cool, who)
 	p.less(units)
--- a/internal/share/purse.go
+++ b/internal/share/quotashare.go
@@ -15,8 +15,8 @@
 // back a silent holder's units only after this and a window more.
 const Term = 24 * time.Hour
 
-// Purse is a node's side: what it holds of one tenant's quota.
-type Purse struct {
+// QuotaShare is a node's side: what it holds of one tenant's quota.
+type QuotaShare struct {
 	mu     sync.Mutex
 	units  int // held by the core's word
 	under  int // what all holders had, or the quota if larger, when the core last spoke
@@ -45,18 +45,18 @@
 	at time.Time
 }
 
-// NewPurse makes an empty purse.
+// NewQuotaShare makes an empty quotaShare.
 //
-//	p := share.NewPurse()
-func NewPurse() *Purse {
-	return &Purse{margin: Margin, heard: time.Now(), first: make(chan struct{}), changed: make(chan struct{})}
+//	p := share.NewQuotaShare()
+func NewQuotaShare() *QuotaShare {
+	return &QuotaShare{margin: Margin, heard: time.Now(), first: make(chan struct{}), changed: make(chan struct{})}
 }
 
 // Rule sets the tenant's quota as the layout has it now. A lowered quota shrinks at once what may
 // be spent here, in proportion.
 //
 //	p.Rule(600, time.Minute)
-func (p *Purse) Rule(quota int, window time.Duration) {
+func (p *QuotaShare) Rule(quota int, window time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.quota, p.window = quota, max(p.window, window)
@@ -65,7 +65,7 @@
 	}
 }
 
-func (p *Purse) sweep(now time.Time) {
+func (p *QuotaShare) sweep(now time.Time) {
 	for len(p.spent) > 0 && now.Sub(p.spent[0].at) > p.window+p.margin {
 		p.out -= p.spent[0].n
 		p.spent = p.spent[1:]
@@ -73,14 +73,14 @@
 }
 
 // free is what may be promised now; the caller holds the lock.
-func (p *Purse) free(now time.Time) int {
+func (p *QuotaShare) free(now time.Time) int {
 	p.sweep(now)
 	return p.cap() - p.out - p.kept
 }
 
 // cap is what of the units may be in use. Under a lowered quota each holder cuts its own part in
 // proportion, so that the sum is within the quota before any unit has been given back.
-func (p *Purse) cap() int {
+func (p *QuotaShare) cap() int {
 	if p.under <= p.quota {
 		return p.units
 	}
@@ -91,7 +91,7 @@
 // after which to ask again.
 //
 //	if ok, again := p.Keep(1); !ok { ... }
-func (p *Purse) Keep(n int) (bool, time.Duration) {
+func (p *QuotaShare) Keep(n int) (bool, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -114,7 +114,7 @@
 
 // again is when to ask again for n units: once units spent here are back, or when others may have given
 // some. The caller holds the lock and has swept.
-func (p *Purse) again(n int, now time.Time) time.Duration {
+func (p *QuotaShare) again(n int, now time.Time) time.Duration {
 	if len(p.spent) == 0 || p.units < n {
 		return againLeast
 	}
@@ -126,14 +126,14 @@
 //
 //	p.Await(1)
 //	defer p.Await(-1)
-func (p *Purse) Await(n int) {
+func (p *QuotaShare) Await(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.queue += n
 }
 
 // Busy tells whether the core has been asked and has not answered yet.
-func (p *Purse) Busy() bool {
+func (p *QuotaShare) Busy() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.busy
@@ -142,7 +142,7 @@
 // Changed is closed by the core's next word. dry: it had too little just now.
 //
 //	next, dry := p.Changed()
-func (p *Purse) Changed() (next <-chan struct{}, dry bool) {
+func (p *QuotaShare) Changed() (next <-chan struct{}, dry bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.changed, time.Now().Before(p.dry)
@@ -154,7 +154,7 @@
 // Scarce tells whether the core lately had too little left of the quota.
 //
 //	if p.Scarce() { ... }
-func (p *Purse) Scarce() bool {
+func (p *QuotaShare) Scarce() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.dry.IsZero() && time.Since(p.dry) < scarceFor
@@ -163,7 +163,7 @@
 // Spend turns a reservation into a spend: the query leaves now.
 //
 //	p.Spend(1)
-func (p *Purse) Spend(n int) {
+func (p *QuotaShare) Spend(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.kept -= n
@@ -174,7 +174,7 @@
 // Loose ends a reservation unspent.
 //
 //	p.Loose(1)
-func (p *Purse) Loose(n int) {
+func (p *QuotaShare) Loose(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.kept -= n
@@ -183,7 +183,7 @@
 // Heard notes that the core was heard of.
 //
 //	p.Heard()
-func (p *Purse) Heard() {
+func (p *QuotaShare) Heard() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.heard = time.Now()
@@ -203,7 +203,7 @@
 // few units, one that spends nothing holds none: they would lie idle everywhere. The same holds while the
 // fleet is not known (nodes is 0): after a restart of all, each would ask for units of every tenant. The caller
 // holds the lock and has swept.
-func (p *Purse) reserve(nodes int) int {
+func (p *QuotaShare) reserve(nodes int) int {
 	wanted := max(p.need, p.queue)
 	if p.units == 0 && p.out == 0 {
 		if nodes == 0 {
@@ -228,13 +228,13 @@
 func IsSmall(quota, nodes int) bool { return nodes == 0 || quota < idlePart*nodes }
 
 // scarce tells whether the core lately had too little. The caller holds the lock.
-func (p *Purse) scarce(now time.Time) bool { return now.Sub(p.lacked) < p.window }
+func (p *QuotaShare) scarce(now time.Time) bool { return now.Sub(p.lacked) < p.window }
 
 // Want starts a draw if one is called for: it tells the turn and how much to ask, or ok false.
 // Until Got is called no other move starts: a turn whose answer was lost is asked again as it was.
 //
 //	turn, n, ok := p.Want(14)
-func (p *Purse) Want(nodes int) (turn uint64, n int, ok bool) {
+func (p *QuotaShare) Want(nodes int) (turn uint64, n int, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -256,7 +256,7 @@
 // units. They are struck off at once, before the core may hand them on.
 //
 //	turn, n, ok := p.Spare(true, 14)
-func (p *Purse) Spare(short bool, nodes int) (turn uint64, n int, ok bool) {
+func (p *QuotaShare) Spare(short bool, nodes int) (turn uint64, n int, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -300,7 +300,7 @@
 // Got ends a draw or a give with the core's word on what is held now.
 //
 //	p.Got(turn, 40, 600)
-func (p *Purse) Got(turn uint64, have, under int) {
+func (p *QuotaShare) Got(turn uint64, have, under int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if turn != p.turn || !p.busy {
@@ -327,7 +327,7 @@
 // Stat tells what is held, what may be spent now, and what was spent in the window.
 //
 //	held, free, out := p.Stat()
-func (p *Purse) Stat() (held, free, out int) {
+func (p *QuotaShare) Stat() (held, free, out int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f := p.free(time.Now())
--- a/internal/share/purses.go
+++ b/internal/share/quotashares.go
@@ -12,7 +12,7 @@
 // Mover asks the core for a draw or a give and tells what is held after it, and under what sum.
 type Mover func(ctx context.Context, tenant string, turn uint64, units int, give bool) (have, under int, err error)
 
-// Ways are what the purses of a node ask of the rest of it.
+// Ways are what the quotaShares of a node ask of the rest of it.
 type Ways struct {
 	Move  Mover
 	Nodes func() int      // live nodes
@@ -25,13 +25,13 @@
 	Margin time.Duration
 }
 
-// Purses are a node's purses, and the part that moves units to and from them.
-type Purses struct {
+// QuotaShares are a node's quotaShares, and the part that moves units to and from them.
+type QuotaShares struct {
 	ctx  env.Ctx
 	ways Ways
 	bell chan struct{}
 	mu   sync.Mutex
-	all  map[string]*Purse
+	all  map[string]*QuotaShare
 }
 
 // Rule is a tenant's quota as the layout has it.
@@ -41,22 +41,22 @@
 	Window time.Duration
 }
 
-// NewPurses makes the purses of a node.
+// NewQuotaShares makes the quotaShares of a node.
 //
-//	ps := share.NewPurses(ctx, share.Ways{Move: move, Nodes: nodes, Short: hub.Short, Rules: rules, Live: live})
-func NewPurses(ctx env.Ctx, ways Ways) *Purses {
-	return &Purses{ctx: ctx, ways: ways, bell: make(chan struct{}, 1), all: map[string]*Purse{}}
+//	ps := share.NewQuotaShares(ctx, share.Ways{Move: move, Nodes: nodes, Short: hub.Short, Rules: rules, Live: live})
+func NewQuotaShares(ctx env.Ctx, ways Ways) *QuotaShares {
+	return &QuotaShares{ctx: ctx, ways: ways, bell: make(chan struct{}, 1), all: map[string]*QuotaShare{}}
 }
 
-// For gives a tenant's purse.
+// For gives a tenant's quotaShare.
 //
 //	ok, again := ps.For("counter").Keep(1)
-func (ps *Purses) For(tenant string) *Purse {
+func (ps *QuotaShares) For(tenant string) *QuotaShare {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	p := ps.all[tenant]
 	if p == nil {
-		p = NewPurse()
+		p = NewQuotaShare()
 		if ps.ways.Margin > 0 {
 			p.margin = ps.ways.Margin
 		}
@@ -75,7 +75,7 @@
 // core; where the context has a deadline, it waits until then for a core that has just fallen silent.
 //
 //	ok, again := ps.Keep(ctx, "counter", 1)
-func (ps *Purses) Keep(ctx context.Context, tenant string, n int) (bool, time.Duration) {
+func (ps *QuotaShares) Keep(ctx context.Context, tenant string, n int) (bool, time.Duration) {
 	p := ps.For(tenant)
 	wait := drawWait
 	select {
@@ -112,7 +112,7 @@
 }
 
 // draw starts a draw where one is called for.
-func (ps *Purses) draw(tenant string, p *Purse) bool {
+func (ps *QuotaShares) draw(tenant string, p *QuotaShare) bool {
 	turn, n, ok := p.Want(ps.ways.Nodes())
 	if ok {
 		go ps.carry(tenant, p, turn, n, false)
@@ -123,17 +123,17 @@
 // Wake looks at once whether units should be drawn.
 //
 //	ps.Wake()
-func (ps *Purses) Wake() {
+func (ps *QuotaShares) Wake() {
 	select {
 	case ps.bell <- struct{}{}:
 	default:
 	}
 }
 
-// Names lists the tenants that have a purse here.
+// Names lists the tenants that have a quotaShare here.
 //
 //	for _, t := range ps.Names() { ... }
-func (ps *Purses) Names() []string {
+func (ps *QuotaShares) Names() []string {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	var out []string
@@ -149,7 +149,7 @@
 // Run draws and gives until the context ends.
 //
 //	go ps.Run()
-func (ps *Purses) Run() {
+func (ps *QuotaShares) Run() {
 	select { // nodes that started together do not ask the core together
 	case <-time.After(rand.N(roundEvery)):
 	case <-ps.bell:
@@ -160,7 +160,7 @@
 	env.Loop(ps.ctx, ps.bell, roundEvery, func(struct{}) { ps.round() }, ps.round)
 }
 
-func (ps *Purses) round() {
+func (ps *QuotaShares) round() {
 	short := map[string]bool{}
 	for _, t := range ps.ways.Short() {
 		short[t] = true
@@ -185,7 +185,7 @@
 	}
 }
 
-func (ps *Purses) fresh() bool {
+func (ps *QuotaShares) fresh() bool {
 	if ps.ways.Fresh == nil {
 		return ps.ways.Live()
 	}
@@ -193,7 +193,7 @@
 }
 
 // carry repeats one turn until the core has answered it: a lost answer changes nothing.
-func (ps *Purses) carry(t string, p *Purse, turn uint64, n int, give bool) {
+func (ps *QuotaShares) carry(t string, p *QuotaShare, turn uint64, n int, give bool) {
 	for {
 		ctx, end := context.WithTimeout(ps.ctx, 5*time.Second)
 		have, under, err := ps.ways.Move(ctx, t, turn, n, give)
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -16,7 +16,7 @@
 
 // whole is the quota system of some holders and one core, with answers that get lost.
 type whole struct {
-	pot   Pot
+	pool  QuotaPool
 	quota int
 }
 
@@ -28,10 +28,10 @@
 			const window = 10 * time.Second
 			w := whole{quota: rapid.IntRange(1, 60).Draw(rt, "quota")}
 			names := []string{"a", "b", "c", "d"}
-			purses := map[string]*Purse{}
+			quotaShares := map[string]*QuotaShare{}
 			cool := map[string]time.Time{}
 			for _, n := range names {
-				purses[n] = NewPurse()
+				quotaShares[n] = NewQuotaShare()
 			}
 			type hit struct {
 				n  int
@@ -47,24 +47,24 @@
 			steps := rapid.IntRange(20, 120).Draw(rt, "steps")
 			for range steps {
 				n := names[rapid.IntRange(0, 3).Draw(rt, "who")]
-				p := purses[n]
+				p := quotaShares[n]
 				switch rapid.IntRange(0, 9).Draw(rt, "step") {
 				case 0, 1, 2: // draw; the answer may be lost, and the turn asked again
 					p.Rule(w.quota, window)
 					if turn, k, ok := p.Want(4); ok {
-						have, _ := w.pot.Draw(n, turn, k, w.quota)
-						under := max(w.quota, w.pot.Out())
+						have, _ := w.pool.Draw(n, turn, k, w.quota)
+						under := max(w.quota, w.pool.Out())
 						if rapid.Bool().Draw(rt, "lost") {
-							have, _ = w.pot.Draw(n, turn, k, w.quota)
-							under = max(w.quota, w.pot.Out())
+							have, _ = w.pool.Draw(n, turn, k, w.quota)
+							under = max(w.quota, w.pool.Out())
 						}
 						p.Got(turn, have, under)
 					}
 				case 3: // give
 					if turn, k, ok := p.Spare(rapid.Bool().Draw(rt, "short"), 4); ok {
-						w.pot.Give(n, turn, k)
-						have, _ := w.pot.Give(n, turn, k)
-						p.Got(turn, have, max(w.quota, w.pot.Out()))
+						w.pool.Give(n, turn, k)
+						have, _ := w.pool.Give(n, turn, k)
+						p.Got(turn, have, max(w.quota, w.pool.Out()))
 					}
 				case 4, 5, 6:
 					k := rapid.IntRange(1, 4).Draw(rt, "units")
@@ -79,17 +79,17 @@
 					time.Sleep(time.Duration(rapid.IntRange(1, 4000).Draw(rt, "ms")) * time.Millisecond)
 				case 8: // the holder dies and comes back as another run under the same name
 					lives++
-					w.pot.Retire(n)
+					w.pool.Retire(n)
 					cool[n] = time.Now()
-					purses[n] = NewPurse()
+					quotaShares[n] = NewQuotaShare()
 				case 9:
 					for who, at := range cool {
-						if time.Since(at) > window+2*Margin && w.pot.Thaw(who) {
+						if time.Since(at) > window+2*Margin && w.pool.Thaw(who) {
 							delete(cool, who)
 						}
 					}
 				}
-				if out := w.pot.Out(); out > w.quota {
+				if out := w.pool.Out(); out > w.quota {
 					rt.Fatalf("%d units out of a quota of %d", out, w.quota)
 				}
 			}
@@ -117,14 +117,14 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		high := rapid.IntRange(10, 200).Draw(rt, "high")
 		low := rapid.IntRange(1, high).Draw(rt, "low")
-		var pot Pot
-		var all []*Purse
+		var pool QuotaPool
+		var all []*QuotaShare
 		for i := range 5 {
-			p := NewPurse()
+			p := NewQuotaShare()
 			p.Rule(high, time.Minute)
 			if turn, _, ok := p.Want(1); ok {
-				have, _ := pot.Draw(string(rune('a'+i)), turn, rapid.IntRange(0, high).Draw(rt, "units"), high)
-				p.Got(turn, have, max(high, pot.Out()))
+				have, _ := pool.Draw(string(rune('a'+i)), turn, rapid.IntRange(0, high).Draw(rt, "units"), high)
+				p.Got(turn, have, max(high, pool.Out()))
 			}
 			all = append(all, p)
 		}
@@ -154,16 +154,16 @@
 		var live atomic.Bool
 		live.Store(true)
 		var mu sync.Mutex
-		var pot Pot
-		ps := NewPurses(env.Ctx{Context: ctx}, Ways{
+		var pool QuotaPool
+		ps := NewQuotaShares(env.Ctx{Context: ctx}, Ways{
 			Move: func(_ context.Context, _ string, turn uint64, n int, give bool) (int, int, error) {
 				mu.Lock()
 				defer mu.Unlock()
 				if !live.Load() {
 					return 0, 0, errors.New("cut off")
 				}
-				have, _ := pot.Draw("a", turn, n, 100)
-				return have, max(100, pot.Out()), nil
+				have, _ := pool.Draw("a", turn, n, 100)
+				return have, max(100, pool.Out()), nil
 			},
 			Nodes: func() int { return 1 }, Short: func() []string { return nil },
 			Rules: func() []Rule { return []Rule{{"t", 100, 10 * time.Second}} },
