--- a/internal/core/greet.go
+++ b/internal/core/greet.go
@@ -30,6 +30,13 @@
 	})
 }
 
+// rememberedRouters counts the routers whose address is on disk: those that beat within placeKeep.
+func (s *Server) rememberedRouters() int {
+	count := 0
+	s.st.Load().Each(placeHead, func(string, []byte) { count++ })
+	return count
+}
+
 // greet tells the view to each place from which nobody beats. Places silent for long are given up.
 func (s *Server) greet(here map[string]bool) {
 	v := s.vot.View()
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -69,11 +69,7 @@
 	if v := s.vot.View(); v.Epoch != in.ViewEpoch {
 		out.View = v
 	}
-	// A primary that has just begun does not know all nodes yet, so it names none.
-	if in.Roll != s.roll && time.Since(s.since) > nodeTerm {
-		out.Whole = true
-		out.Nodes = s.live()
-	}
+	s.tellNodes(in, out)
 	s.runners.Tell(in, out, time.Now())
 	s.health.note(in.Tallies, time.Now())
 	out.Failing = s.health.failing(time.Now())
@@ -87,6 +83,18 @@
 	return out, nil
 }
 
+// tellNodes names the live nodes where they have changed. A primary that has just begun does not know all of them
+// yet, so it names none and tells how many there were. The caller holds the lock.
+func (s *Server) tellNodes(in *Beat, out *Told) {
+	switch {
+	case time.Since(s.since) <= nodeTerm:
+		out.RoutersBefore = s.routersBefore
+	case in.Roll != s.roll:
+		out.Whole = true
+		out.Nodes = s.live()
+	}
+}
+
 // alike tells whether two words of a node say the same to its peers.
 func alike(a, b Node) bool {
 	a.Seq, b.Seq = 0, 0
--- a/internal/core/msgs.go
+++ b/internal/core/msgs.go
@@ -89,6 +89,10 @@
 	Whole bool      `msg:"w"` // Nodes is set
 	Short []string  `msg:"h"` // tenants whose units are wanted back where idle
 
+	// RoutersBefore is how many routers there were before this primary began, as the disk has it, while it does
+	// not know yet which of them live; 0 once it names them, and where there were none.
+	RoutersBefore int `msg:"b"`
+
 	RunnersEpoch   uint64           `msg:"re"` // one primary's count of versions
 	RunnersVersion uint64           `msg:"rv"`
 	Runners        []routing.Runner `msg:"rr"` // those changed since the version it had
--- a/internal/core/msgs_gen.go
+++ b/internal/core/msgs_gen.go
@@ -2326,9 +2326,9 @@
 // MarshalMsg implements msgp.Marshaler
 func (z *Told) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 11
+	// map header, size 12
 	// string "v"
-	o = append(o, 0x8b, 0xa1, 0x76)
+	o = append(o, 0x8c, 0xa1, 0x76)
 	o, err = z.View.MarshalMsg(o)
 	if err != nil {
 		err = msgp.WrapError(err, "View")
@@ -2359,6 +2359,9 @@
 	for za0002 := range z.Short {
 		o = msgp.AppendString(o, z.Short[za0002])
 	}
+	// string "b"
+	o = append(o, 0xa1, 0x62)
+	o = msgp.AppendInt(o, z.RoutersBefore)
 	// string "re"
 	o = append(o, 0xa2, 0x72, 0x65)
 	o = msgp.AppendUint64(o, z.RunnersEpoch)
@@ -2485,6 +2488,12 @@
 					return
 				}
 			}
+		case "b":
+			z.RoutersBefore, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "RoutersBefore")
+				return
+			}
 		case "re":
 			z.RunnersEpoch, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
@@ -2604,7 +2613,7 @@
 	for za0002 := range z.Short {
 		s += msgp.StringPrefixSize + len(z.Short[za0002])
 	}
-	s += 3 + msgp.Uint64Size + 3 + msgp.Uint64Size + 3 + msgp.ArrayHeaderSize
+	s += 2 + msgp.IntSize + 3 + msgp.Uint64Size + 3 + msgp.Uint64Size + 3 + msgp.ArrayHeaderSize
 	for za0003 := range z.Runners {
 		s += z.Runners[za0003].Msgsize()
 	}
--- /dev/null
+++ b/internal/core/nodes_test.go
@@ -0,0 +1,42 @@
+package core
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"yarrowridge/internal/store"
+)
+
+// A primary that has just begun names no nodes, but tells how many routers its disk knows: without it, each router
+// of a fleet that lost all power takes itself for one of many.
+func TestNewPrimaryTellsHowManyRoutersThereWere(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s, st := quotaServer(t)
+		var puts []store.Put
+		for _, addr := range []string{"10.0.0.1:70", "10.0.0.2:70", "10.0.0.3:70"} {
+			raw, err := (&Node{Name: addr, Addr: addr}).MarshalMsg(nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			puts = append(puts, store.Put{Key: placeHead + addr, Val: raw})
+		}
+		if err := st.Add(store.Batch{Seq: st.Seq() + 1, Puts: puts}); err != nil {
+			t.Fatal(err)
+		}
+		s.routersBefore = s.rememberedRouters()
+		s.since = time.Now()
+		s.nodes = map[string]*seat{"a": {Node{Name: "a"}, time.Now()}}
+		s.roll = 1
+		var early, late Told
+		s.tellNodes(&Beat{}, &early)
+		if early.RoutersBefore != 3 || early.Whole {
+			t.Errorf("a new primary tells %d routers and names nodes: %v; 3 and none expected", early.RoutersBefore, early.Whole)
+		}
+		time.Sleep(nodeTerm + time.Millisecond)
+		s.tellNodes(&Beat{}, &late)
+		if late.RoutersBefore != 0 || !late.Whole || len(late.Nodes) != 1 {
+			t.Errorf("a primary that knows its nodes tells %+v", late)
+		}
+	})
+}
--- a/internal/core/primary.go
+++ b/internal/core/primary.go
@@ -150,6 +150,7 @@
 	s.mu.Lock()
 	s.runners.Begin(registryEpoch(v.Epoch, s.ctx.Born), s.began, time.Now(), s.storedRunners())
 	s.ready, s.sheet, s.since = true, sheet, time.Now()
+	s.routersBefore = s.rememberedRouters()
 	s.mu.Unlock()
 	s.ctx.Log.Info("Primary is ready.", "epoch", v.Epoch, "backups", addrs(v, v.Backups()), "sequence", sheet.Seq)
 }
--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -81,20 +81,23 @@
 	doc     *Document // the last document read, and whose it is
 	docSeq  uint64
 
-	mu     sync.Mutex
-	epoch  uint64
-	asks   uint64    // rounds of requests for the lease
-	began  time.Time // of leading this epoch
-	ls     *lease.Lease
-	ready  bool
-	stood  time.Time // when the lease last stood
-	rest   time.Time // since when we ask for no lease, having failed to get one
-	vowed  bool      // a voter refused to renew since it vowed for the next epoch
-	sick   bool
-	sheet  Sheet // newest layout committed
-	nodes  map[string]*seat
-	roll   uint64
-	since  time.Time // of being ready
+	mu    sync.Mutex
+	epoch uint64
+	asks  uint64    // rounds of requests for the lease
+	began time.Time // of leading this epoch
+	ls    *lease.Lease
+	ready bool
+	stood time.Time // when the lease last stood
+	rest  time.Time // since when we ask for no lease, having failed to get one
+	vowed bool      // a voter refused to renew since it vowed for the next epoch
+	sick  bool
+	sheet Sheet // newest layout committed
+	nodes map[string]*seat
+	roll  uint64
+	since time.Time // of being ready
+	// routersBefore is how many routers the disk had then.
+	routersBefore int
+
 	short  map[string]time.Time
 	spare  map[string]spare
 	copied *copying
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -77,6 +77,7 @@
 	wasSilent := time.Since(h.coreHeard) > staleAfter && !h.coreHeard.IsZero()
 	h.coreHeard = time.Now()
 	h.scarceTenants = out.Short
+	h.routersBefore = out.RoutersBefore
 	if out.Whole {
 		h.roll = out.Roll
 		h.takeNodes(out.Nodes)
--- a/internal/node/hub.go
+++ b/internal/node/hub.go
@@ -51,6 +51,7 @@
 	asked         bool      // the core, or failing that all nodes of the zone that answer, have been asked
 	started       time.Time
 	scarceTenants []string
+	routersBefore int  // as a primary told that does not know the nodes yet
 	draining      bool // no new clients, please
 	leaving       bool // the lease is given up
 	handlers      map[string]wire.Hand
--- a/internal/node/nodes.go
+++ b/internal/node/nodes.go
@@ -42,6 +42,16 @@
 	return 0
 }
 
+// RoutersBefore is how many routers there were before the primary began, where it does not know yet which of them
+// live; 0: it was not told.
+//
+//	sharedBy := hub.RoutersBefore()
+func (h *Hub) RoutersBefore() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.routersBefore
+}
+
 // Neighbours lists our neighbours in the relay tree.
 //
 //	for _, s := range hub.Neighbours() { ... }
--- a/internal/router/gateway.go
+++ b/internal/router/gateway.go
@@ -147,14 +147,22 @@
 	return ""
 }
 
-// assumedRouters is how many routers are assumed where the fleet is not known yet: for the first seconds of a
-// new primary.
+// assumedRouters is how many routers are assumed where neither the nodes are known nor how many there were.
 const assumedRouters = 16
 
+// routersBefore gives how many routers share a whole while the nodes are not known yet: for the first seconds of a
+// new primary.
+func routersBefore(told int) int {
+	if told > 0 {
+		return told
+	}
+	return assumedRouters
+}
+
 // part is this router's part of a whole that all routers share, one at least.
 func (g *Gateway) part(whole int) int {
 	if len(g.Hub.Nodes()) == 0 {
-		return max(1, whole/assumedRouters)
+		return max(1, whole/routersBefore(g.Hub.RoutersBefore()))
 	}
 	return max(1, g.Hub.Part(whole))
 }
