--- a/internal/core/backups.go
+++ b/internal/core/backups.go
@@ -38,7 +38,7 @@
 // acknowledged so far, and the heir acknowledges none before it has copied its state to all of them.
 func heir(v view.View, id string) view.View {
 	next := v.WithoutBackup(id)
-	next.Prime = id
+	next.Primary = id
 	return next
 }
 
@@ -58,7 +58,7 @@
 	}
 	next = heir(v, v.Backups()[0])
 	if s.set.Alone && len(v.Members) == 2 {
-		next = next.Without(v.Prime)
+		next = next.WithoutMember(v.Primary)
 	}
 	return next, true
 }
@@ -77,14 +77,14 @@
 		return
 	}
 	if s.decide(v, heir(v, me), false) {
-		s.deposed = v.Prime
+		s.deposed = v.Primary
 	}
 }
 
 // lead takes one step towards being a primary that may answer, or one step of its duties.
 func (s *Server) lead(v view.View, me string) {
 	ls, ready, vowed, began := s.leading(v)
-	if !ls.Stands(v.Most) {
+	if !ls.Stands(v.IsMajority) {
 		s.setReady(false)
 		s.lookAround(v)
 		if vowed && s.pause(300*time.Millisecond) {
@@ -310,7 +310,7 @@
 		ctx, end := context.WithTimeout(s.ctx, holdWait)
 		defer end()
 		var out Held
-		err := s.call(ctx, v.Addr(id), "core.hold", &Hold{View: v, From: v.Prime, Batch: b}, &out)
+		err := s.call(ctx, v.Addr(id), "core.hold", &Hold{View: v, From: v.Primary, Batch: b}, &out)
 		if err == nil && out.Id != id {
 			err = eris.Errorf("identity %s, %s expected", out.Id, id)
 		}
--- a/internal/core/client.go
+++ b/internal/core/client.go
@@ -143,8 +143,8 @@
 		}
 		seen[a] = true
 		all.Go(func() {
-			var t view.Told
-			if c.cal.Call(ctx, a, "view.ask", &view.Ask{}, &t) == nil {
+			var t view.StatusResponse
+			if c.cal.Call(ctx, a, "view.ask", &view.StatusRequest{}, &t) == nil {
 				c.Learn(t.View)
 			}
 		})
@@ -161,7 +161,7 @@
 	var last error
 	for {
 		v := c.View()
-		if to := v.Addr(v.Prime); to != "" {
+		if to := v.Addr(v.Primary); to != "" {
 			err := c.callPrimary(ctx, to, kind, in, out, again)
 			switch {
 			case err == nil:
@@ -176,7 +176,7 @@
 				last = err
 			}
 		}
-		if next := c.View(); ctx.Err() == nil && next.Addr(next.Prime) != v.Addr(v.Prime) {
+		if next := c.View(); ctx.Err() == nil && next.Addr(next.Primary) != v.Addr(v.Primary) {
 			continue // another primary was found meanwhile
 		}
 		if ctx.Err() != nil || !c.look(ctx) {
@@ -205,7 +205,7 @@
 	}
 	defer end()
 	search := time.AfterFunc(primarySilence, func() {
-		if next := c.lookView(one); again && next.Addr(next.Prime) != to {
+		if next := c.lookView(one); again && next.Addr(next.Primary) != to {
 			end()
 		}
 	})
--- a/internal/core/commit.go
+++ b/internal/core/commit.go
@@ -32,7 +32,7 @@
 	ready := s.ready
 	s.mu.Unlock()
 	if !ready {
-		if v := s.vot.View(); v.Prime != s.vot.Id() {
+		if v := s.vot.View(); v.Primary != s.vot.Id() {
 			return wire.Fault{Code: NotPrimary}
 		}
 		return wire.Fault{Code: NotReady}
@@ -156,7 +156,7 @@
 	s.decide(v, next, false)
 	for end := time.Now().Add(mendWait); time.Now().Before(end); {
 		cur := s.vot.View()
-		if cur.Prime != me || s.isSick() {
+		if cur.Primary != me || s.isSick() {
 			return false
 		}
 		s.lead(cur, me)
--- a/internal/core/greet.go
+++ b/internal/core/greet.go
@@ -60,7 +60,7 @@
 		go func() {
 			ctx, end := context.WithTimeout(s.ctx, greetWait)
 			defer end()
-			s.cal.Call(ctx, addr, "node.view", &view.Learn{View: v}, nil)
+			s.cal.Call(ctx, addr, "node.view", &view.LearnRequest{View: v}, nil)
 		}()
 	})
 	for k := range s.mute {
--- a/internal/core/handlers.go
+++ b/internal/core/handlers.go
@@ -27,17 +27,17 @@
 func (s *Server) vote(kind string, body []byte) (msgp.Marshaler, error) {
 	switch kind {
 	case "view.ask":
-		return s.vot.Told(s.set.Addr, s.ctx.Zone), nil
+		return s.vot.Status(s.set.Addr, s.ctx.Zone), nil
 	case "view.prep":
-		return wire.On(body, s.vot.Prep)
+		return wire.On(body, s.vot.Prepare)
 	case "view.pick":
-		return wire.On(body, s.vot.Pick)
+		return wire.On(body, s.vot.Accept)
 	case "view.learn":
-		return wire.On(body, func(in *view.Learn) (*Done, error) { return &Done{}, s.vot.Learn(in.View) })
+		return wire.On(body, func(in *view.LearnRequest) (*Done, error) { return &Done{}, s.vot.Learn(in.View) })
 	case "view.renew":
 		return wire.On(body, s.vot.Renew)
 	case "view.release":
-		return wire.On(body, func(in *view.Release) (*Done, error) { s.vot.Release(in); return &Done{}, nil })
+		return wire.On(body, func(in *view.ReleaseRequest) (*Done, error) { s.vot.Release(in); return &Done{}, nil })
 	}
 	return nil, wire.Fault{Code: "unknown-kind"}
 }
@@ -81,7 +81,7 @@
 // prime bounces what only a ready primary may answer.
 func (s *Server) prime() error {
 	v := s.vot.View()
-	if v.Prime != s.vot.Id() {
+	if v.Primary != s.vot.Id() {
 		return wire.Fault{Code: NotPrimary}
 	}
 	s.mu.Lock()
--- a/internal/core/hold.go
+++ b/internal/core/hold.go
@@ -16,11 +16,11 @@
 		return wire.Fault{Code: DiskBad}
 	}
 	cur := s.vot.View()
-	if cur.Epoch != v.Epoch || cur.Prime != from {
+	if cur.Epoch != v.Epoch || cur.Primary != from {
 		return wire.Fault{Code: OldEpoch}
 	}
 	me := s.vot.Id()
-	if !cur.IsBackup(me) && (seat || !cur.Has(me)) {
+	if !cur.IsBackup(me) && (seat || !cur.HasMember(me)) {
 		return wire.Fault{Code: "not-backup"}
 	}
 	return nil
--- a/internal/core/leaserenewal.go
+++ b/internal/core/leaserenewal.go
@@ -17,10 +17,10 @@
 func (s *Server) renew() {
 	v := s.vot.View()
 	s.mu.Lock()
-	lead := v.Prime == s.vot.Id() && s.epoch == v.Epoch && !s.sick && v.Epoch > 0
+	lead := v.Primary == s.vot.Id() && s.epoch == v.Epoch && !s.sick && v.Epoch > 0
 	ls := s.ls
-	heard := time.Since(s.began) < s.set.Term/2 || ls.Hears(v.Most, s.set.Term/2)
-	if !heard || ls.Stands(v.Most) {
+	heard := time.Since(s.began) < s.set.Term/2 || ls.Hears(v.IsMajority, s.set.Term/2)
+	if !heard || ls.Stands(v.IsMajority) {
 		s.stood = time.Now()
 	} else if time.Since(s.stood) > 2*s.set.Term && time.Since(s.began) > 2*s.set.Term {
 		// A majority answers, but too few follow us. They must not be kept from following another,
@@ -31,7 +31,7 @@
 		lead = lead && time.Since(s.rest) > 2*s.set.Term+rand.N(s.set.Term)
 	}
 	s.asks++
-	in := view.Renew{View: v, Run: s.run, Turn: s.asks}
+	in := view.RenewRequest{View: v, PrimaryRun: s.run, Round: s.asks}
 	s.mu.Unlock()
 	if !lead {
 		return
@@ -46,10 +46,10 @@
 }
 
 // renewAt asks one voter for the lease.
-func (s *Server) renewAt(in view.Renew, m view.Member, ls *lease.Lease) {
+func (s *Server) renewAt(in view.RenewRequest, m view.Member, ls *lease.Lease) {
 	ctx, end := context.WithTimeout(s.ctx, s.set.Term/2)
 	defer end()
-	var g view.Grant
+	var g view.RenewResponse
 	asked := time.Now()
 	if s.call(ctx, m.Addr, "view.renew", &in, &g) != nil || g.Id != m.Id {
 		return
@@ -57,14 +57,14 @@
 	ls.Saw(m.Id)
 	switch {
 	case g.Ok:
-		stood := ls.Stands(in.View.Most)
+		stood := ls.Stands(in.View.IsMajority)
 		ls.Grant(m.Id, asked)
-		if !stood && ls.Stands(in.View.Most) {
+		if !stood && ls.Stands(in.View.IsMajority) {
 			s.hurry()
 		}
 	case g.View.Epoch > in.View.Epoch:
 		s.learn(g.View)
-	case g.Vow:
+	case g.PromisedOther:
 		s.mu.Lock()
 		s.vowed = true
 		s.mu.Unlock()
@@ -75,8 +75,8 @@
 func (s *Server) probe(m view.Member, ls *lease.Lease) {
 	ctx, end := context.WithTimeout(s.ctx, s.set.Term/2)
 	defer end()
-	var told view.Told
-	if s.call(ctx, m.Addr, "view.ask", &view.Ask{}, &told) == nil && told.Id == m.Id {
+	var told view.StatusResponse
+	if s.call(ctx, m.Addr, "view.ask", &view.StatusRequest{}, &told) == nil && told.Id == m.Id {
 		ls.Saw(m.Id)
 		s.learn(told.View)
 	}
@@ -85,14 +85,14 @@
 // release gives our lease back to all voters, so that a backup need not wait for its end.
 func (s *Server) release(turn uint64) {
 	v := s.vot.View()
-	if v.Prime != s.vot.Id() {
+	if v.Primary != s.vot.Id() {
 		return
 	}
 	for _, m := range v.Members {
 		go func() {
 			ctx, end := context.WithTimeout(s.ctx, step)
 			defer end()
-			s.call(ctx, m.Addr, "view.release", &view.Release{Epoch: v.Epoch, Run: s.run, Turn: turn}, nil)
+			s.call(ctx, m.Addr, "view.release", &view.ReleaseRequest{Epoch: v.Epoch, PrimaryRun: s.run, Round: turn}, nil)
 		}()
 	}
 }
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -60,8 +60,8 @@
 // one another where there are such.
 func founded(cur view.View, losses int) view.View {
 	next := cur
-	next.Seats = len(cur.Members)
-	next.Prime = cur.Members[0].Id
+	next.TargetSize = len(cur.Members)
+	next.Primary = cur.Members[0].Id
 	used := map[string]bool{cur.Members[0].Zone: true}
 	return next.WithBackups(spread(cur.Members[1:], used, losses))
 }
@@ -78,7 +78,7 @@
 		return
 	}
 	ctx, end := context.WithTimeout(s.ctx, step)
-	err := s.call(ctx, v.Addr(v.Prime), "core.join", &Join{Who: view.Member{Id: s.vot.Id(), Addr: s.set.Addr, Zone: s.ctx.Zone}}, nil)
+	err := s.call(ctx, v.Addr(v.Primary), "core.join", &Join{Who: view.Member{Id: s.vot.Id(), Addr: s.set.Addr, Zone: s.ctx.Zone}}, nil)
 	end()
 	if err == nil {
 		s.pause(joinPause)
@@ -116,7 +116,7 @@
 // takeJoin notes a process that wants to become a member, once it has answered at its address: a
 // wish that was long under way may be that of a process that is gone.
 func (s *Server) takeJoin(ctx context.Context, in *Join) (*Done, error) {
-	if v := s.vot.View(); v.Prime != s.vot.Id() {
+	if v := s.vot.View(); v.Primary != s.vot.Id() {
 		return nil, wire.Fault{Code: NotPrimary}
 	}
 	if in.Who.Addr == s.set.Addr {
@@ -124,8 +124,8 @@
 	}
 	ctx, end := context.WithTimeout(ctx, step)
 	defer end()
-	var told view.Told
-	if s.call(ctx, in.Who.Addr, "view.ask", &view.Ask{}, &told) != nil || told.Id != in.Who.Id {
+	var told view.StatusResponse
+	if s.call(ctx, in.Who.Addr, "view.ask", &view.StatusRequest{}, &told) != nil || told.Id != in.Who.Id {
 		return nil, wire.Fault{Code: "not-reached"}
 	}
 	s.mu.Lock()
@@ -200,7 +200,7 @@
 
 // nextMembers is the next view where a member comes, goes, or is replaced.
 func (s *Server) nextMembers(v view.View, come *spare, silence func(string) time.Duration) (view.View, bool) {
-	seats := v.Seats
+	seats := v.TargetSize
 	if seats == 0 {
 		seats = len(v.Members)
 	}
@@ -210,24 +210,24 @@
 		next := v
 		for _, m := range v.Members {
 			if m.Addr == come.who.Addr || m.Id == come.who.Id {
-				next = next.Without(m.Id)
+				next = next.WithoutMember(m.Id)
 			}
 		}
-		v = next.With(come.who)
+		v = next.WithMember(come.who)
 	case come != nil && lost != "":
-		v = v.Without(lost).With(come.who)
+		v = v.WithoutMember(lost).WithMember(come.who)
 	case come != nil && len(v.Members) < s.set.MaxMembers:
 		live, sure := alongside(v, *come, silence)
 		if !sure {
 			return v, false
 		}
-		v, seats = v.With(come.who), max(seats, live)
+		v, seats = v.WithMember(come.who), max(seats, live)
 	case lost != "" && len(v.Members) > seats:
-		v = v.Without(lost)
+		v = v.WithoutMember(lost)
 	default:
 		return v, false
 	}
-	v.Seats = seats
+	v.TargetSize = seats
 	return v, true
 }
 
--- a/internal/core/primary.go
+++ b/internal/core/primary.go
@@ -51,7 +51,7 @@
 	switch {
 	case v.Epoch == 0:
 		s.seek()
-	case v.Prime == me:
+	case v.Primary == me:
 		s.lead(v, me)
 	case v.IsBackup(me):
 		s.watch(v, me)
@@ -71,10 +71,10 @@
 }
 
 // ask asks every address what it knows of the core.
-func (s *Server) ask(to []string) map[string]view.Told {
+func (s *Server) ask(to []string) map[string]view.StatusResponse {
 	ctx, end := context.WithTimeout(s.ctx, step)
 	defer end()
-	out := map[string]view.Told{}
+	out := map[string]view.StatusResponse{}
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	done := map[string]bool{}
@@ -84,8 +84,8 @@
 		}
 		done[a] = true
 		all.Go(func() {
-			var t view.Told
-			if s.call(ctx, a, "view.ask", &view.Ask{}, &t) == nil {
+			var t view.StatusResponse
+			if s.call(ctx, a, "view.ask", &view.StatusRequest{}, &t) == nil {
 				mu.Lock()
 				out[a] = t
 				mu.Unlock()
@@ -98,9 +98,9 @@
 
 // decide tries to bring about the next view, and learns what came of it.
 func (s *Server) decide(cur, next view.View, all bool) bool {
-	t := &view.Try{Me: s.vot.Id(), Call: s.call, Cur: cur, Next: next, All: all, Wait: step, Top: s.top}
+	t := &view.Proposal{Proposer: s.vot.Id(), Call: s.call, Current: cur, Next: next, Unanimous: all, StepTimeout: step, HighestBallot: s.top}
 	got, err := t.Run(s.ctx)
-	s.top = t.Top
+	s.top = t.HighestBallot
 	if err != nil {
 		s.ctx.Log.Warn("View not decided.", "after", cur.Epoch, "trouble", err.Error())
 		return false
@@ -113,13 +113,13 @@
 				go func() {
 					ctx, end := context.WithTimeout(s.ctx, step)
 					defer end()
-					s.call(ctx, m.Addr, "view.learn", &view.Learn{View: got}, nil)
+					s.call(ctx, m.Addr, "view.learn", &view.LearnRequest{View: got}, nil)
 				}()
 			}
 		}
 	}
 	s.hurry()
-	s.ctx.Log.Info("View decided.", "epoch", got.Epoch, "primary", got.Addr(got.Prime), "backups", addrs(got, got.Backups()), "members", len(got.Members))
+	s.ctx.Log.Info("View decided.", "epoch", got.Epoch, "primary", got.Addr(got.Primary), "backups", addrs(got, got.Backups()), "members", len(got.Members))
 	return true
 }
 
@@ -128,7 +128,7 @@
 	s.mu.Lock()
 	ls, ok := s.ls, s.epoch == v.Epoch && !s.sick
 	s.mu.Unlock()
-	return ok && ls.Stands(v.Most) && s.vot.View().Epoch == v.Epoch
+	return ok && ls.Stands(v.IsMajority) && s.vot.View().Epoch == v.Epoch
 }
 
 func (s *Server) setReady(to bool) {
@@ -164,7 +164,7 @@
 		s.mu.Lock()
 		ready := s.ready
 		s.mu.Unlock()
-		if v.Prime != me || !ready {
+		if v.Primary != me || !ready {
 			return
 		}
 		next, ok := s.afterLeaving(v)
@@ -194,7 +194,7 @@
 	v := s.vot.View()
 	ctx, end := context.WithTimeout(s.ctx, step)
 	defer end()
-	if err := s.call(ctx, v.Addr(v.Prime), "view.learn", &view.Learn{View: v}, nil); err != nil {
-		s.ctx.Log.Warn("The next primary was not told.", "peer", v.Addr(v.Prime), "trouble", err.Error())
+	if err := s.call(ctx, v.Addr(v.Primary), "view.learn", &view.LearnRequest{View: v}, nil); err != nil {
+		s.ctx.Log.Warn("The next primary was not told.", "peer", v.Addr(v.Primary), "trouble", err.Error())
 	}
 }
--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -145,7 +145,7 @@
 		if err := aside(disk); err != nil {
 			return nil, err
 		}
-		if err := vot.Blank(); err != nil {
+		if err := vot.Reset(); err != nil {
 			return nil, err
 		}
 		st, err = store.Open(disk, ctx.Log)
@@ -258,7 +258,7 @@
 		return "the disk is in trouble"
 	case v.Epoch == 0:
 		return "no fleet yet"
-	case !v.Has(s.vot.Id()):
+	case !v.HasMember(s.vot.Id()):
 		return "waiting for a seat"
 	}
 	return ""
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -22,7 +22,7 @@
 func (h *Hub) Serve(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 	switch kind {
 	case "view.ask":
-		return &view.Told{Addr: h.addr, View: h.Core.View()}, nil
+		return &view.StatusResponse{Addr: h.addr, View: h.Core.View()}, nil
 	case "node.tell":
 		return wire.On(body, func(in *relay.News) (*core.Done, error) {
 			h.Spread(*in)
@@ -39,7 +39,7 @@
 			return &relay.News{From: h.ctx.Name, Records: h.Records.Select(in.Wanted)}, nil
 		})
 	case "node.view":
-		return wire.On(body, func(in *view.Learn) (*core.Done, error) {
+		return wire.On(body, func(in *view.LearnRequest) (*core.Done, error) {
 			h.Core.Learn(in.View)
 			return &core.Done{}, nil
 		})
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -320,7 +320,7 @@
 // reading looks at everyone's counters.
 func (r *run) reading(ctx context.Context) (reading, error) {
 	view := r.fleet.routers[0].hub.Core.View()
-	out := reading{cores: map[string]process{}, primary: view.Addr(view.Prime)}
+	out := reading{cores: map[string]process{}, primary: view.Addr(view.Primary)}
 	for _, id := range view.Backups() {
 		out.backups = append(out.backups, view.Addr(id))
 	}
--- a/internal/scale/takeover.go
+++ b/internal/scale/takeover.go
@@ -24,9 +24,9 @@
 func (r *run) takeover(ctx context.Context) error {
 	r.result.CallsFailed = r.fleet.failed.Load()
 	view := r.fleet.routers[0].hub.Core.View()
-	dead := slices.IndexFunc(r.cores, func(c CoreProcess) bool { return c.Address == view.Addr(view.Prime) })
+	dead := slices.IndexFunc(r.cores, func(c CoreProcess) bool { return c.Address == view.Addr(view.Primary) })
 	if dead < 0 {
-		return fmt.Errorf("scale: the primary at %q is none of the cores", view.Addr(view.Prime))
+		return fmt.Errorf("scale: the primary at %q is none of the cores", view.Addr(view.Primary))
 	}
 	out := &r.result.Takeover
 	// Every runner is ready again before; else the ones draining would count as missing.
--- a/internal/sim/beat_test.go
+++ b/internal/sim/beat_test.go
@@ -27,7 +27,7 @@
 			return told
 		}
 		first := beat(0).View
-		if first.Epoch == 0 || first.Addr(first.Prime) == "" {
+		if first.Epoch == 0 || first.Addr(first.Primary) == "" {
 			t.Fatalf("a router that knows no view was told %+v", first)
 		}
 		if again := beat(first.Epoch).View; again.Epoch != 0 || len(again.Members) != 0 {
--- a/internal/sim/core_test.go
+++ b/internal/sim/core_test.go
@@ -247,8 +247,8 @@
 			}
 			b.add(p)
 			lost := f.primary()
-			if v := lost.srv.Peek().View; v.ZoneOf(v.Prime) == v.ZoneOf(v.Back) {
-				t.Errorf("primary and backup both stand in hall %s", v.ZoneOf(v.Prime))
+			if v := lost.srv.Peek().View; v.ZoneOf(v.Primary) == v.ZoneOf(v.FirstBackup) {
+				t.Errorf("primary and backup both stand in hall %s", v.ZoneOf(v.Primary))
 			}
 			f.crashCore(lost)
 			lost.disk = sim.NewDisk()
@@ -323,7 +323,7 @@
 		v := old.srv.Peek().View
 		var rest []string
 		for _, c := range f.cores {
-			if c != old && c.addr != v.Addr(v.Back) {
+			if c != old && c.addr != v.Addr(v.FirstBackup) {
 				rest = append(rest, c.addr)
 			}
 		}
@@ -536,14 +536,14 @@
 		f.crashCore(lost)
 		f.within(6*time.Second, "the backup leads", func() bool { p := f.primary(); return p != nil && p != lost })
 		heir := f.primary()
-		if heir.addr != v.Addr(v.Back) {
-			t.Fatalf("%s leads, %s was backup", heir.addr, v.Addr(v.Back))
+		if heir.addr != v.Addr(v.FirstBackup) {
+			t.Fatalf("%s leads, %s was backup", heir.addr, v.Addr(v.FirstBackup))
 		}
 		late, err := (&core.Sheet{Seq: first.seq + 1, Raw: sheet(99)}).MarshalMsg(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		in := core.Hold{View: v, From: v.Prime, Batch: store.Batch{Seq: heir.srv.Peek().Stored + 1, Puts: []store.Put{{Key: "layout", Val: late}}}}
+		in := core.Hold{View: v, From: v.Primary, Batch: store.Batch{Seq: heir.srv.Peek().Stored + 1, Puts: []store.Put{{Key: "layout", Val: late}}}}
 		raw, err := in.MarshalMsg(nil)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/sim/load_test.go
+++ b/internal/sim/load_test.go
@@ -328,7 +328,7 @@
 		}
 		f.within(15*time.Second, "five members again, the damaged one as a new process", func() bool {
 			q := f.primary()
-			return q != nil && len(q.srv.Peek().View.Members) == 5 && q.srv.Peek().View.Has(p.srv.Peek().Me)
+			return q != nil && len(q.srv.Peek().View.Members) == 5 && q.srv.Peek().View.HasMember(p.srv.Peek().Me)
 		})
 		b.add(o.put(9, 0, ""))
 		f.check(b)
--- a/internal/sim/membership_test.go
+++ b/internal/sim/membership_test.go
@@ -251,7 +251,7 @@
 						if len(v.Backups()) != losses {
 							t.Fatalf("%d backups", len(v.Backups()))
 						}
-						holders := append([]string{v.Prime}, v.Backups()...)
+						holders := append([]string{v.Primary}, v.Backups()...)
 						if who == "backups only" {
 							holders = holders[1:]
 						}
@@ -303,7 +303,7 @@
 		var heir *coreProc
 		f.within(4*time.Second, "a backup takes over", func() bool {
 			for _, c := range f.cores {
-				if c.up && c.srv.Peek().View.Prime == c.srv.Peek().Me {
+				if c.up && c.srv.Peek().View.Primary == c.srv.Peek().Me {
 					heir = c
 				}
 			}
@@ -443,7 +443,7 @@
 					for _, c := range f.cores {
 						if c != cut && c.srv.Peek().Ready {
 							v := c.srv.Peek().View
-							return v.Addr(id) == "" && v.Has(next.srv.Peek().Me) && len(v.Members) == 5
+							return v.Addr(id) == "" && v.HasMember(next.srv.Peek().Me) && len(v.Members) == 5
 						}
 					}
 					return false
@@ -490,7 +490,7 @@
 					var lost *coreProc
 					for _, c := range f.cores {
 						id := c.srv.Peek().Me
-						if role == "primary" && id == v.Prime || role == "backup" && v.IsBackup(id) || role == "member" && id != v.Prime && !v.IsBackup(id) {
+						if role == "primary" && id == v.Primary || role == "backup" && v.IsBackup(id) || role == "member" && id != v.Primary && !v.IsBackup(id) {
 							lost = c
 						}
 					}
--- a/internal/sim/recovery_test.go
+++ b/internal/sim/recovery_test.go
@@ -58,7 +58,7 @@
 					v := lead.srv.Peek().View
 					var back *coreProc
 					for _, o := range f.cores {
-						if o.addr == v.Addr(v.Back) {
+						if o.addr == v.Addr(v.FirstBackup) {
 							back = o
 						}
 					}
--- a/internal/sim/restart_test.go
+++ b/internal/sim/restart_test.go
@@ -16,7 +16,7 @@
 	lead = f.primary()
 	view := lead.srv.Peek().View
 	for _, c := range f.cores {
-		if c.addr == view.Addr(view.Back) {
+		if c.addr == view.Addr(view.FirstBackup) {
 			back = c
 		}
 	}
--- a/internal/view/msgs.go
+++ b/internal/view/msgs.go
@@ -14,88 +14,89 @@
 
 // View is the small record that a majority of members decides: who is primary and who are backups.
 // Read the backups with Backups and set them with WithBackups: a record stored by a build that knew
-// one backup only has Back and no Backs.
+// one backup only has FirstBackup and no AllBackups.
 type View struct {
-	Epoch   uint64   `msg:"e" json:"epoch"`
-	Members []Member `msg:"m" json:"members"`
-	Prime   string   `msg:"p" json:"primary"`
-	Back    string   `msg:"b" json:"backup"`  // the first backup
-	Backs   []string `msg:"k" json:"backups"` // all backups
-	Seats   int      `msg:"s" json:"seats"`   // the most members that were seen alive at once, less those dropped
+	Epoch       uint64   `msg:"e" json:"epoch"`
+	Members     []Member `msg:"m" json:"members"`
+	Primary     string   `msg:"p" json:"primary"`
+	FirstBackup string   `msg:"b" json:"backup"`
+	AllBackups  []string `msg:"k" json:"backups"`
+	TargetSize  int      `msg:"s" json:"seats"` // the most members that were seen alive at once, less those dropped
 }
 
-// Ballot orders the tries at deciding one epoch.
+// Ballot orders the proposals for one epoch.
 type Ballot struct {
-	N   uint64 `msg:"n"`
-	Who string `msg:"w"`
+	Number   uint64 `msg:"n"`
+	Proposer string `msg:"w"`
 }
 
-// Book is what a voter keeps on disk. Vows and accepted views belong to epoch View.Epoch+1.
-type Book struct {
-	Id   string `msg:"i"`
-	View View   `msg:"v"`
-	Vow  Ballot `msg:"b"`
-	Acc  Ballot `msg:"a"`
-	Next View   `msg:"n"`
+// VoterState is what a voter keeps on disk. Promises and accepted views belong to the
+// epoch after the one of View.
+type VoterState struct {
+	Id           string `msg:"i"`
+	View         View   `msg:"v"`
+	Promised     Ballot `msg:"b"` // no ballot below it is accepted
+	Accepted     Ballot `msg:"a"` // under which AcceptedView was accepted
+	AcceptedView View   `msg:"n"`
 }
 
-// Prep asks for a vow on the epoch after Cur.
-type Prep struct {
-	Cur    View   `msg:"c"`
-	Ballot Ballot `msg:"b"`
+// PrepareRequest asks a voter to promise that it accepts no lower ballot for the epoch after Current.
+type PrepareRequest struct {
+	Current View   `msg:"c"`
+	Ballot  Ballot `msg:"b"`
 }
 
-// Vow answers a Prep: yes, or why not.
-type Vow struct {
-	Ok     bool   `msg:"o"`
-	Leased bool   `msg:"l"` // the primary's lease has not run out here
-	Seen   Ballot `msg:"s"`
-	Acc    Ballot `msg:"a"`
-	Next   View   `msg:"n"`
-	View   View   `msg:"v"` // what is decided here; newer than Cur means Cur is old
-	Id     string `msg:"i"`
+// BallotResponse answers a PrepareRequest or an AcceptRequest: yes, or why not.
+type BallotResponse struct {
+	Ok           bool   `msg:"o"`
+	Leased       bool   `msg:"l"` // the primary's lease has not run out here
+	Promised     Ballot `msg:"s"`
+	Accepted     Ballot `msg:"a"`
+	AcceptedView View   `msg:"n"`
+	View         View   `msg:"v"` // what is decided here; newer than Current means Current is old
+	Id           string `msg:"i"`
 }
 
-// Pick asks a voter to accept a view.
-type Pick struct {
-	Cur    View   `msg:"c"`
-	Ballot Ballot `msg:"b"`
-	Next   View   `msg:"n"`
+// AcceptRequest asks a voter to accept a view for the epoch after Current.
+type AcceptRequest struct {
+	Current  View   `msg:"c"`
+	Ballot   Ballot `msg:"b"`
+	Proposed View   `msg:"n"`
 }
 
-// Learn tells a decided view.
-type Learn struct {
+// LearnRequest tells of a decided view.
+type LearnRequest struct {
 	View View `msg:"v"`
 }
 
-// Renew asks a voter to lease the primacy of a view to its primary. Run is one run of the primary's
-// process, Turn grows with each round of requests.
-type Renew struct {
-	View View   `msg:"v"`
-	Run  uint64 `msg:"r"`
-	Turn uint64 `msg:"t"`
+// RenewRequest asks a voter to lease the primacy of a view to its primary. PrimaryRun is one run of the
+// primary's process, Round grows with each round of requests.
+type RenewRequest struct {
+	View       View   `msg:"v"`
+	PrimaryRun uint64 `msg:"r"`
+	Round      uint64 `msg:"t"`
 }
 
-// Release gives the lease back: the primary of the epoch acts on no grant of this or an earlier turn.
-type Release struct {
-	Epoch uint64 `msg:"e"`
-	Run   uint64 `msg:"r"`
-	Turn  uint64 `msg:"t"`
+// ReleaseRequest gives the lease back: the primary of the epoch acts on no grant of this or an earlier round.
+type ReleaseRequest struct {
+	Epoch      uint64 `msg:"e"`
+	PrimaryRun uint64 `msg:"r"`
+	Round      uint64 `msg:"t"`
 }
 
-// Grant answers Renew.
-type Grant struct {
-	Ok   bool   `msg:"o"`
-	Vow  bool   `msg:"p"` // refused since a vow for the next epoch stands here
-	View View   `msg:"v"`
-	Id   string `msg:"i"`
+// RenewResponse answers RenewRequest: the lease is granted, or why not.
+type RenewResponse struct {
+	Ok            bool   `msg:"o"`
+	PromisedOther bool   `msg:"p"` // refused since a promise to another proposer for the next epoch stands here
+	View          View   `msg:"v"`
+	Id            string `msg:"i"`
 }
 
-// Ask asks a process what it knows of the core.
-type Ask struct{}
+// StatusRequest asks a process what it knows of the core.
+type StatusRequest struct{}
 
-// Told says which view a process knows, and who it is. Blank voters have no view.
-type Told struct {
+// StatusResponse says which view a process knows, and who it is. Blank voters have no view.
+type StatusResponse struct {
 	Id   string `msg:"i"`
 	Addr string `msg:"a"`
 	Zone string `msg:"h"`
--- a/internal/view/msgs_gen.go
+++ b/internal/view/msgs_gen.go
@@ -13,16 +13,37 @@
 )
 
 // MarshalMsg implements msgp.Marshaler
-func (z Ask) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *AcceptRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 0
-	_ = z
-	o = append(o, 0x80)
+	// map header, size 3
+	// string "c"
+	o = append(o, 0x83, 0xa1, 0x63)
+	o, err = z.Current.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Current")
+		return
+	}
+	// string "b"
+	o = append(o, 0xa1, 0x62)
+	// map header, size 2
+	// string "n"
+	o = append(o, 0x82, 0xa1, 0x6e)
+	o = msgp.AppendUint64(o, z.Ballot.Number)
+	// string "w"
+	o = append(o, 0xa1, 0x77)
+	o = msgp.AppendString(o, z.Ballot.Proposer)
+	// string "n"
+	o = append(o, 0xa1, 0x6e)
+	o, err = z.Proposed.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Proposed")
+		return
+	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Ask) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *AcceptRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -43,6 +64,57 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
+		case "c":
+			bts, err = z.Current.UnmarshalMsg(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Current")
+				return
+			}
+		case "b":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Ballot")
+				return
+			}
+			if zb0002 > z78411aa4limitMaps {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			for zb0002 > 0 {
+				zb0002--
+				field, bts, err = msgp.ReadMapKeyZC(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Ballot")
+					return
+				}
+				switch msgp.UnsafeString(field) {
+				case "n":
+					z.Ballot.Number, bts, err = msgp.ReadUint64Bytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Ballot", "Number")
+						return
+					}
+				case "w":
+					z.Ballot.Proposer, bts, err = msgp.ReadStringBytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Ballot", "Proposer")
+						return
+					}
+				default:
+					bts, err = msgp.Skip(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Ballot")
+						return
+					}
+				}
+			}
+		case "n":
+			bts, err = z.Proposed.UnmarshalMsg(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Proposed")
+				return
+			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -56,8 +128,8 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Ask) Msgsize() (s int) {
-	s = 1
+func (z *AcceptRequest) Msgsize() (s int) {
+	s = 1 + 2 + z.Current.Msgsize() + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Ballot.Proposer) + 2 + z.Proposed.Msgsize()
 	return
 }
 
@@ -67,10 +139,10 @@
 	// map header, size 2
 	// string "n"
 	o = append(o, 0x82, 0xa1, 0x6e)
-	o = msgp.AppendUint64(o, z.N)
+	o = msgp.AppendUint64(o, z.Number)
 	// string "w"
 	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendString(o, z.Who)
+	o = msgp.AppendString(o, z.Proposer)
 	return
 }
 
@@ -97,15 +169,15 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "n":
-			z.N, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Number, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "N")
+				err = msgp.WrapError(err, "Number")
 				return
 			}
 		case "w":
-			z.Who, bts, err = msgp.ReadStringBytes(bts)
+			z.Proposer, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Who")
+				err = msgp.WrapError(err, "Proposer")
 				return
 			}
 		default:
@@ -122,54 +194,60 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z Ballot) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Who)
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Proposer)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Book) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *BallotResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 5
-	// string "i"
-	o = append(o, 0x85, 0xa1, 0x69)
-	o = msgp.AppendString(o, z.Id)
-	// string "v"
-	o = append(o, 0xa1, 0x76)
-	o, err = z.View.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "View")
-		return
-	}
-	// string "b"
-	o = append(o, 0xa1, 0x62)
+	// map header, size 7
+	// string "o"
+	o = append(o, 0x87, 0xa1, 0x6f)
+	o = msgp.AppendBool(o, z.Ok)
+	// string "l"
+	o = append(o, 0xa1, 0x6c)
+	o = msgp.AppendBool(o, z.Leased)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
 	// map header, size 2
 	// string "n"
 	o = append(o, 0x82, 0xa1, 0x6e)
-	o = msgp.AppendUint64(o, z.Vow.N)
+	o = msgp.AppendUint64(o, z.Promised.Number)
 	// string "w"
 	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendString(o, z.Vow.Who)
+	o = msgp.AppendString(o, z.Promised.Proposer)
 	// string "a"
 	o = append(o, 0xa1, 0x61)
 	// map header, size 2
 	// string "n"
 	o = append(o, 0x82, 0xa1, 0x6e)
-	o = msgp.AppendUint64(o, z.Acc.N)
+	o = msgp.AppendUint64(o, z.Accepted.Number)
 	// string "w"
 	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendString(o, z.Acc.Who)
+	o = msgp.AppendString(o, z.Accepted.Proposer)
 	// string "n"
 	o = append(o, 0xa1, 0x6e)
-	o, err = z.Next.MarshalMsg(o)
+	o, err = z.AcceptedView.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "Next")
+		err = msgp.WrapError(err, "AcceptedView")
 		return
 	}
+	// string "v"
+	o = append(o, 0xa1, 0x76)
+	o, err = z.View.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "View")
+		return
+	}
+	// string "i"
+	o = append(o, 0xa1, 0x69)
+	o = msgp.AppendString(o, z.Id)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Book) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *BallotResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -190,23 +268,23 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "i":
-			z.Id, bts, err = msgp.ReadStringBytes(bts)
+		case "o":
+			z.Ok, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Id")
+				err = msgp.WrapError(err, "Ok")
 				return
 			}
-		case "v":
-			bts, err = z.View.UnmarshalMsg(bts)
+		case "l":
+			z.Leased, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "View")
+				err = msgp.WrapError(err, "Leased")
 				return
 			}
-		case "b":
+		case "s":
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Vow")
+				err = msgp.WrapError(err, "Promised")
 				return
 			}
 			if zb0002 > z78411aa4limitMaps {
@@ -217,26 +295,26 @@
 				zb0002--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Vow")
+					err = msgp.WrapError(err, "Promised")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "n":
-					z.Vow.N, bts, err = msgp.ReadUint64Bytes(bts)
+					z.Promised.Number, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Vow", "N")
+						err = msgp.WrapError(err, "Promised", "Number")
 						return
 					}
 				case "w":
-					z.Vow.Who, bts, err = msgp.ReadStringBytes(bts)
+					z.Promised.Proposer, bts, err = msgp.ReadStringBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Vow", "Who")
+						err = msgp.WrapError(err, "Promised", "Proposer")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Vow")
+						err = msgp.WrapError(err, "Promised")
 						return
 					}
 				}
@@ -245,7 +323,7 @@
 			var zb0003 uint32
 			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Acc")
+				err = msgp.WrapError(err, "Accepted")
 				return
 			}
 			if zb0003 > z78411aa4limitMaps {
@@ -256,109 +334,34 @@
 				zb0003--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Acc")
+					err = msgp.WrapError(err, "Accepted")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "n":
-					z.Acc.N, bts, err = msgp.ReadUint64Bytes(bts)
+					z.Accepted.Number, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Acc", "N")
+						err = msgp.WrapError(err, "Accepted", "Number")
 						return
 					}
 				case "w":
-					z.Acc.Who, bts, err = msgp.ReadStringBytes(bts)
+					z.Accepted.Proposer, bts, err = msgp.ReadStringBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Acc", "Who")
+						err = msgp.WrapError(err, "Accepted", "Proposer")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Acc")
+						err = msgp.WrapError(err, "Accepted")
 						return
 					}
 				}
 			}
 		case "n":
-			bts, err = z.Next.UnmarshalMsg(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Next")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
+			bts, err = z.AcceptedView.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Book) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Id) + 2 + z.View.Msgsize() + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Vow.Who) + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Acc.Who) + 2 + z.Next.Msgsize()
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Grant) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 4
-	// string "o"
-	o = append(o, 0x84, 0xa1, 0x6f)
-	o = msgp.AppendBool(o, z.Ok)
-	// string "p"
-	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendBool(o, z.Vow)
-	// string "v"
-	o = append(o, 0xa1, 0x76)
-	o, err = z.View.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "View")
-		return
-	}
-	// string "i"
-	o = append(o, 0xa1, 0x69)
-	o = msgp.AppendString(o, z.Id)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Grant) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 > z78411aa4limitMaps {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "o":
-			z.Ok, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Ok")
-				return
-			}
-		case "p":
-			z.Vow, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Vow")
+				err = msgp.WrapError(err, "AcceptedView")
 				return
 			}
 		case "v":
@@ -386,13 +389,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Grant) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + z.View.Msgsize() + 2 + msgp.StringPrefixSize + len(z.Id)
+func (z *BallotResponse) Msgsize() (s int) {
+	s = 1 + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Promised.Proposer) + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Accepted.Proposer) + 2 + z.AcceptedView.Msgsize() + 2 + z.View.Msgsize() + 2 + msgp.StringPrefixSize + len(z.Id)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Learn) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *LearnRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 1
 	// string "v"
@@ -406,7 +409,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Learn) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *LearnRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -446,7 +449,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Learn) Msgsize() (s int) {
+func (z *LearnRequest) Msgsize() (s int) {
 	s = 1 + 2 + z.View.Msgsize()
 	return
 }
@@ -526,14 +529,14 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Pick) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *PrepareRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
+	// map header, size 2
 	// string "c"
-	o = append(o, 0x83, 0xa1, 0x63)
-	o, err = z.Cur.MarshalMsg(o)
+	o = append(o, 0x82, 0xa1, 0x63)
+	o, err = z.Current.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "Cur")
+		err = msgp.WrapError(err, "Current")
 		return
 	}
 	// string "b"
@@ -541,22 +544,15 @@
 	// map header, size 2
 	// string "n"
 	o = append(o, 0x82, 0xa1, 0x6e)
-	o = msgp.AppendUint64(o, z.Ballot.N)
+	o = msgp.AppendUint64(o, z.Ballot.Number)
 	// string "w"
 	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendString(o, z.Ballot.Who)
-	// string "n"
-	o = append(o, 0xa1, 0x6e)
-	o, err = z.Next.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Next")
-		return
-	}
+	o = msgp.AppendString(o, z.Ballot.Proposer)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Pick) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *PrepareRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -578,9 +574,9 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "c":
-			bts, err = z.Cur.UnmarshalMsg(bts)
+			bts, err = z.Current.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Cur")
+				err = msgp.WrapError(err, "Current")
 				return
 			}
 		case "b":
@@ -603,15 +599,15 @@
 				}
 				switch msgp.UnsafeString(field) {
 				case "n":
-					z.Ballot.N, bts, err = msgp.ReadUint64Bytes(bts)
+					z.Ballot.Number, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Ballot", "N")
+						err = msgp.WrapError(err, "Ballot", "Number")
 						return
 					}
 				case "w":
-					z.Ballot.Who, bts, err = msgp.ReadStringBytes(bts)
+					z.Ballot.Proposer, bts, err = msgp.ReadStringBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Ballot", "Who")
+						err = msgp.WrapError(err, "Ballot", "Proposer")
 						return
 					}
 				default:
@@ -622,12 +618,6 @@
 					}
 				}
 			}
-		case "n":
-			bts, err = z.Next.UnmarshalMsg(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Next")
-				return
-			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -641,36 +631,29 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Pick) Msgsize() (s int) {
-	s = 1 + 2 + z.Cur.Msgsize() + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Ballot.Who) + 2 + z.Next.Msgsize()
+func (z *PrepareRequest) Msgsize() (s int) {
+	s = 1 + 2 + z.Current.Msgsize() + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Ballot.Proposer)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Prep) MarshalMsg(b []byte) (o []byte, err error) {
+func (z ReleaseRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "c"
-	o = append(o, 0x82, 0xa1, 0x63)
-	o, err = z.Cur.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Cur")
-		return
-	}
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	// map header, size 2
-	// string "n"
-	o = append(o, 0x82, 0xa1, 0x6e)
-	o = msgp.AppendUint64(o, z.Ballot.N)
-	// string "w"
-	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendString(o, z.Ballot.Who)
+	// map header, size 3
+	// string "e"
+	o = append(o, 0x83, 0xa1, 0x65)
+	o = msgp.AppendUint64(o, z.Epoch)
+	// string "r"
+	o = append(o, 0xa1, 0x72)
+	o = msgp.AppendUint64(o, z.PrimaryRun)
+	// string "t"
+	o = append(o, 0xa1, 0x74)
+	o = msgp.AppendUint64(o, z.Round)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Prep) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ReleaseRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -691,51 +674,24 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "c":
-			bts, err = z.Cur.UnmarshalMsg(bts)
+		case "e":
+			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Cur")
+				err = msgp.WrapError(err, "Epoch")
 				return
 			}
-		case "b":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
+		case "r":
+			z.PrimaryRun, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Ballot")
+				err = msgp.WrapError(err, "PrimaryRun")
 				return
 			}
-			if zb0002 > z78411aa4limitMaps {
-				err = msgp.ErrLimitExceeded
+		case "t":
+			z.Round, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Round")
 				return
 			}
-			for zb0002 > 0 {
-				zb0002--
-				field, bts, err = msgp.ReadMapKeyZC(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Ballot")
-					return
-				}
-				switch msgp.UnsafeString(field) {
-				case "n":
-					z.Ballot.N, bts, err = msgp.ReadUint64Bytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Ballot", "N")
-						return
-					}
-				case "w":
-					z.Ballot.Who, bts, err = msgp.ReadStringBytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Ballot", "Who")
-						return
-					}
-				default:
-					bts, err = msgp.Skip(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Ballot")
-						return
-					}
-				}
-			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -749,29 +705,33 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Prep) Msgsize() (s int) {
-	s = 1 + 2 + z.Cur.Msgsize() + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Ballot.Who)
+func (z ReleaseRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Release) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *RenewRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 3
-	// string "e"
-	o = append(o, 0x83, 0xa1, 0x65)
-	o = msgp.AppendUint64(o, z.Epoch)
+	// string "v"
+	o = append(o, 0x83, 0xa1, 0x76)
+	o, err = z.View.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "View")
+		return
+	}
 	// string "r"
 	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendUint64(o, z.Run)
+	o = msgp.AppendUint64(o, z.PrimaryRun)
 	// string "t"
 	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendUint64(o, z.Turn)
+	o = msgp.AppendUint64(o, z.Round)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Release) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *RenewRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -792,22 +752,22 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "e":
-			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+		case "v":
+			bts, err = z.View.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
+				err = msgp.WrapError(err, "View")
 				return
 			}
 		case "r":
-			z.Run, bts, err = msgp.ReadUint64Bytes(bts)
+			z.PrimaryRun, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Run")
+				err = msgp.WrapError(err, "PrimaryRun")
 				return
 			}
 		case "t":
-			z.Turn, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Round, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Turn")
+				err = msgp.WrapError(err, "Round")
 				return
 			}
 		default:
@@ -823,33 +783,36 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Release) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
+func (z *RenewRequest) Msgsize() (s int) {
+	s = 1 + 2 + z.View.Msgsize() + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Renew) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *RenewResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
+	// map header, size 4
+	// string "o"
+	o = append(o, 0x84, 0xa1, 0x6f)
+	o = msgp.AppendBool(o, z.Ok)
+	// string "p"
+	o = append(o, 0xa1, 0x70)
+	o = msgp.AppendBool(o, z.PromisedOther)
 	// string "v"
-	o = append(o, 0x83, 0xa1, 0x76)
+	o = append(o, 0xa1, 0x76)
 	o, err = z.View.MarshalMsg(o)
 	if err != nil {
 		err = msgp.WrapError(err, "View")
 		return
 	}
-	// string "r"
-	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendUint64(o, z.Run)
-	// string "t"
-	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendUint64(o, z.Turn)
+	// string "i"
+	o = append(o, 0xa1, 0x69)
+	o = msgp.AppendString(o, z.Id)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Renew) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *RenewResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -870,24 +833,79 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
+		case "o":
+			z.Ok, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Ok")
+				return
+			}
+		case "p":
+			z.PromisedOther, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "PromisedOther")
+				return
+			}
 		case "v":
 			bts, err = z.View.UnmarshalMsg(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "View")
 				return
 			}
-		case "r":
-			z.Run, bts, err = msgp.ReadUint64Bytes(bts)
+		case "i":
+			z.Id, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Run")
+				err = msgp.WrapError(err, "Id")
 				return
 			}
-		case "t":
-			z.Turn, bts, err = msgp.ReadUint64Bytes(bts)
+		default:
+			bts, err = msgp.Skip(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Turn")
+				err = msgp.WrapError(err)
 				return
 			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *RenewResponse) Msgsize() (s int) {
+	s = 1 + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + z.View.Msgsize() + 2 + msgp.StringPrefixSize + len(z.Id)
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z StatusRequest) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 0
+	_ = z
+	o = append(o, 0x80)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *StatusRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > z78411aa4limitMaps {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -901,13 +919,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Renew) Msgsize() (s int) {
-	s = 1 + 2 + z.View.Msgsize() + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
+func (z StatusRequest) Msgsize() (s int) {
+	s = 1
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Told) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *StatusResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 4
 	// string "i"
@@ -930,7 +948,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Told) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *StatusResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -988,7 +1006,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Told) Msgsize() (s int) {
+func (z *StatusResponse) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.Id) + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + z.View.Msgsize()
 	return
 }
@@ -1017,19 +1035,19 @@
 	}
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.Prime)
+	o = msgp.AppendString(o, z.Primary)
 	// string "b"
 	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendString(o, z.Back)
+	o = msgp.AppendString(o, z.FirstBackup)
 	// string "k"
 	o = append(o, 0xa1, 0x6b)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Backs)))
-	for za0002 := range z.Backs {
-		o = msgp.AppendString(o, z.Backs[za0002])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.AllBackups)))
+	for za0002 := range z.AllBackups {
+		o = msgp.AppendString(o, z.AllBackups[za0002])
 	}
 	// string "s"
 	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendInt(o, z.Seats)
+	o = msgp.AppendInt(o, z.TargetSize)
 	return
 }
 
@@ -1124,44 +1142,44 @@
 				}
 			}
 		case "p":
-			z.Prime, bts, err = msgp.ReadStringBytes(bts)
+			z.Primary, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Prime")
+				err = msgp.WrapError(err, "Primary")
 				return
 			}
 		case "b":
-			z.Back, bts, err = msgp.ReadStringBytes(bts)
+			z.FirstBackup, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Back")
+				err = msgp.WrapError(err, "FirstBackup")
 				return
 			}
 		case "k":
 			var zb0004 uint32
 			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Backs")
+				err = msgp.WrapError(err, "AllBackups")
 				return
 			}
 			if zb0004 > z78411aa4limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Backs) >= int(zb0004) {
-				z.Backs = (z.Backs)[:zb0004]
+			if cap(z.AllBackups) >= int(zb0004) {
+				z.AllBackups = (z.AllBackups)[:zb0004]
 			} else {
-				z.Backs = make([]string, zb0004)
+				z.AllBackups = make([]string, zb0004)
 			}
-			for za0002 := range z.Backs {
-				z.Backs[za0002], bts, err = msgp.ReadStringBytes(bts)
+			for za0002 := range z.AllBackups {
+				z.AllBackups[za0002], bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Backs", za0002)
+					err = msgp.WrapError(err, "AllBackups", za0002)
 					return
 				}
 			}
 		case "s":
-			z.Seats, bts, err = msgp.ReadIntBytes(bts)
+			z.TargetSize, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Seats")
+				err = msgp.WrapError(err, "TargetSize")
 				return
 			}
 		default:
@@ -1182,64 +1200,58 @@
 	for za0001 := range z.Members {
 		s += 1 + 2 + msgp.StringPrefixSize + len(z.Members[za0001].Id) + 2 + msgp.StringPrefixSize + len(z.Members[za0001].Addr) + 2 + msgp.StringPrefixSize + len(z.Members[za0001].Zone)
 	}
-	s += 2 + msgp.StringPrefixSize + len(z.Prime) + 2 + msgp.StringPrefixSize + len(z.Back) + 2 + msgp.ArrayHeaderSize
-	for za0002 := range z.Backs {
-		s += msgp.StringPrefixSize + len(z.Backs[za0002])
+	s += 2 + msgp.StringPrefixSize + len(z.Primary) + 2 + msgp.StringPrefixSize + len(z.FirstBackup) + 2 + msgp.ArrayHeaderSize
+	for za0002 := range z.AllBackups {
+		s += msgp.StringPrefixSize + len(z.AllBackups[za0002])
 	}
 	s += 2 + msgp.IntSize
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Vow) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *VoterState) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 7
-	// string "o"
-	o = append(o, 0x87, 0xa1, 0x6f)
-	o = msgp.AppendBool(o, z.Ok)
-	// string "l"
-	o = append(o, 0xa1, 0x6c)
-	o = msgp.AppendBool(o, z.Leased)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
+	// map header, size 5
+	// string "i"
+	o = append(o, 0x85, 0xa1, 0x69)
+	o = msgp.AppendString(o, z.Id)
+	// string "v"
+	o = append(o, 0xa1, 0x76)
+	o, err = z.View.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "View")
+		return
+	}
+	// string "b"
+	o = append(o, 0xa1, 0x62)
 	// map header, size 2
 	// string "n"
 	o = append(o, 0x82, 0xa1, 0x6e)
-	o = msgp.AppendUint64(o, z.Seen.N)
+	o = msgp.AppendUint64(o, z.Promised.Number)
 	// string "w"
 	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendString(o, z.Seen.Who)
+	o = msgp.AppendString(o, z.Promised.Proposer)
 	// string "a"
 	o = append(o, 0xa1, 0x61)
 	// map header, size 2
 	// string "n"
 	o = append(o, 0x82, 0xa1, 0x6e)
-	o = msgp.AppendUint64(o, z.Acc.N)
+	o = msgp.AppendUint64(o, z.Accepted.Number)
 	// string "w"
 	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendString(o, z.Acc.Who)
+	o = msgp.AppendString(o, z.Accepted.Proposer)
 	// string "n"
 	o = append(o, 0xa1, 0x6e)
-	o, err = z.Next.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Next")
-		return
-	}
-	// string "v"
-	o = append(o, 0xa1, 0x76)
-	o, err = z.View.MarshalMsg(o)
+	o, err = z.AcceptedView.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "View")
+		err = msgp.WrapError(err, "AcceptedView")
 		return
 	}
-	// string "i"
-	o = append(o, 0xa1, 0x69)
-	o = msgp.AppendString(o, z.Id)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Vow) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *VoterState) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1260,23 +1272,23 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "o":
-			z.Ok, bts, err = msgp.ReadBoolBytes(bts)
+		case "i":
+			z.Id, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Ok")
+				err = msgp.WrapError(err, "Id")
 				return
 			}
-		case "l":
-			z.Leased, bts, err = msgp.ReadBoolBytes(bts)
+		case "v":
+			bts, err = z.View.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Leased")
+				err = msgp.WrapError(err, "View")
 				return
 			}
-		case "s":
+		case "b":
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Seen")
+				err = msgp.WrapError(err, "Promised")
 				return
 			}
 			if zb0002 > z78411aa4limitMaps {
@@ -1287,26 +1299,26 @@
 				zb0002--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Seen")
+					err = msgp.WrapError(err, "Promised")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "n":
-					z.Seen.N, bts, err = msgp.ReadUint64Bytes(bts)
+					z.Promised.Number, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Seen", "N")
+						err = msgp.WrapError(err, "Promised", "Number")
 						return
 					}
 				case "w":
-					z.Seen.Who, bts, err = msgp.ReadStringBytes(bts)
+					z.Promised.Proposer, bts, err = msgp.ReadStringBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Seen", "Who")
+						err = msgp.WrapError(err, "Promised", "Proposer")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Seen")
+						err = msgp.WrapError(err, "Promised")
 						return
 					}
 				}
@@ -1315,7 +1327,7 @@
 			var zb0003 uint32
 			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Acc")
+				err = msgp.WrapError(err, "Accepted")
 				return
 			}
 			if zb0003 > z78411aa4limitMaps {
@@ -1326,46 +1338,34 @@
 				zb0003--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Acc")
+					err = msgp.WrapError(err, "Accepted")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "n":
-					z.Acc.N, bts, err = msgp.ReadUint64Bytes(bts)
+					z.Accepted.Number, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Acc", "N")
+						err = msgp.WrapError(err, "Accepted", "Number")
 						return
 					}
 				case "w":
-					z.Acc.Who, bts, err = msgp.ReadStringBytes(bts)
+					z.Accepted.Proposer, bts, err = msgp.ReadStringBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Acc", "Who")
+						err = msgp.WrapError(err, "Accepted", "Proposer")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Acc")
+						err = msgp.WrapError(err, "Accepted")
 						return
 					}
 				}
 			}
 		case "n":
-			bts, err = z.Next.UnmarshalMsg(bts)
+			bts, err = z.AcceptedView.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Next")
-				return
-			}
-		case "v":
-			bts, err = z.View.UnmarshalMsg(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "View")
-				return
-			}
-		case "i":
-			z.Id, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Id")
+				err = msgp.WrapError(err, "AcceptedView")
 				return
 			}
 		default:
@@ -1381,7 +1381,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Vow) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Seen.Who) + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Acc.Who) + 2 + z.Next.Msgsize() + 2 + z.View.Msgsize() + 2 + msgp.StringPrefixSize + len(z.Id)
+func (z *VoterState) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Id) + 2 + z.View.Msgsize() + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Promised.Proposer) + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Accepted.Proposer) + 2 + z.AcceptedView.Msgsize()
 	return
 }
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -30,7 +30,7 @@
 	if _, err := v.UnmarshalMsg(raw); err != nil {
 		t.Fatal(err)
 	}
-	if got := v.Backups(); v.Epoch != 7 || v.Prime != "a" || !slices.Equal(got, []string{"c"}) || !v.IsBackup("c") || v.IsBackup("") {
+	if got := v.Backups(); v.Epoch != 7 || v.Primary != "a" || !slices.Equal(got, []string{"c"}) || !v.IsBackup("c") || v.IsBackup("") {
 		t.Errorf("%+v, backups %v", v, got)
 	}
 	if got := v.WithoutBackup("c").Backups(); len(got) != 0 {
@@ -40,19 +40,19 @@
 
 // The first backup stands where builds that know one look for it, and a dropped member backs nothing.
 func TestBackupsOfAView(t *testing.T) {
-	v := View{Members: []Member{{Id: "a", Addr: "1"}, {Id: "b", Addr: "2"}, {Id: "c", Addr: "3"}}, Prime: "a"}.WithBackups([]string{"b", "c"})
-	if v.Back != "b" || !v.IsBackup("c") || v.IsBackup("a") {
+	v := View{Members: []Member{{Id: "a", Addr: "1"}, {Id: "b", Addr: "2"}, {Id: "c", Addr: "3"}}, Primary: "a"}.WithBackups([]string{"b", "c"})
+	if v.FirstBackup != "b" || !v.IsBackup("c") || v.IsBackup("a") {
 		t.Errorf("%+v", v)
 	}
-	next := v.Without("b")
-	if next.Back != "c" || !slices.Equal(next.Backups(), []string{"c"}) || next.Has("b") || len(next.Members) != 2 {
+	next := v.WithoutMember("b")
+	if next.FirstBackup != "c" || !slices.Equal(next.Backups(), []string{"c"}) || next.HasMember("b") || len(next.Members) != 2 {
 		t.Errorf("without b: %+v", next)
 	}
-	if len(v.Members) != 3 || v.Back != "b" {
+	if len(v.Members) != 3 || v.FirstBackup != "b" {
 		t.Errorf("the view itself changed: %+v", v)
 	}
-	even := View{Members: v.With(Member{Id: "d", Addr: "4"}).Members}
-	if even.Most(map[string]bool{"a": true, "b": true}) || !even.Most(map[string]bool{"a": true, "b": true, "d": true}) {
+	even := View{Members: v.WithMember(Member{Id: "d", Addr: "4"}).Members}
+	if even.IsMajority(map[string]bool{"a": true, "b": true}) || !even.IsMajority(map[string]bool{"a": true, "b": true, "d": true}) {
 		t.Error("three of four are a majority, two are not")
 	}
 }
@@ -65,9 +65,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		cur := View{Epoch: 3, Prime: "a", Members: []Member{{Id: "a", Addr: "1"}}}
+		cur := View{Epoch: 3, Primary: "a", Members: []Member{{Id: "a", Addr: "1"}}}
 		grant := func(run, turn uint64) {
-			if g, err := voter.Renew(&Renew{View: cur, Run: run, Turn: turn}); err != nil || !g.Ok {
+			if g, err := voter.Renew(&RenewRequest{View: cur, PrimaryRun: run, Round: turn}); err != nil || !g.Ok {
 				t.Fatalf("%+v %v", g, err)
 			}
 		}
@@ -84,14 +84,14 @@
 			{"the next turn", 3, 5, 9, true},
 		} {
 			grant(5, 8)
-			voter.Release(&Release{Epoch: c.epoch, Run: c.run, Turn: c.turn})
+			voter.Release(&ReleaseRequest{Epoch: c.epoch, PrimaryRun: c.run, Round: c.turn})
 			if voter.Leased() == c.ends {
 				t.Errorf("%s: leased %v", c.name, voter.Leased())
 			}
 		}
 		grant(5, 10)
 		grant(5, 8) // late
-		if voter.Release(&Release{Epoch: 3, Run: 5, Turn: 9}); !voter.Leased() {
+		if voter.Release(&ReleaseRequest{Epoch: 3, PrimaryRun: 5, Round: 9}); !voter.Leased() {
 			t.Error("a release older than the newest grant ended it")
 		}
 	})
