--- a/internal/clientapi/claims.go
+++ b/internal/clientapi/claims.go
@@ -54,7 +54,7 @@
 	}
 	claim.settled = true
 	claims.settling.Add(1)
-	in := core.Settle{Key: claim.key, Free: free, Claim: claim.record}
+	in := core.SettleRequest{Key: claim.key, Release: free, Claim: claim.record}
 	go func() {
 		defer claims.settling.Add(-1)
 		for {
@@ -78,10 +78,10 @@
 
 // complete settles a claim with its response, kept where it is small enough.
 func (claim *claim) complete(status int, kind string, raw []byte) {
-	claim.record.State, claim.record.Status, claim.record.Kind = core.ClaimDone, status, kind
+	claim.record.State, claim.record.Status, claim.record.ContentType = core.ClaimDone, status, kind
 	if len(raw) <= maxKeptResponse {
-		claim.record.Answer = append([]byte{}, raw...)
-		claim.record.Kept = true
+		claim.record.Response = append([]byte{}, raw...)
+		claim.record.HasResponse = true
 	}
 	claim.claims.settle(claim, false)
 }
@@ -100,32 +100,32 @@
 	fmt.Fprintf(hash, "%s %s\n", x.incoming.Method, x.incoming.URL.RequestURI())
 	hash.Write(x.body)
 	claims := x.server.Claims
-	claim := &claim{claims: claims, key: x.tenant.Name + "/" + key, record: core.Claim{Sum: hex.EncodeToString(hash.Sum(nil)),
-		Id:   fmt.Sprintf("%s/%x/%d", claims.ctx.Name, claims.ctx.Born, claims.next.Add(1)),
-		Node: claims.ctx.Name, Born: claims.ctx.Born}}
+	claim := &claim{claims: claims, key: x.tenant.Name + "/" + key, record: core.Claim{RequestHash: hex.EncodeToString(hash.Sum(nil)),
+		Claimant: fmt.Sprintf("%s/%x/%d", claims.ctx.Name, claims.ctx.Born, claims.next.Add(1)),
+		Node:     claims.ctx.Name, NodeRun: claims.ctx.Born}}
 	ctx, cancel := context.WithTimeout(x.incoming.Context(), min(x.lane.Patience, 3*time.Second))
 	defer cancel()
-	var taken core.Took
-	err := x.server.Hub.Core.Call(ctx, "core.take", &core.Take{Key: claim.key, Claim: claim.record}, &taken, true)
+	var taken core.ClaimResponse
+	err := x.server.Hub.Core.Call(ctx, "core.take", &core.ClaimRequest{Key: claim.key, Claim: claim.record}, &taken, true)
 	if err != nil {
-		if core.Doubt(err) {
+		if core.IsInDoubt(err) {
 			claim.release(false) // it may stand there: nothing was run, so let it go when the core is back
 		}
 		return &Rejection{Status: 503, Code: "no-core", RetryAfter: 2 * time.Second, Message: "The core can't be asked whether this key has run, so it was not run."}
 	}
 	switch {
-	case taken.Got:
+	case taken.Granted:
 		x.claim = claim
 		return nil
-	case taken.Ran:
+	case taken.AlreadyRan:
 		return &Rejection{Status: 409, Code: "ran-before", OutcomeUnknown: true, Message: "A query with this key ran before; what came of it is no longer kept. It is not run again."}
 	case taken.Full:
 		return &Rejection{Status: 503, Code: "keys-full", RetryAfter: time.Minute, Message: "The core keeps as many keys that ran as limits.ran_most allows, so it can take no new one yet."}
-	case taken.Clash:
+	case taken.Conflict:
 		return &Rejection{Status: 422, Code: "key-clash", Message: "This key was used for another query."}
-	case taken.Live:
+	case taken.Running:
 		return &Rejection{Status: 409, Code: "still-running", RetryAfter: time.Second, OutcomeUnknown: true, Message: "The query with this key is still running."}
-	case taken.Claim.State == core.ClaimDone && taken.Claim.Kept:
+	case taken.Claim.State == core.ClaimDone && taken.Claim.HasResponse:
 		return x.replay(taken.Claim)
 	case taken.Claim.State == core.ClaimDone:
 		return &Rejection{Status: 409, Code: "done-not-kept", OutcomeUnknown: true, Message: "The query with this key ran to its end; its answer is not kept."}
@@ -136,12 +136,12 @@
 // replay answers from a claim that is done.
 func (x *exchange) replay(record core.Claim) error {
 	header := x.writer.Header()
-	if record.Kind != "" {
-		header.Set("Content-Type", record.Kind)
+	if record.ContentType != "" {
+		header.Set("Content-Type", record.ContentType)
 	}
 	header.Set("X-Yarrowridge-Replayed", "true")
-	header.Set("Content-Length", strconv.Itoa(len(record.Answer)))
+	header.Set("Content-Length", strconv.Itoa(len(record.Response)))
 	x.writer.WriteHeader(record.Status)
-	x.writer.Write(record.Answer)
+	x.writer.Write(record.Response)
 	return &Rejection{Code: "replayed"}
 }
--- a/internal/control/main.go
+++ b/internal/control/main.go
@@ -113,8 +113,8 @@
 	}
 	defer lock.Close()
 	seeds := process.Set.Addrs("seeds")
-	server, err := core.Open(process.Ctx.Part("core"), core.Set{
-		Addr: process.Set["addr"], Founders: process.Set.Addrs("founders"), Seeds: seeds, Lost: process.Set.Span("lost"),
+	server, err := core.Open(process.Ctx.Part("core"), core.Settings{
+		Addr: process.Set["addr"], Founders: process.Set.Addrs("founders"), Seeds: seeds, LostAfter: process.Set.Span("lost"),
 		Bootstrap: process.Set["bootstrap"] == "true", Losses: number(process.Set, "losses"), MaxMembers: number(process.Set, "max-members")}, disk)
 	if err != nil {
 		return err
@@ -131,7 +131,7 @@
 			Core:  core.NewClient(process.Ctx, caller, append([]string{process.Set["addr"]}, seeds...)),
 			Ready: server.Why,
 			Views: map[string]func() any{
-				"/v1/standing": func() any { return server.Peek() },
+				"/v1/standing": func() any { return server.State() },
 				"/v1/traffic":  func() any { return wire.TrafficByKind() }}}
 		handler, err := api.Handler()
 		if err != nil {
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -40,8 +40,8 @@
 	if err != nil {
 		return err
 	}
-	server, err := core.Open(process.Ctx.Part("core"), core.Set{Addr: settings.Internal, Seeds: settings.Seeds, Bootstrap: settings.Bootstrap,
-		Losses: settings.Losses, Alone: settings.Alone, Lost: settings.Lost, Term: settings.Term, Codec: settings.Codec}, disk)
+	server, err := core.Open(process.Ctx.Part("core"), core.Settings{Addr: settings.Internal, Seeds: settings.Seeds, Bootstrap: settings.Bootstrap,
+		Losses: settings.Losses, SingleMember: settings.Alone, LostAfter: settings.Lost, LeaseTerm: settings.Term, Codec: settings.Codec}, disk)
 	if err != nil {
 		return err
 	}
--- a/internal/core/backups.go
+++ b/internal/core/backups.go
@@ -43,8 +43,8 @@
 }
 
 // backups tells how many members hold a write beside the primary before it is acknowledged.
-func (s Set) backups(v view.View) int {
-	if s.Alone {
+func (s Settings) backups(v view.View) int {
+	if s.SingleMember {
 		return min(s.Losses, len(v.Members)-1)
 	}
 	return s.Losses
@@ -57,7 +57,7 @@
 		return v, false
 	}
 	next = heir(v, v.Backups()[0])
-	if s.set.Alone && len(v.Members) == 2 {
+	if s.set.SingleMember && len(v.Members) == 2 {
 		next = next.WithoutMember(v.Primary)
 	}
 	return next, true
@@ -69,7 +69,7 @@
 		// In turns, so that two backups hinder one another rarely.
 		turn := time.Duration(slices.Index(v.Backups(), me))
 		s.next = time.Now().Add(turn*100*time.Millisecond + rand.N(100*time.Millisecond))
-		s.look = time.Now().Add(2 * s.set.Term)
+		s.look = time.Now().Add(2 * s.set.LeaseTerm)
 		return
 	}
 	s.lookAround(v)
@@ -92,7 +92,7 @@
 		}
 		return
 	}
-	s.look = time.Now().Add(2 * s.set.Term)
+	s.look = time.Now().Add(2 * s.set.LeaseTerm)
 	keep := s.answering(v, ls, began)
 	if !ready && len(keep) == len(v.Backups()) {
 		keep = s.copyAll(v, keep)
@@ -124,7 +124,7 @@
 	s.mu.Lock()
 	if s.epoch != v.Epoch {
 		if s.epoch == 0 || s.epoch+1 != v.Epoch {
-			s.began, s.ls = time.Now(), lease.New(s.set.Term)
+			s.began, s.ls = time.Now(), lease.New(s.set.LeaseTerm)
 			clear(s.synced)
 		} else {
 			s.ls = s.ls.Next() // we led the epoch before: who was silent then still is
@@ -277,12 +277,12 @@
 
 // copyTo sends our whole state to one backup, in parts.
 func (s *Server) copyTo(v view.View, id string, whole store.Batch, turn uint64) bool {
-	in := Copy{View: v, From: s.vot.Id(), Turn: turn, Seq: whole.Seq}
+	in := SnapshotRequest{View: v, Primary: s.vot.Id(), Snapshot: turn, Version: whole.Seq}
 	size := 0
 	send := func() bool {
 		ctx, end := context.WithTimeout(s.ctx, copyWait)
 		defer end()
-		var out Held
+		var out ReplicateResponse
 		err := s.call(ctx, v.Addr(id), "core.copy", &in, &out)
 		if err == nil && out.Id != id {
 			err = eris.Errorf("identity %s, %s expected", out.Id, id)
@@ -309,8 +309,8 @@
 	return each(v.Backups(), func(id string) bool {
 		ctx, end := context.WithTimeout(s.ctx, holdWait)
 		defer end()
-		var out Held
-		err := s.call(ctx, v.Addr(id), "core.hold", &Hold{View: v, From: v.Primary, Batch: b}, &out)
+		var out ReplicateResponse
+		err := s.call(ctx, v.Addr(id), "core.hold", &ReplicateRequest{View: v, Primary: v.Primary, Batch: b}, &out)
 		if err == nil && out.Id != id {
 			err = eris.Errorf("identity %s, %s expected", out.Id, id)
 		}
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -47,7 +47,7 @@
 			day(b, disk, ran)
 		}
 		ec := env.Ctx{Context: ctx, Name: addrs[i], Zone: fmt.Sprint(i), Born: rand.Uint64(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Net: wire.TCP{}}
-		s, err := Open(ec, Set{Addr: addrs[i], Founders: addrs, Seeds: addrs}, disk)
+		s, err := Open(ec, Settings{Addr: addrs[i], Founders: addrs, Seeds: addrs}, disk)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -59,33 +59,33 @@
 	founded := time.Now()
 	up, stop := context.WithTimeout(ctx, 20*time.Second)
 	defer stop()
-	if err := c.Call(up, "core.layout", &Want{}, &Sheet{}, true); err != nil {
+	if err := c.Call(up, "core.layout", &ConfigRequest{}, &StoredConfig{}, true); err != nil {
 		b.Fatal(err)
 	}
 	ready := time.Since(founded)
 	var n atomic.Uint64
 	lead := all[0]
 	for _, s := range all {
-		if s.Peek().Ready {
+		if s.State().Ready {
 			lead = s
 		}
 	}
-	before := lead.Peek().Stored
-	if p := lead.Peek(); p.Ran > 0 {
+	before := lead.State().StoreVersion
+	if p := lead.State(); p.FinishedKeys > 0 {
 		raw := lead.st.Load().Whole()
-		b.Logf("%d keys that ran in %d parts: %.1f MB on disk; founded, copied to the backup and ready in %s", p.Ran, p.Parts, float64(raw.Msgsize())/1e6, ready.Round(time.Millisecond))
+		b.Logf("%d keys that ran in %d parts: %.1f MB on disk; founded, copied to the backup and ready in %s", p.FinishedKeys, p.FinishedKeyParts, float64(raw.Msgsize())/1e6, ready.Round(time.Millisecond))
 	}
 	b.SetParallelism(64)
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			k := n.Add(1)
-			var out Took
-			in := Take{Key: fmt.Sprintf("t/new%d", k), Claim: Claim{Sum: "s", Id: fmt.Sprint(k), Node: "n"}}
+			var out ClaimResponse
+			in := ClaimRequest{Key: fmt.Sprintf("t/new%d", k), Claim: Claim{RequestHash: "s", Claimant: fmt.Sprint(k), Node: "n"}}
 			one, end := context.WithTimeout(ctx, 10*time.Second)
 			err := c.Call(one, "core.take", &in, &out, true)
 			end()
-			if err != nil || !out.Got {
+			if err != nil || !out.Granted {
 				b.Errorf("claim %d: %v %+v", k, err, out)
 				return
 			}
@@ -93,7 +93,7 @@
 	})
 	b.StopTimer()
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "claims/s")
-	b.ReportMetric(float64(lead.Peek().Stored-before)/float64(b.N), "batches/claim")
+	b.ReportMetric(float64(lead.State().StoreVersion-before)/float64(b.N), "batches/claim")
 }
 
 // day puts onto a disk what sweeps and merges leave of n keys that ran: whole parts, and some small ones.
--- a/internal/core/claims.go
+++ b/internal/core/claims.go
@@ -22,8 +22,8 @@
 	ClaimFreed   = 3 // let go: anybody but its own late taking may claim the key
 )
 
-func (s *Server) take(ctx context.Context, in *Take) (*Took, error) {
-	out := &Took{}
+func (s *Server) take(ctx context.Context, in *ClaimRequest) (*ClaimResponse, error) {
+	out := &ClaimResponse{}
 	err := s.Submit(ctx, func(tx *Tx) error {
 		key := "claim/" + in.Key
 		raw, ok := tx.Get(key)
@@ -33,33 +33,33 @@
 				return err
 			}
 		}
-		if !ok || old.State == ClaimFreed && old.Id != in.Claim.Id {
+		if !ok || old.State == ClaimFreed && old.Claimant != in.Claim.Claimant {
 			switch {
 			case !ok && s.ran.has(tx, ranSum(in.Key)):
-				out.Ran = true
+				out.AlreadyRan = true
 				return nil
 			case s.ran.n >= s.most():
 				out.Full = true
 				return nil
 			}
-			out.Got = true
+			out.Granted = true
 			return tx.Put(key, &in.Claim)
 		}
 		if old.State == ClaimFreed {
 			out.Claim = old
 			return nil
 		}
-		out.Clash = old.Sum != in.Claim.Sum
-		if old.Id == in.Claim.Id {
-			out.Got = !out.Clash
+		out.Conflict = old.RequestHash != in.Claim.RequestHash
+		if old.Claimant == in.Claim.Claimant {
+			out.Granted = !out.Conflict
 			return nil
 		}
-		if !out.Clash {
+		if !out.Conflict {
 			out.Claim = old
 			s.mu.Lock()
 			n := s.nodes[old.Node]
 			// Just after a hand-over every node counts as live until it has had time to beat.
-			out.Live = old.State == ClaimRuns && (n != nil && n.node.Born == old.Born && time.Since(n.at) < nodeTerm || time.Since(s.since) < nodeTerm)
+			out.Running = old.State == ClaimRuns && (n != nil && n.node.Run == old.NodeRun && time.Since(n.at) < nodeTerm || time.Since(s.since) < nodeTerm)
 			s.mu.Unlock()
 		}
 		return nil
@@ -70,22 +70,22 @@
 	return out, nil
 }
 
-func (s *Server) settle(ctx context.Context, in *Settle) (*Done, error) {
-	return &Done{}, s.Submit(ctx, func(tx *Tx) error {
+func (s *Server) settle(ctx context.Context, in *SettleRequest) (*Empty, error) {
+	return &Empty{}, s.Submit(ctx, func(tx *Tx) error {
 		key := "claim/" + in.Key
 		raw, ok := tx.Get(key)
-		old := Claim{Id: in.Claim.Id}
+		old := Claim{Claimant: in.Claim.Claimant}
 		if ok {
 			if _, err := old.UnmarshalMsg(raw); err != nil {
 				return err
 			}
 		}
 		switch {
-		case old.Id != in.Claim.Id || old.State != ClaimRuns || !ok && !in.Free:
+		case old.Claimant != in.Claim.Claimant || old.State != ClaimRuns || !ok && !in.Release:
 			return nil
-		case in.Free:
+		case in.Release:
 			// The taking itself may still be under way to us: it must find that it was let go.
-			return tx.Put(key, &Claim{Id: in.Claim.Id, State: ClaimFreed})
+			return tx.Put(key, &Claim{Claimant: in.Claim.Claimant, State: ClaimFreed})
 		}
 		return tx.Put(key, &in.Claim)
 	})
--- a/internal/core/client.go
+++ b/internal/core/client.go
@@ -64,10 +64,10 @@
 	c.seeds = seeds
 }
 
-// Peers adds addresses to ask besides the seeds: the other nodes.
+// SetPeers adds addresses to ask besides the seeds: the other nodes.
 //
-//	c.Peers(addrs)
-func (c *Client) Peers(addrs []string) {
+//	c.SetPeers(addrs)
+func (c *Client) SetPeers(addrs []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.peers = addrs
@@ -172,7 +172,7 @@
 				return err
 			}
 			// The worst that any try may have come to is what the caller is told.
-			if last == nil || !Doubt(last) {
+			if last == nil || !IsInDoubt(last) {
 				last = err
 			}
 		}
@@ -219,9 +219,9 @@
 	return c.View()
 }
 
-// Doubt tells whether a call that ended in err may yet take effect.
+// IsInDoubt tells whether a call that ended in err may yet take effect.
 //
-//	if core.Doubt(err) { ... }
-func Doubt(err error) bool {
+//	if core.IsInDoubt(err) { ... }
+func IsInDoubt(err error) bool {
 	return wire.Is(err, InDoubt) || errors.Is(err, wire.ErrDoubt)
 }
--- a/internal/core/codec.go
+++ b/internal/core/codec.go
@@ -5,7 +5,7 @@
 // Codec reads the configuration documents that operators write. The core keeps them as they came.
 type Codec interface {
 	// Check reads a whole document. With any flaw the document is invalid.
-	Check(raw []byte) (doc Document, flaws []Flaw)
+	Check(raw []byte) (doc Document, flaws []ConfigError)
 	// Merge applies a partial change to the current document.
 	Merge(current, change []byte) (raw []byte, err error)
 	// MaxBytes is the size of the largest document.
@@ -14,12 +14,12 @@
 
 // Document is what the core itself needs to know of a configuration.
 type Document struct {
-	// Sequence is the number that the document gives itself; it must be above the current one.
+	// Version is the number that the document gives itself; it must be above the current one.
 	// 0: the core counts on from the current one.
-	Sequence uint64
-	Quotas   map[string]int           // units of each tenant that has a quota
-	Windows  map[string]time.Duration // in which a tenant's units may be spent once
-	Claims   ClaimLimits
+	Version uint64
+	Quotas  map[string]int           // units of each tenant that has a quota
+	Windows map[string]time.Duration // in which a tenant's units may be spent once
+	Claims  ClaimLimits
 
 	// Tolerances are units of each tenant that may be drawn on top of its quota while as many cool: what a
 	// holder that is gone may have spent counts whole, though it seldom spent all. Any ToleranceWindow sees each
--- a/internal/core/codec_test.go
+++ b/internal/core/codec_test.go
@@ -16,7 +16,7 @@
 type records struct {
 	t   *testing.T
 	st  *store.Store
-	cur Sheet
+	cur StoredConfig
 }
 
 func newRecords(t *testing.T) *records {
@@ -29,7 +29,7 @@
 
 func (r *records) put(sequence uint64, size int, numbered bool, id string) {
 	tx := &Tx{st: r.st, over: map[string]*store.Put{}}
-	next := Sheet{Seq: sequence, Raw: bytes.Repeat([]byte("x"), size)}
+	next := StoredConfig{Version: sequence, Raw: bytes.Repeat([]byte("x"), size)}
 	if err := tx.record(r.cur, next, numbered, id, "hash"); err != nil {
 		r.t.Fatal(err)
 	}
@@ -126,12 +126,12 @@
 
 // A layout tells the core what it read from it before.
 func TestLayoutCodec(t *testing.T) {
-	codec := Set{}.Fill().Codec
+	codec := Settings{}.WithDefaults().Codec
 	doc, flaws := codec.Check([]byte(`{"tenants":{"a":{"quota":{"units":7,"window_s":3}},"b":{}},"limits":{"claim_keep_s":60}}`))
 	if len(flaws) > 0 {
 		t.Fatalf("flaws %v", flaws)
 	}
-	if doc.Sequence != 0 || doc.Quotas["a"] != 7 || doc.Windows["a"].Seconds() != 3 || doc.Claims.Keep.Seconds() != 60 || doc.Claims.RanMost != defaultRanMost {
+	if doc.Version != 0 || doc.Quotas["a"] != 7 || doc.Windows["a"].Seconds() != 3 || doc.Claims.Keep.Seconds() != 60 || doc.Claims.RanMost != defaultRanMost {
 		t.Errorf("read %+v", doc)
 	}
 	if _, flaws := codec.Check([]byte(`{"lanes":7}`)); len(flaws) == 0 || !strings.Contains(flaws[0].Path, "lanes") {
@@ -144,11 +144,11 @@
 
 // wary fails the test where the core shows it nothing.
 type wary struct {
-	layoutCodec
+	fleetConfigCodec
 	t *testing.T
 }
 
-func (w wary) Check(raw []byte) (Document, []Flaw) {
+func (w wary) Check(raw []byte) (Document, []ConfigError) {
 	if len(raw) == 0 {
 		w.t.Error("the codec was shown an empty document")
 	}
@@ -157,14 +157,14 @@
 
 // Before the first configuration there is none to read.
 func TestNothingToReadBeforeTheFirst(t *testing.T) {
-	s := &Server{set: Set{Codec: wary{t: t}}.Fill()}
-	if doc := s.parsed(Sheet{}); doc != nil {
+	s := &Server{set: Settings{Codec: wary{t: t}}.WithDefaults()}
+	if doc := s.parsed(StoredConfig{}); doc != nil {
 		t.Errorf("read %+v from nothing", doc)
 	}
 	if got := s.most(); got != defaultRanMost {
 		t.Errorf("%d keys that ran are kept", got)
 	}
-	if doc := s.parsed(Sheet{Seq: 1, Raw: []byte("x")}); doc == nil || doc.Claims.Keep == 0 {
+	if doc := s.parsed(StoredConfig{Version: 1, Raw: []byte("x")}); doc == nil || doc.Claims.Keep == 0 {
 		t.Errorf("read %+v from a document", doc)
 	}
 }
--- a/internal/core/commit.go
+++ b/internal/core/commit.go
@@ -181,7 +181,7 @@
 		}
 	}
 	if p, ok := tx.over["layout"]; ok {
-		var sheet Sheet
+		var sheet StoredConfig
 		if _, err := sheet.UnmarshalMsg(p.Val); err == nil {
 			s.mu.Lock()
 			s.sheet = sheet
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -18,21 +18,21 @@
 // marks is how many write ids are remembered.
 const marks = 1000
 
-func (s *Server) giveLayout(in *Want) (*Sheet, error) {
+func (s *Server) giveLayout(in *ConfigRequest) (*StoredConfig, error) {
 	if err := s.prime(); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	sheet := s.sheet
 	s.mu.Unlock()
-	if in.Seq == 0 || in.Seq == sheet.Seq {
+	if in.Version == 0 || in.Version == sheet.Version {
 		return &sheet, nil
 	}
-	raw, ok := s.st.Load().Get(pastKey(in.Seq))
-	if !ok || in.Seq > sheet.Seq {
+	raw, ok := s.st.Load().Get(pastKey(in.Version))
+	if !ok || in.Version > sheet.Version {
 		return nil, wire.Fault{Code: "no-such-sequence"}
 	}
-	var old Sheet
+	var old StoredConfig
 	if _, err := old.UnmarshalMsg(raw); err != nil {
 		return nil, err
 	}
@@ -41,8 +41,8 @@
 
 func pastKey(seq uint64) string { return "past/" + strconv.FormatUint(seq, 10) }
 
-func (t *Tx) sheet() (Sheet, error) {
-	var s Sheet
+func (t *Tx) sheet() (StoredConfig, error) {
+	var s StoredConfig
 	raw, ok := t.Get("layout")
 	if !ok {
 		return s, nil
@@ -53,14 +53,14 @@
 
 // write checks and takes an operator's change. It is answered once both disks hold it and each
 // zone's first relays have it, or a short time for that has passed.
-func (s *Server) write(ctx context.Context, in *Write) (*Wrote, error) {
-	out := &Wrote{Code: 200}
+func (s *Server) write(ctx context.Context, in *WriteRequest) (*WriteResponse, error) {
+	out := &WriteResponse{Code: 200}
 	if len(in.Raw) > s.set.Codec.MaxBytes() {
-		return &Wrote{Code: 413}, nil
+		return &WriteResponse{Code: 413}, nil
 	}
 	sum := sha256.Sum256(in.Raw)
 	hash := hex.EncodeToString(sum[:])
-	var sheet Sheet
+	var sheet StoredConfig
 	err := s.Submit(ctx, func(tx *Tx) (err error) {
 		sheet, err = s.applyWrite(tx, in, hash, out)
 		return err
@@ -68,9 +68,9 @@
 	if err != nil {
 		return nil, err
 	}
-	if sheet.Seq > 0 {
-		s.ctx.Log.Info("Layout taken.", "sequence", sheet.Seq)
-		s.push(relay.ConfigRecord(sheet.Seq, sheet.Raw))
+	if sheet.Version > 0 {
+		s.ctx.Log.Info("Layout taken.", "sequence", sheet.Version)
+		s.push(relay.ConfigRecord(sheet.Version, sheet.Raw))
 		if !s.stands(s.vot.View()) {
 			return nil, wire.Fault{Code: InDoubt}
 		}
@@ -80,44 +80,44 @@
 
 // applyWrite checks one write against what stands and records it. out says what came of it; the sheet is the
 // new one, or empty where the write changes nothing.
-func (s *Server) applyWrite(tx *Tx, in *Write, hash string, out *Wrote) (Sheet, error) {
+func (s *Server) applyWrite(tx *Tx, in *WriteRequest, hash string, out *WriteResponse) (StoredConfig, error) {
 	cur, err := tx.sheet()
 	if err != nil {
-		return Sheet{}, err
+		return StoredConfig{}, err
 	}
 	if again, err := tx.isRepeated(in, hash, out); again || err != nil {
-		return Sheet{}, err
+		return StoredConfig{}, err
 	}
-	out.Seq = cur.Seq
-	if !in.Any && in.Match != cur.Seq {
+	out.Version = cur.Version
+	if !in.AnyVersion && in.BaseVersion != cur.Version {
 		out.Code = 412
 		if !strike.Out("race") {
-			return Sheet{}, nil
+			return StoredConfig{}, nil
 		}
 	}
 	raw := in.Raw
 	if in.Patch {
 		if raw, err = s.set.Codec.Merge(cur.Raw, in.Raw); err != nil {
-			out.Code, out.Flaws = 400, []Flaw{{Text: "valid JSON expected"}}
-			return Sheet{}, nil
+			out.Code, out.Errors = 400, []ConfigError{{Text: "valid JSON expected"}}
+			return StoredConfig{}, nil
 		}
 		if len(raw) > s.set.Codec.MaxBytes() {
 			out.Code = 413
-			return Sheet{}, nil
+			return StoredConfig{}, nil
 		}
 	}
 	next, numbered, flaws := s.check(cur, raw)
 	if len(flaws) > 0 {
-		out.Code, out.Flaws = 400, flaws
-		return Sheet{}, nil
+		out.Code, out.Errors = 400, flaws
+		return StoredConfig{}, nil
 	}
-	out.Seq = next.Seq
+	out.Version = next.Version
 	return next, tx.record(cur, next, numbered, in.Id, hash)
 }
 
 // isRepeated tells whether a write with this id was taken before. out is then what was answered, or says that
 // the id stands for another document.
-func (t *Tx) isRepeated(in *Write, hash string, out *Wrote) (bool, error) {
+func (t *Tx) isRepeated(in *WriteRequest, hash string, out *WriteResponse) (bool, error) {
 	if in.Id == "" {
 		return false, nil
 	}
@@ -125,47 +125,47 @@
 	if !ok {
 		return false, nil
 	}
-	var mark Mark
+	var mark WriteRecord
 	if _, err := mark.UnmarshalMsg(raw); err != nil {
 		return true, err
 	}
-	out.Seq, out.Again = mark.Seq, true
-	if mark.Sum != hash {
+	out.Version, out.Repeated = mark.Version, true
+	if mark.Hash != hash {
 		out.Code = 422
 	}
 	return true, nil
 }
 
 // check reads a new configuration and gives it its sequence. numbered: the document numbers itself.
-func (s *Server) check(cur Sheet, raw []byte) (next Sheet, numbered bool, flaws []Flaw) {
+func (s *Server) check(cur StoredConfig, raw []byte) (next StoredConfig, numbered bool, flaws []ConfigError) {
 	doc, flaws := s.set.Codec.Check(raw)
 	if len(flaws) > 0 {
-		return Sheet{}, false, flaws
+		return StoredConfig{}, false, flaws
 	}
-	if doc.Sequence == 0 {
-		return Sheet{Seq: cur.Seq + 1, Raw: raw}, false, nil
+	if doc.Version == 0 {
+		return StoredConfig{Version: cur.Version + 1, Raw: raw}, false, nil
 	}
-	if doc.Sequence <= cur.Seq {
-		text := fmt.Sprintf("a sequence above %d, the current one, is expected; the document has %d", cur.Seq, doc.Sequence)
-		return Sheet{}, true, []Flaw{{Path: "sequence", Text: text}}
+	if doc.Version <= cur.Version {
+		text := fmt.Sprintf("a sequence above %d, the current one, is expected; the document has %d", cur.Version, doc.Version)
+		return StoredConfig{}, true, []ConfigError{{Path: "sequence", Text: text}}
 	}
-	return Sheet{Seq: doc.Sequence, Raw: raw}, true, nil
+	return StoredConfig{Version: doc.Version, Raw: raw}, true, nil
 }
 
 // record puts the new sheet, a copy for reading back and the write's id.
-func (t *Tx) record(cur, sheet Sheet, numbered bool, id, hash string) error {
-	h, known, err := t.history(cur.Seq)
+func (t *Tx) record(cur, sheet StoredConfig, numbered bool, id, hash string) error {
+	h, known, err := t.history(cur.Version)
 	if err != nil {
 		return err
 	}
-	h.Count++
+	h.Writes++
 	if err := t.Put("layout", &sheet); err != nil {
 		return err
 	}
 	if err := t.keepPast(&h, &sheet, numbered); err != nil {
 		return err
 	}
-	if err := t.keepMark(h.Count, id, Mark{sheet.Seq, hash}); err != nil {
+	if err := t.keepMark(h.Writes, id, WriteRecord{sheet.Version, hash}); err != nil {
 		return err
 	}
 	if known || numbered {
@@ -175,17 +175,17 @@
 }
 
 // parsed keeps the last document read, since shares ask for it often. Only the run loop calls it.
-func (s *Server) parsed(sheet Sheet) *Document {
-	if sheet.Seq == 0 {
+func (s *Server) parsed(sheet StoredConfig) *Document {
+	if sheet.Version == 0 {
 		return nil // none was put yet
 	}
-	if s.doc == nil || s.docSeq != sheet.Seq {
+	if s.doc == nil || s.docSeq != sheet.Version {
 		doc, flaws := s.set.Codec.Check(sheet.Raw)
 		if len(flaws) > 0 {
 			return nil
 		}
 		doc.Claims = doc.Claims.withDefaults()
-		s.doc, s.docSeq = &doc, sheet.Seq
+		s.doc, s.docSeq = &doc, sheet.Version
 	}
 	return s.doc
 }
--- a/internal/core/handlers.go
+++ b/internal/core/handlers.go
@@ -33,11 +33,11 @@
 	case "view.pick":
 		return wire.On(body, s.vot.Accept)
 	case "view.learn":
-		return wire.On(body, func(in *view.LearnRequest) (*Done, error) { return &Done{}, s.vot.Learn(in.View) })
+		return wire.On(body, func(in *view.LearnRequest) (*Empty, error) { return &Empty{}, s.vot.Learn(in.View) })
 	case "view.renew":
 		return wire.On(body, s.vot.Renew)
 	case "view.release":
-		return wire.On(body, func(in *view.ReleaseRequest) (*Done, error) { s.vot.Release(in); return &Done{}, nil })
+		return wire.On(body, func(in *view.ReleaseRequest) (*Empty, error) { s.vot.Release(in); return &Empty{}, nil })
 	}
 	return nil, wire.Fault{Code: "unknown-kind"}
 }
@@ -51,29 +51,29 @@
 	case "core.copy":
 		return wire.On(body, s.copy)
 	case "core.join":
-		return wire.On(body, func(in *Join) (*Done, error) { return s.takeJoin(ctx, in) })
+		return wire.On(body, func(in *JoinRequest) (*Empty, error) { return s.takeJoin(ctx, in) })
 	case "core.beat":
-		return wire.On(body, func(in *Beat) (*Told, error) { return s.takeBeat(ctx, in) })
+		return wire.On(body, func(in *HeartbeatRequest) (*HeartbeatResponse, error) { return s.takeBeat(ctx, in) })
 	case "core.runner":
-		return wire.On(body, func(in *RunnerBeat) (*Done, error) { return s.takeRunner(ctx, in) })
+		return wire.On(body, func(in *RunnerHeartbeat) (*Empty, error) { return s.takeRunner(ctx, in) })
 	case "core.layout":
 		return wire.On(body, s.giveLayout)
 	case "core.write":
-		return wire.On(body, func(in *Write) (*Wrote, error) { return s.write(ctx, in) })
+		return wire.On(body, func(in *WriteRequest) (*WriteResponse, error) { return s.write(ctx, in) })
 	case "core.take":
-		return wire.On(body, func(in *Take) (*Took, error) { return s.take(ctx, in) })
+		return wire.On(body, func(in *ClaimRequest) (*ClaimResponse, error) { return s.take(ctx, in) })
 	case "core.settle":
-		return wire.On(body, func(in *Settle) (*Done, error) { return s.settle(ctx, in) })
+		return wire.On(body, func(in *SettleRequest) (*Empty, error) { return s.settle(ctx, in) })
 	case "core.move":
-		return wire.On(body, func(in *Move) (*Moved, error) { return s.move(ctx, in) })
+		return wire.On(body, func(in *QuotaMove) (*QuotaMoveResult, error) { return s.move(ctx, in) })
 	case "core.moves":
-		return wire.On(body, func(in *Moves) (*MovedAll, error) { return s.moveAll(ctx, in) })
+		return wire.On(body, func(in *QuotaMovesRequest) (*QuotaMovesResponse, error) { return s.moveAll(ctx, in) })
 	case "core.sessions":
-		return wire.On(body, func(*Want) (*Sessions, error) { return s.giveSessions() })
+		return wire.On(body, func(*ConfigRequest) (*SessionDirectory, error) { return s.giveSessions() })
 	case "core.sessions.keep":
-		return wire.On(body, func(in *Sessions) (*Done, error) { return s.keepSessions(ctx, in) })
+		return wire.On(body, func(in *SessionDirectory) (*Empty, error) { return s.keepSessions(ctx, in) })
 	case "core.peek":
-		return wire.On(body, func(*Peek) (*State, error) { return s.Peek(), nil })
+		return wire.On(body, func(*StateRequest) (*State, error) { return s.State(), nil })
 	}
 	return nil, wire.Fault{Code: "unknown-kind"}
 }
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -48,8 +48,8 @@
 			h.runners[tally.ID] = known
 		}
 		known.fade(now)
-		known.tries += float64(max(tally.Tries, tally.Fails))
-		known.fails += float64(tally.Fails)
+		known.tries += float64(max(tally.Attempts, tally.Failures))
+		known.fails += float64(tally.Failures)
 	}
 }
 
--- a/internal/core/health_test.go
+++ b/internal/core/health_test.go
@@ -9,8 +9,8 @@
 func TestFailingRunners(t *testing.T) {
 	var health runnerHealth
 	now := time.Now()
-	health.note([]RunnerTally{{ID: "well", Tries: 20, Fails: 1}, {ID: "ill", Tries: 1, Fails: 1}, {ID: "half", Tries: 1, Fails: 1}}, now)
-	health.note([]RunnerTally{{ID: "ill", Tries: 1, Fails: 1}, {ID: "half", Tries: 1}}, now.Add(100*time.Millisecond))
+	health.note([]RunnerTally{{ID: "well", Attempts: 20, Failures: 1}, {ID: "ill", Attempts: 1, Failures: 1}, {ID: "half", Attempts: 1, Failures: 1}}, now)
+	health.note([]RunnerTally{{ID: "ill", Attempts: 1, Failures: 1}, {ID: "half", Attempts: 1}}, now.Add(100*time.Millisecond))
 	failing := health.failing(now.Add(200 * time.Millisecond))
 	if len(failing) != 1 || failing[0].ID != "ill" || failing[0].Share < 0.99 {
 		t.Errorf("failing: %+v, ill alone expected", failing)
@@ -29,7 +29,7 @@
 	var health runnerHealth
 	now := time.Now()
 	for range 74 {
-		health.note([]RunnerTally{{ID: "a", Tries: 10, Fails: 1}}, now)
+		health.note([]RunnerTally{{ID: "a", Attempts: 10, Failures: 1}}, now)
 	}
 	if failing := health.failing(now); len(failing) != 0 {
 		t.Errorf("failing: %+v, none expected", failing)
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -19,22 +19,22 @@
 	s.mu.Lock()
 	known := s.nodes[n.Name]
 	s.mu.Unlock()
-	if known == nil || known.node.Addr != n.Addr || known.node.Born == n.Born {
+	if known == nil || known.node.Addr != n.Addr || known.node.Run == n.Run {
 		return false
 	}
 	ctx, end := context.WithTimeout(ctx, runWait)
 	defer end()
 	var there Node
-	err := s.call(ctx, n.Addr, "node.run", &Done{}, &there)
-	return err == nil && there.Born != n.Born
+	err := s.call(ctx, n.Addr, "node.run", &Empty{}, &there)
+	return err == nil && there.Run != n.Run
 }
 
-func (s *Server) takeBeat(ctx context.Context, in *Beat) (*Told, error) {
+func (s *Server) takeBeat(ctx context.Context, in *HeartbeatRequest) (*HeartbeatResponse, error) {
 	if err := s.prime(); err != nil {
 		return nil, err
 	}
 	n := in.Node
-	if !in.Leave && s.isEndedRun(ctx, n) {
+	if !in.Leaving && s.isEndedRun(ctx, n) {
 		return nil, wire.Fault{Code: RunEnded}
 	}
 	s.mu.Lock()
@@ -43,10 +43,10 @@
 		s.mu.Unlock()
 		return nil, wire.Fault{Code: NameTaken} // a router that moved gets its name once the lease is over
 	}
-	newRun := old == nil || old.node.Born != n.Born
+	newRun := old == nil || old.node.Run != n.Run
 	switch {
-	case in.Leave:
-		if old != nil && old.node.Born == n.Born {
+	case in.Leaving:
+		if old != nil && old.node.Run == n.Run {
 			delete(s.nodes, n.Name)
 			s.roll++
 		}
@@ -58,14 +58,14 @@
 	default:
 		old.at = time.Now()
 	}
-	if !in.Leave {
+	if !in.Leaving {
 		defer s.remember(n)
 	}
-	if newRun && !in.Leave {
+	if newRun && !in.Leaving {
 		defer s.replaceHolder(n, time.Duration(in.AgeMs)*time.Millisecond)
 	}
 	s.prune()
-	out := &Told{Seq: s.sheet.Seq, Roll: s.roll}
+	out := &HeartbeatResponse{ConfigVersion: s.sheet.Version, NodesVersion: s.roll}
 	if v := s.vot.View(); v.Epoch != in.ViewEpoch {
 		out.View = v
 	}
@@ -73,9 +73,9 @@
 	s.runners.Tell(in, out, time.Now())
 	s.health.note(in.Tallies, time.Now())
 	out.Failing = s.health.failing(time.Now())
-	out.Short = s.shortTenants()
+	out.ScarceTenants = s.shortTenants()
 	s.mu.Unlock()
-	if in.Leave {
+	if in.Leaving {
 		if err := s.retire(ctx, Holder(n)); err != nil {
 			return nil, err
 		}
@@ -85,19 +85,19 @@
 
 // tellNodes names the live nodes where they have changed. A primary that has just begun does not know all of them
 // yet, so it names none and tells how many there were. The caller holds the lock.
-func (s *Server) tellNodes(in *Beat, out *Told) {
+func (s *Server) tellNodes(in *HeartbeatRequest, out *HeartbeatResponse) {
 	switch {
 	case time.Since(s.since) <= nodeTerm:
 		out.RoutersBefore = s.routersBefore
-	case in.Roll != s.roll:
-		out.Whole = true
+	case in.NodesVersion != s.roll:
+		out.NodesChanged = true
 		out.Nodes = s.live()
 	}
 }
 
 // alike tells whether two words of a node say the same to its peers.
 func alike(a, b Node) bool {
-	a.Seq, b.Seq = 0, 0
+	a.ConfigVersion, b.ConfigVersion = 0, 0
 	return a == b
 }
 
@@ -125,5 +125,5 @@
 //
 //	who := core.Holder(node)
 func Holder(n Node) string {
-	return n.Name + "@" + n.Addr + "/" + strconv.FormatUint(n.Born, 16)
+	return n.Name + "@" + n.Addr + "/" + strconv.FormatUint(n.Run, 16)
 }
--- a/internal/core/history.go
+++ b/internal/core/history.go
@@ -14,47 +14,47 @@
 
 // history reads what is kept of earlier writes. known is false where the core has counted all along, and
 // a write's count is its sequence.
-func (t *Tx) history(current uint64) (h History, known bool, err error) {
+func (t *Tx) history(current uint64) (h WriteHistory, known bool, err error) {
 	raw, known := t.Get(historyKey)
 	if known {
 		_, err = h.UnmarshalMsg(raw)
 		return h, known, err
 	}
-	h.Count = current
+	h.Writes = current
 	for sequence := current - min(current, past-1); sequence <= current; sequence++ {
 		if sequence > 0 {
-			h.Past = append(h.Past, sequence)
+			h.KeptVersions = append(h.KeptVersions, sequence)
 		}
 	}
 	return h, false, nil
 }
 
 // keepPast keeps a copy of the new sheet for reading back, and drops the oldest copies beyond the bound.
-func (t *Tx) keepPast(h *History, sheet *Sheet, numbered bool) error {
+func (t *Tx) keepPast(h *WriteHistory, sheet *StoredConfig, numbered bool) error {
 	if len(sheet.Raw) <= pastNone {
-		if err := t.Put(pastKey(sheet.Seq), sheet); err != nil {
+		if err := t.Put(pastKey(sheet.Version), sheet); err != nil {
 			return err
 		}
-		h.Past = append(h.Past, sheet.Seq)
+		h.KeptVersions = append(h.KeptVersions, sheet.Version)
 	}
 	most := past
 	if numbered && len(sheet.Raw) > pastLarge {
 		most = pastFew
 	}
-	for len(h.Past) > most {
-		t.Drop(pastKey(h.Past[0]))
-		h.Past = h.Past[1:]
+	for len(h.KeptVersions) > most {
+		t.Drop(pastKey(h.KeptVersions[0]))
+		h.KeptVersions = h.KeptVersions[1:]
 	}
 	return nil
 }
 
 // keepMark remembers the id of the write with this count, and forgets the id of one long ago.
-func (t *Tx) keepMark(count uint64, id string, mark Mark) error {
+func (t *Tx) keepMark(count uint64, id string, mark WriteRecord) error {
 	if id != "" {
 		if err := t.Put("mark/"+id, &mark); err != nil {
 			return err
 		}
-		if err := t.Put("marked/"+strconv.FormatUint(count, 10), &Claim{Id: id}); err != nil {
+		if err := t.Put("marked/"+strconv.FormatUint(count, 10), &Claim{Claimant: id}); err != nil {
 			return err
 		}
 	}
@@ -65,7 +65,7 @@
 	if raw, ok := t.Get(key); ok {
 		var c Claim
 		if _, err := c.UnmarshalMsg(raw); err == nil {
-			t.Drop("mark/" + c.Id)
+			t.Drop("mark/" + c.Claimant)
 		}
 		t.Drop(key)
 	}
--- a/internal/core/hold.go
+++ b/internal/core/hold.go
@@ -26,10 +26,10 @@
 	return nil
 }
 
-func (s *Server) hold(in *Hold) (*Held, error) {
+func (s *Server) hold(in *ReplicateRequest) (*ReplicateResponse, error) {
 	s.keep.Lock()
 	defer s.keep.Unlock()
-	if err := s.backs(in.View, in.From, true); err != nil {
+	if err := s.backs(in.View, in.Primary, true); err != nil {
 		return nil, err
 	}
 	st := s.st.Load()
@@ -47,23 +47,23 @@
 			s.trouble(err)
 		}
 	}()
-	return &Held{Id: s.vot.Id()}, nil
+	return &ReplicateResponse{Id: s.vot.Id()}, nil
 }
 
-func (s *Server) copy(in *Copy) (*Held, error) {
+func (s *Server) copy(in *SnapshotRequest) (*ReplicateResponse, error) {
 	s.keep.Lock()
 	defer s.keep.Unlock()
-	if err := s.backs(in.View, in.From, false); err != nil {
+	if err := s.backs(in.View, in.Primary, false); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	c := s.copied
 	if in.Part == 0 {
-		c = &copying{epoch: in.View.Epoch, turn: in.Turn}
+		c = &copying{epoch: in.View.Epoch, turn: in.Snapshot}
 		s.copied = c
 	}
 	s.mu.Unlock()
-	if c == nil || c.epoch != in.View.Epoch || c.turn != in.Turn || c.part != in.Part {
+	if c == nil || c.epoch != in.View.Epoch || c.turn != in.Snapshot || c.part != in.Part {
 		return nil, wire.Fault{Code: "copy-out-of-step"}
 	}
 	c.part++
@@ -72,10 +72,10 @@
 		s.mu.Lock()
 		s.copied = nil
 		s.mu.Unlock()
-		if err := s.st.Load().Add(store.Batch{Seq: in.Seq, Base: true, Puts: c.puts}); err != nil {
+		if err := s.st.Load().Add(store.Batch{Seq: in.Version, Base: true, Puts: c.puts}); err != nil {
 			s.trouble(err)
 			return nil, wire.Fault{Code: DiskBad}
 		}
 	}
-	return &Held{Id: s.vot.Id()}, nil
+	return &ReplicateResponse{Id: s.vot.Id()}, nil
 }
--- a/internal/core/layoutcodec.go
+++ b/internal/core/layoutcodec.go
@@ -8,16 +8,16 @@
 
 const defaultRanMost = fleetconfig.RanMost
 
-// layoutCodec reads layouts. A layout does not number itself: the core counts.
-type layoutCodec struct{}
+// fleetConfigCodec reads layouts. A layout does not number itself: the core counts.
+type fleetConfigCodec struct{}
 
 // Check reads a whole layout.
-func (layoutCodec) Check(raw []byte) (Document, []Flaw) {
+func (fleetConfigCodec) Check(raw []byte) (Document, []ConfigError) {
 	lay, troubles := fleetconfig.Parse(raw)
 	if len(troubles) > 0 {
-		flaws := make([]Flaw, len(troubles))
+		flaws := make([]ConfigError, len(troubles))
 		for i, trouble := range troubles {
-			flaws[i] = Flaw{Path: trouble.Path, Text: trouble.Text}
+			flaws[i] = ConfigError{Path: trouble.Path, Text: trouble.Text}
 		}
 		return Document{}, flaws
 	}
@@ -34,9 +34,9 @@
 }
 
 // Merge applies a JSON merge patch.
-func (layoutCodec) Merge(current, change []byte) ([]byte, error) {
+func (fleetConfigCodec) Merge(current, change []byte) ([]byte, error) {
 	return fleetconfig.Merge(current, change)
 }
 
 // MaxBytes is the size of the largest layout.
-func (layoutCodec) MaxBytes() int { return fleetconfig.MaxBytes }
+func (fleetConfigCodec) MaxBytes() int { return fleetconfig.MaxBytes }
--- a/internal/core/leaserenewal.go
+++ b/internal/core/leaserenewal.go
@@ -19,16 +19,16 @@
 	s.mu.Lock()
 	lead := v.Primary == s.vot.Id() && s.epoch == v.Epoch && !s.sick && v.Epoch > 0
 	ls := s.ls
-	heard := time.Since(s.began) < s.set.Term/2 || ls.Hears(v.IsMajority, s.set.Term/2)
+	heard := time.Since(s.began) < s.set.LeaseTerm/2 || ls.Hears(v.IsMajority, s.set.LeaseTerm/2)
 	if !heard || ls.Stands(v.IsMajority) {
 		s.stood = time.Now()
-	} else if time.Since(s.stood) > 2*s.set.Term && time.Since(s.began) > 2*s.set.Term {
+	} else if time.Since(s.stood) > 2*s.set.LeaseTerm && time.Since(s.began) > 2*s.set.LeaseTerm {
 		// A majority answers, but too few follow us. They must not be kept from following another,
 		// so we ask for nothing for a while, then try again.
-		if s.rest.Before(s.stood) || time.Since(s.rest) > 4*s.set.Term {
+		if s.rest.Before(s.stood) || time.Since(s.rest) > 4*s.set.LeaseTerm {
 			s.rest = time.Now()
 		}
-		lead = lead && time.Since(s.rest) > 2*s.set.Term+rand.N(s.set.Term)
+		lead = lead && time.Since(s.rest) > 2*s.set.LeaseTerm+rand.N(s.set.LeaseTerm)
 	}
 	s.asks++
 	in := view.RenewRequest{View: v, PrimaryRun: s.run, Round: s.asks}
@@ -47,7 +47,7 @@
 
 // renewAt asks one voter for the lease.
 func (s *Server) renewAt(in view.RenewRequest, m view.Member, ls *lease.Lease) {
-	ctx, end := context.WithTimeout(s.ctx, s.set.Term/2)
+	ctx, end := context.WithTimeout(s.ctx, s.set.LeaseTerm/2)
 	defer end()
 	var g view.RenewResponse
 	asked := time.Now()
@@ -73,7 +73,7 @@
 
 // probe asks one voter for a sign of life.
 func (s *Server) probe(m view.Member, ls *lease.Lease) {
-	ctx, end := context.WithTimeout(s.ctx, s.set.Term/2)
+	ctx, end := context.WithTimeout(s.ctx, s.set.LeaseTerm/2)
 	defer end()
 	var told view.StatusResponse
 	if s.call(ctx, m.Addr, "view.ask", &view.StatusRequest{}, &told) == nil && told.Id == m.Id {
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -21,7 +21,7 @@
 )
 
 // founders are the addresses that found the fleet, without doubles, the lowest first.
-func (s Set) founders() []string {
+func (s Settings) founders() []string {
 	all := slices.Clone(s.Founders)
 	if len(all) == 0 && s.Bootstrap {
 		all = slices.Clone(s.Seeds)
@@ -78,7 +78,7 @@
 		return
 	}
 	ctx, end := context.WithTimeout(s.ctx, step)
-	err := s.call(ctx, v.Addr(v.Primary), "core.join", &Join{Who: view.Member{Id: s.vot.Id(), Addr: s.set.Addr, Zone: s.ctx.Zone}}, nil)
+	err := s.call(ctx, v.Addr(v.Primary), "core.join", &JoinRequest{Member: view.Member{Id: s.vot.Id(), Addr: s.set.Addr, Zone: s.ctx.Zone}}, nil)
 	end()
 	if err == nil {
 		s.pause(joinPause)
@@ -93,13 +93,13 @@
 // been dropped while we were cut off.
 func (s *Server) lookAround(v view.View) {
 	if s.vot.Leased() {
-		s.look = time.Now().Add(2 * s.set.Term)
+		s.look = time.Now().Add(2 * s.set.LeaseTerm)
 		return
 	}
 	if time.Now().Before(s.look) {
 		return
 	}
-	s.look = time.Now().Add(s.set.Term/2 + rand.N(s.set.Term))
+	s.look = time.Now().Add(s.set.LeaseTerm/2 + rand.N(s.set.LeaseTerm))
 	s.askAround(v)
 }
 
@@ -115,29 +115,29 @@
 
 // takeJoin notes a process that wants to become a member, once it has answered at its address: a
 // wish that was long under way may be that of a process that is gone.
-func (s *Server) takeJoin(ctx context.Context, in *Join) (*Done, error) {
+func (s *Server) takeJoin(ctx context.Context, in *JoinRequest) (*Empty, error) {
 	if v := s.vot.View(); v.Primary != s.vot.Id() {
 		return nil, wire.Fault{Code: NotPrimary}
 	}
-	if in.Who.Addr == s.set.Addr {
+	if in.Member.Addr == s.set.Addr {
 		return nil, wire.Fault{Code: "own-address"}
 	}
 	ctx, end := context.WithTimeout(ctx, step)
 	defer end()
 	var told view.StatusResponse
-	if s.call(ctx, in.Who.Addr, "view.ask", &view.StatusRequest{}, &told) != nil || told.Id != in.Who.Id {
+	if s.call(ctx, in.Member.Addr, "view.ask", &view.StatusRequest{}, &told) != nil || told.Id != in.Member.Id {
 		return nil, wire.Fault{Code: "not-reached"}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	sp, ok := s.spare[in.Who.Id]
+	sp, ok := s.spare[in.Member.Id]
 	if !ok || now.Sub(sp.at) > spareFor {
 		sp.first = now
 	}
-	sp.who, sp.at = in.Who, now
-	s.spare[in.Who.Id] = sp
-	return &Done{}, nil
+	sp.who, sp.at = in.Member, now
+	s.spare[in.Member.Id] = sp
+	return &Empty{}, nil
 }
 
 // newcomer is the process that is to become a member next, or nil. One that took the place of a
@@ -181,7 +181,7 @@
 		case me:
 			return 0
 		case s.deposed:
-			return ls.Gone(id, began.Add(-s.set.Term)) // its lease had run out when we took over
+			return ls.Gone(id, began.Add(-s.set.LeaseTerm)) // its lease had run out when we took over
 		}
 		return ls.Gone(id, began)
 	}
@@ -235,7 +235,7 @@
 func (s *Server) longestLost(v view.View, silence func(string) time.Duration) string {
 	lost := ""
 	for _, m := range v.Members {
-		if quiet := silence(m.Id); quiet > s.set.Lost && (lost == "" || quiet > silence(lost)) {
+		if quiet := silence(m.Id); quiet > s.set.LostAfter && (lost == "" || quiet > silence(lost)) {
 			lost = m.Id
 		}
 	}
--- a/internal/core/msgs.go
+++ b/internal/core/msgs.go
@@ -11,51 +11,51 @@
 // A length read from the wire is believed up to this only.
 //msgp:limit arrays:10000000 maps:200000
 
-// Hold asks the backup to keep a batch.
-type Hold struct {
-	View  view.View   `msg:"v"`
-	From  string      `msg:"f"`
-	Batch store.Batch `msg:"b"`
-}
-
-// Copy carries a part of the whole state to a backup that is to be.
-type Copy struct {
-	View view.View   `msg:"v"`
-	From string      `msg:"f"`
-	Turn uint64      `msg:"t"`
-	Part int         `msg:"p"`
-	Last bool        `msg:"l"`
-	Seq  uint64      `msg:"s"`
-	Puts []store.Put `msg:"b"`
-}
-
-// Held answers Hold and Copy with the voter's identity.
-type Held struct {
+// ReplicateRequest asks a backup to store a batch.
+type ReplicateRequest struct {
+	View    view.View   `msg:"v"`
+	Primary string      `msg:"f"`
+	Batch   store.Batch `msg:"b"`
+}
+
+// SnapshotRequest carries a part of the whole state to a backup that is to be.
+type SnapshotRequest struct {
+	View     view.View   `msg:"v"`
+	Primary  string      `msg:"f"`
+	Snapshot uint64      `msg:"t"`
+	Part     int         `msg:"p"`
+	Last     bool        `msg:"l"`
+	Version  uint64      `msg:"s"`
+	Puts     []store.Put `msg:"b"`
+}
+
+// ReplicateResponse answers ReplicateRequest and SnapshotRequest with the backup's identity.
+type ReplicateResponse struct {
 	Id string `msg:"i"`
 }
 
-// Join is a process without a seat asking for one.
-type Join struct {
-	Who view.Member `msg:"w"`
+// JoinRequest is a process that is no member asking to become one.
+type JoinRequest struct {
+	Member view.Member `msg:"w"`
 }
 
 // Node is a router as the core and its peers know it.
 type Node struct {
-	Name  string `msg:"n" json:"name"`
-	Zone  string `msg:"h" json:"hall"`
-	Addr  string `msg:"a" json:"addr"`
-	Face  string `msg:"f" json:"origin"` // where origins reach it
-	Born  uint64 `msg:"b" json:"born"`
-	Seq   uint64 `msg:"s" json:"sequence"`
-	Ready bool   `msg:"r" json:"ready"`
-}
-
-// Beat renews a node's lease.
-type Beat struct {
-	Node  Node   `msg:"n"`
-	Roll  uint64 `msg:"r"` // the roll of nodes it has
-	AgeMs int    `msg:"g"` // since this run of the node's process began
-	Leave bool   `msg:"l"` // it stops now: no lease, and its unspent units are free after a window
+	Name          string `msg:"n" json:"name"`
+	Zone          string `msg:"h" json:"hall"`
+	Addr          string `msg:"a" json:"addr"`
+	ClientAddr    string `msg:"f" json:"origin"` // where clients reach it
+	Run           uint64 `msg:"b" json:"born"`   // of its process; a restart has another, drawn at random
+	ConfigVersion uint64 `msg:"s" json:"sequence"`
+	Ready         bool   `msg:"r" json:"ready"`
+}
+
+// HeartbeatRequest renews a node's lease.
+type HeartbeatRequest struct {
+	Node         Node   `msg:"n"`
+	NodesVersion uint64 `msg:"r"` // of the list of nodes that it has
+	AgeMs        int    `msg:"g"` // since this run of the node's process began
+	Leaving      bool   `msg:"l"` // it stops now: no lease, and its unspent units are free after a window
 
 	RunnersWanted  bool   `msg:"w"` // it keeps a copy of the registry of runners
 	RunnersEpoch   uint64 `msg:"e"` // what it has of it; zeros: nothing
@@ -64,14 +64,14 @@
 
 	ViewEpoch uint64 `msg:"ve"` // of the view it knows, so that the same need not be sent
 
-	Tallies []RunnerTally `msg:"t"` // of the runners used since the last beat
+	Tallies []RunnerTally `msg:"t"` // of the runners used since the last heartbeat
 }
 
 // RunnerTally counts how attempts at a runner ended.
 type RunnerTally struct {
-	ID    string `msg:"i"`
-	Tries int    `msg:"t"`
-	Fails int    `msg:"f"`
+	ID       string `msg:"i"`
+	Attempts int    `msg:"t"`
+	Failures int    `msg:"f"`
 }
 
 // FailingRunner is a runner that lately failed a large share of the attempts of all routers.
@@ -80,14 +80,14 @@
 	Share float64 `msg:"s"` // from 0 to 1
 }
 
-// Told answers a Beat.
-type Told struct {
-	View  view.View `msg:"v"` // epoch 0 where the node knows it
-	Seq   uint64    `msg:"s"` // newest layout
-	Roll  uint64    `msg:"r"`
-	Nodes []Node    `msg:"n"` // all live nodes, where the roll changed
-	Whole bool      `msg:"w"` // Nodes is set
-	Short []string  `msg:"h"` // tenants whose units are wanted back where idle
+// HeartbeatResponse answers a HeartbeatRequest.
+type HeartbeatResponse struct {
+	View          view.View `msg:"v"` // epoch 0 where the node knows it
+	ConfigVersion uint64    `msg:"s"` // of the newest configuration
+	NodesVersion  uint64    `msg:"r"`
+	Nodes         []Node    `msg:"n"` // all live nodes, where the list has changed
+	NodesChanged  bool      `msg:"w"` // Nodes is set
+	ScarceTenants []string  `msg:"h"` // tenants whose units are wanted back where idle
 
 	// RoutersBefore is how many routers there were before this primary began, as the disk has it, while it does
 	// not know yet which of them live; 0 once it names them, and where there were none.
@@ -100,103 +100,103 @@
 	Failing        []FailingRunner  `msg:"rf"` // all that fail now
 }
 
-// RunnerBeat is a runner's heartbeat.
-type RunnerBeat struct {
+// RunnerHeartbeat is a runner's heartbeat.
+type RunnerHeartbeat struct {
 	Runner routing.Runner `msg:"r"`
 }
 
-// Want asks for the layout: the newest, or an older one by sequence.
-type Want struct {
-	Seq uint64 `msg:"s"`
+// ConfigRequest asks for the configuration: the newest, or an older one by version.
+type ConfigRequest struct {
+	Version uint64 `msg:"s"`
 }
 
-// Sheet is a layout as stored.
-type Sheet struct {
-	Seq uint64 `msg:"s"`
-	Raw []byte `msg:"r"`
+// StoredConfig is a configuration as the core stores it.
+type StoredConfig struct {
+	Version uint64 `msg:"s"`
+	Raw     []byte `msg:"r"`
 }
 
-// Sessions is the routers' session directory as they keep it at the core, in their own form.
-type Sessions struct {
+// SessionDirectory is the routers' session directory as they keep it at the core, in their own form.
+type SessionDirectory struct {
 	Batch []byte `msg:"b"`
 }
 
-// Write is an operator's change.
-type Write struct {
-	Id    string `msg:"i"` // the operator's write id, may be empty
-	Match uint64 `msg:"m"` // the sequence it was made against; Any for none
-	Any   bool   `msg:"a"`
-	Patch bool   `msg:"p"`
-	Raw   []byte `msg:"r"`
+// WriteRequest is an operator's change.
+type WriteRequest struct {
+	Id          string `msg:"i"` // the operator's write id, may be empty
+	BaseVersion uint64 `msg:"m"` // the version it was made against; ignored with AnyVersion
+	AnyVersion  bool   `msg:"a"`
+	Patch       bool   `msg:"p"`
+	Raw         []byte `msg:"r"`
 }
 
-// Flaw is one trouble in a layout.
-type Flaw struct {
+// ConfigError is one error in a configuration document.
+type ConfigError struct {
 	Path string `msg:"p" json:"path"`
 	Text string `msg:"t" json:"text"`
 }
 
-// Wrote answers a Write: Code is the HTTP status.
-type Wrote struct {
-	Code  int    `msg:"c"`
-	Seq   uint64 `msg:"s"`
-	Flaws []Flaw `msg:"f"`
-	Again bool   `msg:"a"` // the write id was known: applied before
+// WriteResponse answers a WriteRequest: Code is the HTTP status.
+type WriteResponse struct {
+	Code     int           `msg:"c"`
+	Version  uint64        `msg:"s"`
+	Errors   []ConfigError `msg:"f"`
+	Repeated bool          `msg:"a"` // the write id was known: applied before
 }
 
-// Mark remembers a write id.
-type Mark struct {
-	Seq uint64 `msg:"s"`
-	Sum string `msg:"h"`
+// WriteRecord remembers what was written under a write id.
+type WriteRecord struct {
+	Version uint64 `msg:"s"`
+	Hash    string `msg:"h"`
 }
 
-// History counts the writes of documents that number themselves, and names the older ones still kept.
-type History struct {
-	Count uint64   `msg:"c"`
-	Past  []uint64 `msg:"p"`
+// WriteHistory counts the writes of documents that number themselves, and names the older ones still kept.
+type WriteHistory struct {
+	Writes       uint64   `msg:"c"`
+	KeptVersions []uint64 `msg:"p"`
 }
 
 // Claim is the durable record of a once-only key.
 type Claim struct {
-	Sum    string `msg:"h"` // hash of what was asked
-	Id     string `msg:"i"` // who claimed it, and which try
-	Node   string `msg:"n"`
-	Born   uint64 `msg:"b"`
-	State  int    `msg:"s"`
-	Status int    `msg:"c"`
-	Kind   string `msg:"k"` // content type
-	Answer []byte `msg:"a"`
-	Kept   bool   `msg:"w"` // Answer is the whole answer
-}
-
-// Take asks for a claim.
-type Take struct {
+	RequestHash string `msg:"h"` // hash of what was asked
+	Claimant    string `msg:"i"` // who claimed it, and in which attempt
+	Node        string `msg:"n"`
+	NodeRun     uint64 `msg:"b"`
+	State       int    `msg:"s"`
+	Status      int    `msg:"c"`
+	ContentType string `msg:"k"`
+	Response    []byte `msg:"a"`
+	HasResponse bool   `msg:"w"` // Response is the whole response
+}
+
+// ClaimRequest asks for a claim.
+type ClaimRequest struct {
 	Key   string `msg:"k"`
 	Claim Claim  `msg:"c"`
 }
 
-// Took answers Take.
-type Took struct {
-	Got   bool  `msg:"g"`
-	Clash bool  `msg:"x"` // same key, another body
-	Live  bool  `msg:"l"` // still running at a live node
-	Ran   bool  `msg:"r"` // it ran; no more is known of it by now
-	Full  bool  `msg:"f"` // no more keys can be kept for now
-	Claim Claim `msg:"c"` // what stands
+// ClaimResponse answers ClaimRequest.
+type ClaimResponse struct {
+	Granted    bool  `msg:"g"`
+	Conflict   bool  `msg:"x"` // same key, another body
+	Running    bool  `msg:"l"` // still running at a live node
+	AlreadyRan bool  `msg:"r"` // it ran; no more is known of it by now
+	Full       bool  `msg:"f"` // no more keys can be kept for now
+	Claim      Claim `msg:"c"` // the claim in force
 }
 
-// Settle ends a claim.
-type Settle struct {
-	Key   string `msg:"k"`
-	Free  bool   `msg:"f"` // surely not run: the key may be claimed anew
-	Claim Claim  `msg:"c"`
+// SettleRequest ends a claim.
+type SettleRequest struct {
+	Key     string `msg:"k"`
+	Release bool   `msg:"f"` // surely not run: the key may be claimed anew
+	Claim   Claim  `msg:"c"`
 }
 
-// Done answers where there is nothing to say.
-type Done struct{}
+// Empty is the response where there is nothing to say.
+type Empty struct{}
 
-// Move draws or gives units of a tenant's quota.
-type Move struct {
+// QuotaMove draws or gives units of a tenant's quota.
+type QuotaMove struct {
 	Tenant string `msg:"t"`
 	Holder string `msg:"n"`
 	Turn   uint64 `msg:"k"`
@@ -204,29 +204,29 @@
 	Give   bool   `msg:"g"`
 }
 
-// Moved says what the holder has now.
-type Moved struct {
-	Have  int `msg:"h"`
-	Under int `msg:"u"` // what all have, or the quota if larger
+// QuotaMoveResult says what the holder has now.
+type QuotaMoveResult struct {
+	Held    int `msg:"h"`
+	Ceiling int `msg:"u"` // what all have, or the quota if larger
 }
 
-// Moves are draws and gives of one holder, of as many tenants as it has moves to make: one call and one
+// QuotaMovesRequest are draws and gives of one holder, of as many tenants as it has moves to make: one call and one
 // write carry them all.
-type Moves struct {
-	Holder string `msg:"n"`
-	List   []Move `msg:"l"` // their Holder is empty
+type QuotaMovesRequest struct {
+	Holder string      `msg:"n"`
+	Moves  []QuotaMove `msg:"l"` // their Holder is empty
 }
 
-// MovedAll answers Moves, in their order.
-type MovedAll struct {
-	List []Moved `msg:"l"`
+// QuotaMovesResponse answers QuotaMovesRequest, in the order of its moves.
+type QuotaMovesResponse struct {
+	Results []QuotaMoveResult `msg:"l"`
 }
 
-// Peek asks for the fleet's state.
-type Peek struct{}
+// StateRequest asks for the fleet's state.
+type StateRequest struct{}
 
-// Share is one holder's part of a tenant's quota.
-type Share struct {
+// QuotaShare is one holder's part of a tenant's quota.
+type QuotaShare struct {
 	Tenant string `msg:"t" json:"tenant"`
 	Holder string `msg:"h" json:"holder"`
 	Units  int    `msg:"u" json:"units"`
@@ -235,16 +235,16 @@
 
 // State is what the primary tells of itself.
 type State struct {
-	View   view.View     `msg:"v" json:"view"`
-	Me     string        `msg:"m" json:"id"`
-	Ready  bool          `msg:"r" json:"ready"`
-	Seq    uint64        `msg:"s" json:"sequence"`
-	Stored uint64        `msg:"t" json:"stored"`
-	Nodes  []Node        `msg:"n" json:"nodes"`
-	Shares []Share       `msg:"h" json:"shares"`
-	Spares []view.Member `msg:"p" json:"spares"`
-	Sick   bool          `msg:"k" json:"disk_trouble"`
-	Claims int           `msg:"c" json:"claims"`
-	Ran    int           `msg:"a" json:"keys_that_ran"`
-	Parts  int           `msg:"b" json:"parts_of_keys"`
+	View             view.View     `msg:"v" json:"view"`
+	Id               string        `msg:"m" json:"id"`
+	Ready            bool          `msg:"r" json:"ready"`
+	ConfigVersion    uint64        `msg:"s" json:"sequence"`
+	StoreVersion     uint64        `msg:"t" json:"stored"`
+	Nodes            []Node        `msg:"n" json:"nodes"`
+	Shares           []QuotaShare  `msg:"h" json:"shares"`
+	Candidates       []view.Member `msg:"p" json:"spares"`
+	DiskFailed       bool          `msg:"k" json:"disk_trouble"`
+	Claims           int           `msg:"c" json:"claims"`
+	FinishedKeys     int           `msg:"a" json:"keys_that_ran"`
+	FinishedKeyParts int           `msg:"b" json:"parts_of_keys"`
 }
--- a/internal/core/msgs_gen.go
+++ b/internal/core/msgs_gen.go
@@ -16,234 +16,22 @@
 	z78411aa4limitMaps   = 200000
 )
 
-// MarshalMsg implements msgp.Marshaler
-func (z *Beat) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 10
-	// string "n"
-	o = append(o, 0x8a, 0xa1, 0x6e)
-	o, err = z.Node.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Node")
-		return
-	}
-	// string "r"
-	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendUint64(o, z.Roll)
-	// string "g"
-	o = append(o, 0xa1, 0x67)
-	o = msgp.AppendInt(o, z.AgeMs)
-	// string "l"
-	o = append(o, 0xa1, 0x6c)
-	o = msgp.AppendBool(o, z.Leave)
-	// string "w"
-	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendBool(o, z.RunnersWanted)
-	// string "e"
-	o = append(o, 0xa1, 0x65)
-	o = msgp.AppendUint64(o, z.RunnersEpoch)
-	// string "v"
-	o = append(o, 0xa1, 0x76)
-	o = msgp.AppendUint64(o, z.RunnersVersion)
-	// string "d"
-	o = append(o, 0xa1, 0x64)
-	o = msgp.AppendUint64(o, z.RunnersDigest)
-	// string "ve"
-	o = append(o, 0xa2, 0x76, 0x65)
-	o = msgp.AppendUint64(o, z.ViewEpoch)
-	// string "t"
-	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Tallies)))
-	for za0001 := range z.Tallies {
-		// map header, size 3
-		// string "i"
-		o = append(o, 0x83, 0xa1, 0x69)
-		o = msgp.AppendString(o, z.Tallies[za0001].ID)
-		// string "t"
-		o = append(o, 0xa1, 0x74)
-		o = msgp.AppendInt(o, z.Tallies[za0001].Tries)
-		// string "f"
-		o = append(o, 0xa1, 0x66)
-		o = msgp.AppendInt(o, z.Tallies[za0001].Fails)
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Beat) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 > z78411aa4limitMaps {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "n":
-			bts, err = z.Node.UnmarshalMsg(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Node")
-				return
-			}
-		case "r":
-			z.Roll, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Roll")
-				return
-			}
-		case "g":
-			z.AgeMs, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "AgeMs")
-				return
-			}
-		case "l":
-			z.Leave, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Leave")
-				return
-			}
-		case "w":
-			z.RunnersWanted, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "RunnersWanted")
-				return
-			}
-		case "e":
-			z.RunnersEpoch, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "RunnersEpoch")
-				return
-			}
-		case "v":
-			z.RunnersVersion, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "RunnersVersion")
-				return
-			}
-		case "d":
-			z.RunnersDigest, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "RunnersDigest")
-				return
-			}
-		case "ve":
-			z.ViewEpoch, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "ViewEpoch")
-				return
-			}
-		case "t":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Tallies")
-				return
-			}
-			if zb0002 > z78411aa4limitArrays {
-				err = msgp.ErrLimitExceeded
-				return
-			}
-			if cap(z.Tallies) >= int(zb0002) {
-				z.Tallies = (z.Tallies)[:zb0002]
-			} else {
-				z.Tallies = make([]RunnerTally, zb0002)
-			}
-			for za0001 := range z.Tallies {
-				var zb0003 uint32
-				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Tallies", za0001)
-					return
-				}
-				if zb0003 > z78411aa4limitMaps {
-					err = msgp.ErrLimitExceeded
-					return
-				}
-				for zb0003 > 0 {
-					zb0003--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Tallies", za0001)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "i":
-						z.Tallies[za0001].ID, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Tallies", za0001, "ID")
-							return
-						}
-					case "t":
-						z.Tallies[za0001].Tries, bts, err = msgp.ReadIntBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Tallies", za0001, "Tries")
-							return
-						}
-					case "f":
-						z.Tallies[za0001].Fails, bts, err = msgp.ReadIntBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Tallies", za0001, "Fails")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Tallies", za0001)
-							return
-						}
-					}
-				}
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Beat) Msgsize() (s int) {
-	s = 1 + 2 + z.Node.Msgsize() + 2 + msgp.Uint64Size + 2 + msgp.IntSize + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 3 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Tallies {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Tallies[za0001].ID) + 2 + msgp.IntSize + 2 + msgp.IntSize
-	}
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z *Claim) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 9
 	// string "h"
 	o = append(o, 0x89, 0xa1, 0x68)
-	o = msgp.AppendString(o, z.Sum)
+	o = msgp.AppendString(o, z.RequestHash)
 	// string "i"
 	o = append(o, 0xa1, 0x69)
-	o = msgp.AppendString(o, z.Id)
+	o = msgp.AppendString(o, z.Claimant)
 	// string "n"
 	o = append(o, 0xa1, 0x6e)
 	o = msgp.AppendString(o, z.Node)
 	// string "b"
 	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendUint64(o, z.Born)
+	o = msgp.AppendUint64(o, z.NodeRun)
 	// string "s"
 	o = append(o, 0xa1, 0x73)
 	o = msgp.AppendInt(o, z.State)
@@ -252,13 +40,13 @@
 	o = msgp.AppendInt(o, z.Status)
 	// string "k"
 	o = append(o, 0xa1, 0x6b)
-	o = msgp.AppendString(o, z.Kind)
+	o = msgp.AppendString(o, z.ContentType)
 	// string "a"
 	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendBytes(o, z.Answer)
+	o = msgp.AppendBytes(o, z.Response)
 	// string "w"
 	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendBool(o, z.Kept)
+	o = msgp.AppendBool(o, z.HasResponse)
 	return
 }
 
@@ -285,15 +73,15 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "h":
-			z.Sum, bts, err = msgp.ReadStringBytes(bts)
+			z.RequestHash, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Sum")
+				err = msgp.WrapError(err, "RequestHash")
 				return
 			}
 		case "i":
-			z.Id, bts, err = msgp.ReadStringBytes(bts)
+			z.Claimant, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Id")
+				err = msgp.WrapError(err, "Claimant")
 				return
 			}
 		case "n":
@@ -303,9 +91,9 @@
 				return
 			}
 		case "b":
-			z.Born, bts, err = msgp.ReadUint64Bytes(bts)
+			z.NodeRun, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Born")
+				err = msgp.WrapError(err, "NodeRun")
 				return
 			}
 		case "s":
@@ -321,37 +109,37 @@
 				return
 			}
 		case "k":
-			z.Kind, bts, err = msgp.ReadStringBytes(bts)
+			z.ContentType, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Kind")
+				err = msgp.WrapError(err, "ContentType")
 				return
 			}
 		case "a":
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadBytesHeader(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Answer")
+				err = msgp.WrapError(err, "Response")
 				return
 			}
 			if zb0002 > z78411aa4limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if z.Answer == nil || uint32(cap(z.Answer)) < zb0002 {
-				z.Answer = make([]byte, zb0002)
+			if z.Response == nil || uint32(cap(z.Response)) < zb0002 {
+				z.Response = make([]byte, zb0002)
 			} else {
-				z.Answer = z.Answer[:zb0002]
+				z.Response = z.Response[:zb0002]
 			}
 			if uint32(len(bts)) < zb0002 {
 				err = msgp.ErrShortBytes
 				return
 			}
-			copy(z.Answer, bts[:zb0002])
+			copy(z.Response, bts[:zb0002])
 			bts = bts[zb0002:]
 		case "w":
-			z.Kept, bts, err = msgp.ReadBoolBytes(bts)
+			z.HasResponse, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Kept")
+				err = msgp.WrapError(err, "HasResponse")
 				return
 			}
 		default:
@@ -368,51 +156,29 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Claim) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Sum) + 2 + msgp.StringPrefixSize + len(z.Id) + 2 + msgp.StringPrefixSize + len(z.Node) + 2 + msgp.Uint64Size + 2 + msgp.IntSize + 2 + msgp.IntSize + 2 + msgp.StringPrefixSize + len(z.Kind) + 2 + msgp.BytesPrefixSize + len(z.Answer) + 2 + msgp.BoolSize
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.RequestHash) + 2 + msgp.StringPrefixSize + len(z.Claimant) + 2 + msgp.StringPrefixSize + len(z.Node) + 2 + msgp.Uint64Size + 2 + msgp.IntSize + 2 + msgp.IntSize + 2 + msgp.StringPrefixSize + len(z.ContentType) + 2 + msgp.BytesPrefixSize + len(z.Response) + 2 + msgp.BoolSize
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Copy) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *ClaimRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 7
-	// string "v"
-	o = append(o, 0x87, 0xa1, 0x76)
-	o, err = z.View.MarshalMsg(o)
+	// map header, size 2
+	// string "k"
+	o = append(o, 0x82, 0xa1, 0x6b)
+	o = msgp.AppendString(o, z.Key)
+	// string "c"
+	o = append(o, 0xa1, 0x63)
+	o, err = z.Claim.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "View")
+		err = msgp.WrapError(err, "Claim")
 		return
 	}
-	// string "f"
-	o = append(o, 0xa1, 0x66)
-	o = msgp.AppendString(o, z.From)
-	// string "t"
-	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendUint64(o, z.Turn)
-	// string "p"
-	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendInt(o, z.Part)
-	// string "l"
-	o = append(o, 0xa1, 0x6c)
-	o = msgp.AppendBool(o, z.Last)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.Seq)
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Puts)))
-	for za0001 := range z.Puts {
-		o, err = z.Puts[za0001].MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Puts", za0001)
-			return
-		}
-	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Copy) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ClaimRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -433,69 +199,22 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "v":
-			bts, err = z.View.UnmarshalMsg(bts)
+		case "k":
+			z.Key, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "View")
+				err = msgp.WrapError(err, "Key")
 				return
 			}
-		case "f":
-			z.From, bts, err = msgp.ReadStringBytes(bts)
+		case "c":
+			bts, err = z.Claim.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "From")
+				err = msgp.WrapError(err, "Claim")
 				return
 			}
-		case "t":
-			z.Turn, bts, err = msgp.ReadUint64Bytes(bts)
+		default:
+			bts, err = msgp.Skip(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Turn")
-				return
-			}
-		case "p":
-			z.Part, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Part")
-				return
-			}
-		case "l":
-			z.Last, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Last")
-				return
-			}
-		case "s":
-			z.Seq, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Seq")
-				return
-			}
-		case "b":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Puts")
-				return
-			}
-			if zb0002 > z78411aa4limitArrays {
-				err = msgp.ErrLimitExceeded
-				return
-			}
-			if cap(z.Puts) >= int(zb0002) {
-				z.Puts = (z.Puts)[:zb0002]
-			} else {
-				z.Puts = make([]store.Put, zb0002)
-			}
-			for za0001 := range z.Puts {
-				bts, err = z.Puts[za0001].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Puts", za0001)
-					return
-				}
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
+				err = msgp.WrapError(err)
 				return
 			}
 		}
@@ -505,25 +224,42 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Copy) Msgsize() (s int) {
-	s = 1 + 2 + z.View.Msgsize() + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.Uint64Size + 2 + msgp.IntSize + 2 + msgp.BoolSize + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Puts {
-		s += z.Puts[za0001].Msgsize()
-	}
+func (z *ClaimRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + z.Claim.Msgsize()
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Done) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *ClaimResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 0
-	_ = z
-	o = append(o, 0x80)
+	// map header, size 6
+	// string "g"
+	o = append(o, 0x86, 0xa1, 0x67)
+	o = msgp.AppendBool(o, z.Granted)
+	// string "x"
+	o = append(o, 0xa1, 0x78)
+	o = msgp.AppendBool(o, z.Conflict)
+	// string "l"
+	o = append(o, 0xa1, 0x6c)
+	o = msgp.AppendBool(o, z.Running)
+	// string "r"
+	o = append(o, 0xa1, 0x72)
+	o = msgp.AppendBool(o, z.AlreadyRan)
+	// string "f"
+	o = append(o, 0xa1, 0x66)
+	o = msgp.AppendBool(o, z.Full)
+	// string "c"
+	o = append(o, 0xa1, 0x63)
+	o, err = z.Claim.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Claim")
+		return
+	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Done) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ClaimResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -544,6 +280,42 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
+		case "g":
+			z.Granted, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Granted")
+				return
+			}
+		case "x":
+			z.Conflict, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Conflict")
+				return
+			}
+		case "l":
+			z.Running, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Running")
+				return
+			}
+		case "r":
+			z.AlreadyRan, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "AlreadyRan")
+				return
+			}
+		case "f":
+			z.Full, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Full")
+				return
+			}
+		case "c":
+			bts, err = z.Claim.UnmarshalMsg(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Claim")
+				return
+			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -557,26 +329,26 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Done) Msgsize() (s int) {
-	s = 1
+func (z *ClaimResponse) Msgsize() (s int) {
+	s = 1 + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + z.Claim.Msgsize()
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z FailingRunner) MarshalMsg(b []byte) (o []byte, err error) {
+func (z ConfigError) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
-	// string "i"
-	o = append(o, 0x82, 0xa1, 0x69)
-	o = msgp.AppendString(o, z.ID)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendFloat64(o, z.Share)
+	// string "p"
+	o = append(o, 0x82, 0xa1, 0x70)
+	o = msgp.AppendString(o, z.Path)
+	// string "t"
+	o = append(o, 0xa1, 0x74)
+	o = msgp.AppendString(o, z.Text)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *FailingRunner) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ConfigError) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -597,16 +369,16 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "i":
-			z.ID, bts, err = msgp.ReadStringBytes(bts)
+		case "p":
+			z.Path, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "ID")
+				err = msgp.WrapError(err, "Path")
 				return
 			}
-		case "s":
-			z.Share, bts, err = msgp.ReadFloat64Bytes(bts)
+		case "t":
+			z.Text, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Share")
+				err = msgp.WrapError(err, "Text")
 				return
 			}
 		default:
@@ -622,26 +394,23 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z FailingRunner) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.ID) + 2 + msgp.Float64Size
+func (z ConfigError) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Path) + 2 + msgp.StringPrefixSize + len(z.Text)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Flaw) MarshalMsg(b []byte) (o []byte, err error) {
+func (z ConfigRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "p"
-	o = append(o, 0x82, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.Path)
-	// string "t"
-	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendString(o, z.Text)
+	// map header, size 1
+	// string "s"
+	o = append(o, 0x81, 0xa1, 0x73)
+	o = msgp.AppendUint64(o, z.Version)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Flaw) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ConfigRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -662,16 +431,10 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "p":
-			z.Path, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Path")
-				return
-			}
-		case "t":
-			z.Text, bts, err = msgp.ReadStringBytes(bts)
+		case "s":
+			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Text")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
 		default:
@@ -687,23 +450,22 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Flaw) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Path) + 2 + msgp.StringPrefixSize + len(z.Text)
+func (z ConfigRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Held) MarshalMsg(b []byte) (o []byte, err error) {
+func (z Empty) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 1
-	// string "i"
-	o = append(o, 0x81, 0xa1, 0x69)
-	o = msgp.AppendString(o, z.Id)
+	// map header, size 0
+	_ = z
+	o = append(o, 0x80)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Held) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Empty) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -724,12 +486,6 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "i":
-			z.Id, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Id")
-				return
-			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -743,29 +499,26 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Held) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Id)
+func (z Empty) Msgsize() (s int) {
+	s = 1
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *History) MarshalMsg(b []byte) (o []byte, err error) {
+func (z FailingRunner) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
-	// string "c"
-	o = append(o, 0x82, 0xa1, 0x63)
-	o = msgp.AppendUint64(o, z.Count)
-	// string "p"
-	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Past)))
-	for za0001 := range z.Past {
-		o = msgp.AppendUint64(o, z.Past[za0001])
-	}
+	// string "i"
+	o = append(o, 0x82, 0xa1, 0x69)
+	o = msgp.AppendString(o, z.ID)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	o = msgp.AppendFloat64(o, z.Share)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *History) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *FailingRunner) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -786,35 +539,18 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "c":
-			z.Count, bts, err = msgp.ReadUint64Bytes(bts)
+		case "i":
+			z.ID, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Count")
+				err = msgp.WrapError(err, "ID")
 				return
 			}
-		case "p":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "s":
+			z.Share, bts, err = msgp.ReadFloat64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Past")
-				return
-			}
-			if zb0002 > z78411aa4limitArrays {
-				err = msgp.ErrLimitExceeded
+				err = msgp.WrapError(err, "Share")
 				return
 			}
-			if cap(z.Past) >= int(zb0002) {
-				z.Past = (z.Past)[:zb0002]
-			} else {
-				z.Past = make([]uint64, zb0002)
-			}
-			for za0001 := range z.Past {
-				z.Past[za0001], bts, err = msgp.ReadUint64Bytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Past", za0001)
-					return
-				}
-			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -828,37 +564,66 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *History) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize + (len(z.Past) * (msgp.Uint64Size))
+func (z FailingRunner) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.ID) + 2 + msgp.Float64Size
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Hold) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *HeartbeatRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
-	// string "v"
-	o = append(o, 0x83, 0xa1, 0x76)
-	o, err = z.View.MarshalMsg(o)
+	// map header, size 10
+	// string "n"
+	o = append(o, 0x8a, 0xa1, 0x6e)
+	o, err = z.Node.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "View")
+		err = msgp.WrapError(err, "Node")
 		return
 	}
-	// string "f"
-	o = append(o, 0xa1, 0x66)
-	o = msgp.AppendString(o, z.From)
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	o, err = z.Batch.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Batch")
-		return
+	// string "r"
+	o = append(o, 0xa1, 0x72)
+	o = msgp.AppendUint64(o, z.NodesVersion)
+	// string "g"
+	o = append(o, 0xa1, 0x67)
+	o = msgp.AppendInt(o, z.AgeMs)
+	// string "l"
+	o = append(o, 0xa1, 0x6c)
+	o = msgp.AppendBool(o, z.Leaving)
+	// string "w"
+	o = append(o, 0xa1, 0x77)
+	o = msgp.AppendBool(o, z.RunnersWanted)
+	// string "e"
+	o = append(o, 0xa1, 0x65)
+	o = msgp.AppendUint64(o, z.RunnersEpoch)
+	// string "v"
+	o = append(o, 0xa1, 0x76)
+	o = msgp.AppendUint64(o, z.RunnersVersion)
+	// string "d"
+	o = append(o, 0xa1, 0x64)
+	o = msgp.AppendUint64(o, z.RunnersDigest)
+	// string "ve"
+	o = append(o, 0xa2, 0x76, 0x65)
+	o = msgp.AppendUint64(o, z.ViewEpoch)
+	// string "t"
+	o = append(o, 0xa1, 0x74)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Tallies)))
+	for za0001 := range z.Tallies {
+		// map header, size 3
+		// string "i"
+		o = append(o, 0x83, 0xa1, 0x69)
+		o = msgp.AppendString(o, z.Tallies[za0001].ID)
+		// string "t"
+		o = append(o, 0xa1, 0x74)
+		o = msgp.AppendInt(o, z.Tallies[za0001].Attempts)
+		// string "f"
+		o = append(o, 0xa1, 0x66)
+		o = msgp.AppendInt(o, z.Tallies[za0001].Failures)
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Hold) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *HeartbeatRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -879,24 +644,411 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "v":
-			bts, err = z.View.UnmarshalMsg(bts)
+		case "n":
+			bts, err = z.Node.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "View")
+				err = msgp.WrapError(err, "Node")
 				return
 			}
-		case "f":
-			z.From, bts, err = msgp.ReadStringBytes(bts)
+		case "r":
+			z.NodesVersion, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "NodesVersion")
+				return
+			}
+		case "g":
+			z.AgeMs, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "AgeMs")
+				return
+			}
+		case "l":
+			z.Leaving, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Leaving")
+				return
+			}
+		case "w":
+			z.RunnersWanted, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "RunnersWanted")
+				return
+			}
+		case "e":
+			z.RunnersEpoch, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "RunnersEpoch")
+				return
+			}
+		case "v":
+			z.RunnersVersion, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "RunnersVersion")
+				return
+			}
+		case "d":
+			z.RunnersDigest, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "RunnersDigest")
+				return
+			}
+		case "ve":
+			z.ViewEpoch, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ViewEpoch")
+				return
+			}
+		case "t":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "From")
+				err = msgp.WrapError(err, "Tallies")
+				return
+			}
+			if zb0002 > z78411aa4limitArrays {
+				err = msgp.ErrLimitExceeded
 				return
 			}
+			if cap(z.Tallies) >= int(zb0002) {
+				z.Tallies = (z.Tallies)[:zb0002]
+			} else {
+				z.Tallies = make([]RunnerTally, zb0002)
+			}
+			for za0001 := range z.Tallies {
+				var zb0003 uint32
+				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Tallies", za0001)
+					return
+				}
+				if zb0003 > z78411aa4limitMaps {
+					err = msgp.ErrLimitExceeded
+					return
+				}
+				for zb0003 > 0 {
+					zb0003--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Tallies", za0001)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "i":
+						z.Tallies[za0001].ID, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Tallies", za0001, "ID")
+							return
+						}
+					case "t":
+						z.Tallies[za0001].Attempts, bts, err = msgp.ReadIntBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Tallies", za0001, "Attempts")
+							return
+						}
+					case "f":
+						z.Tallies[za0001].Failures, bts, err = msgp.ReadIntBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Tallies", za0001, "Failures")
+							return
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Tallies", za0001)
+							return
+						}
+					}
+				}
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *HeartbeatRequest) Msgsize() (s int) {
+	s = 1 + 2 + z.Node.Msgsize() + 2 + msgp.Uint64Size + 2 + msgp.IntSize + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 3 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Tallies {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.Tallies[za0001].ID) + 2 + msgp.IntSize + 2 + msgp.IntSize
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *HeartbeatResponse) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 12
+	// string "v"
+	o = append(o, 0x8c, 0xa1, 0x76)
+	o, err = z.View.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "View")
+		return
+	}
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	o = msgp.AppendUint64(o, z.ConfigVersion)
+	// string "r"
+	o = append(o, 0xa1, 0x72)
+	o = msgp.AppendUint64(o, z.NodesVersion)
+	// string "n"
+	o = append(o, 0xa1, 0x6e)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Nodes)))
+	for za0001 := range z.Nodes {
+		o, err = z.Nodes[za0001].MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Nodes", za0001)
+			return
+		}
+	}
+	// string "w"
+	o = append(o, 0xa1, 0x77)
+	o = msgp.AppendBool(o, z.NodesChanged)
+	// string "h"
+	o = append(o, 0xa1, 0x68)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.ScarceTenants)))
+	for za0002 := range z.ScarceTenants {
+		o = msgp.AppendString(o, z.ScarceTenants[za0002])
+	}
+	// string "b"
+	o = append(o, 0xa1, 0x62)
+	o = msgp.AppendInt(o, z.RoutersBefore)
+	// string "re"
+	o = append(o, 0xa2, 0x72, 0x65)
+	o = msgp.AppendUint64(o, z.RunnersEpoch)
+	// string "rv"
+	o = append(o, 0xa2, 0x72, 0x76)
+	o = msgp.AppendUint64(o, z.RunnersVersion)
+	// string "rr"
+	o = append(o, 0xa2, 0x72, 0x72)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Runners)))
+	for za0003 := range z.Runners {
+		o, err = z.Runners[za0003].MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Runners", za0003)
+			return
+		}
+	}
+	// string "rw"
+	o = append(o, 0xa2, 0x72, 0x77)
+	o = msgp.AppendBool(o, z.RunnersWhole)
+	// string "rf"
+	o = append(o, 0xa2, 0x72, 0x66)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Failing)))
+	for za0004 := range z.Failing {
+		// map header, size 2
+		// string "i"
+		o = append(o, 0x82, 0xa1, 0x69)
+		o = msgp.AppendString(o, z.Failing[za0004].ID)
+		// string "s"
+		o = append(o, 0xa1, 0x73)
+		o = msgp.AppendFloat64(o, z.Failing[za0004].Share)
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *HeartbeatResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > z78411aa4limitMaps {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "v":
+			bts, err = z.View.UnmarshalMsg(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "View")
+				return
+			}
+		case "s":
+			z.ConfigVersion, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ConfigVersion")
+				return
+			}
+		case "r":
+			z.NodesVersion, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "NodesVersion")
+				return
+			}
+		case "n":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Nodes")
+				return
+			}
+			if zb0002 > z78411aa4limitArrays {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			if cap(z.Nodes) >= int(zb0002) {
+				z.Nodes = (z.Nodes)[:zb0002]
+			} else {
+				z.Nodes = make([]Node, zb0002)
+			}
+			for za0001 := range z.Nodes {
+				bts, err = z.Nodes[za0001].UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Nodes", za0001)
+					return
+				}
+			}
+		case "w":
+			z.NodesChanged, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "NodesChanged")
+				return
+			}
+		case "h":
+			var zb0003 uint32
+			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ScarceTenants")
+				return
+			}
+			if zb0003 > z78411aa4limitArrays {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			if cap(z.ScarceTenants) >= int(zb0003) {
+				z.ScarceTenants = (z.ScarceTenants)[:zb0003]
+			} else {
+				z.ScarceTenants = make([]string, zb0003)
+			}
+			for za0002 := range z.ScarceTenants {
+				z.ScarceTenants[za0002], bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "ScarceTenants", za0002)
+					return
+				}
+			}
 		case "b":
-			bts, err = z.Batch.UnmarshalMsg(bts)
+			z.RoutersBefore, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Batch")
+				err = msgp.WrapError(err, "RoutersBefore")
+				return
+			}
+		case "re":
+			z.RunnersEpoch, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "RunnersEpoch")
+				return
+			}
+		case "rv":
+			z.RunnersVersion, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "RunnersVersion")
+				return
+			}
+		case "rr":
+			var zb0004 uint32
+			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Runners")
+				return
+			}
+			if zb0004 > z78411aa4limitArrays {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			if cap(z.Runners) >= int(zb0004) {
+				z.Runners = (z.Runners)[:zb0004]
+			} else {
+				z.Runners = make([]routing.Runner, zb0004)
+			}
+			for za0003 := range z.Runners {
+				bts, err = z.Runners[za0003].UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Runners", za0003)
+					return
+				}
+			}
+		case "rw":
+			z.RunnersWhole, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "RunnersWhole")
+				return
+			}
+		case "rf":
+			var zb0005 uint32
+			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Failing")
 				return
 			}
+			if zb0005 > z78411aa4limitArrays {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			if cap(z.Failing) >= int(zb0005) {
+				z.Failing = (z.Failing)[:zb0005]
+			} else {
+				z.Failing = make([]FailingRunner, zb0005)
+			}
+			for za0004 := range z.Failing {
+				var zb0006 uint32
+				zb0006, bts, err = msgp.ReadMapHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Failing", za0004)
+					return
+				}
+				if zb0006 > z78411aa4limitMaps {
+					err = msgp.ErrLimitExceeded
+					return
+				}
+				for zb0006 > 0 {
+					zb0006--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Failing", za0004)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "i":
+						z.Failing[za0004].ID, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Failing", za0004, "ID")
+							return
+						}
+					case "s":
+						z.Failing[za0004].Share, bts, err = msgp.ReadFloat64Bytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Failing", za0004, "Share")
+							return
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Failing", za0004)
+							return
+						}
+					}
+				}
+			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -905,32 +1057,47 @@
 			}
 		}
 	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Hold) Msgsize() (s int) {
-	s = 1 + 2 + z.View.Msgsize() + 2 + msgp.StringPrefixSize + len(z.From) + 2 + z.Batch.Msgsize()
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *HeartbeatResponse) Msgsize() (s int) {
+	s = 1 + 2 + z.View.Msgsize() + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Nodes {
+		s += z.Nodes[za0001].Msgsize()
+	}
+	s += 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize
+	for za0002 := range z.ScarceTenants {
+		s += msgp.StringPrefixSize + len(z.ScarceTenants[za0002])
+	}
+	s += 2 + msgp.IntSize + 3 + msgp.Uint64Size + 3 + msgp.Uint64Size + 3 + msgp.ArrayHeaderSize
+	for za0003 := range z.Runners {
+		s += z.Runners[za0003].Msgsize()
+	}
+	s += 3 + msgp.BoolSize + 3 + msgp.ArrayHeaderSize
+	for za0004 := range z.Failing {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.Failing[za0004].ID) + 2 + msgp.Float64Size
+	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Join) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *JoinRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 1
 	// string "w"
 	o = append(o, 0x81, 0xa1, 0x77)
-	o, err = z.Who.MarshalMsg(o)
+	o, err = z.Member.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "Who")
+		err = msgp.WrapError(err, "Member")
 		return
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Join) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *JoinRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -952,9 +1119,9 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "w":
-			bts, err = z.Who.UnmarshalMsg(bts)
+			bts, err = z.Member.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Who")
+				err = msgp.WrapError(err, "Member")
 				return
 			}
 		default:
@@ -970,26 +1137,41 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Join) Msgsize() (s int) {
-	s = 1 + 2 + z.Who.Msgsize()
+func (z *JoinRequest) Msgsize() (s int) {
+	s = 1 + 2 + z.Member.Msgsize()
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Mark) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Node) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "s"
-	o = append(o, 0x82, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.Seq)
+	// map header, size 7
+	// string "n"
+	o = append(o, 0x87, 0xa1, 0x6e)
+	o = msgp.AppendString(o, z.Name)
 	// string "h"
 	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendString(o, z.Sum)
+	o = msgp.AppendString(o, z.Zone)
+	// string "a"
+	o = append(o, 0xa1, 0x61)
+	o = msgp.AppendString(o, z.Addr)
+	// string "f"
+	o = append(o, 0xa1, 0x66)
+	o = msgp.AppendString(o, z.ClientAddr)
+	// string "b"
+	o = append(o, 0xa1, 0x62)
+	o = msgp.AppendUint64(o, z.Run)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	o = msgp.AppendUint64(o, z.ConfigVersion)
+	// string "r"
+	o = append(o, 0xa1, 0x72)
+	o = msgp.AppendBool(o, z.Ready)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Mark) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Node) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1010,16 +1192,46 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "s":
-			z.Seq, bts, err = msgp.ReadUint64Bytes(bts)
+		case "n":
+			z.Name, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Seq")
+				err = msgp.WrapError(err, "Name")
 				return
 			}
 		case "h":
-			z.Sum, bts, err = msgp.ReadStringBytes(bts)
+			z.Zone, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Zone")
+				return
+			}
+		case "a":
+			z.Addr, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Addr")
+				return
+			}
+		case "f":
+			z.ClientAddr, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ClientAddr")
+				return
+			}
+		case "b":
+			z.Run, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Run")
+				return
+			}
+		case "s":
+			z.ConfigVersion, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ConfigVersion")
+				return
+			}
+		case "r":
+			z.Ready, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Sum")
+				err = msgp.WrapError(err, "Ready")
 				return
 			}
 		default:
@@ -1035,13 +1247,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Mark) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Sum)
+func (z *Node) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.ClientAddr) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.BoolSize
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Move) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *QuotaMove) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 5
 	// string "t"
@@ -1063,7 +1275,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Move) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *QuotaMove) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1127,26 +1339,26 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Move) Msgsize() (s int) {
+func (z *QuotaMove) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.Tenant) + 2 + msgp.StringPrefixSize + len(z.Holder) + 2 + msgp.Uint64Size + 2 + msgp.IntSize + 2 + msgp.BoolSize
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Moved) MarshalMsg(b []byte) (o []byte, err error) {
+func (z QuotaMoveResult) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "h"
 	o = append(o, 0x82, 0xa1, 0x68)
-	o = msgp.AppendInt(o, z.Have)
+	o = msgp.AppendInt(o, z.Held)
 	// string "u"
 	o = append(o, 0xa1, 0x75)
-	o = msgp.AppendInt(o, z.Under)
+	o = msgp.AppendInt(o, z.Ceiling)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Moved) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *QuotaMoveResult) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1168,15 +1380,15 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "h":
-			z.Have, bts, err = msgp.ReadIntBytes(bts)
+			z.Held, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Have")
+				err = msgp.WrapError(err, "Held")
 				return
 			}
 		case "u":
-			z.Under, bts, err = msgp.ReadIntBytes(bts)
+			z.Ceiling, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Under")
+				err = msgp.WrapError(err, "Ceiling")
 				return
 			}
 		default:
@@ -1192,32 +1404,124 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Moved) Msgsize() (s int) {
+func (z QuotaMoveResult) Msgsize() (s int) {
 	s = 1 + 2 + msgp.IntSize + 2 + msgp.IntSize
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *MovedAll) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *QuotaMovesRequest) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 2
+	// string "n"
+	o = append(o, 0x82, 0xa1, 0x6e)
+	o = msgp.AppendString(o, z.Holder)
+	// string "l"
+	o = append(o, 0xa1, 0x6c)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Moves)))
+	for za0001 := range z.Moves {
+		o, err = z.Moves[za0001].MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Moves", za0001)
+			return
+		}
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *QuotaMovesRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > z78411aa4limitMaps {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "n":
+			z.Holder, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Holder")
+				return
+			}
+		case "l":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Moves")
+				return
+			}
+			if zb0002 > z78411aa4limitArrays {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			if cap(z.Moves) >= int(zb0002) {
+				z.Moves = (z.Moves)[:zb0002]
+			} else {
+				z.Moves = make([]QuotaMove, zb0002)
+			}
+			for za0001 := range z.Moves {
+				bts, err = z.Moves[za0001].UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Moves", za0001)
+					return
+				}
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *QuotaMovesRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Holder) + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Moves {
+		s += z.Moves[za0001].Msgsize()
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *QuotaMovesResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 1
 	// string "l"
 	o = append(o, 0x81, 0xa1, 0x6c)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.List)))
-	for za0001 := range z.List {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Results)))
+	for za0001 := range z.Results {
 		// map header, size 2
 		// string "h"
 		o = append(o, 0x82, 0xa1, 0x68)
-		o = msgp.AppendInt(o, z.List[za0001].Have)
+		o = msgp.AppendInt(o, z.Results[za0001].Held)
 		// string "u"
 		o = append(o, 0xa1, 0x75)
-		o = msgp.AppendInt(o, z.List[za0001].Under)
+		o = msgp.AppendInt(o, z.Results[za0001].Ceiling)
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *MovedAll) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *QuotaMovesResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1242,23 +1546,23 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "List")
+				err = msgp.WrapError(err, "Results")
 				return
 			}
 			if zb0002 > z78411aa4limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.List) >= int(zb0002) {
-				z.List = (z.List)[:zb0002]
+			if cap(z.Results) >= int(zb0002) {
+				z.Results = (z.Results)[:zb0002]
 			} else {
-				z.List = make([]Moved, zb0002)
+				z.Results = make([]QuotaMoveResult, zb0002)
 			}
-			for za0001 := range z.List {
+			for za0001 := range z.Results {
 				var zb0003 uint32
 				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "List", za0001)
+					err = msgp.WrapError(err, "Results", za0001)
 					return
 				}
 				if zb0003 > z78411aa4limitMaps {
@@ -1269,26 +1573,26 @@
 					zb0003--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "List", za0001)
+						err = msgp.WrapError(err, "Results", za0001)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "h":
-						z.List[za0001].Have, bts, err = msgp.ReadIntBytes(bts)
+						z.Results[za0001].Held, bts, err = msgp.ReadIntBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "List", za0001, "Have")
+							err = msgp.WrapError(err, "Results", za0001, "Held")
 							return
 						}
 					case "u":
-						z.List[za0001].Under, bts, err = msgp.ReadIntBytes(bts)
+						z.Results[za0001].Ceiling, bts, err = msgp.ReadIntBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "List", za0001, "Under")
+							err = msgp.WrapError(err, "Results", za0001, "Ceiling")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "List", za0001)
+							err = msgp.WrapError(err, "Results", za0001)
 							return
 						}
 					}
@@ -1307,33 +1611,32 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *MovedAll) Msgsize() (s int) {
-	s = 1 + 2 + msgp.ArrayHeaderSize + (len(z.List) * (5 + msgp.IntSize + msgp.IntSize))
+func (z *QuotaMovesResponse) Msgsize() (s int) {
+	s = 1 + 2 + msgp.ArrayHeaderSize + (len(z.Results) * (5 + msgp.IntSize + msgp.IntSize))
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Moves) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *QuotaShare) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "n"
-	o = append(o, 0x82, 0xa1, 0x6e)
+	// map header, size 4
+	// string "t"
+	o = append(o, 0x84, 0xa1, 0x74)
+	o = msgp.AppendString(o, z.Tenant)
+	// string "h"
+	o = append(o, 0xa1, 0x68)
 	o = msgp.AppendString(o, z.Holder)
-	// string "l"
-	o = append(o, 0xa1, 0x6c)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.List)))
-	for za0001 := range z.List {
-		o, err = z.List[za0001].MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "List", za0001)
-			return
-		}
-	}
+	// string "u"
+	o = append(o, 0xa1, 0x75)
+	o = msgp.AppendInt(o, z.Units)
+	// string "c"
+	o = append(o, 0xa1, 0x63)
+	o = msgp.AppendBool(o, z.Cool)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Moves) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *QuotaShare) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1354,35 +1657,30 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "n":
+		case "t":
+			z.Tenant, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Tenant")
+				return
+			}
+		case "h":
 			z.Holder, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Holder")
 				return
 			}
-		case "l":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "u":
+			z.Units, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "List")
+				err = msgp.WrapError(err, "Units")
 				return
 			}
-			if zb0002 > z78411aa4limitArrays {
-				err = msgp.ErrLimitExceeded
+		case "c":
+			z.Cool, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Cool")
 				return
 			}
-			if cap(z.List) >= int(zb0002) {
-				z.List = (z.List)[:zb0002]
-			} else {
-				z.List = make([]Move, zb0002)
-			}
-			for za0001 := range z.List {
-				bts, err = z.List[za0001].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "List", za0001)
-					return
-				}
-			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -1396,44 +1694,37 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Moves) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Holder) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.List {
-		s += z.List[za0001].Msgsize()
-	}
+func (z *QuotaShare) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Tenant) + 2 + msgp.StringPrefixSize + len(z.Holder) + 2 + msgp.IntSize + 2 + msgp.BoolSize
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Node) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *ReplicateRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 7
-	// string "n"
-	o = append(o, 0x87, 0xa1, 0x6e)
-	o = msgp.AppendString(o, z.Name)
-	// string "h"
-	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendString(o, z.Zone)
-	// string "a"
-	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendString(o, z.Addr)
+	// map header, size 3
+	// string "v"
+	o = append(o, 0x83, 0xa1, 0x76)
+	o, err = z.View.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "View")
+		return
+	}
 	// string "f"
 	o = append(o, 0xa1, 0x66)
-	o = msgp.AppendString(o, z.Face)
+	o = msgp.AppendString(o, z.Primary)
 	// string "b"
 	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendUint64(o, z.Born)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.Seq)
-	// string "r"
-	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendBool(o, z.Ready)
+	o, err = z.Batch.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Batch")
+		return
+	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Node) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ReplicateRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1454,46 +1745,22 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "n":
-			z.Name, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Name")
-				return
-			}
-		case "h":
-			z.Zone, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Zone")
-				return
-			}
-		case "a":
-			z.Addr, bts, err = msgp.ReadStringBytes(bts)
+		case "v":
+			bts, err = z.View.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Addr")
+				err = msgp.WrapError(err, "View")
 				return
 			}
 		case "f":
-			z.Face, bts, err = msgp.ReadStringBytes(bts)
+			z.Primary, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Face")
+				err = msgp.WrapError(err, "Primary")
 				return
 			}
 		case "b":
-			z.Born, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Born")
-				return
-			}
-		case "s":
-			z.Seq, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Seq")
-				return
-			}
-		case "r":
-			z.Ready, bts, err = msgp.ReadBoolBytes(bts)
+			bts, err = z.Batch.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Ready")
+				err = msgp.WrapError(err, "Batch")
 				return
 			}
 		default:
@@ -1509,22 +1776,23 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Node) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.Face) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.BoolSize
+func (z *ReplicateRequest) Msgsize() (s int) {
+	s = 1 + 2 + z.View.Msgsize() + 2 + msgp.StringPrefixSize + len(z.Primary) + 2 + z.Batch.Msgsize()
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Peek) MarshalMsg(b []byte) (o []byte, err error) {
+func (z ReplicateResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 0
-	_ = z
-	o = append(o, 0x80)
+	// map header, size 1
+	// string "i"
+	o = append(o, 0x81, 0xa1, 0x69)
+	o = msgp.AppendString(o, z.Id)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Peek) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ReplicateResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1545,6 +1813,12 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
+		case "i":
+			z.Id, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Id")
+				return
+			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -1558,13 +1832,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Peek) Msgsize() (s int) {
-	s = 1
+func (z ReplicateResponse) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Id)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *RunnerBeat) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *RunnerHeartbeat) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 1
 	// string "r"
@@ -1578,7 +1852,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *RunnerBeat) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *RunnerHeartbeat) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1618,7 +1892,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *RunnerBeat) Msgsize() (s int) {
+func (z *RunnerHeartbeat) Msgsize() (s int) {
 	s = 1 + 2 + z.Runner.Msgsize()
 	return
 }
@@ -1632,10 +1906,10 @@
 	o = msgp.AppendString(o, z.ID)
 	// string "t"
 	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendInt(o, z.Tries)
+	o = msgp.AppendInt(o, z.Attempts)
 	// string "f"
 	o = append(o, 0xa1, 0x66)
-	o = msgp.AppendInt(o, z.Fails)
+	o = msgp.AppendInt(o, z.Failures)
 	return
 }
 
@@ -1668,15 +1942,15 @@
 				return
 			}
 		case "t":
-			z.Tries, bts, err = msgp.ReadIntBytes(bts)
+			z.Attempts, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Tries")
+				err = msgp.WrapError(err, "Attempts")
 				return
 			}
 		case "f":
-			z.Fails, bts, err = msgp.ReadIntBytes(bts)
+			z.Failures, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Fails")
+				err = msgp.WrapError(err, "Failures")
 				return
 			}
 		default:
@@ -1698,7 +1972,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Sessions) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *SessionDirectory) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 1
 	// string "b"
@@ -1708,7 +1982,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Sessions) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *SessionDirectory) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1764,13 +2038,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Sessions) Msgsize() (s int) {
+func (z *SessionDirectory) Msgsize() (s int) {
 	s = 1 + 2 + msgp.BytesPrefixSize + len(z.Batch)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Settle) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *SettleRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 3
 	// string "k"
@@ -1778,7 +2052,7 @@
 	o = msgp.AppendString(o, z.Key)
 	// string "f"
 	o = append(o, 0xa1, 0x66)
-	o = msgp.AppendBool(o, z.Free)
+	o = msgp.AppendBool(o, z.Release)
 	// string "c"
 	o = append(o, 0xa1, 0x63)
 	o, err = z.Claim.MarshalMsg(o)
@@ -1790,7 +2064,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Settle) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *SettleRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1818,9 +2092,9 @@
 				return
 			}
 		case "f":
-			z.Free, bts, err = msgp.ReadBoolBytes(bts)
+			z.Release, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Free")
+				err = msgp.WrapError(err, "Release")
 				return
 			}
 		case "c":
@@ -1842,32 +2116,52 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Settle) Msgsize() (s int) {
+func (z *SettleRequest) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + msgp.BoolSize + 2 + z.Claim.Msgsize()
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Share) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *SnapshotRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 4
+	// map header, size 7
+	// string "v"
+	o = append(o, 0x87, 0xa1, 0x76)
+	o, err = z.View.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "View")
+		return
+	}
+	// string "f"
+	o = append(o, 0xa1, 0x66)
+	o = msgp.AppendString(o, z.Primary)
 	// string "t"
-	o = append(o, 0x84, 0xa1, 0x74)
-	o = msgp.AppendString(o, z.Tenant)
-	// string "h"
-	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendString(o, z.Holder)
-	// string "u"
-	o = append(o, 0xa1, 0x75)
-	o = msgp.AppendInt(o, z.Units)
-	// string "c"
-	o = append(o, 0xa1, 0x63)
-	o = msgp.AppendBool(o, z.Cool)
+	o = append(o, 0xa1, 0x74)
+	o = msgp.AppendUint64(o, z.Snapshot)
+	// string "p"
+	o = append(o, 0xa1, 0x70)
+	o = msgp.AppendInt(o, z.Part)
+	// string "l"
+	o = append(o, 0xa1, 0x6c)
+	o = msgp.AppendBool(o, z.Last)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	o = msgp.AppendUint64(o, z.Version)
+	// string "b"
+	o = append(o, 0xa1, 0x62)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Puts)))
+	for za0001 := range z.Puts {
+		o, err = z.Puts[za0001].MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Puts", za0001)
+			return
+		}
+	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Share) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *SnapshotRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1888,111 +2182,65 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "t":
-			z.Tenant, bts, err = msgp.ReadStringBytes(bts)
+		case "v":
+			bts, err = z.View.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Tenant")
+				err = msgp.WrapError(err, "View")
 				return
 			}
-		case "h":
-			z.Holder, bts, err = msgp.ReadStringBytes(bts)
+		case "f":
+			z.Primary, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Holder")
+				err = msgp.WrapError(err, "Primary")
 				return
 			}
-		case "u":
-			z.Units, bts, err = msgp.ReadIntBytes(bts)
+		case "t":
+			z.Snapshot, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Units")
+				err = msgp.WrapError(err, "Snapshot")
 				return
 			}
-		case "c":
-			z.Cool, bts, err = msgp.ReadBoolBytes(bts)
+		case "p":
+			z.Part, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Cool")
+				err = msgp.WrapError(err, "Part")
 				return
 			}
-		default:
-			bts, err = msgp.Skip(bts)
+		case "l":
+			z.Last, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err)
+				err = msgp.WrapError(err, "Last")
 				return
 			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Share) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Tenant) + 2 + msgp.StringPrefixSize + len(z.Holder) + 2 + msgp.IntSize + 2 + msgp.BoolSize
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Sheet) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "s"
-	o = append(o, 0x82, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.Seq)
-	// string "r"
-	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendBytes(o, z.Raw)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Sheet) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 > z78411aa4limitMaps {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
 		case "s":
-			z.Seq, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Seq")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
-		case "r":
+		case "b":
 			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadBytesHeader(bts)
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Raw")
+				err = msgp.WrapError(err, "Puts")
 				return
 			}
 			if zb0002 > z78411aa4limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if z.Raw == nil || uint32(cap(z.Raw)) < zb0002 {
-				z.Raw = make([]byte, zb0002)
+			if cap(z.Puts) >= int(zb0002) {
+				z.Puts = (z.Puts)[:zb0002]
 			} else {
-				z.Raw = z.Raw[:zb0002]
+				z.Puts = make([]store.Put, zb0002)
 			}
-			if uint32(len(bts)) < zb0002 {
-				err = msgp.ErrShortBytes
-				return
+			for za0001 := range z.Puts {
+				bts, err = z.Puts[za0001].UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Puts", za0001)
+					return
+				}
 			}
-			copy(z.Raw, bts[:zb0002])
-			bts = bts[zb0002:]
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -2006,8 +2254,11 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Sheet) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.BytesPrefixSize + len(z.Raw)
+func (z *SnapshotRequest) Msgsize() (s int) {
+	s = 1 + 2 + z.View.Msgsize() + 2 + msgp.StringPrefixSize + len(z.Primary) + 2 + msgp.Uint64Size + 2 + msgp.IntSize + 2 + msgp.BoolSize + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Puts {
+		s += z.Puts[za0001].Msgsize()
+	}
 	return
 }
 
@@ -2024,16 +2275,16 @@
 	}
 	// string "m"
 	o = append(o, 0xa1, 0x6d)
-	o = msgp.AppendString(o, z.Me)
+	o = msgp.AppendString(o, z.Id)
 	// string "r"
 	o = append(o, 0xa1, 0x72)
 	o = msgp.AppendBool(o, z.Ready)
 	// string "s"
 	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.Seq)
+	o = msgp.AppendUint64(o, z.ConfigVersion)
 	// string "t"
 	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendUint64(o, z.Stored)
+	o = msgp.AppendUint64(o, z.StoreVersion)
 	// string "n"
 	o = append(o, 0xa1, 0x6e)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Nodes)))
@@ -2056,26 +2307,26 @@
 	}
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Spares)))
-	for za0003 := range z.Spares {
-		o, err = z.Spares[za0003].MarshalMsg(o)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Candidates)))
+	for za0003 := range z.Candidates {
+		o, err = z.Candidates[za0003].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Spares", za0003)
+			err = msgp.WrapError(err, "Candidates", za0003)
 			return
 		}
 	}
 	// string "k"
 	o = append(o, 0xa1, 0x6b)
-	o = msgp.AppendBool(o, z.Sick)
+	o = msgp.AppendBool(o, z.DiskFailed)
 	// string "c"
 	o = append(o, 0xa1, 0x63)
 	o = msgp.AppendInt(o, z.Claims)
 	// string "a"
 	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendInt(o, z.Ran)
+	o = msgp.AppendInt(o, z.FinishedKeys)
 	// string "b"
 	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendInt(o, z.Parts)
+	o = msgp.AppendInt(o, z.FinishedKeyParts)
 	return
 }
 
@@ -2108,9 +2359,9 @@
 				return
 			}
 		case "m":
-			z.Me, bts, err = msgp.ReadStringBytes(bts)
+			z.Id, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Me")
+				err = msgp.WrapError(err, "Id")
 				return
 			}
 		case "r":
@@ -2120,15 +2371,15 @@
 				return
 			}
 		case "s":
-			z.Seq, bts, err = msgp.ReadUint64Bytes(bts)
+			z.ConfigVersion, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Seq")
+				err = msgp.WrapError(err, "ConfigVersion")
 				return
 			}
 		case "t":
-			z.Stored, bts, err = msgp.ReadUint64Bytes(bts)
+			z.StoreVersion, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Stored")
+				err = msgp.WrapError(err, "StoreVersion")
 				return
 			}
 		case "n":
@@ -2168,7 +2419,7 @@
 			if cap(z.Shares) >= int(zb0003) {
 				z.Shares = (z.Shares)[:zb0003]
 			} else {
-				z.Shares = make([]Share, zb0003)
+				z.Shares = make([]QuotaShare, zb0003)
 			}
 			for za0002 := range z.Shares {
 				bts, err = z.Shares[za0002].UnmarshalMsg(bts)
@@ -2181,29 +2432,29 @@
 			var zb0004 uint32
 			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Spares")
+				err = msgp.WrapError(err, "Candidates")
 				return
 			}
 			if zb0004 > z78411aa4limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Spares) >= int(zb0004) {
-				z.Spares = (z.Spares)[:zb0004]
+			if cap(z.Candidates) >= int(zb0004) {
+				z.Candidates = (z.Candidates)[:zb0004]
 			} else {
-				z.Spares = make([]view.Member, zb0004)
+				z.Candidates = make([]view.Member, zb0004)
 			}
-			for za0003 := range z.Spares {
-				bts, err = z.Spares[za0003].UnmarshalMsg(bts)
+			for za0003 := range z.Candidates {
+				bts, err = z.Candidates[za0003].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Spares", za0003)
+					err = msgp.WrapError(err, "Candidates", za0003)
 					return
 				}
 			}
 		case "k":
-			z.Sick, bts, err = msgp.ReadBoolBytes(bts)
+			z.DiskFailed, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Sick")
+				err = msgp.WrapError(err, "DiskFailed")
 				return
 			}
 		case "c":
@@ -2213,15 +2464,15 @@
 				return
 			}
 		case "a":
-			z.Ran, bts, err = msgp.ReadIntBytes(bts)
+			z.FinishedKeys, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Ran")
+				err = msgp.WrapError(err, "FinishedKeys")
 				return
 			}
 		case "b":
-			z.Parts, bts, err = msgp.ReadIntBytes(bts)
+			z.FinishedKeyParts, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Parts")
+				err = msgp.WrapError(err, "FinishedKeyParts")
 				return
 			}
 		default:
@@ -2238,7 +2489,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *State) Msgsize() (s int) {
-	s = 1 + 2 + z.View.Msgsize() + 2 + msgp.StringPrefixSize + len(z.Me) + 2 + msgp.BoolSize + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
+	s = 1 + 2 + z.View.Msgsize() + 2 + msgp.StringPrefixSize + len(z.Id) + 2 + msgp.BoolSize + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Nodes {
 		s += z.Nodes[za0001].Msgsize()
 	}
@@ -2247,32 +2498,24 @@
 		s += z.Shares[za0002].Msgsize()
 	}
 	s += 2 + msgp.ArrayHeaderSize
-	for za0003 := range z.Spares {
-		s += z.Spares[za0003].Msgsize()
+	for za0003 := range z.Candidates {
+		s += z.Candidates[za0003].Msgsize()
 	}
 	s += 2 + msgp.BoolSize + 2 + msgp.IntSize + 2 + msgp.IntSize + 2 + msgp.IntSize
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Take) MarshalMsg(b []byte) (o []byte, err error) {
+func (z StateRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "k"
-	o = append(o, 0x82, 0xa1, 0x6b)
-	o = msgp.AppendString(o, z.Key)
-	// string "c"
-	o = append(o, 0xa1, 0x63)
-	o, err = z.Claim.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Claim")
-		return
-	}
+	// map header, size 0
+	_ = z
+	o = append(o, 0x80)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Take) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *StateRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -2289,115 +2532,43 @@
 		zb0001--
 		field, bts, err = msgp.ReadMapKeyZC(bts)
 		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Key, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Key")
-				return
-			}
-		case "c":
-			bts, err = z.Claim.UnmarshalMsg(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Claim")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Take) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + z.Claim.Msgsize()
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Told) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 12
-	// string "v"
-	o = append(o, 0x8c, 0xa1, 0x76)
-	o, err = z.View.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "View")
-		return
-	}
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.Seq)
-	// string "r"
-	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendUint64(o, z.Roll)
-	// string "n"
-	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Nodes)))
-	for za0001 := range z.Nodes {
-		o, err = z.Nodes[za0001].MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Nodes", za0001)
-			return
-		}
-	}
-	// string "w"
-	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendBool(o, z.Whole)
-	// string "h"
-	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Short)))
-	for za0002 := range z.Short {
-		o = msgp.AppendString(o, z.Short[za0002])
-	}
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendInt(o, z.RoutersBefore)
-	// string "re"
-	o = append(o, 0xa2, 0x72, 0x65)
-	o = msgp.AppendUint64(o, z.RunnersEpoch)
-	// string "rv"
-	o = append(o, 0xa2, 0x72, 0x76)
-	o = msgp.AppendUint64(o, z.RunnersVersion)
-	// string "rr"
-	o = append(o, 0xa2, 0x72, 0x72)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Runners)))
-	for za0003 := range z.Runners {
-		o, err = z.Runners[za0003].MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Runners", za0003)
-			return
-		}
-	}
-	// string "rw"
-	o = append(o, 0xa2, 0x72, 0x77)
-	o = msgp.AppendBool(o, z.RunnersWhole)
-	// string "rf"
-	o = append(o, 0xa2, 0x72, 0x66)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Failing)))
-	for za0004 := range z.Failing {
-		// map header, size 2
-		// string "i"
-		o = append(o, 0x82, 0xa1, 0x69)
-		o = msgp.AppendString(o, z.Failing[za0004].ID)
-		// string "s"
-		o = append(o, 0xa1, 0x73)
-		o = msgp.AppendFloat64(o, z.Failing[za0004].Share)
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
 	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z StateRequest) Msgsize() (s int) {
+	s = 1
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *StoredConfig) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 2
+	// string "s"
+	o = append(o, 0x82, 0xa1, 0x73)
+	o = msgp.AppendUint64(o, z.Version)
+	// string "r"
+	o = append(o, 0xa1, 0x72)
+	o = msgp.AppendBytes(o, z.Raw)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Told) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *StoredConfig) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -2418,179 +2589,34 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "v":
-			bts, err = z.View.UnmarshalMsg(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "View")
-				return
-			}
 		case "s":
-			z.Seq, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Seq")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
 		case "r":
-			z.Roll, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Roll")
-				return
-			}
-		case "n":
 			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			zb0002, bts, err = msgp.ReadBytesHeader(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Nodes")
+				err = msgp.WrapError(err, "Raw")
 				return
 			}
 			if zb0002 > z78411aa4limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Nodes) >= int(zb0002) {
-				z.Nodes = (z.Nodes)[:zb0002]
-			} else {
-				z.Nodes = make([]Node, zb0002)
-			}
-			for za0001 := range z.Nodes {
-				bts, err = z.Nodes[za0001].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Nodes", za0001)
-					return
-				}
-			}
-		case "w":
-			z.Whole, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Whole")
-				return
-			}
-		case "h":
-			var zb0003 uint32
-			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Short")
-				return
-			}
-			if zb0003 > z78411aa4limitArrays {
-				err = msgp.ErrLimitExceeded
-				return
-			}
-			if cap(z.Short) >= int(zb0003) {
-				z.Short = (z.Short)[:zb0003]
-			} else {
-				z.Short = make([]string, zb0003)
-			}
-			for za0002 := range z.Short {
-				z.Short[za0002], bts, err = msgp.ReadStringBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Short", za0002)
-					return
-				}
-			}
-		case "b":
-			z.RoutersBefore, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "RoutersBefore")
-				return
-			}
-		case "re":
-			z.RunnersEpoch, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "RunnersEpoch")
-				return
-			}
-		case "rv":
-			z.RunnersVersion, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "RunnersVersion")
-				return
-			}
-		case "rr":
-			var zb0004 uint32
-			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Runners")
-				return
-			}
-			if zb0004 > z78411aa4limitArrays {
-				err = msgp.ErrLimitExceeded
-				return
-			}
-			if cap(z.Runners) >= int(zb0004) {
-				z.Runners = (z.Runners)[:zb0004]
+			if z.Raw == nil || uint32(cap(z.Raw)) < zb0002 {
+				z.Raw = make([]byte, zb0002)
 			} else {
-				z.Runners = make([]routing.Runner, zb0004)
-			}
-			for za0003 := range z.Runners {
-				bts, err = z.Runners[za0003].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Runners", za0003)
-					return
-				}
-			}
-		case "rw":
-			z.RunnersWhole, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "RunnersWhole")
-				return
-			}
-		case "rf":
-			var zb0005 uint32
-			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Failing")
-				return
+				z.Raw = z.Raw[:zb0002]
 			}
-			if zb0005 > z78411aa4limitArrays {
-				err = msgp.ErrLimitExceeded
+			if uint32(len(bts)) < zb0002 {
+				err = msgp.ErrShortBytes
 				return
 			}
-			if cap(z.Failing) >= int(zb0005) {
-				z.Failing = (z.Failing)[:zb0005]
-			} else {
-				z.Failing = make([]FailingRunner, zb0005)
-			}
-			for za0004 := range z.Failing {
-				var zb0006 uint32
-				zb0006, bts, err = msgp.ReadMapHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Failing", za0004)
-					return
-				}
-				if zb0006 > z78411aa4limitMaps {
-					err = msgp.ErrLimitExceeded
-					return
-				}
-				for zb0006 > 0 {
-					zb0006--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Failing", za0004)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "i":
-						z.Failing[za0004].ID, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Failing", za0004, "ID")
-							return
-						}
-					case "s":
-						z.Failing[za0004].Share, bts, err = msgp.ReadFloat64Bytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Failing", za0004, "Share")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Failing", za0004)
-							return
-						}
-					}
-				}
-			}
+			copy(z.Raw, bts[:zb0002])
+			bts = bts[zb0002:]
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -2604,57 +2630,29 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Told) Msgsize() (s int) {
-	s = 1 + 2 + z.View.Msgsize() + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Nodes {
-		s += z.Nodes[za0001].Msgsize()
-	}
-	s += 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize
-	for za0002 := range z.Short {
-		s += msgp.StringPrefixSize + len(z.Short[za0002])
-	}
-	s += 2 + msgp.IntSize + 3 + msgp.Uint64Size + 3 + msgp.Uint64Size + 3 + msgp.ArrayHeaderSize
-	for za0003 := range z.Runners {
-		s += z.Runners[za0003].Msgsize()
-	}
-	s += 3 + msgp.BoolSize + 3 + msgp.ArrayHeaderSize
-	for za0004 := range z.Failing {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Failing[za0004].ID) + 2 + msgp.Float64Size
-	}
+func (z *StoredConfig) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.BytesPrefixSize + len(z.Raw)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Took) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *WriteHistory) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 6
-	// string "g"
-	o = append(o, 0x86, 0xa1, 0x67)
-	o = msgp.AppendBool(o, z.Got)
-	// string "x"
-	o = append(o, 0xa1, 0x78)
-	o = msgp.AppendBool(o, z.Clash)
-	// string "l"
-	o = append(o, 0xa1, 0x6c)
-	o = msgp.AppendBool(o, z.Live)
-	// string "r"
-	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendBool(o, z.Ran)
-	// string "f"
-	o = append(o, 0xa1, 0x66)
-	o = msgp.AppendBool(o, z.Full)
+	// map header, size 2
 	// string "c"
-	o = append(o, 0xa1, 0x63)
-	o, err = z.Claim.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Claim")
-		return
+	o = append(o, 0x82, 0xa1, 0x63)
+	o = msgp.AppendUint64(o, z.Writes)
+	// string "p"
+	o = append(o, 0xa1, 0x70)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.KeptVersions)))
+	for za0001 := range z.KeptVersions {
+		o = msgp.AppendUint64(o, z.KeptVersions[za0001])
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Took) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *WriteHistory) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -2675,41 +2673,34 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "g":
-			z.Got, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Got")
-				return
-			}
-		case "x":
-			z.Clash, bts, err = msgp.ReadBoolBytes(bts)
+		case "c":
+			z.Writes, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Clash")
+				err = msgp.WrapError(err, "Writes")
 				return
 			}
-		case "l":
-			z.Live, bts, err = msgp.ReadBoolBytes(bts)
+		case "p":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Live")
+				err = msgp.WrapError(err, "KeptVersions")
 				return
 			}
-		case "r":
-			z.Ran, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Ran")
+			if zb0002 > z78411aa4limitArrays {
+				err = msgp.ErrLimitExceeded
 				return
 			}
-		case "f":
-			z.Full, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Full")
-				return
+			if cap(z.KeptVersions) >= int(zb0002) {
+				z.KeptVersions = (z.KeptVersions)[:zb0002]
+			} else {
+				z.KeptVersions = make([]uint64, zb0002)
 			}
-		case "c":
-			bts, err = z.Claim.UnmarshalMsg(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Claim")
-				return
+			for za0001 := range z.KeptVersions {
+				z.KeptVersions[za0001], bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "KeptVersions", za0001)
+					return
+				}
 			}
 		default:
 			bts, err = msgp.Skip(bts)
@@ -2724,23 +2715,26 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Took) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + z.Claim.Msgsize()
+func (z *WriteHistory) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize + (len(z.KeptVersions) * (msgp.Uint64Size))
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Want) MarshalMsg(b []byte) (o []byte, err error) {
+func (z WriteRecord) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 1
+	// map header, size 2
 	// string "s"
-	o = append(o, 0x81, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.Seq)
+	o = append(o, 0x82, 0xa1, 0x73)
+	o = msgp.AppendUint64(o, z.Version)
+	// string "h"
+	o = append(o, 0xa1, 0x68)
+	o = msgp.AppendString(o, z.Hash)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Want) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *WriteRecord) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -2762,9 +2756,15 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "s":
-			z.Seq, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Version")
+				return
+			}
+		case "h":
+			z.Hash, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Seq")
+				err = msgp.WrapError(err, "Hash")
 				return
 			}
 		default:
@@ -2780,13 +2780,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Want) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size
+func (z WriteRecord) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Hash)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Write) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *WriteRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 5
 	// string "i"
@@ -2794,10 +2794,10 @@
 	o = msgp.AppendString(o, z.Id)
 	// string "m"
 	o = append(o, 0xa1, 0x6d)
-	o = msgp.AppendUint64(o, z.Match)
+	o = msgp.AppendUint64(o, z.BaseVersion)
 	// string "a"
 	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendBool(o, z.Any)
+	o = msgp.AppendBool(o, z.AnyVersion)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
 	o = msgp.AppendBool(o, z.Patch)
@@ -2808,7 +2808,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Write) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *WriteRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -2836,15 +2836,15 @@
 				return
 			}
 		case "m":
-			z.Match, bts, err = msgp.ReadUint64Bytes(bts)
+			z.BaseVersion, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Match")
+				err = msgp.WrapError(err, "BaseVersion")
 				return
 			}
 		case "a":
-			z.Any, bts, err = msgp.ReadBoolBytes(bts)
+			z.AnyVersion, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Any")
+				err = msgp.WrapError(err, "AnyVersion")
 				return
 			}
 		case "p":
@@ -2888,13 +2888,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Write) Msgsize() (s int) {
+func (z *WriteRequest) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.Id) + 2 + msgp.Uint64Size + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.BytesPrefixSize + len(z.Raw)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Wrote) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *WriteResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 4
 	// string "c"
@@ -2902,27 +2902,27 @@
 	o = msgp.AppendInt(o, z.Code)
 	// string "s"
 	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.Seq)
+	o = msgp.AppendUint64(o, z.Version)
 	// string "f"
 	o = append(o, 0xa1, 0x66)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Flaws)))
-	for za0001 := range z.Flaws {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Errors)))
+	for za0001 := range z.Errors {
 		// map header, size 2
 		// string "p"
 		o = append(o, 0x82, 0xa1, 0x70)
-		o = msgp.AppendString(o, z.Flaws[za0001].Path)
+		o = msgp.AppendString(o, z.Errors[za0001].Path)
 		// string "t"
 		o = append(o, 0xa1, 0x74)
-		o = msgp.AppendString(o, z.Flaws[za0001].Text)
+		o = msgp.AppendString(o, z.Errors[za0001].Text)
 	}
 	// string "a"
 	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendBool(o, z.Again)
+	o = msgp.AppendBool(o, z.Repeated)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Wrote) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *WriteResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -2950,32 +2950,32 @@
 				return
 			}
 		case "s":
-			z.Seq, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Seq")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
 		case "f":
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Flaws")
+				err = msgp.WrapError(err, "Errors")
 				return
 			}
 			if zb0002 > z78411aa4limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Flaws) >= int(zb0002) {
-				z.Flaws = (z.Flaws)[:zb0002]
+			if cap(z.Errors) >= int(zb0002) {
+				z.Errors = (z.Errors)[:zb0002]
 			} else {
-				z.Flaws = make([]Flaw, zb0002)
+				z.Errors = make([]ConfigError, zb0002)
 			}
-			for za0001 := range z.Flaws {
+			for za0001 := range z.Errors {
 				var zb0003 uint32
 				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Flaws", za0001)
+					err = msgp.WrapError(err, "Errors", za0001)
 					return
 				}
 				if zb0003 > z78411aa4limitMaps {
@@ -2986,35 +2986,35 @@
 					zb0003--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Flaws", za0001)
+						err = msgp.WrapError(err, "Errors", za0001)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "p":
-						z.Flaws[za0001].Path, bts, err = msgp.ReadStringBytes(bts)
+						z.Errors[za0001].Path, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Flaws", za0001, "Path")
+							err = msgp.WrapError(err, "Errors", za0001, "Path")
 							return
 						}
 					case "t":
-						z.Flaws[za0001].Text, bts, err = msgp.ReadStringBytes(bts)
+						z.Errors[za0001].Text, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Flaws", za0001, "Text")
+							err = msgp.WrapError(err, "Errors", za0001, "Text")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Flaws", za0001)
+							err = msgp.WrapError(err, "Errors", za0001)
 							return
 						}
 					}
 				}
 			}
 		case "a":
-			z.Again, bts, err = msgp.ReadBoolBytes(bts)
+			z.Repeated, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Again")
+				err = msgp.WrapError(err, "Repeated")
 				return
 			}
 		default:
@@ -3030,10 +3030,10 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Wrote) Msgsize() (s int) {
+func (z *WriteResponse) Msgsize() (s int) {
 	s = 1 + 2 + msgp.IntSize + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Flaws {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Flaws[za0001].Path) + 2 + msgp.StringPrefixSize + len(z.Flaws[za0001].Text)
+	for za0001 := range z.Errors {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.Errors[za0001].Path) + 2 + msgp.StringPrefixSize + len(z.Errors[za0001].Text)
 	}
 	s += 2 + msgp.BoolSize
 	return
--- a/internal/core/nodes_test.go
+++ b/internal/core/nodes_test.go
@@ -28,14 +28,14 @@
 		s.since = time.Now()
 		s.nodes = map[string]*seat{"a": {Node{Name: "a"}, time.Now()}}
 		s.roll = 1
-		var early, late Told
-		s.tellNodes(&Beat{}, &early)
-		if early.RoutersBefore != 3 || early.Whole {
-			t.Errorf("a new primary tells %d routers and names nodes: %v; 3 and none expected", early.RoutersBefore, early.Whole)
+		var early, late HeartbeatResponse
+		s.tellNodes(&HeartbeatRequest{}, &early)
+		if early.RoutersBefore != 3 || early.NodesChanged {
+			t.Errorf("a new primary tells %d routers and names nodes: %v; 3 and none expected", early.RoutersBefore, early.NodesChanged)
 		}
 		time.Sleep(nodeTerm + time.Millisecond)
-		s.tellNodes(&Beat{}, &late)
-		if late.RoutersBefore != 0 || !late.Whole || len(late.Nodes) != 1 {
+		s.tellNodes(&HeartbeatRequest{}, &late)
+		if late.RoutersBefore != 0 || !late.NodesChanged || len(late.Nodes) != 1 {
 			t.Errorf("a primary that knows its nodes tells %+v", late)
 		}
 	})
--- a/internal/core/primary.go
+++ b/internal/core/primary.go
@@ -139,7 +139,7 @@
 
 // start opens for writes: the backup holds all we hold, and the lease stands.
 func (s *Server) start(v view.View) {
-	var sheet Sheet
+	var sheet StoredConfig
 	if raw, ok := s.st.Load().Get("layout"); ok {
 		if _, err := sheet.UnmarshalMsg(raw); err != nil {
 			s.ctx.Log.Error("Stored layout unread.", "trouble", err.Error())
@@ -152,7 +152,7 @@
 	s.ready, s.sheet, s.since = true, sheet, time.Now()
 	s.routersBefore = s.rememberedRouters()
 	s.mu.Unlock()
-	s.ctx.Log.Info("Primary is ready.", "epoch", v.Epoch, "backups", addrs(v, v.Backups()), "sequence", sheet.Seq)
+	s.ctx.Log.Info("Primary is ready.", "epoch", v.Epoch, "backups", addrs(v, v.Backups()), "sequence", sheet.Version)
 }
 
 // Yield hands the primacy to the backup, which holds all we hold, before a planned stop.
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -65,19 +65,19 @@
 }
 
 // move draws or gives units of one tenant.
-func (s *Server) move(ctx context.Context, in *Move) (*Moved, error) {
-	all, err := s.moveAll(ctx, &Moves{Holder: in.Holder, List: []Move{*in}})
+func (s *Server) move(ctx context.Context, in *QuotaMove) (*QuotaMoveResult, error) {
+	all, err := s.moveAll(ctx, &QuotaMovesRequest{Holder: in.Holder, Moves: []QuotaMove{*in}})
 	if err != nil {
 		return nil, err
 	}
-	return &all.List[0], nil
+	return &all.Results[0], nil
 }
 
 // moveAll makes all moves of one holder in one write.
-func (s *Server) moveAll(ctx context.Context, in *Moves) (*MovedAll, error) {
-	out := &MovedAll{}
+func (s *Server) moveAll(ctx context.Context, in *QuotaMovesRequest) (*QuotaMovesResponse, error) {
+	out := &QuotaMovesResponse{}
 	err := s.Submit(ctx, func(tx *Tx) error {
-		out.List = make([]Moved, len(in.List))
+		out.Results = make([]QuotaMoveResult, len(in.Moves))
 		cur, err := tx.sheet()
 		if err != nil {
 			return err
@@ -86,8 +86,8 @@
 		if known := s.parsed(cur); known != nil {
 			doc = *known
 		}
-		for i := range in.List {
-			if out.List[i], err = s.moveIn(tx, in.Holder, &in.List[i], &doc); err != nil {
+		for i := range in.Moves {
+			if out.Results[i], err = s.moveIn(tx, in.Holder, &in.Moves[i], &doc); err != nil {
 				return err
 			}
 		}
@@ -100,7 +100,7 @@
 }
 
 // moveIn makes one move. Only the run loop calls it.
-func (s *Server) moveIn(tx *Tx, who string, in *Move, doc *Document) (out Moved, err error) {
+func (s *Server) moveIn(tx *Tx, who string, in *QuotaMove, doc *Document) (out QuotaMoveResult, err error) {
 	p, err := s.pool.get(tx, in.Tenant)
 	if err != nil {
 		return out, err
@@ -108,16 +108,16 @@
 	quota, tolerance := doc.Quotas[in.Tenant], doc.Tolerances[in.Tenant]
 	var changed bool
 	if in.Give {
-		out.Have, changed = p.Give(who, in.Turn, in.Units)
+		out.Held, changed = p.Give(who, in.Turn, in.Units)
 	} else {
 		was := p.Held[who].Units
 		free := p.Most(quota, tolerance) - p.Out()
-		out.Have, changed = p.DrawAbove(who, in.Turn, min(in.Units, drawMost(free)), quota, tolerance, s.chargeFor(in.Tenant))
+		out.Held, changed = p.DrawAbove(who, in.Turn, min(in.Units, drawMost(free)), quota, tolerance, s.chargeFor(in.Tenant))
 		if in.Units > 0 {
-			s.noteShort(in.Tenant, out.Have == was, quota, p.Most(quota, tolerance)-p.Out())
+			s.noteShort(in.Tenant, out.Held == was, quota, p.Most(quota, tolerance)-p.Out())
 		}
 	}
-	out.Under = p.Under(quota)
+	out.Ceiling = p.Under(quota)
 	if changed {
 		err = s.pool.put(tx, in.Tenant, p)
 	}
--- a/internal/core/quota_test.go
+++ b/internal/core/quota_test.go
@@ -30,11 +30,11 @@
 	s, st := quotaServer(t)
 	begin := func() *Tx { return &Tx{st: st, over: map[string]*store.Put{}} }
 	draw := func(tx *Tx, turn uint64) int {
-		out, err := s.moveIn(tx, "a", &Move{Tenant: "t", Turn: turn, Units: 1}, &Document{Quotas: map[string]int{"t": 100}})
+		out, err := s.moveIn(tx, "a", &QuotaMove{Tenant: "t", Turn: turn, Units: 1}, &Document{Quotas: map[string]int{"t": 100}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return out.Have
+		return out.Held
 	}
 	commit := func(tx *Tx) {
 		if err := st.Add(store.Batch{Seq: st.Seq() + 1, Puts: tx.last()}); err != nil {
@@ -89,11 +89,11 @@
 	doc := &Document{Quotas: map[string]int{"t": 10}, Tolerances: map[string]int{"t": 4}}
 	held, spent := 0, 0
 	for _, who := range []string{"a", "b", "c", "d"} {
-		out, err := s.moveIn(tx, who, &Move{Tenant: "t", Turn: 1, Units: 1}, doc)
+		out, err := s.moveIn(tx, who, &QuotaMove{Tenant: "t", Turn: 1, Units: 1}, doc)
 		if err != nil {
 			t.Fatal(err)
 		}
-		held += out.Have
+		held += out.Held
 		quotaShare := share.NewQuotaShare()
 		quotaShare.Rule(10, time.Minute)
 		quotaShare.Await(1)
@@ -101,7 +101,7 @@
 		if !ok {
 			t.Fatal("no draw is wanted")
 		}
-		quotaShare.Got(turn, out.Have, out.Under)
+		quotaShare.Got(turn, out.Held, out.Ceiling)
 		for {
 			if ok, _ := quotaShare.Keep(1); !ok {
 				break
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -135,7 +135,7 @@
 // Only a list sent once the registry has settled lets the router drop runners that are not named.
 //
 //	registry.Tell(&beat, &told, time.Now())
-func (r *RunnerRegistry) Tell(beat *Beat, told *Told, now time.Time) {
+func (r *RunnerRegistry) Tell(beat *HeartbeatRequest, told *HeartbeatResponse, now time.Time) {
 	if !beat.RunnersWanted {
 		return
 	}
@@ -162,7 +162,7 @@
 }
 
 // holdsAll tells whether a router that asks for a whole list has exactly that; the caller holds the lock.
-func (r *RunnerRegistry) holdsAll(beat *Beat) bool {
+func (r *RunnerRegistry) holdsAll(beat *HeartbeatRequest) bool {
 	if beat.RunnersEpoch != r.epoch || beat.RunnersVersion != 0 || beat.RunnersDigest == 0 {
 		return false
 	}
@@ -202,7 +202,7 @@
 
 // takeRunner takes a runner's heartbeat. A change of state is handed to the first routers of every zone
 // before it is acknowledged, so that it outlives us.
-func (s *Server) takeRunner(ctx context.Context, in *RunnerBeat) (*Done, error) {
+func (s *Server) takeRunner(ctx context.Context, in *RunnerHeartbeat) (*Empty, error) {
 	if err := s.prime(); err != nil {
 		return nil, err
 	}
@@ -222,7 +222,7 @@
 	if told != nil {
 		<-told
 	}
-	return &Done{}, nil
+	return &Empty{}, nil
 }
 
 // announce pushes a runner's word to routers, with others that come close to it.
@@ -269,10 +269,10 @@
 	close(batch.done)
 }
 
-// Beat tells the primary a runner's heartbeat, whichever core that is. It may be repeated: a
+// SendRunnerHeartbeat tells the primary a runner's heartbeat, whichever core that is. It may be repeated: a
 // heartbeat that was taken before changes nothing.
 //
-//	err := client.Beat(ctx, runner)
-func (c *Client) Beat(ctx context.Context, runner routing.Runner) error {
-	return c.Call(ctx, "core.runner", &RunnerBeat{Runner: runner}, &Done{}, true)
+//	err := client.SendRunnerHeartbeat(ctx, runner)
+func (c *Client) SendRunnerHeartbeat(ctx context.Context, runner routing.Runner) error {
+	return c.Call(ctx, "core.runner", &RunnerHeartbeat{Runner: runner}, &Empty{}, true)
 }
--- a/internal/core/registry_test.go
+++ b/internal/core/registry_test.go
@@ -36,9 +36,9 @@
 	return r.announced > before
 }
 
-func (r *registryAt) tell(epoch, version uint64) *Told {
-	var told Told
-	r.Tell(&Beat{RunnersWanted: true, RunnersEpoch: epoch, RunnersVersion: version}, &told, r.now)
+func (r *registryAt) tell(epoch, version uint64) *HeartbeatResponse {
+	var told HeartbeatResponse
+	r.Tell(&HeartbeatRequest{RunnersWanted: true, RunnersEpoch: epoch, RunnersVersion: version}, &told, r.now)
 	return &told
 }
 
@@ -197,8 +197,8 @@
 	if next.RunnersEpoch == told.RunnersEpoch || len(next.Runners) != 1 || next.RunnersWhole {
 		t.Errorf("a new primary told %+v", next)
 	}
-	var none Told
-	r.Tell(&Beat{}, &none, r.now)
+	var none HeartbeatResponse
+	r.Tell(&HeartbeatRequest{}, &none, r.now)
 	if none.RunnersEpoch != 0 || none.Runners != nil {
 		t.Errorf("a router that keeps no registry was told %+v", none)
 	}
@@ -294,9 +294,9 @@
 	r.now = r.now.Add(runnerSettle)
 	r.beat("a", 2, routing.RunnerReady)
 	r.beat("b", 2, routing.RunnerReady)
-	ask := func(epoch uint64, runners []routing.Runner) *Told {
-		var told Told
-		beat := Beat{RunnersWanted: true, RunnersEpoch: epoch}
+	ask := func(epoch uint64, runners []routing.Runner) *HeartbeatResponse {
+		var told HeartbeatResponse
+		beat := HeartbeatRequest{RunnersWanted: true, RunnersEpoch: epoch}
 		for _, runner := range runners {
 			beat.RunnersDigest ^= runner.Digest()
 		}
@@ -311,7 +311,7 @@
 	if told := ask(1, has); len(told.Runners) > 0 {
 		t.Errorf("after a heartbeat that says the same: %+v", told)
 	}
-	for name, told := range map[string]*Told{"another primary's list": ask(7, has), "one runner less": ask(1, has[:1]), "none": ask(1, nil)} {
+	for name, told := range map[string]*HeartbeatResponse{"another primary's list": ask(7, has), "one runner less": ask(1, has[:1]), "none": ask(1, nil)} {
 		if len(told.Runners) != 2 || !told.RunnersWhole {
 			t.Errorf("%s: %+v", name, told)
 		}
--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -47,7 +47,7 @@
 // Server is one core process.
 type Server struct {
 	ctx   env.Ctx
-	set   Set
+	set   Settings
 	disk  store.Disk
 	st    atomic.Pointer[store.Store]
 	seeds atomic.Pointer[[]string] // where the fleet is looked for
@@ -91,7 +91,7 @@
 	rest  time.Time // since when we ask for no lease, having failed to get one
 	vowed bool      // a voter refused to renew since it vowed for the next epoch
 	sick  bool
-	sheet Sheet // newest layout committed
+	sheet StoredConfig // newest layout committed
 	nodes map[string]*seat
 	roll  uint64
 	since time.Time // of being ready
@@ -130,12 +130,12 @@
 // identity is given up, so that it neither votes nor leads on what it no longer has.
 //
 //	srv, err := core.Open(ctx, set, disk)
-func Open(ctx env.Ctx, set Set, disk store.Disk) (*Server, error) {
-	set = set.Fill()
+func Open(ctx env.Ctx, set Settings, disk store.Disk) (*Server, error) {
+	set = set.WithDefaults()
 	if err := store.Tidy(disk, ctx.Log); err != nil {
 		return nil, err
 	}
-	vot, err := view.Open(disk, set.Term, ctx.Part("view").Log)
+	vot, err := view.Open(disk, set.LeaseTerm, ctx.Part("view").Log)
 	if err != nil {
 		return nil, err
 	}
@@ -156,9 +156,9 @@
 	s := &Server{keep: env.NewGate(), run: rand.Uint64() | 1, ctx: ctx, set: set, disk: disk, vot: vot, cal: wire.NewCaller(ctx.Net),
 		box: make(chan *job, 4*most), bad: map[string]time.Time{},
 		synced: map[string]bool{},
-		aged:   map[string]time.Time{}, pool: poolCache{}, mute: map[string]time.Time{}, ls: lease.New(set.Term), nodes: map[string]*seat{},
+		aged:   map[string]time.Time{}, pool: poolCache{}, mute: map[string]time.Time{}, ls: lease.New(set.LeaseTerm), nodes: map[string]*seat{},
 		short: map[string]time.Time{}, spare: map[string]spare{}}
-	s.runners = NewRunnerRegistry(set.RunnerSilence, s.announce)
+	s.runners = NewRunnerRegistry(set.RunnerSilentAfter, s.announce)
 	s.st.Store(st)
 	s.seeds.Store(&set.Seeds)
 	s.own = wire.Hands{"view": s.viewHand, "core": s.coreHand}
@@ -191,7 +191,7 @@
 //
 //	srv.Run()
 func (s *Server) Run() {
-	go env.Loop(s.ctx, nil, s.set.Term/6, func(struct{}) {}, s.renew)
+	go env.Loop(s.ctx, nil, s.set.LeaseTerm/6, func(struct{}) {}, s.renew)
 	s.beat()
 	env.Loop(s.ctx, s.box, tick, s.work, s.beat)
 	s.cal.Close()
--- a/internal/core/sessions.go
+++ b/internal/core/sessions.go
@@ -14,7 +14,7 @@
 const sessionsMost = 1 << 20
 
 // keepSessions keeps the directory in place of the one before.
-func (s *Server) keepSessions(ctx context.Context, in *Sessions) (*Done, error) {
+func (s *Server) keepSessions(ctx context.Context, in *SessionDirectory) (*Empty, error) {
 	if len(in.Batch) > sessionsMost {
 		return nil, wire.Fault{Code: "too-large"}
 	}
@@ -22,15 +22,15 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Done{}, nil
+	return &Empty{}, nil
 }
 
 // giveSessions gives the directory that was kept last.
-func (s *Server) giveSessions() (*Sessions, error) {
+func (s *Server) giveSessions() (*SessionDirectory, error) {
 	if err := s.prime(); err != nil {
 		return nil, err
 	}
-	var out Sessions
+	var out SessionDirectory
 	if raw, ok := s.st.Load().Get(sessionsKey); ok {
 		if _, err := out.UnmarshalMsg(raw); err != nil {
 			return nil, err
--- a/internal/drill/fault_test.go
+++ b/internal/drill/fault_test.go
@@ -269,9 +269,9 @@
 	// Each on a connection of its own, opened before: some are read before what the others in the core
 	// have sent meanwhile.
 	ask := func(cal *wire.Caller) (uint64, error) {
-		var out core.Sheet
-		err := cal.Call(ctx, p.Addr, "core.layout", &core.Want{}, &out)
-		return out.Seq, err
+		var out core.StoredConfig
+		err := cal.Call(ctx, p.Addr, "core.layout", &core.ConfigRequest{}, &out)
+		return out.Version, err
 	}
 	var cals []*wire.Caller
 	for range 200 {
--- a/internal/node/age_test.go
+++ b/internal/node/age_test.go
@@ -18,7 +18,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			var got core.Beat
+			var got core.HeartbeatRequest
 			if _, err := got.UnmarshalMsg(raw); err != nil || got.AgeMs != age {
 				t.Errorf("age %d ms after %d ms, %v", got.AgeMs, age, err)
 			}
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -12,14 +12,14 @@
 // agedHeartbeat is a heartbeat that tells the age of our run as of each time that it is sent: the call may look for
 // a primary for long, and the units of earlier runs at our address are free so much sooner as we are older.
 type agedHeartbeat struct {
-	core.Beat
+	core.HeartbeatRequest
 	started time.Time
 }
 
 // MarshalMsg implements msgp.Marshaler.
 func (b *agedHeartbeat) MarshalMsg(raw []byte) ([]byte, error) {
 	b.AgeMs = int(time.Since(b.started).Milliseconds())
-	return b.Beat.MarshalMsg(raw)
+	return b.HeartbeatRequest.MarshalMsg(raw)
 }
 
 // sendHeartbeat renews our lease at the core and learns what has changed. It tells whether the core has answered.
@@ -32,8 +32,8 @@
 	}
 	ctx, end := context.WithTimeout(h.ctx, 1500*time.Millisecond)
 	defer end()
-	in := agedHeartbeat{Beat: h.makeHeartbeat(roll), started: h.started}
-	var out core.Told
+	in := agedHeartbeat{HeartbeatRequest: h.makeHeartbeat(roll), started: h.started}
+	var out core.HeartbeatResponse
 	if err := h.Core.Call(ctx, "core.beat", &in, &out, true); err != nil {
 		if wire.Is(err, core.NameTaken) {
 			h.ctx.Log.Error("Another router has our name. Each needs its own.", "name", h.ctx.Name)
@@ -44,8 +44,8 @@
 		return false
 	}
 	h.takeHeartbeatResponse(&out)
-	h.fetchConfig(ctx, out.Seq)
-	if h.current.Load() == nil || h.ConfigVersion() < out.Seq {
+	h.fetchConfig(ctx, out.ConfigVersion)
+	if h.current.Load() == nil || h.ConfigVersion() < out.ConfigVersion {
 		return true // asked, but not answered in full
 	}
 	h.mu.Lock()
@@ -55,8 +55,8 @@
 }
 
 // makeHeartbeat says what this node is, what it holds already, and how its attempts at runners ended.
-func (h *Hub) makeHeartbeat(roll uint64) core.Beat {
-	in := core.Beat{Node: h.Me(), Roll: roll, ViewEpoch: h.Core.View().Epoch}
+func (h *Hub) makeHeartbeat(roll uint64) core.HeartbeatRequest {
+	in := core.HeartbeatRequest{Node: h.Me(), NodesVersion: roll, ViewEpoch: h.Core.View().Epoch}
 	if h.runners != nil {
 		in.RunnersWanted = true
 		in.RunnersEpoch, in.RunnersVersion = h.runners.Position()
@@ -71,15 +71,15 @@
 }
 
 // takeHeartbeatResponse takes the view, the nodes and the runners that the core has answered with.
-func (h *Hub) takeHeartbeatResponse(out *core.Told) {
+func (h *Hub) takeHeartbeatResponse(out *core.HeartbeatResponse) {
 	h.Core.Learn(out.View)
 	h.mu.Lock()
 	wasSilent := time.Since(h.coreHeard) > staleAfter && !h.coreHeard.IsZero()
 	h.coreHeard = time.Now()
-	h.scarceTenants = out.Short
+	h.scarceTenants = out.ScarceTenants
 	h.routersBefore = out.RoutersBefore
-	if out.Whole {
-		h.roll = out.Roll
+	if out.NodesChanged {
+		h.roll = out.NodesVersion
 		h.takeNodes(out.Nodes)
 	}
 	h.mu.Unlock()
@@ -104,9 +104,9 @@
 	if h.ConfigVersion() >= version || record.Version >= version || !overdue {
 		return
 	}
-	var sheet core.Sheet
-	if h.Core.Call(ctx, "core.layout", &core.Want{}, &sheet, true) == nil && sheet.Seq > 0 {
-		h.Spread(relay.News{Records: []relay.Record{relay.ConfigRecord(sheet.Seq, sheet.Raw)}})
+	var sheet core.StoredConfig
+	if h.Core.Call(ctx, "core.layout", &core.ConfigRequest{}, &sheet, true) == nil && sheet.Version > 0 {
+		h.Spread(relay.News{Records: []relay.Record{relay.ConfigRecord(sheet.Version, sheet.Raw)}})
 	}
 }
 
@@ -140,7 +140,7 @@
 	h.mu.Lock()
 	h.asked = true
 	if len(h.nodes) == 0 {
-		h.takeNodes(append(nodes, core.Node{Name: h.ctx.Name, Zone: h.ctx.Zone, Addr: h.addr, Born: h.ctx.Born}))
+		h.takeNodes(append(nodes, core.Node{Name: h.ctx.Name, Zone: h.ctx.Zone, Addr: h.addr, Run: h.ctx.Born}))
 	}
 	h.mu.Unlock()
 }
@@ -155,7 +155,7 @@
 	h.mu.Unlock()
 	ctx, end := context.WithTimeout(ctx, time.Second)
 	defer end()
-	if err := h.Core.Call(ctx, "core.beat", &core.Beat{Node: h.Me(), Leave: true}, &core.Told{}, true); err != nil {
+	if err := h.Core.Call(ctx, "core.beat", &core.HeartbeatRequest{Node: h.Me(), Leaving: true}, &core.HeartbeatResponse{}, true); err != nil {
 		h.ctx.Log.Warn("The core was not told that we leave.", "trouble", err.Error())
 	}
 }
--- a/internal/node/nodes.go
+++ b/internal/node/nodes.go
@@ -9,8 +9,8 @@
 //
 //	n := hub.Me()
 func (h *Hub) Me() core.Node {
-	n := core.Node{Name: h.ctx.Name, Zone: h.ctx.Zone, Addr: h.addr, Face: h.clientAddr, Born: h.ctx.Born}
-	n.Seq = h.ConfigVersion()
+	n := core.Node{Name: h.ctx.Name, Zone: h.ctx.Zone, Addr: h.addr, ClientAddr: h.clientAddr, Run: h.ctx.Born}
+	n.ConfigVersion = h.ConfigVersion()
 	n.Ready = h.Ready() == ""
 	return n
 }
@@ -82,5 +82,5 @@
 		}
 	}
 	h.neighbours = relay.Neighbours(h.ctx.Name, relayNodes)
-	h.Core.Peers(addrs)
+	h.Core.SetPeers(addrs)
 }
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -24,9 +24,9 @@
 	case "view.ask":
 		return &view.StatusResponse{Addr: h.addr, View: h.Core.View()}, nil
 	case "node.tell":
-		return wire.On(body, func(in *relay.News) (*core.Done, error) {
+		return wire.On(body, func(in *relay.News) (*core.Empty, error) {
 			h.Spread(*in)
-			return &core.Done{}, nil
+			return &core.Empty{}, nil
 		})
 	case "node.sum":
 		return wire.On(body, func(in *relay.Digests) (*relay.Difference, error) {
@@ -39,9 +39,9 @@
 			return &relay.News{From: h.ctx.Name, Records: h.Records.Select(in.Wanted)}, nil
 		})
 	case "node.view":
-		return wire.On(body, func(in *view.LearnRequest) (*core.Done, error) {
+		return wire.On(body, func(in *view.LearnRequest) (*core.Empty, error) {
 			h.Core.Learn(in.View)
-			return &core.Done{}, nil
+			return &core.Empty{}, nil
 		})
 	case "node.run":
 		me := h.Me()
--- a/internal/node/standby.go
+++ b/internal/node/standby.go
@@ -103,7 +103,7 @@
 }
 
 // takeCopy takes a copy as a standby.
-func (s *Streams) takeCopy(change *StreamCopy) (*core.Done, error) {
+func (s *Streams) takeCopy(change *StreamCopy) (*core.Empty, error) {
 	n := 0
 	for _, piece := range change.Pieces {
 		n += len(piece)
@@ -155,5 +155,5 @@
 	s.mu.Lock()
 	s.size -= n // reserved, and not needed after all
 	s.mu.Unlock()
-	return &core.Done{}, err
+	return &core.Empty{}, err
 }
--- a/internal/operator/bodies.go
+++ b/internal/operator/bodies.go
@@ -26,9 +26,9 @@
 
 // BadConfig is an error that lists all that is wrong with a config.
 type BadConfig struct {
-	Code    string      `json:"code"`
-	Message string      `json:"message"`
-	Flaws   []core.Flaw `json:"troubles"`
+	Code    string             `json:"code"`
+	Message string             `json:"message"`
+	Flaws   []core.ConfigError `json:"troubles"`
 }
 
 // Fleet is the body of /v1/fleet.
--- a/internal/operator/bodies_test.go
+++ b/internal/operator/bodies_test.go
@@ -20,7 +20,7 @@
 		{Written{Version: 7}, `{"repeated":false,"sequence":7}`},
 		{web.ErrorBody{Error: web.Error{Code: "no-core", Message: "text"}}, `{"error":{"code":"no-core","message":"text"}}`},
 		{BadConfigBody{BadConfig{Code: "bad-layout", Message: "text"}}, `{"error":{"code":"bad-layout","message":"text","troubles":null}}`},
-		{BadConfigBody{BadConfig{Code: "bad-layout", Message: "text", Flaws: []core.Flaw{{Path: "a", Text: "b"}}}},
+		{BadConfigBody{BadConfig{Code: "bad-layout", Message: "text", Flaws: []core.ConfigError{{Path: "a", Text: "b"}}}},
 			`{"error":{"code":"bad-layout","message":"text","troubles":[{"path":"a","text":"b"}]}}`},
 	} {
 		got, err := json.Marshal(c.body)
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -24,35 +24,35 @@
 
 // getConfig answers with the config in force, or an earlier version of it.
 func (api *API) getConfig(w http.ResponseWriter, r *http.Request) {
-	var wanted core.Want
+	var wanted core.ConfigRequest
 	if text := r.URL.Query().Get("sequence"); text != "" {
 		number, err := strconv.ParseUint(text, 10, 64)
 		if err != nil || number == 0 {
 			web.WriteError(w, http.StatusBadRequest, "bad-sequence", "sequence: a whole number above zero is expected.")
 			return
 		}
-		wanted.Seq = number
+		wanted.Version = number
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), 3*time.Second)
 	defer cancel()
-	var sheet core.Sheet
+	var sheet core.StoredConfig
 	switch err := api.Core.Call(ctx, "core.layout", &wanted, &sheet, true); {
 	case wire.Is(err, "no-such-sequence"):
 		web.WriteError(w, http.StatusNotFound, "no-such-sequence", "This sequence is not kept.")
 	case err != nil:
 		writeRetryable(w, http.StatusServiceUnavailable, "no-core", "The core did not answer in time.")
-	case sheet.Seq == 0:
+	case sheet.Version == 0:
 		web.WriteError(w, http.StatusNotFound, "no-layout", "No layout has been put yet.")
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		w.Header().Set("ETag", strconv.Quote(strconv.FormatUint(sheet.Seq, 10)))
+		w.Header().Set("ETag", strconv.Quote(strconv.FormatUint(sheet.Version, 10)))
 		w.Write(sheet.Raw)
 	}
 }
 
 // readWrite reads a write of the config; where it is not one, it answers and ok is false.
-func readWrite(w http.ResponseWriter, r *http.Request) (write core.Write, ok bool) {
-	write = core.Write{Id: r.Header.Get(WriteIDHeader), Patch: r.Method == http.MethodPatch, Any: true}
+func readWrite(w http.ResponseWriter, r *http.Request) (write core.WriteRequest, ok bool) {
+	write = core.WriteRequest{Id: r.Header.Get(WriteIDHeader), Patch: r.Method == http.MethodPatch, AnyVersion: true}
 	if len(write.Id) > 200 {
 		web.WriteError(w, http.StatusBadRequest, "bad-write-id", WriteIDHeader+": at most 200 bytes are expected.")
 		return write, false
@@ -63,7 +63,7 @@
 			web.WriteError(w, http.StatusBadRequest, "bad-if-match", "If-Match: a sequence, or *, is expected.")
 			return write, false
 		}
-		write.Match, write.Any = version, false
+		write.BaseVersion, write.AnyVersion = version, false
 	}
 	raw, err := io.ReadAll(io.LimitReader(r.Body, fleetconfig.MaxBytes+1))
 	if err != nil {
@@ -87,10 +87,10 @@
 	// The write goes on if the operator hangs up: its outcome is settled either way.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), 6*time.Second)
 	defer cancel()
-	var written core.Wrote
+	var written core.WriteResponse
 	err := api.Core.Call(ctx, "core.write", &write, &written, write.Id != "")
 	switch {
-	case core.Doubt(err):
+	case core.IsInDoubt(err):
 		writeRetryable(w, http.StatusGatewayTimeout, "in-doubt", "The write may yet take effect. Read the layout back, or repeat it with the same "+WriteIDHeader+".")
 	case errors.Is(err, wire.ErrUnsent), wire.Is(err, core.NotReady), wire.Is(err, core.NotPrimary):
 		writeRetryable(w, http.StatusServiceUnavailable, "not-taken", "The core can't take writes now. This one was surely not taken.")
@@ -98,15 +98,15 @@
 		api.Ctx.Log.Error("Write in trouble.", "trouble", err.Error())
 		writeRetryable(w, http.StatusGatewayTimeout, "in-doubt", "The write may yet take effect. Read the layout back.")
 	case written.Code == 200:
-		w.Header().Set("ETag", strconv.Quote(strconv.FormatUint(written.Seq, 10)))
-		web.WriteJSON(w, http.StatusOK, Written{Repeated: written.Again, Version: written.Seq})
+		w.Header().Set("ETag", strconv.Quote(strconv.FormatUint(written.Version, 10)))
+		web.WriteJSON(w, http.StatusOK, Written{Repeated: written.Repeated, Version: written.Version})
 	case written.Code == 412:
-		web.WriteError(w, http.StatusPreconditionFailed, "lost-race", fmt.Sprintf("The layout is at sequence %d by now.", written.Seq))
+		web.WriteError(w, http.StatusPreconditionFailed, "lost-race", fmt.Sprintf("The layout is at sequence %d by now.", written.Version))
 	case written.Code == 413:
 		web.WriteError(w, http.StatusRequestEntityTooLarge, "too-large", fmt.Sprintf("A layout of at most %d bytes is taken.", fleetconfig.MaxBytes))
 	case written.Code == 422:
 		web.WriteError(w, http.StatusUnprocessableEntity, "write-id-clash", "This "+WriteIDHeader+" was used for another write.")
 	default:
-		web.WriteJSON(w, http.StatusBadRequest, BadConfigBody{BadConfig{Code: "bad-layout", Message: "The layout has troubles; nothing was changed.", Flaws: written.Flaws}})
+		web.WriteJSON(w, http.StatusBadRequest, BadConfigBody{BadConfig{Code: "bad-layout", Message: "The layout has troubles; nothing was changed.", Flaws: written.Errors}})
 	}
 }
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -15,7 +15,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), 2*time.Second)
 	defer cancel()
 	var state core.State
-	if err := api.Core.Call(ctx, "core.peek", &core.Peek{}, &state, true); err != nil {
+	if err := api.Core.Call(ctx, "core.peek", &core.StateRequest{}, &state, true); err != nil {
 		writeRetryable(w, http.StatusServiceUnavailable, "no-core", "The core did not answer in time. GET /v1/standing tells what this process knows.")
 		return
 	}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -99,7 +99,7 @@
 // Apply takes the core's answer to a beat.
 //
 //	reg.Apply(&told)
-func (r *Registry) Apply(told *core.Told) {
+func (r *Registry) Apply(told *core.HeartbeatResponse) {
 	if told.RunnersEpoch == 0 {
 		return // a core that keeps no registry
 	}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -67,7 +67,7 @@
 func TestHook(t *testing.T) {
 	var lists [][]routing.Runner
 	reg := New(func(list []routing.Runner) { lists = append(lists, list) })
-	told := &core.Told{RunnersEpoch: 1, RunnersVersion: 3, Runners: []routing.Runner{runner("b", 1, routing.RunnerReady), runner("a", 1, routing.RunnerReady)}}
+	told := &core.HeartbeatResponse{RunnersEpoch: 1, RunnersVersion: 3, Runners: []routing.Runner{runner("b", 1, routing.RunnerReady), runner("a", 1, routing.RunnerReady)}}
 	reg.Apply(told)
 	reg.Apply(told)
 	reg.See(record(t, runner("b", 2, routing.RunnerDraining)))
@@ -84,15 +84,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		reg := New(nil)
 		reg.See(record(t, runner("old", 1, routing.RunnerReady)))
-		reg.Apply(&core.Told{RunnersEpoch: 1, RunnersVersion: 3, Runners: []routing.Runner{runner("a", 1, routing.RunnerReady)}})
+		reg.Apply(&core.HeartbeatResponse{RunnersEpoch: 1, RunnersVersion: 3, Runners: []routing.Runner{runner("a", 1, routing.RunnerReady)}})
 		time.Sleep(pushedKeep + time.Second)
-		reg.Apply(&core.Told{RunnersEpoch: 2, RunnersVersion: 2, Runners: []routing.Runner{runner("b", 1, routing.RunnerReady)}})
-		reg.Apply(&core.Told{}) // a core that keeps none
+		reg.Apply(&core.HeartbeatResponse{RunnersEpoch: 2, RunnersVersion: 2, Runners: []routing.Runner{runner("b", 1, routing.RunnerReady)}})
+		reg.Apply(&core.HeartbeatResponse{}) // a core that keeps none
 		if got := states(reg); got != "a:ready b:ready old:ready " {
 			t.Errorf("without a whole list: %q", got)
 		}
 		reg.See(record(t, runner("new", 1, routing.RunnerReady)))
-		reg.Apply(&core.Told{RunnersEpoch: 2, RunnersVersion: 9, RunnersWhole: true, Runners: []routing.Runner{runner("b", 1, routing.RunnerReady)}})
+		reg.Apply(&core.HeartbeatResponse{RunnersEpoch: 2, RunnersVersion: 9, RunnersWhole: true, Runners: []routing.Runner{runner("b", 1, routing.RunnerReady)}})
 		if got := states(reg); got != "b:ready new:ready " {
 			t.Errorf("after a whole list: %q", got)
 		}
@@ -138,7 +138,7 @@
 		t.Fatalf("%d runners, told %d times", len(reg.List()), news)
 	}
 	news = 0
-	told := &core.Told{RunnersEpoch: 2, RunnersVersion: 601}
+	told := &core.HeartbeatResponse{RunnersEpoch: 2, RunnersVersion: 601}
 	for i := range 600 {
 		again := runner(fmt.Sprintf("r%03d", i), 2, routing.RunnerReady)
 		told.Runners = append(told.Runners, again)
@@ -201,7 +201,7 @@
 			return routing.Runner{ID: "a", Service: "s", State: state, Sequence: sequence}
 		}
 		tell := func(runner routing.Runner) {
-			reg.Apply(&core.Told{RunnersEpoch: 1, RunnersVersion: 2, Runners: []routing.Runner{runner}})
+			reg.Apply(&core.HeartbeatResponse{RunnersEpoch: 1, RunnersVersion: 2, Runners: []routing.Runner{runner}})
 		}
 		state := func() routing.RunnerState { return reg.List()[0].State }
 		tell(word(routing.RunnerReady, 9))
--- a/internal/router/gateway.go
+++ b/internal/router/gateway.go
@@ -94,7 +94,7 @@
 func (g *Gateway) tally() []core.RunnerTally {
 	var out []core.RunnerTally
 	for id, tally := range g.Balancer.Tally() {
-		out = append(out, core.RunnerTally{ID: id, Tries: tally.Tries, Fails: tally.Fails})
+		out = append(out, core.RunnerTally{ID: id, Attempts: tally.Tries, Failures: tally.Fails})
 	}
 	return out
 }
--- a/internal/router/main.go
+++ b/internal/router/main.go
@@ -85,7 +85,7 @@
 	r.Hub = node.NewHub(ctx.Part("node"), addr, clientAddr, seeds, r.Runners.Apply)
 	r.Metrics = metrics.New(map[string]func() float64{
 		"yarrowridge_queued":          func() float64 { n, _ := r.Scheduler.Waiting(); return float64(n) },
-		"yarrowridge_layout_sequence": func() float64 { return float64(r.Hub.Me().Seq) },
+		"yarrowridge_layout_sequence": func() float64 { return float64(r.Hub.Me().ConfigVersion) },
 		"yarrowridge_stale":           func() float64 { return map[bool]float64{true: 1}[r.Hub.Stale()] },
 	})
 	r.QuotaShares = share.NewQuotaShares(ctx.Part("share"), share.Ways{Move: newMoveQueue(ctx, r.Hub).move, Nodes: func() int { return len(r.Hub.Nodes()) },
--- a/internal/router/moves.go
+++ b/internal/router/moves.go
@@ -19,7 +19,7 @@
 // meanwhile goes with the next one, so that a busy core is asked in fewer and larger calls.
 type moveQueue struct {
 	ctx    env.Ctx
-	call   func(ctx context.Context, in *core.Moves, out *core.MovedAll) error
+	call   func(ctx context.Context, in *core.QuotaMovesRequest, out *core.QuotaMovesResponse) error
 	holder func() string
 
 	mu      sync.Mutex
@@ -29,26 +29,26 @@
 
 // queuedMove is one move on its way.
 type queuedMove struct {
-	move core.Move
+	move core.QuotaMove
 	done chan moveResult
 }
 
 type moveResult struct {
-	moved core.Moved
+	moved core.QuotaMoveResult
 	err   error
 }
 
 // newMoveQueue makes a queue to the core that the hub finds.
 func newMoveQueue(ctx env.Ctx, hub *node.Hub) *moveQueue {
 	return &moveQueue{ctx: ctx, holder: func() string { return core.Holder(hub.Me()) },
-		call: func(ctx context.Context, in *core.Moves, out *core.MovedAll) error {
+		call: func(ctx context.Context, in *core.QuotaMovesRequest, out *core.QuotaMovesResponse) error {
 			return hub.Core.Call(ctx, "core.moves", in, out, true)
 		}}
 }
 
 // move is the share.Mover: it makes one move and tells what is held after it, and under what sum.
 func (q *moveQueue) move(ctx context.Context, tenant string, turn uint64, units int, give bool) (int, int, error) {
-	queued := &queuedMove{core.Move{Tenant: tenant, Turn: turn, Units: units, Give: give}, make(chan moveResult, 1)}
+	queued := &queuedMove{core.QuotaMove{Tenant: tenant, Turn: turn, Units: units, Give: give}, make(chan moveResult, 1)}
 	q.mu.Lock()
 	q.waiting = append(q.waiting, queued)
 	start := !q.sending
@@ -59,7 +59,7 @@
 	}
 	select {
 	case result := <-queued.done:
-		return result.moved.Have, result.moved.Under, result.err
+		return result.moved.Held, result.moved.Ceiling, result.err
 	case <-ctx.Done():
 		return 0, 0, ctx.Err()
 	}
@@ -83,19 +83,19 @@
 func (q *moveQueue) sendBatch(batch []*queuedMove) {
 	ctx, end := context.WithTimeout(q.ctx, moveTime)
 	defer end()
-	in := core.Moves{Holder: q.holder(), List: make([]core.Move, len(batch))}
+	in := core.QuotaMovesRequest{Holder: q.holder(), Moves: make([]core.QuotaMove, len(batch))}
 	for i, queued := range batch {
-		in.List[i] = queued.move
+		in.Moves[i] = queued.move
 	}
-	var out core.MovedAll
+	var out core.QuotaMovesResponse
 	err := q.call(ctx, &in, &out)
-	if err == nil && len(out.List) != len(batch) {
-		err = eris.Errorf("router: %d answers to %d moves of quota units", len(out.List), len(batch))
+	if err == nil && len(out.Results) != len(batch) {
+		err = eris.Errorf("router: %d answers to %d moves of quota units", len(out.Results), len(batch))
 	}
 	for i, queued := range batch {
 		result := moveResult{err: err}
 		if err == nil {
-			result.moved = out.List[i]
+			result.moved = out.Results[i]
 		}
 		queued.done <- result
 	}
--- a/internal/router/sessions.go
+++ b/internal/router/sessions.go
@@ -196,8 +196,8 @@
 
 // fetchFromCore tells whether the core has answered.
 func (s *sessionNews) fetchFromCore(ctx context.Context) bool {
-	var kept core.Sessions
-	if err := s.core(ctx, "core.sessions", &core.Want{}, &kept, true); err != nil {
+	var kept core.SessionDirectory
+	if err := s.core(ctx, "core.sessions", &core.ConfigRequest{}, &kept, true); err != nil {
 		s.ctx.Log.Debug("The core does not give the session directory.", "error", err.Error())
 		return false
 	}
@@ -227,7 +227,7 @@
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, sessionFetchTime)
 	defer cancel()
-	if err := s.core(ctx, "core.sessions.keep", &core.Sessions{Batch: body}, &core.Done{}, true); err != nil {
+	if err := s.core(ctx, "core.sessions.keep", &core.SessionDirectory{Batch: body}, &core.Empty{}, true); err != nil {
 		s.ctx.Log.Debug("The core does not keep the session directory.", "error", err.Error())
 		return
 	}
--- a/internal/router/sessions_test.go
+++ b/internal/router/sessions_test.go
@@ -109,10 +109,10 @@
 	}
 	if kind == "core.sessions.keep" {
 		f.keeps++
-		f.kept = in.(*core.Sessions).Batch
+		f.kept = in.(*core.SessionDirectory).Batch
 		return nil
 	}
-	return pass(&core.Sessions{Batch: f.kept}, out)
+	return pass(&core.SessionDirectory{Batch: f.kept}, out)
 }
 
 func (f *newsFleet) round() {
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -78,8 +78,8 @@
 
 // move draws one unit of a tenant's quota, or gives one back.
 func (r *hollowRouter) move(ctx context.Context, tenant string, give bool) error {
-	in := core.Move{Tenant: tenant, Holder: core.Holder(r.hub.Me()), Turn: r.turns.Add(1), Units: 1, Give: give}
-	return r.hub.Core.Call(ctx, "core.move", &in, &core.Moved{}, true)
+	in := core.QuotaMove{Tenant: tenant, Holder: core.Holder(r.hub.Me()), Turn: r.turns.Add(1), Units: 1, Give: give}
+	return r.hub.Core.Call(ctx, "core.move", &in, &core.QuotaMoveResult{}, true)
 }
 
 // hollowFleet is the hollow part of a run.
@@ -161,7 +161,7 @@
 	f.mu.Unlock()
 	one, end := context.WithTimeout(ctx, 3*time.Second)
 	defer end()
-	err := f.clients[i%len(f.clients)].Beat(one, runner)
+	err := f.clients[i%len(f.clients)].SendRunnerHeartbeat(one, runner)
 	if err != nil && ctx.Err() == nil {
 		f.failed.Add(1)
 	}
@@ -193,14 +193,14 @@
 
 // put has the operator put a configuration, whatever the current one is, and tells its sequence.
 func (f *hollowFleet) put(ctx context.Context, raw []byte) (uint64, error) {
-	var out core.Wrote
-	if err := f.operator.Call(ctx, "core.write", &core.Write{Any: true, Raw: raw}, &out, true); err != nil {
+	var out core.WriteResponse
+	if err := f.operator.Call(ctx, "core.write", &core.WriteRequest{AnyVersion: true, Raw: raw}, &out, true); err != nil {
 		return 0, err
 	}
 	if out.Code != 200 {
-		return 0, fmt.Errorf("scale: configuration refused with %d: %v", out.Code, out.Flaws)
+		return 0, fmt.Errorf("scale: configuration refused with %d: %v", out.Code, out.Errors)
 	}
-	return out.Seq, nil
+	return out.Version, nil
 }
 
 // drawEvery has routers move quota units at a rate until the context ends: each a unit out, the next one back.
--- a/internal/scale/sizes_test.go
+++ b/internal/scale/sizes_test.go
@@ -17,11 +17,11 @@
 //
 //	go test ./internal/scale -run XXX -bench Sizes -benchtime 1x
 func BenchmarkSizes(b *testing.B) {
-	var roll, runners core.Told
+	var roll, runners core.HeartbeatResponse
 	pool := share.QuotaPool{Held: map[string]share.Hold{}}
 	for i := range 360 {
 		node := core.Node{Name: fmt.Sprintf("router%04d", i), Zone: zone(i % 11), Addr: fmt.Sprintf("10.%d.%d.7:7501", i%11, i/11),
-			Face: fmt.Sprintf("10.%d.%d.7:8501", i%11, i/11), Born: uint64(i+1) * 0x9e3779b97f4a7c15, Seq: 2600, Ready: true}
+			ClientAddr: fmt.Sprintf("10.%d.%d.7:8501", i%11, i/11), Run: uint64(i+1) * 0x9e3779b97f4a7c15, ConfigVersion: 2600, Ready: true}
 		roll.Nodes = append(roll.Nodes, node)
 		pool.Held[core.Holder(node)] = share.Hold{Units: 100 + i, Turn: uint64(1000 + i)}
 	}
@@ -34,7 +34,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	sheet := core.Sheet{Seq: 2600, Raw: raw}
+	sheet := core.StoredConfig{Version: 2600, Raw: raw}
 	for _, one := range []struct {
 		name string
 		what msgp.Marshaler
--- a/internal/sim/beat_test.go
+++ b/internal/sim/beat_test.go
@@ -16,11 +16,11 @@
 		f := newFleet(t, seed, 1)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
 		o := f.operator()
-		beat := func(known uint64) core.Told {
+		beat := func(known uint64) core.HeartbeatResponse {
 			ctx, end := context.WithTimeout(f.ctx, 5*time.Second)
 			defer end()
-			var told core.Told
-			in := core.Beat{Node: core.Node{Name: "n", Zone: "h", Addr: o.addr, Born: 7}, ViewEpoch: known}
+			var told core.HeartbeatResponse
+			in := core.HeartbeatRequest{Node: core.Node{Name: "n", Zone: "h", Addr: o.addr, Run: 7}, ViewEpoch: known}
 			if err := o.cli.Call(ctx, "core.beat", &in, &told, true); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/sim/core_test.go
+++ b/internal/sim/core_test.go
@@ -174,7 +174,7 @@
 				if p == nil {
 					return false
 				}
-				v := p.srv.Peek().View
+				v := p.srv.State().View
 				has := false
 				for _, m := range v.Members {
 					has = has || m.Addr == next.addr
@@ -247,7 +247,7 @@
 			}
 			b.add(p)
 			lost := f.primary()
-			if v := lost.srv.Peek().View; v.ZoneOf(v.Primary) == v.ZoneOf(v.FirstBackup) {
+			if v := lost.srv.State().View; v.ZoneOf(v.Primary) == v.ZoneOf(v.FirstBackup) {
 				t.Errorf("primary and backup both stand in hall %s", v.ZoneOf(v.Primary))
 			}
 			f.crashCore(lost)
@@ -267,7 +267,7 @@
 			})
 			f.within(15*time.Second, "five members again", func() bool {
 				p := f.primary()
-				return p != nil && len(p.srv.Peek().View.Members) == 5 && p.srv.Peek().View.Addr(lost.srv.Peek().Me) != ""
+				return p != nil && len(p.srv.State().View.Members) == 5 && p.srv.State().View.Addr(lost.srv.State().Id) != ""
 			})
 		}
 		f.check(b)
@@ -320,7 +320,7 @@
 		b := &book{}
 		b.add(o.put(1, 0, ""))
 		old := f.primary()
-		v := old.srv.Peek().View
+		v := old.srv.State().View
 		var rest []string
 		for _, c := range f.cores {
 			if c != old && c.addr != v.Addr(v.FirstBackup) {
@@ -359,19 +359,19 @@
 				t.Fatalf("%s: %v", kind, err)
 			}
 		}
-		claim := func(id string) core.Claim { return core.Claim{Sum: "s", Id: id, Node: "r00", Born: 1} }
-		call("core.settle", &core.Settle{Key: "t/k", Free: true, Claim: claim("late")}, nil)
-		var late, next, third core.Took
-		call("core.take", &core.Take{Key: "t/k", Claim: claim("late")}, &late)
-		if late.Got {
+		claim := func(id string) core.Claim { return core.Claim{RequestHash: "s", Claimant: id, Node: "r00", NodeRun: 1} }
+		call("core.settle", &core.SettleRequest{Key: "t/k", Release: true, Claim: claim("late")}, nil)
+		var late, next, third core.ClaimResponse
+		call("core.take", &core.ClaimRequest{Key: "t/k", Claim: claim("late")}, &late)
+		if late.Granted {
 			t.Error("a claim that had been let go was granted")
 		}
-		call("core.take", &core.Take{Key: "t/k", Claim: claim("next")}, &next)
-		if !next.Got {
+		call("core.take", &core.ClaimRequest{Key: "t/k", Claim: claim("next")}, &next)
+		if !next.Granted {
 			t.Errorf("the key could not be used again: %+v", next)
 		}
-		call("core.take", &core.Take{Key: "t/k", Claim: claim("third")}, &third)
-		if third.Got {
+		call("core.take", &core.ClaimRequest{Key: "t/k", Claim: claim("third")}, &third)
+		if third.Granted {
 			t.Error("a standing claim was granted to another")
 		}
 	})
@@ -396,24 +396,24 @@
 			}
 		}
 		id := 0
-		take := func(key string) (out core.Took, c core.Claim) {
+		take := func(key string) (out core.ClaimResponse, c core.Claim) {
 			id++
-			c = core.Claim{Sum: "s", Id: fmt.Sprint(id), Node: "n", Born: 1}
-			call("core.take", &core.Take{Key: key, Claim: c}, &out)
+			c = core.Claim{RequestHash: "s", Claimant: fmt.Sprint(id), Node: "n", NodeRun: 1}
+			call("core.take", &core.ClaimRequest{Key: key, Claim: c}, &out)
 			return out, c
 		}
 		expect := func(key, when string, got, ran bool) {
 			t.Helper()
-			if out, _ := take(key); out.Got != got || out.Ran != ran {
-				t.Errorf("%s %s: granted %v, ran %v", key, when, out.Got, out.Ran)
+			if out, _ := take(key); out.Granted != got || out.AlreadyRan != ran {
+				t.Errorf("%s %s: granted %v, ran %v", key, when, out.Granted, out.AlreadyRan)
 			}
 		}
 		expect("t/k", "at first", true, false)
 		_, c := take("t/done")
-		c.State, c.Status, c.Kept = core.ClaimDone, 200, true
-		call("core.settle", &core.Settle{Key: "t/done", Claim: c}, nil)
+		c.State, c.Status, c.HasResponse = core.ClaimDone, 200, true
+		call("core.settle", &core.SettleRequest{Key: "t/done", Claim: c}, nil)
 		_, c = take("t/free")
-		call("core.settle", &core.Settle{Key: "t/free", Free: true, Claim: c}, nil)
+		call("core.settle", &core.SettleRequest{Key: "t/free", Release: true, Claim: c}, nil)
 		time.Sleep(50 * time.Second)
 		expect("t/k", "within the span", false, false)
 		f.crashCore(f.primary())
@@ -428,7 +428,7 @@
 		// Many more keys come and end, so that parts merge, and the primary changes twice.
 		for i := range 40 {
 			for j := range 30 {
-				if out, _ := take(fmt.Sprintf("t/%d-%d", i, j)); !out.Got {
+				if out, _ := take(fmt.Sprintf("t/%d-%d", i, j)); !out.Granted {
 					t.Fatal("a new key was not granted")
 				}
 			}
@@ -447,7 +447,7 @@
 		for _, k := range []string{"t/k", "t/done", "t/0-0", "t/17-29", "t/39-3"} {
 			expect(k, "much later", false, true)
 		}
-		if parts := f.primary().srv.Peek().Parts; parts > 20 {
+		if parts := f.primary().srv.State().FinishedKeyParts; parts > 20 {
 			t.Errorf("%d parts after forty sweeps", parts)
 		}
 		time.Sleep(1600 * time.Second)
@@ -503,8 +503,8 @@
 			all.Go(func() {
 				for j := range many / 200 {
 					ctx, end := context.WithTimeout(f.ctx, 20*time.Second)
-					var out core.Took
-					if err := o.cli.Call(ctx, "core.take", &core.Take{Key: fmt.Sprintf("t/%s-%d-%d", long, i, j), Claim: core.Claim{Sum: "s", Id: fmt.Sprint(i, j), Node: "n", Born: 1}}, &out, true); err != nil || !out.Got {
+					var out core.ClaimResponse
+					if err := o.cli.Call(ctx, "core.take", &core.ClaimRequest{Key: fmt.Sprintf("t/%s-%d-%d", long, i, j), Claim: core.Claim{RequestHash: "s", Claimant: fmt.Sprint(i, j), Node: "n", NodeRun: 1}}, &out, true); err != nil || !out.Granted {
 						t.Error(err, out)
 					}
 					end()
@@ -514,9 +514,9 @@
 		all.Wait()
 		f.crashCore(f.primary())
 		f.within(6*time.Second, "another primary", func() bool { return f.primary() != nil })
-		epoch := f.primary().srv.Peek().View.Epoch
-		f.within(60*time.Second, "all claims have ended", func() bool { p := f.primary(); return p != nil && p.srv.Peek().Claims == 0 })
-		if e := f.primary().srv.Peek().View.Epoch; e != epoch {
+		epoch := f.primary().srv.State().View.Epoch
+		f.within(60*time.Second, "all claims have ended", func() bool { p := f.primary(); return p != nil && p.srv.State().Claims == 0 })
+		if e := f.primary().srv.State().View.Epoch; e != epoch {
 			t.Errorf("the view went from epoch %d to %d", epoch, e)
 		}
 	})
@@ -532,18 +532,18 @@
 		o := f.operator()
 		first := o.put(1, 0, "")
 		lost := f.primary()
-		v := lost.srv.Peek().View
+		v := lost.srv.State().View
 		f.crashCore(lost)
 		f.within(6*time.Second, "the backup leads", func() bool { p := f.primary(); return p != nil && p != lost })
 		heir := f.primary()
 		if heir.addr != v.Addr(v.FirstBackup) {
 			t.Fatalf("%s leads, %s was backup", heir.addr, v.Addr(v.FirstBackup))
 		}
-		late, err := (&core.Sheet{Seq: first.seq + 1, Raw: sheet(99)}).MarshalMsg(nil)
+		late, err := (&core.StoredConfig{Version: first.seq + 1, Raw: sheet(99)}).MarshalMsg(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		in := core.Hold{View: v, From: v.Primary, Batch: store.Batch{Seq: heir.srv.Peek().Stored + 1, Puts: []store.Put{{Key: "layout", Val: late}}}}
+		in := core.ReplicateRequest{View: v, Primary: v.Primary, Batch: store.Batch{Seq: heir.srv.State().StoreVersion + 1, Puts: []store.Put{{Key: "layout", Val: late}}}}
 		raw, err := in.MarshalMsg(nil)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/sim/day_test.go
+++ b/internal/sim/day_test.go
@@ -215,11 +215,11 @@
 			wg.Go(func() {
 				for o := w.operator(); !over.Load(); w.pass(1500) {
 					// Whole layouts, each unlike all others; half of them on condition of what was read last.
-					in := &core.Write{Raw: []byte(strings.Replace(lay, `{"services"`, fmt.Sprintf(`{"limits":{"queue":%d},"services"`, 2000+mark.Add(1)), 1)), Any: w.chance(2) == 0}
-					if o.look(b); !in.Any {
+					in := &core.WriteRequest{Raw: []byte(strings.Replace(lay, `{"services"`, fmt.Sprintf(`{"limits":{"queue":%d},"services"`, 2000+mark.Add(1)), 1)), AnyVersion: w.chance(2) == 0}
+					if o.look(b); !in.AnyVersion {
 						b.mu.Lock()
 						if n := len(b.looks); n > 0 {
-							in.Match = b.looks[n-1].seq
+							in.BaseVersion = b.looks[n-1].seq
 						}
 						b.mu.Unlock()
 					}
