--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -55,7 +55,7 @@
 	founder []string
 	codec   core.Codec                      // of the cores; nil: layouts
 	options func(*routerProc) []node.Option // of the routers' hubs
-	place   func(c *coreProc) core.Set      // in place of the usual settings of a core
+	place   func(c *coreProc) core.Settings // in place of the usual settings of a core
 	more    []string                        // addresses that a fault may cut off from a core, besides cores and routers
 }
 
@@ -150,7 +150,7 @@
 	ec := env.Ctx{Context: ctx, Name: c.addr, Zone: c.hall, Born: uint64(time.Now().UnixNano()), Log: f.log.With("at", c.addr), Net: n}
 	var srv *core.Server
 	var err error
-	set := core.Set{Addr: c.addr, Founders: f.founder, Seeds: []string{"10.0.1.1:1", "10.0.1.2:1", f.founder[0]}, Lost: f.lost, Codec: f.codec}
+	set := core.Settings{Addr: c.addr, Founders: f.founder, Seeds: []string{"10.0.1.1:1", "10.0.1.2:1", f.founder[0]}, LostAfter: f.lost, Codec: f.codec}
 	if f.place != nil {
 		set = f.place(c)
 	}
@@ -229,7 +229,7 @@
 // primary is the core that says it is ready to answer as primary.
 func (f *fleet) primary() *coreProc {
 	for _, c := range f.cores {
-		if c.up && c.srv.Peek().Ready {
+		if c.up && c.srv.State().Ready {
 			return c
 		}
 	}
@@ -297,27 +297,27 @@
 }
 
 func (o *operator) put(mark int, match uint64, id string) put {
-	p := o.write(&core.Write{Id: id, Match: match, Any: match == 0, Raw: sheet(mark)})
+	p := o.write(&core.WriteRequest{Id: id, BaseVersion: match, AnyVersion: match == 0, Raw: sheet(mark)})
 	p.mark = mark
 	return p
 }
 
 // raw puts a whole layout.
 func (o *operator) raw(lay []byte, id string) put {
-	return o.write(&core.Write{Id: id, Any: true, Raw: lay})
+	return o.write(&core.WriteRequest{Id: id, AnyVersion: true, Raw: lay})
 }
 
-func (o *operator) write(in *core.Write) put {
+func (o *operator) write(in *core.WriteRequest) put {
 	p := put{begun: time.Now(), raw: string(in.Raw)}
 	ctx, end := context.WithTimeout(o.f.ctx, 6*time.Second)
 	defer end()
-	var out core.Wrote
+	var out core.WriteResponse
 	err := o.cli.Call(ctx, "core.write", in, &out, in.Id != "")
 	p.end = time.Now()
 	switch {
 	case err == nil:
-		p.code, p.seq = out.Code, out.Seq
-	case core.Doubt(err):
+		p.code, p.seq = out.Code, out.Version
+	case core.IsInDoubt(err):
 		p.code = 504
 	default:
 		p.code = 503
@@ -337,11 +337,11 @@
 	l := look{begun: time.Now()}
 	ctx, end := context.WithTimeout(o.f.ctx, 2*time.Second)
 	defer end()
-	var out core.Sheet
-	if o.cli.Call(ctx, "core.layout", &core.Want{}, &out, true) != nil {
+	var out core.StoredConfig
+	if o.cli.Call(ctx, "core.layout", &core.ConfigRequest{}, &out, true) != nil {
 		return
 	}
-	l.seq, l.raw = out.Seq, string(out.Raw)
+	l.seq, l.raw = out.Version, string(out.Raw)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.looks = append(b.looks, l)
@@ -418,13 +418,13 @@
 	o := f.operator()
 	ctx, end := context.WithTimeout(f.ctx, 10*time.Second)
 	defer end()
-	var last core.Sheet
-	if err := o.cli.Call(ctx, "core.layout", &core.Want{}, &last, true); err != nil {
+	var last core.StoredConfig
+	if err := o.cli.Call(ctx, "core.layout", &core.ConfigRequest{}, &last, true); err != nil {
 		t.Fatalf("reading back: %v", err)
 	}
-	see("the core", last.Seq, string(last.Raw))
+	see("the core", last.Version, string(last.Raw))
 	sort.Slice(done, func(i, j int) bool { return done[i].seq < done[j].seq })
-	if n := len(done); n > 0 && done[n-1].seq > last.Seq {
-		t.Errorf("read back sequence %d, but %d was acknowledged", last.Seq, done[n-1].seq)
+	if n := len(done); n > 0 && done[n-1].seq > last.Version {
+		t.Errorf("read back sequence %d, but %d was acknowledged", last.Version, done[n-1].seq)
 	}
 }
--- a/internal/sim/load_test.go
+++ b/internal/sim/load_test.go
@@ -277,7 +277,7 @@
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 2)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
-		epoch := f.primary().srv.Peek().View.Epoch
+		epoch := f.primary().srv.State().View.Epoch
 		codes := make(chan int, 12)
 		for i := range 12 {
 			o := f.operator()
@@ -293,7 +293,7 @@
 		if sum[200] != 12 {
 			t.Errorf("twelve large layouts were answered %v", sum)
 		}
-		if e := f.primary().srv.Peek().View.Epoch; e != epoch {
+		if e := f.primary().srv.State().View.Epoch; e != epoch {
 			t.Errorf("the view went from epoch %d to %d", epoch, e)
 		}
 	})
@@ -311,7 +311,7 @@
 			b.add(o.put(i+1, 0, ""))
 		}
 		p := f.primary()
-		was := p.srv.Peek().Me
+		was := p.srv.State().Id
 		f.crashCore(p)
 		bad := ""
 		for _, n := range p.disk.Names() {
@@ -323,12 +323,12 @@
 			t.Fatal("nothing to spoil")
 		}
 		f.startCore(p)
-		if p.srv.Peek().Me == was {
+		if p.srv.State().Id == was {
 			t.Error("a core with a damaged state kept its identity")
 		}
 		f.within(15*time.Second, "five members again, the damaged one as a new process", func() bool {
 			q := f.primary()
-			return q != nil && len(q.srv.Peek().View.Members) == 5 && q.srv.Peek().View.HasMember(p.srv.Peek().Me)
+			return q != nil && len(q.srv.State().View.Members) == 5 && q.srv.State().View.HasMember(p.srv.State().Id)
 		})
 		b.add(o.put(9, 0, ""))
 		f.check(b)
--- a/internal/sim/membership_test.go
+++ b/internal/sim/membership_test.go
@@ -22,8 +22,8 @@
 	for _, c := range f.cores[:min(3, cores)] {
 		f.founder = append(f.founder, c.addr)
 	}
-	f.place = func(c *coreProc) core.Set {
-		return core.Set{Addr: c.addr, Seeds: f.founder, Bootstrap: true, Losses: losses, Lost: f.lost}
+	f.place = func(c *coreProc) core.Settings {
+		return core.Settings{Addr: c.addr, Seeds: f.founder, Bootstrap: true, Losses: losses, LostAfter: f.lost}
 	}
 	return f
 }
@@ -45,12 +45,12 @@
 	if p == nil {
 		return false
 	}
-	v := p.srv.Peek().View
+	v := p.srv.State().View
 	up := 0
 	for _, c := range f.cores {
 		if c.up {
 			up++
-			if v.Addr(c.srv.Peek().Me) != c.addr {
+			if v.Addr(c.srv.State().Id) != c.addr {
 				return false
 			}
 		}
@@ -61,7 +61,7 @@
 // at is the core process that holds an identity.
 func (f *fleet) at(id string) *coreProc {
 	for _, c := range f.cores {
-		if c.up && c.srv.Peek().Me == id {
+		if c.up && c.srv.State().Id == id {
 			return c
 		}
 	}
@@ -145,16 +145,16 @@
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := seedFleet(t, seed, 5, 1)
 		seeds := [][]string{f.founder, {"10.0.0.9:1"}, {f.founder[0], f.founder[0]}, nil, f.founder}
-		f.place = func(c *coreProc) core.Set {
+		f.place = func(c *coreProc) core.Settings {
 			i := slices.Index(f.cores, c)
-			return core.Set{Addr: c.addr, Seeds: seeds[i], Lost: f.lost, Bootstrap: i == 1 || i == 4}
+			return core.Settings{Addr: c.addr, Seeds: seeds[i], LostAfter: f.lost, Bootstrap: i == 1 || i == 4}
 		}
 		for _, c := range f.cores {
 			f.startCore(c)
 		}
 		time.Sleep(5 * time.Second)
 		for _, c := range f.cores {
-			if e := c.srv.Peek().View.Epoch; e > 0 {
+			if e := c.srv.State().View.Epoch; e > 0 {
 				t.Errorf("%s knows epoch %d", c.addr, e)
 			}
 		}
@@ -171,7 +171,7 @@
 		if b.all[0].code != 200 {
 			t.Fatalf("a write was answered %d", b.all[0].code)
 		}
-		v := f.primary().srv.Peek().View
+		v := f.primary().srv.State().View
 		c := f.at(v.Backups()[f.chance(2)])
 		f.crashCore(c)
 		for i := range 4 {
@@ -192,8 +192,8 @@
 func TestOnlyCore(t *testing.T) {
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := seedFleet(t, seed, 1, 1)
-		f.place = func(c *coreProc) core.Set {
-			return core.Set{Addr: c.addr, Seeds: f.founder, Bootstrap: c.addr == f.founder[0], Losses: 1, Alone: true, Lost: f.lost}
+		f.place = func(c *coreProc) core.Settings {
+			return core.Settings{Addr: c.addr, Seeds: f.founder, Bootstrap: c.addr == f.founder[0], Losses: 1, SingleMember: true, LostAfter: f.lost}
 		}
 		first := f.cores[0]
 		f.startCore(first)
@@ -247,7 +247,7 @@
 						if p.code != 200 {
 							t.Fatalf("round %d: a write was answered %d", round, p.code)
 						}
-						v := f.primary().srv.Peek().View
+						v := f.primary().srv.State().View
 						if len(v.Backups()) != losses {
 							t.Fatalf("%d backups", len(v.Backups()))
 						}
@@ -303,7 +303,7 @@
 		var heir *coreProc
 		f.within(4*time.Second, "a backup takes over", func() bool {
 			for _, c := range f.cores {
-				if c.up && c.srv.Peek().View.Primary == c.srv.Peek().Me {
+				if c.up && c.srv.State().View.Primary == c.srv.State().Id {
 					heir = c
 				}
 			}
@@ -330,7 +330,7 @@
 		o, b := f.operator(), &book{}
 		b.add(o.put(1, 0, ""))
 		lost := f.primary()
-		v := lost.srv.Peek().View
+		v := lost.srv.State().View
 		f.w.Split([]string{lost.addr}, []string{v.Addr(v.Backups()[1])})
 		go func() { b.add(o.put(2, 0, "")) }()
 		time.Sleep(40 * time.Millisecond)
@@ -370,7 +370,7 @@
 				overSeeds(t, func(t *testing.T, seed uint64) {
 					f := grown(t, seed, c.cores, c.losses)
 					old := f.place
-					f.place = func(p *coreProc) core.Set {
+					f.place = func(p *coreProc) core.Settings {
 						set := old(p)
 						set.Bootstrap = false
 						set.Seeds = nil
@@ -434,16 +434,16 @@
 				o := f.operator()
 				b.add(o.put(1, 0, ""))
 				cut := f.cores[f.chance(5)]
-				id := cut.srv.Peek().Me
+				id := cut.srv.State().Id
 				next := &coreProc{addr: "10.0.0.20:1", hall: "west", disk: sim.NewDisk()}
 				f.w.Split([]string{cut.addr}, append(f.rest(cut), o.addr, next.addr))
 				f.cores = append(f.cores, next)
 				f.startCore(next)
 				f.within(8*time.Second, "the newcomer in place of the one cut off", func() bool {
 					for _, c := range f.cores {
-						if c != cut && c.srv.Peek().Ready {
-							v := c.srv.Peek().View
-							return v.Addr(id) == "" && v.HasMember(next.srv.Peek().Me) && len(v.Members) == 5
+						if c != cut && c.srv.State().Ready {
+							v := c.srv.State().View
+							return v.Addr(id) == "" && v.HasMember(next.srv.State().Id) && len(v.Members) == 5
 						}
 					}
 					return false
@@ -478,7 +478,7 @@
 					f.startCore(c)
 				}
 				f.within(5*time.Second, "all cores are members", func() bool { return f.whole(1) })
-				f.place = func(c *coreProc) core.Set {
+				f.place = func(c *coreProc) core.Settings {
 					set := old(c)
 					set.Bootstrap = false
 					return set
@@ -486,10 +486,10 @@
 				o, b := f.operator(), &book{}
 				for round := range 4 {
 					b.add(o.put(round+1, 0, ""))
-					v := f.primary().srv.Peek().View
+					v := f.primary().srv.State().View
 					var lost *coreProc
 					for _, c := range f.cores {
-						id := c.srv.Peek().Me
+						id := c.srv.State().Id
 						if role == "primary" && id == v.Primary || role == "backup" && v.IsBackup(id) || role == "member" && id != v.Primary && !v.IsBackup(id) {
 							lost = c
 						}
@@ -512,7 +512,7 @@
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := seedFleet(t, seed, 7, 1)
 		old := f.place
-		f.place = func(c *coreProc) core.Set {
+		f.place = func(c *coreProc) core.Settings {
 			set := old(c)
 			set.MaxMembers = 5
 			return set
@@ -522,7 +522,7 @@
 		}
 		members := func() []view.Member {
 			if p := f.primary(); p != nil {
-				return p.srv.Peek().View.Members
+				return p.srv.State().View.Members
 			}
 			return nil
 		}
@@ -532,7 +532,7 @@
 			t.Fatalf("%d members", n)
 		}
 		lost := f.primary()
-		id := lost.srv.Peek().Me
+		id := lost.srv.State().Id
 		f.crashCore(lost)
 		f.within(6*time.Second, "another in place of the lost one", func() bool {
 			all := members()
@@ -548,7 +548,7 @@
 		f := grown(t, seed, 5, 1)
 		f.crashCore(f.cores[f.chance(5)])
 		time.Sleep(10 * time.Second)
-		if n := len(f.primary().srv.Peek().View.Members); n != 5 {
+		if n := len(f.primary().srv.State().View.Members); n != 5 {
 			t.Errorf("%d members", n)
 		}
 	})
@@ -602,7 +602,7 @@
 					time.Sleep(time.Duration(f.chance(2000)) * time.Millisecond)
 					lead := f.primary()
 					var back []*coreProc
-					for _, id := range lead.srv.Peek().View.Backups() {
+					for _, id := range lead.srv.State().View.Backups() {
 						back = append(back, f.at(id))
 					}
 					begun := time.Now()
--- a/internal/sim/quota_test.go
+++ b/internal/sim/quota_test.go
@@ -14,23 +14,23 @@
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f, _ := newDocumentFleet(t, seed, 3)
 		o := f.operator()
-		if err := o.cli.Call(f.ctx, "core.write", &core.Write{Any: true, Raw: []byte("5\na 10")}, &core.Wrote{}, true); err != nil {
+		if err := o.cli.Call(f.ctx, "core.write", &core.WriteRequest{AnyVersion: true, Raw: []byte("5\na 10")}, &core.WriteResponse{}, true); err != nil {
 			t.Fatal(err)
 		}
 		f.within(2*time.Second, "every router is there", f.everyRouterAt(5))
 		r := f.routers[0]
-		late := core.Beat{Node: r.hub.Me(), AgeMs: 60_000}
+		late := core.HeartbeatRequest{Node: r.hub.Me(), AgeMs: 60_000}
 		f.crashRouter(r)
 		time.Sleep(time.Second)
 		f.startRouter(r)
 		f.within(5*time.Second, "the new run is there", f.everyRouterAt(5))
 
 		draw := func(holder string, turn uint64) int {
-			var moved core.Moved
-			if err := o.cli.Call(f.ctx, "core.move", &core.Move{Tenant: "a", Holder: holder, Turn: turn, Units: 25}, &moved, true); err != nil {
+			var moved core.QuotaMoveResult
+			if err := o.cli.Call(f.ctx, "core.move", &core.QuotaMove{Tenant: "a", Holder: holder, Turn: turn, Units: 25}, &moved, true); err != nil {
 				t.Fatal(err)
 			}
-			return moved.Have
+			return moved.Held
 		}
 		living := core.Holder(r.hub.Me())
 		held := 0
@@ -40,7 +40,7 @@
 		if held != 10 {
 			t.Fatalf("the living run holds %d of 10 units", held)
 		}
-		err := o.cli.Call(f.ctx, "core.beat", &late, &core.Told{}, true)
+		err := o.cli.Call(f.ctx, "core.beat", &late, &core.HeartbeatResponse{}, true)
 		if !wire.Is(err, core.RunEnded) {
 			t.Errorf("the late beat was answered with %v", err)
 		}
--- a/internal/sim/recovery_test.go
+++ b/internal/sim/recovery_test.go
@@ -55,7 +55,7 @@
 					}
 					time.Sleep(time.Duration(f.chance(2000)) * time.Millisecond)
 					lead := f.primary()
-					v := lead.srv.Peek().View
+					v := lead.srv.State().View
 					var back *coreProc
 					for _, o := range f.cores {
 						if o.addr == v.Addr(v.FirstBackup) {
--- a/internal/sim/registry_test.go
+++ b/internal/sim/registry_test.go
@@ -46,7 +46,7 @@
 	b.mu.Unlock()
 	ctx, end := context.WithTimeout(b.f.ctx, 6*time.Second)
 	defer end()
-	return b.client.Beat(ctx, runner) == nil
+	return b.client.SendRunnerHeartbeat(ctx, runner) == nil
 }
 
 // say sets the state and beats until it is acknowledged.
--- a/internal/sim/restart_test.go
+++ b/internal/sim/restart_test.go
@@ -14,7 +14,7 @@
 	}
 	time.Sleep(3 * time.Second)
 	lead = f.primary()
-	view := lead.srv.Peek().View
+	view := lead.srv.State().View
 	for _, c := range f.cores {
 		if c.addr == view.Addr(view.FirstBackup) {
 			back = c
--- a/internal/sim/sessions_test.go
+++ b/internal/sim/sessions_test.go
@@ -22,7 +22,7 @@
 		keep := func(body []byte) error {
 			ctx, end := context.WithTimeout(f.ctx, 2*time.Second)
 			defer end()
-			return client.Call(ctx, "core.sessions.keep", &core.Sessions{Batch: body}, &core.Done{}, true)
+			return client.Call(ctx, "core.sessions.keep", &core.SessionDirectory{Batch: body}, &core.Empty{}, true)
 		}
 		for _, body := range []string{"first", "second"} {
 			if err := keep([]byte(body)); err != nil {
@@ -41,8 +41,8 @@
 		f.within(10*time.Second, "a primary is ready", func() bool { return f.primary() != nil })
 		ctx, end := context.WithTimeout(f.ctx, 2*time.Second)
 		defer end()
-		var kept core.Sessions
-		if err := client.Call(ctx, "core.sessions", &core.Want{}, &kept, true); err != nil || !bytes.Equal(kept.Batch, []byte("second")) {
+		var kept core.SessionDirectory
+		if err := client.Call(ctx, "core.sessions", &core.ConfigRequest{}, &kept, true); err != nil || !bytes.Equal(kept.Batch, []byte("second")) {
 			t.Errorf("%q is kept: %v", kept.Batch, err)
 		}
 		f.stop()
