--- a/internal/control/main.go
+++ b/internal/control/main.go
@@ -123,13 +123,13 @@
 	if err != nil {
 		return err
 	}
-	go wire.Serve(process.Ctx, listener, server.Hand)
+	go wire.Serve(process.Ctx, listener, server.Handle)
 	caller := wire.NewCaller(process.Ctx.Net)
 	defer caller.Close()
 	if at := process.Set["operator"]; at != "" {
 		api := &operator.API{Ctx: process.Ctx.Part("operator"), KeyHash: func() string { return process.Now("operator-key-hash") },
 			Core:  core.NewClient(process.Ctx, caller, append([]string{process.Set["addr"]}, seeds...)),
-			Ready: server.Why,
+			Ready: server.UnavailableReason,
 			Views: map[string]func() any{
 				"/v1/standing": func() any { return server.State() },
 				"/v1/traffic":  func() any { return wire.TrafficByKind() }}}
@@ -156,7 +156,7 @@
 	process.Ctx.Log.Info("Core is up.", "addr", process.Set["addr"], "hall", process.Ctx.Zone)
 	<-process.Stop
 	process.Ctx.Log.Info("Core stops.")
-	server.Yield()
+	server.StepDown()
 	process.End()
 	<-done
 	return nil
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return eris.Wrap(err, "core: internal listener")
 	}
-	go wire.Serve(process.Ctx, internal, server.Hand)
+	go wire.Serve(process.Ctx, internal, server.Handle)
 	caller := wire.NewCaller(process.Ctx.Net)
 	defer caller.Close()
 	client := core.NewClient(process.Ctx, caller, append([]string{settings.Internal}, settings.Seeds...))
@@ -74,7 +74,7 @@
 	process.Ctx.Log.Info("Core is up.", "internal", settings.Internal, "control", settings.Control, "zone", process.Ctx.Zone)
 	<-process.Stop
 	process.Ctx.Log.Info("Core stops.")
-	server.Yield()
+	server.StepDown()
 	process.End()
 	<-done
 	return nil
--- a/internal/core/backups.go
+++ b/internal/core/backups.go
@@ -18,15 +18,15 @@
 
 // How long backups are kept or left out.
 const (
-	copyWait = 2 * time.Second  // one part of a copy
-	badFor   = 5 * time.Second  // a backup that failed is not chosen again for so long
-	calmFor  = 5 * time.Second  // a primary ready for so long may look for better placed backups
-	alive    = time.Second      // a member heard within this span can be chosen
-	awayFor  = 10 * time.Second // a better placed member must not have failed within this span
+	copyWait    = 2 * time.Second  // one part of a copy
+	failedFor   = 5 * time.Second  // a backup that failed is not chosen again for so long
+	calmFor     = 5 * time.Second  // a primary ready for so long may look for better placed backups
+	aliveWithin = time.Second      // a member heard within this span can be chosen
+	steadyFor   = 10 * time.Second // a better placed member must not have failed within this span
 )
 
-// addrs names where identities listen, for the log.
-func addrs(v view.View, ids []string) []string {
+// addrsOf names where identities listen, for the log.
+func addrsOf(v view.View, ids []string) []string {
 	var out []string
 	for _, id := range ids {
 		out = append(out, v.Addr(id))
@@ -34,16 +34,16 @@
 	return out
 }
 
-// heir is the view in which a backup leads. The other backups stay: each holds every write
+// withPrimary is the view in which a backup leads. The other backups stay: each holds every write
 // acknowledged so far, and the heir acknowledges none before it has copied its state to all of them.
-func heir(v view.View, id string) view.View {
+func withPrimary(v view.View, id string) view.View {
 	next := v.WithoutBackup(id)
 	next.Primary = id
 	return next
 }
 
-// backups tells how many members hold a write beside the primary before it is acknowledged.
-func (s Settings) backups(v view.View) int {
+// backupCount tells how many members hold a write beside the primary before it is acknowledged.
+func (s Settings) backupCount(v view.View) int {
 	if s.SingleMember {
 		return min(s.Losses, len(v.Members)-1)
 	}
@@ -56,27 +56,27 @@
 	if len(v.Backups()) == 0 {
 		return v, false
 	}
-	next = heir(v, v.Backups()[0])
-	if s.set.SingleMember && len(v.Members) == 2 {
+	next = withPrimary(v, v.Backups()[0])
+	if s.settings.SingleMember && len(v.Members) == 2 {
 		next = next.WithoutMember(v.Primary)
 	}
 	return next, true
 }
 
-// watch takes over from a primary whose lease has run out.
-func (s *Server) watch(v view.View, me string) {
-	if s.vot.Leased() || strike.Out("takeover") {
+// watchPrimary takes over from a primary whose lease has run out.
+func (s *Server) watchPrimary(v view.View, me string) {
+	if s.voter.Leased() || strike.Out("takeover") {
 		// In turns, so that two backups hinder one another rarely.
 		turn := time.Duration(slices.Index(v.Backups(), me))
-		s.next = time.Now().Add(turn*100*time.Millisecond + rand.N(100*time.Millisecond))
-		s.look = time.Now().Add(2 * s.set.LeaseTerm)
+		s.nextAttempt = time.Now().Add(turn*100*time.Millisecond + rand.N(100*time.Millisecond))
+		s.nextViewSearch = time.Now().Add(2 * s.settings.LeaseTerm)
 		return
 	}
-	s.lookAround(v)
-	if !s.pause(300 * time.Millisecond) {
+	s.findNewerView(v)
+	if !s.waitTurn(300 * time.Millisecond) {
 		return
 	}
-	if s.decide(v, heir(v, me), false) {
+	if s.decide(v, withPrimary(v, me), false) {
 		s.deposed = v.Primary
 	}
 }
@@ -86,36 +86,36 @@
 	ls, ready, vowed, began := s.leading(v)
 	if !ls.Stands(v.IsMajority) {
 		s.setReady(false)
-		s.lookAround(v)
-		if vowed && s.pause(300*time.Millisecond) {
+		s.findNewerView(v)
+		if vowed && s.waitTurn(300*time.Millisecond) {
 			s.decide(v, v, false)
 		}
 		return
 	}
-	s.look = time.Now().Add(2 * s.set.LeaseTerm)
-	keep := s.answering(v, ls, began)
+	s.nextViewSearch = time.Now().Add(2 * s.settings.LeaseTerm)
+	keep := s.respondingBackups(v, ls, began)
 	if !ready && len(keep) == len(v.Backups()) {
 		keep = s.copyAll(v, keep)
 	}
-	if worst := s.misplaced(v, ls); len(keep) == len(v.Backups()) && worst != "" && s.pause(2*time.Second) {
+	if worst := s.misplaced(v, ls); len(keep) == len(v.Backups()) && worst != "" && s.waitTurn(2*time.Second) {
 		keep = slices.DeleteFunc(keep, func(id string) bool { return id == worst })
 	}
 	switch {
 	case len(keep) < len(v.Backups()):
 		s.setReady(false)
-		s.ctx.Log.Warn("Backups are let go.", "kept", addrs(v, keep), "before", addrs(v, v.Backups()))
+		s.ctx.Log.Warn("Backups are let go.", "kept", addrsOf(v, keep), "before", addrsOf(v, v.Backups()))
 		s.decide(v, v.WithBackups(keep), false)
 		return
-	case len(keep) < s.set.backups(v):
+	case len(keep) < s.settings.backupCount(v):
 		s.setReady(false)
-		if !s.enlist(v, me, ls) {
-			s.seats(v, me, ls, began) // newcomers may be what is missing
+		if !s.addBackups(v, me, ls) {
+			s.changeMembers(v, me, ls, began) // newcomers may be what is missing
 		}
 		return
 	case !ready:
-		s.start(v)
+		s.becomeReady(v)
 	}
-	s.seats(v, me, ls, began)
+	s.changeMembers(v, me, ls, began)
 	s.sweep()
 }
 
@@ -124,12 +124,12 @@
 	s.mu.Lock()
 	if s.epoch != v.Epoch {
 		if s.epoch == 0 || s.epoch+1 != v.Epoch {
-			s.began, s.ls = time.Now(), lease.New(s.set.LeaseTerm)
-			clear(s.synced)
+			s.ledSince, s.lease = time.Now(), lease.New(s.settings.LeaseTerm)
+			clear(s.copiedTo)
 		} else {
-			s.ls = s.ls.Next() // we led the epoch before: who was silent then still is
+			s.lease = s.lease.Next() // we led the epoch before: who was silent then still is
 		}
-		s.epoch, s.ready, s.vowed = v.Epoch, false, false
+		s.epoch, s.ready, s.otherPromised = v.Epoch, false, false
 		s.mu.Unlock()
 		// What came in as backup is wholly in or wholly out before we lead on.
 		s.finishStores()
@@ -137,32 +137,32 @@
 		s.mu.Lock()
 	}
 	defer s.mu.Unlock()
-	return s.ls, s.ready, s.vowed, s.began
+	return s.lease, s.ready, s.otherPromised, s.ledSince
 }
 
 // finishStores waits for a store that is under way.
 func (s *Server) finishStores() {
-	s.keep.Lock()
-	defer s.keep.Unlock()
+	s.storeGate.Lock()
+	defer s.storeGate.Unlock()
 }
 
-// answering are the backups that are not silent.
-func (s *Server) answering(v view.View, ls *lease.Lease, began time.Time) []string {
+// respondingBackups are the backups that are not silent.
+func (s *Server) respondingBackups(v view.View, ls *lease.Lease, began time.Time) []string {
 	var out []string
 	for _, id := range v.Backups() {
-		if ls.Gone(id, began) <= silent {
+		if ls.Gone(id, began) <= backupSilentAfter {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// enlist finds a primary its missing backups, copies everything to them, and only then puts them
+// addBackups finds a primary its missing backups, copies everything to them, and only then puts them
 // into the view. Nothing is acknowledged in between, so the copies are whole.
-func (s *Server) enlist(v view.View, me string, ls *lease.Lease) bool {
-	chosen := s.choose(v, me, ls, s.set.backups(v)-len(v.Backups()))
+func (s *Server) addBackups(v view.View, me string, ls *lease.Lease) bool {
+	chosen := s.chooseBackups(v, me, ls, s.settings.backupCount(v)-len(v.Backups()))
 	for _, id := range chosen {
-		delete(s.synced, id)
+		delete(s.copiedTo, id)
 	}
 	if chosen = s.copyAll(v, chosen); len(chosen) == 0 {
 		return false
@@ -170,15 +170,15 @@
 	return s.decide(v, v.WithBackups(append(slices.Clone(v.Backups()), chosen...)), false)
 }
 
-// choose picks members that answer as new backups, zones that hold no copy yet first.
-func (s *Server) choose(v view.View, me string, ls *lease.Lease, count int) []string {
+// chooseBackups picks members that answer as new backups, zones that hold no copy yet first.
+func (s *Server) chooseBackups(v view.View, me string, ls *lease.Lease, count int) []string {
 	used := map[string]bool{s.ctx.Zone: true}
 	for _, id := range v.Backups() {
 		used[v.ZoneOf(id)] = true
 	}
 	var free []view.Member
 	for _, m := range v.Members {
-		if m.Id != me && !v.IsBackup(m.Id) && ls.Gone(m.Id, time.Time{}) <= alive && time.Since(s.bad[m.Id]) >= badFor {
+		if m.Id != me && !v.IsBackup(m.Id) && ls.Gone(m.Id, time.Time{}) <= aliveWithin && time.Since(s.failedAt[m.Id]) >= failedFor {
 			free = append(free, m)
 		}
 	}
@@ -203,7 +203,7 @@
 // has answered steadily: a backup there outlives the loss of a whole zone.
 func (s *Server) misplaced(v view.View, ls *lease.Lease) string {
 	s.mu.Lock()
-	calm := s.ready && time.Since(s.since) > calmFor
+	calm := s.ready && time.Since(s.readySince) > calmFor
 	s.mu.Unlock()
 	if !calm {
 		return ""
@@ -216,7 +216,7 @@
 		used[v.ZoneOf(id)] = true
 	}
 	for _, m := range v.Members {
-		if worst != "" && !used[m.Zone] && ls.Gone(m.Id, time.Time{}) < alive && time.Since(s.bad[m.Id]) > awayFor {
+		if worst != "" && !used[m.Zone] && ls.Gone(m.Id, time.Time{}) < aliveWithin && time.Since(s.failedAt[m.Id]) > steadyFor {
 			return worst
 		}
 	}
@@ -227,30 +227,30 @@
 func (s *Server) copyAll(v view.View, ids []string) []string {
 	var todo []string
 	for _, id := range ids {
-		if !s.synced[id] {
+		if !s.copiedTo[id] {
 			todo = append(todo, id)
 		}
 	}
 	if len(todo) > 0 {
-		whole := s.st.Load().Whole()
-		s.turn++
-		failed := each(todo, func(id string) bool { return s.copyTo(v, id, whole, s.turn) })
+		whole := s.store.Load().Whole()
+		s.snapshots++
+		failed := callAll(todo, func(id string) bool { return s.copyTo(v, id, whole, s.snapshots) })
 		for _, id := range todo {
-			s.synced[id] = true
+			s.copiedTo[id] = true
 		}
-		s.failed(failed)
+		s.noteFailed(failed)
 	}
 	var out []string
 	for _, id := range ids {
-		if s.synced[id] {
+		if s.copiedTo[id] {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// each calls do for all identities at once and tells for which it was false.
-func each(ids []string, do func(id string) bool) []string {
+// callAll calls do for all identities at once and tells for which it was false.
+func callAll(ids []string, do func(id string) bool) []string {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	var failed []string
@@ -267,17 +267,17 @@
 	return failed
 }
 
-// failed notes backups that do not hold what we hold.
-func (s *Server) failed(ids []string) {
+// noteFailed notes backups that do not hold what we hold.
+func (s *Server) noteFailed(ids []string) {
 	for _, id := range ids {
-		delete(s.synced, id)
-		s.bad[id] = time.Now()
+		delete(s.copiedTo, id)
+		s.failedAt[id] = time.Now()
 	}
 }
 
 // copyTo sends our whole state to one backup, in parts.
 func (s *Server) copyTo(v view.View, id string, whole store.Batch, turn uint64) bool {
-	in := SnapshotRequest{View: v, Primary: s.vot.Id(), Snapshot: turn, Version: whole.Seq}
+	in := SnapshotRequest{View: v, Primary: s.voter.Id(), Snapshot: turn, Version: whole.Seq}
 	size := 0
 	send := func() bool {
 		ctx, end := context.WithTimeout(s.ctx, copyWait)
@@ -296,7 +296,7 @@
 	}
 	for _, p := range whole.Puts {
 		in.Puts = append(in.Puts, p)
-		if size += len(p.Key) + len(p.Val); size > chunk && !send() {
+		if size += len(p.Key) + len(p.Val); size > maxBatchBytes && !send() {
 			return false
 		}
 	}
@@ -304,10 +304,10 @@
 	return send()
 }
 
-// holdAt has every backup of the view hold a batch, and tells which did not.
-func (s *Server) holdAt(v view.View, b store.Batch) []string {
-	return each(v.Backups(), func(id string) bool {
-		ctx, end := context.WithTimeout(s.ctx, holdWait)
+// replicate has every backup of the view hold a batch, and tells which did not.
+func (s *Server) replicate(v view.View, b store.Batch) []string {
+	return callAll(v.Backups(), func(id string) bool {
+		ctx, end := context.WithTimeout(s.ctx, replicateTimeout)
 		defer end()
 		var out ReplicateResponse
 		err := s.call(ctx, v.Addr(id), "core.hold", &ReplicateRequest{View: v, Primary: v.Primary, Batch: b}, &out)
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -52,7 +52,7 @@
 			b.Fatal(err)
 		}
 		all = append(all, s)
-		go wire.Serve(ctx, l, s.Hand)
+		go wire.Serve(ctx, l, s.Handle)
 		go s.Run()
 	}
 	c := NewClient(env.Ctx{Context: ctx, Net: wire.TCP{}}, wire.NewCaller(wire.TCP{}), addrs)
@@ -72,7 +72,7 @@
 	}
 	before := lead.State().StoreVersion
 	if p := lead.State(); p.FinishedKeys > 0 {
-		raw := lead.st.Load().Whole()
+		raw := lead.store.Load().Whole()
 		b.Logf("%d keys that ran in %d parts: %.1f MB on disk; founded, copied to the backup and ready in %s", p.FinishedKeys, p.FinishedKeyParts, float64(raw.Msgsize())/1e6, ready.Round(time.Millisecond))
 	}
 	b.SetParallelism(64)
@@ -103,7 +103,7 @@
 		b.Fatal(err)
 	}
 	s := &Server{}
-	tx := &Tx{st: st, over: map[string]*store.Put{}}
+	tx := &Tx{store: st, newest: map[string]*store.Put{}}
 	for i := 0; i < n; {
 		size := min(n-i, 110_000)
 		if n-i < 120_000 {
@@ -111,9 +111,9 @@
 		}
 		sums := make([]uint64, size)
 		for j := range sums {
-			sums[j] = ranSum(fmt.Sprint("t/", i+j))
+			sums[j] = keyHash(fmt.Sprint("t/", i+j))
 		}
-		s.ranPut(tx, sums)
+		s.putFinishedKeys(tx, sums)
 		i += size
 	}
 	if err := st.Add(store.Batch{Seq: 1, Base: true, Puts: tx.puts}); err != nil {
--- a/internal/core/client.go
+++ b/internal/core/client.go
@@ -16,21 +16,21 @@
 
 // Client finds the primary and calls it, through hand-overs and replaced machines.
 type Client struct {
-	ctx   env.Ctx
-	cal   *wire.Caller
-	seeds []string
-	mu    sync.Mutex
-	view  view.View
-	peers []string
-	hunt  chan struct{} // closed when the search under way ends; nil: there is none
-	newer chan struct{} // closed when a newer view is heard of
+	ctx         env.Ctx
+	caller      *wire.Caller
+	seeds       []string
+	mu          sync.Mutex
+	view        view.View
+	peers       []string
+	searchEnd   chan struct{} // closed when the search under way ends; nil: there is none
+	viewChanged chan struct{} // closed when a newer view is heard of
 }
 
 // NewClient makes a client that starts from the seeds: addresses of any processes of the fleet.
 //
 //	c := core.NewClient(ctx, cal, set.Addrs("seeds"))
 func NewClient(ctx env.Ctx, cal *wire.Caller, seeds []string) *Client {
-	return &Client{ctx: ctx, cal: cal, seeds: seeds, newer: make(chan struct{})}
+	return &Client{ctx: ctx, caller: cal, seeds: seeds, viewChanged: make(chan struct{})}
 }
 
 // View is the newest view heard of.
@@ -50,8 +50,8 @@
 	defer c.mu.Unlock()
 	if v.Epoch > c.view.Epoch {
 		c.view = v
-		close(c.newer)
-		c.newer = make(chan struct{})
+		close(c.viewChanged)
+		c.viewChanged = make(chan struct{})
 	}
 }
 
@@ -76,17 +76,17 @@
 // searchPause is between two searches for a primary, and between two tries at the primary that is known.
 const searchPause = 50 * time.Millisecond
 
-// look searches for a primary until a newer view is known or the search has ended, and no longer than until the
+// waitForSearch searches for a primary until a newer view is known or the search has ended, and no longer than until the
 // known primary may be tried again: machines gone dark must not hold up those that answer.
-func (c *Client) look(ctx context.Context) bool {
+func (c *Client) waitForSearch(ctx context.Context) bool {
 	pause := time.NewTimer(searchPause)
 	defer pause.Stop()
-	return c.lookUntil(ctx, pause.C)
+	return c.waitForSearchUntil(ctx, pause.C)
 }
 
-// lookUntil joins the search for the primary that is under way, or begins one: however many calls wait for a
+// waitForSearchUntil joins the search for the primary that is under way, or begins one: however many calls wait for a
 // primary, the fleet is asked as for one. A nil pause never ends the wait.
-func (c *Client) lookUntil(ctx context.Context, pause <-chan time.Time) bool {
+func (c *Client) waitForSearchUntil(ctx context.Context, pause <-chan time.Time) bool {
 	done, newer := c.search()
 	select {
 	case <-done:
@@ -105,23 +105,23 @@
 func (c *Client) search() (done, newer <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.hunt == nil {
+	if c.searchEnd == nil {
 		hunt := make(chan struct{})
-		c.hunt = hunt
+		c.searchEnd = hunt
 		go func() {
-			c.find(c.ctx)
+			c.askForView(c.ctx)
 			env.Wait(c.ctx, searchPause)
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.hunt = nil
+			c.searchEnd = nil
 			close(hunt)
 		}()
 	}
-	return c.hunt, c.newer
+	return c.searchEnd, c.viewChanged
 }
 
-// find asks members, seeds and peers which view they know.
-func (c *Client) find(ctx context.Context) {
+// askForView asks members, seeds and peers which view they know.
+func (c *Client) askForView(ctx context.Context) {
 	c.mu.Lock()
 	to := append([]string{}, c.seeds...)
 	for _, m := range c.view.Members {
@@ -144,7 +144,7 @@
 		seen[a] = true
 		all.Go(func() {
 			var t view.StatusResponse
-			if c.cal.Call(ctx, a, "view.ask", &view.StatusRequest{}, &t) == nil {
+			if c.caller.Call(ctx, a, "view.ask", &view.StatusRequest{}, &t) == nil {
 				c.Learn(t.View)
 			}
 		})
@@ -179,7 +179,7 @@
 		if next := c.View(); ctx.Err() == nil && next.Addr(next.Primary) != v.Addr(v.Primary) {
 			continue // another primary was found meanwhile
 		}
-		if ctx.Err() != nil || !c.look(ctx) {
+		if ctx.Err() != nil || !c.waitForSearch(ctx) {
 			break
 		}
 	}
@@ -193,7 +193,7 @@
 // before the usual caller gives up, so that not each call in turn spends all its time on a machine gone dark.
 const (
 	primarySilence = 300 * time.Millisecond
-	primaryMost    = 1500 * time.Millisecond // a frozen primary must not eat the whole time of a longer call
+	maxPrimaryWait = 1500 * time.Millisecond // a frozen primary must not eat the whole time of a longer call
 )
 
 // callPrimary makes one call to the primary that we know. Where it may be repeated, it ends once another
@@ -201,21 +201,21 @@
 func (c *Client) callPrimary(ctx context.Context, to, kind string, in msgp.Marshaler, out msgp.Unmarshaler, again bool) error {
 	one, end := context.WithCancel(ctx)
 	if again {
-		one, end = context.WithTimeout(ctx, primaryMost)
+		one, end = context.WithTimeout(ctx, maxPrimaryWait)
 	}
 	defer end()
 	search := time.AfterFunc(primarySilence, func() {
-		if next := c.lookView(one); again && next.Addr(next.Primary) != to {
+		if next := c.searchView(one); again && next.Addr(next.Primary) != to {
 			end()
 		}
 	})
 	defer search.Stop()
-	return c.cal.Call(one, to, kind, in, out)
+	return c.caller.Call(one, to, kind, in, out)
 }
 
-// lookView asks the fleet for its view, and gives the newest one known.
-func (c *Client) lookView(ctx context.Context) view.View {
-	c.lookUntil(ctx, nil)
+// searchView asks the fleet for its view, and gives the newest one known.
+func (c *Client) searchView(ctx context.Context) view.View {
+	c.waitForSearchUntil(ctx, nil)
 	return c.View()
 }
 
--- a/internal/core/codec.go
+++ b/internal/core/codec.go
@@ -30,9 +30,9 @@
 
 // ClaimLimits bound how long and how many once-only keys are kept. Zeros mean the defaults.
 type ClaimLimits struct {
-	Keep    time.Duration // how long a claim is kept with what became of it
-	RanKeep time.Duration // how long it is kept that a key ran
-	RanMost int           // how many such keys are kept at the most
+	Keep         time.Duration // how long a claim is kept with what became of it
+	FinishedKeep time.Duration // how long it is kept that a key ran
+	MaxFinished  int           // how many such keys are kept at the most
 }
 
 // withDefaults puts defaults where nothing is set.
@@ -40,11 +40,11 @@
 	if l.Keep == 0 {
 		l.Keep = time.Hour
 	}
-	if l.RanKeep == 0 {
-		l.RanKeep = 48 * time.Hour
+	if l.FinishedKeep == 0 {
+		l.FinishedKeep = 48 * time.Hour
 	}
-	if l.RanMost == 0 {
-		l.RanMost = defaultRanMost
+	if l.MaxFinished == 0 {
+		l.MaxFinished = defaultMaxFinishedKeys
 	}
 	return l
 }
--- a/internal/core/codec_test.go
+++ b/internal/core/codec_test.go
@@ -28,9 +28,9 @@
 }
 
 func (r *records) put(sequence uint64, size int, numbered bool, id string) {
-	tx := &Tx{st: r.st, over: map[string]*store.Put{}}
+	tx := &Tx{store: r.st, newest: map[string]*store.Put{}}
 	next := StoredConfig{Version: sequence, Raw: bytes.Repeat([]byte("x"), size)}
-	if err := tx.record(r.cur, next, numbered, id, "hash"); err != nil {
+	if err := tx.recordWrite(r.cur, next, numbered, id, "hash"); err != nil {
 		r.t.Fatal(err)
 	}
 	if err := r.st.Add(store.Batch{Seq: r.st.Seq() + 1, Puts: tx.puts}); err != nil {
@@ -57,10 +57,10 @@
 	for i := uint64(1); i <= 1100; i++ {
 		r.put(i, 10, false, fmt.Sprint("w", i))
 	}
-	if n := r.count("past/"); n != past || !r.has(pastKey(1085)) || r.has(pastKey(1084)) {
+	if n := r.count("past/"); n != maxVersions || !r.has(versionKey(1085)) || r.has(versionKey(1084)) {
 		t.Errorf("%d copies", n)
 	}
-	if n, m := r.count("mark/"), r.count("marked/"); n != marks || m != marks || !r.has("mark/w101") || r.has("mark/w100") || !r.has("marked/101") {
+	if n, m := r.count("mark/"), r.count("marked/"); n != maxWriteIDs || m != maxWriteIDs || !r.has("mark/w101") || r.has("mark/w100") || !r.has("marked/101") {
 		t.Errorf("%d ids, %d counts", n, m)
 	}
 	if r.has(historyKey) {
@@ -76,10 +76,10 @@
 		sequence += 1 + i*i%977*1000
 		r.put(sequence, 10, true, fmt.Sprint("w", i))
 	}
-	if n := r.count("past/"); n != past || !r.has(pastKey(sequence)) {
+	if n := r.count("past/"); n != maxVersions || !r.has(versionKey(sequence)) {
 		t.Errorf("%d copies", n)
 	}
-	if n, m := r.count("mark/"), r.count("marked/"); n != marks || m != marks || !r.has("mark/w100") || r.has("mark/w99") {
+	if n, m := r.count("mark/"), r.count("marked/"); n != maxWriteIDs || m != maxWriteIDs || !r.has("mark/w100") || r.has("mark/w99") {
 		t.Errorf("%d ids, %d counts", n, m)
 	}
 }
@@ -93,13 +93,13 @@
 	for i := uint64(1); i <= 10; i++ {
 		r.put(i*1000, 10, true, "")
 	}
-	if n := r.count("past/"); n != past || !r.has(pastKey(20)) || !r.has(pastKey(15)) || r.has(pastKey(14)) {
+	if n := r.count("past/"); n != maxVersions || !r.has(versionKey(20)) || !r.has(versionKey(15)) || r.has(versionKey(14)) {
 		t.Errorf("%d copies", n)
 	}
 	for i := uint64(1); i <= 30; i++ {
 		r.put(10_000+i, 10, false, "")
 	}
-	if n := r.count("past/"); n != past || !r.has(pastKey(10_015)) || r.has(pastKey(10_014)) {
+	if n := r.count("past/"); n != maxVersions || !r.has(versionKey(10_015)) || r.has(versionKey(10_014)) {
 		t.Errorf("%d copies after counting again", n)
 	}
 }
@@ -111,15 +111,15 @@
 		r.put(i*7, 100, true, "")
 	}
 	r.put(1000, 150_000, true, "")
-	if n := r.count("past/"); n != pastFew {
+	if n := r.count("past/"); n != maxLargeVersions {
 		t.Errorf("%d copies of large documents", n)
 	}
 	r.put(2000, 4<<20, true, "")
-	if r.has(pastKey(2000)) || !r.has(pastKey(1000)) {
+	if r.has(versionKey(2000)) || !r.has(versionKey(1000)) {
 		t.Error("a copy of a very large document is kept, or an older one is not")
 	}
 	r.put(3000, 100, true, "")
-	if !r.has(pastKey(3000)) {
+	if !r.has(versionKey(3000)) {
 		t.Error("no copy of a small document after a large one")
 	}
 }
@@ -131,13 +131,13 @@
 	if len(flaws) > 0 {
 		t.Fatalf("flaws %v", flaws)
 	}
-	if doc.Version != 0 || doc.Quotas["a"] != 7 || doc.Windows["a"].Seconds() != 3 || doc.Claims.Keep.Seconds() != 60 || doc.Claims.RanMost != defaultRanMost {
+	if doc.Version != 0 || doc.Quotas["a"] != 7 || doc.Windows["a"].Seconds() != 3 || doc.Claims.Keep.Seconds() != 60 || doc.Claims.MaxFinished != defaultMaxFinishedKeys {
 		t.Errorf("read %+v", doc)
 	}
 	if _, flaws := codec.Check([]byte(`{"lanes":7}`)); len(flaws) == 0 || !strings.Contains(flaws[0].Path, "lanes") {
 		t.Errorf("flaws %v", flaws)
 	}
-	if got := (ClaimLimits{}).withDefaults(); got.Keep.Hours() != 1 || got.RanKeep.Hours() != 48 || got.RanMost != defaultRanMost {
+	if got := (ClaimLimits{}).withDefaults(); got.Keep.Hours() != 1 || got.FinishedKeep.Hours() != 48 || got.MaxFinished != defaultMaxFinishedKeys {
 		t.Errorf("defaults %+v", got)
 	}
 }
@@ -157,14 +157,14 @@
 
 // Before the first configuration there is none to read.
 func TestNothingToReadBeforeTheFirst(t *testing.T) {
-	s := &Server{set: Settings{Codec: wary{t: t}}.WithDefaults()}
-	if doc := s.parsed(StoredConfig{}); doc != nil {
+	s := &Server{settings: Settings{Codec: wary{t: t}}.WithDefaults()}
+	if doc := s.parsedConfig(StoredConfig{}); doc != nil {
 		t.Errorf("read %+v from nothing", doc)
 	}
-	if got := s.most(); got != defaultRanMost {
+	if got := s.maxFinishedKeys(); got != defaultMaxFinishedKeys {
 		t.Errorf("%d keys that ran are kept", got)
 	}
-	if doc := s.parsed(StoredConfig{Version: 1, Raw: []byte("x")}); doc == nil || doc.Claims.Keep == 0 {
+	if doc := s.parsedConfig(StoredConfig{Version: 1, Raw: []byte("x")}); doc == nil || doc.Claims.Keep == 0 {
 		t.Errorf("read %+v from a document", doc)
 	}
 }
--- a/internal/core/commit.go
+++ b/internal/core/commit.go
@@ -17,7 +17,7 @@
 // job is one operation of the run loop; its state says who may still end it.
 type job struct {
 	do    func(*Tx) error
-	ctl   func()       // in place of do: a step of the run loop's own
+	step  func()       // in place of do: a step of the run loop's own
 	state atomic.Int32 // 0 waiting, 1 taken, 2 given up
 	done  chan error
 	err   error
@@ -32,14 +32,14 @@
 	ready := s.ready
 	s.mu.Unlock()
 	if !ready {
-		if v := s.vot.View(); v.Primary != s.vot.Id() {
+		if v := s.voter.View(); v.Primary != s.voter.Id() {
 			return wire.Fault{Code: NotPrimary}
 		}
 		return wire.Fault{Code: NotReady}
 	}
 	j := &job{do: do, done: make(chan error, 1)}
 	select {
-	case s.box <- j:
+	case s.jobs <- j:
 	default:
 		return wire.Fault{Code: NotReady}
 	}
@@ -54,19 +54,19 @@
 	}
 }
 
-// work takes a job and all that wait behind it, and syncs them as one batch.
-func (s *Server) work(first *job) {
-	if first.ctl != nil {
-		first.ctl()
+// runBatch takes a job and all that wait behind it, and syncs them as one batch.
+func (s *Server) runBatch(first *job) {
+	if first.step != nil {
+		first.step()
 		close(first.done)
 		return
 	}
 	s.mu.Lock()
 	ready, epoch := s.ready, s.epoch
 	s.mu.Unlock()
-	v := s.vot.View()
-	tx := &Tx{st: s.st.Load(), over: map[string]*store.Put{}}
-	ok := ready && v.Epoch == epoch && s.stands(v)
+	v := s.voter.View()
+	tx := &Tx{store: s.store.Load(), newest: map[string]*store.Put{}}
+	ok := ready && v.Epoch == epoch && s.isPrimary(v)
 	var live []*job
 	for j, n := first, 0; j != nil; n++ {
 		switch {
@@ -81,11 +81,11 @@
 			live = append(live, j)
 		}
 		j = nil
-		if n < most && tx.size < chunk {
+		if n < maxBatchJobs && tx.size < maxBatchBytes {
 			select {
-			case j = <-s.box:
-				if j.ctl != nil {
-					defer s.work(j)
+			case j = <-s.jobs:
+				if j.step != nil {
+					defer s.runBatch(j)
 					j = nil
 				}
 			default:
@@ -101,8 +101,8 @@
 		}
 	}
 	if err == nil && len(tx.puts) > 0 {
-		if err := tx.st.Tidy(); err != nil {
-			s.trouble(err)
+		if err := tx.store.Tidy(); err != nil {
+			s.failDisk(err)
 		}
 	}
 }
@@ -111,80 +111,80 @@
 func (s *Server) commit(v view.View, tx *Tx) error {
 	doubt := wire.Fault{Code: InDoubt}
 	if len(tx.puts) == 0 {
-		if !s.stands(v) {
+		if !s.isPrimary(v) {
 			return wire.Fault{Code: NotReady}
 		}
 		return nil
 	}
-	st := tx.st
-	b := store.Batch{Seq: st.Seq() + 1, Puts: tx.last()}
+	st := tx.store
+	b := store.Batch{Seq: st.Seq() + 1, Puts: tx.newestPuts()}
 	mine, far := make(chan error, 1), make(chan []string, 1)
 	go func() { mine <- st.Add(b) }()
-	go func() { far <- s.holdAt(v, b) }()
-	slow := time.NewTimer(diskWait)
+	go func() { far <- s.replicate(v, b) }()
+	slow := time.NewTimer(diskTimeout)
 	defer slow.Stop()
 	select {
 	case err := <-mine:
 		if err != nil {
-			s.trouble(err)
+			s.failDisk(err)
 			return doubt
 		}
 	case <-slow.C:
-		s.trouble(eris.New("sync takes too long"))
+		s.failDisk(eris.New("sync takes too long"))
 		return doubt
 	}
 	if failed := <-far; len(failed) > 0 {
-		s.failed(failed)
-		if !s.mend(v, failed) {
+		s.noteFailed(failed)
+		if !s.replaceBackups(v, failed) {
 			return doubt
 		}
-	} else if !s.stands(v) {
+	} else if !s.isPrimary(v) {
 		return doubt
 	}
-	s.published(tx)
+	s.applyCommitted(tx)
 	return nil
 }
 
-// mend leads on until other backups hold all, the unanswered batch included.
-func (s *Server) mend(v view.View, failed []string) bool {
+// replaceBackups leads on until other backups hold all, the unanswered batch included.
+func (s *Server) replaceBackups(v view.View, failed []string) bool {
 	s.setReady(false)
-	me := s.vot.Id()
+	me := s.voter.Id()
 	next := v
 	for _, id := range failed {
 		next = next.WithoutBackup(id)
 	}
 	s.decide(v, next, false)
-	for end := time.Now().Add(mendWait); time.Now().Before(end); {
-		cur := s.vot.View()
-		if cur.Primary != me || s.isSick() {
+	for end := time.Now().Add(replaceTimeout); time.Now().Before(end); {
+		cur := s.voter.View()
+		if cur.Primary != me || s.hasDiskFailed() {
 			return false
 		}
 		s.lead(cur, me)
 		s.mu.Lock()
 		ready := s.ready
 		s.mu.Unlock()
-		if ready && s.stands(s.vot.View()) {
+		if ready && s.isPrimary(s.voter.View()) {
 			return true
 		}
-		if !env.Wait(s.ctx, tick) {
+		if !env.Wait(s.ctx, tickEvery) {
 			return false
 		}
 	}
 	return false
 }
 
-// published makes a committed layout the one that is told to nodes.
-func (s *Server) published(tx *Tx) {
+// applyCommitted makes a committed layout the one that is told to nodes.
+func (s *Server) applyCommitted(tx *Tx) {
 	for _, p := range tx.puts {
-		if strings.HasPrefix(p.Key, ranHead) {
-			s.ran.take(p)
+		if strings.HasPrefix(p.Key, finishedPrefix) {
+			s.finishedKeys.apply(p)
 		}
 	}
-	if p, ok := tx.over["layout"]; ok {
+	if p, ok := tx.newest["layout"]; ok {
 		var sheet StoredConfig
 		if _, err := sheet.UnmarshalMsg(p.Val); err == nil {
 			s.mu.Lock()
-			s.sheet = sheet
+			s.config = sheet
 			s.mu.Unlock()
 		}
 	}
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -12,23 +12,23 @@
 	"yarrowridge/internal/wire"
 )
 
-// past is how many older layouts are kept for reading back.
-const past = 16
+// maxVersions is how many older layouts are kept for reading back.
+const maxVersions = 16
 
-// marks is how many write ids are remembered.
-const marks = 1000
+// maxWriteIDs is how many write ids are remembered.
+const maxWriteIDs = 1000
 
-func (s *Server) giveLayout(in *ConfigRequest) (*StoredConfig, error) {
-	if err := s.prime(); err != nil {
+func (s *Server) readConfig(in *ConfigRequest) (*StoredConfig, error) {
+	if err := s.requirePrimary(); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
-	sheet := s.sheet
+	sheet := s.config
 	s.mu.Unlock()
 	if in.Version == 0 || in.Version == sheet.Version {
 		return &sheet, nil
 	}
-	raw, ok := s.st.Load().Get(pastKey(in.Version))
+	raw, ok := s.store.Load().Get(versionKey(in.Version))
 	if !ok || in.Version > sheet.Version {
 		return nil, wire.Fault{Code: "no-such-sequence"}
 	}
@@ -39,9 +39,9 @@
 	return &old, nil
 }
 
-func pastKey(seq uint64) string { return "past/" + strconv.FormatUint(seq, 10) }
+func versionKey(seq uint64) string { return "past/" + strconv.FormatUint(seq, 10) }
 
-func (t *Tx) sheet() (StoredConfig, error) {
+func (t *Tx) config() (StoredConfig, error) {
 	var s StoredConfig
 	raw, ok := t.Get("layout")
 	if !ok {
@@ -51,11 +51,11 @@
 	return s, err
 }
 
-// write checks and takes an operator's change. It is answered once both disks hold it and each
+// writeConfig checks and takes an operator's change. It is answered once both disks hold it and each
 // zone's first relays have it, or a short time for that has passed.
-func (s *Server) write(ctx context.Context, in *WriteRequest) (*WriteResponse, error) {
+func (s *Server) writeConfig(ctx context.Context, in *WriteRequest) (*WriteResponse, error) {
 	out := &WriteResponse{Code: 200}
-	if len(in.Raw) > s.set.Codec.MaxBytes() {
+	if len(in.Raw) > s.settings.Codec.MaxBytes() {
 		return &WriteResponse{Code: 413}, nil
 	}
 	sum := sha256.Sum256(in.Raw)
@@ -71,7 +71,7 @@
 	if sheet.Version > 0 {
 		s.ctx.Log.Info("Layout taken.", "sequence", sheet.Version)
 		s.push(relay.ConfigRecord(sheet.Version, sheet.Raw))
-		if !s.stands(s.vot.View()) {
+		if !s.isPrimary(s.voter.View()) {
 			return nil, wire.Fault{Code: InDoubt}
 		}
 	}
@@ -81,7 +81,7 @@
 // applyWrite checks one write against what stands and records it. out says what came of it; the sheet is the
 // new one, or empty where the write changes nothing.
 func (s *Server) applyWrite(tx *Tx, in *WriteRequest, hash string, out *WriteResponse) (StoredConfig, error) {
-	cur, err := tx.sheet()
+	cur, err := tx.config()
 	if err != nil {
 		return StoredConfig{}, err
 	}
@@ -97,11 +97,11 @@
 	}
 	raw := in.Raw
 	if in.Patch {
-		if raw, err = s.set.Codec.Merge(cur.Raw, in.Raw); err != nil {
+		if raw, err = s.settings.Codec.Merge(cur.Raw, in.Raw); err != nil {
 			out.Code, out.Errors = 400, []ConfigError{{Text: "valid JSON expected"}}
 			return StoredConfig{}, nil
 		}
-		if len(raw) > s.set.Codec.MaxBytes() {
+		if len(raw) > s.settings.Codec.MaxBytes() {
 			out.Code = 413
 			return StoredConfig{}, nil
 		}
@@ -112,7 +112,7 @@
 		return StoredConfig{}, nil
 	}
 	out.Version = next.Version
-	return next, tx.record(cur, next, numbered, in.Id, hash)
+	return next, tx.recordWrite(cur, next, numbered, in.Id, hash)
 }
 
 // isRepeated tells whether a write with this id was taken before. out is then what was answered, or says that
@@ -138,7 +138,7 @@
 
 // check reads a new configuration and gives it its sequence. numbered: the document numbers itself.
 func (s *Server) check(cur StoredConfig, raw []byte) (next StoredConfig, numbered bool, flaws []ConfigError) {
-	doc, flaws := s.set.Codec.Check(raw)
+	doc, flaws := s.settings.Codec.Check(raw)
 	if len(flaws) > 0 {
 		return StoredConfig{}, false, flaws
 	}
@@ -152,8 +152,8 @@
 	return StoredConfig{Version: doc.Version, Raw: raw}, true, nil
 }
 
-// record puts the new sheet, a copy for reading back and the write's id.
-func (t *Tx) record(cur, sheet StoredConfig, numbered bool, id, hash string) error {
+// recordWrite puts the new sheet, a copy for reading back and the write's id.
+func (t *Tx) recordWrite(cur, sheet StoredConfig, numbered bool, id, hash string) error {
 	h, known, err := t.history(cur.Version)
 	if err != nil {
 		return err
@@ -162,10 +162,10 @@
 	if err := t.Put("layout", &sheet); err != nil {
 		return err
 	}
-	if err := t.keepPast(&h, &sheet, numbered); err != nil {
+	if err := t.keepVersion(&h, &sheet, numbered); err != nil {
 		return err
 	}
-	if err := t.keepMark(h.Writes, id, WriteRecord{sheet.Version, hash}); err != nil {
+	if err := t.keepWriteID(h.Writes, id, WriteRecord{sheet.Version, hash}); err != nil {
 		return err
 	}
 	if known || numbered {
@@ -174,18 +174,18 @@
 	return nil
 }
 
-// parsed keeps the last document read, since shares ask for it often. Only the run loop calls it.
-func (s *Server) parsed(sheet StoredConfig) *Document {
+// parsedConfig keeps the last document read, since shares ask for it often. Only the run loop calls it.
+func (s *Server) parsedConfig(sheet StoredConfig) *Document {
 	if sheet.Version == 0 {
 		return nil // none was put yet
 	}
-	if s.doc == nil || s.docSeq != sheet.Version {
-		doc, flaws := s.set.Codec.Check(sheet.Raw)
+	if s.document == nil || s.documentVersion != sheet.Version {
+		doc, flaws := s.settings.Codec.Check(sheet.Raw)
 		if len(flaws) > 0 {
 			return nil
 		}
 		doc.Claims = doc.Claims.withDefaults()
-		s.doc, s.docSeq = &doc, sheet.Version
+		s.document, s.documentVersion = &doc, sheet.Version
 	}
-	return s.doc
+	return s.document
 }
--- a/internal/core/layoutcodec.go
+++ b/internal/core/fleetcodec.go
@@ -6,7 +6,7 @@
 	"yarrowridge/internal/fleetconfig"
 )
 
-const defaultRanMost = fleetconfig.RanMost
+const defaultMaxFinishedKeys = fleetconfig.RanMost
 
 // fleetConfigCodec reads layouts. A layout does not number itself: the core counts.
 type fleetConfigCodec struct{}
@@ -24,7 +24,7 @@
 	doc := Document{
 		Quotas:  map[string]int{},
 		Windows: map[string]time.Duration{},
-		Claims:  ClaimLimits{Keep: lay.Limits.Keep, RanKeep: lay.Limits.RanKeep, RanMost: lay.Limits.RanMost},
+		Claims:  ClaimLimits{Keep: lay.Limits.Keep, FinishedKeep: lay.Limits.RanKeep, MaxFinished: lay.Limits.RanMost},
 	}
 	for _, tenant := range lay.Tenants {
 		doc.Quotas[tenant.Name] = tenant.Quota.Units
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -19,19 +19,19 @@
 // seldom: alone, each would lose a request of its own before it knows that the runner fails.
 type runnerHealth struct {
 	mu      sync.Mutex
-	runners map[string]*runnerTally
+	runners map[string]*weightedTally
 }
 
-// runnerTally is the weighted sum of attempts at one runner, as of a moment.
-type runnerTally struct {
-	tries, fails float64
-	at           time.Time
+// weightedTally is the weighted sum of attempts at one runner, as of a moment.
+type weightedTally struct {
+	attempts, failures float64
+	at                 time.Time
 }
 
 // fade lowers the weights to a moment's.
-func (r *runnerTally) fade(now time.Time) {
+func (r *weightedTally) fade(now time.Time) {
 	factor := math.Exp2(-float64(now.Sub(r.at)) / float64(healthHalf))
-	r.tries, r.fails, r.at = r.tries*factor, r.fails*factor, now
+	r.attempts, r.failures, r.at = r.attempts*factor, r.failures*factor, now
 }
 
 // note adds one router's tallies.
@@ -39,17 +39,17 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.runners == nil {
-		h.runners = map[string]*runnerTally{}
+		h.runners = map[string]*weightedTally{}
 	}
 	for _, tally := range tallies {
 		known := h.runners[tally.ID]
 		if known == nil {
-			known = &runnerTally{at: now}
+			known = &weightedTally{at: now}
 			h.runners[tally.ID] = known
 		}
 		known.fade(now)
-		known.tries += float64(max(tally.Attempts, tally.Failures))
-		known.fails += float64(tally.Failures)
+		known.attempts += float64(max(tally.Attempts, tally.Failures))
+		known.failures += float64(tally.Failures)
 	}
 }
 
@@ -60,11 +60,11 @@
 	var out []FailingRunner
 	for id, known := range h.runners {
 		known.fade(now)
-		if known.tries < healthForget {
+		if known.attempts < healthForget {
 			delete(h.runners, id)
 			continue
 		}
-		if share := known.fails / known.tries; known.fails >= failingLeast && share >= failingShare {
+		if share := known.failures / known.attempts; known.failures >= failingLeast && share >= failingShare {
 			out = append(out, FailingRunner{ID: id, Share: share})
 		}
 	}
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -29,8 +29,8 @@
 	return err == nil && there.Run != n.Run
 }
 
-func (s *Server) takeBeat(ctx context.Context, in *HeartbeatRequest) (*HeartbeatResponse, error) {
-	if err := s.prime(); err != nil {
+func (s *Server) takeHeartbeat(ctx context.Context, in *HeartbeatRequest) (*HeartbeatResponse, error) {
+	if err := s.requirePrimary(); err != nil {
 		return nil, err
 	}
 	n := in.Node
@@ -39,7 +39,7 @@
 	}
 	s.mu.Lock()
 	old := s.nodes[n.Name]
-	if old != nil && old.node.Addr != n.Addr && time.Since(old.at) <= nodeTerm {
+	if old != nil && old.node.Addr != n.Addr && time.Since(old.heardAt) <= nodeLeaseTerm {
 		s.mu.Unlock()
 		return nil, wire.Fault{Code: NameTaken} // a router that moved gets its name once the lease is over
 	}
@@ -48,35 +48,35 @@
 	case in.Leaving:
 		if old != nil && old.node.Run == n.Run {
 			delete(s.nodes, n.Name)
-			s.roll++
+			s.nodesVersion++
 		}
 	case old == nil || old.node != n:
-		if old == nil || !alike(old.node, n) {
-			s.roll++
+		if old == nil || !saysSame(old.node, n) {
+			s.nodesVersion++
 		}
-		s.nodes[n.Name] = &seat{n, time.Now()}
+		s.nodes[n.Name] = &liveNode{n, time.Now()}
 	default:
-		old.at = time.Now()
+		old.heardAt = time.Now()
 	}
 	if !in.Leaving {
-		defer s.remember(n)
+		defer s.rememberAddress(n)
 	}
 	if newRun && !in.Leaving {
 		defer s.replaceHolder(n, time.Duration(in.AgeMs)*time.Millisecond)
 	}
-	s.prune()
-	out := &HeartbeatResponse{ConfigVersion: s.sheet.Version, NodesVersion: s.roll}
-	if v := s.vot.View(); v.Epoch != in.ViewEpoch {
+	s.dropExpiredNodes()
+	out := &HeartbeatResponse{ConfigVersion: s.config.Version, NodesVersion: s.nodesVersion}
+	if v := s.voter.View(); v.Epoch != in.ViewEpoch {
 		out.View = v
 	}
 	s.tellNodes(in, out)
-	s.runners.Tell(in, out, time.Now())
+	s.registry.Tell(in, out, time.Now())
 	s.health.note(in.Tallies, time.Now())
 	out.Failing = s.health.failing(time.Now())
 	out.ScarceTenants = s.shortTenants()
 	s.mu.Unlock()
 	if in.Leaving {
-		if err := s.retire(ctx, Holder(n)); err != nil {
+		if err := s.coolHolder(ctx, Holder(n)); err != nil {
 			return nil, err
 		}
 	}
@@ -87,31 +87,31 @@
 // yet, so it names none and tells how many there were. The caller holds the lock.
 func (s *Server) tellNodes(in *HeartbeatRequest, out *HeartbeatResponse) {
 	switch {
-	case time.Since(s.since) <= nodeTerm:
+	case time.Since(s.readySince) <= nodeLeaseTerm:
 		out.RoutersBefore = s.routersBefore
-	case in.NodesVersion != s.roll:
+	case in.NodesVersion != s.nodesVersion:
 		out.NodesChanged = true
-		out.Nodes = s.live()
+		out.Nodes = s.liveNodes()
 	}
 }
 
-// alike tells whether two words of a node say the same to its peers.
-func alike(a, b Node) bool {
+// saysSame tells whether two words of a node say the same to its peers.
+func saysSame(a, b Node) bool {
 	a.ConfigVersion, b.ConfigVersion = 0, 0
 	return a == b
 }
 
-// prune drops nodes whose lease ran out; the caller holds the lock.
-func (s *Server) prune() {
+// dropExpiredNodes drops nodes whose lease ran out; the caller holds the lock.
+func (s *Server) dropExpiredNodes() {
 	for k, seat := range s.nodes {
-		if time.Since(seat.at) > nodeTerm {
+		if time.Since(seat.heardAt) > nodeLeaseTerm {
 			delete(s.nodes, k)
-			s.roll++
+			s.nodesVersion++
 		}
 	}
 }
 
-func (s *Server) live() []Node {
+func (s *Server) liveNodes() []Node {
 	var out []Node
 	for _, seat := range s.nodes {
 		out = append(out, seat.node)
--- a/internal/core/history.go
+++ b/internal/core/history.go
@@ -6,10 +6,10 @@
 // arithmetic on sequences, where documents number themselves.
 
 const (
-	historyKey = "history"
-	pastFew    = 3        // copies kept of large documents
-	pastLarge  = 64 << 10 // documents above this size are large
-	pastNone   = 1 << 20  // of documents above this size no copy is kept: a batch has to fit one frame
+	historyKey       = "history"
+	maxLargeVersions = 3        // copies kept of large documents
+	largeDocument    = 64 << 10 // documents above this size are large
+	maxKeptDocument  = 1 << 20  // of documents above this size no copy is kept: a batch has to fit one frame
 )
 
 // history reads what is kept of earlier writes. known is false where the core has counted all along, and
@@ -21,7 +21,7 @@
 		return h, known, err
 	}
 	h.Writes = current
-	for sequence := current - min(current, past-1); sequence <= current; sequence++ {
+	for sequence := current - min(current, maxVersions-1); sequence <= current; sequence++ {
 		if sequence > 0 {
 			h.KeptVersions = append(h.KeptVersions, sequence)
 		}
@@ -29,27 +29,27 @@
 	return h, false, nil
 }
 
-// keepPast keeps a copy of the new sheet for reading back, and drops the oldest copies beyond the bound.
-func (t *Tx) keepPast(h *WriteHistory, sheet *StoredConfig, numbered bool) error {
-	if len(sheet.Raw) <= pastNone {
-		if err := t.Put(pastKey(sheet.Version), sheet); err != nil {
+// keepVersion keeps a copy of the new sheet for reading back, and drops the oldest copies beyond the bound.
+func (t *Tx) keepVersion(h *WriteHistory, sheet *StoredConfig, numbered bool) error {
+	if len(sheet.Raw) <= maxKeptDocument {
+		if err := t.Put(versionKey(sheet.Version), sheet); err != nil {
 			return err
 		}
 		h.KeptVersions = append(h.KeptVersions, sheet.Version)
 	}
-	most := past
-	if numbered && len(sheet.Raw) > pastLarge {
-		most = pastFew
+	most := maxVersions
+	if numbered && len(sheet.Raw) > largeDocument {
+		most = maxLargeVersions
 	}
 	for len(h.KeptVersions) > most {
-		t.Drop(pastKey(h.KeptVersions[0]))
+		t.Drop(versionKey(h.KeptVersions[0]))
 		h.KeptVersions = h.KeptVersions[1:]
 	}
 	return nil
 }
 
-// keepMark remembers the id of the write with this count, and forgets the id of one long ago.
-func (t *Tx) keepMark(count uint64, id string, mark WriteRecord) error {
+// keepWriteID remembers the id of the write with this count, and forgets the id of one long ago.
+func (t *Tx) keepWriteID(count uint64, id string, mark WriteRecord) error {
 	if id != "" {
 		if err := t.Put("mark/"+id, &mark); err != nil {
 			return err
@@ -58,10 +58,10 @@
 			return err
 		}
 	}
-	if count <= marks {
+	if count <= maxWriteIDs {
 		return nil
 	}
-	key := "marked/" + strconv.FormatUint(count-marks, 10)
+	key := "marked/" + strconv.FormatUint(count-maxWriteIDs, 10)
 	if raw, ok := t.Get(key); ok {
 		var c Claim
 		if _, err := c.UnmarshalMsg(raw); err == nil {
--- a/internal/core/leaserenewal.go
+++ b/internal/core/lease.go
@@ -15,23 +15,23 @@
 // A primary that no majority answers only asks for signs of life, until one does: a request that
 // arrives, but whose answer does not, would keep the voters from following another.
 func (s *Server) renew() {
-	v := s.vot.View()
+	v := s.voter.View()
 	s.mu.Lock()
-	lead := v.Primary == s.vot.Id() && s.epoch == v.Epoch && !s.sick && v.Epoch > 0
-	ls := s.ls
-	heard := time.Since(s.began) < s.set.LeaseTerm/2 || ls.Hears(v.IsMajority, s.set.LeaseTerm/2)
+	lead := v.Primary == s.voter.Id() && s.epoch == v.Epoch && !s.diskFailed && v.Epoch > 0
+	ls := s.lease
+	heard := time.Since(s.ledSince) < s.settings.LeaseTerm/2 || ls.Hears(v.IsMajority, s.settings.LeaseTerm/2)
 	if !heard || ls.Stands(v.IsMajority) {
-		s.stood = time.Now()
-	} else if time.Since(s.stood) > 2*s.set.LeaseTerm && time.Since(s.began) > 2*s.set.LeaseTerm {
+		s.leaseStoodAt = time.Now()
+	} else if time.Since(s.leaseStoodAt) > 2*s.settings.LeaseTerm && time.Since(s.ledSince) > 2*s.settings.LeaseTerm {
 		// A majority answers, but too few follow us. They must not be kept from following another,
 		// so we ask for nothing for a while, then try again.
-		if s.rest.Before(s.stood) || time.Since(s.rest) > 4*s.set.LeaseTerm {
-			s.rest = time.Now()
+		if s.renewPausedAt.Before(s.leaseStoodAt) || time.Since(s.renewPausedAt) > 4*s.settings.LeaseTerm {
+			s.renewPausedAt = time.Now()
 		}
-		lead = lead && time.Since(s.rest) > 2*s.set.LeaseTerm+rand.N(s.set.LeaseTerm)
+		lead = lead && time.Since(s.renewPausedAt) > 2*s.settings.LeaseTerm+rand.N(s.settings.LeaseTerm)
 	}
-	s.asks++
-	in := view.RenewRequest{View: v, PrimaryRun: s.run, Round: s.asks}
+	s.renewRounds++
+	in := view.RenewRequest{View: v, PrimaryRun: s.runID, Round: s.renewRounds}
 	s.mu.Unlock()
 	if !lead {
 		return
@@ -47,7 +47,7 @@
 
 // renewAt asks one voter for the lease.
 func (s *Server) renewAt(in view.RenewRequest, m view.Member, ls *lease.Lease) {
-	ctx, end := context.WithTimeout(s.ctx, s.set.LeaseTerm/2)
+	ctx, end := context.WithTimeout(s.ctx, s.settings.LeaseTerm/2)
 	defer end()
 	var g view.RenewResponse
 	asked := time.Now()
@@ -60,20 +60,20 @@
 		stood := ls.Stands(in.View.IsMajority)
 		ls.Grant(m.Id, asked)
 		if !stood && ls.Stands(in.View.IsMajority) {
-			s.hurry()
+			s.wake()
 		}
 	case g.View.Epoch > in.View.Epoch:
 		s.learn(g.View)
 	case g.PromisedOther:
 		s.mu.Lock()
-		s.vowed = true
+		s.otherPromised = true
 		s.mu.Unlock()
 	}
 }
 
 // probe asks one voter for a sign of life.
 func (s *Server) probe(m view.Member, ls *lease.Lease) {
-	ctx, end := context.WithTimeout(s.ctx, s.set.LeaseTerm/2)
+	ctx, end := context.WithTimeout(s.ctx, s.settings.LeaseTerm/2)
 	defer end()
 	var told view.StatusResponse
 	if s.call(ctx, m.Addr, "view.ask", &view.StatusRequest{}, &told) == nil && told.Id == m.Id {
@@ -84,15 +84,15 @@
 
 // release gives our lease back to all voters, so that a backup need not wait for its end.
 func (s *Server) release(turn uint64) {
-	v := s.vot.View()
-	if v.Primary != s.vot.Id() {
+	v := s.voter.View()
+	if v.Primary != s.voter.Id() {
 		return
 	}
 	for _, m := range v.Members {
 		go func() {
-			ctx, end := context.WithTimeout(s.ctx, step)
+			ctx, end := context.WithTimeout(s.ctx, stepTimeout)
 			defer end()
-			s.call(ctx, m.Addr, "view.release", &view.ReleaseRequest{Epoch: v.Epoch, PrimaryRun: s.run, Round: turn}, nil)
+			s.call(ctx, m.Addr, "view.release", &view.ReleaseRequest{Epoch: v.Epoch, PrimaryRun: s.runID, Round: turn}, nil)
 		}()
 	}
 }
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -13,15 +13,15 @@
 
 // How long the steps of membership take.
 const (
-	seekPause  = 200 * time.Millisecond // between two looks for a fleet
-	joinPause  = time.Second            // between two wishes to join that were heard
-	retryPause = 300 * time.Millisecond // after one that was not
-	spareFor   = 2 * time.Second        // a wish to join holds for so long
-	quietFor   = 600 * time.Millisecond // a member silent for so long may be gone
+	findPause    = 200 * time.Millisecond // between two looks for a fleet
+	joinPause    = time.Second            // between two wishes to join that were heard
+	retryPause   = 300 * time.Millisecond // after one that was not
+	candidateFor = 2 * time.Second        // a wish to join holds for so long
+	quietFor     = 600 * time.Millisecond // a member silent for so long may be gone
 )
 
-// founders are the addresses that found the fleet, without doubles, the lowest first.
-func (s Settings) founders() []string {
+// foundingAddrs are the addresses that found the fleet, without doubles, the lowest first.
+func (s Settings) foundingAddrs() []string {
 	all := slices.Clone(s.Founders)
 	if len(all) == 0 && s.Bootstrap {
 		all = slices.Clone(s.Seeds)
@@ -30,19 +30,19 @@
 	return slices.Compact(all)
 }
 
-// seek looks for the fleet that we may be part of, or founds one where the settings say so.
-func (s *Server) seek() {
-	if !s.pause(seekPause) {
+// findFleet looks for the fleet that we may be part of, or founds one where the settings say so.
+func (s *Server) findFleet() {
+	if !s.waitTurn(findPause) {
 		return
 	}
-	low := s.set.founders()
-	told := s.ask(append(slices.Clone(low), *s.seeds.Load()...))
+	low := s.settings.foundingAddrs()
+	told := s.askStatus(append(slices.Clone(low), *s.seeds.Load()...))
 	for _, t := range told {
 		if t.View.Epoch > 0 {
 			s.learn(t.View)
 		}
 	}
-	if s.vot.View().Epoch > 0 || len(low) == 0 || low[0] != s.set.Addr {
+	if s.voter.View().Epoch > 0 || len(low) == 0 || low[0] != s.settings.Addr {
 		return
 	}
 	cur := view.View{}
@@ -53,12 +53,12 @@
 		}
 		cur.Members = append(cur.Members, view.Member{Id: t.Id, Addr: a, Zone: t.Zone})
 	}
-	s.decide(cur, founded(cur, s.set.Losses), true)
+	s.decide(cur, foundingView(cur, s.settings.Losses), true)
 }
 
-// founded is the first view: the first member leads, its backups stand in other zones than it and
+// foundingView is the first view: the first member leads, its backups stand in other zones than it and
 // one another where there are such.
-func founded(cur view.View, losses int) view.View {
+func foundingView(cur view.View, losses int) view.View {
 	next := cur
 	next.TargetSize = len(cur.Members)
 	next.Primary = cur.Members[0].Id
@@ -74,32 +74,32 @@
 
 // join asks the primary to become a member; where it can't be asked, it asks all who the primary is.
 func (s *Server) join(v view.View) {
-	if time.Now().Before(s.next) {
+	if time.Now().Before(s.nextAttempt) {
 		return
 	}
-	ctx, end := context.WithTimeout(s.ctx, step)
-	err := s.call(ctx, v.Addr(v.Primary), "core.join", &JoinRequest{Member: view.Member{Id: s.vot.Id(), Addr: s.set.Addr, Zone: s.ctx.Zone}}, nil)
+	ctx, end := context.WithTimeout(s.ctx, stepTimeout)
+	err := s.call(ctx, v.Addr(v.Primary), "core.join", &JoinRequest{Member: view.Member{Id: s.voter.Id(), Addr: s.settings.Addr, Zone: s.ctx.Zone}}, nil)
 	end()
 	if err == nil {
-		s.pause(joinPause)
+		s.waitTurn(joinPause)
 		return
 	}
 	s.ctx.Log.Debug("No answer to our wish to join.", "trouble", err.Error())
-	s.pause(retryPause)
+	s.waitTurn(retryPause)
 	s.askAround(v)
 }
 
-// lookAround asks for a newer view where no lease of the primary has run here for long: we may have
+// findNewerView asks for a newer view where no lease of the primary has run here for long: we may have
 // been dropped while we were cut off.
-func (s *Server) lookAround(v view.View) {
-	if s.vot.Leased() {
-		s.look = time.Now().Add(2 * s.set.LeaseTerm)
+func (s *Server) findNewerView(v view.View) {
+	if s.voter.Leased() {
+		s.nextViewSearch = time.Now().Add(2 * s.settings.LeaseTerm)
 		return
 	}
-	if time.Now().Before(s.look) {
+	if time.Now().Before(s.nextViewSearch) {
 		return
 	}
-	s.look = time.Now().Add(s.set.LeaseTerm/2 + rand.N(s.set.LeaseTerm))
+	s.nextViewSearch = time.Now().Add(s.settings.LeaseTerm/2 + rand.N(s.settings.LeaseTerm))
 	s.askAround(v)
 }
 
@@ -108,7 +108,7 @@
 	for _, m := range v.Members {
 		to = append(to, m.Addr)
 	}
-	for _, t := range s.ask(append(to, s.set.Founders...)) {
+	for _, t := range s.askStatus(append(to, s.settings.Founders...)) {
 		s.learn(t.View)
 	}
 }
@@ -116,13 +116,13 @@
 // takeJoin notes a process that wants to become a member, once it has answered at its address: a
 // wish that was long under way may be that of a process that is gone.
 func (s *Server) takeJoin(ctx context.Context, in *JoinRequest) (*Empty, error) {
-	if v := s.vot.View(); v.Primary != s.vot.Id() {
+	if v := s.voter.View(); v.Primary != s.voter.Id() {
 		return nil, wire.Fault{Code: NotPrimary}
 	}
-	if in.Member.Addr == s.set.Addr {
+	if in.Member.Addr == s.settings.Addr {
 		return nil, wire.Fault{Code: "own-address"}
 	}
-	ctx, end := context.WithTimeout(ctx, step)
+	ctx, end := context.WithTimeout(ctx, stepTimeout)
 	defer end()
 	var told view.StatusResponse
 	if s.call(ctx, in.Member.Addr, "view.ask", &view.StatusRequest{}, &told) != nil || told.Id != in.Member.Id {
@@ -131,25 +131,25 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	sp, ok := s.spare[in.Member.Id]
-	if !ok || now.Sub(sp.at) > spareFor {
-		sp.first = now
+	sp, ok := s.candidates[in.Member.Id]
+	if !ok || now.Sub(sp.lastAsked) > candidateFor {
+		sp.firstAsked = now
 	}
-	sp.who, sp.at = in.Member, now
-	s.spare[in.Member.Id] = sp
+	sp.member, sp.lastAsked = in.Member, now
+	s.candidates[in.Member.Id] = sp
 	return &Empty{}, nil
 }
 
-// newcomer is the process that is to become a member next, or nil. One that took the place of a
+// nextCandidate is the process that is to become a member next, or nil. One that took the place of a
 // member at its address comes first.
-func (s *Server) newcomer(v view.View) *spare {
+func (s *Server) nextCandidate(v view.View) *candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var come *spare
-	for id, sp := range s.spare {
+	var come *candidate
+	for id, sp := range s.candidates {
 		switch {
-		case time.Since(sp.at) > spareFor || v.Addr(id) == sp.who.Addr:
-			delete(s.spare, id)
+		case time.Since(sp.lastAsked) > candidateFor || v.Addr(id) == sp.member.Addr:
+			delete(s.candidates, id)
 		case come == nil || before(v, sp, *come):
 			come = &sp
 		}
@@ -158,11 +158,11 @@
 }
 
 // before orders newcomers: those that take a member's place, then those that asked first.
-func before(v view.View, a, b spare) bool {
-	if x, y := supersedes(v, a.who), supersedes(v, b.who); x != y {
+func before(v view.View, a, b candidate) bool {
+	if x, y := supersedes(v, a.member), supersedes(v, b.member); x != y {
 		return x
 	}
-	return a.first.Before(b.first)
+	return a.firstAsked.Before(b.firstAsked)
 }
 
 // supersedes tells whether a newcomer proves a member gone, or is that member at a new address.
@@ -170,18 +170,18 @@
 	return slices.ContainsFunc(v.Members, func(m view.Member) bool { return m.Addr == who.Addr || m.Id == who.Id })
 }
 
-// seats changes the members by one step where that is due.
-func (s *Server) seats(v view.View, me string, ls *lease.Lease, began time.Time) {
-	if time.Now().Before(s.change) {
+// changeMembers changes the members by one step where that is due.
+func (s *Server) changeMembers(v view.View, me string, ls *lease.Lease, began time.Time) {
+	if time.Now().Before(s.nextMemberChange) {
 		return
 	}
-	come := s.newcomer(v)
+	come := s.nextCandidate(v)
 	silence := func(id string) time.Duration {
 		switch id {
 		case me:
 			return 0
 		case s.deposed:
-			return ls.Gone(id, began.Add(-s.set.LeaseTerm)) // its lease had run out when we took over
+			return ls.Gone(id, began.Add(-s.settings.LeaseTerm)) // its lease had run out when we took over
 		}
 		return ls.Gone(id, began)
 	}
@@ -190,38 +190,38 @@
 		return
 	}
 	if come != nil {
-		ls.Saw(come.who.Id) // it answered when it asked to join; nobody else has asked it yet
+		ls.Saw(come.member.Id) // it answered when it asked to join; nobody else has asked it yet
 	}
 	s.ctx.Log.Info("Members change.", "from", len(v.Members), "to", len(next.Members))
 	if !s.decide(v, next, false) {
-		s.change = time.Now().Add(retryPause)
+		s.nextMemberChange = time.Now().Add(retryPause)
 	}
 }
 
 // nextMembers is the next view where a member comes, goes, or is replaced.
-func (s *Server) nextMembers(v view.View, come *spare, silence func(string) time.Duration) (view.View, bool) {
+func (s *Server) nextMembers(v view.View, come *candidate, silence func(string) time.Duration) (view.View, bool) {
 	seats := v.TargetSize
 	if seats == 0 {
 		seats = len(v.Members)
 	}
 	lost := s.longestLost(v, silence)
 	switch {
-	case come != nil && supersedes(v, come.who):
+	case come != nil && supersedes(v, come.member):
 		next := v
 		for _, m := range v.Members {
-			if m.Addr == come.who.Addr || m.Id == come.who.Id {
+			if m.Addr == come.member.Addr || m.Id == come.member.Id {
 				next = next.WithoutMember(m.Id)
 			}
 		}
-		v = next.WithMember(come.who)
+		v = next.WithMember(come.member)
 	case come != nil && lost != "":
-		v = v.WithoutMember(lost).WithMember(come.who)
-	case come != nil && len(v.Members) < s.set.MaxMembers:
-		live, sure := alongside(v, *come, silence)
+		v = v.WithoutMember(lost).WithMember(come.member)
+	case come != nil && len(v.Members) < s.settings.MaxMembers:
+		live, sure := countAlive(v, *come, silence)
 		if !sure {
 			return v, false
 		}
-		v, seats = v.WithMember(come.who), max(seats, live)
+		v, seats = v.WithMember(come.member), max(seats, live)
 	case lost != "" && len(v.Members) > seats:
 		v = v.WithoutMember(lost)
 	default:
@@ -235,21 +235,21 @@
 func (s *Server) longestLost(v view.View, silence func(string) time.Duration) string {
 	lost := ""
 	for _, m := range v.Members {
-		if quiet := silence(m.Id); quiet > s.set.LostAfter && (lost == "" || quiet > silence(lost)) {
+		if quiet := silence(m.Id); quiet > s.settings.LostAfter && (lost == "" || quiet > silence(lost)) {
 			lost = m.Id
 		}
 	}
 	return lost
 }
 
-// alongside counts the newcomer and the members heard since it asked to join. So a newcomer that
+// countAlive counts the newcomer and the members heard since it asked to join. So a newcomer that
 // comes for a member just lost is told from one that comes beside it: the count is sure once each of
 // the other members has been silent for a while.
-func alongside(v view.View, come spare, silence func(string) time.Duration) (live int, sure bool) {
+func countAlive(v view.View, come candidate, silence func(string) time.Duration) (live int, sure bool) {
 	live, sure = 1, true
 	for _, m := range v.Members {
 		switch quiet := silence(m.Id); {
-		case quiet < time.Since(come.first):
+		case quiet < time.Since(come.firstAsked):
 			live++
 		case quiet < quietFor:
 			sure = false
--- a/internal/core/nodes_test.go
+++ b/internal/core/nodes_test.go
@@ -19,21 +19,21 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			puts = append(puts, store.Put{Key: placeHead + addr, Val: raw})
+			puts = append(puts, store.Put{Key: placePrefix + addr, Val: raw})
 		}
 		if err := st.Add(store.Batch{Seq: st.Seq() + 1, Puts: puts}); err != nil {
 			t.Fatal(err)
 		}
 		s.routersBefore = s.rememberedRouters()
-		s.since = time.Now()
-		s.nodes = map[string]*seat{"a": {Node{Name: "a"}, time.Now()}}
-		s.roll = 1
+		s.readySince = time.Now()
+		s.nodes = map[string]*liveNode{"a": {Node{Name: "a"}, time.Now()}}
+		s.nodesVersion = 1
 		var early, late HeartbeatResponse
 		s.tellNodes(&HeartbeatRequest{}, &early)
 		if early.RoutersBefore != 3 || early.NodesChanged {
 			t.Errorf("a new primary tells %d routers and names nodes: %v; 3 and none expected", early.RoutersBefore, early.NodesChanged)
 		}
-		time.Sleep(nodeTerm + time.Millisecond)
+		time.Sleep(nodeLeaseTerm + time.Millisecond)
 		s.tellNodes(&HeartbeatRequest{}, &late)
 		if late.RoutersBefore != 0 || !late.NodesChanged || len(late.Nodes) != 1 {
 			t.Errorf("a primary that knows its nodes tells %+v", late)
--- a/internal/core/primary.go
+++ b/internal/core/primary.go
@@ -12,67 +12,67 @@
 )
 
 func (s *Server) learn(v view.View) {
-	if err := s.vot.Learn(v); err != nil {
-		s.trouble(err)
+	if err := s.voter.Learn(v); err != nil {
+		s.failDisk(err)
 	}
 }
 
-// heal waits until the disk takes a synced file again, then reads all anew from it.
-func (s *Server) heal() {
+// recoverDisk waits until the disk takes a synced file again, then reads all anew from it.
+func (s *Server) recoverDisk() {
 	for env.Wait(s.ctx, 2*time.Second) {
 		if s.disk.Write("probe", []byte("probe")) != nil {
 			continue
 		}
-		s.keep.Lock()
+		s.storeGate.Lock()
 		// A write that got stuck must end before the disk is read anew.
-		s.st.Load().Close()
+		s.store.Load().Close()
 		st, err := store.Open(s.disk, s.ctx.Log)
 		if err == nil {
-			s.st.Store(st)
+			s.store.Store(st)
 			s.mu.Lock()
-			s.sick = false
+			s.diskFailed = false
 			s.epoch = 0 // leading starts over, with a fresh copy to the backup
 			s.mu.Unlock()
 			s.ctx.Log.Info("Disk is sound again.")
 		}
-		s.keep.Unlock()
+		s.storeGate.Unlock()
 		if err == nil {
 			return
 		}
 	}
 }
 
-// beat is the run loop's tick: it does what our place in the view asks for.
-func (s *Server) beat() {
-	if s.isSick() {
+// takeStep is the run loop's tick: it does what our place in the view asks for.
+func (s *Server) takeStep() {
+	if s.hasDiskFailed() {
 		return
 	}
-	v, me := s.vot.View(), s.vot.Id()
+	v, me := s.voter.View(), s.voter.Id()
 	switch {
 	case v.Epoch == 0:
-		s.seek()
+		s.findFleet()
 	case v.Primary == me:
 		s.lead(v, me)
 	case v.IsBackup(me):
-		s.watch(v, me)
-	case v.Addr(me) != s.set.Addr: // no member, or one that has moved
+		s.watchPrimary(v, me)
+	case v.Addr(me) != s.settings.Addr: // no member, or one that has moved
 		s.join(v)
 	default:
-		s.lookAround(v)
+		s.findNewerView(v)
 	}
 }
 
-func (s *Server) pause(d time.Duration) bool {
-	if time.Now().Before(s.next) {
+func (s *Server) waitTurn(d time.Duration) bool {
+	if time.Now().Before(s.nextAttempt) {
 		return false
 	}
-	s.next = time.Now().Add(d/2 + rand.N(d))
+	s.nextAttempt = time.Now().Add(d/2 + rand.N(d))
 	return true
 }
 
-// ask asks every address what it knows of the core.
-func (s *Server) ask(to []string) map[string]view.StatusResponse {
-	ctx, end := context.WithTimeout(s.ctx, step)
+// askStatus asks every address what it knows of the core.
+func (s *Server) askStatus(to []string) map[string]view.StatusResponse {
+	ctx, end := context.WithTimeout(s.ctx, stepTimeout)
 	defer end()
 	out := map[string]view.StatusResponse{}
 	var mu sync.Mutex
@@ -98,9 +98,9 @@
 
 // decide tries to bring about the next view, and learns what came of it.
 func (s *Server) decide(cur, next view.View, all bool) bool {
-	t := &view.Proposal{Proposer: s.vot.Id(), Call: s.call, Current: cur, Next: next, Unanimous: all, StepTimeout: step, HighestBallot: s.top}
+	t := &view.Proposal{Proposer: s.voter.Id(), Call: s.call, Current: cur, Next: next, Unanimous: all, StepTimeout: stepTimeout, HighestBallot: s.highestBallot}
 	got, err := t.Run(s.ctx)
-	s.top = t.HighestBallot
+	s.highestBallot = t.HighestBallot
 	if err != nil {
 		s.ctx.Log.Warn("View not decided.", "after", cur.Epoch, "trouble", err.Error())
 		return false
@@ -109,26 +109,26 @@
 	if got.Epoch == cur.Epoch+1 {
 		to := append(append([]view.Member{}, cur.Members...), got.Members...)
 		for _, m := range to {
-			if m.Id != s.vot.Id() {
+			if m.Id != s.voter.Id() {
 				go func() {
-					ctx, end := context.WithTimeout(s.ctx, step)
+					ctx, end := context.WithTimeout(s.ctx, stepTimeout)
 					defer end()
 					s.call(ctx, m.Addr, "view.learn", &view.LearnRequest{View: got}, nil)
 				}()
 			}
 		}
 	}
-	s.hurry()
-	s.ctx.Log.Info("View decided.", "epoch", got.Epoch, "primary", got.Addr(got.Primary), "backups", addrs(got, got.Backups()), "members", len(got.Members))
+	s.wake()
+	s.ctx.Log.Info("View decided.", "epoch", got.Epoch, "primary", got.Addr(got.Primary), "backups", addrsOf(got, got.Backups()), "members", len(got.Members))
 	return true
 }
 
-// stands tells whether we are primary of the epoch now, by a majority's lease.
-func (s *Server) stands(v view.View) bool {
+// isPrimary tells whether we are primary of the epoch now, by a majority's lease.
+func (s *Server) isPrimary(v view.View) bool {
 	s.mu.Lock()
-	ls, ok := s.ls, s.epoch == v.Epoch && !s.sick
+	ls, ok := s.lease, s.epoch == v.Epoch && !s.diskFailed
 	s.mu.Unlock()
-	return ok && ls.Stands(v.IsMajority) && s.vot.View().Epoch == v.Epoch
+	return ok && ls.Stands(v.IsMajority) && s.voter.View().Epoch == v.Epoch
 }
 
 func (s *Server) setReady(to bool) {
@@ -137,30 +137,30 @@
 	s.ready = to
 }
 
-// start opens for writes: the backup holds all we hold, and the lease stands.
-func (s *Server) start(v view.View) {
+// becomeReady opens for writes: the backup holds all we hold, and the lease stands.
+func (s *Server) becomeReady(v view.View) {
 	var sheet StoredConfig
-	if raw, ok := s.st.Load().Get("layout"); ok {
+	if raw, ok := s.store.Load().Get("layout"); ok {
 		if _, err := sheet.UnmarshalMsg(raw); err != nil {
 			s.ctx.Log.Error("Stored layout unread.", "trouble", err.Error())
 			return
 		}
 	}
-	s.ran.load(s.st.Load())
+	s.finishedKeys.load(s.store.Load())
 	s.mu.Lock()
-	s.runners.Begin(registryEpoch(v.Epoch, s.ctx.Born), s.began, time.Now(), s.storedRunners())
-	s.ready, s.sheet, s.since = true, sheet, time.Now()
+	s.registry.Begin(registryEpoch(v.Epoch, s.ctx.Born), s.ledSince, time.Now(), s.storedRunners())
+	s.ready, s.config, s.readySince = true, sheet, time.Now()
 	s.routersBefore = s.rememberedRouters()
 	s.mu.Unlock()
-	s.ctx.Log.Info("Primary is ready.", "epoch", v.Epoch, "backups", addrs(v, v.Backups()), "sequence", sheet.Version)
+	s.ctx.Log.Info("Primary is ready.", "epoch", v.Epoch, "backups", addrsOf(v, v.Backups()), "sequence", sheet.Version)
 }
 
-// Yield hands the primacy to the backup, which holds all we hold, before a planned stop.
+// StepDown hands the primacy to the backup, which holds all we hold, before a planned stop.
 //
-//	srv.Yield()
-func (s *Server) Yield() {
-	j := &job{done: make(chan error, 1), ctl: func() {
-		v, me := s.vot.View(), s.vot.Id()
+//	srv.StepDown()
+func (s *Server) StepDown() {
+	j := &job{done: make(chan error, 1), step: func() {
+		v, me := s.voter.View(), s.voter.Id()
 		s.mu.Lock()
 		ready := s.ready
 		s.mu.Unlock()
@@ -179,7 +179,7 @@
 	t := time.NewTimer(2 * time.Second)
 	defer t.Stop()
 	select {
-	case s.box <- j:
+	case s.jobs <- j:
 	case <-t.C:
 		return
 	}
@@ -191,8 +191,8 @@
 
 // tellSuccessor waits until the primary of the newest view knows it: the process that decided it is about to end.
 func (s *Server) tellSuccessor() {
-	v := s.vot.View()
-	ctx, end := context.WithTimeout(s.ctx, step)
+	v := s.voter.View()
+	ctx, end := context.WithTimeout(s.ctx, stepTimeout)
 	defer end()
 	if err := s.call(ctx, v.Addr(v.Primary), "view.learn", &view.LearnRequest{View: v}, nil); err != nil {
 		s.ctx.Log.Warn("The next primary was not told.", "peer", v.Addr(v.Primary), "trouble", err.Error())
--- a/internal/core/push.go
+++ b/internal/core/push.go
@@ -16,7 +16,7 @@
 func (s *Server) pushRunners(records ...relay.Record) {
 	perZone := 2
 	s.mu.Lock()
-	if time.Since(s.since) <= nodeTerm+time.Second {
+	if time.Since(s.readySince) <= nodeLeaseTerm+time.Second {
 		perZone = len(s.nodes)
 	}
 	s.mu.Unlock()
@@ -27,7 +27,7 @@
 func (s *Server) pushTo(perZone int, records []relay.Record) {
 	ctx, end := context.WithTimeout(s.ctx, 250*time.Millisecond)
 	s.mu.Lock()
-	all := s.live()
+	all := s.liveNodes()
 	s.mu.Unlock()
 	tell := relay.News{Records: records}
 	zones := map[string]int{}
@@ -39,7 +39,7 @@
 		}
 		sent++
 		go func() {
-			done <- s.cal.Call(ctx, n.Addr, "node.tell", &tell, nil) == nil
+			done <- s.caller.Call(ctx, n.Addr, "node.tell", &tell, nil) == nil
 		}()
 	}
 	defer end()
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -15,11 +15,11 @@
 
 // poolCache keeps the decoded pools of tenants: each has an entry for every router, and is read and written with
 // every move. Only the run loop touches it.
-type poolCache map[string]*cachedPot
+type poolCache map[string]*cachedPool
 
-// cachedPot is a pool and the bytes that it was decoded from or encoded to. It is good for as long as the
+// cachedPool is a pool and the bytes that it was decoded from or encoded to. It is good for as long as the
 // store, or the batch under way, has these very bytes.
-type cachedPot struct {
+type cachedPool struct {
 	raw  []byte
 	pool share.QuotaPool
 }
@@ -33,7 +33,7 @@
 	if known := c[tenant]; known != nil && len(raw) > 0 && len(raw) == len(known.raw) && &raw[0] == &known.raw[0] {
 		return &known.pool, nil
 	}
-	fresh := &cachedPot{raw: raw}
+	fresh := &cachedPool{raw: raw}
 	if _, err := fresh.pool.UnmarshalMsg(raw); err != nil {
 		return nil, err
 	}
@@ -49,18 +49,18 @@
 		return err
 	}
 	tx.add(store.Put{Key: poolKey(tenant), Val: raw})
-	c[tenant] = &cachedPot{raw: raw, pool: *pool}
+	c[tenant] = &cachedPool{raw: raw, pool: *pool}
 	return nil
 }
 
-func poolKey(tenant string) string { return poolHead + tenant }
+func poolKey(tenant string) string { return poolPrefix + tenant }
 
-const poolHead = "share/"
+const poolPrefix = "share/"
 
 // poolTenants lists the tenants that have a pool in the committed state.
 func poolTenants(tx *Tx) []string {
 	var tenants []string
-	tx.st.Each(poolHead, func(key string, _ []byte) { tenants = append(tenants, strings.TrimPrefix(key, poolHead)) })
+	tx.store.Each(poolPrefix, func(key string, _ []byte) { tenants = append(tenants, strings.TrimPrefix(key, poolPrefix)) })
 	return tenants
 }
 
@@ -78,12 +78,12 @@
 	out := &QuotaMovesResponse{}
 	err := s.Submit(ctx, func(tx *Tx) error {
 		out.Results = make([]QuotaMoveResult, len(in.Moves))
-		cur, err := tx.sheet()
+		cur, err := tx.config()
 		if err != nil {
 			return err
 		}
 		var doc Document
-		if known := s.parsed(cur); known != nil {
+		if known := s.parsedConfig(cur); known != nil {
 			doc = *known
 		}
 		for i := range in.Moves {
@@ -101,7 +101,7 @@
 
 // moveIn makes one move. Only the run loop calls it.
 func (s *Server) moveIn(tx *Tx, who string, in *QuotaMove, doc *Document) (out QuotaMoveResult, err error) {
-	p, err := s.pool.get(tx, in.Tenant)
+	p, err := s.poolCache.get(tx, in.Tenant)
 	if err != nil {
 		return out, err
 	}
@@ -112,14 +112,14 @@
 	} else {
 		was := p.Held[who].Units
 		free := p.Most(quota, tolerance) - p.Out()
-		out.Held, changed = p.DrawAbove(who, in.Turn, min(in.Units, drawMost(free)), quota, tolerance, s.chargeFor(in.Tenant))
+		out.Held, changed = p.DrawAbove(who, in.Turn, min(in.Units, maxDraw(free)), quota, tolerance, s.chargeFor(in.Tenant))
 		if in.Units > 0 {
 			s.noteShort(in.Tenant, out.Held == was, quota, p.Most(quota, tolerance)-p.Out())
 		}
 	}
 	out.Ceiling = p.Under(quota)
 	if changed {
-		err = s.pool.put(tx, in.Tenant, p)
+		err = s.poolCache.put(tx, in.Tenant, p)
 	}
 	return out, err
 }
@@ -149,16 +149,16 @@
 	return open.id
 }
 
-// lowPart is the part of a small quota from which on idle units are wanted back: there are more routers than
+// smallQuotaDivisor is the part of a small quota from which on idle units are wanted back: there are more routers than
 // units, and each that has some idle keeps them from many others.
-const lowPart = 2
+const smallQuotaDivisor = 2
 
 // noteShort notes that idle units of a tenant are wanted back: since a draw got none, or soon may get none.
 func (s *Server) noteShort(tenant string, none bool, quota, free int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if none || share.IsSmall(quota, len(s.nodes)) && free < quota/lowPart {
-		s.short[tenant] = time.Now()
+	if none || share.IsSmall(quota, len(s.nodes)) && free < quota/smallQuotaDivisor {
+		s.scarceSince[tenant] = time.Now()
 	}
 }
 
@@ -168,39 +168,39 @@
 // shortTenants lists the tenants whose idle units are wanted back. The caller holds the lock.
 func (s *Server) shortTenants() []string {
 	var tenants []string
-	for tenant, at := range s.short {
+	for tenant, at := range s.scarceSince {
 		if time.Since(at) < shortFor {
 			tenants = append(tenants, tenant)
 		} else {
-			delete(s.short, tenant)
+			delete(s.scarceSince, tenant)
 		}
 	}
 	sort.Strings(tenants)
 	return tenants
 }
 
-// drawPart is the part of the free units that one draw may take: after a restart all routers draw at once, and
+// drawDivisor is the part of the free units that one draw may take: after a restart all routers draw at once, and
 // the first must not leave the others without any.
-const drawPart = 8
+const drawDivisor = 8
 
-// drawMost is the most that one draw gets of what is free.
-func drawMost(free int) int { return (free + drawPart - 1) / drawPart }
+// maxDraw is the most that one draw gets of what is free.
+func maxDraw(free int) int { return (free + drawDivisor - 1) / drawDivisor }
 
-// retire sets a holder's units cooling: its process is surely gone.
-func (s *Server) retire(ctx context.Context, who string) error {
+// coolHolder sets a holder's units cooling: its process is surely gone.
+func (s *Server) coolHolder(ctx context.Context, who string) error {
 	return s.Submit(ctx, func(tx *Tx) error {
-		return s.pools(tx, func(_ string, p *share.QuotaPool) bool { return p.Retire(who) })
+		return s.updatePools(tx, func(_ string, p *share.QuotaPool) bool { return p.Retire(who) })
 	})
 }
 
-func (s *Server) pools(tx *Tx, do func(ten string, p *share.QuotaPool) bool) error {
+func (s *Server) updatePools(tx *Tx, do func(ten string, p *share.QuotaPool) bool) error {
 	for _, t := range poolTenants(tx) {
-		p, err := s.pool.get(tx, t)
+		p, err := s.poolCache.get(tx, t)
 		if err != nil {
 			return err
 		}
 		if do(t, p) {
-			if err := s.pool.put(tx, t, p); err != nil {
+			if err := s.poolCache.put(tx, t, p); err != nil {
 				return err
 			}
 		}
@@ -256,7 +256,7 @@
 func (s *Server) replaceHolder(n Node, age time.Duration) {
 	run := replacedRun{holder: Holder(n), ended: time.Now().Add(flightTime - share.Margin - age)}
 	if s.replaced.add(holderPlace(n), run) {
-		time.AfterFunc(replacedGather, func() { s.later(s.coolReplaced) })
+		time.AfterFunc(replacedGather, func() { s.submitLater(s.coolReplaced) })
 	}
 }
 
@@ -268,7 +268,7 @@
 		run, known := runs[place]
 		return run, known && who != run.holder
 	}
-	return s.pools(tx, func(tenant string, p *share.QuotaPool) bool {
+	return s.updatePools(tx, func(tenant string, p *share.QuotaPool) bool {
 		changed := false
 		for who := range p.Held {
 			if _, is := earlier(who); is {
@@ -287,15 +287,15 @@
 // coolSince notes since when a holder's units cool at the latest. Only the run loop calls it.
 func (s *Server) coolSince(tenant, who string, at time.Time) {
 	key := coolKey(tenant, who)
-	if known, ok := s.aged[key]; !ok || at.Before(known) {
-		s.aged[key] = at
+	if known, ok := s.firstSeen[key]; !ok || at.Before(known) {
+		s.firstSeen[key] = at
 	}
 }
 
 func coolKey(tenant, who string) string { return "cool/" + tenant + "/" + who }
 
-// holding names one holder's units of one tenant.
-type holding struct{ tenant, who string }
+// quotaHolding names one holder's units of one tenant.
+type quotaHolding struct{ tenant, holder string }
 
 // finishedCharge names a charge of a tenant's tolerance that counts no longer.
 type finishedCharge struct {
@@ -315,26 +315,26 @@
 	seen := map[string]bool{}
 	aged := func(key string, span time.Duration) bool {
 		seen[key] = true
-		at, ok := s.aged[key]
+		at, ok := s.firstSeen[key]
 		if !ok {
-			s.aged[key] = now
+			s.firstSeen[key] = now
 			return false
 		}
 		return now.Sub(at) > span
 	}
-	var thaw, out []holding
+	var thaw, out []quotaHolding
 	var finished []finishedCharge
-	s.cooling = false
-	tx := &Tx{st: s.st.Load()}
+	s.hasCoolingUnits = false
+	tx := &Tx{store: s.store.Load()}
 	for _, tenant := range poolTenants(tx) {
-		p, err := s.pool.get(tx, tenant)
+		p, err := s.poolCache.get(tx, tenant)
 		if err != nil {
 			continue
 		}
 		for who := range p.Cool {
-			s.cooling = true
+			s.hasCoolingUnits = true
 			if aged(coolKey(tenant, who), doc.Windows[tenant]+share.Margin) {
-				thaw = append(thaw, holding{tenant, who})
+				thaw = append(thaw, quotaHolding{tenant, who})
 			}
 		}
 		for _, charge := range p.Charges {
@@ -349,31 +349,31 @@
 			// A holder silent for the whole term has stopped spending on its own.
 			place, _, _ := strings.Cut(who, "/")
 			if silent := aged("mute/"+tenant+"/"+who, share.Term+share.Term/10); silent || here[place] {
-				out = append(out, holding{tenant, who})
+				out = append(out, quotaHolding{tenant, who})
 			}
 		}
 	}
-	for key := range s.aged {
+	for key := range s.firstSeen {
 		if !seen[key] {
-			delete(s.aged, key)
+			delete(s.firstSeen, key)
 		}
 	}
-	s.endQuotas(thaw, out, finished)
+	s.applyQuotaSweep(thaw, out, finished)
 }
 
-// endQuotas frees units that have cooled, sets those of holders that are gone cooling, and ends charges.
-func (s *Server) endQuotas(thaw, out []holding, finished []finishedCharge) {
+// applyQuotaSweep frees units that have cooled, sets those of holders that are gone cooling, and ends charges.
+func (s *Server) applyQuotaSweep(thaw, out []quotaHolding, finished []finishedCharge) {
 	if len(thaw)+len(out)+len(finished) == 0 {
 		return
 	}
-	s.later(func(tx *Tx) error {
-		return s.pools(tx, func(tenant string, p *share.QuotaPool) bool {
+	s.submitLater(func(tx *Tx) error {
+		return s.updatePools(tx, func(tenant string, p *share.QuotaPool) bool {
 			changed := false
 			for _, h := range thaw {
-				changed = h.tenant == tenant && p.Thaw(h.who) || changed
+				changed = h.tenant == tenant && p.Thaw(h.holder) || changed
 			}
 			for _, h := range out {
-				changed = h.tenant == tenant && p.Retire(h.who) || changed
+				changed = h.tenant == tenant && p.Retire(h.holder) || changed
 			}
 			for _, charge := range finished {
 				changed = charge.tenant == tenant && p.Uncharge(charge.id) || changed
--- a/internal/core/quota_test.go
+++ b/internal/core/quota_test.go
@@ -20,15 +20,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &Server{pool: poolCache{}, short: map[string]time.Time{}, aged: map[string]time.Time{}}
-	s.st.Store(st)
+	s := &Server{poolCache: poolCache{}, scarceSince: map[string]time.Time{}, firstSeen: map[string]time.Time{}}
+	s.store.Store(st)
 	return s, st
 }
 
 // A pool is decoded once, and one that a failed job or a failed batch changed is read anew.
 func TestPotsAreReadAnewAfterAFailure(t *testing.T) {
 	s, st := quotaServer(t)
-	begin := func() *Tx { return &Tx{st: st, over: map[string]*store.Put{}} }
+	begin := func() *Tx { return &Tx{store: st, newest: map[string]*store.Put{}} }
 	draw := func(tx *Tx, turn uint64) int {
 		out, err := s.moveIn(tx, "a", &QuotaMove{Tenant: "t", Turn: turn, Units: 1}, &Document{Quotas: map[string]int{"t": 100}})
 		if err != nil {
@@ -37,14 +37,14 @@
 		return out.Held
 	}
 	commit := func(tx *Tx) {
-		if err := st.Add(store.Batch{Seq: st.Seq() + 1, Puts: tx.last()}); err != nil {
+		if err := st.Add(store.Batch{Seq: st.Seq() + 1, Puts: tx.newestPuts()}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	tx := begin()
 	draw(tx, 1)
 	draw(tx, 2)
-	if puts := tx.last(); len(puts) != 1 {
+	if puts := tx.newestPuts(); len(puts) != 1 {
 		t.Fatalf("%d puts of one pool, 1 expected", len(puts))
 	}
 	commit(tx)
@@ -63,7 +63,7 @@
 		t.Errorf("%d units after a lost batch and an undone job, 3 expected", have)
 	}
 	commit(tx)
-	p, err := s.pool.get(begin(), "t")
+	p, err := s.poolCache.get(begin(), "t")
 	if err != nil || p.Held["a"] != (share.Hold{Turn: 3, Units: 3}) {
 		t.Errorf("pot %+v, %v", p, err)
 	}
@@ -80,10 +80,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &Server{pool: poolCache{}, short: map[string]time.Time{}}
-	s.st.Store(st)
-	tx := &Tx{st: st, over: map[string]*store.Put{}}
-	if err := s.pool.put(tx, "t", &share.QuotaPool{Cool: map[string]int{"dead/1": 10}}); err != nil {
+	s := &Server{poolCache: poolCache{}, scarceSince: map[string]time.Time{}}
+	s.store.Store(st)
+	tx := &Tx{store: st, newest: map[string]*store.Put{}}
+	if err := s.poolCache.put(tx, "t", &share.QuotaPool{Cool: map[string]int{"dead/1": 10}}); err != nil {
 		t.Fatal(err)
 	}
 	doc := &Document{Quotas: map[string]int{"t": 10}, Tolerances: map[string]int{"t": 4}}
@@ -118,15 +118,15 @@
 // After a restart of a whole fleet the units of all earlier runs cool with one write of each pool.
 func TestAllReplacedRunsCoolTogether(t *testing.T) {
 	s, st := quotaServer(t)
-	tx := &Tx{st: st, over: map[string]*store.Put{}}
+	tx := &Tx{store: st, newest: map[string]*store.Put{}}
 	pool := &share.QuotaPool{Held: map[string]share.Hold{"a@1/1": {Units: 2, Turn: 1}, "b@2/1": {Units: 3, Turn: 1}, "c@3/1": {Units: 4, Turn: 1}}}
-	if err := s.pool.put(tx, "t", pool); err != nil {
+	if err := s.poolCache.put(tx, "t", pool); err != nil {
 		t.Fatal(err)
 	}
-	if err := st.Add(store.Batch{Seq: 1, Puts: tx.last()}); err != nil {
+	if err := st.Add(store.Batch{Seq: 1, Puts: tx.newestPuts()}); err != nil {
 		t.Fatal(err)
 	}
-	tx = &Tx{st: st, over: map[string]*store.Put{}}
+	tx = &Tx{store: st, newest: map[string]*store.Put{}}
 	ended := time.Now().Add(-time.Second)
 	if !s.replaced.add("a@1", replacedRun{"a@1/2", ended}) || s.replaced.add("b@2", replacedRun{"b@2/2", ended}) {
 		t.Error("the first place alone starts the gathering")
@@ -137,11 +137,11 @@
 	if n := len(tx.puts); n != 1 {
 		t.Errorf("%d puts, 1 expected", n)
 	}
-	got, err := s.pool.get(tx, "t")
+	got, err := s.poolCache.get(tx, "t")
 	if err != nil || got.Cooling() != 5 || got.Held["c@3/1"].Units != 4 {
 		t.Errorf("pot %+v, %v: 5 units cooling and 4 held by c expected", got, err)
 	}
-	if at := s.aged[coolKey("t", "a@1/1")]; !at.Equal(ended) {
+	if at := s.firstSeen[coolKey("t", "a@1/1")]; !at.Equal(ended) {
 		t.Errorf("units of a cool since %s, since %s expected", at, ended)
 	}
 	if runs := s.replaced.take(); len(runs) != 0 {
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	runnerForget  = 60 * time.Second        // a runner unheard for so long is forgotten
-	runnerSettle  = 5 * time.Second         // a new primary has heard every living runner by then
-	runnerGrace   = 1500 * time.Millisecond // to be heard again after a pause of the primary
-	runnerCheck   = 100 * time.Millisecond  // between two looks for silent runners
-	runnerGather  = 5 * time.Millisecond    // changes that come this close together are pushed as one
-	registryBegun = 1                       // the first version; 0 stands for "none"
+	runnerForgetAfter   = 60 * time.Second        // a runner unheard for so long is forgotten
+	registrySettleAfter = 5 * time.Second         // a new primary has heard every living runner by then
+	runnerGrace         = 1500 * time.Millisecond // to be heard again after a pause of the primary
+	runnerCheckEvery    = 100 * time.Millisecond  // between two looks for silent runners
+	runnerGatherSpan    = 5 * time.Millisecond    // changes that come this close together are pushed as one
+	registryBegun       = 1                       // the first version; 0 stands for "none"
 )
 
 // RunnerRegistry is the primary's knowledge of runners. Its version goes up with every change that routers
@@ -26,20 +26,20 @@
 	silence  time.Duration
 	announce func(routing.Runner) <-chan struct{} // tells routers at once; closed when that has been tried
 
-	mu      sync.Mutex
-	epoch   uint64
-	led     time.Time // since when the primary has led without a break
-	begun   time.Time // of heartbeats being taken in this epoch
-	version uint64
-	settled uint64 // the version at which every living runner had been heard; 0: not yet
-	checked time.Time
-	runners map[string]*registered
+	mu        sync.Mutex
+	epoch     uint64
+	ledSince  time.Time // since when the primary has led without a break
+	begunAt   time.Time // of heartbeats being taken in this epoch
+	version   uint64
+	settled   uint64 // the version at which every living runner had been heard; 0: not yet
+	checkedAt time.Time
+	runners   map[string]*registered
 }
 
 // registered is one known runner.
 type registered struct {
 	runner  routing.Runner
-	heard   time.Time       // its last heartbeat
+	heardAt time.Time       // its last heartbeat
 	version uint64          // of its last change
 	told    <-chan struct{} // its last announcement; nil: none in this epoch
 }
@@ -65,18 +65,18 @@
 func (r *RunnerRegistry) Begin(epoch uint64, led, now time.Time, stored []routing.Runner) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.epoch != 0 && led.Equal(r.led) {
+	if r.epoch != 0 && led.Equal(r.ledSince) {
 		for _, known := range r.runners {
-			if least := now.Add(runnerGrace - r.silence); known.heard.Before(least) {
-				known.heard = least
+			if least := now.Add(runnerGrace - r.silence); known.heardAt.Before(least) {
+				known.heardAt = least
 			}
 		}
 		return
 	}
-	r.epoch, r.led, r.begun = epoch, led, now
+	r.epoch, r.ledSince, r.begunAt = epoch, led, now
 	r.version, r.settled, r.runners = registryBegun, 0, map[string]*registered{}
 	for _, runner := range stored {
-		r.runners[runner.ID] = &registered{runner: runner, heard: now, version: r.version}
+		r.runners[runner.ID] = &registered{runner: runner, heardAt: now, version: r.version}
 	}
 }
 
@@ -90,7 +90,7 @@
 	known := r.runners[runner.ID]
 	if known == nil {
 		r.version++
-		known = &registered{runner: runner, heard: now, version: r.version, told: r.announce(runner)}
+		known = &registered{runner: runner, heardAt: now, version: r.version, told: r.announce(runner)}
 		r.runners[runner.ID] = known
 		return known.told
 	}
@@ -98,7 +98,7 @@
 	if old.State == routing.RunnerGone || runner.Sequence <= old.Sequence {
 		return known.told
 	}
-	known.runner, known.heard = runner, now
+	known.runner, known.heardAt = runner, now
 	if !old.SaysSame(runner) {
 		r.version++
 		known.version = r.version
@@ -112,13 +112,13 @@
 
 // check marks silent runners and forgets those unheard for long; the caller holds the lock.
 func (r *RunnerRegistry) check(now time.Time) {
-	if now.Sub(r.checked) < runnerCheck {
+	if now.Sub(r.checkedAt) < runnerCheckEvery {
 		return
 	}
-	r.checked = now
+	r.checkedAt = now
 	for id, known := range r.runners {
-		unheard := now.Sub(known.heard)
-		if unheard > runnerForget {
+		unheard := now.Sub(known.heardAt)
+		if unheard > runnerForgetAfter {
 			delete(r.runners, id)
 			continue
 		}
@@ -142,7 +142,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.check(now)
-	if r.settled == 0 && now.Sub(r.begun) >= runnerSettle {
+	if r.settled == 0 && now.Sub(r.begunAt) >= registrySettleAfter {
 		r.version++ // so that a router which has the registry from before gets a whole list
 		r.settled = r.version
 	}
@@ -203,20 +203,20 @@
 // takeRunner takes a runner's heartbeat. A change of state is handed to the first routers of every zone
 // before it is acknowledged, so that it outlives us.
 func (s *Server) takeRunner(ctx context.Context, in *RunnerHeartbeat) (*Empty, error) {
-	if err := s.prime(); err != nil {
+	if err := s.requirePrimary(); err != nil {
 		return nil, err
 	}
 	switch in.Runner.State {
 	case routing.RunnerReady, routing.RunnerDraining, routing.RunnerGone:
 	default:
-		return nil, wire.Fault{Code: BadRunner}
+		return nil, wire.Fault{Code: InvalidRunner}
 	}
 	if in.Runner.ID == "" {
-		return nil, wire.Fault{Code: BadRunner}
+		return nil, wire.Fault{Code: InvalidRunner}
 	}
-	told := s.runners.Heartbeat(in.Runner, time.Now())
+	told := s.registry.Heartbeat(in.Runner, time.Now())
 	// A late heartbeat says what is no longer so: kept is what stands.
-	if err := s.keepRunner(ctx, s.runners.Known(in.Runner.ID)); err != nil {
+	if err := s.storeRunner(ctx, s.registry.Known(in.Runner.ID)); err != nil {
 		return nil, err
 	}
 	if told != nil {
@@ -231,7 +231,7 @@
 	if err != nil {
 		return nil
 	}
-	return s.news.add(relay.Record{Key: relay.RunnerPrefix + runner.ID, Version: runner.Sequence, Body: body}, s.pushRunners)
+	return s.runnerNews.add(relay.Record{Key: relay.RunnerPrefix + runner.ID, Version: runner.Sequence, Body: body}, s.pushRunners)
 }
 
 // runnerNews gathers changes of runners that come close together, and pushes them as one.
@@ -261,7 +261,7 @@
 
 // send waits a moment for more changes, and pushes the batch. Batches don't wait for each other.
 func (n *runnerNews) send(batch *runnerBatch, push func(...relay.Record)) {
-	time.Sleep(runnerGather)
+	time.Sleep(runnerGatherSpan)
 	n.mu.Lock()
 	n.next = nil
 	n.mu.Unlock()
--- a/internal/core/registry_test.go
+++ b/internal/core/registry_test.go
@@ -177,7 +177,7 @@
 // Another epoch begins an empty registry and sends all of it; within one, what changed.
 func TestEpochBeginsAnew(t *testing.T) {
 	r := newRegistryAt()
-	r.now = r.now.Add(runnerSettle)
+	r.now = r.now.Add(registrySettleAfter)
 	for i := range 5 {
 		r.beat(fmt.Sprint("r", i), 1, routing.RunnerReady)
 	}
@@ -215,7 +215,7 @@
 	if early.RunnersWhole || len(early.Runners) != 1 {
 		t.Errorf("an early list is whole %v with %d", early.RunnersWhole, len(early.Runners))
 	}
-	r.now = r.now.Add(runnerSettle - time.Millisecond)
+	r.now = r.now.Add(registrySettleAfter - time.Millisecond)
 	r.beat("a", 2, routing.RunnerReady)
 	if told := r.tell(early.RunnersEpoch, early.RunnersVersion); told.RunnersWhole || len(told.Runners) > 0 {
 		t.Errorf("told %+v before the span was over", told)
@@ -236,7 +236,7 @@
 	r := newRegistryAt()
 	led := r.now
 	r.beat("silent", 1, routing.RunnerReady)
-	r.now = r.now.Add(runnerSettle)
+	r.now = r.now.Add(registrySettleAfter)
 	r.beat("a", 1, routing.RunnerReady)
 	whole := r.tell(0, 0)
 	r.now = r.now.Add(20 * time.Second)
@@ -291,7 +291,7 @@
 	r := newRegistryAt()
 	r.beat("a", 1, routing.RunnerReady)
 	r.beat("b", 1, routing.RunnerReady)
-	r.now = r.now.Add(runnerSettle)
+	r.now = r.now.Add(registrySettleAfter)
 	r.beat("a", 2, routing.RunnerReady)
 	r.beat("b", 2, routing.RunnerReady)
 	ask := func(epoch uint64, runners []routing.Runner) *HeartbeatResponse {
@@ -322,7 +322,7 @@
 	}
 	has = r.tell(0, 0).Runners
 	r.beat("a", 5, routing.RunnerDraining)
-	r.now = r.now.Add(runnerForget + time.Second)
+	r.now = r.now.Add(runnerForgetAfter + time.Second)
 	r.beat("a", 6, routing.RunnerDraining)
 	if told := ask(1, has); len(told.Runners) != 1 || !told.RunnersWhole {
 		t.Errorf("after a runner was forgotten: %+v", told)
--- a/internal/core/runnerstore.go
+++ b/internal/core/runnerstore.go
@@ -9,11 +9,11 @@
 
 // Runners are kept on disk, so that after the loss of all processes routers know at once where to send
 // requests. Only what routers must know is kept, not each heartbeat.
-const runnerHead = "runner/"
+const runnerPrefix = "runner/"
 
-// keepRunner keeps a runner whose news differs from what the disk has. That one is leaving is kept before it
+// storeRunner keeps a runner whose news differs from what the disk has. That one is leaving is kept before it
 // is acknowledged: a primary that takes over must not send routers to it again. That one has come can wait.
-func (s *Server) keepRunner(ctx context.Context, runner routing.Runner) error {
+func (s *Server) storeRunner(ctx context.Context, runner routing.Runner) error {
 	if runner.ID == "" || runner.State == routing.RunnerSilent {
 		return nil
 	}
@@ -21,7 +21,7 @@
 		return nil
 	}
 	put := func(tx *Tx) error {
-		key := runnerHead + runner.ID
+		key := runnerPrefix + runner.ID
 		if runner.State != routing.RunnerGone {
 			return tx.Put(key, &runner)
 		}
@@ -31,14 +31,14 @@
 		return nil
 	}
 	if runner.State == routing.RunnerReady {
-		s.later(put)
+		s.submitLater(put)
 		return nil
 	}
 	return s.Submit(ctx, put)
 }
 
 func (s *Server) storedRunner(id string) (routing.Runner, bool) {
-	return decodeRunner(s.st.Load().Get(runnerHead + id))
+	return decodeRunner(s.store.Load().Get(runnerPrefix + id))
 }
 
 // decodeRunner reads a stored runner, if there is one.
@@ -50,10 +50,10 @@
 	return runner, err == nil
 }
 
-// keepSilent keeps on disk which runners have fallen silent. Without it a crashed runner would count as ready again
+// storeSilent keeps on disk which runners have fallen silent. Without it a crashed runner would count as ready again
 // after the loss of all core processes, until it has been silent once more. Only a ready runner becomes silent there:
 // that one is leaving must not be forgotten.
-func (s *Server) keepSilent(known []routing.Runner) {
+func (s *Server) storeSilent(known []routing.Runner) {
 	for _, runner := range known {
 		if runner.State != routing.RunnerSilent {
 			continue
@@ -61,13 +61,13 @@
 		if stored, ok := s.storedRunner(runner.ID); !ok || stored.State != routing.RunnerReady {
 			continue
 		}
-		s.later(func(tx *Tx) error {
+		s.submitLater(func(tx *Tx) error {
 			// Its word that it leaves may have been written since.
-			stored, ok := decodeRunner(tx.Get(runnerHead + runner.ID))
+			stored, ok := decodeRunner(tx.Get(runnerPrefix + runner.ID))
 			if !ok || stored.State != routing.RunnerReady {
 				return nil
 			}
-			return tx.Put(runnerHead+runner.ID, &runner)
+			return tx.Put(runnerPrefix+runner.ID, &runner)
 		})
 	}
 }
@@ -75,7 +75,7 @@
 // storedRunners are the runners that the disk has.
 func (s *Server) storedRunners() []routing.Runner {
 	var out []routing.Runner
-	s.st.Load().Each(runnerHead, func(_ string, raw []byte) {
+	s.store.Load().Each(runnerPrefix, func(_ string, raw []byte) {
 		var runner routing.Runner
 		if _, err := runner.UnmarshalMsg(raw); err == nil {
 			out = append(out, runner)
@@ -91,8 +91,8 @@
 		named[runner.ID] = true
 	}
 	var old []string
-	s.st.Load().Each(runnerHead, func(key string, _ []byte) {
-		if !named[strings.TrimPrefix(key, runnerHead)] {
+	s.store.Load().Each(runnerPrefix, func(key string, _ []byte) {
+		if !named[strings.TrimPrefix(key, runnerPrefix)] {
 			old = append(old, key)
 		}
 	})
--- a/internal/core/runnerstore_test.go
+++ b/internal/core/runnerstore_test.go
@@ -12,21 +12,21 @@
 // keepingServer is a server whose operations are committed by the test.
 func keepingServer(t *testing.T) (*Server, func()) {
 	s, st := quotaServer(t)
-	s.box = make(chan *job, 16)
-	s.runners = NewRunnerRegistry(4*time.Second, func(routing.Runner) <-chan struct{} { return nil })
-	s.runners.Begin(1, time.Now(), time.Now(), nil)
+	s.jobs = make(chan *job, 16)
+	s.registry = NewRunnerRegistry(4*time.Second, func(routing.Runner) <-chan struct{} { return nil })
+	s.registry.Begin(1, time.Now(), time.Now(), nil)
 	return s, func() {
 		t.Helper()
-		tx := &Tx{st: st, over: map[string]*store.Put{}}
-		for len(s.box) > 0 {
-			if err := (<-s.box).do(tx); err != nil {
+		tx := &Tx{store: st, newest: map[string]*store.Put{}}
+		for len(s.jobs) > 0 {
+			if err := (<-s.jobs).do(tx); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if len(tx.puts) == 0 {
 			return
 		}
-		if err := st.Add(store.Batch{Seq: st.Seq() + 1, Puts: tx.last()}); err != nil {
+		if err := st.Add(store.Batch{Seq: st.Seq() + 1, Puts: tx.newestPuts()}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -36,14 +36,14 @@
 func hear(t *testing.T, s *Server, commit func(), state routing.RunnerState, sequence uint64) {
 	t.Helper()
 	runner := routing.Runner{ID: "a", Service: "s", Address: "10.0.0.9:80", State: state, Sequence: sequence}
-	s.runners.Heartbeat(runner, time.Now())
+	s.registry.Heartbeat(runner, time.Now())
 	ended := make(chan error, 1)
 	s.ready = true
-	go func() { ended <- s.keepRunner(t.Context(), s.runners.Known("a")) }()
+	go func() { ended <- s.storeRunner(t.Context(), s.registry.Known("a")) }()
 	synctest.Wait()
-	for len(s.box) > 0 {
-		waiting := <-s.box
-		s.box <- waiting
+	for len(s.jobs) > 0 {
+		waiting := <-s.jobs
+		s.jobs <- waiting
 		commit()
 		waiting.done <- nil
 		synctest.Wait()
@@ -60,7 +60,7 @@
 		s, commit := keepingServer(t)
 		stored := func() (routing.RunnerState, uint64) {
 			runner, _ := s.storedRunner("a")
-			return runner.State, s.st.Load().Seq()
+			return runner.State, s.store.Load().Seq()
 		}
 		steps := []struct {
 			state    routing.RunnerState
@@ -97,7 +97,7 @@
 			return registry.Known("a").State
 		}
 		sweep := func() {
-			s.keepSilent(s.runners.List(time.Now()))
+			s.storeSilent(s.registry.List(time.Now()))
 			commit()
 		}
 		hear(t, s, commit, routing.RunnerReady, 1)
@@ -111,9 +111,9 @@
 		if state := restarted(); state != routing.RunnerSilent {
 			t.Errorf("%q from the disk while the runner is silent", state)
 		}
-		writes := s.st.Load().Seq()
+		writes := s.store.Load().Seq()
 		sweep()
-		if again := s.st.Load().Seq(); again != writes {
+		if again := s.store.Load().Seq(); again != writes {
 			t.Error("what the disk has is written again")
 		}
 		hear(t, s, commit, routing.RunnerReady, 2)
@@ -130,7 +130,7 @@
 		hear(t, s, commit, routing.RunnerReady, 1)
 		hear(t, s, commit, routing.RunnerDraining, 2)
 		time.Sleep(5 * time.Second)
-		s.keepSilent(s.runners.List(time.Now()))
+		s.storeSilent(s.registry.List(time.Now()))
 		commit()
 		if stored, _ := s.storedRunner("a"); stored.State != routing.RunnerDraining {
 			t.Errorf("the disk has %q", stored.State)
@@ -145,14 +145,14 @@
 		s, commit := keepingServer(t)
 		hear(t, s, commit, routing.RunnerReady, 1)
 		time.Sleep(5 * time.Second)
-		silent := s.runners.List(time.Now())
-		s.keepSilent(silent)
-		st := s.st.Load()
-		tx := &Tx{st: st, over: map[string]*store.Put{}}
-		if err := tx.Put(runnerHead+"a", &routing.Runner{ID: "a", State: routing.RunnerDraining}); err != nil {
+		silent := s.registry.List(time.Now())
+		s.storeSilent(silent)
+		st := s.store.Load()
+		tx := &Tx{store: st, newest: map[string]*store.Put{}}
+		if err := tx.Put(runnerPrefix+"a", &routing.Runner{ID: "a", State: routing.RunnerDraining}); err != nil {
 			t.Fatal(err)
 		}
-		if err := st.Add(store.Batch{Seq: st.Seq() + 1, Puts: tx.last()}); err != nil {
+		if err := st.Add(store.Batch{Seq: st.Seq() + 1, Puts: tx.newestPuts()}); err != nil {
 			t.Fatal(err)
 		}
 		commit()
--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -21,109 +21,109 @@
 
 // How long the parts of a hand-over may take.
 const (
-	tick     = 50 * time.Millisecond
-	step     = 500 * time.Millisecond  // one step of a decision
-	silent   = 1500 * time.Millisecond // a backup silent so long is let go
-	diskWait = 1500 * time.Millisecond // a disk slower than this is in trouble
-	holdWait = 600 * time.Millisecond  // a backup that holds a write no sooner is let go: all writes wait for it
-	mendWait = 3 * time.Second         // a write waits so long for a new backup
-	nodeTerm = 2 * time.Second         // a node's lease
-	chunk    = 1 << 20                 // bytes of state in one Copy
-	most     = 256                     // writes synced together
+	tickEvery         = 50 * time.Millisecond
+	stepTimeout       = 500 * time.Millisecond  // one step of a decision
+	backupSilentAfter = 1500 * time.Millisecond // a backup silent so long is let go
+	diskTimeout       = 1500 * time.Millisecond // a disk slower than this is in trouble
+	replicateTimeout  = 600 * time.Millisecond  // a backup that holds a write no sooner is let go: all writes wait for it
+	replaceTimeout    = 3 * time.Second         // a write waits so long for a new backup
+	nodeLeaseTerm     = 2 * time.Second         // a node's lease
+	maxBatchBytes     = 1 << 20                 // bytes of state in one Copy
+	maxBatchJobs      = 256                     // writes synced together
 )
 
 // The codes of "no" that callers tell apart.
 const (
-	NotPrimary = "not-primary" // surely not taken: ask the primary
-	NotReady   = "not-ready"   // surely not taken: ask again
-	InDoubt    = "in-doubt"    // may yet take effect
-	OldEpoch   = "old-epoch"
-	DiskBad    = "disk-trouble"
-	NameTaken  = "name-taken" // another node with this name holds a lease
-	RunEnded   = "run-ended"  // a beat of a run that another at its address has replaced
-	BadRunner  = "bad-runner" // a heartbeat without an ID or with a state that no runner has
+	NotPrimary    = "not-primary" // surely not taken: ask the primary
+	NotReady      = "not-ready"   // surely not taken: ask again
+	InDoubt       = "in-doubt"    // may yet take effect
+	StaleEpoch    = "old-epoch"
+	DiskFailed    = "disk-trouble"
+	NameTaken     = "name-taken" // another node with this name holds a lease
+	RunEnded      = "run-ended"  // a beat of a run that another at its address has replaced
+	InvalidRunner = "bad-runner" // a heartbeat without an ID or with a state that no runner has
 )
 
 // Server is one core process.
 type Server struct {
-	ctx   env.Ctx
-	set   Settings
-	disk  store.Disk
-	st    atomic.Pointer[store.Store]
-	seeds atomic.Pointer[[]string] // where the fleet is looked for
-	vot   *view.Voter
-	cal   *wire.Caller
-	own   wire.Hands
-	box   chan *job
-	run   uint64   // of this process, at random; not zero
-	keep  env.Gate // held while a batch or a copy is taken as backup
+	ctx       env.Ctx
+	settings  Settings
+	disk      store.Disk
+	store     atomic.Pointer[store.Store]
+	seeds     atomic.Pointer[[]string] // where the fleet is looked for
+	voter     *view.Voter
+	caller    *wire.Caller
+	handlers  wire.Hands
+	jobs      chan *job
+	runID     uint64   // of this process, at random; not zero
+	storeGate env.Gate // held while a batch or a copy is taken as backup
 
 	// Only the run loop touches these.
-	top     uint64               // highest ballot number seen
-	synced  map[string]bool      // the backups that hold all we hold, in this run
-	deposed string               // the primary that we took over from
-	change  time.Time            // earliest next change of the members
-	look    time.Time            // earliest next look for a newer view
-	turn    uint64               // copies made
-	next    time.Time            // earliest next try at taking over
-	bad     map[string]time.Time // members that lately failed as backup
-	aged    map[string]time.Time // cooling and silent holders: since when
-	pool    poolCache
-	charges map[string]openCharge // of tenants' tolerances
-	claims  map[string]time.Time  // since when this run knows each claim, and each part of the keys that ran
-	swept   time.Time
-	swept10 time.Time            // of the claims
-	cooling bool                 // units of some quota cool
-	greeted time.Time            // when silent places were last told the view
-	mute    map[string]time.Time // places from which nobody beats: since when
-	ran     ran
-	ranTurn int       // parts put by this run
-	doc     *Document // the last document read, and whose it is
-	docSeq  uint64
+	highestBallot    uint64               // highest ballot number seen
+	copiedTo         map[string]bool      // the backups that hold all we hold, in this run
+	deposed          string               // the primary that we took over from
+	nextMemberChange time.Time            // earliest next change of the members
+	nextViewSearch   time.Time            // earliest next look for a newer view
+	snapshots        uint64               // copies made
+	nextAttempt      time.Time            // earliest next try at taking over
+	failedAt         map[string]time.Time // members that lately failed as backup
+	firstSeen        map[string]time.Time // cooling and silent holders: since when
+	poolCache        poolCache
+	charges          map[string]openCharge // of tenants' tolerances
+	claimsSeen       map[string]time.Time  // since when this run knows each claim, and each part of the keys that ran
+	sweptAt          time.Time
+	claimsSweptAt    time.Time            // of the claims
+	hasCoolingUnits  bool                 // units of some quota cool
+	announcedAt      time.Time            // when silent places were last told the view
+	silentSince      map[string]time.Time // places from which nobody beats: since when
+	finishedKeys     finishedKeys
+	finishedParts    int       // parts put by this run
+	document         *Document // the last document read, and whose it is
+	documentVersion  uint64
 
-	mu    sync.Mutex
-	epoch uint64
-	asks  uint64    // rounds of requests for the lease
-	began time.Time // of leading this epoch
-	ls    *lease.Lease
-	ready bool
-	stood time.Time // when the lease last stood
-	rest  time.Time // since when we ask for no lease, having failed to get one
-	vowed bool      // a voter refused to renew since it vowed for the next epoch
-	sick  bool
-	sheet StoredConfig // newest layout committed
-	nodes map[string]*seat
-	roll  uint64
-	since time.Time // of being ready
+	mu            sync.Mutex
+	epoch         uint64
+	renewRounds   uint64    // rounds of requests for the lease
+	ledSince      time.Time // of leading this epoch
+	lease         *lease.Lease
+	ready         bool
+	leaseStoodAt  time.Time // when the lease last stood
+	renewPausedAt time.Time // since when we ask for no lease, having failed to get one
+	otherPromised bool      // a voter refused to renew since it vowed for the next epoch
+	diskFailed    bool
+	config        StoredConfig // newest layout committed
+	nodes         map[string]*liveNode
+	nodesVersion  uint64
+	readySince    time.Time // of being ready
 	// routersBefore is how many routers the disk had then.
 	routersBefore int
 
-	short  map[string]time.Time
-	spare  map[string]spare
-	copied *copying
+	scarceSince map[string]time.Time
+	candidates  map[string]candidate
+	incoming    *incomingSnapshot
 
-	runners *RunnerRegistry
-	news    runnerNews
-	health  runnerHealth
+	registry   *RunnerRegistry
+	runnerNews runnerNews
+	health     runnerHealth
 
 	replaced replacedRuns
 }
 
-type seat struct {
-	node Node
-	at   time.Time
+type liveNode struct {
+	node    Node
+	heardAt time.Time
 }
 
-// spare is a process that wants to become a member.
-type spare struct {
-	who       view.Member
-	first, at time.Time // of its wishes: the first, the newest
+// candidate is a process that wants to become a member.
+type candidate struct {
+	member                view.Member
+	firstAsked, lastAsked time.Time // of its wishes: the first, the newest
 }
 
-type copying struct {
-	epoch, turn uint64
-	part        int
-	puts        []store.Put
+type incomingSnapshot struct {
+	epoch, snapshot uint64
+	part            int
+	puts            []store.Put
 }
 
 // Open reads the disk and makes a core. A disk whose state is damaged counts as blank: its
@@ -142,7 +142,7 @@
 	st, err := store.Open(disk, ctx.Part("store").Log)
 	if errors.Is(err, store.ErrBroken) {
 		ctx.Log.Error("State is damaged; set aside. This disk counts as blank.", "trouble", err.Error())
-		if err := aside(disk); err != nil {
+		if err := setAside(disk); err != nil {
 			return nil, err
 		}
 		if err := vot.Reset(); err != nil {
@@ -153,19 +153,19 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{keep: env.NewGate(), run: rand.Uint64() | 1, ctx: ctx, set: set, disk: disk, vot: vot, cal: wire.NewCaller(ctx.Net),
-		box: make(chan *job, 4*most), bad: map[string]time.Time{},
-		synced: map[string]bool{},
-		aged:   map[string]time.Time{}, pool: poolCache{}, mute: map[string]time.Time{}, ls: lease.New(set.LeaseTerm), nodes: map[string]*seat{},
-		short: map[string]time.Time{}, spare: map[string]spare{}}
-	s.runners = NewRunnerRegistry(set.RunnerSilentAfter, s.announce)
-	s.st.Store(st)
+	s := &Server{storeGate: env.NewGate(), runID: rand.Uint64() | 1, ctx: ctx, settings: set, disk: disk, voter: vot, caller: wire.NewCaller(ctx.Net),
+		jobs: make(chan *job, 4*maxBatchJobs), failedAt: map[string]time.Time{},
+		copiedTo:  map[string]bool{},
+		firstSeen: map[string]time.Time{}, poolCache: poolCache{}, silentSince: map[string]time.Time{}, lease: lease.New(set.LeaseTerm), nodes: map[string]*liveNode{},
+		scarceSince: map[string]time.Time{}, candidates: map[string]candidate{}}
+	s.registry = NewRunnerRegistry(set.RunnerSilentAfter, s.announce)
+	s.store.Store(st)
 	s.seeds.Store(&set.Seeds)
-	s.own = wire.Hands{"view": s.viewHand, "core": s.coreHand}
+	s.handlers = wire.Hands{"view": s.handleView, "core": s.handleCore}
 	return s, nil
 }
 
-func aside(d store.Disk) error {
+func setAside(d store.Disk) error {
 	all, err := d.List()
 	if err != nil {
 		return err
@@ -180,41 +180,41 @@
 	return nil
 }
 
-// Hand answers calls from other processes.
+// Handle answers calls from other processes.
 //
-//	go wire.Serve(ctx, l, srv.Hand)
-func (s *Server) Hand(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
-	return s.own.Do(ctx, kind, body)
+//	go wire.Serve(ctx, l, srv.Handle)
+func (s *Server) Handle(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
+	return s.handlers.Do(ctx, kind, body)
 }
 
 // Run leads, watches or waits, as the view says, until the context ends.
 //
 //	srv.Run()
 func (s *Server) Run() {
-	go env.Loop(s.ctx, nil, s.set.LeaseTerm/6, func(struct{}) {}, s.renew)
-	s.beat()
-	env.Loop(s.ctx, s.box, tick, s.work, s.beat)
-	s.cal.Close()
+	go env.Loop(s.ctx, nil, s.settings.LeaseTerm/6, func(struct{}) {}, s.renew)
+	s.takeStep()
+	env.Loop(s.ctx, s.jobs, tickEvery, s.runBatch, s.takeStep)
+	s.caller.Close()
 }
 
-// hurry has the run loop take its next step at once, not at the next tick: what that step waited for has come.
-func (s *Server) hurry() {
+// wake has the run loop take its next step at once, not at the next tick: what that step waited for has come.
+func (s *Server) wake() {
 	select {
-	case s.box <- &job{done: make(chan error, 1), ctl: s.beat}:
+	case s.jobs <- &job{done: make(chan error, 1), step: s.takeStep}:
 	default: // the tick will do it
 	}
 }
 
 // call reaches a voter; ourselves without the wire.
 func (s *Server) call(ctx context.Context, addr, kind string, in msgp.Marshaler, out msgp.Unmarshaler) error {
-	if addr != s.set.Addr {
-		return s.cal.Call(ctx, addr, kind, in, out)
+	if addr != s.settings.Addr {
+		return s.caller.Call(ctx, addr, kind, in, out)
 	}
 	body, err := in.MarshalMsg(nil)
 	if err != nil {
 		return err
 	}
-	ans, err := s.own.Do(ctx, kind, body)
+	ans, err := s.handlers.Do(ctx, kind, body)
 	if err != nil || out == nil {
 		return err
 	}
@@ -226,39 +226,39 @@
 	return err
 }
 
-func (s *Server) isSick() bool {
+func (s *Server) hasDiskFailed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sick
+	return s.diskFailed
 }
 
-// trouble notes that our own disk can't be relied on: we stop leading, and hold nothing as backup,
+// failDisk notes that our own disk can't be relied on: we stop leading, and hold nothing as backup,
 // until the disk has been proved again.
-func (s *Server) trouble(err error) {
+func (s *Server) failDisk(err error) {
 	s.mu.Lock()
-	was := s.sick
-	s.sick, s.ready = true, false
-	s.asks++
-	turn := s.asks
+	was := s.diskFailed
+	s.diskFailed, s.ready = true, false
+	s.renewRounds++
+	turn := s.renewRounds
 	s.mu.Unlock()
 	if !was {
 		s.release(turn)
 		s.ctx.Log.Error("Disk is in trouble. Leading stops.", "trouble", err.Error())
-		go s.heal()
+		go s.recoverDisk()
 	}
 }
 
-// Why tells why this core is of no use to its fleet now, or "".
+// UnavailableReason tells why this core is of no use to its fleet now, or "".
 //
-//	if why := srv.Why(); why != "" { ... }
-func (s *Server) Why() string {
-	v := s.vot.View()
+//	if why := srv.UnavailableReason(); why != "" { ... }
+func (s *Server) UnavailableReason() string {
+	v := s.voter.View()
 	switch {
-	case s.isSick():
+	case s.hasDiskFailed():
 		return "the disk is in trouble"
 	case v.Epoch == 0:
 		return "no fleet yet"
-	case !v.HasMember(s.vot.Id()):
+	case !v.HasMember(s.voter.Id()):
 		return "waiting for a seat"
 	}
 	return ""
--- a/internal/core/sessions.go
+++ b/internal/core/sessions.go
@@ -10,12 +10,12 @@
 // held after the loss of all routers; the core does not look into it.
 const sessionsKey = "sessions"
 
-// sessionsMost bounds the directory that is kept, in bytes.
-const sessionsMost = 1 << 20
+// maxSessionsBytes bounds the directory that is kept, in bytes.
+const maxSessionsBytes = 1 << 20
 
-// keepSessions keeps the directory in place of the one before.
-func (s *Server) keepSessions(ctx context.Context, in *SessionDirectory) (*Empty, error) {
-	if len(in.Batch) > sessionsMost {
+// storeSessions keeps the directory in place of the one before.
+func (s *Server) storeSessions(ctx context.Context, in *SessionDirectory) (*Empty, error) {
+	if len(in.Batch) > maxSessionsBytes {
 		return nil, wire.Fault{Code: "too-large"}
 	}
 	err := s.Submit(ctx, func(tx *Tx) error { return tx.Put(sessionsKey, in) })
@@ -25,13 +25,13 @@
 	return &Empty{}, nil
 }
 
-// giveSessions gives the directory that was kept last.
-func (s *Server) giveSessions() (*SessionDirectory, error) {
-	if err := s.prime(); err != nil {
+// readSessions gives the directory that was kept last.
+func (s *Server) readSessions() (*SessionDirectory, error) {
+	if err := s.requirePrimary(); err != nil {
 		return nil, err
 	}
 	var out SessionDirectory
-	if raw, ok := s.st.Load().Get(sessionsKey); ok {
+	if raw, ok := s.store.Load().Get(sessionsKey); ok {
 		if _, err := out.UnmarshalMsg(raw); err != nil {
 			return nil, err
 		}
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -11,18 +11,18 @@
 //
 //	st := srv.State()
 func (s *Server) State() *State {
-	st := s.st.Load()
-	out := &State{View: s.vot.View(), Id: s.vot.Id(), StoreVersion: st.Seq()}
+	st := s.store.Load()
+	out := &State{View: s.voter.View(), Id: s.voter.Id(), StoreVersion: st.Seq()}
 	s.mu.Lock()
-	s.prune()
-	out.Ready, out.ConfigVersion, out.DiskFailed = s.ready, s.sheet.Version, s.sick
-	out.Nodes = s.live()
-	for _, sp := range s.spare {
-		out.Candidates = append(out.Candidates, sp.who)
+	s.dropExpiredNodes()
+	out.Ready, out.ConfigVersion, out.DiskFailed = s.ready, s.config.Version, s.diskFailed
+	out.Nodes = s.liveNodes()
+	for _, sp := range s.candidates {
+		out.Candidates = append(out.Candidates, sp.member)
 	}
 	s.mu.Unlock()
 	st.Each("claim/", func(string, []byte) { out.Claims++ })
-	st.Each(ranHead, func(_ string, v []byte) {
+	st.Each(finishedPrefix, func(_ string, v []byte) {
 		out.FinishedKeyParts, out.FinishedKeys = out.FinishedKeyParts+1, out.FinishedKeys+len(v)/8
 	})
 	st.Each("share/", func(k string, raw []byte) {
--- a/internal/core/sweep.go
+++ b/internal/core/sweep.go
@@ -7,14 +7,14 @@
 // sweep ends what has had its time: cooled units and old claims. Time is counted from when this
 // run of this process first saw them, so a restart only makes them last longer.
 func (s *Server) sweep() {
-	if since := time.Since(s.swept); since < sweepEvery && !(s.cooling && since >= sweepCooling) {
+	if since := time.Since(s.sweptAt); since < sweepEvery && !(s.hasCoolingUnits && since >= sweepCooling) {
 		return
 	}
-	s.swept = time.Now()
+	s.sweptAt = time.Now()
 	s.mu.Lock()
-	ready, sheet := s.ready, s.sheet
+	ready, sheet := s.ready, s.config
 	live, here, at := map[string]bool{}, map[string]bool{}, map[string]bool{}
-	s.prune()
+	s.dropExpiredNodes()
 	for _, n := range s.nodes {
 		live[Holder(n.node)] = true
 		here[holderPlace(n.node)] = true
@@ -24,20 +24,20 @@
 	if !ready {
 		return
 	}
-	doc := s.parsed(sheet)
-	if time.Since(s.greeted) > time.Second {
-		s.greeted = time.Now()
-		s.greet(at)
-		s.keepSilent(s.runners.List(time.Now()))
+	doc := s.parsedConfig(sheet)
+	if time.Since(s.announcedAt) > time.Second {
+		s.announcedAt = time.Now()
+		s.announceView(at)
+		s.storeSilent(s.registry.List(time.Now()))
 	}
 	if doc == nil {
 		return
 	}
 	// There may be very many claims, and none is kept by the second.
-	if time.Since(s.swept10) > 10*time.Second {
-		s.swept10 = time.Now()
+	if time.Since(s.claimsSweptAt) > 10*time.Second {
+		s.claimsSweptAt = time.Now()
 		s.sweepClaims(doc.Claims)
-		s.sweepRunners(s.runners.List(time.Now()))
+		s.sweepRunners(s.registry.List(time.Now()))
 	}
 	s.sweepQuotas(doc, live, here)
 }
@@ -53,7 +53,7 @@
 	if len(keys) == 0 {
 		return
 	}
-	s.later(func(tx *Tx) error {
+	s.submitLater(func(tx *Tx) error {
 		for _, k := range keys {
 			tx.Drop(k)
 		}
@@ -61,10 +61,10 @@
 	})
 }
 
-// later puts an operation of our own into the run loop, if there is room.
-func (s *Server) later(do func(tx *Tx) error) {
+// submitLater puts an operation of our own into the run loop, if there is room.
+func (s *Server) submitLater(do func(tx *Tx) error) {
 	select {
-	case s.box <- &job{done: make(chan error, 1), do: do}:
+	case s.jobs <- &job{done: make(chan error, 1), do: do}:
 	default:
 	}
 }
--- a/internal/core/transaction.go
+++ b/internal/core/transaction.go
@@ -8,21 +8,21 @@
 
 // Tx is what a job sees: the committed state with the batch's own puts over it.
 type Tx struct {
-	st   *store.Store
-	over map[string]*store.Put
-	puts []store.Put
-	size int  // bytes put: a batch has to fit one frame to the backup
-	ran  bool // it has a part of the keys that ran
+	store           *store.Store
+	newest          map[string]*store.Put
+	puts            []store.Put
+	size            int  // bytes put: a batch has to fit one frame to the backup
+	hasFinishedKeys bool // it has a part of the keys that ran
 }
 
 // Get reads a key.
 //
 //	raw, ok := tx.Get("layout")
 func (t *Tx) Get(key string) ([]byte, bool) {
-	if p, ok := t.over[key]; ok {
+	if p, ok := t.newest[key]; ok {
 		return p.Val, !p.Gone
 	}
-	return t.st.Get(key)
+	return t.store.Get(key)
 }
 
 // Put sets a key.
@@ -45,15 +45,15 @@
 func (t *Tx) add(p store.Put) {
 	t.puts = append(t.puts, p)
 	t.size += len(p.Key) + len(p.Val)
-	t.over[p.Key] = &p
+	t.newest[p.Key] = &p
 }
 
-// last gives the newest put of each key: what a batch puts several times is stored and sent once.
-func (t *Tx) last() []store.Put {
-	if len(t.over) == len(t.puts) {
+// newestPuts gives the newest put of each key: what a batch puts several times is stored and sent once.
+func (t *Tx) newestPuts() []store.Put {
+	if len(t.newest) == len(t.puts) {
 		return t.puts
 	}
-	newest := make(map[string]int, len(t.over))
+	newest := make(map[string]int, len(t.newest))
 	for i := range t.puts {
 		newest[t.puts[i].Key] = i
 	}
@@ -72,8 +72,8 @@
 		t.size -= len(p.Key) + len(p.Val)
 	}
 	t.puts = t.puts[:mark]
-	clear(t.over)
+	clear(t.newest)
 	for i := range t.puts {
-		t.over[t.puts[i].Key] = &t.puts[i]
+		t.newest[t.puts[i].Key] = &t.puts[i]
 	}
 }
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -73,7 +73,7 @@
 func (s *Streams) claimTurn(ctx context.Context, id string, turn int) (bool, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), claimTimeout)
 	defer cancel()
-	in := core.ClaimRequest{Key: fmt.Sprintf("%s%s/%d", core.StreamHead, id, turn),
+	in := core.ClaimRequest{Key: fmt.Sprintf("%s%s/%d", core.StreamPrefix, id, turn),
 		Claim: core.Claim{RequestHash: "stream", Claimant: fmt.Sprintf("%s/%x", s.ctx.Name, s.ctx.Born), Node: s.ctx.Name, NodeRun: s.ctx.Born}}
 	var out core.ClaimResponse
 	err := s.hub.Core.Call(ctx, "core.take", &in, &out, true)
--- a/internal/sim/core_test.go
+++ b/internal/sim/core_test.go
@@ -548,7 +548,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := heir.srv.Hand(f.ctx, "core.hold", raw); err == nil {
+		if _, err := heir.srv.Handle(f.ctx, "core.hold", raw); err == nil {
 			t.Error("a deposed primary's write was held")
 		}
 		// What is read is what a change is made against.
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -169,7 +169,7 @@
 		f.t.Fatalf("core %s: %v", c.addr, err)
 	}
 	c.srv, c.up = srv, true
-	go wire.Serve(ctx, l, srv.Hand)
+	go wire.Serve(ctx, l, srv.Handle)
 	go srv.Run()
 }
 
--- a/internal/sim/membership_test.go
+++ b/internal/sim/membership_test.go
@@ -216,7 +216,7 @@
 		o = f.operator()
 		f.within(5*time.Second, "the second holds a copy", func() bool { return f.whole(1) })
 		b.add(o.put(2, 0, ""))
-		first.srv.Yield()
+		first.srv.StepDown()
 		f.crashCore(first)
 		f.within(5*time.Second, "the second leads alone", func() bool { return f.primary() == second && f.whole(0) })
 		o.look(b)
