--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -41,7 +41,7 @@
 		return err
 	}
 	server, err := core.Open(process.Ctx.Part("core"), core.Settings{Addr: settings.Internal, Seeds: settings.Seeds, Bootstrap: settings.Bootstrap,
-		Losses: settings.Losses, SingleMember: settings.Alone, LostAfter: settings.Lost, LeaseTerm: settings.Term, Codec: settings.Codec}, disk)
+		Losses: settings.Losses, AllowNoBackup: settings.Alone, LostAfter: settings.Lost, LeaseTerm: settings.Term, Codec: settings.Codec}, disk)
 	if err != nil {
 		return err
 	}
--- a/internal/core/announce.go
+++ b/internal/core/announce.go
@@ -12,7 +12,7 @@
 // machines long gone is found by the core, if it can't find the core itself.
 const (
 	placePrefix     = "place/"
-	placeLifetime   = 24 * time.Hour // a router silent for so long is greeted no more
+	placeLifetime   = 24 * time.Hour // a router silent for so long is forgotten
 	announceTimeout = 500 * time.Millisecond
 )
 
@@ -30,43 +30,47 @@
 	})
 }
 
-// rememberedRouters counts the routers whose address is on disk: those that beat within placeKeep.
+// rememberedRouters counts the routers whose address is on disk: those heard within placeLifetime.
 func (s *Server) rememberedRouters() int {
 	count := 0
 	s.store.Load().Each(placePrefix, func(string, []byte) { count++ })
 	return count
 }
 
-// announceView tells the view to each place from which nobody beats. Places silent for long are given up.
-func (s *Server) announceView(here map[string]bool) {
+// announceView tells the view to each place that sends no heartbeats; live has the addresses of those that do. Places
+// silent for long are forgotten.
+func (s *Server) announceView(live map[string]bool) {
 	v := s.voter.View()
-	var old []string
-	now := map[string]bool{}
-	s.store.Load().Each(placePrefix, func(k string, _ []byte) {
-		addr := strings.TrimPrefix(k, placePrefix)
-		if here[addr] {
+	silent := map[string]bool{}
+	var expired []string
+	s.store.Load().Each(placePrefix, func(key string, _ []byte) {
+		addr := strings.TrimPrefix(key, placePrefix)
+		if live[addr] {
 			return
 		}
-		now[k] = true
-		at, ok := s.silentSince[k]
+		silent[key] = true
+		since, ok := s.silentSince[key]
 		if !ok {
-			at = time.Now()
-			s.silentSince[k] = at
+			since = time.Now()
+			s.silentSince[key] = since
 		}
-		if time.Since(at) > placeLifetime {
-			old = append(old, k)
+		if time.Since(since) > placeLifetime {
+			expired = append(expired, key)
 			return
 		}
-		go func() {
-			ctx, end := context.WithTimeout(s.ctx, announceTimeout)
-			defer end()
-			s.caller.Call(ctx, addr, "node.view", &view.LearnRequest{View: v}, nil)
-		}()
+		go s.announceTo(addr, v)
 	})
-	for k := range s.silentSince {
-		if !now[k] {
-			delete(s.silentSince, k)
+	for key := range s.silentSince {
+		if !silent[key] {
+			delete(s.silentSince, key)
 		}
 	}
-	s.dropLater(old)
+	s.dropLater(expired)
+}
+
+// announceTo tells the view to one place.
+func (s *Server) announceTo(addr string, v view.View) {
+	ctx, cancel := context.WithTimeout(s.ctx, announceTimeout)
+	defer cancel()
+	s.caller.Call(ctx, addr, "node.view", &view.LearnRequest{View: v}, nil)
 }
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -26,8 +26,8 @@
 }
 
 func claims(b *testing.B, ran int) {
-	ctx, end := context.WithCancel(b.Context())
-	defer end()
+	ctx, cancel := context.WithCancel(b.Context())
+	defer cancel()
 	var addrs []string
 	var ears []net.Listener
 	for range 5 {
@@ -80,13 +80,13 @@
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			k := n.Add(1)
-			var out ClaimResponse
-			in := ClaimRequest{Key: fmt.Sprintf("t/new%d", k), Claim: Claim{RequestHash: "s", Claimant: fmt.Sprint(k), Node: "n"}}
-			one, end := context.WithTimeout(ctx, 10*time.Second)
-			err := c.Call(one, "core.take", &in, &out, true)
-			end()
-			if err != nil || !out.Granted {
-				b.Errorf("claim %d: %v %+v", k, err, out)
+			var response ClaimResponse
+			request := ClaimRequest{Key: fmt.Sprintf("t/new%d", k), Claim: Claim{RequestHash: "s", Claimant: fmt.Sprint(k), Node: "n"}}
+			one, cancel := context.WithTimeout(ctx, 10*time.Second)
+			err := c.Call(one, "core.take", &request, &response, true)
+			cancel()
+			if err != nil || !response.Granted {
+				b.Errorf("claim %d: %v %+v", k, err, response)
 				return
 			}
 		}
@@ -98,12 +98,12 @@
 
 // day puts onto a disk what sweeps and merges leave of n keys that ran: whole parts, and some small ones.
 func day(b *testing.B, disk store.Disk, n int) {
-	st, err := store.Open(disk, slog.New(slog.DiscardHandler))
+	opened, err := store.Open(disk, slog.New(slog.DiscardHandler))
 	if err != nil {
 		b.Fatal(err)
 	}
 	s := &Server{}
-	tx := &Tx{store: st, newest: map[string]*store.Put{}}
+	tx := &Tx{store: opened, newest: map[string]*store.Put{}}
 	for i := 0; i < n; {
 		size := min(n-i, 110_000)
 		if n-i < 120_000 {
@@ -116,7 +116,7 @@
 		s.putFinishedKeys(tx, sums)
 		i += size
 	}
-	if err := st.Add(store.Batch{Seq: 1, Base: true, Puts: tx.puts}); err != nil {
+	if err := opened.Add(store.Batch{Seq: 1, Base: true, Puts: tx.puts}); err != nil {
 		b.Fatal(err)
 	}
 }
--- a/internal/core/client.go
+++ b/internal/core/client.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"slices"
 	"sync"
 	"time"
 
@@ -10,6 +11,7 @@
 	"github.com/tinylib/msgp/msgp"
 
 	"yarrowridge/internal/env"
+	"yarrowridge/internal/routing"
 	"yarrowridge/internal/view"
 	"yarrowridge/internal/wire"
 )
@@ -28,9 +30,9 @@
 
 // NewClient makes a client that starts from the seeds: addresses of any processes of the fleet.
 //
-//	c := core.NewClient(ctx, cal, set.Addrs("seeds"))
-func NewClient(ctx env.Ctx, cal *wire.Caller, seeds []string) *Client {
-	return &Client{ctx: ctx, caller: cal, seeds: seeds, viewChanged: make(chan struct{})}
+//	c := core.NewClient(ctx, caller, set.Addrs("seeds"))
+func NewClient(ctx env.Ctx, caller *wire.Caller, seeds []string) *Client {
+	return &Client{ctx: ctx, caller: caller, seeds: seeds, viewChanged: make(chan struct{})}
 }
 
 // View is the newest view heard of.
@@ -44,7 +46,7 @@
 
 // Learn takes a view if it is newer.
 //
-//	c.Learn(told.View)
+//	c.Learn(response.View)
 func (c *Client) Learn(v view.View) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,7 +66,7 @@
 	c.seeds = seeds
 }
 
-// SetPeers adds addresses to ask besides the seeds: the other nodes.
+// SetPeers sets addresses to ask besides the seeds: the other nodes.
 //
 //	c.SetPeers(addrs)
 func (c *Client) SetPeers(addrs []string) {
@@ -73,8 +75,12 @@
 	c.peers = addrs
 }
 
-// searchPause is between two searches for a primary, and between two tries at the primary that is known.
-const searchPause = 50 * time.Millisecond
+// How a primary is searched for.
+const (
+	searchPause    = 50 * time.Millisecond // between two searches, and between two calls of the primary that is known
+	searchTimeout  = 400 * time.Millisecond
+	maxSearchPeers = 6 // other nodes that are asked beside seeds and members
+)
 
 // waitForSearch searches for a primary until a newer view is known or the search has ended, and no longer than until the
 // known primary may be tried again: machines gone dark must not hold up those that answer.
@@ -106,15 +112,15 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.searchEnd == nil {
-		hunt := make(chan struct{})
-		c.searchEnd = hunt
+		end := make(chan struct{})
+		c.searchEnd = end
 		go func() {
 			c.askForView(c.ctx)
 			env.Wait(c.ctx, searchPause)
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.searchEnd = nil
-			close(hunt)
+			close(end)
 		}()
 	}
 	return c.searchEnd, c.viewChanged
@@ -122,56 +128,54 @@
 
 // askForView asks members, seeds and peers which view they know.
 func (c *Client) askForView(ctx context.Context) {
-	c.mu.Lock()
-	to := append([]string{}, c.seeds...)
-	for _, m := range c.view.Members {
-		to = append(to, m.Addr)
-	}
-	for i, p := range c.peers {
-		if i < 6 {
-			to = append(to, p)
-		}
-	}
-	c.mu.Unlock()
-	ctx, end := context.WithTimeout(ctx, 400*time.Millisecond)
-	defer end()
-	seen := map[string]bool{}
+	ctx, cancel := context.WithTimeout(ctx, searchTimeout)
+	defer cancel()
+	asked := map[string]bool{}
 	var all sync.WaitGroup
-	for _, a := range to {
-		if seen[a] {
+	for _, addr := range c.searchAddrs() {
+		if asked[addr] {
 			continue
 		}
-		seen[a] = true
+		asked[addr] = true
 		all.Go(func() {
-			var t view.StatusResponse
-			if c.caller.Call(ctx, a, "view.ask", &view.StatusRequest{}, &t) == nil {
-				c.Learn(t.View)
+			var status view.StatusResponse
+			if c.caller.Call(ctx, addr, "view.ask", &view.StatusRequest{}, &status) == nil {
+				c.Learn(status.View)
 			}
 		})
 	}
 	all.Wait()
 }
 
-// Call asks the primary, looking for it anew as long as ctx runs. again says the call may be
-// repeated after an answer in doubt: it names its own turn, id or sequence.
+// searchAddrs lists where the view is asked for: seeds, members and some peers.
+func (c *Client) searchAddrs() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	addrs := slices.Clone(c.seeds)
+	for _, m := range c.view.Members {
+		addrs = append(addrs, m.Addr)
+	}
+	return append(addrs, c.peers[:min(len(c.peers), maxSearchPeers)]...)
+}
+
+// Call asks the primary, looking for it anew as long as ctx runs. repeatable says that the call may be
+// repeated after a response in doubt: it names its own turn, id or version.
 // ErrUnsent or a NotReady fault mean surely not taken; ErrDoubt or an InDoubt fault: perhaps.
 //
-//	err := c.Call(ctx, "core.take", &take, &took, true)
-func (c *Client) Call(ctx context.Context, kind string, in msgp.Marshaler, out msgp.Unmarshaler, again bool) error {
+//	err := c.Call(ctx, "core.take", &request, &response, true)
+func (c *Client) Call(ctx context.Context, kind string, request msgp.Marshaler, response msgp.Unmarshaler, repeatable bool) error {
 	var last error
 	for {
 		v := c.View()
-		if to := v.Addr(v.Primary); to != "" {
-			err := c.callPrimary(ctx, to, kind, in, out, again)
-			switch {
-			case err == nil:
+		if primary := v.Addr(v.Primary); primary != "" {
+			err := c.callPrimary(ctx, primary, kind, request, response, repeatable)
+			if err == nil {
 				return nil
-			case wire.Is(err, NotPrimary), wire.Is(err, NotReady), errors.Is(err, wire.ErrUnsent):
-			case (wire.Is(err, InDoubt) || errors.Is(err, wire.ErrDoubt)) && again:
-			default:
+			}
+			if !isWorthRepeating(err, repeatable) {
 				return err
 			}
-			// The worst that any try may have come to is what the caller is told.
+			// The worst that any attempt may have come to is what the caller is told.
 			if last == nil || !IsInDoubt(last) {
 				last = err
 			}
@@ -189,6 +193,14 @@
 	return last
 }
 
+// isWorthRepeating tells whether a call that ended in err may be made again and may end otherwise.
+func isWorthRepeating(err error, repeatable bool) bool {
+	if wire.Is(err, NotPrimary) || wire.Is(err, NotReady) || errors.Is(err, wire.ErrUnsent) {
+		return true
+	}
+	return IsInDoubt(err) && repeatable
+}
+
 // How long a primary is waited for that says nothing: the fleet is asked whether there is another one long
 // before the usual caller gives up, so that not each call in turn spends all its time on a machine gone dark.
 const (
@@ -198,19 +210,21 @@
 
 // callPrimary makes one call to the primary that we know. Where it may be repeated, it ends once another
 // primary is found.
-func (c *Client) callPrimary(ctx context.Context, to, kind string, in msgp.Marshaler, out msgp.Unmarshaler, again bool) error {
-	one, end := context.WithCancel(ctx)
-	if again {
-		one, end = context.WithTimeout(ctx, maxPrimaryWait)
+func (c *Client) callPrimary(ctx context.Context, primary, kind string, request msgp.Marshaler, response msgp.Unmarshaler, repeatable bool) error {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	if repeatable {
+		var cancelTimeout context.CancelFunc
+		ctx, cancelTimeout = context.WithTimeout(ctx, maxPrimaryWait)
+		defer cancelTimeout()
 	}
-	defer end()
 	search := time.AfterFunc(primarySilence, func() {
-		if next := c.searchView(one); again && next.Addr(next.Primary) != to {
-			end()
+		if next := c.searchView(ctx); repeatable && next.Addr(next.Primary) != primary {
+			cancel()
 		}
 	})
 	defer search.Stop()
-	return c.caller.Call(one, to, kind, in, out)
+	return c.caller.Call(ctx, primary, kind, request, response)
 }
 
 // searchView asks the fleet for its view, and gives the newest one known.
@@ -219,6 +233,14 @@
 	return c.View()
 }
 
+// SendRunnerHeartbeat tells the primary a runner's heartbeat, whichever core that is. It may be repeated: a
+// heartbeat that was taken before changes nothing.
+//
+//	err := client.SendRunnerHeartbeat(ctx, runner)
+func (c *Client) SendRunnerHeartbeat(ctx context.Context, runner routing.Runner) error {
+	return c.Call(ctx, "core.runner", &RunnerHeartbeat{Runner: runner}, &Empty{}, true)
+}
+
 // IsInDoubt tells whether a call that ended in err may yet take effect.
 //
 //	if core.IsInDoubt(err) { ... }
--- a/internal/core/codec_test.go
+++ b/internal/core/codec_test.go
@@ -20,16 +20,16 @@
 }
 
 func newRecords(t *testing.T) *records {
-	st, err := store.Open(sim.NewDisk().Use(), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	opened, err := store.Open(sim.NewDisk().Use(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &records{t: t, st: st}
+	return &records{t: t, st: opened}
 }
 
-func (r *records) put(sequence uint64, size int, numbered bool, id string) {
+func (r *records) put(version uint64, size int, numbered bool, id string) {
 	tx := &Tx{store: r.st, newest: map[string]*store.Put{}}
-	next := StoredConfig{Version: sequence, Raw: bytes.Repeat([]byte("x"), size)}
+	next := StoredConfig{Version: version, Raw: bytes.Repeat([]byte("x"), size)}
 	if err := tx.recordWrite(r.cur, next, numbered, id, "hash"); err != nil {
 		r.t.Fatal(err)
 	}
@@ -71,12 +71,12 @@
 // However uneven sequences are, as many copies and ids are kept.
 func TestUnevenSequencesAreBounded(t *testing.T) {
 	r := newRecords(t)
-	sequence := uint64(0)
+	version := uint64(0)
 	for i := range uint64(1100) {
-		sequence += 1 + i*i%977*1000
-		r.put(sequence, 10, true, fmt.Sprint("w", i))
+		version += 1 + i*i%977*1000
+		r.put(version, 10, true, fmt.Sprint("w", i))
 	}
-	if n := r.count("past/"); n != maxVersions || !r.has(versionKey(sequence)) {
+	if n := r.count("past/"); n != maxVersions || !r.has(versionKey(version)) {
 		t.Errorf("%d copies", n)
 	}
 	if n, m := r.count("mark/"), r.count("marked/"); n != maxWriteIDs || m != maxWriteIDs || !r.has("mark/w100") || r.has("mark/w99") {
@@ -127,15 +127,15 @@
 // A layout tells the core what it read from it before.
 func TestLayoutCodec(t *testing.T) {
 	codec := Settings{}.WithDefaults().Codec
-	doc, flaws := codec.Check([]byte(`{"tenants":{"a":{"quota":{"units":7,"window_s":3}},"b":{}},"limits":{"claim_keep_s":60}}`))
-	if len(flaws) > 0 {
-		t.Fatalf("flaws %v", flaws)
+	document, configErrors := codec.Check([]byte(`{"tenants":{"a":{"quota":{"units":7,"window_s":3}},"b":{}},"limits":{"claim_keep_s":60}}`))
+	if len(configErrors) > 0 {
+		t.Fatalf("flaws %v", configErrors)
 	}
-	if doc.Version != 0 || doc.Quotas["a"] != 7 || doc.Windows["a"].Seconds() != 3 || doc.Claims.Keep.Seconds() != 60 || doc.Claims.MaxFinished != defaultMaxFinishedKeys {
-		t.Errorf("read %+v", doc)
+	if document.Version != 0 || document.Quotas["a"] != 7 || document.Windows["a"].Seconds() != 3 || document.Claims.Keep.Seconds() != 60 || document.Claims.MaxFinished != defaultMaxFinishedKeys {
+		t.Errorf("read %+v", document)
 	}
-	if _, flaws := codec.Check([]byte(`{"lanes":7}`)); len(flaws) == 0 || !strings.Contains(flaws[0].Path, "lanes") {
-		t.Errorf("flaws %v", flaws)
+	if _, configErrors := codec.Check([]byte(`{"lanes":7}`)); len(configErrors) == 0 || !strings.Contains(configErrors[0].Path, "lanes") {
+		t.Errorf("flaws %v", configErrors)
 	}
 	if got := (ClaimLimits{}).withDefaults(); got.Keep.Hours() != 1 || got.FinishedKeep.Hours() != 48 || got.MaxFinished != defaultMaxFinishedKeys {
 		t.Errorf("defaults %+v", got)
@@ -158,13 +158,13 @@
 // Before the first configuration there is none to read.
 func TestNothingToReadBeforeTheFirst(t *testing.T) {
 	s := &Server{settings: Settings{Codec: wary{t: t}}.WithDefaults()}
-	if doc := s.parsedConfig(StoredConfig{}); doc != nil {
-		t.Errorf("read %+v from nothing", doc)
+	if document := s.parsedConfig(StoredConfig{}); document != nil {
+		t.Errorf("read %+v from nothing", document)
 	}
 	if got := s.maxFinishedKeys(); got != defaultMaxFinishedKeys {
 		t.Errorf("%d keys that ran are kept", got)
 	}
-	if doc := s.parsedConfig(StoredConfig{Version: 1, Raw: []byte("x")}); doc == nil || doc.Claims.Keep == 0 {
-		t.Errorf("read %+v from a document", doc)
+	if document := s.parsedConfig(StoredConfig{Version: 1, Raw: []byte("x")}); document == nil || document.Claims.Keep == 0 {
+		t.Errorf("read %+v from a document", document)
 	}
 }
--- a/internal/core/commit.go
+++ b/internal/core/commit.go
@@ -17,37 +17,41 @@
 // job is one operation of the run loop; its state says who may still end it.
 type job struct {
 	do    func(*Tx) error
-	step  func()       // in place of do: a step of the run loop's own
-	state atomic.Int32 // 0 waiting, 1 taken, 2 given up
+	step  func() // in place of do: a step of the run loop's own
+	state atomic.Int32
 	done  chan error
 	err   error
 }
 
+// The states of a job.
+const (
+	jobWaiting int32 = iota
+	jobTaken
+	jobAbandoned // by its caller, before it was taken
+)
+
 // Submit passes an operation to the run loop and waits for its outcome. The error is NotReady
 // where the operation surely was not and will not be taken, InDoubt where it may be.
 //
 //	err := srv.Submit(ctx, func(tx *core.Tx) error { ... })
 func (s *Server) Submit(ctx context.Context, do func(*Tx) error) error {
-	s.mu.Lock()
-	ready := s.ready
-	s.mu.Unlock()
-	if !ready {
+	if !s.isReady() {
 		if v := s.voter.View(); v.Primary != s.voter.Id() {
 			return wire.Fault{Code: NotPrimary}
 		}
 		return wire.Fault{Code: NotReady}
 	}
-	j := &job{do: do, done: make(chan error, 1)}
+	operation := &job{do: do, done: make(chan error, 1)}
 	select {
-	case s.jobs <- j:
+	case s.jobs <- operation:
 	default:
 		return wire.Fault{Code: NotReady}
 	}
 	select {
-	case err := <-j.done:
+	case err := <-operation.done:
 		return err
 	case <-ctx.Done():
-		if j.state.CompareAndSwap(0, 2) {
+		if operation.state.CompareAndSwap(jobWaiting, jobAbandoned) {
 			return wire.Fault{Code: NotReady}
 		}
 		return wire.Fault{Code: InDoubt}
@@ -66,38 +70,62 @@
 	s.mu.Unlock()
 	v := s.voter.View()
 	tx := &Tx{store: s.store.Load(), newest: map[string]*store.Put{}}
-	ok := ready && v.Epoch == epoch && s.isPrimary(v)
-	var live []*job
-	for j, n := first, 0; j != nil; n++ {
-		switch {
-		case !j.state.CompareAndSwap(0, 1):
-		case !ok:
-			j.done <- wire.Fault{Code: NotReady}
-		default:
-			mark := len(tx.puts)
-			if j.err = j.do(tx); j.err != nil {
-				tx.undo(mark)
-			}
-			live = append(live, j)
+	mayWrite := ready && v.Epoch == epoch && s.isPrimary(v)
+	var taken []*job
+	var step *job
+	for next, count := first, 0; next != nil; count++ {
+		if next.run(tx, mayWrite) {
+			taken = append(taken, next)
+		}
+		next = nil
+		if count < maxBatchJobs && tx.size < maxBatchBytes {
+			next, step = s.nextJob()
 		}
-		j = nil
-		if n < maxBatchJobs && tx.size < maxBatchBytes {
-			select {
-			case j = <-s.jobs:
-				if j.step != nil {
-					defer s.runBatch(j)
-					j = nil
-				}
-			default:
-			}
+	}
+	s.finishBatch(v, tx, taken)
+	if step != nil {
+		s.runBatch(step)
+	}
+}
+
+// run puts what a job does into the batch, and tells whether it did. A job that was abandoned is passed over, and
+// where writes are not taken the job ends.
+func (j *job) run(tx *Tx, mayWrite bool) bool {
+	if !j.state.CompareAndSwap(jobWaiting, jobTaken) {
+		return false
+	}
+	if !mayWrite {
+		j.done <- wire.Fault{Code: NotReady}
+		return false
+	}
+	mark := len(tx.puts)
+	if j.err = j.do(tx); j.err != nil {
+		tx.undo(mark)
+	}
+	return true
+}
+
+// nextJob gives the job that waits, if one does. A step of the run loop's own belongs to no batch.
+func (s *Server) nextJob() (work, step *job) {
+	select {
+	case next := <-s.jobs:
+		if next.step != nil {
+			return nil, next
 		}
+		return next, nil
+	default:
+		return nil, nil
 	}
+}
+
+// finishBatch commits a batch and tells its jobs what came of it.
+func (s *Server) finishBatch(v view.View, tx *Tx, taken []*job) {
 	err := s.commit(v, tx)
-	for _, j := range live {
+	for _, one := range taken {
 		if err != nil {
-			j.done <- err
+			one.done <- err
 		} else {
-			j.done <- j.err
+			one.done <- one.err
 		}
 	}
 	if err == nil && len(tx.puts) > 0 {
@@ -107,39 +135,38 @@
 	}
 }
 
-// commit holds the batch on our disk and the backups' and looks at the lease once more. Only then is it done.
+// commit stores the batch on our disk and the backups', and looks at the lease once more. Only then is it done.
 func (s *Server) commit(v view.View, tx *Tx) error {
-	doubt := wire.Fault{Code: InDoubt}
+	inDoubt := wire.Fault{Code: InDoubt}
 	if len(tx.puts) == 0 {
 		if !s.isPrimary(v) {
 			return wire.Fault{Code: NotReady}
 		}
 		return nil
 	}
-	st := tx.store
-	b := store.Batch{Seq: st.Seq() + 1, Puts: tx.newestPuts()}
-	mine, far := make(chan error, 1), make(chan []string, 1)
-	go func() { mine <- st.Add(b) }()
-	go func() { far <- s.replicate(v, b) }()
-	slow := time.NewTimer(diskTimeout)
-	defer slow.Stop()
+	batch := store.Batch{Seq: tx.store.Seq() + 1, Puts: tx.newestPuts()}
+	stored, replicated := make(chan error, 1), make(chan []string, 1)
+	go func() { stored <- tx.store.Add(batch) }()
+	go func() { replicated <- s.replicate(v, batch) }()
+	tooSlow := time.NewTimer(diskTimeout)
+	defer tooSlow.Stop()
 	select {
-	case err := <-mine:
+	case err := <-stored:
 		if err != nil {
 			s.failDisk(err)
-			return doubt
+			return inDoubt
 		}
-	case <-slow.C:
+	case <-tooSlow.C:
 		s.failDisk(eris.New("sync takes too long"))
-		return doubt
+		return inDoubt
 	}
-	if failed := <-far; len(failed) > 0 {
+	if failed := <-replicated; len(failed) > 0 {
 		s.noteFailed(failed)
 		if !s.replaceBackups(v, failed) {
-			return doubt
+			return inDoubt
 		}
 	} else if !s.isPrimary(v) {
-		return doubt
+		return inDoubt
 	}
 	s.applyCommitted(tx)
 	return nil
@@ -154,16 +181,13 @@
 		next = next.WithoutBackup(id)
 	}
 	s.decide(v, next, false)
-	for end := time.Now().Add(replaceTimeout); time.Now().Before(end); {
-		cur := s.voter.View()
-		if cur.Primary != me || s.hasDiskFailed() {
+	for deadline := time.Now().Add(replaceTimeout); time.Now().Before(deadline); {
+		current := s.voter.View()
+		if current.Primary != me || s.hasDiskFailed() {
 			return false
 		}
-		s.lead(cur, me)
-		s.mu.Lock()
-		ready := s.ready
-		s.mu.Unlock()
-		if ready && s.isPrimary(s.voter.View()) {
+		s.lead(current, me)
+		if s.isReady() && s.isPrimary(s.voter.View()) {
 			return true
 		}
 		if !env.Wait(s.ctx, tickEvery) {
@@ -173,18 +197,18 @@
 	return false
 }
 
-// applyCommitted makes a committed layout the one that is told to nodes.
+// applyCommitted takes up what a committed batch says: the configuration that nodes are told of, and the keys that ran.
 func (s *Server) applyCommitted(tx *Tx) {
-	for _, p := range tx.puts {
-		if strings.HasPrefix(p.Key, finishedPrefix) {
-			s.finishedKeys.apply(p)
+	for _, put := range tx.puts {
+		if strings.HasPrefix(put.Key, finishedPrefix) {
+			s.finishedKeys.apply(put)
 		}
 	}
-	if p, ok := tx.newest["layout"]; ok {
-		var sheet StoredConfig
-		if _, err := sheet.UnmarshalMsg(p.Val); err == nil {
+	if put, ok := tx.newest[configKey]; ok {
+		var storedConfig StoredConfig
+		if _, err := storedConfig.UnmarshalMsg(put.Val); err == nil {
 			s.mu.Lock()
-			s.config = sheet
+			s.config = storedConfig
 			s.mu.Unlock()
 		}
 	}
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -12,24 +12,28 @@
 	"yarrowridge/internal/wire"
 )
 
-// maxVersions is how many older layouts are kept for reading back.
+// configKey is the key of the configuration in force.
+const configKey = "layout"
+
+// maxVersions is how many older configurations are kept for reading back.
 const maxVersions = 16
 
 // maxWriteIDs is how many write ids are remembered.
 const maxWriteIDs = 1000
 
-func (s *Server) readConfig(in *ConfigRequest) (*StoredConfig, error) {
+// readConfig gives the configuration in force, or an older one that is still kept.
+func (s *Server) readConfig(request *ConfigRequest) (*StoredConfig, error) {
 	if err := s.requirePrimary(); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
-	sheet := s.config
+	current := s.config
 	s.mu.Unlock()
-	if in.Version == 0 || in.Version == sheet.Version {
-		return &sheet, nil
+	if request.Version == 0 || request.Version == current.Version {
+		return &current, nil
 	}
-	raw, ok := s.store.Load().Get(versionKey(in.Version))
-	if !ok || in.Version > sheet.Version {
+	raw, ok := s.store.Load().Get(versionKey(request.Version))
+	if !ok || request.Version > current.Version {
 		return nil, wire.Fault{Code: "no-such-sequence"}
 	}
 	var old StoredConfig
@@ -39,153 +43,155 @@
 	return &old, nil
 }
 
-func versionKey(seq uint64) string { return "past/" + strconv.FormatUint(seq, 10) }
+// versionKey is the key of the copy of an older configuration.
+func versionKey(version uint64) string { return "past/" + strconv.FormatUint(version, 10) }
 
+// config reads the configuration in force; version 0 before the first.
 func (t *Tx) config() (StoredConfig, error) {
-	var s StoredConfig
-	raw, ok := t.Get("layout")
+	var current StoredConfig
+	raw, ok := t.Get(configKey)
 	if !ok {
-		return s, nil
+		return current, nil
 	}
-	_, err := s.UnmarshalMsg(raw)
-	return s, err
+	_, err := current.UnmarshalMsg(raw)
+	return current, err
 }
 
-// writeConfig checks and takes an operator's change. It is answered once both disks hold it and each
+// writeConfig checks and takes an operator's change. It is answered once the disks hold it and each
 // zone's first relays have it, or a short time for that has passed.
-func (s *Server) writeConfig(ctx context.Context, in *WriteRequest) (*WriteResponse, error) {
-	out := &WriteResponse{Code: 200}
-	if len(in.Raw) > s.settings.Codec.MaxBytes() {
+func (s *Server) writeConfig(ctx context.Context, request *WriteRequest) (*WriteResponse, error) {
+	response := &WriteResponse{Code: 200}
+	if len(request.Raw) > s.settings.Codec.MaxBytes() {
 		return &WriteResponse{Code: 413}, nil
 	}
-	sum := sha256.Sum256(in.Raw)
+	sum := sha256.Sum256(request.Raw)
 	hash := hex.EncodeToString(sum[:])
-	var sheet StoredConfig
+	var written StoredConfig
 	err := s.Submit(ctx, func(tx *Tx) (err error) {
-		sheet, err = s.applyWrite(tx, in, hash, out)
+		written, err = s.applyWrite(tx, request, hash, response)
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	if sheet.Version > 0 {
-		s.ctx.Log.Info("Layout taken.", "sequence", sheet.Version)
-		s.push(relay.ConfigRecord(sheet.Version, sheet.Raw))
+	if written.Version > 0 {
+		s.ctx.Log.Info("Layout taken.", "sequence", written.Version)
+		s.push(relay.ConfigRecord(written.Version, written.Raw))
 		if !s.isPrimary(s.voter.View()) {
 			return nil, wire.Fault{Code: InDoubt}
 		}
 	}
-	return out, nil
+	return response, nil
 }
 
-// applyWrite checks one write against what stands and records it. out says what came of it; the sheet is the
-// new one, or empty where the write changes nothing.
-func (s *Server) applyWrite(tx *Tx, in *WriteRequest, hash string, out *WriteResponse) (StoredConfig, error) {
-	cur, err := tx.config()
+// applyWrite checks one write against the configuration in force and records it. The response says what came of it; the
+// configuration is the new one, or empty where the write changes nothing.
+func (s *Server) applyWrite(tx *Tx, request *WriteRequest, hash string, response *WriteResponse) (StoredConfig, error) {
+	current, err := tx.config()
 	if err != nil {
 		return StoredConfig{}, err
 	}
-	if again, err := tx.isRepeated(in, hash, out); again || err != nil {
+	if repeated, err := tx.isRepeated(request, hash, response); repeated || err != nil {
 		return StoredConfig{}, err
 	}
-	out.Version = cur.Version
-	if !in.AnyVersion && in.BaseVersion != cur.Version {
-		out.Code = 412
+	response.Version = current.Version
+	if !request.AnyVersion && request.BaseVersion != current.Version {
+		response.Code = 412
 		if !strike.Out("race") {
 			return StoredConfig{}, nil
 		}
 	}
-	raw := in.Raw
-	if in.Patch {
-		if raw, err = s.settings.Codec.Merge(cur.Raw, in.Raw); err != nil {
-			out.Code, out.Errors = 400, []ConfigError{{Text: "valid JSON expected"}}
+	raw := request.Raw
+	if request.Patch {
+		if raw, err = s.settings.Codec.Merge(current.Raw, request.Raw); err != nil {
+			response.Code, response.Errors = 400, []ConfigError{{Text: "valid JSON expected"}}
 			return StoredConfig{}, nil
 		}
 		if len(raw) > s.settings.Codec.MaxBytes() {
-			out.Code = 413
+			response.Code = 413
 			return StoredConfig{}, nil
 		}
 	}
-	next, numbered, flaws := s.check(cur, raw)
-	if len(flaws) > 0 {
-		out.Code, out.Errors = 400, flaws
+	next, numbered, configErrors := s.check(current, raw)
+	if len(configErrors) > 0 {
+		response.Code, response.Errors = 400, configErrors
 		return StoredConfig{}, nil
 	}
-	out.Version = next.Version
-	return next, tx.recordWrite(cur, next, numbered, in.Id, hash)
+	response.Version = next.Version
+	return next, tx.recordWrite(current, next, numbered, request.Id, hash)
 }
 
-// isRepeated tells whether a write with this id was taken before. out is then what was answered, or says that
+// isRepeated tells whether a write with this id was taken before. The response is then the one that was given, or says that
 // the id stands for another document.
-func (t *Tx) isRepeated(in *WriteRequest, hash string, out *WriteResponse) (bool, error) {
-	if in.Id == "" {
+func (t *Tx) isRepeated(request *WriteRequest, hash string, response *WriteResponse) (bool, error) {
+	if request.Id == "" {
 		return false, nil
 	}
-	raw, ok := t.Get("mark/" + in.Id)
+	raw, ok := t.Get("mark/" + request.Id)
 	if !ok {
 		return false, nil
 	}
-	var mark WriteRecord
-	if _, err := mark.UnmarshalMsg(raw); err != nil {
+	var record WriteRecord
+	if _, err := record.UnmarshalMsg(raw); err != nil {
 		return true, err
 	}
-	out.Version, out.Repeated = mark.Version, true
-	if mark.Hash != hash {
-		out.Code = 422
+	response.Version, response.Repeated = record.Version, true
+	if record.Hash != hash {
+		response.Code = 422
 	}
 	return true, nil
 }
 
-// check reads a new configuration and gives it its sequence. numbered: the document numbers itself.
-func (s *Server) check(cur StoredConfig, raw []byte) (next StoredConfig, numbered bool, flaws []ConfigError) {
-	doc, flaws := s.settings.Codec.Check(raw)
-	if len(flaws) > 0 {
-		return StoredConfig{}, false, flaws
+// check reads a new configuration and gives it its version. numbered: the document numbers itself.
+func (s *Server) check(current StoredConfig, raw []byte) (next StoredConfig, numbered bool, configErrors []ConfigError) {
+	document, configErrors := s.settings.Codec.Check(raw)
+	if len(configErrors) > 0 {
+		return StoredConfig{}, false, configErrors
 	}
-	if doc.Version == 0 {
-		return StoredConfig{Version: cur.Version + 1, Raw: raw}, false, nil
+	if document.Version == 0 {
+		return StoredConfig{Version: current.Version + 1, Raw: raw}, false, nil
 	}
-	if doc.Version <= cur.Version {
-		text := fmt.Sprintf("a sequence above %d, the current one, is expected; the document has %d", cur.Version, doc.Version)
+	if document.Version <= current.Version {
+		text := fmt.Sprintf("a sequence above %d, the current one, is expected; the document has %d", current.Version, document.Version)
 		return StoredConfig{}, true, []ConfigError{{Path: "sequence", Text: text}}
 	}
-	return StoredConfig{Version: doc.Version, Raw: raw}, true, nil
+	return StoredConfig{Version: document.Version, Raw: raw}, true, nil
 }
 
-// recordWrite puts the new sheet, a copy for reading back and the write's id.
-func (t *Tx) recordWrite(cur, sheet StoredConfig, numbered bool, id, hash string) error {
-	h, known, err := t.history(cur.Version)
+// recordWrite puts the new configuration, a copy for reading back and the write's id.
+func (t *Tx) recordWrite(current, next StoredConfig, numbered bool, id, hash string) error {
+	history, known, err := t.history(current.Version)
 	if err != nil {
 		return err
 	}
-	h.Writes++
-	if err := t.Put("layout", &sheet); err != nil {
+	history.Writes++
+	if err := t.Put(configKey, &next); err != nil {
 		return err
 	}
-	if err := t.keepVersion(&h, &sheet, numbered); err != nil {
+	if err := t.keepVersion(&history, &next, numbered); err != nil {
 		return err
 	}
-	if err := t.keepWriteID(h.Writes, id, WriteRecord{sheet.Version, hash}); err != nil {
+	if err := t.keepWriteID(history.Writes, id, WriteRecord{Version: next.Version, Hash: hash}); err != nil {
 		return err
 	}
 	if known || numbered {
-		return t.Put(historyKey, &h)
+		return t.Put(historyKey, &history)
 	}
 	return nil
 }
 
-// parsedConfig keeps the last document read, since shares ask for it often. Only the run loop calls it.
-func (s *Server) parsedConfig(sheet StoredConfig) *Document {
-	if sheet.Version == 0 {
+// parsedConfig keeps the last document read, since quota moves ask for it often. Only the run loop calls it.
+func (s *Server) parsedConfig(config StoredConfig) *Document {
+	if config.Version == 0 {
 		return nil // none was put yet
 	}
-	if s.document == nil || s.documentVersion != sheet.Version {
-		doc, flaws := s.settings.Codec.Check(sheet.Raw)
-		if len(flaws) > 0 {
+	if s.document == nil || s.documentVersion != config.Version {
+		document, configErrors := s.settings.Codec.Check(config.Raw)
+		if len(configErrors) > 0 {
 			return nil
 		}
-		doc.Claims = doc.Claims.withDefaults()
-		s.document, s.documentVersion = &doc, sheet.Version
+		document.Claims = document.Claims.withDefaults()
+		s.document, s.documentVersion = &document, config.Version
 	}
 	return s.document
 }
--- /dev/null
+++ b/internal/core/disk.go
@@ -0,0 +1,97 @@
+package core
+
+import (
+	"errors"
+	"strings"
+	"time"
+
+	"yarrowridge/internal/env"
+	"yarrowridge/internal/store"
+	"yarrowridge/internal/view"
+)
+
+// probeEvery is between two attempts to write to a disk that has failed.
+const probeEvery = 2 * time.Second
+
+// openStore reads the stored state. Where it is damaged it is set aside, and the voter is blank.
+func openStore(ctx env.Ctx, disk store.Disk, voter *view.Voter) (*store.Store, error) {
+	opened, err := store.Open(disk, ctx.Part("store").Log)
+	if !errors.Is(err, store.ErrBroken) {
+		return opened, err
+	}
+	ctx.Log.Error("State is damaged; set aside. This disk counts as blank.", "trouble", err.Error())
+	if err := setAside(disk); err != nil {
+		return nil, err
+	}
+	if err := voter.Reset(); err != nil {
+		return nil, err
+	}
+	return store.Open(disk, ctx.Log)
+}
+
+// setAside renames the files of the stored state, so that they are read no more but can be looked into.
+func setAside(disk store.Disk) error {
+	names, err := disk.List()
+	if err != nil {
+		return err
+	}
+	for _, name := range names {
+		if len(name) <= len("v-") || !strings.HasPrefix(name, "v-") {
+			continue
+		}
+		if err := disk.Rename(name, "bad-"+name); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// hasDiskFailed tells whether our disk can't be relied on now.
+func (s *Server) hasDiskFailed() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.diskFailed
+}
+
+// failDisk notes that our own disk can't be relied on: we stop leading, and hold nothing as backup,
+// until the disk has been proved again.
+func (s *Server) failDisk(err error) {
+	s.mu.Lock()
+	alreadyFailed := s.diskFailed
+	s.diskFailed, s.ready = true, false
+	s.renewRounds++
+	round := s.renewRounds
+	s.mu.Unlock()
+	if !alreadyFailed {
+		s.release(round)
+		s.ctx.Log.Error("Disk is in trouble. Leading stops.", "trouble", err.Error())
+		go s.recoverDisk()
+	}
+}
+
+// recoverDisk waits until the disk takes a synced file again, then reads all anew from it.
+func (s *Server) recoverDisk() {
+	for env.Wait(s.ctx, probeEvery) {
+		if s.disk.Write("probe", []byte("probe")) == nil && s.reopenStore() {
+			s.ctx.Log.Info("Disk is sound again.")
+			return
+		}
+	}
+}
+
+// reopenStore reads the state from disk anew, and tells whether it could.
+func (s *Server) reopenStore() bool {
+	s.storeGate.Lock()
+	defer s.storeGate.Unlock()
+	s.store.Load().Close() // a write that got stuck must end before the disk is read anew
+	opened, err := store.Open(s.disk, s.ctx.Log)
+	if err != nil {
+		return false
+	}
+	s.store.Store(opened)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.diskFailed = false
+	s.epoch = 0 // leading starts over, with a fresh snapshot to the backups
+	return true
+}
--- /dev/null
+++ b/internal/core/finishedkeys.go
@@ -0,0 +1,127 @@
+package core
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/binary"
+	"fmt"
+	"slices"
+	"sort"
+	"strings"
+
+	"yarrowridge/internal/store"
+)
+
+// A claim with its response is kept for claim_keep_s. That its key ran is kept far longer, as eight
+// bytes of the key's hash: in parts, each the sorted hashes of one sweep, merged as they become many.
+const (
+	finishedPrefix   = "ran/"
+	finishedPartSize = 1 << 17 // hashes in one part, so that a part fits into a frame many times over
+	finishedMergeAt  = 16      // parts of less than half that before they are merged
+	hashBytes        = 8
+)
+
+// keyHash is what is kept of a key that ran.
+func keyHash(key string) uint64 {
+	sum := sha256.Sum256([]byte(key))
+	return binary.BigEndian.Uint64(sum[:])
+}
+
+// finishedKeys is the parts, as committed. Only the run loop touches it.
+type finishedKeys struct {
+	parts []store.Put
+	count int // hashes
+}
+
+// countHashes tells how many hashes a part has.
+func countHashes(part store.Put) int { return len(part.Val) / hashBytes }
+
+// load reads all parts anew.
+func (f *finishedKeys) load(committed *store.Store) {
+	*f = finishedKeys{}
+	committed.Each(finishedPrefix, func(key string, raw []byte) { f.apply(store.Put{Key: key, Val: raw}) })
+}
+
+// apply follows a committed put.
+func (f *finishedKeys) apply(put store.Put) {
+	f.parts = slices.DeleteFunc(f.parts, func(known store.Put) bool {
+		if known.Key == put.Key {
+			f.count -= countHashes(known)
+		}
+		return known.Key == put.Key
+	})
+	if !put.Gone {
+		f.parts = append(f.parts, put)
+		f.count += countHashes(put)
+	}
+}
+
+// has tells whether a key's hash stands in a part, one of the same batch included.
+func (f *finishedKeys) has(tx *Tx, hash uint64) bool {
+	var want [hashBytes]byte
+	binary.BigEndian.PutUint64(want[:], hash)
+	isIn := func(part store.Put) bool {
+		_, found := sort.Find(countHashes(part), func(i int) int {
+			return bytes.Compare(want[:], part.Val[i*hashBytes:(i+1)*hashBytes])
+		})
+		return found
+	}
+	if slices.ContainsFunc(f.parts, isIn) {
+		return true
+	}
+	return tx.hasFinishedKeys && slices.ContainsFunc(tx.puts, func(put store.Put) bool {
+		return strings.HasPrefix(put.Key, finishedPrefix) && isIn(put)
+	})
+}
+
+// putFinishedKeys adds a part to a batch.
+func (s *Server) putFinishedKeys(tx *Tx, hashes []uint64) {
+	slices.Sort(hashes)
+	hashes = slices.Compact(hashes)
+	raw := make([]byte, 0, hashBytes*len(hashes))
+	for _, hash := range hashes {
+		raw = binary.BigEndian.AppendUint64(raw, hash)
+	}
+	s.finishedParts++
+	tx.hasFinishedKeys = true
+	key := fmt.Sprintf("%s%016x-%x", finishedPrefix, tx.store.Seq()+1, s.finishedParts)
+	tx.add(store.Put{Key: key, Val: raw})
+}
+
+// maxFinishedKeys is how many keys that ran are kept at most, by the configuration in force. It is asked for every
+// claim, so the configuration is not read anew for it.
+func (s *Server) maxFinishedKeys() int {
+	s.mu.Lock()
+	config := s.config
+	s.mu.Unlock()
+	if document := s.parsedConfig(config); document != nil {
+		return document.Claims.MaxFinished
+	}
+	return defaultMaxFinishedKeys
+}
+
+// mergeFinishedKeys makes one part of the smallest ones, once there are many small ones.
+func (s *Server) mergeFinishedKeys(tx *Tx) error {
+	var small []store.Put
+	for _, put := range s.finishedKeys.parts {
+		if countHashes(put) < finishedPartSize/2 {
+			small = append(small, put)
+		}
+	}
+	if len(small) < finishedMergeAt {
+		return nil
+	}
+	slices.SortFunc(small, func(a, b store.Put) int { return len(a.Val) - len(b.Val) })
+	var hashes []uint64
+	for _, put := range small[:finishedMergeAt] {
+		if len(hashes)+countHashes(put) > finishedPartSize {
+			break
+		}
+		for i := 0; i < len(put.Val); i += hashBytes {
+			hashes = append(hashes, binary.BigEndian.Uint64(put.Val[i:]))
+		}
+		tx.Drop(put.Key)
+	}
+	s.putFinishedKeys(tx, hashes)
+	return nil
+}
--- a/internal/core/fleetcodec.go
+++ b/internal/core/fleetcodec.go
@@ -6,31 +6,32 @@
 	"yarrowridge/internal/fleetconfig"
 )
 
+// defaultMaxFinishedKeys is how many keys that ran are kept where the configuration does not say.
 const defaultMaxFinishedKeys = fleetconfig.RanMost
 
-// fleetConfigCodec reads layouts. A layout does not number itself: the core counts.
+// fleetConfigCodec reads fleet configurations. Such a configuration does not number itself: the core counts.
 type fleetConfigCodec struct{}
 
-// Check reads a whole layout.
+// Check reads a whole configuration.
 func (fleetConfigCodec) Check(raw []byte) (Document, []ConfigError) {
-	lay, troubles := fleetconfig.Parse(raw)
-	if len(troubles) > 0 {
-		flaws := make([]ConfigError, len(troubles))
-		for i, trouble := range troubles {
-			flaws[i] = ConfigError{Path: trouble.Path, Text: trouble.Text}
+	config, errors := fleetconfig.Parse(raw)
+	if len(errors) > 0 {
+		configErrors := make([]ConfigError, len(errors))
+		for i, one := range errors {
+			configErrors[i] = ConfigError{Path: one.Path, Text: one.Text}
 		}
-		return Document{}, flaws
+		return Document{}, configErrors
 	}
-	doc := Document{
+	document := Document{
 		Quotas:  map[string]int{},
 		Windows: map[string]time.Duration{},
-		Claims:  ClaimLimits{Keep: lay.Limits.Keep, FinishedKeep: lay.Limits.RanKeep, MaxFinished: lay.Limits.RanMost},
+		Claims:  ClaimLimits{Keep: config.Limits.Keep, FinishedKeep: config.Limits.RanKeep, MaxFinished: config.Limits.RanMost},
 	}
-	for _, tenant := range lay.Tenants {
-		doc.Quotas[tenant.Name] = tenant.Quota.Units
-		doc.Windows[tenant.Name] = tenant.Quota.Window
+	for _, tenant := range config.Tenants {
+		document.Quotas[tenant.Name] = tenant.Quota.Units
+		document.Windows[tenant.Name] = tenant.Quota.Window
 	}
-	return doc, nil
+	return document, nil
 }
 
 // Merge applies a JSON merge patch.
@@ -38,5 +39,5 @@
 	return fleetconfig.Merge(current, change)
 }
 
-// MaxBytes is the size of the largest layout.
+// MaxBytes is the size of the largest configuration.
 func (fleetConfigCodec) MaxBytes() int { return fleetconfig.MaxBytes }
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -9,12 +9,12 @@
 	"yarrowridge/internal/wire"
 )
 
-// runWait is how long a node may take to say which run of it there is.
-const runWait = 250 * time.Millisecond
+// runTimeout is how long a node may take to say which run of it there is.
+const runTimeout = 250 * time.Millisecond
 
-// isEndedRun tells whether a beat is of a run that another one at the same address has replaced: it was long under
+// isEndedRun tells whether a heartbeat is of a run that another one at the same address has replaced: it was long under
 // way. Believed, it would set the units of the living run cooling. Whoever listens there says which run it is;
-// where nobody answers, the beat is believed.
+// where nobody answers, the heartbeat is believed.
 func (s *Server) isEndedRun(ctx context.Context, n Node) bool {
 	s.mu.Lock()
 	known := s.nodes[n.Name]
@@ -22,80 +22,94 @@
 	if known == nil || known.node.Addr != n.Addr || known.node.Run == n.Run {
 		return false
 	}
-	ctx, end := context.WithTimeout(ctx, runWait)
-	defer end()
+	ctx, cancel := context.WithTimeout(ctx, runTimeout)
+	defer cancel()
 	var there Node
 	err := s.call(ctx, n.Addr, "node.run", &Empty{}, &there)
 	return err == nil && there.Run != n.Run
 }
 
-func (s *Server) takeHeartbeat(ctx context.Context, in *HeartbeatRequest) (*HeartbeatResponse, error) {
+// takeHeartbeat renews a node's lease, or ends it, and tells the node what has changed.
+func (s *Server) takeHeartbeat(ctx context.Context, request *HeartbeatRequest) (*HeartbeatResponse, error) {
 	if err := s.requirePrimary(); err != nil {
 		return nil, err
 	}
-	n := in.Node
-	if !in.Leaving && s.isEndedRun(ctx, n) {
+	n := request.Node
+	if !request.Leaving && s.isEndedRun(ctx, n) {
 		return nil, wire.Fault{Code: RunEnded}
 	}
+	response, newRun, err := s.noteHeartbeat(request)
+	if err != nil {
+		return nil, err
+	}
+	if request.Leaving {
+		if err := s.coolHolder(ctx, Holder(n)); err != nil {
+			return nil, err
+		}
+		return response, nil
+	}
+	if newRun {
+		s.replaceHolder(n, time.Duration(request.AgeMs)*time.Millisecond)
+	}
+	s.rememberAddress(n)
+	return response, nil
+}
+
+// noteHeartbeat notes what a heartbeat says and makes the response. newRun: the node's run was not known.
+func (s *Server) noteHeartbeat(request *HeartbeatRequest) (response *HeartbeatResponse, newRun bool, err error) {
 	s.mu.Lock()
-	old := s.nodes[n.Name]
-	if old != nil && old.node.Addr != n.Addr && time.Since(old.heardAt) <= nodeLeaseTerm {
-		s.mu.Unlock()
-		return nil, wire.Fault{Code: NameTaken} // a router that moved gets its name once the lease is over
+	defer s.mu.Unlock()
+	known := s.nodes[request.Node.Name]
+	if known != nil && known.node.Addr != request.Node.Addr && time.Since(known.heardAt) <= nodeLeaseTerm {
+		return nil, false, wire.Fault{Code: NameTaken} // a router that moved gets its name once the lease is over
+	}
+	newRun = known == nil || known.node.Run != request.Node.Run
+	s.noteNode(request, known)
+	s.dropExpiredNodes()
+	response = &HeartbeatResponse{ConfigVersion: s.config.Version, NodesVersion: s.nodesVersion}
+	if v := s.voter.View(); v.Epoch != request.ViewEpoch {
+		response.View = v
 	}
-	newRun := old == nil || old.node.Run != n.Run
+	s.tellNodes(request, response)
+	s.registry.Tell(request, response, time.Now())
+	s.health.note(request.Tallies, time.Now())
+	response.Failing = s.health.failing(time.Now())
+	response.ScarceTenants = s.scarceTenants()
+	return response, newRun, nil
+}
+
+// noteNode renews or ends a node's lease; the caller holds the lock.
+func (s *Server) noteNode(request *HeartbeatRequest, known *liveNode) {
+	n := request.Node
 	switch {
-	case in.Leaving:
-		if old != nil && old.node.Run == n.Run {
+	case request.Leaving:
+		if known != nil && known.node.Run == n.Run {
 			delete(s.nodes, n.Name)
 			s.nodesVersion++
 		}
-	case old == nil || old.node != n:
-		if old == nil || !saysSame(old.node, n) {
+	case known == nil || known.node != n:
+		if known == nil || !saysSame(known.node, n) {
 			s.nodesVersion++
 		}
-		s.nodes[n.Name] = &liveNode{n, time.Now()}
+		s.nodes[n.Name] = &liveNode{node: n, heardAt: time.Now()}
 	default:
-		old.heardAt = time.Now()
-	}
-	if !in.Leaving {
-		defer s.rememberAddress(n)
-	}
-	if newRun && !in.Leaving {
-		defer s.replaceHolder(n, time.Duration(in.AgeMs)*time.Millisecond)
-	}
-	s.dropExpiredNodes()
-	out := &HeartbeatResponse{ConfigVersion: s.config.Version, NodesVersion: s.nodesVersion}
-	if v := s.voter.View(); v.Epoch != in.ViewEpoch {
-		out.View = v
-	}
-	s.tellNodes(in, out)
-	s.registry.Tell(in, out, time.Now())
-	s.health.note(in.Tallies, time.Now())
-	out.Failing = s.health.failing(time.Now())
-	out.ScarceTenants = s.shortTenants()
-	s.mu.Unlock()
-	if in.Leaving {
-		if err := s.coolHolder(ctx, Holder(n)); err != nil {
-			return nil, err
-		}
+		known.heardAt = time.Now()
 	}
-	return out, nil
 }
 
 // tellNodes names the live nodes where they have changed. A primary that has just begun does not know all of them
 // yet, so it names none and tells how many there were. The caller holds the lock.
-func (s *Server) tellNodes(in *HeartbeatRequest, out *HeartbeatResponse) {
+func (s *Server) tellNodes(request *HeartbeatRequest, response *HeartbeatResponse) {
 	switch {
 	case time.Since(s.readySince) <= nodeLeaseTerm:
-		out.RoutersBefore = s.routersBefore
-	case in.NodesVersion != s.nodesVersion:
-		out.NodesChanged = true
-		out.Nodes = s.liveNodes()
+		response.RoutersBefore = s.routersBefore
+	case request.NodesVersion != s.nodesVersion:
+		response.NodesChanged = true
+		response.Nodes = s.liveNodes()
 	}
 }
 
-// saysSame tells whether two words of a node say the same to its peers.
+// saysSame tells whether two descriptions of a node say the same to its peers.
 func saysSame(a, b Node) bool {
 	a.ConfigVersion, b.ConfigVersion = 0, 0
 	return a == b
@@ -103,27 +117,28 @@
 
 // dropExpiredNodes drops nodes whose lease ran out; the caller holds the lock.
 func (s *Server) dropExpiredNodes() {
-	for k, seat := range s.nodes {
-		if time.Since(seat.heardAt) > nodeLeaseTerm {
-			delete(s.nodes, k)
+	for name, known := range s.nodes {
+		if time.Since(known.heardAt) > nodeLeaseTerm {
+			delete(s.nodes, name)
 			s.nodesVersion++
 		}
 	}
 }
 
+// liveNodes lists the nodes whose lease runs, sorted by name; the caller holds the lock.
 func (s *Server) liveNodes() []Node {
-	var out []Node
-	for _, seat := range s.nodes {
-		out = append(out, seat.node)
+	var nodes []Node
+	for _, known := range s.nodes {
+		nodes = append(nodes, known.node)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
-	return out
+	sort.Slice(nodes, func(i, j int) bool { return nodes[i].Name < nodes[j].Name })
+	return nodes
 }
 
 // Holder names one run of a node as the holder of units. The address is part of it: a newer run
 // at the same address proves the older one gone, since only one process can listen there.
 //
-//	who := core.Holder(node)
+//	holder := core.Holder(node)
 func Holder(n Node) string {
 	return n.Name + "@" + n.Addr + "/" + strconv.FormatUint(n.Run, 16)
 }
--- a/internal/core/history.go
+++ b/internal/core/history.go
@@ -3,7 +3,7 @@
 import "strconv"
 
 // What is kept of older configurations and of write ids is bounded by counting writes, not by
-// arithmetic on sequences, where documents number themselves.
+// arithmetic on versions, where documents number themselves.
 
 const (
 	historyKey       = "history"
@@ -13,45 +13,45 @@
 )
 
 // history reads what is kept of earlier writes. known is false where the core has counted all along, and
-// a write's count is its sequence.
-func (t *Tx) history(current uint64) (h WriteHistory, known bool, err error) {
+// a write's count is its version.
+func (t *Tx) history(current uint64) (history WriteHistory, known bool, err error) {
 	raw, known := t.Get(historyKey)
 	if known {
-		_, err = h.UnmarshalMsg(raw)
-		return h, known, err
+		_, err = history.UnmarshalMsg(raw)
+		return history, known, err
 	}
-	h.Writes = current
-	for sequence := current - min(current, maxVersions-1); sequence <= current; sequence++ {
-		if sequence > 0 {
-			h.KeptVersions = append(h.KeptVersions, sequence)
+	history.Writes = current
+	for version := current - min(current, maxVersions-1); version <= current; version++ {
+		if version > 0 {
+			history.KeptVersions = append(history.KeptVersions, version)
 		}
 	}
-	return h, false, nil
+	return history, false, nil
 }
 
-// keepVersion keeps a copy of the new sheet for reading back, and drops the oldest copies beyond the bound.
-func (t *Tx) keepVersion(h *WriteHistory, sheet *StoredConfig, numbered bool) error {
-	if len(sheet.Raw) <= maxKeptDocument {
-		if err := t.Put(versionKey(sheet.Version), sheet); err != nil {
+// keepVersion keeps a copy of the new configuration for reading back, and drops the oldest copies beyond the bound.
+func (t *Tx) keepVersion(history *WriteHistory, config *StoredConfig, numbered bool) error {
+	if len(config.Raw) <= maxKeptDocument {
+		if err := t.Put(versionKey(config.Version), config); err != nil {
 			return err
 		}
-		h.KeptVersions = append(h.KeptVersions, sheet.Version)
+		history.KeptVersions = append(history.KeptVersions, config.Version)
 	}
-	most := maxVersions
-	if numbered && len(sheet.Raw) > largeDocument {
-		most = maxLargeVersions
+	limit := maxVersions
+	if numbered && len(config.Raw) > largeDocument {
+		limit = maxLargeVersions
 	}
-	for len(h.KeptVersions) > most {
-		t.Drop(versionKey(h.KeptVersions[0]))
-		h.KeptVersions = h.KeptVersions[1:]
+	for len(history.KeptVersions) > limit {
+		t.Drop(versionKey(history.KeptVersions[0]))
+		history.KeptVersions = history.KeptVersions[1:]
 	}
 	return nil
 }
 
 // keepWriteID remembers the id of the write with this count, and forgets the id of one long ago.
-func (t *Tx) keepWriteID(count uint64, id string, mark WriteRecord) error {
+func (t *Tx) keepWriteID(count uint64, id string, record WriteRecord) error {
 	if id != "" {
-		if err := t.Put("mark/"+id, &mark); err != nil {
+		if err := t.Put("mark/"+id, &record); err != nil {
 			return err
 		}
 		if err := t.Put("marked/"+strconv.FormatUint(count, 10), &Claim{Claimant: id}); err != nil {
@@ -63,9 +63,9 @@
 	}
 	key := "marked/" + strconv.FormatUint(count-maxWriteIDs, 10)
 	if raw, ok := t.Get(key); ok {
-		var c Claim
-		if _, err := c.UnmarshalMsg(raw); err == nil {
-			t.Drop("mark/" + c.Claimant)
+		var written Claim // of a claim only the id is used here
+		if _, err := written.UnmarshalMsg(raw); err == nil {
+			t.Drop("mark/" + written.Claimant)
 		}
 		t.Drop(key)
 	}
--- /dev/null
+++ b/internal/core/lead.go
@@ -0,0 +1,142 @@
+package core
+
+import (
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"yarrowridge/internal/lease"
+	"yarrowridge/internal/strike"
+	"yarrowridge/internal/view"
+)
+
+// About how long it is between two proposals of one member: the pauses are random, around these.
+const (
+	proposePause = 300 * time.Millisecond // to lead or to go on leading
+	replacePause = 2 * time.Second        // to replace a backup that would stand better elsewhere
+)
+
+// withPrimary is the view in which a backup leads. The other backups stay: each holds every write
+// acknowledged so far, and the new primary acknowledges none before it has copied its state to all of them.
+func withPrimary(v view.View, id string) view.View {
+	next := v.WithoutBackup(id)
+	next.Primary = id
+	return next
+}
+
+// backupCount tells how many members hold a write beside the primary before it is acknowledged.
+func (s Settings) backupCount(v view.View) int {
+	if s.AllowNoBackup {
+		return min(s.Losses, len(v.Members)-1)
+	}
+	return s.Losses
+}
+
+// afterLeaving is the view once the primary has left as planned. The last but one member gives up its
+// place too, where no loss is to be borne: the last one is no majority of two.
+func (s *Server) afterLeaving(v view.View) (next view.View, ok bool) {
+	if len(v.Backups()) == 0 {
+		return v, false
+	}
+	next = withPrimary(v, v.Backups()[0])
+	if s.settings.AllowNoBackup && len(v.Members) == 2 {
+		next = next.WithoutMember(v.Primary)
+	}
+	return next, true
+}
+
+// watchPrimary takes over from a primary whose lease has run out.
+func (s *Server) watchPrimary(v view.View, me string) {
+	if s.voter.Leased() || strike.Out("takeover") {
+		// In turns, so that two backups hinder one another rarely.
+		turn := time.Duration(slices.Index(v.Backups(), me))
+		s.nextAttempt = time.Now().Add(turn*100*time.Millisecond + rand.N(100*time.Millisecond))
+		s.nextViewSearch = time.Now().Add(2 * s.settings.LeaseTerm)
+		return
+	}
+	s.findNewerView(v)
+	if !s.attemptDue(proposePause) {
+		return
+	}
+	if s.decide(v, withPrimary(v, me), false) {
+		s.deposed = v.Primary
+	}
+}
+
+// lead takes one step towards being a primary that may answer, or one step of its duties.
+func (s *Server) lead(v view.View, me string) {
+	primacy, ready, otherPromised, ledSince := s.leading(v)
+	if !primacy.Stands(v.IsMajority) {
+		s.leadWithoutLease(v, otherPromised)
+		return
+	}
+	s.nextViewSearch = time.Now().Add(2 * s.settings.LeaseTerm)
+	keep := s.backupsToKeep(v, primacy, ready, ledSince)
+	switch {
+	case len(keep) < len(v.Backups()):
+		s.setReady(false)
+		s.ctx.Log.Warn("Backups are let go.", "kept", addrsOf(v, keep), "before", addrsOf(v, v.Backups()))
+		s.decide(v, v.WithBackups(keep), false)
+		return
+	case len(keep) < s.settings.backupCount(v):
+		s.setReady(false)
+		if !s.addBackups(v, me, primacy) {
+			s.changeMembers(v, me, primacy, ledSince) // newcomers may be what is missing
+		}
+		return
+	case !ready:
+		s.becomeReady(v)
+	}
+	s.changeMembers(v, me, primacy, ledSince)
+	s.sweep()
+}
+
+// leadWithoutLease is what a primary does while no majority grants it the lease. Where a voter has promised the next
+// epoch to another, we propose our own view for it: the promise may be of a proposer that is gone.
+func (s *Server) leadWithoutLease(v view.View, otherPromised bool) {
+	s.setReady(false)
+	s.findNewerView(v)
+	if otherPromised && s.attemptDue(proposePause) {
+		s.decide(v, v, false)
+	}
+}
+
+// backupsToKeep lists the backups that respond, hold all we hold and stand where they should.
+func (s *Server) backupsToKeep(v view.View, primacy *lease.Lease, ready bool, ledSince time.Time) []string {
+	keep := s.respondingBackups(v, primacy, ledSince)
+	if !ready && len(keep) == len(v.Backups()) {
+		keep = s.copyAll(v, keep)
+	}
+	worst := s.misplaced(v, primacy)
+	if len(keep) == len(v.Backups()) && worst != "" && s.attemptDue(replacePause) {
+		keep = slices.DeleteFunc(keep, func(id string) bool { return id == worst })
+	}
+	return keep
+}
+
+// leading notes the epoch that we lead, once at its beginning, and tells how we stand.
+func (s *Server) leading(v view.View) (primacy *lease.Lease, ready, otherPromised bool, ledSince time.Time) {
+	s.mu.Lock()
+	if s.epoch != v.Epoch {
+		if s.epoch == 0 || s.epoch+1 != v.Epoch {
+			s.ledSince, s.lease = time.Now(), lease.New(s.settings.LeaseTerm)
+			clear(s.copiedTo)
+		} else {
+			s.lease = s.lease.Next() // we led the epoch before: who was silent then still is
+		}
+		s.epoch, s.ready, s.otherPromised = v.Epoch, false, false
+		s.mu.Unlock()
+		// What came in as backup is wholly in or wholly out before we lead on.
+		s.finishStores()
+		s.renew()
+		s.mu.Lock()
+	}
+	defer s.mu.Unlock()
+	return s.lease, s.ready, s.otherPromised, s.ledSince
+}
+
+// finishStores waits for a batch or a snapshot that is being stored.
+func (s *Server) finishStores() {
+	s.storeGate.Lock()
+	defer s.storeGate.Unlock()
+}
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -17,54 +17,62 @@
 func (s *Server) renew() {
 	v := s.voter.View()
 	s.mu.Lock()
-	lead := v.Primary == s.voter.Id() && s.epoch == v.Epoch && !s.diskFailed && v.Epoch > 0
-	ls := s.lease
-	heard := time.Since(s.ledSince) < s.settings.LeaseTerm/2 || ls.Hears(v.IsMajority, s.settings.LeaseTerm/2)
-	if !heard || ls.Stands(v.IsMajority) {
-		s.leaseStoodAt = time.Now()
-	} else if time.Since(s.leaseStoodAt) > 2*s.settings.LeaseTerm && time.Since(s.ledSince) > 2*s.settings.LeaseTerm {
-		// A majority answers, but too few follow us. They must not be kept from following another,
-		// so we ask for nothing for a while, then try again.
-		if s.renewPausedAt.Before(s.leaseStoodAt) || time.Since(s.renewPausedAt) > 4*s.settings.LeaseTerm {
-			s.renewPausedAt = time.Now()
-		}
-		lead = lead && time.Since(s.renewPausedAt) > 2*s.settings.LeaseTerm+rand.N(s.settings.LeaseTerm)
-	}
+	primacy := s.lease
+	heard := time.Since(s.ledSince) < s.settings.LeaseTerm/2 || primacy.Hears(v.IsMajority, s.settings.LeaseTerm/2)
+	leads := v.Primary == s.voter.Id() && s.epoch == v.Epoch && !s.diskFailed && v.Epoch > 0
+	leads = !s.isRenewalPaused(v, heard) && leads
 	s.renewRounds++
-	in := view.RenewRequest{View: v, PrimaryRun: s.runID, Round: s.renewRounds}
+	request := view.RenewRequest{View: v, PrimaryRun: s.runID, Round: s.renewRounds}
 	s.mu.Unlock()
-	if !lead {
+	if !leads {
 		return
 	}
 	for _, m := range v.Members {
 		if heard {
-			go s.renewAt(in, m, ls)
+			go s.renewAt(request, m, primacy)
 		} else {
-			go s.probe(m, ls)
+			go s.probe(m, primacy)
 		}
 	}
 }
 
+// isRenewalPaused tells whether we ask for no lease for a while: a majority answers, but has not granted the lease for
+// long, so too few follow us, and they must not be kept from following another. The caller holds the lock.
+func (s *Server) isRenewalPaused(v view.View, heard bool) bool {
+	term := s.settings.LeaseTerm
+	if !heard || s.lease.Stands(v.IsMajority) {
+		s.leaseStoodAt = time.Now()
+		return false
+	}
+	if time.Since(s.leaseStoodAt) <= 2*term || time.Since(s.ledSince) <= 2*term {
+		return false
+	}
+	if s.renewPausedAt.Before(s.leaseStoodAt) || time.Since(s.renewPausedAt) > 4*term {
+		s.renewPausedAt = time.Now()
+	}
+	return time.Since(s.renewPausedAt) <= 2*term+rand.N(term)
+}
+
 // renewAt asks one voter for the lease.
-func (s *Server) renewAt(in view.RenewRequest, m view.Member, ls *lease.Lease) {
-	ctx, end := context.WithTimeout(s.ctx, s.settings.LeaseTerm/2)
-	defer end()
-	var g view.RenewResponse
+func (s *Server) renewAt(request view.RenewRequest, m view.Member, primacy *lease.Lease) {
+	ctx, cancel := context.WithTimeout(s.ctx, s.settings.LeaseTerm/2)
+	defer cancel()
+	var response view.RenewResponse
 	asked := time.Now()
-	if s.call(ctx, m.Addr, "view.renew", &in, &g) != nil || g.Id != m.Id {
+	if s.call(ctx, m.Addr, "view.renew", &request, &response) != nil || response.Id != m.Id {
 		return
 	}
-	ls.Saw(m.Id)
+	primacy.Saw(m.Id)
 	switch {
-	case g.Ok:
-		stood := ls.Stands(in.View.IsMajority)
-		ls.Grant(m.Id, asked)
-		if !stood && ls.Stands(in.View.IsMajority) {
+	case response.Ok:
+		stood := primacy.Stands(request.View.IsMajority)
+		primacy.Grant(m.Id, asked)
+		if !stood && primacy.Stands(request.View.IsMajority) {
 			s.wake()
 		}
-	case g.View.Epoch > in.View.Epoch:
-		s.learn(g.View)
-	case g.PromisedOther:
+	case response.View.Epoch > request.View.Epoch:
+		s.learn(response.View)
+	case response.PromisedOther:
 		s.mu.Lock()
 		s.otherPromised = true
 		s.mu.Unlock()
@@ -72,27 +80,27 @@
 }
 
 // probe asks one voter for a sign of life.
-func (s *Server) probe(m view.Member, ls *lease.Lease) {
-	ctx, end := context.WithTimeout(s.ctx, s.settings.LeaseTerm/2)
-	defer end()
-	var told view.StatusResponse
-	if s.call(ctx, m.Addr, "view.ask", &view.StatusRequest{}, &told) == nil && told.Id == m.Id {
-		ls.Saw(m.Id)
-		s.learn(told.View)
+func (s *Server) probe(m view.Member, primacy *lease.Lease) {
+	ctx, cancel := context.WithTimeout(s.ctx, s.settings.LeaseTerm/2)
+	defer cancel()
+	var status view.StatusResponse
+	if s.call(ctx, m.Addr, "view.ask", &view.StatusRequest{}, &status) == nil && status.Id == m.Id {
+		primacy.Saw(m.Id)
+		s.learn(status.View)
 	}
 }
 
 // release gives our lease back to all voters, so that a backup need not wait for its end.
-func (s *Server) release(turn uint64) {
+func (s *Server) release(round uint64) {
 	v := s.voter.View()
 	if v.Primary != s.voter.Id() {
 		return
 	}
 	for _, m := range v.Members {
 		go func() {
-			ctx, end := context.WithTimeout(s.ctx, stepTimeout)
-			defer end()
-			s.call(ctx, m.Addr, "view.release", &view.ReleaseRequest{Epoch: v.Epoch, PrimaryRun: s.runID, Round: turn}, nil)
+			ctx, cancel := context.WithTimeout(s.ctx, stepTimeout)
+			defer cancel()
+			s.call(ctx, m.Addr, "view.release", &view.ReleaseRequest{Epoch: v.Epoch, PrimaryRun: s.runID, Round: round}, nil)
 		}()
 	}
 }
--- a/internal/core/nodes_test.go
+++ b/internal/core/nodes_test.go
@@ -12,7 +12,7 @@
 // of a fleet that lost all power takes itself for one of many.
 func TestNewPrimaryTellsHowManyRoutersThereWere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, st := quotaServer(t)
+		s, opened := quotaServer(t)
 		var puts []store.Put
 		for _, addr := range []string{"10.0.0.1:70", "10.0.0.2:70", "10.0.0.3:70"} {
 			raw, err := (&Node{Name: addr, Addr: addr}).MarshalMsg(nil)
@@ -21,7 +21,7 @@
 			}
 			puts = append(puts, store.Put{Key: placePrefix + addr, Val: raw})
 		}
-		if err := st.Add(store.Batch{Seq: st.Seq() + 1, Puts: puts}); err != nil {
+		if err := opened.Add(store.Batch{Seq: opened.Seq() + 1, Puts: puts}); err != nil {
 			t.Fatal(err)
 		}
 		s.routersBefore = s.rememberedRouters()
--- a/internal/core/primary.go
+++ b/internal/core/primary.go
@@ -3,45 +3,20 @@
 import (
 	"context"
 	"math/rand/v2"
+	"slices"
 	"sync"
 	"time"
 
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/store"
 	"yarrowridge/internal/view"
 )
 
+// learn takes a decided view, if it is newer.
 func (s *Server) learn(v view.View) {
 	if err := s.voter.Learn(v); err != nil {
 		s.failDisk(err)
 	}
 }
 
-// recoverDisk waits until the disk takes a synced file again, then reads all anew from it.
-func (s *Server) recoverDisk() {
-	for env.Wait(s.ctx, 2*time.Second) {
-		if s.disk.Write("probe", []byte("probe")) != nil {
-			continue
-		}
-		s.storeGate.Lock()
-		// A write that got stuck must end before the disk is read anew.
-		s.store.Load().Close()
-		st, err := store.Open(s.disk, s.ctx.Log)
-		if err == nil {
-			s.store.Store(st)
-			s.mu.Lock()
-			s.diskFailed = false
-			s.epoch = 0 // leading starts over, with a fresh copy to the backup
-			s.mu.Unlock()
-			s.ctx.Log.Info("Disk is sound again.")
-		}
-		s.storeGate.Unlock()
-		if err == nil {
-			return
-		}
-	}
-}
-
 // takeStep is the run loop's tick: it does what our place in the view asks for.
 func (s *Server) takeStep() {
 	if s.hasDiskFailed() {
@@ -62,86 +37,110 @@
 	}
 }
 
-func (s *Server) waitTurn(d time.Duration) bool {
+// attemptDue tells whether the next attempt may be made, and if so sets the earliest time of the one after it: a random
+// time around the pause from now, so that members that wait for the same don't hinder one another again and again.
+func (s *Server) attemptDue(pause time.Duration) bool {
 	if time.Now().Before(s.nextAttempt) {
 		return false
 	}
-	s.nextAttempt = time.Now().Add(d/2 + rand.N(d))
+	s.nextAttempt = time.Now().Add(pause/2 + rand.N(pause))
 	return true
 }
 
 // askStatus asks every address what it knows of the core.
-func (s *Server) askStatus(to []string) map[string]view.StatusResponse {
-	ctx, end := context.WithTimeout(s.ctx, stepTimeout)
-	defer end()
-	out := map[string]view.StatusResponse{}
+func (s *Server) askStatus(addrs []string) map[string]view.StatusResponse {
+	ctx, cancel := context.WithTimeout(s.ctx, stepTimeout)
+	defer cancel()
 	var mu sync.Mutex
+	statuses := map[string]view.StatusResponse{}
+	asked := map[string]bool{}
 	var all sync.WaitGroup
-	done := map[string]bool{}
-	for _, a := range to {
-		if done[a] {
+	for _, addr := range addrs {
+		if asked[addr] {
 			continue
 		}
-		done[a] = true
+		asked[addr] = true
 		all.Go(func() {
-			var t view.StatusResponse
-			if s.call(ctx, a, "view.ask", &view.StatusRequest{}, &t) == nil {
+			var status view.StatusResponse
+			if s.call(ctx, addr, "view.ask", &view.StatusRequest{}, &status) == nil {
 				mu.Lock()
-				out[a] = t
-				mu.Unlock()
+				defer mu.Unlock()
+				statuses[addr] = status
 			}
 		})
 	}
 	all.Wait()
-	return out
+	return statuses
 }
 
-// decide tries to bring about the next view, and learns what came of it.
-func (s *Server) decide(cur, next view.View, all bool) bool {
-	t := &view.Proposal{Proposer: s.voter.Id(), Call: s.call, Current: cur, Next: next, Unanimous: all, StepTimeout: stepTimeout, HighestBallot: s.highestBallot}
-	got, err := t.Run(s.ctx)
-	s.highestBallot = t.HighestBallot
+// decide proposes the next view, and learns what came of it. unanimous: every current member must promise.
+func (s *Server) decide(current, next view.View, unanimous bool) bool {
+	proposal := &view.Proposal{
+		Proposer:      s.voter.Id(),
+		Call:          s.call,
+		Current:       current,
+		Next:          next,
+		Unanimous:     unanimous,
+		StepTimeout:   stepTimeout,
+		HighestBallot: s.highestBallot,
+	}
+	decided, err := proposal.Run(s.ctx)
+	s.highestBallot = proposal.HighestBallot
 	if err != nil {
-		s.ctx.Log.Warn("View not decided.", "after", cur.Epoch, "trouble", err.Error())
+		s.ctx.Log.Warn("View not decided.", "after", current.Epoch, "trouble", err.Error())
 		return false
 	}
-	s.learn(got)
-	if got.Epoch == cur.Epoch+1 {
-		to := append(append([]view.Member{}, cur.Members...), got.Members...)
-		for _, m := range to {
-			if m.Id != s.voter.Id() {
-				go func() {
-					ctx, end := context.WithTimeout(s.ctx, stepTimeout)
-					defer end()
-					s.call(ctx, m.Addr, "view.learn", &view.LearnRequest{View: got}, nil)
-				}()
-			}
-		}
+	s.learn(decided)
+	if decided.Epoch == current.Epoch+1 {
+		s.tellMembers(slices.Concat(current.Members, decided.Members), decided)
 	}
 	s.wake()
-	s.ctx.Log.Info("View decided.", "epoch", got.Epoch, "primary", got.Addr(got.Primary), "backups", addrsOf(got, got.Backups()), "members", len(got.Members))
+	s.ctx.Log.Info("View decided.", "epoch", decided.Epoch, "primary", decided.Addr(decided.Primary),
+		"backups", addrsOf(decided, decided.Backups()), "members", len(decided.Members))
 	return true
 }
 
+// tellMembers tells all others of a decided view, and waits for nobody.
+func (s *Server) tellMembers(members []view.Member, decided view.View) {
+	for _, m := range members {
+		if m.Id == s.voter.Id() {
+			continue
+		}
+		go func() {
+			ctx, cancel := context.WithTimeout(s.ctx, stepTimeout)
+			defer cancel()
+			s.call(ctx, m.Addr, "view.learn", &view.LearnRequest{View: decided}, nil)
+		}()
+	}
+}
+
 // isPrimary tells whether we are primary of the epoch now, by a majority's lease.
 func (s *Server) isPrimary(v view.View) bool {
 	s.mu.Lock()
-	ls, ok := s.lease, s.epoch == v.Epoch && !s.diskFailed
+	primacy, leads := s.lease, s.epoch == v.Epoch && !s.diskFailed
 	s.mu.Unlock()
-	return ok && ls.Stands(v.IsMajority) && s.voter.View().Epoch == v.Epoch
+	return leads && primacy.Stands(v.IsMajority) && s.voter.View().Epoch == v.Epoch
+}
+
+// isReady tells whether we take writes, for as long as we are primary.
+func (s *Server) isReady() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.ready
 }
 
-func (s *Server) setReady(to bool) {
+// setReady begins or ends the taking of writes.
+func (s *Server) setReady(ready bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ready = to
+	s.ready = ready
 }
 
-// becomeReady opens for writes: the backup holds all we hold, and the lease stands.
+// becomeReady opens for writes: the backups hold all we hold, and the lease stands.
 func (s *Server) becomeReady(v view.View) {
-	var sheet StoredConfig
-	if raw, ok := s.store.Load().Get("layout"); ok {
-		if _, err := sheet.UnmarshalMsg(raw); err != nil {
+	var config StoredConfig
+	if raw, ok := s.store.Load().Get(configKey); ok {
+		if _, err := config.UnmarshalMsg(raw); err != nil {
 			s.ctx.Log.Error("Stored layout unread.", "trouble", err.Error())
 			return
 		}
@@ -149,51 +148,54 @@
 	s.finishedKeys.load(s.store.Load())
 	s.mu.Lock()
 	s.registry.Begin(registryEpoch(v.Epoch, s.ctx.Born), s.ledSince, time.Now(), s.storedRunners())
-	s.ready, s.config, s.readySince = true, sheet, time.Now()
+	s.ready, s.config, s.readySince = true, config, time.Now()
 	s.routersBefore = s.rememberedRouters()
 	s.mu.Unlock()
-	s.ctx.Log.Info("Primary is ready.", "epoch", v.Epoch, "backups", addrsOf(v, v.Backups()), "sequence", sheet.Version)
+	s.ctx.Log.Info("Primary is ready.", "epoch", v.Epoch, "backups", addrsOf(v, v.Backups()), "sequence", config.Version)
 }
 
+// stepDownTimeout is how long a planned stop waits for the backup to lead.
+const stepDownTimeout = 2 * time.Second
+
 // StepDown hands the primacy to the backup, which holds all we hold, before a planned stop.
 //
 //	srv.StepDown()
 func (s *Server) StepDown() {
-	j := &job{done: make(chan error, 1), step: func() {
-		v, me := s.voter.View(), s.voter.Id()
-		s.mu.Lock()
-		ready := s.ready
-		s.mu.Unlock()
-		if v.Primary != me || !ready {
-			return
-		}
-		next, ok := s.afterLeaving(v)
-		if !ok {
-			return
-		}
-		s.setReady(false)
-		if s.decide(v, next, false) {
-			s.tellSuccessor()
-		}
-	}}
-	t := time.NewTimer(2 * time.Second)
-	defer t.Stop()
+	operation := &job{done: make(chan error, 1), step: s.stepDown}
+	timeout := time.NewTimer(stepDownTimeout)
+	defer timeout.Stop()
 	select {
-	case s.jobs <- j:
-	case <-t.C:
+	case s.jobs <- operation:
+	case <-timeout.C:
 		return
 	}
 	select {
-	case <-j.done:
-	case <-t.C:
+	case <-operation.done:
+	case <-timeout.C:
+	}
+}
+
+// stepDown has the first backup lead. Only the run loop calls it.
+func (s *Server) stepDown() {
+	v := s.voter.View()
+	if v.Primary != s.voter.Id() || !s.isReady() {
+		return
+	}
+	next, ok := s.afterLeaving(v)
+	if !ok {
+		return
+	}
+	s.setReady(false)
+	if s.decide(v, next, false) {
+		s.tellSuccessor()
 	}
 }
 
 // tellSuccessor waits until the primary of the newest view knows it: the process that decided it is about to end.
 func (s *Server) tellSuccessor() {
 	v := s.voter.View()
-	ctx, end := context.WithTimeout(s.ctx, stepTimeout)
-	defer end()
+	ctx, cancel := context.WithTimeout(s.ctx, stepTimeout)
+	defer cancel()
 	if err := s.call(ctx, v.Addr(v.Primary), "view.learn", &view.LearnRequest{View: v}, nil); err != nil {
 		s.ctx.Log.Warn("The next primary was not told.", "peer", v.Addr(v.Primary), "trouble", err.Error())
 	}
--- a/internal/core/push.go
+++ b/internal/core/push.go
@@ -7,11 +7,14 @@
 	"yarrowridge/internal/relay"
 )
 
-// push hands records to the first nodes of every zone and waits a quarter second at most, so
+// pushTimeout is how long a push waits for the nodes.
+const pushTimeout = 250 * time.Millisecond
+
+// push hands records to the first nodes of every zone and waits for pushTimeout at most, so
 // that the news outlives us once we have answered.
 func (s *Server) push(records ...relay.Record) { s.pushTo(2, records) }
 
-// pushRunners is push for runners. A primary that has just begun has named no roll yet: routers that have
+// pushRunners is push for runners. A primary that has just begun has named no nodes yet: routers that have
 // none from before can't hand news on, so all are told.
 func (s *Server) pushRunners(records ...relay.Record) {
 	perZone := 2
@@ -25,24 +28,24 @@
 
 // pushTo hands records to so many nodes of every zone.
 func (s *Server) pushTo(perZone int, records []relay.Record) {
-	ctx, end := context.WithTimeout(s.ctx, 250*time.Millisecond)
+	ctx, cancel := context.WithTimeout(s.ctx, pushTimeout)
+	defer cancel()
 	s.mu.Lock()
-	all := s.liveNodes()
+	nodes := s.liveNodes()
 	s.mu.Unlock()
-	tell := relay.News{Records: records}
-	zones := map[string]int{}
-	done := make(chan bool, len(all))
+	news := relay.News{Records: records}
+	inZone := map[string]int{}
+	done := make(chan bool, len(nodes))
 	sent := 0
-	for _, n := range all {
-		if zones[n.Zone]++; zones[n.Zone] > perZone {
+	for _, n := range nodes {
+		if inZone[n.Zone]++; inZone[n.Zone] > perZone {
 			continue
 		}
 		sent++
 		go func() {
-			done <- s.caller.Call(ctx, n.Addr, "node.tell", &tell, nil) == nil
+			done <- s.caller.Call(ctx, n.Addr, "node.tell", &news, nil) == nil
 		}()
 	}
-	defer end()
 	for range sent {
 		select {
 		case <-done:
--- a/internal/core/quota_test.go
+++ b/internal/core/quota_test.go
@@ -16,19 +16,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	st, err := store.Open(disk, slog.New(slog.DiscardHandler))
+	opened, err := store.Open(disk, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &Server{poolCache: poolCache{}, scarceSince: map[string]time.Time{}, firstSeen: map[string]time.Time{}}
-	s.store.Store(st)
-	return s, st
+	s := &Server{runLoopState: newRunLoopState(), scarceSince: map[string]time.Time{}}
+	s.store.Store(opened)
+	return s, opened
 }
 
 // A pool is decoded once, and one that a failed job or a failed batch changed is read anew.
 func TestPotsAreReadAnewAfterAFailure(t *testing.T) {
-	s, st := quotaServer(t)
-	begin := func() *Tx { return &Tx{store: st, newest: map[string]*store.Put{}} }
+	s, opened := quotaServer(t)
+	begin := func() *Tx { return &Tx{store: opened, newest: map[string]*store.Put{}} }
 	draw := func(tx *Tx, turn uint64) int {
 		out, err := s.moveIn(tx, "a", &QuotaMove{Tenant: "t", Turn: turn, Units: 1}, &Document{Quotas: map[string]int{"t": 100}})
 		if err != nil {
@@ -37,7 +37,7 @@
 		return out.Held
 	}
 	commit := func(tx *Tx) {
-		if err := st.Add(store.Batch{Seq: st.Seq() + 1, Puts: tx.newestPuts()}); err != nil {
+		if err := opened.Add(store.Batch{Seq: opened.Seq() + 1, Puts: tx.newestPuts()}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -63,9 +63,9 @@
 		t.Errorf("%d units after a lost batch and an undone job, 3 expected", have)
 	}
 	commit(tx)
-	p, err := s.poolCache.get(begin(), "t")
-	if err != nil || p.Held["a"] != (share.Hold{Turn: 3, Units: 3}) {
-		t.Errorf("pot %+v, %v", p, err)
+	pool, err := s.poolCache.get(begin(), "t")
+	if err != nil || pool.Held["a"] != (share.Hold{Turn: 3, Units: 3}) {
+		t.Errorf("pot %+v, %v", pool, err)
 	}
 }
 
@@ -76,20 +76,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	st, err := store.Open(disk, slog.New(slog.DiscardHandler))
+	opened, err := store.Open(disk, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &Server{poolCache: poolCache{}, scarceSince: map[string]time.Time{}}
-	s.store.Store(st)
-	tx := &Tx{store: st, newest: map[string]*store.Put{}}
+	s := &Server{runLoopState: newRunLoopState(), scarceSince: map[string]time.Time{}}
+	s.store.Store(opened)
+	tx := &Tx{store: opened, newest: map[string]*store.Put{}}
 	if err := s.poolCache.put(tx, "t", &share.QuotaPool{Cool: map[string]int{"dead/1": 10}}); err != nil {
 		t.Fatal(err)
 	}
-	doc := &Document{Quotas: map[string]int{"t": 10}, Tolerances: map[string]int{"t": 4}}
+	document := &Document{Quotas: map[string]int{"t": 10}, Tolerances: map[string]int{"t": 4}}
 	held, spent := 0, 0
-	for _, who := range []string{"a", "b", "c", "d"} {
-		out, err := s.moveIn(tx, who, &QuotaMove{Tenant: "t", Turn: 1, Units: 1}, doc)
+	for _, holder := range []string{"a", "b", "c", "d"} {
+		out, err := s.moveIn(tx, holder, &QuotaMove{Tenant: "t", Turn: 1, Units: 1}, document)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -117,16 +117,16 @@
 
 // After a restart of a whole fleet the units of all earlier runs cool with one write of each pool.
 func TestAllReplacedRunsCoolTogether(t *testing.T) {
-	s, st := quotaServer(t)
-	tx := &Tx{store: st, newest: map[string]*store.Put{}}
+	s, opened := quotaServer(t)
+	tx := &Tx{store: opened, newest: map[string]*store.Put{}}
 	pool := &share.QuotaPool{Held: map[string]share.Hold{"a@1/1": {Units: 2, Turn: 1}, "b@2/1": {Units: 3, Turn: 1}, "c@3/1": {Units: 4, Turn: 1}}}
 	if err := s.poolCache.put(tx, "t", pool); err != nil {
 		t.Fatal(err)
 	}
-	if err := st.Add(store.Batch{Seq: 1, Puts: tx.newestPuts()}); err != nil {
+	if err := opened.Add(store.Batch{Seq: 1, Puts: tx.newestPuts()}); err != nil {
 		t.Fatal(err)
 	}
-	tx = &Tx{store: st, newest: map[string]*store.Put{}}
+	tx = &Tx{store: opened, newest: map[string]*store.Put{}}
 	ended := time.Now().Add(-time.Second)
 	if !s.replaced.add("a@1", replacedRun{"a@1/2", ended}) || s.replaced.add("b@2", replacedRun{"b@2/2", ended}) {
 		t.Error("the first place alone starts the gathering")
--- /dev/null
+++ b/internal/core/quotapools.go
@@ -0,0 +1,77 @@
+package core
+
+import (
+	"strings"
+
+	"yarrowridge/internal/share"
+	"yarrowridge/internal/store"
+)
+
+// poolCache keeps the decoded pools of tenants: each has an entry for every router, and is read and written with
+// every move. Only the run loop touches it.
+type poolCache map[string]*cachedPool
+
+// cachedPool is a pool and the bytes that it was decoded from or encoded to. It is good for as long as the
+// store, or the batch under way, has these very bytes.
+type cachedPool struct {
+	raw  []byte
+	pool share.QuotaPool
+}
+
+// get gives a tenant's pool as the batch under way has it. One that is changed must be put.
+func (c poolCache) get(tx *Tx, tenant string) (*share.QuotaPool, error) {
+	raw, ok := tx.Get(poolKey(tenant))
+	if !ok {
+		return &share.QuotaPool{}, nil
+	}
+	if known := c[tenant]; known != nil && len(raw) > 0 && len(raw) == len(known.raw) && &raw[0] == &known.raw[0] {
+		return &known.pool, nil
+	}
+	fresh := &cachedPool{raw: raw}
+	if _, err := fresh.pool.UnmarshalMsg(raw); err != nil {
+		return nil, err
+	}
+	c[tenant] = fresh
+	return &fresh.pool, nil
+}
+
+// put puts a changed pool.
+func (c poolCache) put(tx *Tx, tenant string, pool *share.QuotaPool) error {
+	delete(c, tenant)
+	raw, err := pool.MarshalMsg(nil)
+	if err != nil {
+		return err
+	}
+	tx.add(store.Put{Key: poolKey(tenant), Val: raw})
+	c[tenant] = &cachedPool{raw: raw, pool: *pool}
+	return nil
+}
+
+// poolPrefix begins the keys of pools.
+const poolPrefix = "share/"
+
+// poolKey is the key of a tenant's pool.
+func poolKey(tenant string) string { return poolPrefix + tenant }
+
+// poolTenants lists the tenants that have a pool in the committed state.
+func poolTenants(tx *Tx) []string {
+	var tenants []string
+	tx.store.Each(poolPrefix, func(key string, _ []byte) { tenants = append(tenants, strings.TrimPrefix(key, poolPrefix)) })
+	return tenants
+}
+
+// updatePools calls update for each pool, and puts those for which it was true.
+func (s *Server) updatePools(tx *Tx, update func(tenant string, pool *share.QuotaPool) bool) error {
+	for _, tenant := range poolTenants(tx) {
+		pool, err := s.poolCache.get(tx, tenant)
+		if err != nil {
+			return err
+		}
+		if update(tenant, pool) {
+			if err := s.poolCache.put(tx, tenant, pool); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/core/quotascarce.go
@@ -0,0 +1,38 @@
+package core
+
+import (
+	"sort"
+	"time"
+
+	"yarrowridge/internal/share"
+)
+
+// smallQuotaDivisor is the part of a small quota from which on idle units are wanted back: there are more routers than
+// units, and each that has some idle keeps them from many others.
+const smallQuotaDivisor = 2
+
+// noteScarce notes that idle units of a tenant are wanted back: since a draw got none, or soon may get none.
+func (s *Server) noteScarce(tenant string, none bool, quota, free int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if none || share.IsSmall(quota, len(s.nodes)) && free < quota/smallQuotaDivisor {
+		s.scarceSince[tenant] = time.Now()
+	}
+}
+
+// scarceFor is how long idle units of a tenant are wanted back after a draw that got too little.
+const scarceFor = 5 * time.Second
+
+// scarceTenants lists the tenants whose idle units are wanted back. The caller holds the lock.
+func (s *Server) scarceTenants() []string {
+	var tenants []string
+	for tenant, since := range s.scarceSince {
+		if time.Since(since) < scarceFor {
+			tenants = append(tenants, tenant)
+		} else {
+			delete(s.scarceSince, tenant)
+		}
+	}
+	sort.Strings(tenants)
+	return tenants
+}
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -6,7 +6,6 @@
 	"sync"
 	"time"
 
-	"yarrowridge/internal/relay"
 	"yarrowridge/internal/routing"
 	"yarrowridge/internal/wire"
 )
@@ -41,7 +40,7 @@
 	runner  routing.Runner
 	heardAt time.Time       // its last heartbeat
 	version uint64          // of its last change
-	told    <-chan struct{} // its last announcement; nil: none in this epoch
+	told    <-chan struct{} // closed when routers were told its last change; nil: there was none in this epoch
 }
 
 // NewRunnerRegistry makes an empty registry. A runner unheard for the silence span is silent. announce is
@@ -131,12 +130,12 @@
 	}
 }
 
-// Tell answers a router's beat with the runners changed since the version that it has, or with all.
+// Tell answers a router's heartbeat with the runners changed since the version that it has, or with all.
 // Only a list sent once the registry has settled lets the router drop runners that are not named.
 //
-//	registry.Tell(&beat, &told, time.Now())
-func (r *RunnerRegistry) Tell(beat *HeartbeatRequest, told *HeartbeatResponse, now time.Time) {
-	if !beat.RunnersWanted {
+//	registry.Tell(&request, &response, time.Now())
+func (r *RunnerRegistry) Tell(request *HeartbeatRequest, response *HeartbeatResponse, now time.Time) {
+	if !request.RunnersWanted {
 		return
 	}
 	r.mu.Lock()
@@ -146,31 +145,31 @@
 		r.version++ // so that a router which has the registry from before gets a whole list
 		r.settled = r.version
 	}
-	has := beat.RunnersVersion
-	all := beat.RunnersEpoch != r.epoch || has == 0 || has < r.settled || has > r.version
-	told.RunnersEpoch, told.RunnersVersion = r.epoch, r.version
-	if r.holdsAll(beat) {
+	has := request.RunnersVersion
+	all := request.RunnersEpoch != r.epoch || has == 0 || has < r.settled || has > r.version
+	response.RunnersEpoch, response.RunnersVersion = r.epoch, r.version
+	if r.holdsAll(request) {
 		return
 	}
-	told.RunnersWhole = all && r.settled > 0
+	response.RunnersWhole = all && r.settled > 0
 	for _, known := range r.runners {
 		if all || known.version > has {
-			told.Runners = append(told.Runners, known.runner)
+			response.Runners = append(response.Runners, known.runner)
 		}
 	}
-	sort.Slice(told.Runners, func(i, j int) bool { return told.Runners[i].ID < told.Runners[j].ID })
+	sort.Slice(response.Runners, func(i, j int) bool { return response.Runners[i].ID < response.Runners[j].ID })
 }
 
 // holdsAll tells whether a router that asks for a whole list has exactly that; the caller holds the lock.
-func (r *RunnerRegistry) holdsAll(beat *HeartbeatRequest) bool {
-	if beat.RunnersEpoch != r.epoch || beat.RunnersVersion != 0 || beat.RunnersDigest == 0 {
+func (r *RunnerRegistry) holdsAll(request *HeartbeatRequest) bool {
+	if request.RunnersEpoch != r.epoch || request.RunnersVersion != 0 || request.RunnersDigest == 0 {
 		return false
 	}
 	digest := uint64(0)
 	for _, known := range r.runners {
 		digest ^= known.runner.Digest()
 	}
-	return digest == beat.RunnersDigest
+	return digest == request.RunnersDigest
 }
 
 // Known gives what stands of a runner; without an ID where nothing does.
@@ -202,21 +201,21 @@
 
 // takeRunner takes a runner's heartbeat. A change of state is handed to the first routers of every zone
 // before it is acknowledged, so that it outlives us.
-func (s *Server) takeRunner(ctx context.Context, in *RunnerHeartbeat) (*Empty, error) {
+func (s *Server) takeRunner(ctx context.Context, request *RunnerHeartbeat) (*Empty, error) {
 	if err := s.requirePrimary(); err != nil {
 		return nil, err
 	}
-	switch in.Runner.State {
+	switch request.Runner.State {
 	case routing.RunnerReady, routing.RunnerDraining, routing.RunnerGone:
 	default:
 		return nil, wire.Fault{Code: InvalidRunner}
 	}
-	if in.Runner.ID == "" {
+	if request.Runner.ID == "" {
 		return nil, wire.Fault{Code: InvalidRunner}
 	}
-	told := s.registry.Heartbeat(in.Runner, time.Now())
+	told := s.registry.Heartbeat(request.Runner, time.Now())
 	// A late heartbeat says what is no longer so: kept is what stands.
-	if err := s.storeRunner(ctx, s.registry.Known(in.Runner.ID)); err != nil {
+	if err := s.storeRunner(ctx, s.registry.Known(request.Runner.ID)); err != nil {
 		return nil, err
 	}
 	if told != nil {
@@ -224,55 +223,3 @@
 	}
 	return &Empty{}, nil
 }
-
-// announce pushes a runner's word to routers, with others that come close to it.
-func (s *Server) announce(runner routing.Runner) <-chan struct{} {
-	body, err := runner.MarshalMsg(nil)
-	if err != nil {
-		return nil
-	}
-	return s.runnerNews.add(relay.Record{Key: relay.RunnerPrefix + runner.ID, Version: runner.Sequence, Body: body}, s.pushRunners)
-}
-
-// runnerNews gathers changes of runners that come close together, and pushes them as one.
-type runnerNews struct {
-	mu   sync.Mutex
-	next *runnerBatch
-}
-
-type runnerBatch struct {
-	recs []relay.Record
-	done chan struct{} // closed once the push has ended
-}
-
-// add puts a record into the next batch. The channel is closed once the batch has been pushed.
-func (n *runnerNews) add(record relay.Record, push func(...relay.Record)) <-chan struct{} {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	batch := n.next
-	if batch == nil {
-		batch = &runnerBatch{done: make(chan struct{})}
-		n.next = batch
-		go n.send(batch, push)
-	}
-	batch.recs = append(batch.recs, record)
-	return batch.done
-}
-
-// send waits a moment for more changes, and pushes the batch. Batches don't wait for each other.
-func (n *runnerNews) send(batch *runnerBatch, push func(...relay.Record)) {
-	time.Sleep(runnerGatherSpan)
-	n.mu.Lock()
-	n.next = nil
-	n.mu.Unlock()
-	push(batch.recs...)
-	close(batch.done)
-}
-
-// SendRunnerHeartbeat tells the primary a runner's heartbeat, whichever core that is. It may be repeated: a
-// heartbeat that was taken before changes nothing.
-//
-//	err := client.SendRunnerHeartbeat(ctx, runner)
-func (c *Client) SendRunnerHeartbeat(ctx context.Context, runner routing.Runner) error {
-	return c.Call(ctx, "core.runner", &RunnerHeartbeat{Runner: runner}, &Empty{}, true)
-}
--- a/internal/core/registry_test.go
+++ b/internal/core/registry_test.go
@@ -30,16 +30,16 @@
 }
 
 // beat tells whether the heartbeat was announced to routers.
-func (r *registryAt) beat(id string, sequence uint64, state routing.RunnerState) bool {
+func (r *registryAt) beat(id string, version uint64, state routing.RunnerState) bool {
 	before := r.announced
-	r.Heartbeat(routing.Runner{ID: id, Address: id + ":1", State: state, Sequence: sequence, Slots: 4}, r.now)
+	r.Heartbeat(routing.Runner{ID: id, Address: id + ":1", State: state, Sequence: version, Slots: 4}, r.now)
 	return r.announced > before
 }
 
 func (r *registryAt) tell(epoch, version uint64) *HeartbeatResponse {
-	var told HeartbeatResponse
-	r.Tell(&HeartbeatRequest{RunnersWanted: true, RunnersEpoch: epoch, RunnersVersion: version}, &told, r.now)
-	return &told
+	var response HeartbeatResponse
+	r.Tell(&HeartbeatRequest{RunnersWanted: true, RunnersEpoch: epoch, RunnersVersion: version}, &response, r.now)
+	return &response
 }
 
 func (r *registryAt) state(id string) routing.RunnerState {
@@ -133,9 +133,9 @@
 		t.Errorf("a is %s after just the span", got)
 	}
 	r.now = r.now.Add(200 * time.Millisecond)
-	told := r.tell(1, seen)
-	if len(told.Runners) != 2 || told.Runners[0].State != routing.RunnerSilent || told.Runners[1].State != routing.RunnerSilent {
-		t.Errorf("told %+v", told.Runners)
+	response := r.tell(1, seen)
+	if len(response.Runners) != 2 || response.Runners[0].State != routing.RunnerSilent || response.Runners[1].State != routing.RunnerSilent {
+		t.Errorf("told %+v", response.Runners)
 	}
 	if r.beat("a", 1, routing.RunnerReady); r.state("a") != routing.RunnerSilent {
 		t.Error("a repeated heartbeat ended the silence")
@@ -181,20 +181,20 @@
 	for i := range 5 {
 		r.beat(fmt.Sprint("r", i), 1, routing.RunnerReady)
 	}
-	told := r.tell(0, 0)
-	if len(told.Runners) != 5 || !told.RunnersWhole {
-		t.Errorf("a router without any gets %d, whole %v", len(told.Runners), told.RunnersWhole)
+	response := r.tell(0, 0)
+	if len(response.Runners) != 5 || !response.RunnersWhole {
+		t.Errorf("a router without any gets %d, whole %v", len(response.Runners), response.RunnersWhole)
 	}
 	r.beat("r3", 2, routing.RunnerDraining)
-	told = r.tell(told.RunnersEpoch, told.RunnersVersion)
-	if len(told.Runners) != 1 || told.Runners[0].ID != "r3" || told.RunnersWhole {
-		t.Errorf("one change told as %+v, whole %v", told.Runners, told.RunnersWhole)
+	response = r.tell(response.RunnersEpoch, response.RunnersVersion)
+	if len(response.Runners) != 1 || response.Runners[0].ID != "r3" || response.RunnersWhole {
+		t.Errorf("one change told as %+v, whole %v", response.Runners, response.RunnersWhole)
 	}
 	r.Begin(2, r.now, r.now, nil)
 	r.beat("r1", 7, routing.RunnerReady)
 	// The router's version is above the new epoch's: the epoch counts.
-	next := r.tell(told.RunnersEpoch, told.RunnersVersion)
-	if next.RunnersEpoch == told.RunnersEpoch || len(next.Runners) != 1 || next.RunnersWhole {
+	next := r.tell(response.RunnersEpoch, response.RunnersVersion)
+	if next.RunnersEpoch == response.RunnersEpoch || len(next.Runners) != 1 || next.RunnersWhole {
 		t.Errorf("a new primary told %+v", next)
 	}
 	var none HeartbeatResponse
@@ -217,16 +217,16 @@
 	}
 	r.now = r.now.Add(registrySettleAfter - time.Millisecond)
 	r.beat("a", 2, routing.RunnerReady)
-	if told := r.tell(early.RunnersEpoch, early.RunnersVersion); told.RunnersWhole || len(told.Runners) > 0 {
-		t.Errorf("told %+v before the span was over", told)
+	if response := r.tell(early.RunnersEpoch, early.RunnersVersion); response.RunnersWhole || len(response.Runners) > 0 {
+		t.Errorf("told %+v before the span was over", response)
 	}
 	r.now = r.now.Add(time.Millisecond)
 	whole := r.tell(early.RunnersEpoch, early.RunnersVersion)
 	if !whole.RunnersWhole || len(whole.Runners) != 1 {
 		t.Errorf("after the span: whole %v with %d", whole.RunnersWhole, len(whole.Runners))
 	}
-	if told := r.tell(whole.RunnersEpoch, whole.RunnersVersion); told.RunnersWhole || len(told.Runners) > 0 {
-		t.Errorf("the whole list came twice: %+v", told)
+	if response := r.tell(whole.RunnersEpoch, whole.RunnersVersion); response.RunnersWhole || len(response.Runners) > 0 {
+		t.Errorf("the whole list came twice: %+v", response)
 	}
 }
 
@@ -241,8 +241,8 @@
 	whole := r.tell(0, 0)
 	r.now = r.now.Add(20 * time.Second)
 	r.Begin(3, led, r.now, nil)
-	if told := r.tell(whole.RunnersEpoch, whole.RunnersVersion); told.RunnersEpoch != whole.RunnersEpoch || told.RunnersWhole || len(told.Runners) > 0 {
-		t.Errorf("right after a pause told %+v", told)
+	if response := r.tell(whole.RunnersEpoch, whole.RunnersVersion); response.RunnersEpoch != whole.RunnersEpoch || response.RunnersWhole || len(response.Runners) > 0 {
+		t.Errorf("right after a pause told %+v", response)
 	}
 	if a, silent := r.state("a"), r.state("silent"); a != routing.RunnerReady || silent != routing.RunnerSilent {
 		t.Errorf("right after a pause: %s, %s", a, silent)
@@ -280,8 +280,8 @@
 	for i := range 10_000 {
 		r.Heartbeat(routing.Runner{ID: fmt.Sprintf("runner-%032d", i), Address: "10.100.100.100:10000", Zone: "zone", Service: "service-name", State: routing.RunnerReady, Sequence: 1}, r.now)
 	}
-	told := r.tell(0, 0)
-	if size := told.Msgsize(); size > wire.Most {
+	response := r.tell(0, 0)
+	if size := response.Msgsize(); size > wire.Most {
 		t.Errorf("ten thousand runners take %d bytes, a frame %d", size, wire.Most)
 	}
 }
@@ -295,36 +295,36 @@
 	r.beat("a", 2, routing.RunnerReady)
 	r.beat("b", 2, routing.RunnerReady)
 	ask := func(epoch uint64, runners []routing.Runner) *HeartbeatResponse {
-		var told HeartbeatResponse
-		beat := HeartbeatRequest{RunnersWanted: true, RunnersEpoch: epoch}
+		var response HeartbeatResponse
+		request := HeartbeatRequest{RunnersWanted: true, RunnersEpoch: epoch}
 		for _, runner := range runners {
-			beat.RunnersDigest ^= runner.Digest()
+			request.RunnersDigest ^= runner.Digest()
 		}
-		r.Tell(&beat, &told, r.now)
-		return &told
+		r.Tell(&request, &response, r.now)
+		return &response
 	}
 	has := r.tell(0, 0).Runners
-	if told := ask(1, has); len(told.Runners) > 0 || told.RunnersWhole || told.RunnersEpoch != 1 || told.RunnersVersion == 0 {
-		t.Errorf("an equal list: %+v", told)
+	if response := ask(1, has); len(response.Runners) > 0 || response.RunnersWhole || response.RunnersEpoch != 1 || response.RunnersVersion == 0 {
+		t.Errorf("an equal list: %+v", response)
 	}
 	r.beat("a", 3, routing.RunnerReady) // a heartbeat alone is nothing that routers must know
-	if told := ask(1, has); len(told.Runners) > 0 {
-		t.Errorf("after a heartbeat that says the same: %+v", told)
+	if response := ask(1, has); len(response.Runners) > 0 {
+		t.Errorf("after a heartbeat that says the same: %+v", response)
 	}
-	for name, told := range map[string]*HeartbeatResponse{"another primary's list": ask(7, has), "one runner less": ask(1, has[:1]), "none": ask(1, nil)} {
-		if len(told.Runners) != 2 || !told.RunnersWhole {
-			t.Errorf("%s: %+v", name, told)
+	for name, response := range map[string]*HeartbeatResponse{"another primary's list": ask(7, has), "one runner less": ask(1, has[:1]), "none": ask(1, nil)} {
+		if len(response.Runners) != 2 || !response.RunnersWhole {
+			t.Errorf("%s: %+v", name, response)
 		}
 	}
 	r.beat("a", 4, routing.RunnerDraining)
-	if told := ask(1, has); len(told.Runners) != 2 || !told.RunnersWhole {
-		t.Errorf("after a change of state: %+v", told)
+	if response := ask(1, has); len(response.Runners) != 2 || !response.RunnersWhole {
+		t.Errorf("after a change of state: %+v", response)
 	}
 	has = r.tell(0, 0).Runners
 	r.beat("a", 5, routing.RunnerDraining)
 	r.now = r.now.Add(runnerForgetAfter + time.Second)
 	r.beat("a", 6, routing.RunnerDraining)
-	if told := ask(1, has); len(told.Runners) != 1 || !told.RunnersWhole {
-		t.Errorf("after a runner was forgotten: %+v", told)
+	if response := ask(1, has); len(response.Runners) != 1 || !response.RunnersWhole {
+		t.Errorf("after a runner was forgotten: %+v", response)
 	}
 }
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -6,8 +6,9 @@
 	"yarrowridge/internal/wire"
 )
 
-// checkPrimary tells whether we may hold state for this view's primary; anything older is bounced.
-func (s *Server) checkPrimary(v view.View, from string, seat bool) error {
+// checkPrimary tells whether we may store state for this view's primary; anything older is rejected. A batch is stored by
+// backups of the view only, a snapshot by any member: it is how one becomes a backup.
+func (s *Server) checkPrimary(v view.View, primary string, asBackup bool) error {
 	if s.hasDiskFailed() {
 		return wire.Fault{Code: DiskFailed}
 	}
@@ -15,67 +16,78 @@
 		s.failDisk(err)
 		return wire.Fault{Code: DiskFailed}
 	}
-	cur := s.voter.View()
-	if cur.Epoch != v.Epoch || cur.Primary != from {
+	current := s.voter.View()
+	if current.Epoch != v.Epoch || current.Primary != primary {
 		return wire.Fault{Code: StaleEpoch}
 	}
 	me := s.voter.Id()
-	if !cur.IsBackup(me) && (seat || !cur.HasMember(me)) {
+	if !current.IsBackup(me) && (asBackup || !current.HasMember(me)) {
 		return wire.Fault{Code: "not-backup"}
 	}
 	return nil
 }
 
-func (s *Server) takeBatch(in *ReplicateRequest) (*ReplicateResponse, error) {
+// takeBatch stores a batch as a backup.
+func (s *Server) takeBatch(request *ReplicateRequest) (*ReplicateResponse, error) {
 	s.storeGate.Lock()
 	defer s.storeGate.Unlock()
-	if err := s.checkPrimary(in.View, in.Primary, true); err != nil {
+	if err := s.checkPrimary(request.View, request.Primary, true); err != nil {
 		return nil, err
 	}
-	st := s.store.Load()
-	if in.Batch.Base || in.Batch.Seq != st.Seq()+1 {
+	replica := s.store.Load()
+	if request.Batch.Base || request.Batch.Seq != replica.Seq()+1 {
 		return nil, wire.Fault{Code: "behind"}
 	}
-	if err := st.Add(in.Batch); err != nil {
+	if err := replica.Add(request.Batch); err != nil {
 		s.failDisk(err)
 		return nil, wire.Fault{Code: DiskFailed}
 	}
-	go func() { // the primary need not wait for it
-		s.storeGate.Lock()
-		defer s.storeGate.Unlock()
-		if err := st.Tidy(); err != nil {
-			s.failDisk(err)
-		}
-	}()
+	go s.tidy(replica) // the primary need not wait for it
 	return &ReplicateResponse{Id: s.voter.Id()}, nil
 }
 
-func (s *Server) takeSnapshot(in *SnapshotRequest) (*ReplicateResponse, error) {
+// tidy folds stored batches into one where there are many.
+func (s *Server) tidy(replica *store.Store) {
+	s.storeGate.Lock()
+	defer s.storeGate.Unlock()
+	if err := replica.Tidy(); err != nil {
+		s.failDisk(err)
+	}
+}
+
+// takeSnapshot takes one part of the primary's whole state, and with the last one replaces ours by it.
+func (s *Server) takeSnapshot(request *SnapshotRequest) (*ReplicateResponse, error) {
 	s.storeGate.Lock()
 	defer s.storeGate.Unlock()
-	if err := s.checkPrimary(in.View, in.Primary, false); err != nil {
+	if err := s.checkPrimary(request.View, request.Primary, false); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
-	c := s.incoming
-	if in.Part == 0 {
-		c = &incomingSnapshot{epoch: in.View.Epoch, snapshot: in.Snapshot}
-		s.incoming = c
+	incoming := s.incoming
+	if request.Part == 0 {
+		incoming = &incomingSnapshot{epoch: request.View.Epoch, snapshot: request.Snapshot}
+		s.incoming = incoming
 	}
 	s.mu.Unlock()
-	if c == nil || c.epoch != in.View.Epoch || c.snapshot != in.Snapshot || c.part != in.Part {
+	if incoming == nil || !incoming.expects(request) {
 		return nil, wire.Fault{Code: "copy-out-of-step"}
 	}
-	c.part++
-	c.puts = append(c.puts, in.Puts...)
-	if in.Last {
+	incoming.part++
+	incoming.puts = append(incoming.puts, request.Puts...)
+	if request.Last {
 		s.mu.Lock()
 		s.incoming = nil
 		s.mu.Unlock()
-		if err := s.store.Load().Add(store.Batch{Seq: in.Version, Base: true, Puts: c.puts}); err != nil {
+		whole := store.Batch{Seq: request.Version, Base: true, Puts: incoming.puts}
+		if err := s.store.Load().Add(whole); err != nil {
 			s.failDisk(err)
 			return nil, wire.Fault{Code: DiskFailed}
 		}
 	}
 	return &ReplicateResponse{Id: s.voter.Id()}, nil
 }
+
+// expects tells whether a part is the next one of this snapshot.
+func (i *incomingSnapshot) expects(request *SnapshotRequest) bool {
+	return i.epoch == request.View.Epoch && i.snapshot == request.Snapshot && i.part == request.Part
+}
--- /dev/null
+++ b/internal/core/replicate.go
@@ -0,0 +1,112 @@
+package core
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/rotisserie/eris"
+	"github.com/tinylib/msgp/msgp"
+
+	"yarrowridge/internal/store"
+	"yarrowridge/internal/view"
+)
+
+// copyAll brings backups to exactly our state, those that are not there yet, and tells which are.
+func (s *Server) copyAll(v view.View, ids []string) []string {
+	var todo []string
+	for _, id := range ids {
+		if !s.copiedTo[id] {
+			todo = append(todo, id)
+		}
+	}
+	if len(todo) > 0 {
+		whole := s.store.Load().Whole()
+		s.snapshots++
+		failed := callAll(todo, func(id string) bool { return s.copyTo(v, id, whole, s.snapshots) })
+		for _, id := range todo {
+			s.copiedTo[id] = true
+		}
+		s.noteFailed(failed)
+	}
+	var out []string
+	for _, id := range ids {
+		if s.copiedTo[id] {
+			out = append(out, id)
+		}
+	}
+	return out
+}
+
+// callAll calls do for all identities at once and tells for which it was false.
+func callAll(ids []string, do func(id string) bool) []string {
+	var mu sync.Mutex
+	var all sync.WaitGroup
+	var failed []string
+	for _, id := range ids {
+		all.Go(func() {
+			if !do(id) {
+				mu.Lock()
+				defer mu.Unlock()
+				failed = append(failed, id)
+			}
+		})
+	}
+	all.Wait()
+	return failed
+}
+
+// noteFailed notes backups that do not hold what we hold.
+func (s *Server) noteFailed(ids []string) {
+	for _, id := range ids {
+		delete(s.copiedTo, id)
+		s.failedAt[id] = time.Now()
+	}
+}
+
+// copyTo sends our whole state to one backup, in parts.
+func (s *Server) copyTo(v view.View, id string, whole store.Batch, snapshot uint64) bool {
+	request := SnapshotRequest{View: v, Primary: s.voter.Id(), Snapshot: snapshot, Version: whole.Seq}
+	size := 0
+	send := func() bool {
+		err := s.callBackup(v, id, "core.copy", &request, snapshotTimeout)
+		if err != nil {
+			s.ctx.Log.Warn("Copy to backup failed.", "peer", v.Addr(id), "trouble", err.Error())
+		}
+		request.Part++
+		request.Puts, size = nil, 0
+		return err == nil
+	}
+	for _, put := range whole.Puts {
+		request.Puts = append(request.Puts, put)
+		if size += len(put.Key) + len(put.Val); size > maxBatchBytes && !send() {
+			return false
+		}
+	}
+	request.Last = true
+	return send()
+}
+
+// replicate has every backup of the view store a batch, and tells which did not.
+func (s *Server) replicate(v view.View, batch store.Batch) []string {
+	return callAll(v.Backups(), func(id string) bool {
+		request := &ReplicateRequest{View: v, Primary: v.Primary, Batch: batch}
+		err := s.callBackup(v, id, "core.hold", request, replicateTimeout)
+		if err != nil {
+			s.ctx.Log.Warn("Backup did not hold a write.", "peer", v.Addr(id), "trouble", err.Error())
+		}
+		return err == nil
+	})
+}
+
+// callBackup asks a backup to store something. Another process at its address has no say for it.
+func (s *Server) callBackup(v view.View, id, kind string, request msgp.Marshaler, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(s.ctx, timeout)
+	defer cancel()
+	var response ReplicateResponse
+	err := s.call(ctx, v.Addr(id), kind, request, &response)
+	if err == nil && response.Id != id {
+		err = eris.Errorf("identity %s, %s expected", response.Id, id)
+	}
+	return err
+}
--- a/internal/core/runnerstore.go
+++ b/internal/core/runnerstore.go
@@ -62,7 +62,7 @@
 			continue
 		}
 		s.submitLater(func(tx *Tx) error {
-			// Its word that it leaves may have been written since.
+			// That it leaves may have been written since.
 			stored, ok := decodeRunner(tx.Get(runnerPrefix + runner.ID))
 			if !ok || stored.State != routing.RunnerReady {
 				return nil
--- a/internal/core/runnerstore_test.go
+++ b/internal/core/runnerstore_test.go
@@ -11,13 +11,13 @@
 
 // keepingServer is a server whose operations are committed by the test.
 func keepingServer(t *testing.T) (*Server, func()) {
-	s, st := quotaServer(t)
+	s, opened := quotaServer(t)
 	s.jobs = make(chan *job, 16)
 	s.registry = NewRunnerRegistry(4*time.Second, func(routing.Runner) <-chan struct{} { return nil })
 	s.registry.Begin(1, time.Now(), time.Now(), nil)
 	return s, func() {
 		t.Helper()
-		tx := &Tx{store: st, newest: map[string]*store.Put{}}
+		tx := &Tx{store: opened, newest: map[string]*store.Put{}}
 		for len(s.jobs) > 0 {
 			if err := (<-s.jobs).do(tx); err != nil {
 				t.Fatal(err)
@@ -26,16 +26,16 @@
 		if len(tx.puts) == 0 {
 			return
 		}
-		if err := st.Add(store.Batch{Seq: st.Seq() + 1, Puts: tx.newestPuts()}); err != nil {
+		if err := opened.Add(store.Batch{Seq: opened.Seq() + 1, Puts: tx.newestPuts()}); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
 // hear takes a heartbeat as the primary does, but for the waits.
-func hear(t *testing.T, s *Server, commit func(), state routing.RunnerState, sequence uint64) {
+func hear(t *testing.T, s *Server, commit func(), state routing.RunnerState, version uint64) {
 	t.Helper()
-	runner := routing.Runner{ID: "a", Service: "s", Address: "10.0.0.9:80", State: state, Sequence: sequence}
+	runner := routing.Runner{ID: "a", Service: "s", Address: "10.0.0.9:80", State: state, Sequence: version}
 	s.registry.Heartbeat(runner, time.Now())
 	ended := make(chan error, 1)
 	s.ready = true
@@ -147,12 +147,12 @@
 		time.Sleep(5 * time.Second)
 		silent := s.registry.List(time.Now())
 		s.storeSilent(silent)
-		st := s.store.Load()
-		tx := &Tx{store: st, newest: map[string]*store.Put{}}
+		opened := s.store.Load()
+		tx := &Tx{store: opened, newest: map[string]*store.Put{}}
 		if err := tx.Put(runnerPrefix+"a", &routing.Runner{ID: "a", State: routing.RunnerDraining}); err != nil {
 			t.Fatal(err)
 		}
-		if err := st.Add(store.Batch{Seq: st.Seq() + 1, Puts: tx.newestPuts()}); err != nil {
+		if err := opened.Add(store.Batch{Seq: opened.Seq() + 1, Puts: tx.newestPuts()}); err != nil {
 			t.Fatal(err)
 		}
 		commit()
--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -4,7 +4,6 @@
 
 import (
 	"context"
-	"errors"
 	"math/rand/v2"
 	"sync"
 	"sync/atomic"
@@ -28,7 +27,7 @@
 	replicateTimeout  = 600 * time.Millisecond  // a backup that holds a write no sooner is let go: all writes wait for it
 	replaceTimeout    = 3 * time.Second         // a write waits so long for a new backup
 	nodeLeaseTerm     = 2 * time.Second         // a node's lease
-	maxBatchBytes     = 1 << 20                 // bytes of state in one Copy
+	maxBatchBytes     = 1 << 20                 // bytes of state in one SnapshotRequest
 	maxBatchJobs      = 256                     // writes synced together
 )
 
@@ -40,75 +39,81 @@
 	StaleEpoch    = "old-epoch"
 	DiskFailed    = "disk-trouble"
 	NameTaken     = "name-taken" // another node with this name holds a lease
-	RunEnded      = "run-ended"  // a beat of a run that another at its address has replaced
+	RunEnded      = "run-ended"  // a heartbeat of a run that another at its address has replaced
 	InvalidRunner = "bad-runner" // a heartbeat without an ID or with a state that no runner has
 )
 
 // Server is one core process.
 type Server struct {
-	ctx       env.Ctx
-	settings  Settings
-	disk      store.Disk
-	store     atomic.Pointer[store.Store]
-	seeds     atomic.Pointer[[]string] // where the fleet is looked for
-	voter     *view.Voter
-	caller    *wire.Caller
-	handlers  wire.Hands
-	jobs      chan *job
-	runID     uint64   // of this process, at random; not zero
-	storeGate env.Gate // held while a batch or a copy is taken as backup
+	ctx      env.Ctx
+	settings Settings
+	disk     store.Disk
+	store    atomic.Pointer[store.Store]
+	seeds    atomic.Pointer[[]string] // where the fleet is looked for
+	voter    *view.Voter
+	caller   *wire.Caller
+	handlers wire.Hands
+	jobs     chan *job
+	runID    uint64 // of this process, at random; not zero
 
-	// Only the run loop touches these.
-	highestBallot    uint64               // highest ballot number seen
-	copiedTo         map[string]bool      // the backups that hold all we hold, in this run
-	deposed          string               // the primary that we took over from
-	nextMemberChange time.Time            // earliest next change of the members
-	nextViewSearch   time.Time            // earliest next look for a newer view
-	snapshots        uint64               // copies made
-	nextAttempt      time.Time            // earliest next try at taking over
-	failedAt         map[string]time.Time // members that lately failed as backup
-	firstSeen        map[string]time.Time // cooling and silent holders: since when
-	poolCache        poolCache
-	charges          map[string]openCharge // of tenants' tolerances
-	claimsSeen       map[string]time.Time  // since when this run knows each claim, and each part of the keys that ran
-	sweptAt          time.Time
-	claimsSweptAt    time.Time            // of the claims
-	hasCoolingUnits  bool                 // units of some quota cool
-	announcedAt      time.Time            // when silent places were last told the view
-	silentSince      map[string]time.Time // places from which nobody beats: since when
-	finishedKeys     finishedKeys
-	finishedParts    int       // parts put by this run
-	document         *Document // the last document read, and whose it is
-	documentVersion  uint64
+	storeGate env.Gate // held while a batch or a snapshot is taken as backup
+
+	runLoopState
 
 	mu            sync.Mutex
-	epoch         uint64
-	renewRounds   uint64    // rounds of requests for the lease
-	ledSince      time.Time // of leading this epoch
-	lease         *lease.Lease
-	ready         bool
-	leaseStoodAt  time.Time // when the lease last stood
-	renewPausedAt time.Time // since when we ask for no lease, having failed to get one
-	otherPromised bool      // a voter refused to renew since it vowed for the next epoch
+	epoch         uint64       // the one that we lead; 0: none
+	ledSince      time.Time    // without a break
+	lease         *lease.Lease // of the epoch that we lead
+	renewRounds   uint64       // rounds of requests for the lease
+	leaseStoodAt  time.Time    // when the lease last stood
+	renewPausedAt time.Time    // since when we ask for no lease, having failed to get one
+	otherPromised bool         // a voter refused to renew since it has promised the next epoch to another
+	ready         bool         // writes are taken
+	readySince    time.Time
 	diskFailed    bool
-	config        StoredConfig // newest layout committed
-	nodes         map[string]*liveNode
-	nodesVersion  uint64
-	readySince    time.Time // of being ready
-	// routersBefore is how many routers the disk had then.
-	routersBefore int
 
-	scarceSince map[string]time.Time
-	candidates  map[string]candidate
-	incoming    *incomingSnapshot
+	config        StoredConfig // the newest one committed
+	nodes         map[string]*liveNode
+	nodesVersion  uint64               // goes up with every change of the nodes
+	routersBefore int                  // routers that the disk had when we became ready
+	scarceSince   map[string]time.Time // tenants whose idle units are wanted back
+	candidates    map[string]candidate // by identity
+	incoming      *incomingSnapshot    // under way; nil: none
 
 	registry   *RunnerRegistry
 	runnerNews runnerNews
 	health     runnerHealth
+	replaced   replacedRuns
+}
 
-	replaced replacedRuns
+// runLoopState is what only the run loop touches.
+type runLoopState struct {
+	highestBallot    uint64               // highest ballot number seen
+	copiedTo         map[string]bool      // the backups that hold all we hold, in this run
+	deposed          string               // the primary that we took over from
+	nextMemberChange time.Time            // earliest next change of the members
+	nextViewSearch   time.Time            // earliest next look for a newer view
+	nextAttempt      time.Time            // earliest next attempt at what attemptDue guards
+	snapshots        uint64               // sent to backups
+	failedAt         map[string]time.Time // members that lately failed as backup
+
+	sweptAt       time.Time
+	claimsSweptAt time.Time
+	announcedAt   time.Time            // when silent places were last told the view
+	silentSince   map[string]time.Time // places that send no heartbeats
+	firstSeen     map[string]time.Time // cooling and silent holders, and charges
+	claimsSeen    map[string]time.Time // since when this run knows each claim, and each part of the finished keys
+
+	poolCache       poolCache
+	charges         map[string]openCharge // of tenants' tolerances
+	hasCoolingUnits bool                  // units of some quota cool
+	finishedKeys    finishedKeys
+	finishedParts   int       // parts put by this run
+	document        *Document // the last document read
+	documentVersion uint64    // and its version
 }
 
+// liveNode is a node whose lease runs.
 type liveNode struct {
 	node    Node
 	heardAt time.Time
@@ -116,68 +121,67 @@
 
 // candidate is a process that wants to become a member.
 type candidate struct {
-	member                view.Member
-	firstAsked, lastAsked time.Time // of its wishes: the first, the newest
+	member     view.Member
+	firstAsked time.Time // without a break since
+	lastAsked  time.Time
 }
 
+// incomingSnapshot is what we have, as backup to be, of a snapshot under way.
 type incomingSnapshot struct {
-	epoch, snapshot uint64
-	part            int
-	puts            []store.Put
+	epoch    uint64
+	snapshot uint64
+	part     int // the next one expected
+	puts     []store.Put
 }
 
 // Open reads the disk and makes a core. A disk whose state is damaged counts as blank: its
 // identity is given up, so that it neither votes nor leads on what it no longer has.
 //
-//	srv, err := core.Open(ctx, set, disk)
-func Open(ctx env.Ctx, set Settings, disk store.Disk) (*Server, error) {
-	set = set.WithDefaults()
+//	srv, err := core.Open(ctx, settings, disk)
+func Open(ctx env.Ctx, settings Settings, disk store.Disk) (*Server, error) {
+	settings = settings.WithDefaults()
 	if err := store.Tidy(disk, ctx.Log); err != nil {
 		return nil, err
 	}
-	vot, err := view.Open(disk, set.LeaseTerm, ctx.Part("view").Log)
+	voter, err := view.Open(disk, settings.LeaseTerm, ctx.Part("view").Log)
 	if err != nil {
 		return nil, err
 	}
-	st, err := store.Open(disk, ctx.Part("store").Log)
-	if errors.Is(err, store.ErrBroken) {
-		ctx.Log.Error("State is damaged; set aside. This disk counts as blank.", "trouble", err.Error())
-		if err := setAside(disk); err != nil {
-			return nil, err
-		}
-		if err := vot.Reset(); err != nil {
-			return nil, err
-		}
-		st, err = store.Open(disk, ctx.Log)
-	}
+	opened, err := openStore(ctx, disk, voter)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{storeGate: env.NewGate(), runID: rand.Uint64() | 1, ctx: ctx, settings: set, disk: disk, voter: vot, caller: wire.NewCaller(ctx.Net),
-		jobs: make(chan *job, 4*maxBatchJobs), failedAt: map[string]time.Time{},
-		copiedTo:  map[string]bool{},
-		firstSeen: map[string]time.Time{}, poolCache: poolCache{}, silentSince: map[string]time.Time{}, lease: lease.New(set.LeaseTerm), nodes: map[string]*liveNode{},
-		scarceSince: map[string]time.Time{}, candidates: map[string]candidate{}}
-	s.registry = NewRunnerRegistry(set.RunnerSilentAfter, s.announce)
-	s.store.Store(st)
-	s.seeds.Store(&set.Seeds)
+	s := &Server{
+		ctx:          ctx,
+		settings:     settings,
+		disk:         disk,
+		voter:        voter,
+		caller:       wire.NewCaller(ctx.Net),
+		jobs:         make(chan *job, 4*maxBatchJobs),
+		runID:        rand.Uint64() | 1,
+		storeGate:    env.NewGate(),
+		runLoopState: newRunLoopState(),
+		lease:        lease.New(settings.LeaseTerm),
+		nodes:        map[string]*liveNode{},
+		scarceSince:  map[string]time.Time{},
+		candidates:   map[string]candidate{},
+	}
+	s.registry = NewRunnerRegistry(settings.RunnerSilentAfter, s.announce)
+	s.store.Store(opened)
+	s.seeds.Store(&settings.Seeds)
 	s.handlers = wire.Hands{"view": s.handleView, "core": s.handleCore}
 	return s, nil
 }
 
-func setAside(d store.Disk) error {
-	all, err := d.List()
-	if err != nil {
-		return err
+// newRunLoopState makes the run loop's state at the start of the process.
+func newRunLoopState() runLoopState {
+	return runLoopState{
+		copiedTo:    map[string]bool{},
+		failedAt:    map[string]time.Time{},
+		silentSince: map[string]time.Time{},
+		firstSeen:   map[string]time.Time{},
+		poolCache:   poolCache{},
 	}
-	for _, n := range all {
-		if len(n) > 2 && n[:2] == "v-" {
-			if err := d.Rename(n, "bad-"+n); err != nil {
-				return err
-			}
-		}
-	}
-	return nil
 }
 
 // Handle answers calls from other processes.
@@ -206,51 +210,29 @@
 }
 
 // call reaches a voter; ourselves without the wire.
-func (s *Server) call(ctx context.Context, addr, kind string, in msgp.Marshaler, out msgp.Unmarshaler) error {
+func (s *Server) call(ctx context.Context, addr, kind string, request msgp.Marshaler, response msgp.Unmarshaler) error {
 	if addr != s.settings.Addr {
-		return s.caller.Call(ctx, addr, kind, in, out)
+		return s.caller.Call(ctx, addr, kind, request, response)
 	}
-	body, err := in.MarshalMsg(nil)
+	body, err := request.MarshalMsg(nil)
 	if err != nil {
 		return err
 	}
-	ans, err := s.handlers.Do(ctx, kind, body)
-	if err != nil || out == nil {
+	own, err := s.handlers.Do(ctx, kind, body)
+	if err != nil || response == nil {
 		return err
 	}
-	raw, err := ans.MarshalMsg(nil)
+	raw, err := own.MarshalMsg(nil)
 	if err != nil {
 		return err
 	}
-	_, err = out.UnmarshalMsg(raw)
+	_, err = response.UnmarshalMsg(raw)
 	return err
 }
 
-func (s *Server) hasDiskFailed() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.diskFailed
-}
-
-// failDisk notes that our own disk can't be relied on: we stop leading, and hold nothing as backup,
-// until the disk has been proved again.
-func (s *Server) failDisk(err error) {
-	s.mu.Lock()
-	was := s.diskFailed
-	s.diskFailed, s.ready = true, false
-	s.renewRounds++
-	turn := s.renewRounds
-	s.mu.Unlock()
-	if !was {
-		s.release(turn)
-		s.ctx.Log.Error("Disk is in trouble. Leading stops.", "trouble", err.Error())
-		go s.recoverDisk()
-	}
-}
-
 // UnavailableReason tells why this core is of no use to its fleet now, or "".
 //
-//	if why := srv.UnavailableReason(); why != "" { ... }
+//	if reason := srv.UnavailableReason(); reason != "" { ... }
 func (s *Server) UnavailableReason() string {
 	v := s.voter.View()
 	switch {
--- a/internal/core/sessions.go
+++ b/internal/core/sessions.go
@@ -14,11 +14,11 @@
 const maxSessionsBytes = 1 << 20
 
 // storeSessions keeps the directory in place of the one before.
-func (s *Server) storeSessions(ctx context.Context, in *SessionDirectory) (*Empty, error) {
-	if len(in.Batch) > maxSessionsBytes {
+func (s *Server) storeSessions(ctx context.Context, directory *SessionDirectory) (*Empty, error) {
+	if len(directory.Batch) > maxSessionsBytes {
 		return nil, wire.Fault{Code: "too-large"}
 	}
-	err := s.Submit(ctx, func(tx *Tx) error { return tx.Put(sessionsKey, in) })
+	err := s.Submit(ctx, func(tx *Tx) error { return tx.Put(sessionsKey, directory) })
 	if err != nil {
 		return nil, err
 	}
@@ -30,11 +30,11 @@
 	if err := s.requirePrimary(); err != nil {
 		return nil, err
 	}
-	var out SessionDirectory
+	var directory SessionDirectory
 	if raw, ok := s.store.Load().Get(sessionsKey); ok {
-		if _, err := out.UnmarshalMsg(raw); err != nil {
+		if _, err := directory.UnmarshalMsg(raw); err != nil {
 			return nil, err
 		}
 	}
-	return &out, nil
+	return &directory, nil
 }
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -6,23 +6,23 @@
 
 // Settings is what a core is told about its place.
 type Settings struct {
-	Addr         string
-	Founders     []string
-	Seeds        []string
-	Bootstrap    bool          // without founders, the seeds found the fleet
-	Losses       int           // disks that may be lost at once: so many backups hold a write before it is acknowledged
-	SingleMember bool          // no loss is to be borne: a fleet's only member needs no backup
-	MaxMembers   int           // the most cores that vote; more wait until one is lost
-	LeaseTerm    time.Duration // lease of the primacy
-	LostAfter    time.Duration // silence after which a member may be replaced by a newcomer
-	Codec        Codec         // reads the configuration; nil: layouts
+	Addr          string
+	Founders      []string
+	Seeds         []string
+	Bootstrap     bool          // without founders, the seeds found the fleet
+	Losses        int           // disks that may be lost at once: so many backups hold a write before it is acknowledged
+	AllowNoBackup bool          // no loss is to be borne: a fleet's only member needs no backup
+	MaxMembers    int           // the most cores that vote; more wait until one is lost
+	LeaseTerm     time.Duration // lease of the primacy
+	LostAfter     time.Duration // silence after which a member may be replaced by a newcomer
+	Codec         Codec         // reads the configuration; nil: fleet configurations
 
 	RunnerSilentAfter time.Duration // a runner without a heartbeat for so long is silent
 }
 
 // WithDefaults puts defaults where nothing is set.
 //
-//	set = set.WithDefaults()
+//	settings = settings.WithDefaults()
 func (s Settings) WithDefaults() Settings {
 	if s.LeaseTerm == 0 {
 		s.LeaseTerm = 1500 * time.Millisecond
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -5,42 +5,51 @@
 	"strings"
 
 	"yarrowridge/internal/share"
+	"yarrowridge/internal/store"
 )
 
 // State tells the core's own state.
 //
-//	st := srv.State()
+//	state := srv.State()
 func (s *Server) State() *State {
-	st := s.store.Load()
-	out := &State{View: s.voter.View(), Id: s.voter.Id(), StoreVersion: st.Seq()}
+	committed := s.store.Load()
+	state := &State{View: s.voter.View(), Id: s.voter.Id(), StoreVersion: committed.Seq()}
 	s.mu.Lock()
 	s.dropExpiredNodes()
-	out.Ready, out.ConfigVersion, out.DiskFailed = s.ready, s.config.Version, s.diskFailed
-	out.Nodes = s.liveNodes()
-	for _, sp := range s.candidates {
-		out.Candidates = append(out.Candidates, sp.member)
+	state.Ready, state.ConfigVersion, state.DiskFailed = s.ready, s.config.Version, s.diskFailed
+	state.Nodes = s.liveNodes()
+	for _, known := range s.candidates {
+		state.Candidates = append(state.Candidates, known.member)
 	}
 	s.mu.Unlock()
-	st.Each("claim/", func(string, []byte) { out.Claims++ })
-	st.Each(finishedPrefix, func(_ string, v []byte) {
-		out.FinishedKeyParts, out.FinishedKeys = out.FinishedKeyParts+1, out.FinishedKeys+len(v)/8
+	committed.Each(claimPrefix, func(string, []byte) { state.Claims++ })
+	committed.Each(finishedPrefix, func(_ string, raw []byte) {
+		state.FinishedKeyParts++
+		state.FinishedKeys += len(raw) / hashBytes
 	})
-	st.Each("share/", func(k string, raw []byte) {
-		var p share.QuotaPool
-		if _, err := p.UnmarshalMsg(raw); err != nil {
+	state.Shares = quotaShares(committed)
+	return state
+}
+
+// quotaShares lists who holds what of all tenants' quotas, sorted by tenant and holder.
+func quotaShares(committed *store.Store) []QuotaShare {
+	var shares []QuotaShare
+	committed.Each(poolPrefix, func(key string, raw []byte) {
+		var pool share.QuotaPool
+		if _, err := pool.UnmarshalMsg(raw); err != nil {
 			return
 		}
-		ten := strings.TrimPrefix(k, "share/")
-		for who, h := range p.Held {
-			out.Shares = append(out.Shares, QuotaShare{Tenant: ten, Holder: who, Units: h.Units})
+		tenant := strings.TrimPrefix(key, poolPrefix)
+		for holder, held := range pool.Held {
+			shares = append(shares, QuotaShare{Tenant: tenant, Holder: holder, Units: held.Units})
 		}
-		for who, n := range p.Cool {
-			out.Shares = append(out.Shares, QuotaShare{Tenant: ten, Holder: who, Units: n, Cool: true})
+		for holder, units := range pool.Cool {
+			shares = append(shares, QuotaShare{Tenant: tenant, Holder: holder, Units: units, Cool: true})
 		}
 	})
-	sort.Slice(out.Shares, func(i, j int) bool {
-		a, b := out.Shares[i], out.Shares[j]
+	sort.Slice(shares, func(i, j int) bool {
+		a, b := shares[i], shares[j]
 		return a.Tenant < b.Tenant || a.Tenant == b.Tenant && a.Holder < b.Holder
 	})
-	return out
+	return shares
 }
--- a/internal/core/sweep.go
+++ b/internal/core/sweep.go
@@ -4,49 +4,64 @@
 	"time"
 )
 
+// How often the run loop looks for what has had its time.
+const (
+	sweepEvery        = 500 * time.Millisecond
+	sweepCoolingEvery = 100 * time.Millisecond // while units of quotas cool
+	announceEvery     = time.Second
+	claimsSweepEvery  = 10 * time.Second // there may be very many claims, and none is kept by the second
+)
+
+// liveHolders are the nodes whose lease runs, by the names that others use for them.
+type liveHolders struct {
+	holders map[string]bool // runs of nodes, as Holder names them
+	places  map[string]bool // nodes at their addresses, whatever their run
+	addrs   map[string]bool
+}
+
 // sweep ends what has had its time: cooled units and old claims. Time is counted from when this
 // run of this process first saw them, so a restart only makes them last longer.
 func (s *Server) sweep() {
-	if since := time.Since(s.sweptAt); since < sweepEvery && !(s.hasCoolingUnits && since >= sweepCooling) {
+	since := time.Since(s.sweptAt)
+	if since < sweepEvery && !(s.hasCoolingUnits && since >= sweepCoolingEvery) {
 		return
 	}
 	s.sweptAt = time.Now()
 	s.mu.Lock()
-	ready, sheet := s.ready, s.config
-	live, here, at := map[string]bool{}, map[string]bool{}, map[string]bool{}
-	s.dropExpiredNodes()
-	for _, n := range s.nodes {
-		live[Holder(n.node)] = true
-		here[holderPlace(n.node)] = true
-		at[n.node.Addr] = true
-	}
+	ready, config := s.ready, s.config
+	live := s.liveHolders()
 	s.mu.Unlock()
 	if !ready {
 		return
 	}
-	doc := s.parsedConfig(sheet)
-	if time.Since(s.announcedAt) > time.Second {
+	document := s.parsedConfig(config)
+	if time.Since(s.announcedAt) > announceEvery {
 		s.announcedAt = time.Now()
-		s.announceView(at)
+		s.announceView(live.addrs)
 		s.storeSilent(s.registry.List(time.Now()))
 	}
-	if doc == nil {
+	if document == nil {
 		return
 	}
-	// There may be very many claims, and none is kept by the second.
-	if time.Since(s.claimsSweptAt) > 10*time.Second {
+	if time.Since(s.claimsSweptAt) > claimsSweepEvery {
 		s.claimsSweptAt = time.Now()
-		s.sweepClaims(doc.Claims)
+		s.sweepClaims(document.Claims)
 		s.sweepRunners(s.registry.List(time.Now()))
 	}
-	s.sweepQuotas(doc, live, here)
+	s.sweepQuotas(document, live)
 }
 
-// How often the run loop looks for what has had its time: in general, and while units of quotas cool.
-const (
-	sweepEvery   = 500 * time.Millisecond
-	sweepCooling = 100 * time.Millisecond
-)
+// liveHolders names the nodes whose lease runs; the caller holds the lock.
+func (s *Server) liveHolders() liveHolders {
+	s.dropExpiredNodes()
+	live := liveHolders{holders: map[string]bool{}, places: map[string]bool{}, addrs: map[string]bool{}}
+	for _, known := range s.nodes {
+		live.holders[Holder(known.node)] = true
+		live.places[holderPlace(known.node)] = true
+		live.addrs[known.node.Addr] = true
+	}
+	return live
+}
 
 // dropLater has the run loop remove keys.
 func (s *Server) dropLater(keys []string) {
@@ -54,8 +69,8 @@
 		return
 	}
 	s.submitLater(func(tx *Tx) error {
-		for _, k := range keys {
-			tx.Drop(k)
+		for _, key := range keys {
+			tx.Drop(key)
 		}
 		return nil
 	})
--- a/internal/core/transaction.go
+++ b/internal/core/transaction.go
@@ -9,7 +9,7 @@
 // Tx is what a job sees: the committed state with the batch's own puts over it.
 type Tx struct {
 	store           *store.Store
-	newest          map[string]*store.Put
+	newest          map[string]*store.Put // by key
 	puts            []store.Put
 	size            int  // bytes put: a batch has to fit one frame to the backup
 	hasFinishedKeys bool // it has a part of the keys that ran
@@ -19,17 +19,17 @@
 //
 //	raw, ok := tx.Get("layout")
 func (t *Tx) Get(key string) ([]byte, bool) {
-	if p, ok := t.newest[key]; ok {
-		return p.Val, !p.Gone
+	if put, ok := t.newest[key]; ok {
+		return put.Val, !put.Gone
 	}
 	return t.store.Get(key)
 }
 
 // Put sets a key.
 //
-//	err := tx.Put("layout", &sheet)
-func (t *Tx) Put(key string, val msgp.Marshaler) error {
-	raw, err := val.MarshalMsg(nil)
+//	err := tx.Put("layout", &config)
+func (t *Tx) Put(key string, record msgp.Marshaler) error {
+	raw, err := record.MarshalMsg(nil)
 	if err != nil {
 		return err
 	}
@@ -42,10 +42,11 @@
 //	tx.Drop("claim/t/k")
 func (t *Tx) Drop(key string) { t.add(store.Put{Key: key, Gone: true}) }
 
-func (t *Tx) add(p store.Put) {
-	t.puts = append(t.puts, p)
-	t.size += len(p.Key) + len(p.Val)
-	t.newest[p.Key] = &p
+// add puts an encoded record.
+func (t *Tx) add(put store.Put) {
+	t.puts = append(t.puts, put)
+	t.size += len(put.Key) + len(put.Val)
+	t.newest[put.Key] = &put
 }
 
 // newestPuts gives the newest put of each key: what a batch puts several times is stored and sent once.
@@ -57,19 +58,19 @@
 	for i := range t.puts {
 		newest[t.puts[i].Key] = i
 	}
-	out := make([]store.Put, 0, len(newest))
-	for i, p := range t.puts {
-		if newest[p.Key] == i {
-			out = append(out, p)
+	last := make([]store.Put, 0, len(newest))
+	for i, put := range t.puts {
+		if newest[put.Key] == i {
+			last = append(last, put)
 		}
 	}
-	return out
+	return last
 }
 
-// undo strikes the puts a failed job made.
+// undo removes the puts that a failed job made: those after the first mark.
 func (t *Tx) undo(mark int) {
-	for _, p := range t.puts[mark:] {
-		t.size -= len(p.Key) + len(p.Val)
+	for _, put := range t.puts[mark:] {
+		t.size -= len(put.Key) + len(put.Val)
 	}
 	t.puts = t.puts[:mark]
 	clear(t.newest)
--- a/internal/sim/membership_test.go
+++ b/internal/sim/membership_test.go
@@ -193,7 +193,7 @@
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := seedFleet(t, seed, 1, 1)
 		f.place = func(c *coreProc) core.Settings {
-			return core.Settings{Addr: c.addr, Seeds: f.founder, Bootstrap: c.addr == f.founder[0], Losses: 1, SingleMember: true, LostAfter: f.lost}
+			return core.Settings{Addr: c.addr, Seeds: f.founder, Bootstrap: c.addr == f.founder[0], Losses: 1, AllowNoBackup: true, LostAfter: f.lost}
 		}
 		first := f.cores[0]
 		f.startCore(first)
