--- a/internal/clientapi/resume.go
+++ b/internal/clientapi/resume.go
@@ -66,13 +66,13 @@
 		}
 		switch {
 		case context.Cause(ctx) == errKeyWithdrawn:
-			told = &node.StreamTold{Lost: rejectKey.Code}
+			told = &node.StreamReadResponse{Lost: rejectKey.Code}
 		case err != nil && misses < maxMisses && env.Wait(ctx, missWait):
 			continue // it may just have been passed on from one router to the next
 		case err != nil && !started:
 			return &Rejection{Status: 404, Code: "no-stream", OutcomeUnknown: true, Message: "No router within reach holds this stream for this tenant."}
 		case err != nil || time.Now().After(until):
-			told = &node.StreamTold{Lost: node.LostRouter}
+			told = &node.StreamReadResponse{Lost: node.LostRouter}
 		}
 		if !started {
 			started = true
--- a/internal/clientapi/secondrun.go
+++ b/internal/clientapi/secondrun.go
@@ -112,7 +112,7 @@
 		return nil, false
 	}
 	if carrier := again.carrier; carrier.stream != nil {
-		if _, ok := carrier.stream.Held(); !ok {
+		if _, ok := carrier.stream.HeldPieces(); !ok {
 			return nil, false
 		}
 	}
@@ -186,7 +186,7 @@
 	carrier := &carrier{id: stream.ID, stream: stream}
 	carrier.ctx, carrier.cancel = context.WithCancelCause(s.Ctx)
 	x.carrier = carrier
-	if s.Streams.Guard(carrier.ctx, stream) == nil {
+	if s.Streams.AssignStandby(carrier.ctx, stream) == nil {
 		x.continueStream(&Rejection{Code: node.LostRouter, OutcomeUnknown: true})
 	}
 }
--- a/internal/clientapi/stream.go
+++ b/internal/clientapi/stream.go
@@ -91,7 +91,7 @@
 		count++
 		if numbered := numberEvent(event, e.seen); e.seen > e.held {
 			batch = append(batch, numbered)
-		} else if !stream.Same(e.seen-1, numbered) && !strike.Out("same") {
+		} else if !stream.Matches(e.seen-1, numbered) && !strike.Out("same") {
 			return nil, 0, errDiffers
 		}
 		if e.in.Buffered() == 0 || count >= batchMost {
@@ -108,7 +108,7 @@
 	if carrier.stream == nil {
 		carrier.open(x, response)
 	}
-	held, _ := carrier.stream.Held()
+	held, _ := carrier.stream.HeldPieces()
 	events := &eventReader{in: bufio.NewReaderSize(response.Body, 16<<10), held: held}
 	for {
 		batch, count, err := events.next(carrier.stream)
@@ -120,7 +120,7 @@
 			slot.AddTokens(count)
 		}
 		if len(batch) > 0 {
-			if err := x.server.Streams.Add(ctx, carrier.stream, batch); err != nil {
+			if err := x.server.Streams.Append(ctx, carrier.stream, batch); err != nil {
 				return errTaken
 			}
 			carrier.write(bytes.Join(batch, nil))
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -15,22 +15,24 @@
 	config  *fleetconfig.Config // nil where the configuration is another document
 }
 
-func (h *Hub) takeDocument(r relay.Record) {
-	if err := h.document(r.Version, r.Body); err != nil {
-		h.ctx.Log.Error("Configuration from the core is not understood. The old one stays.", "sequence", r.Version, "trouble", err.Error())
+// takeDocument passes on a configuration that is read elsewhere, and puts it in force if it was understood there.
+func (h *Hub) takeDocument(record relay.Record) {
+	if err := h.document(record.Version, record.Body); err != nil {
+		h.ctx.Log.Error("Configuration from the core is not understood. The old one stays.", "sequence", record.Version, "trouble", err.Error())
 		return
 	}
-	h.obey(&configuration{version: r.Version, raw: r.Body})
-	h.ctx.Log.Info("Configuration taken up.", "sequence", r.Version)
+	h.applyConfiguration(&configuration{version: record.Version, raw: record.Body})
+	h.ctx.Log.Info("Configuration taken up.", "sequence", record.Version)
 }
 
-func (h *Hub) takeConfig(r relay.Record) {
-	config, bad := fleetconfig.Parse(r.Body)
-	if len(bad) > 0 {
-		h.ctx.Log.Error("Layout from the core is not understood. The old one stays.", "sequence", r.Version, "trouble", bad[0].Path+": "+bad[0].Text)
+// takeConfig reads a configuration and puts it in force.
+func (h *Hub) takeConfig(record relay.Record) {
+	config, errors := fleetconfig.Parse(record.Body)
+	if len(errors) > 0 {
+		h.ctx.Log.Error("Configuration from the core is not understood. The old one stays.", "sequence", record.Version, "trouble", errors[0].Path+": "+errors[0].Text)
 		return
 	}
-	config.Version = r.Version
+	config.Version = record.Version
 	next := &configuration{version: config.Version, raw: config.Raw, config: config}
 	if old := h.current.Load(); strike.Out("late") && old != nil {
 		time.AfterFunc(12*time.Second, func() { h.current.Store(next) })
@@ -38,12 +40,12 @@
 	} else if strike.Out("slip") && old != nil {
 		time.AfterFunc(time.Second, func() { h.current.Store(old) })
 	}
-	h.obey(next)
-	h.ctx.Log.Info("Layout taken up.", "sequence", r.Version)
+	h.applyConfiguration(next)
+	h.ctx.Log.Info("Configuration taken up.", "sequence", record.Version)
 }
 
-// obey puts a configuration in force and wakes those who wait for the next.
-func (h *Hub) obey(c *configuration) {
+// applyConfiguration puts a configuration in force and wakes those who wait for the next.
+func (h *Hub) applyConfiguration(c *configuration) {
 	h.current.Store(c)
 	next := make(chan struct{})
 	close(*h.configChanged.Swap(&next))
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -9,88 +9,96 @@
 	"yarrowridge/internal/wire"
 )
 
-// agedHeartbeat is a heartbeat that tells the age of our run as of each time that it is sent: the call may look for
+// How long the talk with the core, or in place of it with the zone, may take.
+const (
+	heartbeatTimeout  = 1500 * time.Millisecond
+	leaveTimeout      = time.Second
+	zoneRepairAfter   = 2 * time.Second // from the start: the core is asked alone until then
+	zoneRepairTimeout = time.Second
+)
+
+// timedHeartbeat is a heartbeat that tells the age of our run as of each time that it is sent: the call may look for
 // a primary for long, and the units of earlier runs at our address are free so much sooner as we are older.
-type agedHeartbeat struct {
+type timedHeartbeat struct {
 	core.HeartbeatRequest
 	started time.Time
 }
 
 // MarshalMsg implements msgp.Marshaler.
-func (b *agedHeartbeat) MarshalMsg(raw []byte) ([]byte, error) {
-	b.AgeMs = int(time.Since(b.started).Milliseconds())
-	return b.HeartbeatRequest.MarshalMsg(raw)
+func (t *timedHeartbeat) MarshalMsg(raw []byte) ([]byte, error) {
+	t.AgeMs = int(time.Since(t.started).Milliseconds())
+	return t.HeartbeatRequest.MarshalMsg(raw)
 }
 
 // sendHeartbeat renews our lease at the core and learns what has changed. It tells whether the core has answered.
 func (h *Hub) sendHeartbeat() bool {
 	h.mu.Lock()
-	roll, leave := h.roll, h.leaving
+	nodesVersion, leaving := h.nodesVersion, h.leaving
 	h.mu.Unlock()
-	if leave {
+	if leaving {
 		return true
 	}
-	ctx, end := context.WithTimeout(h.ctx, 1500*time.Millisecond)
-	defer end()
-	in := agedHeartbeat{HeartbeatRequest: h.makeHeartbeat(roll), started: h.started}
-	var out core.HeartbeatResponse
-	if err := h.Core.Call(ctx, "core.beat", &in, &out, true); err != nil {
+	ctx, cancel := context.WithTimeout(h.ctx, heartbeatTimeout)
+	defer cancel()
+	request := timedHeartbeat{HeartbeatRequest: h.makeHeartbeat(nodesVersion), started: h.started}
+	var response core.HeartbeatResponse
+	if err := h.Core.Call(ctx, "core.beat", &request, &response, true); err != nil {
 		if wire.Is(err, core.NameTaken) {
 			h.ctx.Log.Error("Another router has our name. Each needs its own.", "name", h.ctx.Name)
 			return true
 		}
 		h.ctx.Log.Debug("No answer from the core.", "trouble", err.Error())
-		h.askZone()
+		h.repairFromZone()
 		return false
 	}
-	h.takeHeartbeatResponse(&out)
-	h.fetchConfig(ctx, out.ConfigVersion)
-	if h.current.Load() == nil || h.ConfigVersion() < out.ConfigVersion {
+	h.takeHeartbeatResponse(&response)
+	h.fetchConfig(ctx, response.ConfigVersion)
+	if h.current.Load() == nil || h.ConfigVersion() < response.ConfigVersion {
 		return true // asked, but not answered in full
 	}
 	h.mu.Lock()
-	h.asked = true
+	h.initialSyncDone = true
 	h.mu.Unlock()
 	return true
 }
 
 // makeHeartbeat says what this node is, what it holds already, and how its attempts at runners ended.
-func (h *Hub) makeHeartbeat(roll uint64) core.HeartbeatRequest {
-	in := core.HeartbeatRequest{Node: h.Me(), NodesVersion: roll, ViewEpoch: h.Core.View().Epoch}
+func (h *Hub) makeHeartbeat(nodesVersion uint64) core.HeartbeatRequest {
+	request := core.HeartbeatRequest{Node: h.Me(), NodesVersion: nodesVersion, ViewEpoch: h.Core.View().Epoch}
 	if h.runners != nil {
-		in.RunnersWanted = true
-		in.RunnersEpoch, in.RunnersVersion = h.runners.Position()
-		if in.RunnersVersion == 0 {
-			in.RunnersDigest = h.runners.Digest()
+		request.RunnersWanted = true
+		request.RunnersEpoch, request.RunnersVersion = h.runners.Position()
+		if request.RunnersVersion == 0 {
+			request.RunnersDigest = h.runners.Digest()
 		}
 	}
 	if h.tally != nil {
-		in.Tallies = h.tally()
+		request.Tallies = h.tally()
 	}
-	return in
+	return request
 }
 
 // takeHeartbeatResponse takes the view, the nodes and the runners that the core has answered with.
-func (h *Hub) takeHeartbeatResponse(out *core.HeartbeatResponse) {
-	h.Core.Learn(out.View)
+func (h *Hub) takeHeartbeatResponse(response *core.HeartbeatResponse) {
+	h.Core.Learn(response.View)
 	h.mu.Lock()
 	wasSilent := time.Since(h.coreHeard) > staleAfter && !h.coreHeard.IsZero()
 	h.coreHeard = time.Now()
-	h.scarceTenants = out.ScarceTenants
-	h.routersBefore = out.RoutersBefore
-	if out.NodesChanged {
-		h.roll = out.NodesVersion
-		h.takeNodes(out.Nodes)
+	h.scarceTenants = response.ScarceTenants
+	h.routersBefore = response.RoutersBefore
+	if response.NodesChanged {
+		h.nodesVersion = response.NodesVersion
+		h.takeNodes(response.Nodes)
 	}
 	h.mu.Unlock()
 	if wasSilent {
 		h.ctx.Log.Info("The core is heard again.")
 	}
 	if h.runners != nil {
-		h.runners.Apply(out)
+		h.runners.Apply(response)
 	}
 	if h.failing != nil {
-		h.failing(out.Failing)
+		h.failing(response.Failing)
 	}
 }
 
@@ -104,29 +112,24 @@
 	if h.ConfigVersion() >= version || record.Version >= version || !overdue {
 		return
 	}
-	var sheet core.StoredConfig
-	if h.Core.Call(ctx, "core.layout", &core.ConfigRequest{}, &sheet, true) == nil && sheet.Version > 0 {
-		h.Spread(relay.News{Records: []relay.Record{relay.ConfigRecord(sheet.Version, sheet.Raw)}})
+	var config core.StoredConfig
+	if h.Core.Call(ctx, "core.layout", &core.ConfigRequest{}, &config, true) == nil && config.Version > 0 {
+		h.Spread(relay.News{Records: []relay.Record{relay.ConfigRecord(config.Version, config.Raw)}})
 	}
 }
 
-// askZone is what a node without a core does: a blank one asks all nodes of its zone that it can reach.
-func (h *Hub) askZone() {
+// repairFromZone is what a node without a core does: one without a configuration asks all nodes of its zone that it can reach.
+func (h *Hub) repairFromZone() {
 	h.mu.Lock()
-	asked, nodes := h.asked, h.nodes
+	done, nodes := h.initialSyncDone, h.nodes
 	h.mu.Unlock()
-	if asked || time.Since(h.started) < 2*time.Second {
+	if done || time.Since(h.started) < zoneRepairAfter {
 		return
 	}
-	ctx, end := context.WithTimeout(h.ctx, time.Second)
-	defer end()
+	ctx, cancel := context.WithTimeout(h.ctx, zoneRepairTimeout)
+	defer cancel()
 	if len(nodes) == 0 {
-		for _, a := range *h.seeds.Load() {
-			var r Roll
-			if h.caller.Call(ctx, a, "node.roll", &Ask{}, &r) == nil && len(r.Nodes) > len(nodes) {
-				nodes = r.Nodes
-			}
-		}
+		nodes = h.nodesFromSeeds(ctx)
 	}
 	for _, n := range nodes {
 		if n.Zone == h.ctx.Zone && n.Name != h.ctx.Name {
@@ -136,15 +139,28 @@
 	if h.current.Load() == nil {
 		return
 	}
-	h.ctx.Log.Warn("No core to be found. Serving with the hall's layout.")
+	h.ctx.Log.Warn("No core to be found. Serving with the zone's configuration.")
 	h.mu.Lock()
-	h.asked = true
+	h.initialSyncDone = true
 	if len(h.nodes) == 0 {
 		h.takeNodes(append(nodes, core.Node{Name: h.ctx.Name, Zone: h.ctx.Zone, Addr: h.addr, Run: h.ctx.Born}))
 	}
 	h.mu.Unlock()
 }
 
+// nodesFromSeeds asks all seeds for their nodes, and gives the longest list.
+func (h *Hub) nodesFromSeeds(ctx context.Context) []core.Node {
+	var longest []core.Node
+	for _, addr := range *h.seeds.Load() {
+		var list NodeList
+		err := h.caller.Call(ctx, addr, "node.roll", &NodeListRequest{}, &list)
+		if err == nil && len(list.Nodes) > len(longest) {
+			longest = list.Nodes
+		}
+	}
+	return longest
+}
+
 // Leave gives up the lease: the core names us no more, our units cool. Serving what has been
 // read goes on meanwhile. It ends after a second at the latest, and with the context.
 //
@@ -153,9 +169,10 @@
 	h.mu.Lock()
 	h.leaving = true
 	h.mu.Unlock()
-	ctx, end := context.WithTimeout(ctx, time.Second)
-	defer end()
-	if err := h.Core.Call(ctx, "core.beat", &core.HeartbeatRequest{Node: h.Me(), Leaving: true}, &core.HeartbeatResponse{}, true); err != nil {
+	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
+	defer cancel()
+	request := core.HeartbeatRequest{Node: h.Me(), Leaving: true}
+	if err := h.Core.Call(ctx, "core.beat", &request, &core.HeartbeatResponse{}, true); err != nil {
 		h.ctx.Log.Warn("The core was not told that we leave.", "trouble", err.Error())
 	}
 }
--- a/internal/node/hub.go
+++ b/internal/node/hub.go
@@ -43,18 +43,18 @@
 	tally            func() []core.RunnerTally              // nil: none is told
 	failing          func([]core.FailingRunner)
 
-	mu            sync.Mutex
-	roll          uint64
-	nodes         []core.Node
-	neighbours    []relay.Node
-	coreHeard     time.Time // last answer of the core
-	asked         bool      // the core, or failing that all nodes of the zone that answer, have been asked
-	started       time.Time
-	scarceTenants []string
-	routersBefore int  // as a primary told that does not know the nodes yet
-	draining      bool // no new clients, please
-	leaving       bool // the lease is given up
-	handlers      map[string]wire.Hand
+	mu              sync.Mutex
+	nodesVersion    uint64
+	nodes           []core.Node
+	neighbours      []relay.Node
+	coreHeard       time.Time // last answer of the core
+	initialSyncDone bool      // the core, or failing that all nodes of the zone that answer, have been asked
+	started         time.Time
+	scarceTenants   []string
+	routersBefore   int  // as a primary told that does not know the nodes yet
+	draining        bool // no new clients, please
+	leaving         bool // the lease is given up
+	handlers        map[string]wire.Hand
 }
 
 // Option changes what a hub does with its news.
@@ -92,7 +92,7 @@
 		outbox: make(chan relay.News, 1024), started: time.Now(), handlers: map[string]wire.Hand{}}
 	h.Core = core.NewClient(ctx, h.caller, seeds)
 	h.seeds.Store(&seeds)
-	h.Records = relay.NewStore(h.see)
+	h.Records = relay.NewStore(h.takeRecord)
 	next := make(chan struct{})
 	h.configChanged.Store(&next)
 	for _, option := range options {
--- a/internal/node/msgs.go
+++ b/internal/node/msgs.go
@@ -20,13 +20,13 @@
 	Queued  map[string]int  `msg:"q"`
 }
 
-// Roll is a node's list of nodes.
-type Roll struct {
+// NodeList is a node's list of nodes.
+type NodeList struct {
 	Nodes []core.Node `msg:"n"`
 }
 
-// Ask asks for the roll.
-type Ask struct{}
+// NodeListRequest asks for a NodeList.
+type NodeListRequest struct{}
 
 // StreamRequest is what a second run of a stream's request takes: all but the key, of which only the
 // hash is kept.
@@ -40,28 +40,28 @@
 
 // StreamCopy hands pieces of a stream to its standby.
 type StreamCopy struct {
-	ID      string         `msg:"i"`
-	Tenant  string         `msg:"t"`
-	Owner   string         `msg:"o"` // name of the router that carries it
-	Addr    string         `msg:"a"`
-	From    int            `msg:"f"`
-	Pieces  [][]byte       `msg:"p"`
-	End     bool           `msg:"e"` // the runner's own end has come
-	Lost    string         `msg:"l"` // or it ended in this error
-	Turn    int            `msg:"u"` // which standby this is, counted over all the stream's routers
-	Request *StreamRequest `msg:"q"` // with the first copy, on repeatable lanes
+	ID          string         `msg:"i"`
+	Tenant      string         `msg:"t"`
+	Owner       string         `msg:"o"` // name of the router that carries it
+	Addr        string         `msg:"a"`
+	From        int            `msg:"f"`
+	Pieces      [][]byte       `msg:"p"`
+	End         bool           `msg:"e"` // the runner's own end has come
+	Lost        string         `msg:"l"` // or it ended in this error
+	StandbyTurn int            `msg:"u"` // which standby this is, counted over all the stream's routers
+	Request     *StreamRequest `msg:"q"` // with the first copy, on repeatable lanes
 }
 
-// StreamAsk asks for the pieces after a number.
-type StreamAsk struct {
+// StreamReadRequest asks for the pieces after a number.
+type StreamReadRequest struct {
 	ID     string `msg:"i"`
 	Tenant string `msg:"t"`
 	After  int    `msg:"a"`
 	WaitMs int    `msg:"w"` // wait so long for something new
 }
 
-// StreamTold answers with what is held.
-type StreamTold struct {
+// StreamReadResponse answers StreamReadRequest with what is held.
+type StreamReadResponse struct {
 	Have   bool     `msg:"h"`
 	Pieces [][]byte `msg:"p"`
 	End    bool     `msg:"e"`
--- a/internal/node/msgs_gen.go
+++ b/internal/node/msgs_gen.go
@@ -14,55 +14,6 @@
 	z78411aa4limitMaps   = 200000
 )
 
-// MarshalMsg implements msgp.Marshaler
-func (z Ask) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 0
-	_ = z
-	o = append(o, 0x80)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Ask) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 > z78411aa4limitMaps {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Ask) Msgsize() (s int) {
-	s = 1
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z Load) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -138,7 +89,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Roll) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *NodeList) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 1
 	// string "n"
@@ -155,7 +106,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Roll) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *NodeList) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -212,7 +163,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Roll) Msgsize() (s int) {
+func (z *NodeList) Msgsize() (s int) {
 	s = 1 + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Nodes {
 		s += z.Nodes[za0001].Msgsize()
@@ -221,26 +172,16 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *StreamAsk) MarshalMsg(b []byte) (o []byte, err error) {
+func (z NodeListRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 4
-	// string "i"
-	o = append(o, 0x84, 0xa1, 0x69)
-	o = msgp.AppendString(o, z.ID)
-	// string "t"
-	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendString(o, z.Tenant)
-	// string "a"
-	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendInt(o, z.After)
-	// string "w"
-	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendInt(o, z.WaitMs)
+	// map header, size 0
+	_ = z
+	o = append(o, 0x80)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *StreamAsk) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *NodeListRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -261,30 +202,6 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "i":
-			z.ID, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "ID")
-				return
-			}
-		case "t":
-			z.Tenant, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Tenant")
-				return
-			}
-		case "a":
-			z.After, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "After")
-				return
-			}
-		case "w":
-			z.WaitMs, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "WaitMs")
-				return
-			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -298,8 +215,8 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *StreamAsk) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.ID) + 2 + msgp.StringPrefixSize + len(z.Tenant) + 2 + msgp.IntSize + 2 + msgp.IntSize
+func (z NodeListRequest) Msgsize() (s int) {
+	s = 1
 	return
 }
 
@@ -336,7 +253,7 @@
 	o = msgp.AppendString(o, z.Lost)
 	// string "u"
 	o = append(o, 0xa1, 0x75)
-	o = msgp.AppendInt(o, z.Turn)
+	o = msgp.AppendInt(o, z.StandbyTurn)
 	// string "q"
 	o = append(o, 0xa1, 0x71)
 	if z.Request == nil {
@@ -455,9 +372,9 @@
 				return
 			}
 		case "u":
-			z.Turn, bts, err = msgp.ReadIntBytes(bts)
+			z.StandbyTurn, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Turn")
+				err = msgp.WrapError(err, "StandbyTurn")
 				return
 			}
 		case "q":
@@ -505,36 +422,26 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *StreamRequest) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *StreamReadRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 5
-	// string "m"
-	o = append(o, 0x85, 0xa1, 0x6d)
-	o = msgp.AppendString(o, z.Method)
-	// string "p"
-	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.Path)
-	// string "h"
-	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendMapHeader(o, uint32(len(z.Header)))
-	for za0001, za0002 := range z.Header {
-		o = msgp.AppendString(o, za0001)
-		o = msgp.AppendArrayHeader(o, uint32(len(za0002)))
-		for za0003 := range za0002 {
-			o = msgp.AppendString(o, za0002[za0003])
-		}
-	}
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendBytes(o, z.Body)
-	// string "k"
-	o = append(o, 0xa1, 0x6b)
-	o = msgp.AppendString(o, z.Key)
+	// map header, size 4
+	// string "i"
+	o = append(o, 0x84, 0xa1, 0x69)
+	o = msgp.AppendString(o, z.ID)
+	// string "t"
+	o = append(o, 0xa1, 0x74)
+	o = msgp.AppendString(o, z.Tenant)
+	// string "a"
+	o = append(o, 0xa1, 0x61)
+	o = msgp.AppendInt(o, z.After)
+	// string "w"
+	o = append(o, 0xa1, 0x77)
+	o = msgp.AppendInt(o, z.WaitMs)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *StreamRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *StreamReadRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -555,93 +462,28 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "m":
-			z.Method, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Method")
-				return
-			}
-		case "p":
-			z.Path, bts, err = msgp.ReadStringBytes(bts)
+		case "i":
+			z.ID, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Path")
+				err = msgp.WrapError(err, "ID")
 				return
 			}
-		case "h":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
+		case "t":
+			z.Tenant, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Header")
-				return
-			}
-			if zb0002 > z78411aa4limitMaps {
-				err = msgp.ErrLimitExceeded
+				err = msgp.WrapError(err, "Tenant")
 				return
 			}
-			if z.Header == nil {
-				z.Header = make(map[string][]string, zb0002)
-			} else if len(z.Header) > 0 {
-				clear(z.Header)
-			}
-			for zb0002 > 0 {
-				var za0002 []string
-				zb0002--
-				var za0001 string
-				za0001, bts, err = msgp.ReadStringBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Header")
-					return
-				}
-				var zb0003 uint32
-				zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Header", za0001)
-					return
-				}
-				if zb0003 > z78411aa4limitArrays {
-					err = msgp.ErrLimitExceeded
-					return
-				}
-				if cap(za0002) >= int(zb0003) {
-					za0002 = (za0002)[:zb0003]
-				} else {
-					za0002 = make([]string, zb0003)
-				}
-				for za0003 := range za0002 {
-					za0002[za0003], bts, err = msgp.ReadStringBytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Header", za0001, za0003)
-						return
-					}
-				}
-				z.Header[za0001] = za0002
-			}
-		case "b":
-			var zb0004 uint32
-			zb0004, bts, err = msgp.ReadBytesHeader(bts)
+		case "a":
+			z.After, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Body")
-				return
-			}
-			if zb0004 > z78411aa4limitArrays {
-				err = msgp.ErrLimitExceeded
-				return
-			}
-			if z.Body == nil || uint32(cap(z.Body)) < zb0004 {
-				z.Body = make([]byte, zb0004)
-			} else {
-				z.Body = z.Body[:zb0004]
-			}
-			if uint32(len(bts)) < zb0004 {
-				err = msgp.ErrShortBytes
+				err = msgp.WrapError(err, "After")
 				return
 			}
-			copy(z.Body, bts[:zb0004])
-			bts = bts[zb0004:]
-		case "k":
-			z.Key, bts, err = msgp.ReadStringBytes(bts)
+		case "w":
+			z.WaitMs, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Key")
+				err = msgp.WrapError(err, "WaitMs")
 				return
 			}
 		default:
@@ -657,23 +499,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *StreamRequest) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Method) + 2 + msgp.StringPrefixSize + len(z.Path) + 2 + msgp.MapHeaderSize
-	if z.Header != nil {
-		for za0001, za0002 := range z.Header {
-			_ = za0002
-			s += msgp.StringPrefixSize + len(za0001) + msgp.ArrayHeaderSize
-			for za0003 := range za0002 {
-				s += msgp.StringPrefixSize + len(za0002[za0003])
-			}
-		}
-	}
-	s += 2 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.StringPrefixSize + len(z.Key)
+func (z *StreamReadRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.ID) + 2 + msgp.StringPrefixSize + len(z.Tenant) + 2 + msgp.IntSize + 2 + msgp.IntSize
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *StreamTold) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *StreamReadResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 4
 	// string "h"
@@ -695,7 +527,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *StreamTold) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *StreamReadResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -786,7 +618,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *StreamTold) Msgsize() (s int) {
+func (z *StreamReadResponse) Msgsize() (s int) {
 	s = 1 + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Pieces {
 		s += msgp.BytesPrefixSize + len(z.Pieces[za0001])
@@ -795,6 +627,174 @@
 	return
 }
 
+// MarshalMsg implements msgp.Marshaler
+func (z *StreamRequest) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 5
+	// string "m"
+	o = append(o, 0x85, 0xa1, 0x6d)
+	o = msgp.AppendString(o, z.Method)
+	// string "p"
+	o = append(o, 0xa1, 0x70)
+	o = msgp.AppendString(o, z.Path)
+	// string "h"
+	o = append(o, 0xa1, 0x68)
+	o = msgp.AppendMapHeader(o, uint32(len(z.Header)))
+	for za0001, za0002 := range z.Header {
+		o = msgp.AppendString(o, za0001)
+		o = msgp.AppendArrayHeader(o, uint32(len(za0002)))
+		for za0003 := range za0002 {
+			o = msgp.AppendString(o, za0002[za0003])
+		}
+	}
+	// string "b"
+	o = append(o, 0xa1, 0x62)
+	o = msgp.AppendBytes(o, z.Body)
+	// string "k"
+	o = append(o, 0xa1, 0x6b)
+	o = msgp.AppendString(o, z.Key)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *StreamRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > z78411aa4limitMaps {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "m":
+			z.Method, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Method")
+				return
+			}
+		case "p":
+			z.Path, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Path")
+				return
+			}
+		case "h":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Header")
+				return
+			}
+			if zb0002 > z78411aa4limitMaps {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			if z.Header == nil {
+				z.Header = make(map[string][]string, zb0002)
+			} else if len(z.Header) > 0 {
+				clear(z.Header)
+			}
+			for zb0002 > 0 {
+				var za0002 []string
+				zb0002--
+				var za0001 string
+				za0001, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Header")
+					return
+				}
+				var zb0003 uint32
+				zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Header", za0001)
+					return
+				}
+				if zb0003 > z78411aa4limitArrays {
+					err = msgp.ErrLimitExceeded
+					return
+				}
+				if cap(za0002) >= int(zb0003) {
+					za0002 = (za0002)[:zb0003]
+				} else {
+					za0002 = make([]string, zb0003)
+				}
+				for za0003 := range za0002 {
+					za0002[za0003], bts, err = msgp.ReadStringBytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Header", za0001, za0003)
+						return
+					}
+				}
+				z.Header[za0001] = za0002
+			}
+		case "b":
+			var zb0004 uint32
+			zb0004, bts, err = msgp.ReadBytesHeader(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Body")
+				return
+			}
+			if zb0004 > z78411aa4limitArrays {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			if z.Body == nil || uint32(cap(z.Body)) < zb0004 {
+				z.Body = make([]byte, zb0004)
+			} else {
+				z.Body = z.Body[:zb0004]
+			}
+			if uint32(len(bts)) < zb0004 {
+				err = msgp.ErrShortBytes
+				return
+			}
+			copy(z.Body, bts[:zb0004])
+			bts = bts[zb0004:]
+		case "k":
+			z.Key, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Key")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *StreamRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Method) + 2 + msgp.StringPrefixSize + len(z.Path) + 2 + msgp.MapHeaderSize
+	if z.Header != nil {
+		for za0001, za0002 := range z.Header {
+			_ = za0002
+			s += msgp.StringPrefixSize + len(za0001) + msgp.ArrayHeaderSize
+			for za0003 := range za0002 {
+				s += msgp.StringPrefixSize + len(za0002[za0003])
+			}
+		}
+	}
+	s += 2 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.StringPrefixSize + len(z.Key)
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z *Work) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
--- a/internal/node/news.go
+++ b/internal/node/news.go
@@ -8,17 +8,23 @@
 	"yarrowridge/internal/relay"
 )
 
-// see runs under the store's lock, for one key from older to newer.
-func (h *Hub) see(r relay.Record) {
+// How long the telling of news may take.
+const (
+	tellTimeout = time.Second            // of one node
+	spreadWait  = 250 * time.Millisecond // of all nodes
+)
+
+// takeRecord takes one record to who keeps its kind. It runs under the store's lock, for one key from older to newer.
+func (h *Hub) takeRecord(record relay.Record) {
 	switch {
-	case r.Key == relay.ConfigKey && h.document != nil:
-		h.takeDocument(r)
-	case r.Key == relay.ConfigKey:
-		h.takeConfig(r)
-	case h.runners != nil && registry.Owns(r):
-		h.runners.See(r)
+	case record.Key == relay.ConfigKey && h.document != nil:
+		h.takeDocument(record)
+	case record.Key == relay.ConfigKey:
+		h.takeConfig(record)
+	case h.runners != nil && registry.Owns(record):
+		h.runners.See(record)
 	case h.onNews != nil:
-		h.onNews(r)
+		h.onNews(record)
 	}
 }
 
@@ -43,53 +49,59 @@
 			continue
 		}
 		go func() {
-			ctx, end := context.WithTimeout(h.ctx, time.Second)
-			defer end()
+			ctx, cancel := context.WithTimeout(h.ctx, tellTimeout)
+			defer cancel()
 			h.caller.Call(ctx, n.Addr, "node.tell", &relay.News{From: h.ctx.Name, Records: news.Records}, nil)
 		}()
 	}
 }
 
 // SpreadToAll hands records to every node directly, beside the tree, and tells whether one at least holds
-// them. It waits until all have answered, a quarter second at most: if we are gone right after, the
+// them. It waits until all have answered, for spreadWait at most: if we are gone right after, the
 // tree that led through us must not be what others depend on.
 //
 //	if hub.SpreadToAll(ctx, records) { ... }
 func (h *Hub) SpreadToAll(ctx context.Context, records []relay.Record) bool {
-	nodes := h.Nodes()
-	ch := make(chan bool, len(nodes))
-	ask := 0
-	for _, n := range nodes {
-		if n.Name == h.ctx.Name {
-			continue
-		}
-		ask++
-		go func() {
-			one, end := context.WithTimeout(h.ctx, time.Second)
-			defer end()
-			ch <- h.caller.Call(one, n.Addr, "node.tell", &relay.News{From: h.ctx.Name, Records: records}, nil) == nil
-		}()
-	}
-	wait := time.NewTimer(250 * time.Millisecond)
-	defer wait.Stop()
-	late := wait.C
-	held := ask == 0
-	for ; ask > 0; ask-- {
+	results, pending := h.tellAll(records)
+	timer := time.NewTimer(spreadWait)
+	defer timer.Stop()
+	deadline := timer.C
+	held := pending == 0
+	for pending > 0 {
 		select {
-		case ok := <-ch:
+		case ok := <-results:
+			pending--
 			held = held || ok
-			if held && late == nil {
+			if held && deadline == nil {
 				return true
 			}
-		case <-late:
+		case <-deadline:
 			if held {
 				return true
 			}
-			late = nil // nobody yet: wait on for the first
-			ask++
+			deadline = nil // nobody yet: wait on for the first
 		case <-ctx.Done():
 			return held
 		}
 	}
 	return held
 }
+
+// tellAll sends records to all other nodes. The channel gets a result from each of them: whether it has taken them.
+func (h *Hub) tellAll(records []relay.Record) (results <-chan bool, count int) {
+	nodes := h.Nodes()
+	all := make(chan bool, len(nodes))
+	news := &relay.News{From: h.ctx.Name, Records: records}
+	for _, n := range nodes {
+		if n.Name == h.ctx.Name {
+			continue
+		}
+		count++
+		go func() {
+			ctx, cancel := context.WithTimeout(h.ctx, tellTimeout)
+			defer cancel()
+			all <- h.caller.Call(ctx, n.Addr, "node.tell", news, nil) == nil
+		}()
+	}
+	return all, count
+}
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -35,7 +35,7 @@
 	switch {
 	case h.current.Load() == nil:
 		return "no layout yet"
-	case !h.asked:
+	case !h.initialSyncDone:
 		return "neither the core nor the hall's nodes have been asked yet"
 	}
 	return ""
--- a/internal/node/repair.go
+++ b/internal/node/repair.go
@@ -24,15 +24,16 @@
 		if to == "" || to == h.addr {
 			continue
 		}
-		ctx, end := context.WithTimeout(h.ctx, 500*time.Millisecond)
+		ctx, cancel := context.WithTimeout(h.ctx, 500*time.Millisecond)
 		ok := h.repairWith(ctx, to)
-		end()
+		cancel()
 		if ok {
 			return
 		}
 	}
 }
 
+// repairWith compares our news with one node's, and takes and gives what differs. It tells whether the node answered.
 func (h *Hub) repairWith(ctx context.Context, to string) bool {
 	sum := h.Records.Digests(h.ctx.Name)
 	var diff relay.Difference
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -24,37 +24,37 @@
 	case "view.ask":
 		return &view.StatusResponse{Addr: h.addr, View: h.Core.View()}, nil
 	case "node.tell":
-		return wire.On(body, func(in *relay.News) (*core.Empty, error) {
-			h.Spread(*in)
+		return wire.On(body, func(news *relay.News) (*core.Empty, error) {
+			h.Spread(*news)
 			return &core.Empty{}, nil
 		})
 	case "node.sum":
-		return wire.On(body, func(in *relay.Digests) (*relay.Difference, error) {
-			d := h.Records.Compare(*in)
+		return wire.On(body, func(digests *relay.Digests) (*relay.Difference, error) {
+			d := h.Records.Compare(*digests)
 			return &d, nil
 		})
 	case "node.fix":
-		return wire.On(body, func(in *relay.Repair) (*relay.News, error) {
-			h.Spread(relay.News{From: in.From, Records: in.Records})
-			return &relay.News{From: h.ctx.Name, Records: h.Records.Select(in.Wanted)}, nil
+		return wire.On(body, func(repair *relay.Repair) (*relay.News, error) {
+			h.Spread(relay.News{From: repair.From, Records: repair.Records})
+			return &relay.News{From: h.ctx.Name, Records: h.Records.Select(repair.Wanted)}, nil
 		})
 	case "node.view":
-		return wire.On(body, func(in *view.LearnRequest) (*core.Empty, error) {
-			h.Core.Learn(in.View)
+		return wire.On(body, func(request *view.LearnRequest) (*core.Empty, error) {
+			h.Core.Learn(request.View)
 			return &core.Empty{}, nil
 		})
 	case "node.run":
 		me := h.Me()
 		return &me, nil
 	case "node.roll":
-		return &Roll{h.Nodes()}, nil
+		return &NodeList{h.Nodes()}, nil
 	}
 	return wire.Hands(h.handlers).Do(ctx, kind, body)
 }
 
 // Call reaches another process of the fleet.
 //
-//	err := hub.Call(ctx, addr, "piece.copy", &in, nil)
-func (h *Hub) Call(ctx context.Context, addr, kind string, in msgp.Marshaler, out msgp.Unmarshaler) error {
-	return h.caller.Call(ctx, addr, kind, in, out)
+//	err := hub.Call(ctx, addr, "piece.copy", &request, nil)
+func (h *Hub) Call(ctx context.Context, addr, kind string, request msgp.Marshaler, response msgp.Unmarshaler) error {
+	return h.caller.Call(ctx, addr, kind, request, response)
 }
--- a/internal/node/standby.go
+++ b/internal/node/standby.go
@@ -8,11 +8,11 @@
 	"yarrowridge/internal/wire"
 )
 
-// Guard names a standby for a stream that was taken over, before its second run.
+// AssignStandby names a standby for a stream that was taken over, before its second run.
 //
-//	err := streams.Guard(ctx, stream)
-func (s *Streams) Guard(ctx context.Context, stream *Stream) error {
-	n, _ := stream.Held()
+//	err := streams.AssignStandby(ctx, stream)
+func (s *Streams) AssignStandby(ctx context.Context, stream *Stream) error {
+	n, _ := stream.HeldPieces()
 	return s.copyToStandby(ctx, stream, StreamCopy{From: n})
 }
 
@@ -21,11 +21,11 @@
 	if stream.standbyName == "" || stream.request == nil {
 		return nil // there is none, or it has no right to
 	}
-	got, err := s.claimTurn(ctx, stream.ID, stream.turn)
-	if err != nil || !got {
+	granted, err := s.claimTurn(ctx, stream.ID, stream.turn)
+	if err != nil || !granted {
 		s.ctx.Log.Warn("Another router may carry the stream on. Ours ends.", "query", stream.ID)
-		s.drop(stream) // whoever asks us for it is to ask the others
-		return ErrTaken
+		s.forget(stream) // whoever asks us for it is to ask the others
+		return ErrCarriedElsewhere
 	}
 	stream.mu.Lock()
 	stream.turn++
@@ -35,7 +35,7 @@
 
 // copyToStandby hands a change to the standby; a new one gets the whole stream. Where a second run is
 // allowed, a standby that did not answer may believe us gone: before anything is shown without it,
-// its turn has to be ours. A new one is greeted first without the request, which alone gives the right to
+// its turn has to be ours. A new one is called first without the request, which alone gives the right to
 // carry on: one that is out of reach costs no turn, so that a zone cut off from the core serves on.
 func (s *Streams) copyToStandby(ctx context.Context, stream *Stream, change StreamCopy) error {
 	if stream.tooLarge {
@@ -43,31 +43,16 @@
 	}
 	change.ID, change.Tenant, change.Owner, change.Addr = stream.ID, stream.Tenant, s.ctx.Name, s.hub.addr
 	for stream.failedStandbys < maxCopyTries {
-		fresh := stream.standbyAddr == ""
-		if fresh && !s.chooseStandby(stream) {
+		isNew := stream.standbyAddr == ""
+		if isNew && !s.chooseStandby(stream) {
 			return nil
 		}
-		next := change
-		stream.mu.Lock()
-		next.Turn = stream.turn
-		if fresh {
-			next.From, next.Pieces, next.Request = 0, stream.pieces, stream.request
-		}
-		stream.mu.Unlock()
-		var err error
-		met := !fresh || next.Request == nil
-		if !met {
-			err = s.sendCopy(ctx, stream, &StreamCopy{ID: change.ID, Tenant: change.Tenant, Owner: change.Owner, Addr: change.Addr, Turn: next.Turn})
-			met = err == nil
-		}
-		if err == nil {
-			err = s.sendCopy(ctx, stream, &next)
-		}
+		reached, err := s.copyTo(ctx, stream, change, isNew)
 		if err == nil {
 			return nil
 		}
-		s.ctx.Log.Warn("Understudy did not take a piece.", "query", stream.ID, "peer", stream.standbyAddr, "trouble", err.Error())
-		if met {
+		s.ctx.Log.Warn("Standby did not take a piece.", "query", stream.ID, "peer", stream.standbyAddr, "trouble", err.Error())
+		if reached {
 			if err := s.revokeStandby(ctx, stream); err != nil {
 				return err
 			}
@@ -78,6 +63,25 @@
 	return nil
 }
 
+// copyTo sends a change to the chosen standby. reached: it may have the right to carry the stream on, though err says
+// that it did not answer.
+func (s *Streams) copyTo(ctx context.Context, stream *Stream, change StreamCopy, isNew bool) (reached bool, err error) {
+	next := change
+	stream.mu.Lock()
+	next.StandbyTurn = stream.turn
+	if isNew {
+		next.From, next.Pieces, next.Request = 0, stream.pieces, stream.request
+	}
+	stream.mu.Unlock()
+	if isNew && next.Request != nil {
+		first := StreamCopy{ID: change.ID, Tenant: change.Tenant, Owner: change.Owner, Addr: change.Addr, StandbyTurn: next.StandbyTurn}
+		if err := s.sendCopy(ctx, stream, &first); err != nil {
+			return false, err
+		}
+	}
+	return true, s.sendCopy(ctx, stream, &next)
+}
+
 // sendCopy asks the standby to hold something, for a short time.
 func (s *Streams) sendCopy(ctx context.Context, stream *Stream, change *StreamCopy) error {
 	short, cancel := context.WithTimeout(context.WithoutCancel(ctx), copyTimeout)
@@ -104,56 +108,65 @@
 
 // takeCopy takes a copy as a standby.
 func (s *Streams) takeCopy(change *StreamCopy) (*core.Empty, error) {
-	n := 0
+	size := 0
 	for _, piece := range change.Pieces {
-		n += len(piece)
+		size += len(piece)
 	}
 	if change.Request != nil {
-		n += len(change.Request.Body)
+		size += len(change.Request.Body)
 	}
-	s.mu.Lock()
-	stream := s.byID[change.ID]
+	stream := s.standbyStream(change)
 	if stream == nil {
-		if change.From > 0 {
-			s.mu.Unlock()
-			return nil, wire.Fault{Code: "gap"}
-		}
-		stream = &Stream{ID: change.ID, Tenant: change.Tenant, ownerName: change.Owner, ownerAddr: change.Addr, changed: make(chan struct{}), changedAt: time.Now()}
-		s.byID[change.ID] = stream
+		return nil, wire.Fault{Code: "gap"}
 	}
-	s.mu.Unlock()
-	if !s.reserveBytes(n) {
+	if !s.reserveBytes(size) {
 		return nil, wire.Fault{Code: "full"}
 	}
+	var taken int
 	var err error
-	stream.change(func() {
-		have := len(stream.pieces)
-		switch {
-		case stream.ownerName == "" || change.Turn < stream.turn:
-			err = wire.Fault{Code: "given-up"} // we carry it on, or somebody after its sender does
-		case stream.lost != "":
-			err = wire.Fault{Code: "given-up"} // told a client so already
-		case change.From > have:
-			err = wire.Fault{Code: "gap"}
-		default:
-			for i, piece := range change.Pieces {
-				if change.From+i >= have {
-					stream.pieces = append(stream.pieces, piece)
-					stream.size += len(piece)
-					n -= len(piece)
-				}
-			}
-			if change.Request != nil && stream.request == nil {
-				stream.request = change.Request
-				stream.size += len(change.Request.Body)
-				n -= len(change.Request.Body)
-			}
-			stream.readable, stream.turn, stream.ownerName, stream.ownerAddr = len(stream.pieces), change.Turn, change.Owner, change.Addr
-			stream.ended, stream.lost = stream.ended || change.End, change.Lost
-		}
-	})
+	stream.change(func() { taken, err = stream.addCopy(change) })
 	s.mu.Lock()
-	s.size -= n // reserved, and not needed after all
-	s.mu.Unlock()
+	defer s.mu.Unlock()
+	s.size -= size - taken // reserved, and not needed after all
 	return &core.Empty{}, err
 }
+
+// standbyStream gives the stream that a copy is of, and begins it with its first copy; nil where that was missed.
+func (s *Streams) standbyStream(change *StreamCopy) *Stream {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	stream := s.byID[change.ID]
+	if stream == nil && change.From == 0 {
+		stream = &Stream{ID: change.ID, Tenant: change.Tenant, ownerName: change.Owner, ownerAddr: change.Addr, changed: make(chan struct{}), changedAt: time.Now()}
+		s.byID[change.ID] = stream
+	}
+	return stream
+}
+
+// addCopy adds what is new in a copy, and tells how many bytes that are. The caller holds the lock.
+func (stream *Stream) addCopy(change *StreamCopy) (taken int, err error) {
+	have := len(stream.pieces)
+	switch {
+	case stream.ownerName == "" || change.StandbyTurn < stream.turn:
+		return 0, wire.Fault{Code: "given-up"} // we carry it on, or somebody after its sender does
+	case stream.lost != "":
+		return 0, wire.Fault{Code: "given-up"} // told a client so already
+	case change.From > have:
+		return 0, wire.Fault{Code: "gap"}
+	}
+	for i, piece := range change.Pieces {
+		if change.From+i >= have {
+			stream.pieces = append(stream.pieces, piece)
+			taken += len(piece)
+		}
+	}
+	if change.Request != nil && stream.request == nil {
+		stream.request = change.Request
+		taken += len(change.Request.Body)
+	}
+	stream.size += taken
+	stream.readable = len(stream.pieces)
+	stream.turn, stream.ownerName, stream.ownerAddr = change.StandbyTurn, change.Owner, change.Addr
+	stream.ended, stream.lost = stream.ended || change.End, change.Lost
+	return taken, nil
+}
--- a/internal/node/streamread.go
+++ b/internal/node/streamread.go
@@ -10,44 +10,50 @@
 	"yarrowridge/internal/wire"
 )
 
+// How long a resumed stream is read for.
+const (
+	resumeWait    = 700 * time.Millisecond // for a new piece
+	resumeTimeout = 1500 * time.Millisecond
+)
+
 // handle answers other routers' calls about streams.
 func (s *Streams) handle(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 	switch kind {
 	case "stream.copy":
 		return wire.On(body, s.takeCopy)
 	case "stream.read":
-		return wire.On(body, func(asked *StreamAsk) (*StreamTold, error) { return s.read(ctx, asked), nil })
+		return wire.On(body, func(request *StreamReadRequest) (*StreamReadResponse, error) { return s.read(ctx, request), nil })
 	}
 	return nil, wire.Fault{Code: "unknown-kind"}
 }
 
 // read gives the pieces after a number, and waits for one where there is none.
-func (s *Streams) read(ctx context.Context, asked *StreamAsk) *StreamTold {
+func (s *Streams) read(ctx context.Context, request *StreamReadRequest) *StreamReadResponse {
 	s.mu.Lock()
-	stream := s.byID[asked.ID]
+	stream := s.byID[request.ID]
 	s.mu.Unlock()
-	if stream == nil || stream.Tenant != asked.Tenant {
-		return &StreamTold{}
+	if stream == nil || stream.Tenant != request.Tenant {
+		return &StreamReadResponse{}
 	}
-	wait := time.NewTimer(time.Duration(asked.WaitMs) * time.Millisecond)
+	wait := time.NewTimer(time.Duration(request.WaitMs) * time.Millisecond)
 	defer wait.Stop()
 	for {
 		stream.mu.Lock()
-		told := &StreamTold{Have: !stream.tooLarge, End: stream.ended, Lost: stream.lost}
-		if asked.After < stream.readable {
-			told.Pieces = append(told.Pieces, stream.pieces[max(0, asked.After):stream.readable]...)
+		response := &StreamReadResponse{Have: !stream.tooLarge, End: stream.ended, Lost: stream.lost}
+		if request.After < stream.readable {
+			response.Pieces = append(response.Pieces, stream.pieces[max(0, request.After):stream.readable]...)
 		}
 		more := stream.changed
 		stream.mu.Unlock()
-		if len(told.Pieces) > 0 || told.End || told.Lost != "" || asked.WaitMs <= 0 {
-			return told
+		if len(response.Pieces) > 0 || response.End || response.Lost != "" || request.WaitMs <= 0 {
+			return response
 		}
 		select {
 		case <-more:
 		case <-wait.C:
-			return told
+			return response
 		case <-ctx.Done():
-			return told
+			return response
 		}
 	}
 }
@@ -58,53 +64,59 @@
 // Resume gives the pieces after a number, waiting for new ones, wherever the stream is held. The
 // router that carries it is asked as well as its standby; who has more is believed.
 //
-//	told, err := streams.Resume(ctx, id, tenant, 12)
-func (s *Streams) Resume(ctx context.Context, id, tenant string, after int) (*StreamTold, error) {
-	asked := &StreamAsk{ID: id, Tenant: tenant, After: after, WaitMs: 700}
+//	response, err := streams.Resume(ctx, id, tenant, 12)
+func (s *Streams) Resume(ctx context.Context, id, tenant string, after int) (*StreamReadResponse, error) {
+	request := &StreamReadRequest{ID: id, Tenant: tenant, After: after, WaitMs: int(resumeWait.Milliseconds())}
 	s.mu.Lock()
 	stream := s.byID[id]
 	s.mu.Unlock()
 	if stream != nil && stream.isOwn() {
-		if told := s.read(ctx, asked); told.Have {
-			return told, nil
+		if response := s.read(ctx, request); response.Have {
+			return response, nil
 		}
 		return nil, ErrNoStream
 	}
-	short, cancel := context.WithTimeout(ctx, 1500*time.Millisecond)
+	ctx, cancel := context.WithTimeout(ctx, resumeTimeout)
 	defer cancel()
+	responses, pending := s.readEverywhere(ctx, stream, request)
+	var best *StreamReadResponse
+	for range pending {
+		response := <-responses
+		switch {
+		case !response.Have:
+		case len(response.Pieces) > 0 || response.End:
+			return response, nil
+		case best == nil || response.Lost == "":
+			best = response
+		}
+	}
+	if best == nil {
+		return nil, ErrNoStream
+	}
+	return best, nil
+}
+
+// readEverywhere reads a stream at all other routers, and here if we are its standby. The channel gets a response from
+// each, an empty one from those that do not answer.
+func (s *Streams) readEverywhere(ctx context.Context, stream *Stream, request *StreamReadRequest) (responses <-chan *StreamReadResponse, count int) {
 	nodes := s.hub.Nodes()
-	answers := make(chan *StreamTold, len(nodes)+1)
-	pending := 0
+	all := make(chan *StreamReadResponse, len(nodes)+1)
 	for _, n := range nodes {
 		if n.Name == s.ctx.Name {
 			continue
 		}
-		pending++
+		count++
 		go func() {
-			var told StreamTold
-			if s.hub.Call(short, n.Addr, "stream.read", asked, &told) != nil {
-				told = StreamTold{}
+			var response StreamReadResponse
+			if s.hub.Call(ctx, n.Addr, "stream.read", request, &response) != nil {
+				response = StreamReadResponse{}
 			}
-			answers <- &told
+			all <- &response
 		}()
 	}
 	if stream != nil {
-		pending++
-		go func() { answers <- s.read(short, asked) }()
-	}
-	var best *StreamTold
-	for range pending {
-		told := <-answers
-		switch {
-		case !told.Have:
-		case len(told.Pieces) > 0 || told.End:
-			return told, nil
-		case best == nil || told.Lost == "":
-			best = told
-		}
+		count++
+		go func() { all <- s.read(ctx, request) }()
 	}
-	if best == nil {
-		return nil, ErrNoStream
-	}
-	return best, nil
+	return all, count
 }
--- a/internal/node/streams.go
+++ b/internal/node/streams.go
@@ -73,11 +73,11 @@
 //
 //	go streams.Run()
 func (s *Streams) Run() {
-	env.Loop(s.ctx, nil, time.Second, func(struct{}) {}, s.dropOld)
+	env.Loop(s.ctx, nil, time.Second, func(struct{}) {}, s.sweep)
 }
 
-// dropOld drops streams that have had their time, and asks after silent owners of the others.
-func (s *Streams) dropOld() {
+// sweep drops streams that have had their time, and asks after silent owners of the others.
+func (s *Streams) sweep() {
 	s.mu.Lock()
 	all := make([]*Stream, 0, len(s.byID))
 	for _, stream := range s.byID {
@@ -89,15 +89,15 @@
 		old := time.Since(stream.changedAt) > KeepEnded && (stream.ended || stream.lost != "" || stream.ownerName != "")
 		stream.mu.Unlock()
 		if old {
-			s.drop(stream)
+			s.forget(stream)
 		} else {
 			go s.checkOwner(stream)
 		}
 	}
 }
 
-// drop forgets a stream.
-func (s *Streams) drop(stream *Stream) {
+// forget forgets a stream.
+func (s *Streams) forget(stream *Stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.byID[stream.ID] == stream {
@@ -125,9 +125,9 @@
 	stream.changed = make(chan struct{})
 }
 
-// ErrTaken means that another router carries the stream on, or may do so: nothing more of ours may be
+// ErrCarriedElsewhere means that another router carries the stream on, or may do so: nothing more of ours may be
 // shown.
-var ErrTaken = eris.New("node: another router carries the stream on")
+var ErrCarriedElsewhere = eris.New("node: another router carries the stream on")
 
 // Open begins a stream on its own router. request is what a second run takes; nil where there must be none.
 //
@@ -140,19 +140,19 @@
 	return stream
 }
 
-// Held tells how many pieces a second run has to repeat, and whether it may be made at all.
+// HeldPieces tells how many pieces a second run has to repeat, and whether it may be made at all.
 //
-//	n, ok := stream.Held()
-func (stream *Stream) Held() (n int, ok bool) {
+//	n, ok := stream.HeldPieces()
+func (stream *Stream) HeldPieces() (n int, ok bool) {
 	stream.mu.Lock()
 	defer stream.mu.Unlock()
 	return len(stream.pieces), stream.request != nil && !stream.tooLarge
 }
 
-// Same tells whether piece i is, byte for byte, what is held.
+// Matches tells whether piece i is, byte for byte, what is held.
 //
-//	if !stream.Same(0, piece) { ... }
-func (stream *Stream) Same(i int, piece []byte) bool {
+//	if !stream.Matches(0, piece) { ... }
+func (stream *Stream) Matches(i int, piece []byte) bool {
 	stream.mu.Lock()
 	defer stream.mu.Unlock()
 	return i < len(stream.pieces) && bytes.Equal(stream.pieces[i], piece)
@@ -181,11 +181,11 @@
 	return true
 }
 
-// Add hands numbered pieces to the standby. Once it returns nil they may be shown to the client. A
+// Append hands numbered pieces to the standby. Once it returns nil they may be shown to the client. A
 // stream that outgrows its bounds goes on, but is no longer held.
 //
-//	err := streams.Add(ctx, stream, [][]byte{event})
-func (s *Streams) Add(ctx context.Context, stream *Stream, pieces [][]byte) error {
+//	err := streams.Append(ctx, stream, [][]byte{event})
+func (s *Streams) Append(ctx context.Context, stream *Stream, pieces [][]byte) error {
 	n := 0
 	for _, piece := range pieces {
 		n += len(piece)
@@ -202,7 +202,7 @@
 				return err
 			}
 			stream.change(func() { stream.tooLarge = true })
-			s.drop(stream)
+			s.forget(stream)
 		}
 		return nil
 	}
@@ -221,7 +221,7 @@
 //
 //	err := streams.Close(ctx, stream, "")
 func (s *Streams) Close(ctx context.Context, stream *Stream, lost string) error {
-	n, _ := stream.Held()
+	n, _ := stream.HeldPieces()
 	if err := s.copyToStandby(ctx, stream, StreamCopy{From: n, End: lost == "", Lost: lost}); err != nil {
 		return err
 	}
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -9,7 +9,7 @@
 )
 
 // checkOwner finds out whether a silent owner is gone, and if so carries its stream on, or ends it
-// with an error. The roll alone does not decide it: while the core is away the roll says nothing.
+// with an error. The list of nodes alone does not decide it: while the core is away it says nothing.
 func (s *Streams) checkOwner(stream *Stream) {
 	stream.mu.Lock()
 	quiet := stream.ownerName != "" && !stream.askingOwner && !stream.ended && stream.lost == "" && time.Since(stream.changedAt) > ownerSilentAfter
@@ -21,10 +21,10 @@
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, copyTimeout)
 	defer cancel()
-	var told StreamTold
-	err := s.hub.Call(ctx, addr, "stream.read", &StreamAsk{ID: stream.ID, Tenant: stream.Tenant, After: 1 << 30}, &told)
+	var response StreamReadResponse
+	err := s.hub.Call(ctx, addr, "stream.read", &StreamReadRequest{ID: stream.ID, Tenant: stream.Tenant, After: 1 << 30}, &response)
 	switch {
-	case err == nil && told.Have:
+	case err == nil && response.Have:
 		stream.mu.Lock()
 		stream.changedAt = time.Now() // alive, if silent: its stream is kept
 		stream.mu.Unlock()
@@ -45,26 +45,26 @@
 	stream.mu.Lock()
 	turn := stream.turn
 	stream.mu.Unlock()
-	got, err := s.claimTurn(s.ctx, stream.ID, turn)
+	granted, err := s.claimTurn(s.ctx, stream.ID, turn)
 	if err != nil {
 		s.ctx.Log.Warn("The core can't be asked who carries a stream on.", "query", stream.ID, "trouble", err.Error())
 		return // asked again by the next dropOld
 	}
 	stream.mu.Lock()
-	same := stream.turn == turn
-	mine := got && same && !stream.ended && stream.lost == ""
-	if mine {
+	sameTurn := stream.turn == turn
+	carriesOn := granted && sameTurn && !stream.ended && stream.lost == ""
+	if carriesOn {
 		stream.ownerName, stream.readable = "", len(stream.pieces)
 		stream.turn++
 	}
-	n := len(stream.pieces)
+	pieces := len(stream.pieces)
 	stream.mu.Unlock()
-	if !got && same {
-		s.ctx.Log.Info("Stream is another understudy's by now.", "query", stream.ID)
-		s.drop(stream)
+	if !granted && sameTurn {
+		s.ctx.Log.Info("Stream is another standby's by now.", "query", stream.ID)
+		s.forget(stream)
 	}
-	if mine {
-		s.ctx.Log.Warn("Stream is carried on in place of its router.", "query", stream.ID, "pieces", n)
+	if carriesOn {
+		s.ctx.Log.Warn("Stream is carried on in place of its router.", "query", stream.ID, "pieces", pieces)
 		go s.Successor(stream, request)
 	}
 }
@@ -73,9 +73,9 @@
 func (s *Streams) claimTurn(ctx context.Context, id string, turn int) (bool, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), claimTimeout)
 	defer cancel()
-	in := core.ClaimRequest{Key: fmt.Sprintf("%s%s/%d", core.StreamPrefix, id, turn),
+	request := core.ClaimRequest{Key: fmt.Sprintf("%s%s/%d", core.StreamPrefix, id, turn),
 		Claim: core.Claim{RequestHash: "stream", Claimant: fmt.Sprintf("%s/%x", s.ctx.Name, s.ctx.Born), Node: s.ctx.Name, NodeRun: s.ctx.Born}}
-	var out core.ClaimResponse
-	err := s.hub.Core.Call(ctx, "core.take", &in, &out, true)
-	return out.Granted, err
+	var response core.ClaimResponse
+	err := s.hub.Core.Call(ctx, "core.take", &request, &response, true)
+	return response.Granted, err
 }
