--- a/internal/clientapi/response.go
+++ b/internal/clientapi/response.go
@@ -150,7 +150,7 @@
 	}
 	slot.MarkFailed()
 	x.triedRunners[slot.Index] = true
-	x.server.Ctx.Log.Warn("Runner lost a query.", "query", x.request.ID, "peer", slot.Addr, "trouble", err.Error())
+	x.server.Ctx.Log.Warn("Runner lost a query.", "query", x.request.ID, "peer", slot.Addr, "error", err.Error())
 	if context.Cause(ctx) == errRunnerSilent {
 		return &Rejection{Status: 504, Code: "runner-silent", OutcomeUnknown: true, Message: "The runner sent nothing for too long."}
 	}
--- a/internal/clientapi/server.go
+++ b/internal/clientapi/server.go
@@ -160,7 +160,7 @@
 	var rejection *Rejection
 	if !errors.As(err, &rejection) {
 		rejection = &Rejection{Status: 500, Code: "internal", Message: "Internal trouble.", OutcomeUnknown: true}
-		x.server.Ctx.Log.Error("Query in trouble of our own making.", "query", x.request.ID, "trouble", err.Error())
+		x.server.Ctx.Log.Error("Query in trouble of our own making.", "query", x.request.ID, "error", err.Error())
 	}
 	step := x.finishFailed(rejection.Code)
 	if x.claim != nil {
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	if written.Version > 0 {
-		s.ctx.Log.Info("Layout taken.", "sequence", written.Version)
+		s.ctx.Log.Info("Configuration taken.", "sequence", written.Version)
 		s.push(relay.ConfigRecord(written.Version, written.Raw))
 		if !s.isPrimary(s.voter.View()) {
 			return nil, wire.Fault{Code: InDoubt}
--- a/internal/core/disk.go
+++ b/internal/core/disk.go
@@ -19,7 +19,7 @@
 	if !errors.Is(err, store.ErrBroken) {
 		return opened, err
 	}
-	ctx.Log.Error("State is damaged; set aside. This disk counts as blank.", "trouble", err.Error())
+	ctx.Log.Error("State is damaged; set aside. This disk counts as blank.", "error", err.Error())
 	if err := setAside(disk); err != nil {
 		return nil, err
 	}
@@ -64,7 +64,7 @@
 	s.mu.Unlock()
 	if !alreadyFailed {
 		s.release(round)
-		s.ctx.Log.Error("Disk is in trouble. Leading stops.", "trouble", err.Error())
+		s.ctx.Log.Error("Disk is in trouble. Leading stops.", "error", err.Error())
 		go s.recoverDisk()
 	}
 }
--- a/internal/core/findfleet.go
+++ b/internal/core/findfleet.go
@@ -81,7 +81,7 @@
 		s.attemptDue(joinPause)
 		return
 	}
-	s.ctx.Log.Debug("No answer to our request to join.", "trouble", err.Error())
+	s.ctx.Log.Debug("No answer to our request to join.", "error", err.Error())
 	s.attemptDue(joinRetryPause)
 	s.askAround(v)
 }
--- a/internal/core/primary.go
+++ b/internal/core/primary.go
@@ -87,7 +87,7 @@
 	decided, err := proposal.Run(s.ctx)
 	s.highestBallot = proposal.HighestBallot
 	if err != nil {
-		s.ctx.Log.Warn("View not decided.", "after", current.Epoch, "trouble", err.Error())
+		s.ctx.Log.Warn("View not decided.", "after", current.Epoch, "error", err.Error())
 		return false
 	}
 	s.learn(decided)
@@ -141,7 +141,7 @@
 	var config StoredConfig
 	if raw, ok := s.store.Load().Get(configKey); ok {
 		if _, err := config.UnmarshalMsg(raw); err != nil {
-			s.ctx.Log.Error("Stored layout unread.", "trouble", err.Error())
+			s.ctx.Log.Error("Stored configuration can't be read.", "error", err.Error())
 			return
 		}
 	}
@@ -197,6 +197,6 @@
 	ctx, cancel := context.WithTimeout(s.ctx, stepTimeout)
 	defer cancel()
 	if err := s.call(ctx, v.Addr(v.Primary), "view.learn", &view.LearnRequest{View: v}, nil); err != nil {
-		s.ctx.Log.Warn("The next primary was not told.", "peer", v.Addr(v.Primary), "trouble", err.Error())
+		s.ctx.Log.Warn("The next primary was not told.", "peer", v.Addr(v.Primary), "error", err.Error())
 	}
 }
--- a/internal/core/replicate.go
+++ b/internal/core/replicate.go
@@ -71,7 +71,7 @@
 	send := func() bool {
 		err := s.callBackup(v, id, "core.copy", &request, snapshotTimeout)
 		if err != nil {
-			s.ctx.Log.Warn("Copy to backup failed.", "peer", v.Addr(id), "trouble", err.Error())
+			s.ctx.Log.Warn("Copy to backup failed.", "peer", v.Addr(id), "error", err.Error())
 		}
 		request.Part++
 		request.Puts, size = nil, 0
@@ -93,7 +93,7 @@
 		request := &ReplicateRequest{View: v, Primary: v.Primary, Batch: batch}
 		err := s.callBackup(v, id, "core.hold", request, replicateTimeout)
 		if err != nil {
-			s.ctx.Log.Warn("Backup did not hold a write.", "peer", v.Addr(id), "trouble", err.Error())
+			s.ctx.Log.Warn("Backup did not hold a write.", "peer", v.Addr(id), "error", err.Error())
 		}
 		return err == nil
 	})
--- a/internal/env/proc.go
+++ b/internal/env/proc.go
@@ -45,7 +45,7 @@
 func (process *Proc) reload(prog string, items []Setting, args []string) {
 	set, _, err := Read(prog, items, args)
 	if err != nil {
-		process.Ctx.Log.Error("Reloaded settings do not hold. The old ones stay.", "trouble", err.Error())
+		process.Ctx.Log.Error("Reloaded settings do not hold. The old ones stay.", "error", err.Error())
 		return
 	}
 	for _, setting := range items {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -18,7 +18,7 @@
 // takeDocument passes on a configuration that is read elsewhere, and puts it in force if it was understood there.
 func (h *Hub) takeDocument(record relay.Record) {
 	if err := h.document(record.Version, record.Body); err != nil {
-		h.ctx.Log.Error("Configuration from the core is not understood. The old one stays.", "sequence", record.Version, "trouble", err.Error())
+		h.ctx.Log.Error("Configuration from the core is not understood. The old one stays.", "sequence", record.Version, "error", err.Error())
 		return
 	}
 	h.applyConfiguration(&configuration{version: record.Version, raw: record.Body})
@@ -29,7 +29,7 @@
 func (h *Hub) takeConfig(record relay.Record) {
 	config, errors := fleetconfig.Parse(record.Body)
 	if len(errors) > 0 {
-		h.ctx.Log.Error("Configuration from the core is not understood. The old one stays.", "sequence", record.Version, "trouble", errors[0].Path+": "+errors[0].Text)
+		h.ctx.Log.Error("Configuration from the core is not understood. The old one stays.", "sequence", record.Version, "error", errors[0].Path+": "+errors[0].Text)
 		return
 	}
 	config.Version = record.Version
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -47,7 +47,7 @@
 			h.ctx.Log.Error("Another router has our name. Each needs its own.", "name", h.ctx.Name)
 			return true
 		}
-		h.ctx.Log.Debug("No answer from the core.", "trouble", err.Error())
+		h.ctx.Log.Debug("No answer from the core.", "error", err.Error())
 		h.repairFromZone()
 		return false
 	}
@@ -173,6 +173,6 @@
 	defer cancel()
 	request := core.HeartbeatRequest{Node: h.Me(), Leaving: true}
 	if err := h.Core.Call(ctx, "core.beat", &request, &core.HeartbeatResponse{}, true); err != nil {
-		h.ctx.Log.Warn("The core was not told that we leave.", "trouble", err.Error())
+		h.ctx.Log.Warn("The core was not told that we leave.", "error", err.Error())
 	}
 }
--- a/internal/node/standby.go
+++ b/internal/node/standby.go
@@ -51,7 +51,7 @@
 		if err == nil {
 			return nil
 		}
-		s.ctx.Log.Warn("Standby did not take a piece.", "query", stream.ID, "peer", stream.standbyAddr, "trouble", err.Error())
+		s.ctx.Log.Warn("Standby did not take a piece.", "query", stream.ID, "peer", stream.standbyAddr, "error", err.Error())
 		if reached {
 			if err := s.revokeStandby(ctx, stream); err != nil {
 				return err
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -47,7 +47,7 @@
 	stream.mu.Unlock()
 	granted, err := s.claimTurn(s.ctx, stream.ID, turn)
 	if err != nil {
-		s.ctx.Log.Warn("The core can't be asked who carries a stream on.", "query", stream.ID, "trouble", err.Error())
+		s.ctx.Log.Warn("The core can't be asked who carries a stream on.", "query", stream.ID, "error", err.Error())
 		return // asked again by the next dropOld
 	}
 	stream.mu.Lock()
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -95,7 +95,7 @@
 	case errors.Is(err, wire.ErrUnsent), wire.Is(err, core.NotReady), wire.Is(err, core.NotPrimary):
 		writeRetryable(w, http.StatusServiceUnavailable, "not-taken", "The core can't take writes now. This one was surely not taken.")
 	case err != nil:
-		api.Ctx.Log.Error("Write in trouble.", "trouble", err.Error())
+		api.Ctx.Log.Error("Write in trouble.", "error", err.Error())
 		writeRetryable(w, http.StatusGatewayTimeout, "in-doubt", "The write may yet take effect. Read the layout back.")
 	case written.Code == 200:
 		w.Header().Set("ETag", strconv.Quote(strconv.FormatUint(written.Version, 10)))
--- a/internal/router/main.go
+++ b/internal/router/main.go
@@ -189,7 +189,7 @@
 	defer cancel()
 	for _, server := range servers {
 		if err := server.Drain(within); err != nil {
-			ctx.Log.Warn("Drain ended before its queries did.", "trouble", err.Error())
+			ctx.Log.Warn("Drain ended before its queries did.", "error", err.Error())
 		}
 	}
 	for r.Claims.Settling()+r.Clients.Open() > 0 && env.Wait(within, 20*time.Millisecond) {
