--- a/internal/core/runnerstore.go
+++ b/internal/core/runnerstore.go
@@ -37,6 +37,7 @@
 	return s.Submit(ctx, put)
 }
 
+// storedRunner is a runner as the disk has it, if it does.
 func (s *Server) storedRunner(id string) (routing.Runner, bool) {
 	return decodeRunner(s.store.Load().Get(runnerPrefix + id))
 }
--- a/internal/view/voter.go
+++ b/internal/view/voter.go
@@ -69,6 +69,7 @@
 	return v, v.reset()
 }
 
+// reset is Reset for callers that hold the lock.
 func (v *Voter) reset() error {
 	return v.persist(VoterState{Id: NewId()})
 }
@@ -123,6 +124,7 @@
 	return v.learn(next)
 }
 
+// learn is Learn for callers that hold the lock.
 func (v *Voter) learn(next View) error {
 	if next.Epoch <= v.state.View.Epoch {
 		return nil
