--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -180,6 +180,35 @@
 	return nil
 }
 
+// decodedConfig is a configuration and the stored bytes that it was decoded from.
+type decodedConfig struct {
+	raw      []byte
+	document *Document // nil: it is not understood
+}
+
+// documentIn gives the configuration as the batch under way has it. Nil: none was put yet, or it is not
+// understood. It is decoded once, since each move of quota units asks for it. Only the run loop calls it.
+func (s *Server) documentIn(tx *Tx) (*Document, error) {
+	raw, ok := tx.Get(configKey)
+	if !ok {
+		return nil, nil
+	}
+	if sameBytes(raw, s.decoded.raw) {
+		return s.decoded.document, nil
+	}
+	config, err := tx.config()
+	if err != nil {
+		return nil, err
+	}
+	s.decoded = decodedConfig{raw: raw, document: s.parsedConfig(config)}
+	return s.decoded.document, nil
+}
+
+// sameBytes tells whether two slices are the same memory: what was decoded from one is good for the other.
+func sameBytes(a, b []byte) bool {
+	return len(a) > 0 && len(a) == len(b) && &a[0] == &b[0]
+}
+
 // parsedConfig keeps the last document read, since quota moves ask for it often. Only the run loop calls it.
 func (s *Server) parsedConfig(config StoredConfig) *Document {
 	if config.Version == 0 {
--- /dev/null
+++ b/internal/core/config_test.go
@@ -0,0 +1,48 @@
+package core
+
+import (
+	"bytes"
+	"runtime"
+	"testing"
+
+	"yarrowridge/internal/store"
+)
+
+// wholeCodec takes any configuration: its document has one tenant whose quota is the length of the text.
+type wholeCodec struct{ fleetConfigCodec }
+
+func (wholeCodec) Check(raw []byte) (Document, []ConfigError) {
+	return Document{Quotas: map[string]int{"t": len(raw)}}, nil
+}
+
+// Each move of quota units asks for the configuration: it is decoded once, and anew once it has changed.
+func TestMovesDecodeTheConfigurationOnce(t *testing.T) {
+	const size = 200_000
+	s, committed := quotaServer(t)
+	s.settings.Codec = wholeCodec{}
+	for sequence := uint64(1); sequence <= 2; sequence++ {
+		tx := &Tx{store: committed, newest: map[string]*store.Put{}}
+		raw := bytes.Repeat([]byte("x"), size*int(sequence))
+		if err := tx.Put("layout", &StoredConfig{Version: sequence, Raw: raw}); err != nil {
+			t.Fatal(err)
+		}
+		if document, err := s.documentIn(tx); err != nil || document == nil || document.Quotas["t"] != len(raw) {
+			t.Fatalf("configuration %d within its own batch: %+v, %v", sequence, document, err)
+		}
+		if err := committed.Add(store.Batch{Seq: sequence, Puts: tx.newestPuts()}); err != nil {
+			t.Fatal(err)
+		}
+		var before, after runtime.MemStats
+		runtime.ReadMemStats(&before)
+		for range 100 {
+			tx := &Tx{store: committed, newest: map[string]*store.Put{}}
+			if document, err := s.documentIn(tx); err != nil || document == nil || document.Quotas["t"] != len(raw) {
+				t.Fatalf("configuration %d: %+v, %v", sequence, document, err)
+			}
+		}
+		runtime.ReadMemStats(&after)
+		if used := after.TotalAlloc - before.TotalAlloc; used > 2*size {
+			t.Errorf("%d bytes were allocated for a configuration of %d asked for 100 times", used, len(raw))
+		}
+	}
+}
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -22,16 +22,15 @@
 	response := &QuotaMovesResponse{}
 	err := s.Submit(ctx, func(tx *Tx) error {
 		response.Results = make([]QuotaMoveResult, len(request.Moves))
-		current, err := tx.config()
+		document, err := s.documentIn(tx)
 		if err != nil {
 			return err
 		}
-		var document Document
-		if known := s.parsedConfig(current); known != nil {
-			document = *known
+		if document == nil {
+			document = &Document{}
 		}
 		for i := range request.Moves {
-			if response.Results[i], err = s.moveIn(tx, request.Holder, &request.Moves[i], &document); err != nil {
+			if response.Results[i], err = s.moveIn(tx, request.Holder, &request.Moves[i], document); err != nil {
 				return err
 			}
 		}
--- a/internal/core/quotapools.go
+++ b/internal/core/quotapools.go
@@ -24,7 +24,7 @@
 	if !ok {
 		return &share.QuotaPool{}, nil
 	}
-	if known := c[tenant]; known != nil && len(raw) > 0 && len(raw) == len(known.raw) && &raw[0] == &known.raw[0] {
+	if known := c[tenant]; known != nil && sameBytes(raw, known.raw) {
 		return &known.pool, nil
 	}
 	fresh := &cachedPool{raw: raw}
