--- a/internal/control/main.go
+++ b/internal/control/main.go
@@ -113,8 +113,8 @@
 	}
 	defer lock.Close()
 	seeds := process.Set.Addrs("seeds")
-	server, err := core.Open(process.Ctx.Part("core"), core.Set{
-		Addr: process.Set["addr"], Founders: process.Set.Addrs("founders"), Seeds: seeds, Lost: process.Set.Span("lost"),
+	server, err := core.Open(process.Ctx.Part("core"), core.Settings{
+		Addr: process.Set["addr"], Founders: process.Set.Addrs("founders"), Seeds: seeds, LostAfter: process.Set.Span("lost"),
 		Bootstrap: process.Set["bootstrap"] == "true", Losses: number(process.Set, "losses"), MaxMembers: number(process.Set, "max-members")}, disk)
 	if err != nil {
 		return err
@@ -123,15 +123,15 @@
 	if err != nil {
 		return err
 	}
-	go wire.Serve(process.Ctx, listener, server.Hand)
+	go wire.Serve(process.Ctx, listener, server.Handle)
 	caller := wire.NewCaller(process.Ctx.Net)
 	defer caller.Close()
 	if at := process.Set["operator"]; at != "" {
 		api := &operator.API{Ctx: process.Ctx.Part("operator"), KeyHash: func() string { return process.Now("operator-key-hash") },
 			Core:  core.NewClient(process.Ctx, caller, append([]string{process.Set["addr"]}, seeds...)),
-			Ready: server.Why,
+			Ready: server.UnavailableReason,
 			Views: map[string]func() any{
-				"/v1/standing": func() any { return server.Peek() },
+				"/v1/standing": func() any { return server.State() },
 				"/v1/traffic":  func() any { return wire.TrafficByKind() }}}
 		handler, err := api.Handler()
 		if err != nil {
@@ -156,7 +156,7 @@
 	process.Ctx.Log.Info("Core is up.", "addr", process.Set["addr"], "hall", process.Ctx.Zone)
 	<-process.Stop
 	process.Ctx.Log.Info("Core stops.")
-	server.Yield()
+	server.StepDown()
 	process.End()
 	<-done
 	return nil
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -46,8 +46,8 @@
 	if err != nil {
 		return err
 	}
-	server, err := core.Open(process.Ctx.Part("core"), core.Set{Addr: settings.Internal, Seeds: settings.Seeds, Bootstrap: settings.Bootstrap,
-		Losses: settings.Losses, Alone: settings.Alone, Lost: settings.Lost, Term: settings.Term, Codec: settings.Codec}, disk)
+	server, err := core.Open(process.Ctx.Part("core"), core.Settings{Addr: settings.Internal, Seeds: settings.Seeds, Bootstrap: settings.Bootstrap,
+		Losses: settings.Losses, AllowNoBackup: settings.Alone, LostAfter: settings.Lost, LeaseTerm: settings.Term, Codec: settings.Codec}, disk)
 	if err != nil {
 		return err
 	}
@@ -55,7 +55,7 @@
 	if err != nil {
 		return eris.Wrap(err, "core: internal listener")
 	}
-	go wire.Serve(process.Ctx, internal, server.Hand)
+	go wire.Serve(process.Ctx, internal, server.Handle)
 	caller := wire.NewCaller(process.Ctx.Net)
 	defer caller.Close()
 	client := core.NewClient(process.Ctx, caller, append([]string{settings.Internal}, settings.Seeds...))
@@ -80,7 +80,7 @@
 	process.Ctx.Log.Info("Core is up.", "internal", settings.Internal, "control", settings.Control, "zone", process.Ctx.Zone)
 	<-process.Stop
 	process.Ctx.Log.Info("Core stops.")
-	server.Yield()
+	server.StepDown()
 	process.End()
 	<-done
 	return nil
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -26,8 +26,8 @@
 }
 
 func claims(b *testing.B, ran int) {
-	ctx, end := context.WithCancel(b.Context())
-	defer end()
+	ctx, cancel := context.WithCancel(b.Context())
+	defer cancel()
 	var addrs []string
 	var ears []net.Listener
 	for range 5 {
@@ -47,63 +47,63 @@
 			day(b, disk, ran)
 		}
 		ec := env.Ctx{Context: ctx, Name: addrs[i], Zone: fmt.Sprint(i), Born: rand.Uint64(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Net: wire.TCP{}}
-		s, err := Open(ec, Set{Addr: addrs[i], Founders: addrs, Seeds: addrs}, disk)
+		s, err := Open(ec, Settings{Addr: addrs[i], Founders: addrs, Seeds: addrs}, disk)
 		if err != nil {
 			b.Fatal(err)
 		}
 		all = append(all, s)
-		go wire.Serve(ctx, l, s.Hand)
+		go wire.Serve(ctx, l, s.Handle)
 		go s.Run()
 	}
 	c := NewClient(env.Ctx{Context: ctx, Net: wire.TCP{}}, wire.NewCaller(wire.TCP{}), addrs)
 	founded := time.Now()
 	up, stop := context.WithTimeout(ctx, 20*time.Second)
 	defer stop()
-	if err := c.Call(up, "core.layout", &Want{}, &Sheet{}, true); err != nil {
+	if err := c.Call(up, "core.layout", &ConfigRequest{}, &StoredConfig{}, true); err != nil {
 		b.Fatal(err)
 	}
 	ready := time.Since(founded)
 	var n atomic.Uint64
 	lead := all[0]
 	for _, s := range all {
-		if s.Peek().Ready {
+		if s.State().Ready {
 			lead = s
 		}
 	}
-	before := lead.Peek().Stored
-	if p := lead.Peek(); p.Ran > 0 {
-		raw := lead.st.Load().Whole()
-		b.Logf("%d keys that ran in %d parts: %.1f MB on disk; founded, copied to the backup and ready in %s", p.Ran, p.Parts, float64(raw.Msgsize())/1e6, ready.Round(time.Millisecond))
+	before := lead.State().StoreVersion
+	if p := lead.State(); p.FinishedKeys > 0 {
+		raw := lead.store.Load().Whole()
+		b.Logf("%d keys that ran in %d parts: %.1f MB on disk; founded, copied to the backup and ready in %s", p.FinishedKeys, p.FinishedKeyParts, float64(raw.Msgsize())/1e6, ready.Round(time.Millisecond))
 	}
 	b.SetParallelism(64)
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			k := n.Add(1)
-			var out Took
-			in := Take{Key: fmt.Sprintf("t/new%d", k), Claim: Claim{Sum: "s", Id: fmt.Sprint(k), Node: "n"}}
-			one, end := context.WithTimeout(ctx, 10*time.Second)
-			err := c.Call(one, "core.take", &in, &out, true)
-			end()
-			if err != nil || !out.Got {
-				b.Errorf("claim %d: %v %+v", k, err, out)
+			var response ClaimResponse
+			request := ClaimRequest{Key: fmt.Sprintf("t/new%d", k), Claim: Claim{RequestHash: "s", Claimant: fmt.Sprint(k), Node: "n"}}
+			one, cancel := context.WithTimeout(ctx, 10*time.Second)
+			err := c.Call(one, "core.take", &request, &response, true)
+			cancel()
+			if err != nil || !response.Granted {
+				b.Errorf("claim %d: %v %+v", k, err, response)
 				return
 			}
 		}
 	})
 	b.StopTimer()
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "claims/s")
-	b.ReportMetric(float64(lead.Peek().Stored-before)/float64(b.N), "batches/claim")
+	b.ReportMetric(float64(lead.State().StoreVersion-before)/float64(b.N), "batches/claim")
 }
 
 // day puts onto a disk what sweeps and merges leave of n keys that ran: whole parts, and some small ones.
 func day(b *testing.B, disk store.Disk, n int) {
-	st, err := store.Open(disk, slog.New(slog.DiscardHandler))
+	opened, err := store.Open(disk, slog.New(slog.DiscardHandler))
 	if err != nil {
 		b.Fatal(err)
 	}
 	s := &Server{}
-	tx := &Tx{st: st, over: map[string]*store.Put{}}
+	tx := &Tx{store: opened, newest: map[string]*store.Put{}}
 	for i := 0; i < n; {
 		size := min(n-i, 110_000)
 		if n-i < 120_000 {
@@ -111,12 +111,12 @@
 		}
 		sums := make([]uint64, size)
 		for j := range sums {
-			sums[j] = ranSum(fmt.Sprint("t/", i+j))
+			sums[j] = keyHash(fmt.Sprint("t/", i+j))
 		}
-		s.ranPut(tx, sums)
+		s.putFinishedKeys(tx, sums)
 		i += size
 	}
-	if err := st.Add(store.Batch{Seq: 1, Base: true, Puts: tx.puts}); err != nil {
+	if err := opened.Add(store.Batch{Seq: 1, Base: true, Puts: tx.puts}); err != nil {
 		b.Fatal(err)
 	}
 }
--- a/internal/core/client.go
+++ b/internal/core/client.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"slices"
 	"sync"
 	"time"
 
@@ -10,27 +11,28 @@
 	"github.com/tinylib/msgp/msgp"
 
 	"yarrowridge/internal/env"
+	"yarrowridge/internal/routing"
 	"yarrowridge/internal/view"
 	"yarrowridge/internal/wire"
 )
 
 // Client finds the primary and calls it, through hand-overs and replaced machines.
 type Client struct {
-	ctx   env.Ctx
-	cal   *wire.Caller
-	seeds []string
-	mu    sync.Mutex
-	view  view.View
-	peers []string
-	hunt  chan struct{} // closed when the search under way ends; nil: there is none
-	newer chan struct{} // closed when a newer view is heard of
+	ctx         env.Ctx
+	caller      *wire.Caller
+	seeds       []string
+	mu          sync.Mutex
+	view        view.View
+	peers       []string
+	searchEnd   chan struct{} // closed when the search under way ends; nil: there is none
+	viewChanged chan struct{} // closed when a newer view is heard of
 }
 
 // NewClient makes a client that starts from the seeds: addresses of any processes of the fleet.
 //
-//	c := core.NewClient(ctx, cal, set.Addrs("seeds"))
-func NewClient(ctx env.Ctx, cal *wire.Caller, seeds []string) *Client {
-	return &Client{ctx: ctx, cal: cal, seeds: seeds, newer: make(chan struct{})}
+//	c := core.NewClient(ctx, caller, set.Addrs("seeds"))
+func NewClient(ctx env.Ctx, caller *wire.Caller, seeds []string) *Client {
+	return &Client{ctx: ctx, caller: caller, seeds: seeds, viewChanged: make(chan struct{})}
 }
 
 // View is the newest view heard of.
@@ -44,14 +46,14 @@
 
 // Learn takes a view if it is newer.
 //
-//	c.Learn(told.View)
+//	c.Learn(response.View)
 func (c *Client) Learn(v view.View) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if v.Epoch > c.view.Epoch {
 		c.view = v
-		close(c.newer)
-		c.newer = make(chan struct{})
+		close(c.viewChanged)
+		c.viewChanged = make(chan struct{})
 	}
 }
 
@@ -64,29 +66,33 @@
 	c.seeds = seeds
 }
 
-// Peers adds addresses to ask besides the seeds: the other nodes.
+// SetPeers sets addresses to ask besides the seeds: the other nodes.
 //
-//	c.Peers(addrs)
-func (c *Client) Peers(addrs []string) {
+//	c.SetPeers(addrs)
+func (c *Client) SetPeers(addrs []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.peers = addrs
 }
 
-// searchPause is between two searches for a primary, and between two tries at the primary that is known.
-const searchPause = 50 * time.Millisecond
+// How a primary is searched for.
+const (
+	searchPause    = 50 * time.Millisecond // between two searches, and between two calls of the primary that is known
+	searchTimeout  = 400 * time.Millisecond
+	maxSearchPeers = 6 // other nodes that are asked beside seeds and members
+)
 
-// look searches for a primary until a newer view is known or the search has ended, and no longer than until the
+// waitForSearch searches for a primary until a newer view is known or the search has ended, and no longer than until the
 // known primary may be tried again: machines gone dark must not hold up those that answer.
-func (c *Client) look(ctx context.Context) bool {
+func (c *Client) waitForSearch(ctx context.Context) bool {
 	pause := time.NewTimer(searchPause)
 	defer pause.Stop()
-	return c.lookUntil(ctx, pause.C)
+	return c.waitForSearchUntil(ctx, pause.C)
 }
 
-// lookUntil joins the search for the primary that is under way, or begins one: however many calls wait for a
+// waitForSearchUntil joins the search for the primary that is under way, or begins one: however many calls wait for a
 // primary, the fleet is asked as for one. A nil pause never ends the wait.
-func (c *Client) lookUntil(ctx context.Context, pause <-chan time.Time) bool {
+func (c *Client) waitForSearchUntil(ctx context.Context, pause <-chan time.Time) bool {
 	done, newer := c.search()
 	select {
 	case <-done:
@@ -105,81 +111,79 @@
 func (c *Client) search() (done, newer <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.hunt == nil {
-		hunt := make(chan struct{})
-		c.hunt = hunt
+	if c.searchEnd == nil {
+		end := make(chan struct{})
+		c.searchEnd = end
 		go func() {
-			c.find(c.ctx)
+			c.askForView(c.ctx)
 			env.Wait(c.ctx, searchPause)
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.hunt = nil
-			close(hunt)
+			c.searchEnd = nil
+			close(end)
 		}()
 	}
-	return c.hunt, c.newer
+	return c.searchEnd, c.viewChanged
 }
 
-// find asks members, seeds and peers which view they know.
-func (c *Client) find(ctx context.Context) {
-	c.mu.Lock()
-	to := append([]string{}, c.seeds...)
-	for _, m := range c.view.Members {
-		to = append(to, m.Addr)
-	}
-	for i, p := range c.peers {
-		if i < 6 {
-			to = append(to, p)
-		}
-	}
-	c.mu.Unlock()
-	ctx, end := context.WithTimeout(ctx, 400*time.Millisecond)
-	defer end()
-	seen := map[string]bool{}
+// askForView asks members, seeds and peers which view they know.
+func (c *Client) askForView(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, searchTimeout)
+	defer cancel()
+	asked := map[string]bool{}
 	var all sync.WaitGroup
-	for _, a := range to {
-		if seen[a] {
+	for _, addr := range c.searchAddrs() {
+		if asked[addr] {
 			continue
 		}
-		seen[a] = true
+		asked[addr] = true
 		all.Go(func() {
-			var t view.Told
-			if c.cal.Call(ctx, a, "view.ask", &view.Ask{}, &t) == nil {
-				c.Learn(t.View)
+			var status view.StatusResponse
+			if c.caller.Call(ctx, addr, "view.ask", &view.StatusRequest{}, &status) == nil {
+				c.Learn(status.View)
 			}
 		})
 	}
 	all.Wait()
 }
 
-// Call asks the primary, looking for it anew as long as ctx runs. again says the call may be
-// repeated after an answer in doubt: it names its own turn, id or sequence.
+// searchAddrs lists where the view is asked for: seeds, members and some peers.
+func (c *Client) searchAddrs() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	addrs := slices.Clone(c.seeds)
+	for _, m := range c.view.Members {
+		addrs = append(addrs, m.Addr)
+	}
+	return append(addrs, c.peers[:min(len(c.peers), maxSearchPeers)]...)
+}
+
+// Call asks the primary, looking for it anew as long as ctx runs. repeatable says that the call may be
+// repeated after a response in doubt: it names its own turn, id or version.
 // ErrUnsent or a NotReady fault mean surely not taken; ErrDoubt or an InDoubt fault: perhaps.
 //
-//	err := c.Call(ctx, "core.take", &take, &took, true)
-func (c *Client) Call(ctx context.Context, kind string, in msgp.Marshaler, out msgp.Unmarshaler, again bool) error {
+//	err := c.Call(ctx, "core.take", &request, &response, true)
+func (c *Client) Call(ctx context.Context, kind string, request msgp.Marshaler, response msgp.Unmarshaler, repeatable bool) error {
 	var last error
 	for {
 		v := c.View()
-		if to := v.Addr(v.Prime); to != "" {
-			err := c.callPrimary(ctx, to, kind, in, out, again)
-			switch {
-			case err == nil:
+		if primary := v.Addr(v.Primary); primary != "" {
+			err := c.callPrimary(ctx, primary, kind, request, response, repeatable)
+			if err == nil {
 				return nil
-			case wire.Is(err, NotPrimary), wire.Is(err, NotReady), errors.Is(err, wire.ErrUnsent):
-			case (wire.Is(err, InDoubt) || errors.Is(err, wire.ErrDoubt)) && again:
-			default:
+			}
+			if !isWorthRepeating(err, repeatable) {
 				return err
 			}
-			// The worst that any try may have come to is what the caller is told.
-			if last == nil || !Doubt(last) {
+			// The worst that any attempt may have come to is what the caller is told.
+			if last == nil || !IsInDoubt(last) {
 				last = err
 			}
 		}
-		if next := c.View(); ctx.Err() == nil && next.Addr(next.Prime) != v.Addr(v.Prime) {
+		if next := c.View(); ctx.Err() == nil && next.Addr(next.Primary) != v.Addr(v.Primary) {
 			continue // another primary was found meanwhile
 		}
-		if ctx.Err() != nil || !c.look(ctx) {
+		if ctx.Err() != nil || !c.waitForSearch(ctx) {
 			break
 		}
 	}
@@ -189,39 +193,57 @@
 	return last
 }
 
+// isWorthRepeating tells whether a call that ended in err may be made again and may end otherwise.
+func isWorthRepeating(err error, repeatable bool) bool {
+	if wire.Is(err, NotPrimary) || wire.Is(err, NotReady) || errors.Is(err, wire.ErrUnsent) {
+		return true
+	}
+	return IsInDoubt(err) && repeatable
+}
+
 // How long a primary is waited for that says nothing: the fleet is asked whether there is another one long
 // before the usual caller gives up, so that not each call in turn spends all its time on a machine gone dark.
 const (
 	primarySilence = 300 * time.Millisecond
-	primaryMost    = 1500 * time.Millisecond // a frozen primary must not eat the whole time of a longer call
+	maxPrimaryWait = 1500 * time.Millisecond // a frozen primary must not eat the whole time of a longer call
 )
 
 // callPrimary makes one call to the primary that we know. Where it may be repeated, it ends once another
 // primary is found.
-func (c *Client) callPrimary(ctx context.Context, to, kind string, in msgp.Marshaler, out msgp.Unmarshaler, again bool) error {
-	one, end := context.WithCancel(ctx)
-	if again {
-		one, end = context.WithTimeout(ctx, primaryMost)
+func (c *Client) callPrimary(ctx context.Context, primary, kind string, request msgp.Marshaler, response msgp.Unmarshaler, repeatable bool) error {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	if repeatable {
+		var cancelTimeout context.CancelFunc
+		ctx, cancelTimeout = context.WithTimeout(ctx, maxPrimaryWait)
+		defer cancelTimeout()
 	}
-	defer end()
 	search := time.AfterFunc(primarySilence, func() {
-		if next := c.lookView(one); again && next.Addr(next.Prime) != to {
-			end()
+		if next := c.searchView(ctx); repeatable && next.Addr(next.Primary) != primary {
+			cancel()
 		}
 	})
 	defer search.Stop()
-	return c.cal.Call(one, to, kind, in, out)
+	return c.caller.Call(ctx, primary, kind, request, response)
 }
 
-// lookView asks the fleet for its view, and gives the newest one known.
-func (c *Client) lookView(ctx context.Context) view.View {
-	c.lookUntil(ctx, nil)
+// searchView asks the fleet for its view, and gives the newest one known.
+func (c *Client) searchView(ctx context.Context) view.View {
+	c.waitForSearchUntil(ctx, nil)
 	return c.View()
 }
 
-// Doubt tells whether a call that ended in err may yet take effect.
+// SendRunnerHeartbeat tells the primary a runner's heartbeat, whichever core that is. It may be repeated: a
+// heartbeat that was taken before changes nothing.
+//
+//	err := client.SendRunnerHeartbeat(ctx, runner)
+func (c *Client) SendRunnerHeartbeat(ctx context.Context, runner routing.Runner) error {
+	return c.Call(ctx, "core.runner", &RunnerHeartbeat{Runner: runner}, &Empty{}, true)
+}
+
+// IsInDoubt tells whether a call that ended in err may yet take effect.
 //
-//	if core.Doubt(err) { ... }
-func Doubt(err error) bool {
+//	if core.IsInDoubt(err) { ... }
+func IsInDoubt(err error) bool {
 	return wire.Is(err, InDoubt) || errors.Is(err, wire.ErrDoubt)
 }
--- a/internal/core/codec_test.go
+++ b/internal/core/codec_test.go
@@ -16,21 +16,21 @@
 type records struct {
 	t   *testing.T
 	st  *store.Store
-	cur Sheet
+	cur StoredConfig
 }
 
 func newRecords(t *testing.T) *records {
-	st, err := store.Open(sim.NewDisk().Use(), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	opened, err := store.Open(sim.NewDisk().Use(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &records{t: t, st: st}
+	return &records{t: t, st: opened}
 }
 
-func (r *records) put(sequence uint64, size int, numbered bool, id string) {
-	tx := &Tx{st: r.st, over: map[string]*store.Put{}}
-	next := Sheet{Seq: sequence, Raw: bytes.Repeat([]byte("x"), size)}
-	if err := tx.record(r.cur, next, numbered, id, "hash"); err != nil {
+func (r *records) put(version uint64, size int, numbered bool, id string) {
+	tx := &Tx{store: r.st, newest: map[string]*store.Put{}}
+	next := StoredConfig{Version: version, Raw: bytes.Repeat([]byte("x"), size)}
+	if err := tx.recordWrite(r.cur, next, numbered, id, "hash"); err != nil {
 		r.t.Fatal(err)
 	}
 	if err := r.st.Add(store.Batch{Seq: r.st.Seq() + 1, Puts: tx.puts}); err != nil {
@@ -57,10 +57,10 @@
 	for i := uint64(1); i <= 1100; i++ {
 		r.put(i, 10, false, fmt.Sprint("w", i))
 	}
-	if n := r.count("past/"); n != past || !r.has(pastKey(1085)) || r.has(pastKey(1084)) {
+	if n := r.count("past/"); n != maxVersions || !r.has(versionKey(1085)) || r.has(versionKey(1084)) {
 		t.Errorf("%d copies", n)
 	}
-	if n, m := r.count("mark/"), r.count("marked/"); n != marks || m != marks || !r.has("mark/w101") || r.has("mark/w100") || !r.has("marked/101") {
+	if n, m := r.count("mark/"), r.count("marked/"); n != maxWriteIDs || m != maxWriteIDs || !r.has("mark/w101") || r.has("mark/w100") || !r.has("marked/101") {
 		t.Errorf("%d ids, %d counts", n, m)
 	}
 	if r.has(historyKey) {
@@ -71,15 +71,15 @@
 // However uneven sequences are, as many copies and ids are kept.
 func TestUnevenSequencesAreBounded(t *testing.T) {
 	r := newRecords(t)
-	sequence := uint64(0)
+	version := uint64(0)
 	for i := range uint64(1100) {
-		sequence += 1 + i*i%977*1000
-		r.put(sequence, 10, true, fmt.Sprint("w", i))
+		version += 1 + i*i%977*1000
+		r.put(version, 10, true, fmt.Sprint("w", i))
 	}
-	if n := r.count("past/"); n != past || !r.has(pastKey(sequence)) {
+	if n := r.count("past/"); n != maxVersions || !r.has(versionKey(version)) {
 		t.Errorf("%d copies", n)
 	}
-	if n, m := r.count("mark/"), r.count("marked/"); n != marks || m != marks || !r.has("mark/w100") || r.has("mark/w99") {
+	if n, m := r.count("mark/"), r.count("marked/"); n != maxWriteIDs || m != maxWriteIDs || !r.has("mark/w100") || r.has("mark/w99") {
 		t.Errorf("%d ids, %d counts", n, m)
 	}
 }
@@ -93,13 +93,13 @@
 	for i := uint64(1); i <= 10; i++ {
 		r.put(i*1000, 10, true, "")
 	}
-	if n := r.count("past/"); n != past || !r.has(pastKey(20)) || !r.has(pastKey(15)) || r.has(pastKey(14)) {
+	if n := r.count("past/"); n != maxVersions || !r.has(versionKey(20)) || !r.has(versionKey(15)) || r.has(versionKey(14)) {
 		t.Errorf("%d copies", n)
 	}
 	for i := uint64(1); i <= 30; i++ {
 		r.put(10_000+i, 10, false, "")
 	}
-	if n := r.count("past/"); n != past || !r.has(pastKey(10_015)) || r.has(pastKey(10_014)) {
+	if n := r.count("past/"); n != maxVersions || !r.has(versionKey(10_015)) || r.has(versionKey(10_014)) {
 		t.Errorf("%d copies after counting again", n)
 	}
 }
@@ -111,44 +111,44 @@
 		r.put(i*7, 100, true, "")
 	}
 	r.put(1000, 150_000, true, "")
-	if n := r.count("past/"); n != pastFew {
+	if n := r.count("past/"); n != maxLargeVersions {
 		t.Errorf("%d copies of large documents", n)
 	}
 	r.put(2000, 4<<20, true, "")
-	if r.has(pastKey(2000)) || !r.has(pastKey(1000)) {
+	if r.has(versionKey(2000)) || !r.has(versionKey(1000)) {
 		t.Error("a copy of a very large document is kept, or an older one is not")
 	}
 	r.put(3000, 100, true, "")
-	if !r.has(pastKey(3000)) {
+	if !r.has(versionKey(3000)) {
 		t.Error("no copy of a small document after a large one")
 	}
 }
 
 // A layout tells the core what it read from it before.
 func TestLayoutCodec(t *testing.T) {
-	codec := Set{}.Fill().Codec
-	doc, flaws := codec.Check([]byte(`{"tenants":{"a":{"quota":{"units":7,"window_s":3}},"b":{}},"limits":{"claim_keep_s":60}}`))
-	if len(flaws) > 0 {
-		t.Fatalf("flaws %v", flaws)
+	codec := Settings{}.WithDefaults().Codec
+	document, configErrors := codec.Check([]byte(`{"tenants":{"a":{"quota":{"units":7,"window_s":3}},"b":{}},"limits":{"claim_keep_s":60}}`))
+	if len(configErrors) > 0 {
+		t.Fatalf("flaws %v", configErrors)
 	}
-	if doc.Sequence != 0 || doc.Quotas["a"] != 7 || doc.Windows["a"].Seconds() != 3 || doc.Claims.Keep.Seconds() != 60 || doc.Claims.RanMost != defaultRanMost {
-		t.Errorf("read %+v", doc)
+	if document.Version != 0 || document.Quotas["a"] != 7 || document.Windows["a"].Seconds() != 3 || document.Claims.Keep.Seconds() != 60 || document.Claims.MaxFinished != defaultMaxFinishedKeys {
+		t.Errorf("read %+v", document)
 	}
-	if _, flaws := codec.Check([]byte(`{"lanes":7}`)); len(flaws) == 0 || !strings.Contains(flaws[0].Path, "lanes") {
-		t.Errorf("flaws %v", flaws)
+	if _, configErrors := codec.Check([]byte(`{"lanes":7}`)); len(configErrors) == 0 || !strings.Contains(configErrors[0].Path, "lanes") {
+		t.Errorf("flaws %v", configErrors)
 	}
-	if got := (ClaimLimits{}).withDefaults(); got.Keep.Hours() != 1 || got.RanKeep.Hours() != 48 || got.RanMost != defaultRanMost {
+	if got := (ClaimLimits{}).withDefaults(); got.Keep.Hours() != 1 || got.FinishedKeep.Hours() != 48 || got.MaxFinished != defaultMaxFinishedKeys {
 		t.Errorf("defaults %+v", got)
 	}
 }
 
 // wary fails the test where the core shows it nothing.
 type wary struct {
-	layoutCodec
+	fleetConfigCodec
 	t *testing.T
 }
 
-func (w wary) Check(raw []byte) (Document, []Flaw) {
+func (w wary) Check(raw []byte) (Document, []ConfigError) {
 	if len(raw) == 0 {
 		w.t.Error("the codec was shown an empty document")
 	}
@@ -157,14 +157,14 @@
 
 // Before the first configuration there is none to read.
 func TestNothingToReadBeforeTheFirst(t *testing.T) {
-	s := &Server{set: Set{Codec: wary{t: t}}.Fill()}
-	if doc := s.parsed(Sheet{}); doc != nil {
-		t.Errorf("read %+v from nothing", doc)
+	s := &Server{settings: Settings{Codec: wary{t: t}}.WithDefaults()}
+	if document := s.parsedConfig(StoredConfig{}); document != nil {
+		t.Errorf("read %+v from nothing", document)
 	}
-	if got := s.most(); got != defaultRanMost {
+	if got := s.maxFinishedKeys(); got != defaultMaxFinishedKeys {
 		t.Errorf("%d keys that ran are kept", got)
 	}
-	if doc := s.parsed(Sheet{Seq: 1, Raw: []byte("x")}); doc == nil || doc.Claims.Keep == 0 {
-		t.Errorf("read %+v from a document", doc)
+	if document := s.parsedConfig(StoredConfig{Version: 1, Raw: []byte("x")}); document == nil || document.Claims.Keep == 0 {
+		t.Errorf("read %+v from a document", document)
 	}
 }
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -12,164 +12,170 @@
 	"yarrowridge/internal/wire"
 )
 
-// past is how many older layouts are kept for reading back.
-const past = 16
+// configKey is the key of the configuration in force.
+const configKey = "layout"
 
-// marks is how many write ids are remembered.
-const marks = 1000
+// maxVersions is how many older configurations are kept for reading back.
+const maxVersions = 16
 
-func (s *Server) giveLayout(in *Want) (*Sheet, error) {
-	if err := s.prime(); err != nil {
+// maxWriteIDs is how many write ids are remembered.
+const maxWriteIDs = 1000
+
+// readConfig gives the configuration in force, or an older one that is still kept.
+func (s *Server) readConfig(request *ConfigRequest) (*StoredConfig, error) {
+	if err := s.requirePrimary(); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
-	sheet := s.sheet
+	current := s.config
 	s.mu.Unlock()
-	if in.Seq == 0 || in.Seq == sheet.Seq {
-		return &sheet, nil
+	if request.Version == 0 || request.Version == current.Version {
+		return &current, nil
 	}
-	raw, ok := s.st.Load().Get(pastKey(in.Seq))
-	if !ok || in.Seq > sheet.Seq {
+	raw, ok := s.store.Load().Get(versionKey(request.Version))
+	if !ok || request.Version > current.Version {
 		return nil, wire.Fault{Code: "no-such-sequence"}
 	}
-	var old Sheet
+	var old StoredConfig
 	if _, err := old.UnmarshalMsg(raw); err != nil {
 		return nil, err
 	}
 	return &old, nil
 }
 
-func pastKey(seq uint64) string { return "past/" + strconv.FormatUint(seq, 10) }
+// versionKey is the key of the copy of an older configuration.
+func versionKey(version uint64) string { return "past/" + strconv.FormatUint(version, 10) }
 
-func (t *Tx) sheet() (Sheet, error) {
-	var s Sheet
-	raw, ok := t.Get("layout")
+// config reads the configuration in force; version 0 before the first.
+func (t *Tx) config() (StoredConfig, error) {
+	var current StoredConfig
+	raw, ok := t.Get(configKey)
 	if !ok {
-		return s, nil
+		return current, nil
 	}
-	_, err := s.UnmarshalMsg(raw)
-	return s, err
+	_, err := current.UnmarshalMsg(raw)
+	return current, err
 }
 
-// write checks and takes an operator's change. It is answered once both disks hold it and each
+// writeConfig checks and takes an operator's change. It is answered once the disks hold it and each
 // zone's first relays have it, or a short time for that has passed.
-func (s *Server) write(ctx context.Context, in *Write) (*Wrote, error) {
-	out := &Wrote{Code: 200}
-	if len(in.Raw) > s.set.Codec.MaxBytes() {
-		return &Wrote{Code: 413}, nil
+func (s *Server) writeConfig(ctx context.Context, request *WriteRequest) (*WriteResponse, error) {
+	response := &WriteResponse{Code: 200}
+	if len(request.Raw) > s.settings.Codec.MaxBytes() {
+		return &WriteResponse{Code: 413}, nil
 	}
-	sum := sha256.Sum256(in.Raw)
+	sum := sha256.Sum256(request.Raw)
 	hash := hex.EncodeToString(sum[:])
-	var sheet Sheet
+	var written StoredConfig
 	err := s.Submit(ctx, func(tx *Tx) (err error) {
-		sheet, err = s.applyWrite(tx, in, hash, out)
+		written, err = s.applyWrite(tx, request, hash, response)
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	if sheet.Seq > 0 {
-		s.ctx.Log.Info("Layout taken.", "sequence", sheet.Seq)
-		s.push(relay.ConfigRecord(sheet.Seq, sheet.Raw))
-		if !s.stands(s.vot.View()) {
+	if written.Version > 0 {
+		s.ctx.Log.Info("Configuration taken.", "sequence", written.Version)
+		s.push(relay.ConfigRecord(written.Version, written.Raw))
+		if !s.isPrimary(s.voter.View()) {
 			return nil, wire.Fault{Code: InDoubt}
 		}
 	}
-	return out, nil
+	return response, nil
 }
 
-// applyWrite checks one write against what stands and records it. out says what came of it; the sheet is the
-// new one, or empty where the write changes nothing.
-func (s *Server) applyWrite(tx *Tx, in *Write, hash string, out *Wrote) (Sheet, error) {
-	cur, err := tx.sheet()
+// applyWrite checks one write against the configuration in force and records it. The response says what came of it; the
+// configuration is the new one, or empty where the write changes nothing.
+func (s *Server) applyWrite(tx *Tx, request *WriteRequest, hash string, response *WriteResponse) (StoredConfig, error) {
+	current, err := tx.config()
 	if err != nil {
-		return Sheet{}, err
+		return StoredConfig{}, err
 	}
-	if again, err := tx.isRepeated(in, hash, out); again || err != nil {
-		return Sheet{}, err
+	if repeated, err := tx.isRepeated(request, hash, response); repeated || err != nil {
+		return StoredConfig{}, err
 	}
-	out.Seq = cur.Seq
-	if !in.Any && in.Match != cur.Seq {
-		out.Code = 412
+	response.Version = current.Version
+	if !request.AnyVersion && request.BaseVersion != current.Version {
+		response.Code = 412
 		if !strike.Out("race") {
-			return Sheet{}, nil
+			return StoredConfig{}, nil
 		}
 	}
-	raw := in.Raw
-	if in.Patch {
-		if raw, err = s.set.Codec.Merge(cur.Raw, in.Raw); err != nil {
-			out.Code, out.Flaws = 400, []Flaw{{Text: "valid JSON expected"}}
-			return Sheet{}, nil
+	raw := request.Raw
+	if request.Patch {
+		if raw, err = s.settings.Codec.Merge(current.Raw, request.Raw); err != nil {
+			response.Code, response.Errors = 400, []ConfigError{{Text: "valid JSON expected"}}
+			return StoredConfig{}, nil
 		}
-		if len(raw) > s.set.Codec.MaxBytes() {
-			out.Code = 413
-			return Sheet{}, nil
+		if len(raw) > s.settings.Codec.MaxBytes() {
+			response.Code = 413
+			return StoredConfig{}, nil
 		}
 	}
-	next, numbered, flaws := s.check(cur, raw)
-	if len(flaws) > 0 {
-		out.Code, out.Flaws = 400, flaws
-		return Sheet{}, nil
+	next, numbered, configErrors := s.check(current, raw)
+	if len(configErrors) > 0 {
+		response.Code, response.Errors = 400, configErrors
+		return StoredConfig{}, nil
 	}
-	out.Seq = next.Seq
-	return next, tx.record(cur, next, numbered, in.Id, hash)
+	response.Version = next.Version
+	return next, tx.recordWrite(current, next, numbered, request.Id, hash)
 }
 
-// isRepeated tells whether a write with this id was taken before. out is then what was answered, or says that
+// isRepeated tells whether a write with this id was taken before. The response is then the one that was given, or says that
 // the id stands for another document.
-func (t *Tx) isRepeated(in *Write, hash string, out *Wrote) (bool, error) {
-	if in.Id == "" {
+func (t *Tx) isRepeated(request *WriteRequest, hash string, response *WriteResponse) (bool, error) {
+	if request.Id == "" {
 		return false, nil
 	}
-	raw, ok := t.Get("mark/" + in.Id)
+	raw, ok := t.Get("mark/" + request.Id)
 	if !ok {
 		return false, nil
 	}
-	var mark Mark
-	if _, err := mark.UnmarshalMsg(raw); err != nil {
+	var record WriteRecord
+	if _, err := record.UnmarshalMsg(raw); err != nil {
 		return true, err
 	}
-	out.Seq, out.Again = mark.Seq, true
-	if mark.Sum != hash {
-		out.Code = 422
+	response.Version, response.Repeated = record.Version, true
+	if record.Hash != hash {
+		response.Code = 422
 	}
 	return true, nil
 }
 
-// check reads a new configuration and gives it its sequence. numbered: the document numbers itself.
-func (s *Server) check(cur Sheet, raw []byte) (next Sheet, numbered bool, flaws []Flaw) {
-	doc, flaws := s.set.Codec.Check(raw)
-	if len(flaws) > 0 {
-		return Sheet{}, false, flaws
+// check reads a new configuration and gives it its version. numbered: the document numbers itself.
+func (s *Server) check(current StoredConfig, raw []byte) (next StoredConfig, numbered bool, configErrors []ConfigError) {
+	document, configErrors := s.settings.Codec.Check(raw)
+	if len(configErrors) > 0 {
+		return StoredConfig{}, false, configErrors
 	}
-	if doc.Sequence == 0 {
-		return Sheet{Seq: cur.Seq + 1, Raw: raw}, false, nil
+	if document.Version == 0 {
+		return StoredConfig{Version: current.Version + 1, Raw: raw}, false, nil
 	}
-	if doc.Sequence <= cur.Seq {
-		text := fmt.Sprintf("a sequence above %d, the current one, is expected; the document has %d", cur.Seq, doc.Sequence)
-		return Sheet{}, true, []Flaw{{Path: "sequence", Text: text}}
+	if document.Version <= current.Version {
+		text := fmt.Sprintf("a sequence above %d, the current one, is expected; the document has %d", current.Version, document.Version)
+		return StoredConfig{}, true, []ConfigError{{Path: "sequence", Text: text}}
 	}
-	return Sheet{Seq: doc.Sequence, Raw: raw}, true, nil
+	return StoredConfig{Version: document.Version, Raw: raw}, true, nil
 }
 
-// record puts the new sheet, a copy for reading back and the write's id.
-func (t *Tx) record(cur, sheet Sheet, numbered bool, id, hash string) error {
-	h, known, err := t.history(cur.Seq)
+// recordWrite puts the new configuration, a copy for reading back and the write's id.
+func (t *Tx) recordWrite(current, next StoredConfig, numbered bool, id, hash string) error {
+	history, known, err := t.history(current.Version)
 	if err != nil {
 		return err
 	}
-	h.Count++
-	if err := t.Put("layout", &sheet); err != nil {
+	history.Writes++
+	if err := t.Put(configKey, &next); err != nil {
 		return err
 	}
-	if err := t.keepPast(&h, &sheet, numbered); err != nil {
+	if err := t.keepVersion(&history, &next, numbered); err != nil {
 		return err
 	}
-	if err := t.keepMark(h.Count, id, Mark{sheet.Seq, hash}); err != nil {
+	if err := t.keepWriteID(history.Writes, id, WriteRecord{Version: next.Version, Hash: hash}); err != nil {
 		return err
 	}
 	if known || numbered {
-		return t.Put(historyKey, &h)
+		return t.Put(historyKey, &history)
 	}
 	return nil
 }
@@ -183,18 +189,18 @@
 // documentIn gives the configuration as the batch under way has it. Nil: none was put yet, or it is not
 // understood. It is decoded once, since each move of quota units asks for it. Only the run loop calls it.
 func (s *Server) documentIn(tx *Tx) (*Document, error) {
-	raw, ok := tx.Get("layout")
+	raw, ok := tx.Get(configKey)
 	if !ok {
 		return nil, nil
 	}
 	if sameBytes(raw, s.decoded.raw) {
 		return s.decoded.document, nil
 	}
-	sheet, err := tx.sheet()
+	config, err := tx.config()
 	if err != nil {
 		return nil, err
 	}
-	s.decoded = decodedConfig{raw: raw, document: s.parsed(sheet)}
+	s.decoded = decodedConfig{raw: raw, document: s.parsedConfig(config)}
 	return s.decoded.document, nil
 }
 
@@ -203,18 +209,18 @@
 	return len(a) > 0 && len(a) == len(b) && &a[0] == &b[0]
 }
 
-// parsed keeps the last document read, since shares ask for it often. Only the run loop calls it.
-func (s *Server) parsed(sheet Sheet) *Document {
-	if sheet.Seq == 0 {
+// parsedConfig keeps the last document read, since quota moves ask for it often. Only the run loop calls it.
+func (s *Server) parsedConfig(config StoredConfig) *Document {
+	if config.Version == 0 {
 		return nil // none was put yet
 	}
-	if s.doc == nil || s.docSeq != sheet.Seq {
-		doc, flaws := s.set.Codec.Check(sheet.Raw)
-		if len(flaws) > 0 {
+	if s.document == nil || s.documentVersion != config.Version {
+		document, configErrors := s.settings.Codec.Check(config.Raw)
+		if len(configErrors) > 0 {
 			return nil
 		}
-		doc.Claims = doc.Claims.withDefaults()
-		s.doc, s.docSeq = &doc, sheet.Seq
+		document.Claims = document.Claims.withDefaults()
+		s.document, s.documentVersion = &document, config.Version
 	}
-	return s.doc
+	return s.document
 }
--- /dev/null
+++ b/internal/core/fleetcodec.go
@@ -0,0 +1,43 @@
+package core
+
+import (
+	"time"
+
+	"yarrowridge/internal/fleetconfig"
+)
+
+// defaultMaxFinishedKeys is how many keys that ran are kept where the configuration does not say.
+const defaultMaxFinishedKeys = fleetconfig.RanMost
+
+// fleetConfigCodec reads fleet configurations. Such a configuration does not number itself: the core counts.
+type fleetConfigCodec struct{}
+
+// Check reads a whole configuration.
+func (fleetConfigCodec) Check(raw []byte) (Document, []ConfigError) {
+	config, errors := fleetconfig.Parse(raw)
+	if len(errors) > 0 {
+		configErrors := make([]ConfigError, len(errors))
+		for i, one := range errors {
+			configErrors[i] = ConfigError{Path: one.Path, Text: one.Text}
+		}
+		return Document{}, configErrors
+	}
+	document := Document{
+		Quotas:  map[string]int{},
+		Windows: map[string]time.Duration{},
+		Claims:  ClaimLimits{Keep: config.Limits.Keep, FinishedKeep: config.Limits.RanKeep, MaxFinished: config.Limits.RanMost},
+	}
+	for _, tenant := range config.Tenants {
+		document.Quotas[tenant.Name] = tenant.Quota.Units
+		document.Windows[tenant.Name] = tenant.Quota.Window
+	}
+	return document, nil
+}
+
+// Merge applies a JSON merge patch.
+func (fleetConfigCodec) Merge(current, change []byte) ([]byte, error) {
+	return fleetconfig.Merge(current, change)
+}
+
+// MaxBytes is the size of the largest configuration.
+func (fleetConfigCodec) MaxBytes() int { return fleetconfig.MaxBytes }
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -9,121 +9,136 @@
 	"yarrowridge/internal/wire"
 )
 
-// runWait is how long a node may take to say which run of it there is.
-const runWait = 250 * time.Millisecond
+// runTimeout is how long a node may take to say which run of it there is.
+const runTimeout = 250 * time.Millisecond
 
-// isEndedRun tells whether a beat is of a run that another one at the same address has replaced: it was long under
+// isEndedRun tells whether a heartbeat is of a run that another one at the same address has replaced: it was long under
 // way. Believed, it would set the units of the living run cooling. Whoever listens there says which run it is;
-// where nobody answers, the beat is believed.
+// where nobody answers, the heartbeat is believed.
 func (s *Server) isEndedRun(ctx context.Context, n Node) bool {
 	s.mu.Lock()
 	known := s.nodes[n.Name]
 	s.mu.Unlock()
-	if known == nil || known.node.Addr != n.Addr || known.node.Born == n.Born {
+	if known == nil || known.node.Addr != n.Addr || known.node.Run == n.Run {
 		return false
 	}
-	ctx, end := context.WithTimeout(ctx, runWait)
-	defer end()
+	ctx, cancel := context.WithTimeout(ctx, runTimeout)
+	defer cancel()
 	var there Node
-	err := s.call(ctx, n.Addr, "node.run", &Done{}, &there)
-	return err == nil && there.Born != n.Born
+	err := s.call(ctx, n.Addr, "node.run", &Empty{}, &there)
+	return err == nil && there.Run != n.Run
 }
 
-func (s *Server) takeBeat(ctx context.Context, in *Beat) (*Told, error) {
-	if err := s.prime(); err != nil {
+// takeHeartbeat renews a node's lease, or ends it, and tells the node what has changed.
+func (s *Server) takeHeartbeat(ctx context.Context, request *HeartbeatRequest) (*HeartbeatResponse, error) {
+	if err := s.requirePrimary(); err != nil {
 		return nil, err
 	}
-	n := in.Node
-	if !in.Leave && s.isEndedRun(ctx, n) {
+	n := request.Node
+	if !request.Leaving && s.isEndedRun(ctx, n) {
 		return nil, wire.Fault{Code: RunEnded}
 	}
-	s.mu.Lock()
-	old := s.nodes[n.Name]
-	if old != nil && old.node.Addr != n.Addr && time.Since(old.at) <= nodeTerm {
-		s.mu.Unlock()
-		return nil, wire.Fault{Code: NameTaken} // a router that moved gets its name once the lease is over
+	response, newRun, err := s.noteHeartbeat(request)
+	if err != nil {
+		return nil, err
 	}
-	newRun := old == nil || old.node.Born != n.Born
-	switch {
-	case in.Leave:
-		if old != nil && old.node.Born == n.Born {
-			delete(s.nodes, n.Name)
-			s.roll++
-		}
-	case old == nil || old.node != n:
-		if old == nil || !alike(old.node, n) {
-			s.roll++
+	if request.Leaving {
+		if err := s.coolHolder(ctx, Holder(n)); err != nil {
+			return nil, err
 		}
-		s.nodes[n.Name] = &seat{n, time.Now()}
-	default:
-		old.at = time.Now()
+		return response, nil
 	}
-	if !in.Leave {
-		defer s.remember(n)
+	if newRun {
+		s.replaceHolder(n, time.Duration(request.AgeMs)*time.Millisecond)
 	}
-	if newRun && !in.Leave {
-		defer s.replaceHolder(n, time.Duration(in.AgeMs)*time.Millisecond)
+	s.rememberAddress(n)
+	return response, nil
+}
+
+// noteHeartbeat notes what a heartbeat says and makes the response. newRun: the node's run was not known.
+func (s *Server) noteHeartbeat(request *HeartbeatRequest) (response *HeartbeatResponse, newRun bool, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	known := s.nodes[request.Node.Name]
+	if known != nil && known.node.Addr != request.Node.Addr && time.Since(known.heardAt) <= nodeLeaseTerm {
+		return nil, false, wire.Fault{Code: NameTaken} // a router that moved gets its name once the lease is over
 	}
-	s.prune()
-	out := &Told{Seq: s.sheet.Seq, Roll: s.roll}
-	if v := s.vot.View(); v.Epoch != in.ViewEpoch {
-		out.View = v
+	newRun = known == nil || known.node.Run != request.Node.Run
+	s.noteNode(request, known)
+	s.dropExpiredNodes()
+	response = &HeartbeatResponse{ConfigVersion: s.config.Version, NodesVersion: s.nodesVersion}
+	if v := s.voter.View(); v.Epoch != request.ViewEpoch {
+		response.View = v
 	}
-	s.tellNodes(in, out)
-	s.runners.Tell(in, out, time.Now())
-	s.health.note(in.Tallies, time.Now())
-	out.Failing = s.health.failing(time.Now())
-	out.Short = s.shortTenants()
-	s.mu.Unlock()
-	if in.Leave {
-		if err := s.retire(ctx, Holder(n)); err != nil {
-			return nil, err
+	s.tellNodes(request, response)
+	s.registry.Tell(request, response, time.Now())
+	s.health.note(request.Tallies, time.Now())
+	response.Failing = s.health.failing(time.Now())
+	response.ScarceTenants = s.scarceTenants()
+	return response, newRun, nil
+}
+
+// noteNode renews or ends a node's lease; the caller holds the lock.
+func (s *Server) noteNode(request *HeartbeatRequest, known *liveNode) {
+	n := request.Node
+	switch {
+	case request.Leaving:
+		if known != nil && known.node.Run == n.Run {
+			delete(s.nodes, n.Name)
+			s.nodesVersion++
 		}
+	case known == nil || known.node != n:
+		if known == nil || !saysSame(known.node, n) {
+			s.nodesVersion++
+		}
+		s.nodes[n.Name] = &liveNode{node: n, heardAt: time.Now()}
+	default:
+		known.heardAt = time.Now()
 	}
-	return out, nil
 }
 
 // tellNodes names the live nodes where they have changed. A primary that has just begun does not know all of them
 // yet, so it names none and tells how many there were. The caller holds the lock.
-func (s *Server) tellNodes(in *Beat, out *Told) {
+func (s *Server) tellNodes(request *HeartbeatRequest, response *HeartbeatResponse) {
 	switch {
-	case time.Since(s.since) <= nodeTerm:
-		out.RoutersBefore = s.routersBefore
-	case in.Roll != s.roll:
-		out.Whole = true
-		out.Nodes = s.live()
+	case time.Since(s.readySince) <= nodeLeaseTerm:
+		response.RoutersBefore = s.routersBefore
+	case request.NodesVersion != s.nodesVersion:
+		response.NodesChanged = true
+		response.Nodes = s.liveNodes()
 	}
 }
 
-// alike tells whether two words of a node say the same to its peers.
-func alike(a, b Node) bool {
-	a.Seq, b.Seq = 0, 0
+// saysSame tells whether two descriptions of a node say the same to its peers.
+func saysSame(a, b Node) bool {
+	a.ConfigVersion, b.ConfigVersion = 0, 0
 	return a == b
 }
 
-// prune drops nodes whose lease ran out; the caller holds the lock.
-func (s *Server) prune() {
-	for k, seat := range s.nodes {
-		if time.Since(seat.at) > nodeTerm {
-			delete(s.nodes, k)
-			s.roll++
+// dropExpiredNodes drops nodes whose lease ran out; the caller holds the lock.
+func (s *Server) dropExpiredNodes() {
+	for name, known := range s.nodes {
+		if time.Since(known.heardAt) > nodeLeaseTerm {
+			delete(s.nodes, name)
+			s.nodesVersion++
 		}
 	}
 }
 
-func (s *Server) live() []Node {
-	var out []Node
-	for _, seat := range s.nodes {
-		out = append(out, seat.node)
+// liveNodes lists the nodes whose lease runs, sorted by name; the caller holds the lock.
+func (s *Server) liveNodes() []Node {
+	var nodes []Node
+	for _, known := range s.nodes {
+		nodes = append(nodes, known.node)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
-	return out
+	sort.Slice(nodes, func(i, j int) bool { return nodes[i].Name < nodes[j].Name })
+	return nodes
 }
 
 // Holder names one run of a node as the holder of units. The address is part of it: a newer run
 // at the same address proves the older one gone, since only one process can listen there.
 //
-//	who := core.Holder(node)
+//	holder := core.Holder(node)
 func Holder(n Node) string {
-	return n.Name + "@" + n.Addr + "/" + strconv.FormatUint(n.Born, 16)
+	return n.Name + "@" + n.Addr + "/" + strconv.FormatUint(n.Run, 16)
 }
--- a/internal/core/primary.go
+++ b/internal/core/primary.go
@@ -3,198 +3,200 @@
 import (
 	"context"
 	"math/rand/v2"
+	"slices"
 	"sync"
 	"time"
 
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/store"
 	"yarrowridge/internal/view"
 )
 
+// learn takes a decided view, if it is newer.
 func (s *Server) learn(v view.View) {
-	if err := s.vot.Learn(v); err != nil {
-		s.trouble(err)
+	if err := s.voter.Learn(v); err != nil {
+		s.failDisk(err)
 	}
 }
 
-// heal waits until the disk takes a synced file again, then reads all anew from it.
-func (s *Server) heal() {
-	for env.Wait(s.ctx, 2*time.Second) {
-		if s.disk.Write("probe", []byte("probe")) != nil {
-			continue
-		}
-		s.keep.Lock()
-		// A write that got stuck must end before the disk is read anew.
-		s.st.Load().Close()
-		st, err := store.Open(s.disk, s.ctx.Log)
-		if err == nil {
-			s.st.Store(st)
-			s.mu.Lock()
-			s.sick = false
-			s.epoch = 0 // leading starts over, with a fresh copy to the backup
-			s.mu.Unlock()
-			s.ctx.Log.Info("Disk is sound again.")
-		}
-		s.keep.Unlock()
-		if err == nil {
-			return
-		}
-	}
-}
-
-// beat is the run loop's tick: it does what our place in the view asks for.
-func (s *Server) beat() {
-	if s.isSick() {
+// takeStep is the run loop's tick: it does what our place in the view asks for.
+func (s *Server) takeStep() {
+	if s.hasDiskFailed() {
 		return
 	}
-	v, me := s.vot.View(), s.vot.Id()
+	v, me := s.voter.View(), s.voter.Id()
 	switch {
 	case v.Epoch == 0:
-		s.seek()
-	case v.Prime == me:
+		s.findFleet()
+	case v.Primary == me:
 		s.lead(v, me)
 	case v.IsBackup(me):
-		s.watch(v, me)
-	case v.Addr(me) != s.set.Addr: // no member, or one that has moved
+		s.watchPrimary(v, me)
+	case v.Addr(me) != s.settings.Addr: // no member, or one that has moved
 		s.join(v)
 	default:
-		s.lookAround(v)
+		s.findNewerView(v)
 	}
 }
 
-func (s *Server) pause(d time.Duration) bool {
-	if time.Now().Before(s.next) {
+// attemptDue tells whether the next attempt may be made, and if so sets the earliest time of the one after it: a random
+// time around the pause from now, so that members that wait for the same don't hinder one another again and again.
+func (s *Server) attemptDue(pause time.Duration) bool {
+	if time.Now().Before(s.nextAttempt) {
 		return false
 	}
-	s.next = time.Now().Add(d/2 + rand.N(d))
+	s.nextAttempt = time.Now().Add(pause/2 + rand.N(pause))
 	return true
 }
 
-// ask asks every address what it knows of the core.
-func (s *Server) ask(to []string) map[string]view.Told {
-	ctx, end := context.WithTimeout(s.ctx, step)
-	defer end()
-	out := map[string]view.Told{}
+// askStatus asks every address what it knows of the core.
+func (s *Server) askStatus(addrs []string) map[string]view.StatusResponse {
+	ctx, cancel := context.WithTimeout(s.ctx, stepTimeout)
+	defer cancel()
 	var mu sync.Mutex
+	statuses := map[string]view.StatusResponse{}
+	asked := map[string]bool{}
 	var all sync.WaitGroup
-	done := map[string]bool{}
-	for _, a := range to {
-		if done[a] {
+	for _, addr := range addrs {
+		if asked[addr] {
 			continue
 		}
-		done[a] = true
+		asked[addr] = true
 		all.Go(func() {
-			var t view.Told
-			if s.call(ctx, a, "view.ask", &view.Ask{}, &t) == nil {
+			var status view.StatusResponse
+			if s.call(ctx, addr, "view.ask", &view.StatusRequest{}, &status) == nil {
 				mu.Lock()
-				out[a] = t
-				mu.Unlock()
+				defer mu.Unlock()
+				statuses[addr] = status
 			}
 		})
 	}
 	all.Wait()
-	return out
+	return statuses
 }
 
-// decide tries to bring about the next view, and learns what came of it.
-func (s *Server) decide(cur, next view.View, all bool) bool {
-	t := &view.Try{Me: s.vot.Id(), Call: s.call, Cur: cur, Next: next, All: all, Wait: step, Top: s.top}
-	got, err := t.Run(s.ctx)
-	s.top = t.Top
+// decide proposes the next view, and learns what came of it. unanimous: every current member must promise.
+func (s *Server) decide(current, next view.View, unanimous bool) bool {
+	proposal := &view.Proposal{
+		Proposer:      s.voter.Id(),
+		Call:          s.call,
+		Current:       current,
+		Next:          next,
+		Unanimous:     unanimous,
+		StepTimeout:   stepTimeout,
+		HighestBallot: s.highestBallot,
+	}
+	decided, err := proposal.Run(s.ctx)
+	s.highestBallot = proposal.HighestBallot
 	if err != nil {
-		s.ctx.Log.Warn("View not decided.", "after", cur.Epoch, "trouble", err.Error())
+		s.ctx.Log.Warn("View not decided.", "after", current.Epoch, "error", err.Error())
 		return false
 	}
-	s.learn(got)
-	if got.Epoch == cur.Epoch+1 {
-		to := append(append([]view.Member{}, cur.Members...), got.Members...)
-		for _, m := range to {
-			if m.Id != s.vot.Id() {
-				go func() {
-					ctx, end := context.WithTimeout(s.ctx, step)
-					defer end()
-					s.call(ctx, m.Addr, "view.learn", &view.Learn{View: got}, nil)
-				}()
-			}
-		}
+	s.learn(decided)
+	if decided.Epoch == current.Epoch+1 {
+		s.tellMembers(slices.Concat(current.Members, decided.Members), decided)
 	}
-	s.hurry()
-	s.ctx.Log.Info("View decided.", "epoch", got.Epoch, "primary", got.Addr(got.Prime), "backups", addrs(got, got.Backups()), "members", len(got.Members))
+	s.wake()
+	s.ctx.Log.Info("View decided.", "epoch", decided.Epoch, "primary", decided.Addr(decided.Primary),
+		"backups", addrsOf(decided, decided.Backups()), "members", len(decided.Members))
 	return true
 }
 
-// stands tells whether we are primary of the epoch now, by a majority's lease.
-func (s *Server) stands(v view.View) bool {
+// tellMembers tells all others of a decided view, and waits for nobody.
+func (s *Server) tellMembers(members []view.Member, decided view.View) {
+	for _, m := range members {
+		if m.Id == s.voter.Id() {
+			continue
+		}
+		go func() {
+			ctx, cancel := context.WithTimeout(s.ctx, stepTimeout)
+			defer cancel()
+			s.call(ctx, m.Addr, "view.learn", &view.LearnRequest{View: decided}, nil)
+		}()
+	}
+}
+
+// isPrimary tells whether we are primary of the epoch now, by a majority's lease.
+func (s *Server) isPrimary(v view.View) bool {
 	s.mu.Lock()
-	ls, ok := s.ls, s.epoch == v.Epoch && !s.sick
+	primacy, leads := s.lease, s.epoch == v.Epoch && !s.diskFailed
 	s.mu.Unlock()
-	return ok && ls.Stands(v.Most) && s.vot.View().Epoch == v.Epoch
+	return leads && primacy.Stands(v.IsMajority) && s.voter.View().Epoch == v.Epoch
 }
 
-func (s *Server) setReady(to bool) {
+// isReady tells whether we take writes, for as long as we are primary.
+func (s *Server) isReady() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ready = to
+	return s.ready
 }
 
-// start opens for writes: the backup holds all we hold, and the lease stands.
-func (s *Server) start(v view.View) {
-	var sheet Sheet
-	if raw, ok := s.st.Load().Get("layout"); ok {
-		if _, err := sheet.UnmarshalMsg(raw); err != nil {
-			s.ctx.Log.Error("Stored layout unread.", "trouble", err.Error())
+// setReady begins or ends the taking of writes.
+func (s *Server) setReady(ready bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.ready = ready
+}
+
+// becomeReady opens for writes: the backups hold all we hold, and the lease stands.
+func (s *Server) becomeReady(v view.View) {
+	var config StoredConfig
+	if raw, ok := s.store.Load().Get(configKey); ok {
+		if _, err := config.UnmarshalMsg(raw); err != nil {
+			s.ctx.Log.Error("Stored configuration can't be read.", "error", err.Error())
 			return
 		}
 	}
-	s.ran.load(s.st.Load())
+	s.finishedKeys.load(s.store.Load())
 	s.mu.Lock()
-	s.runners.Begin(registryEpoch(v.Epoch, s.ctx.Born), s.began, time.Now(), s.storedRunners())
-	s.ready, s.sheet, s.since = true, sheet, time.Now()
+	s.registry.Begin(registryEpoch(v.Epoch, s.ctx.Born), s.ledSince, time.Now(), s.storedRunners())
+	s.ready, s.config, s.readySince = true, config, time.Now()
 	s.routersBefore = s.rememberedRouters()
 	s.mu.Unlock()
-	s.ctx.Log.Info("Primary is ready.", "epoch", v.Epoch, "backups", addrs(v, v.Backups()), "sequence", sheet.Seq)
+	s.ctx.Log.Info("Primary is ready.", "epoch", v.Epoch, "backups", addrsOf(v, v.Backups()), "sequence", config.Version)
 }
 
-// Yield hands the primacy to the backup, which holds all we hold, before a planned stop.
+// stepDownTimeout is how long a planned stop waits for the backup to lead.
+const stepDownTimeout = 2 * time.Second
+
+// StepDown hands the primacy to the backup, which holds all we hold, before a planned stop.
 //
-//	srv.Yield()
-func (s *Server) Yield() {
-	j := &job{done: make(chan error, 1), ctl: func() {
-		v, me := s.vot.View(), s.vot.Id()
-		s.mu.Lock()
-		ready := s.ready
-		s.mu.Unlock()
-		if v.Prime != me || !ready {
-			return
-		}
-		next, ok := s.afterLeaving(v)
-		if !ok {
-			return
-		}
-		s.setReady(false)
-		if s.decide(v, next, false) {
-			s.tellSuccessor()
-		}
-	}}
-	t := time.NewTimer(2 * time.Second)
-	defer t.Stop()
+//	srv.StepDown()
+func (s *Server) StepDown() {
+	operation := &job{done: make(chan error, 1), step: s.stepDown}
+	timeout := time.NewTimer(stepDownTimeout)
+	defer timeout.Stop()
 	select {
-	case s.box <- j:
-	case <-t.C:
+	case s.jobs <- operation:
+	case <-timeout.C:
 		return
 	}
 	select {
-	case <-j.done:
-	case <-t.C:
+	case <-operation.done:
+	case <-timeout.C:
+	}
+}
+
+// stepDown has the first backup lead. Only the run loop calls it.
+func (s *Server) stepDown() {
+	v := s.voter.View()
+	if v.Primary != s.voter.Id() || !s.isReady() {
+		return
+	}
+	next, ok := s.afterLeaving(v)
+	if !ok {
+		return
+	}
+	s.setReady(false)
+	if s.decide(v, next, false) {
+		s.tellSuccessor()
 	}
 }
 
 // tellSuccessor waits until the primary of the newest view knows it: the process that decided it is about to end.
 func (s *Server) tellSuccessor() {
-	v := s.vot.View()
-	ctx, end := context.WithTimeout(s.ctx, step)
-	defer end()
-	if err := s.call(ctx, v.Addr(v.Prime), "view.learn", &view.Learn{View: v}, nil); err != nil {
-		s.ctx.Log.Warn("The next primary was not told.", "peer", v.Addr(v.Prime), "trouble", err.Error())
+	v := s.voter.View()
+	ctx, cancel := context.WithTimeout(s.ctx, stepTimeout)
+	defer cancel()
+	if err := s.call(ctx, v.Addr(v.Primary), "view.learn", &view.LearnRequest{View: v}, nil); err != nil {
+		s.ctx.Log.Warn("The next primary was not told.", "peer", v.Addr(v.Primary), "error", err.Error())
 	}
 }
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -6,18 +6,17 @@
 	"sync"
 	"time"
 
-	"yarrowridge/internal/relay"
 	"yarrowridge/internal/routing"
 	"yarrowridge/internal/wire"
 )
 
 const (
-	runnerForget  = 60 * time.Second        // a runner unheard for so long is forgotten
-	runnerSettle  = 5 * time.Second         // a new primary has heard every living runner by then
-	runnerGrace   = 1500 * time.Millisecond // to be heard again after a pause of the primary
-	runnerCheck   = 100 * time.Millisecond  // between two looks for silent runners
-	runnerGather  = 5 * time.Millisecond    // changes that come this close together are pushed as one
-	registryBegun = 1                       // the first version; 0 stands for "none"
+	runnerForgetAfter   = 60 * time.Second        // a runner unheard for so long is forgotten
+	registrySettleAfter = 5 * time.Second         // a new primary has heard every living runner by then
+	runnerGrace         = 1500 * time.Millisecond // to be heard again after a pause of the primary
+	runnerCheckEvery    = 100 * time.Millisecond  // between two looks for silent runners
+	runnerGatherSpan    = 5 * time.Millisecond    // changes that come this close together are pushed as one
+	registryBegun       = 1                       // the first version; 0 stands for "none"
 )
 
 // RunnerRegistry is the primary's knowledge of runners. Its version goes up with every change that routers
@@ -26,22 +25,22 @@
 	silence  time.Duration
 	announce func(routing.Runner) <-chan struct{} // tells routers at once; closed when that has been tried
 
-	mu      sync.Mutex
-	epoch   uint64
-	led     time.Time // since when the primary has led without a break
-	begun   time.Time // of heartbeats being taken in this epoch
-	version uint64
-	settled uint64 // the version at which every living runner had been heard; 0: not yet
-	checked time.Time
-	runners map[string]*registered
+	mu        sync.Mutex
+	epoch     uint64
+	ledSince  time.Time // since when the primary has led without a break
+	begunAt   time.Time // of heartbeats being taken in this epoch
+	version   uint64
+	settled   uint64 // the version at which every living runner had been heard; 0: not yet
+	checkedAt time.Time
+	runners   map[string]*registered
 }
 
 // registered is one known runner.
 type registered struct {
 	runner  routing.Runner
-	heard   time.Time       // its last heartbeat
+	heardAt time.Time       // its last heartbeat
 	version uint64          // of its last change
-	told    <-chan struct{} // its last announcement; nil: none in this epoch
+	told    <-chan struct{} // closed when routers were told its last change; nil: there was none in this epoch
 }
 
 // NewRunnerRegistry makes an empty registry. A runner unheard for the silence span is silent. announce is
@@ -65,18 +64,18 @@
 func (r *RunnerRegistry) Begin(epoch uint64, led, now time.Time, stored []routing.Runner) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.epoch != 0 && led.Equal(r.led) {
+	if r.epoch != 0 && led.Equal(r.ledSince) {
 		for _, known := range r.runners {
-			if least := now.Add(runnerGrace - r.silence); known.heard.Before(least) {
-				known.heard = least
+			if least := now.Add(runnerGrace - r.silence); known.heardAt.Before(least) {
+				known.heardAt = least
 			}
 		}
 		return
 	}
-	r.epoch, r.led, r.begun = epoch, led, now
+	r.epoch, r.ledSince, r.begunAt = epoch, led, now
 	r.version, r.settled, r.runners = registryBegun, 0, map[string]*registered{}
 	for _, runner := range stored {
-		r.runners[runner.ID] = &registered{runner: runner, heard: now, version: r.version}
+		r.runners[runner.ID] = &registered{runner: runner, heardAt: now, version: r.version}
 	}
 }
 
@@ -90,7 +89,7 @@
 	known := r.runners[runner.ID]
 	if known == nil {
 		r.version++
-		known = &registered{runner: runner, heard: now, version: r.version, told: r.announce(runner)}
+		known = &registered{runner: runner, heardAt: now, version: r.version, told: r.announce(runner)}
 		r.runners[runner.ID] = known
 		return known.told
 	}
@@ -98,7 +97,7 @@
 	if old.State == routing.RunnerGone || runner.Sequence <= old.Sequence {
 		return known.told
 	}
-	known.runner, known.heard = runner, now
+	known.runner, known.heardAt = runner, now
 	if !old.SaysSame(runner) {
 		r.version++
 		known.version = r.version
@@ -112,13 +111,13 @@
 
 // check marks silent runners and forgets those unheard for long; the caller holds the lock.
 func (r *RunnerRegistry) check(now time.Time) {
-	if now.Sub(r.checked) < runnerCheck {
+	if now.Sub(r.checkedAt) < runnerCheckEvery {
 		return
 	}
-	r.checked = now
+	r.checkedAt = now
 	for id, known := range r.runners {
-		unheard := now.Sub(known.heard)
-		if unheard > runnerForget {
+		unheard := now.Sub(known.heardAt)
+		if unheard > runnerForgetAfter {
 			delete(r.runners, id)
 			continue
 		}
@@ -131,46 +130,46 @@
 	}
 }
 
-// Tell answers a router's beat with the runners changed since the version that it has, or with all.
+// Tell answers a router's heartbeat with the runners changed since the version that it has, or with all.
 // Only a list sent once the registry has settled lets the router drop runners that are not named.
 //
-//	registry.Tell(&beat, &told, time.Now())
-func (r *RunnerRegistry) Tell(beat *Beat, told *Told, now time.Time) {
-	if !beat.RunnersWanted {
+//	registry.Tell(&request, &response, time.Now())
+func (r *RunnerRegistry) Tell(request *HeartbeatRequest, response *HeartbeatResponse, now time.Time) {
+	if !request.RunnersWanted {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.check(now)
-	if r.settled == 0 && now.Sub(r.begun) >= runnerSettle {
+	if r.settled == 0 && now.Sub(r.begunAt) >= registrySettleAfter {
 		r.version++ // so that a router which has the registry from before gets a whole list
 		r.settled = r.version
 	}
-	has := beat.RunnersVersion
-	all := beat.RunnersEpoch != r.epoch || has == 0 || has < r.settled || has > r.version
-	told.RunnersEpoch, told.RunnersVersion = r.epoch, r.version
-	if r.holdsAll(beat) {
+	has := request.RunnersVersion
+	all := request.RunnersEpoch != r.epoch || has == 0 || has < r.settled || has > r.version
+	response.RunnersEpoch, response.RunnersVersion = r.epoch, r.version
+	if r.holdsAll(request) {
 		return
 	}
-	told.RunnersWhole = all && r.settled > 0
+	response.RunnersWhole = all && r.settled > 0
 	for _, known := range r.runners {
 		if all || known.version > has {
-			told.Runners = append(told.Runners, known.runner)
+			response.Runners = append(response.Runners, known.runner)
 		}
 	}
-	sort.Slice(told.Runners, func(i, j int) bool { return told.Runners[i].ID < told.Runners[j].ID })
+	sort.Slice(response.Runners, func(i, j int) bool { return response.Runners[i].ID < response.Runners[j].ID })
 }
 
 // holdsAll tells whether a router that asks for a whole list has exactly that; the caller holds the lock.
-func (r *RunnerRegistry) holdsAll(beat *Beat) bool {
-	if beat.RunnersEpoch != r.epoch || beat.RunnersVersion != 0 || beat.RunnersDigest == 0 {
+func (r *RunnerRegistry) holdsAll(request *HeartbeatRequest) bool {
+	if request.RunnersEpoch != r.epoch || request.RunnersVersion != 0 || request.RunnersDigest == 0 {
 		return false
 	}
 	digest := uint64(0)
 	for _, known := range r.runners {
 		digest ^= known.runner.Digest()
 	}
-	return digest == beat.RunnersDigest
+	return digest == request.RunnersDigest
 }
 
 // Known gives what stands of a runner; without an ID where nothing does.
@@ -202,77 +201,25 @@
 
 // takeRunner takes a runner's heartbeat. A change of state is handed to the first routers of every zone
 // before it is acknowledged, so that it outlives us.
-func (s *Server) takeRunner(ctx context.Context, in *RunnerBeat) (*Done, error) {
-	if err := s.prime(); err != nil {
+func (s *Server) takeRunner(ctx context.Context, request *RunnerHeartbeat) (*Empty, error) {
+	if err := s.requirePrimary(); err != nil {
 		return nil, err
 	}
-	switch in.Runner.State {
+	switch request.Runner.State {
 	case routing.RunnerReady, routing.RunnerDraining, routing.RunnerGone:
 	default:
-		return nil, wire.Fault{Code: BadRunner}
+		return nil, wire.Fault{Code: InvalidRunner}
 	}
-	if in.Runner.ID == "" {
-		return nil, wire.Fault{Code: BadRunner}
+	if request.Runner.ID == "" {
+		return nil, wire.Fault{Code: InvalidRunner}
 	}
-	told := s.runners.Heartbeat(in.Runner, time.Now())
+	told := s.registry.Heartbeat(request.Runner, time.Now())
 	// A late heartbeat says what is no longer so: kept is what stands.
-	if err := s.keepRunner(ctx, s.runners.Known(in.Runner.ID)); err != nil {
+	if err := s.storeRunner(ctx, s.registry.Known(request.Runner.ID)); err != nil {
 		return nil, err
 	}
 	if told != nil {
 		<-told
 	}
-	return &Done{}, nil
-}
-
-// announce pushes a runner's word to routers, with others that come close to it.
-func (s *Server) announce(runner routing.Runner) <-chan struct{} {
-	body, err := runner.MarshalMsg(nil)
-	if err != nil {
-		return nil
-	}
-	return s.news.add(relay.Record{Key: relay.RunnerPrefix + runner.ID, Version: runner.Sequence, Body: body}, s.pushRunners)
-}
-
-// runnerNews gathers changes of runners that come close together, and pushes them as one.
-type runnerNews struct {
-	mu   sync.Mutex
-	next *runnerBatch
-}
-
-type runnerBatch struct {
-	recs []relay.Record
-	done chan struct{} // closed once the push has ended
-}
-
-// add puts a record into the next batch. The channel is closed once the batch has been pushed.
-func (n *runnerNews) add(record relay.Record, push func(...relay.Record)) <-chan struct{} {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	batch := n.next
-	if batch == nil {
-		batch = &runnerBatch{done: make(chan struct{})}
-		n.next = batch
-		go n.send(batch, push)
-	}
-	batch.recs = append(batch.recs, record)
-	return batch.done
-}
-
-// send waits a moment for more changes, and pushes the batch. Batches don't wait for each other.
-func (n *runnerNews) send(batch *runnerBatch, push func(...relay.Record)) {
-	time.Sleep(runnerGather)
-	n.mu.Lock()
-	n.next = nil
-	n.mu.Unlock()
-	push(batch.recs...)
-	close(batch.done)
-}
-
-// Beat tells the primary a runner's heartbeat, whichever core that is. It may be repeated: a
-// heartbeat that was taken before changes nothing.
-//
-//	err := client.Beat(ctx, runner)
-func (c *Client) Beat(ctx context.Context, runner routing.Runner) error {
-	return c.Call(ctx, "core.runner", &RunnerBeat{Runner: runner}, &Done{}, true)
+	return &Empty{}, nil
 }
--- a/internal/core/sessions.go
+++ b/internal/core/sessions.go
@@ -10,31 +10,31 @@
 // held after the loss of all routers; the core does not look into it.
 const sessionsKey = "sessions"
 
-// sessionsMost bounds the directory that is kept, in bytes.
-const sessionsMost = 1 << 20
+// maxSessionsBytes bounds the directory that is kept, in bytes.
+const maxSessionsBytes = 1 << 20
 
-// keepSessions keeps the directory in place of the one before.
-func (s *Server) keepSessions(ctx context.Context, in *Sessions) (*Done, error) {
-	if len(in.Batch) > sessionsMost {
+// storeSessions keeps the directory in place of the one before.
+func (s *Server) storeSessions(ctx context.Context, directory *SessionDirectory) (*Empty, error) {
+	if len(directory.Batch) > maxSessionsBytes {
 		return nil, wire.Fault{Code: "too-large"}
 	}
-	err := s.Submit(ctx, func(tx *Tx) error { return tx.Put(sessionsKey, in) })
+	err := s.Submit(ctx, func(tx *Tx) error { return tx.Put(sessionsKey, directory) })
 	if err != nil {
 		return nil, err
 	}
-	return &Done{}, nil
+	return &Empty{}, nil
 }
 
-// giveSessions gives the directory that was kept last.
-func (s *Server) giveSessions() (*Sessions, error) {
-	if err := s.prime(); err != nil {
+// readSessions gives the directory that was kept last.
+func (s *Server) readSessions() (*SessionDirectory, error) {
+	if err := s.requirePrimary(); err != nil {
 		return nil, err
 	}
-	var out Sessions
-	if raw, ok := s.st.Load().Get(sessionsKey); ok {
-		if _, err := out.UnmarshalMsg(raw); err != nil {
+	var directory SessionDirectory
+	if raw, ok := s.store.Load().Get(sessionsKey); ok {
+		if _, err := directory.UnmarshalMsg(raw); err != nil {
 			return nil, err
 		}
 	}
-	return &out, nil
+	return &directory, nil
 }
--- a/internal/core/transaction.go
+++ b/internal/core/transaction.go
@@ -8,28 +8,28 @@
 
 // Tx is what a job sees: the committed state with the batch's own puts over it.
 type Tx struct {
-	st   *store.Store
-	over map[string]*store.Put
-	puts []store.Put
-	size int  // bytes put: a batch has to fit one frame to the backup
-	ran  bool // it has a part of the keys that ran
+	store           *store.Store
+	newest          map[string]*store.Put // by key
+	puts            []store.Put
+	size            int  // bytes put: a batch has to fit one frame to the backup
+	hasFinishedKeys bool // it has a part of the keys that ran
 }
 
 // Get reads a key.
 //
 //	raw, ok := tx.Get("layout")
 func (t *Tx) Get(key string) ([]byte, bool) {
-	if p, ok := t.over[key]; ok {
-		return p.Val, !p.Gone
+	if put, ok := t.newest[key]; ok {
+		return put.Val, !put.Gone
 	}
-	return t.st.Get(key)
+	return t.store.Get(key)
 }
 
 // Put sets a key.
 //
-//	err := tx.Put("layout", &sheet)
-func (t *Tx) Put(key string, val msgp.Marshaler) error {
-	raw, err := val.MarshalMsg(nil)
+//	err := tx.Put("layout", &config)
+func (t *Tx) Put(key string, record msgp.Marshaler) error {
+	raw, err := record.MarshalMsg(nil)
 	if err != nil {
 		return err
 	}
@@ -42,38 +42,39 @@
 //	tx.Drop("claim/t/k")
 func (t *Tx) Drop(key string) { t.add(store.Put{Key: key, Gone: true}) }
 
-func (t *Tx) add(p store.Put) {
-	t.puts = append(t.puts, p)
-	t.size += len(p.Key) + len(p.Val)
-	t.over[p.Key] = &p
+// add puts an encoded record.
+func (t *Tx) add(put store.Put) {
+	t.puts = append(t.puts, put)
+	t.size += len(put.Key) + len(put.Val)
+	t.newest[put.Key] = &put
 }
 
-// last gives the newest put of each key: what a batch puts several times is stored and sent once.
-func (t *Tx) last() []store.Put {
-	if len(t.over) == len(t.puts) {
+// newestPuts gives the newest put of each key: what a batch puts several times is stored and sent once.
+func (t *Tx) newestPuts() []store.Put {
+	if len(t.newest) == len(t.puts) {
 		return t.puts
 	}
-	newest := make(map[string]int, len(t.over))
+	newest := make(map[string]int, len(t.newest))
 	for i := range t.puts {
 		newest[t.puts[i].Key] = i
 	}
-	out := make([]store.Put, 0, len(newest))
-	for i, p := range t.puts {
-		if newest[p.Key] == i {
-			out = append(out, p)
+	last := make([]store.Put, 0, len(newest))
+	for i, put := range t.puts {
+		if newest[put.Key] == i {
+			last = append(last, put)
 		}
 	}
-	return out
+	return last
 }
 
-// undo strikes the puts a failed job made.
+// undo removes the puts that a failed job made: those after the first mark.
 func (t *Tx) undo(mark int) {
-	for _, p := range t.puts[mark:] {
-		t.size -= len(p.Key) + len(p.Val)
+	for _, put := range t.puts[mark:] {
+		t.size -= len(put.Key) + len(put.Val)
 	}
 	t.puts = t.puts[:mark]
-	clear(t.over)
+	clear(t.newest)
 	for i := range t.puts {
-		t.over[t.puts[i].Key] = &t.puts[i]
+		t.newest[t.puts[i].Key] = &t.puts[i]
 	}
 }
