--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -48,6 +48,7 @@
 	speeds    map[string]*speed // of services
 	byService atomic.Pointer[map[string][]*Runner]
 	turn      atomic.Uint64
+	calm      atomic.Pointer[calmRunners]
 }
 
 // New makes a balancer of a router in a zone.
@@ -146,7 +147,7 @@
 		}
 	}
 	var best *Runner
-	bestCost, bestRead := math.Inf(1), 0
+	bestCost, bestRead, equals := math.Inf(1), 0, 0
 	for i := range candidates {
 		c := &candidates[i]
 		kept := held[c.runner.Index]
@@ -164,8 +165,16 @@
 		if c.barred {
 			cost += lastResortMs
 		}
-		// Among equals the turn goes round, so that routers do not all begin with the same runner.
-		if cost < bestCost || cost == bestCost && b.turn.Add(1)%2 == 0 {
+		switch {
+		case cost < bestCost:
+			equals = 1
+		case cost == bestCost:
+			equals++
+		default:
+			continue
+		}
+		// Each of several equals is as likely as the others, so that routers do not all choose the same runner.
+		if equals == 1 || spread.Mix(b.turn.Add(1))%uint64(equals) == 0 {
 			best, bestCost, bestRead = c.runner, cost, read
 		}
 	}
@@ -182,13 +191,14 @@
 func (b *Balancer) candidates(request Request, now time.Time) []candidate {
 	runners := b.Runners(request.Service)
 	out := make([]candidate, 0, len(runners))
+	calm := b.calmNow(now)
 	for _, runner := range runners {
 		if request.Tried[runner.Index] {
 			continue
 		}
 		runner.mu.Lock()
 		if usable, barred := runner.usable(request.Model, now); usable {
-			wait := runner.waitCost(request, b.zone, now)
+			wait := runner.waitCost(request, b.zone, now) + runner.pauseCost(request, calm)
 			out = append(out, candidate{runner: runner, id: runner.info.ID, ready: runner.info.State == routing.RunnerReady,
 				barred: barred, wait: wait, rate: runner.rate()})
 		}
@@ -232,6 +242,8 @@
 	// longGapWeight is what a millisecond between events costs where more comes out than goes in: such an
 	// answer is late by its pauses rather than by its first event.
 	longGapWeight = 4.0
+	// restlessMs is what such an answer costs at a runner that is not one of the calm ones.
+	restlessMs = 40.0
 	// readAgainMs is what a shared token costs that the runner has to read though another one keeps it: more
 	// than the time of the reading, since it takes that time from all other requests of the fleet. A session
 	// of some thousand tokens leaves its runner for a wait that endangers the usual aims, not for a few
@@ -249,9 +261,6 @@
 	} else {
 		cost += float64(len(r.open)) * max(requestCostMs, r.serviceMs/4)
 	}
-	if request.Output > request.Input {
-		cost += longGapWeight * r.gapMs
-	}
 	if now.Sub(r.full) < fullSpan {
 		cost += fullCostMs
 	}
@@ -264,6 +273,20 @@
 	return cost
 }
 
+// pauseCost is what an answer of which more comes out than goes in is expected to suffer by its pauses, in
+// milliseconds. What all routers saw goes before what this one did. The caller holds the lock.
+func (r *Runner) pauseCost(request Request, calm *calmRunners) float64 {
+	switch {
+	case request.Output <= request.Input:
+		return 0
+	case calm == nil:
+		return longGapWeight * r.gapMs
+	case calm.ids[r.info.ID]:
+		return 0
+	}
+	return restlessMs
+}
+
 // affinity gives the key by which all routers pick the same runner for a session, and how many tokens of
 // the prompt that runner is expected to keep.
 func affinity(parts []Part) (key uint64, shared int) {
--- a/internal/balance/fleet_test.go
+++ b/internal/balance/fleet_test.go
@@ -69,3 +69,77 @@
 		t.Errorf("told again: %v", again)
 	}
 }
+
+// choosesOf counts which runners a request is sent to, each answered at once.
+func choosesOf(b *Balancer, request Request, times int) map[string]int {
+	chosen := map[string]int{}
+	for range times {
+		attempt := b.Choose(request)
+		chosen[attempt.Runner().Info().ID]++
+		attempt.Cancel()
+	}
+	return chosen
+}
+
+// An answer of which more comes out than goes in goes to the runners that are calm for all routers, to each of them
+// alike, whatever this router saw of one of them; other answers go where they went.
+func TestLongAnswersGoToCalmRunners(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		b := New("east")
+		var runners []routing.Runner
+		for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
+			runners = append(runners, routing.Runner{ID: id, Service: "s", State: routing.RunnerReady, Zone: "east"})
+		}
+		b.Update(runners)
+		long := Request{Service: "s", Input: 100, Output: 4000}
+		short := Request{Service: "s", Input: 4000, Output: 100}
+		slow := b.Choose(long)
+		slow.Progress() // at once: it is its pauses that are long
+		for range 5 {
+			time.Sleep(100 * time.Millisecond)
+			slow.Progress()
+		}
+		slow.Done()
+		calm := slow.Runner().Info().ID // one router's own view goes behind that of all
+		var others []string
+		for _, runner := range runners {
+			if runner.ID != calm {
+				others = append(others, runner.ID)
+			}
+		}
+		b.Calm([]string{calm, others[0], others[1]})
+		const times = 300
+		chosen := choosesOf(b, long, times)
+		for _, id := range []string{calm, others[0], others[1]} {
+			if chosen[id] < times/6 {
+				t.Errorf("%s, which is calm, has %d of %d long answers", id, chosen[id], times)
+			}
+		}
+		if spread := choosesOf(b, short, times); len(spread) != len(runners) {
+			t.Errorf("other answers went to %v", spread)
+		}
+		time.Sleep(fleetFresh + time.Millisecond)
+		if b.calmNow(time.Now()) != nil {
+			t.Error("the core's word on calm runners holds though it was heard of no longer")
+		}
+	})
+}
+
+// The pauses between the events of streams are told once.
+func TestPausesAreTold(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		b := twoRunners()
+		attempt := b.Choose(Request{Service: "s"})
+		for range 4 {
+			time.Sleep(50 * time.Millisecond)
+			attempt.Progress()
+		}
+		id := attempt.Runner().Info().ID
+		if tally := b.Tally()[id]; tally.Pauses != 3 || tally.Paused != 150*time.Millisecond {
+			t.Errorf("%d pauses of %s, 3 of 150 ms expected", tally.Pauses, tally.Paused)
+		}
+		if tallies := b.Tally(); len(tallies) != 0 {
+			t.Errorf("told again: %v", tallies)
+		}
+	})
+}
--- a/internal/balance/runner.go
+++ b/internal/balance/runner.go
@@ -43,8 +43,12 @@
 	fleetUntil  time.Time
 }
 
-// Tally counts how attempts at a runner ended.
-type Tally struct{ Tries, Fails int }
+// Tally counts how attempts at a runner ended, and the pauses between the events of its streams.
+type Tally struct {
+	Tries, Fails int
+	Pauses       int
+	Paused       time.Duration // all pauses together
+}
 
 // Tally gives for each runner used since the last call how its attempts ended. Those under way at a runner
 // that is silent count as failed.
@@ -53,7 +57,7 @@
 	out := map[string]Tally{}
 	for _, runners := range *b.byService.Load() {
 		for _, runner := range runners {
-			if tally := runner.takeTally(now); tally.Tries > 0 {
+			if tally := runner.takeTally(now); tally.Tries > 0 || tally.Pauses > 0 {
 				out[runner.Info().ID] = tally
 			}
 		}
@@ -97,6 +101,30 @@
 	}
 }
 
+// calmRunners are the runners whose streams have the shortest pauses for all routers together.
+type calmRunners struct {
+	ids   map[string]bool
+	until time.Time
+}
+
+// Calm takes the IDs of the runners whose streams have the shortest pauses for all routers together.
+func (b *Balancer) Calm(ids []string) {
+	calm := &calmRunners{ids: make(map[string]bool, len(ids)), until: time.Now().Add(fleetFresh)}
+	for _, id := range ids {
+		calm.ids[id] = true
+	}
+	b.calm.Store(calm)
+}
+
+// calmNow gives the calm runners; nil: nothing is known of them now.
+func (b *Balancer) calmNow(now time.Time) *calmRunners {
+	calm := b.calm.Load()
+	if calm == nil || len(calm.ids) == 0 || now.After(calm.until) {
+		return nil
+	}
+	return calm
+}
+
 // Attempt is one request sent to a runner.
 type Attempt struct {
 	runner   *Runner
@@ -156,7 +184,10 @@
 		r.promptOpen -= a.prompt
 		r.sampleFirst(float64(now.Sub(a.started))/float64(time.Millisecond), a.prompt, now)
 	} else {
-		r.gapMs = average(r.gapMs, float64(now.Sub(a.last))/float64(time.Millisecond))
+		pause := now.Sub(a.last)
+		r.gapMs = average(r.gapMs, float64(pause)/float64(time.Millisecond))
+		r.tally.Pauses++
+		r.tally.Paused += pause
 	}
 	a.last = now
 	return first
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -74,6 +74,8 @@
 	s.registry.Tell(request, response, time.Now())
 	s.health.note(request.Tallies, time.Now())
 	response.Failing = s.health.failing(time.Now())
+	s.pauses.note(request.Tallies, time.Now())
+	response.Calm = s.pauses.calm(s.registry.List, time.Now())
 	response.ScarceTenants = s.scarceTenants()
 	return response, newRun, nil
 }
--- a/internal/core/msgs.go
+++ b/internal/core/msgs.go
@@ -67,11 +67,13 @@
 	Tallies []RunnerTally `msg:"t"` // of the runners used since the last heartbeat
 }
 
-// RunnerTally counts how attempts at a runner ended.
+// RunnerTally counts how attempts at a runner ended, and how long it let streams wait for their next event.
 type RunnerTally struct {
 	ID       string `msg:"i"`
 	Attempts int    `msg:"t"`
 	Failures int    `msg:"f"`
+	Pauses   int    `msg:"p"` // between two events of a stream
+	PausesMs int    `msg:"q"` // all of them together, in milliseconds
 }
 
 // FailingRunner is a runner that lately failed a large share of the attempts of all routers.
@@ -98,6 +100,7 @@
 	Runners        []routing.Runner `msg:"rr"` // those changed since the version it had
 	RunnersWhole   bool             `msg:"rw"` // Runners are all: one that is not named is to be dropped
 	Failing        []FailingRunner  `msg:"rf"` // all that fail now
+	Calm           []string         `msg:"rc"` // IDs of the runners whose streams have the shortest pauses
 }
 
 // RunnerHeartbeat is a runner's heartbeat.
--- a/internal/core/msgs_gen.go
+++ b/internal/core/msgs_gen.go
@@ -608,16 +608,11 @@
 	o = append(o, 0xa1, 0x74)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Tallies)))
 	for za0001 := range z.Tallies {
-		// map header, size 3
-		// string "i"
-		o = append(o, 0x83, 0xa1, 0x69)
-		o = msgp.AppendString(o, z.Tallies[za0001].ID)
-		// string "t"
-		o = append(o, 0xa1, 0x74)
-		o = msgp.AppendInt(o, z.Tallies[za0001].Attempts)
-		// string "f"
-		o = append(o, 0xa1, 0x66)
-		o = msgp.AppendInt(o, z.Tallies[za0001].Failures)
+		o, err = z.Tallies[za0001].MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Tallies", za0001)
+			return
+		}
 	}
 	return
 }
@@ -715,50 +710,11 @@
 				z.Tallies = make([]RunnerTally, zb0002)
 			}
 			for za0001 := range z.Tallies {
-				var zb0003 uint32
-				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+				bts, err = z.Tallies[za0001].UnmarshalMsg(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "Tallies", za0001)
 					return
 				}
-				if zb0003 > z78411aa4limitMaps {
-					err = msgp.ErrLimitExceeded
-					return
-				}
-				for zb0003 > 0 {
-					zb0003--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Tallies", za0001)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "i":
-						z.Tallies[za0001].ID, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Tallies", za0001, "ID")
-							return
-						}
-					case "t":
-						z.Tallies[za0001].Attempts, bts, err = msgp.ReadIntBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Tallies", za0001, "Attempts")
-							return
-						}
-					case "f":
-						z.Tallies[za0001].Failures, bts, err = msgp.ReadIntBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Tallies", za0001, "Failures")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Tallies", za0001)
-							return
-						}
-					}
-				}
 			}
 		default:
 			bts, err = msgp.Skip(bts)
@@ -776,7 +732,7 @@
 func (z *HeartbeatRequest) Msgsize() (s int) {
 	s = 1 + 2 + z.Node.Msgsize() + 2 + msgp.Uint64Size + 2 + msgp.IntSize + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 3 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Tallies {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Tallies[za0001].ID) + 2 + msgp.IntSize + 2 + msgp.IntSize
+		s += z.Tallies[za0001].Msgsize()
 	}
 	return
 }
@@ -784,9 +740,9 @@
 // MarshalMsg implements msgp.Marshaler
 func (z *HeartbeatResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 12
+	// map header, size 13
 	// string "v"
-	o = append(o, 0x8c, 0xa1, 0x76)
+	o = append(o, 0x8d, 0xa1, 0x76)
 	o, err = z.View.MarshalMsg(o)
 	if err != nil {
 		err = msgp.WrapError(err, "View")
@@ -851,6 +807,12 @@
 		o = append(o, 0xa1, 0x73)
 		o = msgp.AppendFloat64(o, z.Failing[za0004].Share)
 	}
+	// string "rc"
+	o = append(o, 0xa2, 0x72, 0x63)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Calm)))
+	for za0005 := range z.Calm {
+		o = msgp.AppendString(o, z.Calm[za0005])
+	}
 	return
 }
 
@@ -1049,6 +1011,29 @@
 					}
 				}
 			}
+		case "rc":
+			var zb0007 uint32
+			zb0007, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Calm")
+				return
+			}
+			if zb0007 > z78411aa4limitArrays {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			if cap(z.Calm) >= int(zb0007) {
+				z.Calm = (z.Calm)[:zb0007]
+			} else {
+				z.Calm = make([]string, zb0007)
+			}
+			for za0005 := range z.Calm {
+				z.Calm[za0005], bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Calm", za0005)
+					return
+				}
+			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -1079,6 +1064,10 @@
 	for za0004 := range z.Failing {
 		s += 1 + 2 + msgp.StringPrefixSize + len(z.Failing[za0004].ID) + 2 + msgp.Float64Size
 	}
+	s += 3 + msgp.ArrayHeaderSize
+	for za0005 := range z.Calm {
+		s += msgp.StringPrefixSize + len(z.Calm[za0005])
+	}
 	return
 }
 
@@ -1898,11 +1887,11 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z RunnerTally) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *RunnerTally) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
+	// map header, size 5
 	// string "i"
-	o = append(o, 0x83, 0xa1, 0x69)
+	o = append(o, 0x85, 0xa1, 0x69)
 	o = msgp.AppendString(o, z.ID)
 	// string "t"
 	o = append(o, 0xa1, 0x74)
@@ -1910,6 +1899,12 @@
 	// string "f"
 	o = append(o, 0xa1, 0x66)
 	o = msgp.AppendInt(o, z.Failures)
+	// string "p"
+	o = append(o, 0xa1, 0x70)
+	o = msgp.AppendInt(o, z.Pauses)
+	// string "q"
+	o = append(o, 0xa1, 0x71)
+	o = msgp.AppendInt(o, z.PausesMs)
 	return
 }
 
@@ -1953,6 +1948,18 @@
 				err = msgp.WrapError(err, "Failures")
 				return
 			}
+		case "p":
+			z.Pauses, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Pauses")
+				return
+			}
+		case "q":
+			z.PausesMs, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "PausesMs")
+				return
+			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -1966,8 +1973,8 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z RunnerTally) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.ID) + 2 + msgp.IntSize + 2 + msgp.IntSize
+func (z *RunnerTally) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.ID) + 2 + msgp.IntSize + 2 + msgp.IntSize + 2 + msgp.IntSize + 2 + msgp.IntSize
 	return
 }
 
--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -85,6 +85,7 @@
 	registry   *RunnerRegistry
 	runnerNews runnerNews
 	health     runnerHealth
+	pauses     runnerPauses
 	replaced   replacedRuns
 }
 
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -97,8 +97,8 @@
 	if h.runners != nil {
 		h.runners.Apply(response)
 	}
-	if h.failing != nil {
-		h.failing(response.Failing)
+	if h.findings != nil {
+		h.findings(Findings{Failing: response.Failing, Calm: response.Calm})
 	}
 }
 
--- a/internal/node/hub.go
+++ b/internal/node/hub.go
@@ -41,7 +41,7 @@
 	document         func(version uint64, raw []byte) error // nil: the configuration is read here
 	runners          *registry.Registry                     // nil: none is kept
 	tally            func() []core.RunnerTally              // nil: none is told
-	failing          func([]core.FailingRunner)
+	findings         func(Findings)
 
 	mu              sync.Mutex
 	nodesVersion    uint64
@@ -75,12 +75,18 @@
 	return func(h *Hub) { h.runners = reg }
 }
 
-// Health has the hub tell the core how attempts at runners ended since the last heartbeat, and pass on which
-// runners fail for all routers together.
+// Findings are what the core says of runners from what all routers saw of them.
+type Findings struct {
+	Failing []core.FailingRunner
+	Calm    []string // IDs of the runners whose streams have the shortest pauses
+}
+
+// Health has the hub tell the core what was seen of runners since the last heartbeat, and pass on what all routers
+// together saw.
 //
-//	hub := node.NewHub(ctx, addr, clientAddr, seeds, onNews, node.Health(balancer.Tally, balancer.Failing))
-func Health(tally func() []core.RunnerTally, failing func([]core.FailingRunner)) Option {
-	return func(h *Hub) { h.tally, h.failing = tally, failing }
+//	hub := node.NewHub(ctx, addr, clientAddr, seeds, onNews, node.Health(tally, findings))
+func Health(tally func() []core.RunnerTally, findings func(Findings)) Option {
+	return func(h *Hub) { h.tally, h.findings = tally, findings }
 }
 
 // NewHub makes a hub. onNews sees every record of news that is taken, besides the configuration and the
--- a/internal/router/gateway.go
+++ b/internal/router/gateway.go
@@ -80,7 +80,7 @@
 	g.Pool = upstream.New(upstream.Options{Dial: settings.Dial})
 	g.Registry = registry.New(g.Balancer.Update)
 	g.Hub = node.NewHub(ctx.Part("node"), settings.Internal, settings.Data, settings.Seeds, g.seeRecord,
-		node.Document(g.take), node.Runners(g.Registry), node.Health(g.tally, g.failing))
+		node.Document(g.take), node.Runners(g.Registry), node.Health(g.tally, g.takeFindings))
 	g.sessions = newSessionNews(g)
 	g.Hub.Handle("session", g.sessions.hand)
 	g.QuotaShares = share.NewQuotaShares(ctx.Part("share"), share.Ways{Move: newMoveQueue(ctx, g.Hub).move, Nodes: func() int { return len(g.Hub.Nodes()) },
@@ -94,18 +94,20 @@
 func (g *Gateway) tally() []core.RunnerTally {
 	var out []core.RunnerTally
 	for id, tally := range g.Balancer.Tally() {
-		out = append(out, core.RunnerTally{ID: id, Attempts: tally.Tries, Failures: tally.Fails})
+		out = append(out, core.RunnerTally{ID: id, Attempts: tally.Tries, Failures: tally.Fails,
+			Pauses: tally.Pauses, PausesMs: int(tally.Paused.Milliseconds())})
 	}
 	return out
 }
 
-// failing tells the balancer which runners fail for all routers together.
-func (g *Gateway) failing(list []core.FailingRunner) {
-	shares := make(map[string]float64, len(list))
-	for _, runner := range list {
+// takeFindings tells the balancer what all routers together saw of runners.
+func (g *Gateway) takeFindings(findings node.Findings) {
+	shares := make(map[string]float64, len(findings.Failing))
+	for _, runner := range findings.Failing {
 		shares[runner.ID] = runner.Share
 	}
 	g.Balancer.Failing(shares)
+	g.Balancer.Calm(findings.Calm)
 }
 
 // seeRecord takes news that is neither a configuration nor a runner.
