--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -28,7 +28,7 @@
 	Term        time.Duration   // lease of the primacy; 0: the default
 	MemoryLimit int64           // bytes; 0: none
 	Codec       core.Codec
-	Handler     func(client *core.Client) (http.Handler, error) // serves Control
+	Handler     func(primary *core.Forwarder) (http.Handler, error) // serves Control
 }
 
 // garbagePercent is how much garbage may lie beside the live heap, in hundredths of it, before it is collected. A
@@ -63,7 +63,7 @@
 		server.SetSeeds(seeds)
 		client.SetSeeds(append([]string{settings.Internal}, seeds...))
 	}, nil)
-	handler, err := settings.Handler(client)
+	handler, err := settings.Handler(core.NewForwarder(client, server.View))
 	if err != nil {
 		return err
 	}
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -6,6 +6,7 @@
 
 	"yarrowridge/internal/share"
 	"yarrowridge/internal/store"
+	"yarrowridge/internal/view"
 )
 
 // State tells the core's own state.
@@ -31,6 +32,11 @@
 	return state
 }
 
+// View is the newest view that this core knows.
+//
+//	primary := server.View().Primary
+func (s *Server) View() view.View { return s.voter.View() }
+
 // quotaShares lists who holds what of all tenants' quotas, sorted by tenant and holder.
 func quotaShares(committed *store.Store) []QuotaShare {
 	var shares []QuotaShare
