--- a/internal/wire/caller.go
+++ b/internal/wire/caller.go
@@ -2,13 +2,11 @@
 
 import (
 	"context"
-	"errors"
 	"net"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/rotisserie/eris"
 	"github.com/tinylib/msgp/msgp"
 )
 
@@ -189,7 +187,7 @@
 }
 
 // Call sends in to addr and reads the answer into out (nil where none is wanted).
-// The error wraps ErrUnsent, ErrDoubt or a Fault, with the step and the peer.
+// The error is a *CallError that wraps ErrUnsent, ErrDoubt or a Fault.
 //
 //	err := cal.Call(ctx, addr, "core.find", &ask, &ans)
 func (c *Caller) Call(ctx context.Context, addr, kind string, in msgp.Marshaler, out msgp.Unmarshaler) error {
@@ -202,7 +200,7 @@
 	}
 	l, err := c.reach(ctx, addr)
 	if err != nil {
-		return eris.Wrapf(errors.Join(ErrUnsent, err), "%s to %s", kind, addr)
+		return unsent(kind, addr, err)
 	}
 	if l.pack.Load() {
 		f.pack()
@@ -211,7 +209,7 @@
 	l.mu.Lock()
 	if l.dead.Load() {
 		l.mu.Unlock()
-		return eris.Wrapf(ErrUnsent, "%s to %s", kind, addr)
+		return &CallError{Kind: kind, Peer: addr, Cause: ErrUnsent}
 	}
 	l.next++
 	f.Id = l.next
@@ -225,20 +223,20 @@
 	l.mu.Unlock()
 	if err != nil {
 		l.kill()
-		return eris.Wrapf(errors.Join(ErrDoubt, err), "%s to %s", kind, addr)
+		return inDoubt(kind, addr, "", err)
 	}
 	traffic.of(kind).callsSent.add(f.size)
 	select {
 	case ans, ok := <-ch:
 		if !ok {
-			return eris.Wrapf(ErrDoubt, "%s to %s: connection lost", kind, addr)
+			return &CallError{Kind: kind, Peer: addr, Step: "connection lost", Cause: ErrDoubt}
 		}
 		if ans.Err != "" {
-			return eris.Wrapf(Fault{ans.Err}, "%s to %s", kind, addr)
+			return &CallError{Kind: kind, Peer: addr, Cause: Fault{ans.Err}}
 		}
 		if out != nil {
 			if _, err := out.UnmarshalMsg(ans.Body); err != nil {
-				return eris.Wrapf(errors.Join(ErrDoubt, err), "%s to %s: answer unread", kind, addr)
+				return inDoubt(kind, addr, "answer unread", err)
 			}
 		}
 		return nil
@@ -246,6 +244,6 @@
 		l.mu.Lock()
 		delete(l.wait, f.Id)
 		l.mu.Unlock()
-		return eris.Wrapf(errors.Join(ErrDoubt, ctx.Err()), "%s to %s", kind, addr)
+		return inDoubt(kind, addr, "", ctx.Err())
 	}
 }
--- /dev/null
+++ b/internal/wire/callerror.go
@@ -0,0 +1,38 @@
+package wire
+
+import "errors"
+
+// CallError is a call that failed: which call, to whom, and why. It records no stack: calls fail by the thousand
+// while a machine is away, and the kind of call and the peer say where.
+type CallError struct {
+	Kind  string // of the call
+	Peer  string // the address that was called
+	Step  string // that failed, where the cause does not say it; empty otherwise
+	Cause error  // wraps ErrUnsent, ErrDoubt or a Fault
+}
+
+// Error gives the call, the peer, the step and the cause.
+//
+//	err.Error() // "core.beat to 10.0.0.1:7401: connection lost: in doubt"
+func (e *CallError) Error() string {
+	text := e.Kind + " to " + e.Peer
+	if e.Step != "" {
+		text += ": " + e.Step
+	}
+	return text + ": " + e.Cause.Error()
+}
+
+// Unwrap gives the cause.
+//
+//	errors.Is(err, wire.ErrDoubt)
+func (e *CallError) Unwrap() error { return e.Cause }
+
+// unsent is a call of which no byte has left.
+func unsent(kind, peer string, cause error) error {
+	return &CallError{Kind: kind, Peer: peer, Cause: errors.Join(ErrUnsent, cause)}
+}
+
+// inDoubt is a call that may have been carried out.
+func inDoubt(kind, peer, step string, cause error) error {
+	return &CallError{Kind: kind, Peer: peer, Step: step, Cause: errors.Join(ErrDoubt, cause)}
+}
