--- /dev/null
+++ b/internal/wire/callerror_test.go
@@ -0,0 +1,34 @@
+package wire
+
+import (
+	"context"
+	"errors"
+	"testing"
+
+	"github.com/rotisserie/eris"
+)
+
+// A failed call reads as one that eris wrapped, and its cause is found the same way.
+func TestCallErrorReadsAsWrapped(t *testing.T) {
+	for _, c := range []struct {
+		got  error
+		want error
+	}{
+		{unsent("core.beat", "a:1", context.Canceled), eris.Wrapf(errors.Join(ErrUnsent, context.Canceled), "%s to %s", "core.beat", "a:1")},
+		{inDoubt("core.beat", "a:1", "", context.DeadlineExceeded), eris.Wrapf(errors.Join(ErrDoubt, context.DeadlineExceeded), "%s to %s", "core.beat", "a:1")},
+		{&CallError{"core.beat", "a:1", "connection lost", ErrDoubt}, eris.Wrapf(ErrDoubt, "%s to %s: connection lost", "core.beat", "a:1")},
+		{&CallError{"core.beat", "a:1", "", Fault{"lost"}}, eris.Wrapf(Fault{"lost"}, "%s to %s", "core.beat", "a:1")},
+	} {
+		if c.got.Error() != c.want.Error() {
+			t.Errorf("reads %q, %q expected", c.got, c.want)
+		}
+		for _, cause := range []error{ErrUnsent, ErrDoubt, context.Canceled, context.DeadlineExceeded, Fault{"lost"}} {
+			if errors.Is(c.got, cause) != errors.Is(c.want, cause) {
+				t.Errorf("%q: cause %q is not found as it was", c.got, cause)
+			}
+		}
+		if Is(c.got, "lost") != Is(c.want, "lost") {
+			t.Errorf("%q: the fault is not found as it was", c.got)
+		}
+	}
+}
