--- a/internal/sim/net.go
+++ b/internal/sim/net.go
@@ -215,6 +215,7 @@
 		a.far, b.far = b, a
 		a.more, b.more = make(chan struct{}, 1), make(chan struct{}, 1)
 		a.gone, b.gone = make(chan struct{}), make(chan struct{})
+		a.ring, b.ring = newStoppedTimer(), newStoppedTimer()
 		m.w.cons[a], m.w.cons[b] = true, true
 		m.w.mu.Unlock()
 		select {
@@ -246,12 +247,19 @@
 	in    []piece
 	last  time.Time
 	more  chan struct{}
-	until time.Time // of reading
+	until time.Time   // of reading
+	ring  *time.Timer // wakes the reader when the next piece arrives or its time is up
 	gone  chan struct{}
 	down  bool
 	eof   bool
 }
 
+func newStoppedTimer() *time.Timer {
+	timer := time.NewTimer(time.Hour)
+	timer.Stop()
+	return timer
+}
+
 func (c *con) poke() {
 	select {
 	case c.more <- struct{}{}:
@@ -264,6 +272,7 @@
 	if !c.down {
 		c.down = true
 		close(c.gone)
+		c.ring.Stop()
 		delete(c.w.cons, c)
 	}
 }
@@ -275,9 +284,8 @@
 			c.w.mu.Unlock()
 			return 0, io.ErrUnexpectedEOF
 		}
-		wait := time.Duration(-1)
 		if len(c.in) > 0 && !c.w.cut(c.to, c.m.addr) {
-			if wait = time.Until(c.in[0].at); wait <= 0 {
+			if !c.in[0].at.After(time.Now()) {
 				n := copy(b, c.in[0].data)
 				if c.in[0].data = c.in[0].data[n:]; len(c.in[0].data) == 0 {
 					c.in = c.in[1:]
@@ -291,34 +299,37 @@
 		}
 		// What has arrived, the other end's close too, is seen even past the deadline: whoever looks
 		// whether an idle connection is clean sets one that has passed.
-		if !c.until.IsZero() {
-			d := time.Until(c.until)
-			if d <= 0 {
-				c.w.mu.Unlock()
-				return 0, os.ErrDeadlineExceeded
-			}
-			if wait < 0 || d < wait {
-				wait = d
-			}
+		if !c.until.IsZero() && time.Until(c.until) <= 0 {
+			c.w.mu.Unlock()
+			return 0, os.ErrDeadlineExceeded
 		}
+		c.setRing()
 		c.w.mu.Unlock()
-		var ring <-chan time.Time
-		var t *time.Timer
-		if wait >= 0 {
-			t = time.NewTimer(wait)
-			ring = t.C
-		}
 		select {
 		case <-c.more:
-		case <-ring:
+		case <-c.ring.C:
 		case <-c.gone:
 		}
-		if t != nil {
-			t.Stop()
-		}
 	}
 }
 
+// setRing sets the timer to when the reader has to look again: as the first piece arrives, or at the deadline. The
+// caller holds the world's lock.
+func (c *con) setRing() {
+	var next time.Time
+	if len(c.in) > 0 && !c.w.cut(c.to, c.m.addr) {
+		next = c.in[0].at
+	}
+	if !c.until.IsZero() && (next.IsZero() || c.until.Before(next)) {
+		next = c.until
+	}
+	if next.IsZero() {
+		c.ring.Stop()
+		return
+	}
+	c.ring.Reset(time.Until(next))
+}
+
 func (c *con) Write(b []byte) (int, error) {
 	d := c.w.delay()
 	c.w.mu.Lock()
@@ -336,7 +347,9 @@
 	c.far.last = at
 	c.far.in = append(c.far.in, piece{append([]byte{}, b...), at})
 	c.w.sent++
-	c.far.poke()
+	if len(c.far.in) == 1 {
+		c.far.setRing() // the reader need not wake before the piece is there
+	}
 	return len(b), nil
 }
 
