--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -161,40 +161,77 @@
 	stop := context.AfterFunc(ctx, func() { con.Close() })
 	defer stop()
 	defer con.Close()
-	var mu sync.Mutex
+	answers := &answerer{con: con, hand: hand, spare: make(chan struct{}, mostIdle)}
+	idle := make(chan Frame)
 	for {
 		var f Frame
 		if read(con, &f) != nil {
 			return
 		}
-		counters := traffic.of(f.Kind)
-		counters.callsReceived.add(f.size)
-		go func() {
-			out := Frame{Fmt: Fmt, Id: f.Id, Kind: f.Kind, Unpacks: true}
-			ans, err := hand(ctx, f.Kind, f.Body)
-			if err == nil && ans != nil {
-				out.Body, err = ans.MarshalMsg(nil)
-			}
-			if err != nil {
-				out.Err = "trouble"
-				var far Fault
-				if errors.As(err, &far) {
-					out.Err = far.Code
-				}
-			}
-			if f.Unpacks {
-				out.pack()
-			}
-			mu.Lock()
-			defer mu.Unlock()
-			con.SetWriteDeadline(time.Now().Add(5 * time.Second))
-			if write(con, &out) != nil {
-				con.Close()
-				return
-			}
-			counters.answersSent.add(out.size)
-		}()
+		traffic.of(f.Kind).callsReceived.add(f.size)
+		select {
+		case idle <- f:
+		default:
+			go answers.work(ctx, f, idle)
+		}
+	}
+}
+
+// mostIdle is how many tasks of one connection wait for its next calls.
+const mostIdle = 8
+
+// answerer carries out the calls of one connection.
+type answerer struct {
+	con   net.Conn
+	hand  Hand
+	spare chan struct{} // one entry for each idle task
+	mu    sync.Mutex    // held while an answer is written
+}
+
+// work carries out a call, and then as many more as come while it is idle. A task that has carried out a call has a
+// stack that is large enough for the next one; a new one would have to grow its own. Where enough are idle, it ends.
+func (a *answerer) work(ctx context.Context, f Frame, more <-chan Frame) {
+	for {
+		a.answer(ctx, &f)
+		select {
+		case a.spare <- struct{}{}:
+		default:
+			return
+		}
+		select {
+		case f = <-more:
+		case <-ctx.Done():
+			return
+		}
+		<-a.spare
+	}
+}
+
+// answer carries out one call and writes its answer.
+func (a *answerer) answer(ctx context.Context, f *Frame) {
+	out := Frame{Fmt: Fmt, Id: f.Id, Kind: f.Kind, Unpacks: true}
+	ans, err := a.hand(ctx, f.Kind, f.Body)
+	if err == nil && ans != nil {
+		out.Body, err = ans.MarshalMsg(nil)
+	}
+	if err != nil {
+		out.Err = "trouble"
+		var far Fault
+		if errors.As(err, &far) {
+			out.Err = far.Code
+		}
+	}
+	if f.Unpacks {
+		out.pack()
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.con.SetWriteDeadline(time.Now().Add(5 * time.Second))
+	if write(a.con, &out) != nil {
+		a.con.Close()
+		return
 	}
+	traffic.of(f.Kind).answersSent.add(out.size)
 }
 
 // Hands sends each call to the hand that owns the part of its kind before the dot.
