--- a/internal/drill/day_test.go
+++ b/internal/drill/day_test.go
@@ -7,13 +7,15 @@
 	"testing"
 )
 
-// A short day of each deployment: every promise holds.
+// A short day of each deployment, side by side: every promise holds.
 func TestDay(t *testing.T) {
+	t.Parallel()
 	for _, c := range [][2]string{
 		{"trentvale", "edits,leave,routers,swap,closing-hall"},
 		{"tokachi", "cut,withdraw,blank,wipe,closing-all"},
 	} {
 		t.Run(c[0], func(t *testing.T) {
+			t.Parallel()
 			var out bytes.Buffer
 			if code := Main([]string{"day", "-mix", c[0], "-bin", bin, "-scale", "0.3", "-slack", "15s", "-course", c[1]}, &out); code != 0 {
 				t.Errorf("the day ended with %d:\n%s", code, out.String())
