--- a/internal/core/msgs_gen.go
+++ b/internal/core/msgs_gen.go
@@ -4,6 +4,7 @@
 
 import (
 	"yarrowridge/internal/routing"
+	"yarrowridge/internal/share"
 	"yarrowridge/internal/store"
 	"yarrowridge/internal/view"
 
@@ -3045,3 +3046,444 @@
 	s += 2 + msgp.BoolSize
 	return
 }
+
+// MarshalMsg implements msgp.Marshaler
+func (z holderCount) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 1
+	// string "l"
+	o = append(o, 0x81, 0xa1, 0x6c)
+	o = msgp.AppendUint64(o, z.Last)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *holderCount) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > z78411aa4limitMaps {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "l":
+			z.Last, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Last")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z holderCount) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z numberedHold) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// array header, size 3
+	o = append(o, 0x93)
+	o = msgp.AppendUint64(o, z.Holder)
+	o = msgp.AppendInt(o, z.Units)
+	o = msgp.AppendUint64(o, z.Turn)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *numberedHold) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 3 {
+		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
+		return
+	}
+	z.Holder, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Holder")
+		return
+	}
+	z.Units, bts, err = msgp.ReadIntBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Units")
+		return
+	}
+	z.Turn, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Turn")
+		return
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z numberedHold) Msgsize() (s int) {
+	s = 1 + msgp.Uint64Size + msgp.IntSize + msgp.Uint64Size
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z storedHolder) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 1
+	// string "n"
+	o = append(o, 0x81, 0xa1, 0x6e)
+	o = msgp.AppendString(o, z.Name)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *storedHolder) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > z78411aa4limitMaps {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "n":
+			z.Name, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Name")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z storedHolder) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name)
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *storedPool) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// check for omitted fields
+	zb0001Len := uint32(5)
+	var zb0001Mask uint8 /* 5 bits */
+	_ = zb0001Mask
+	if z.Held == nil {
+		zb0001Len--
+		zb0001Mask |= 0x1
+	}
+	if z.Cool == nil {
+		zb0001Len--
+		zb0001Mask |= 0x2
+	}
+	if z.Above == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x4
+	}
+	if z.Charges == nil {
+		zb0001Len--
+		zb0001Mask |= 0x8
+	}
+	if z.Holds == nil {
+		zb0001Len--
+		zb0001Mask |= 0x10
+	}
+	// variable map header, size zb0001Len
+	o = append(o, 0x80|uint8(zb0001Len))
+
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		if (zb0001Mask & 0x1) == 0 { // if not omitted
+			// string "h"
+			o = append(o, 0xa1, 0x68)
+			o = msgp.AppendMapHeader(o, uint32(len(z.Held)))
+			for za0001, za0002 := range z.Held {
+				o = msgp.AppendString(o, za0001)
+				o, err = za0002.MarshalMsg(o)
+				if err != nil {
+					err = msgp.WrapError(err, "Held", za0001)
+					return
+				}
+			}
+		}
+		if (zb0001Mask & 0x2) == 0 { // if not omitted
+			// string "c"
+			o = append(o, 0xa1, 0x63)
+			o = msgp.AppendMapHeader(o, uint32(len(z.Cool)))
+			for za0003, za0004 := range z.Cool {
+				o = msgp.AppendString(o, za0003)
+				o = msgp.AppendInt(o, za0004)
+			}
+		}
+		if (zb0001Mask & 0x4) == 0 { // if not omitted
+			// string "a"
+			o = append(o, 0xa1, 0x61)
+			o = msgp.AppendInt(o, z.Above)
+		}
+		if (zb0001Mask & 0x8) == 0 { // if not omitted
+			// string "x"
+			o = append(o, 0xa1, 0x78)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Charges)))
+			for za0005 := range z.Charges {
+				o, err = z.Charges[za0005].MarshalMsg(o)
+				if err != nil {
+					err = msgp.WrapError(err, "Charges", za0005)
+					return
+				}
+			}
+		}
+		if (zb0001Mask & 0x10) == 0 { // if not omitted
+			// string "n"
+			o = append(o, 0xa1, 0x6e)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Holds)))
+			for za0006 := range z.Holds {
+				// array header, size 3
+				o = append(o, 0x93)
+				o = msgp.AppendUint64(o, z.Holds[za0006].Holder)
+				o = msgp.AppendInt(o, z.Holds[za0006].Units)
+				o = msgp.AppendUint64(o, z.Holds[za0006].Turn)
+			}
+		}
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *storedPool) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > z78411aa4limitMaps {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "h":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Held")
+				return
+			}
+			if zb0002 > z78411aa4limitMaps {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			if z.Held == nil {
+				z.Held = make(map[string]share.Hold, zb0002)
+			} else if len(z.Held) > 0 {
+				clear(z.Held)
+			}
+			for zb0002 > 0 {
+				var za0002 share.Hold
+				zb0002--
+				var za0001 string
+				za0001, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Held")
+					return
+				}
+				bts, err = za0002.UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Held", za0001)
+					return
+				}
+				z.Held[za0001] = za0002
+			}
+		case "c":
+			var zb0003 uint32
+			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Cool")
+				return
+			}
+			if zb0003 > z78411aa4limitMaps {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			if z.Cool == nil {
+				z.Cool = make(map[string]int, zb0003)
+			} else if len(z.Cool) > 0 {
+				clear(z.Cool)
+			}
+			for zb0003 > 0 {
+				var za0004 int
+				zb0003--
+				var za0003 string
+				za0003, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Cool")
+					return
+				}
+				za0004, bts, err = msgp.ReadIntBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Cool", za0003)
+					return
+				}
+				z.Cool[za0003] = za0004
+			}
+		case "a":
+			z.Above, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Above")
+				return
+			}
+		case "x":
+			var zb0004 uint32
+			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Charges")
+				return
+			}
+			if zb0004 > z78411aa4limitArrays {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			if cap(z.Charges) >= int(zb0004) {
+				z.Charges = (z.Charges)[:zb0004]
+			} else {
+				z.Charges = make([]share.Charge, zb0004)
+			}
+			for za0005 := range z.Charges {
+				bts, err = z.Charges[za0005].UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Charges", za0005)
+					return
+				}
+			}
+		case "n":
+			var zb0005 uint32
+			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Holds")
+				return
+			}
+			if zb0005 > z78411aa4limitArrays {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			if cap(z.Holds) >= int(zb0005) {
+				z.Holds = (z.Holds)[:zb0005]
+			} else {
+				z.Holds = make([]numberedHold, zb0005)
+			}
+			for za0006 := range z.Holds {
+				var zb0006 uint32
+				zb0006, bts, err = msgp.ReadArrayHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Holds", za0006)
+					return
+				}
+				if zb0006 != 3 {
+					err = msgp.ArrayError{Wanted: 3, Got: zb0006}
+					return
+				}
+				z.Holds[za0006].Holder, bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Holds", za0006, "Holder")
+					return
+				}
+				z.Holds[za0006].Units, bts, err = msgp.ReadIntBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Holds", za0006, "Units")
+					return
+				}
+				z.Holds[za0006].Turn, bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Holds", za0006, "Turn")
+					return
+				}
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *storedPool) Msgsize() (s int) {
+	s = 1 + 2 + msgp.MapHeaderSize
+	if z.Held != nil {
+		for za0001, za0002 := range z.Held {
+			_ = za0002
+			s += msgp.StringPrefixSize + len(za0001) + za0002.Msgsize()
+		}
+	}
+	s += 2 + msgp.MapHeaderSize
+	if z.Cool != nil {
+		for za0003, za0004 := range z.Cool {
+			_ = za0004
+			s += msgp.StringPrefixSize + len(za0003) + msgp.IntSize
+		}
+	}
+	s += 2 + msgp.IntSize + 2 + msgp.ArrayHeaderSize
+	for za0005 := range z.Charges {
+		s += z.Charges[za0005].Msgsize()
+	}
+	s += 2 + msgp.ArrayHeaderSize + (len(z.Holds) * (19 + msgp.Uint64Size + msgp.IntSize + msgp.Uint64Size))
+	return
+}
--- /dev/null
+++ b/internal/core/quotaholders.go
@@ -0,0 +1,110 @@
+package core
+
+import (
+	"fmt"
+
+	"github.com/rotisserie/eris"
+
+	"yarrowridge/internal/share"
+	"yarrowridge/internal/store"
+)
+
+const (
+	holderPrefix   = "holder/" // begins the keys of storedHolder records
+	holderCountKey = "holders" // of the holderCount
+	// maxUnusedHolders is how many records of holders without units may lie there before they are dropped.
+	maxUnusedHolders = 64
+)
+
+// holderNumbers knows the numbers under which holders of quota units are stored. Only the run loop touches it.
+type holderNumbers map[string]numberedHolder
+
+// numberedHolder is a holder's number, with the stored bytes of its record: it is good for as long as the store, or
+// the batch under way, has these very bytes.
+type numberedHolder struct {
+	number uint64
+	key    string
+	raw    []byte
+}
+
+func holderKey(number uint64) string { return fmt.Sprintf("%s%x", holderPrefix, number) }
+
+// number gives a holder's number. One that has none gets it within the batch.
+func (h holderNumbers) number(tx *Tx, name string) (uint64, error) {
+	if known, ok := h[name]; ok {
+		if raw, ok := tx.Get(known.key); ok && sameBytes(raw, known.raw) {
+			return known.number, nil
+		}
+	}
+	var count holderCount
+	if raw, ok := tx.Get(holderCountKey); ok {
+		if _, err := count.UnmarshalMsg(raw); err != nil {
+			return 0, err
+		}
+	}
+	count.Last++
+	raw, err := (&storedHolder{Name: name}).MarshalMsg(nil)
+	if err != nil {
+		return 0, err
+	}
+	if err := tx.Put(holderCountKey, &count); err != nil {
+		return 0, err
+	}
+	known := numberedHolder{number: count.Last, key: holderKey(count.Last), raw: raw}
+	tx.add(store.Put{Key: known.key, Val: raw})
+	h[name] = known
+	return known.number, nil
+}
+
+// name gives the name of the holder with a number.
+func (h holderNumbers) name(tx *Tx, number uint64) (string, error) {
+	key := holderKey(number)
+	raw, ok := tx.Get(key)
+	if !ok {
+		return "", eris.Errorf("core: no holder of quota units has the number %d", number)
+	}
+	var holder storedHolder
+	if _, err := holder.UnmarshalMsg(raw); err != nil {
+		return "", err
+	}
+	h[holder.Name] = numberedHolder{number: number, key: key, raw: raw}
+	return holder.Name, nil
+}
+
+// sweepHolders drops the records of holders that have nothing any longer, once there are many.
+func (s *Server) sweepHolders() {
+	records := 0
+	s.store.Load().Each(holderPrefix, func(string, []byte) { records++ })
+	if records <= maxUnusedHolders {
+		return
+	}
+	s.submitLater(s.dropUnusedHolders)
+}
+
+// dropUnusedHolders drops the records of holders that no pool names. Only the run loop calls it.
+func (s *Server) dropUnusedHolders(tx *Tx) error {
+	used := map[string]bool{}
+	err := s.updatePools(tx, func(_ string, pool *share.QuotaPool) bool {
+		for holder := range pool.Held {
+			used[holder] = true
+		}
+		return false
+	})
+	if err != nil {
+		return err
+	}
+	var unused []string
+	tx.store.Each(holderPrefix, func(key string, raw []byte) {
+		var holder storedHolder
+		if _, err := holder.UnmarshalMsg(raw); err == nil && !used[holder.Name] {
+			unused = append(unused, key)
+		}
+	})
+	if len(unused) <= maxUnusedHolders {
+		return nil
+	}
+	for _, key := range unused {
+		tx.Drop(key)
+	}
+	return nil
+}
--- a/internal/core/quotapools.go
+++ b/internal/core/quotapools.go
@@ -9,7 +9,14 @@
 
 // poolCache keeps the decoded pools of tenants: each has an entry for every router, and is read and written with
 // every move. Only the run loop touches it.
-type poolCache map[string]*cachedPool
+type poolCache struct {
+	pools   map[string]*cachedPool // by tenant
+	holders holderNumbers
+}
+
+func newPoolCache() poolCache {
+	return poolCache{pools: map[string]*cachedPool{}, holders: holderNumbers{}}
+}
 
 // cachedPool is a pool and the bytes that it was decoded from or encoded to. It is good for as long as the
 // store, or the batch under way, has these very bytes.
@@ -24,29 +31,57 @@
 	if !ok {
 		return &share.QuotaPool{}, nil
 	}
-	if known := c[tenant]; known != nil && sameBytes(raw, known.raw) {
+	if known := c.pools[tenant]; known != nil && sameBytes(raw, known.raw) {
 		return &known.pool, nil
 	}
-	fresh := &cachedPool{raw: raw}
-	if _, err := fresh.pool.UnmarshalMsg(raw); err != nil {
+	pool, err := decodePool(raw, func(number uint64) (string, error) { return c.holders.name(tx, number) })
+	if err != nil {
 		return nil, err
 	}
-	c[tenant] = fresh
-	return &fresh.pool, nil
+	c.pools[tenant] = &cachedPool{raw: raw, pool: pool}
+	return &c.pools[tenant].pool, nil
 }
 
 // put puts a changed pool.
 func (c poolCache) put(tx *Tx, tenant string, pool *share.QuotaPool) error {
-	delete(c, tenant)
-	raw, err := pool.MarshalMsg(nil)
+	delete(c.pools, tenant)
+	stored := storedPool{Cool: pool.Cool, Above: pool.Above, Charges: pool.Charges, Holds: make([]numberedHold, 0, len(pool.Held))}
+	for holder, held := range pool.Held {
+		number, err := c.holders.number(tx, holder)
+		if err != nil {
+			return err
+		}
+		stored.Holds = append(stored.Holds, numberedHold{Holder: number, Units: held.Units, Turn: held.Turn})
+	}
+	raw, err := stored.MarshalMsg(nil)
 	if err != nil {
 		return err
 	}
 	tx.add(store.Put{Key: poolKey(tenant), Val: raw})
-	c[tenant] = &cachedPool{raw: raw, pool: *pool}
+	c.pools[tenant] = &cachedPool{raw: raw, pool: *pool}
 	return nil
 }
 
+// decodePool decodes a stored pool, whose holders the function names by their numbers.
+func decodePool(raw []byte, holderName func(number uint64) (string, error)) (share.QuotaPool, error) {
+	var stored storedPool
+	if _, err := stored.UnmarshalMsg(raw); err != nil {
+		return share.QuotaPool{}, err
+	}
+	pool := share.QuotaPool{Held: stored.Held, Cool: stored.Cool, Above: stored.Above, Charges: stored.Charges}
+	if pool.Held == nil {
+		pool.Held = make(map[string]share.Hold, len(stored.Holds))
+	}
+	for _, hold := range stored.Holds {
+		name, err := holderName(hold.Holder)
+		if err != nil {
+			return share.QuotaPool{}, err
+		}
+		pool.Held[name] = share.Hold{Units: hold.Units, Turn: hold.Turn}
+	}
+	return pool, nil
+}
+
 // poolPrefix begins the keys of pools.
 const poolPrefix = "share/"
 
--- /dev/null
+++ b/internal/core/quotapools_test.go
@@ -0,0 +1,154 @@
+package core
+
+import (
+	"fmt"
+	"maps"
+	"testing"
+
+	"yarrowridge/internal/share"
+	"yarrowridge/internal/store"
+)
+
+func commitTx(t *testing.T, committed *store.Store, tx *Tx) {
+	t.Helper()
+	if len(tx.puts) == 0 {
+		return
+	}
+	if err := committed.Add(store.Batch{Seq: committed.Seq() + 1, Puts: tx.newestPuts()}); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func beginTx(committed *store.Store) *Tx {
+	return &Tx{store: committed, newest: map[string]*store.Put{}}
+}
+
+func poolOf(holders int) *share.QuotaPool {
+	pool := &share.QuotaPool{Held: map[string]share.Hold{}, Cool: map[string]int{"gone@10.0.0.9:1/1": 2}, Above: 1, Charges: []share.Charge{{ID: 7, Units: 1}}}
+	for i := range holders {
+		pool.Held[fmt.Sprintf("edge-%d@10.0.0.%d:7360/%016x", i, i, uint64(i+1)*0x9e3779b97f4a7c15)] = share.Hold{Units: i % 3, Turn: uint64(100 + i)}
+	}
+	return pool
+}
+
+func samePool(a, b *share.QuotaPool) bool {
+	return maps.Equal(a.Held, b.Held) && maps.Equal(a.Cool, b.Cool) && a.Above == b.Above && len(a.Charges) == len(b.Charges)
+}
+
+// A pool with an entry for each of many routers is small, and another process reads it as it was.
+func TestPoolsAreSmall(t *testing.T) {
+	s, committed := quotaServer(t)
+	const holders = 74
+	pool := poolOf(holders)
+	tx := beginTx(committed)
+	if err := s.poolCache.put(tx, "t", pool); err != nil {
+		t.Fatal(err)
+	}
+	commitTx(t, committed, tx)
+	if raw, _ := committed.Get(poolKey("t")); len(raw) > 10*holders+100 {
+		t.Errorf("%d bytes for %d holders", len(raw), holders)
+	}
+	other := newPoolCache()
+	got, err := other.get(beginTx(committed), "t")
+	if err != nil || !samePool(got, pool) {
+		t.Errorf("read %+v, %v", got, err)
+	}
+	tx = beginTx(committed)
+	if err := other.put(tx, "t", got); err != nil || len(tx.puts) != 1 {
+		t.Errorf("%d records for one change of a pool by another process, %v", len(tx.puts), err)
+	}
+	if shares := quotaShares(committed); len(shares) != holders+1 {
+		t.Errorf("%d shares told, %d expected", len(shares), holders+1)
+	}
+}
+
+// A pool that an older version wrote is read as it is.
+func TestPoolsWithNamesAreRead(t *testing.T) {
+	s, committed := quotaServer(t)
+	pool := poolOf(3)
+	raw, err := pool.MarshalMsg(nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := committed.Add(store.Batch{Seq: 1, Puts: []store.Put{{Key: poolKey("t"), Val: raw}}}); err != nil {
+		t.Fatal(err)
+	}
+	tx := beginTx(committed)
+	got, err := s.poolCache.get(tx, "t")
+	if err != nil || !samePool(got, pool) {
+		t.Fatalf("read %+v, %v", got, err)
+	}
+	if err := s.poolCache.put(tx, "t", got); err != nil {
+		t.Fatal(err)
+	}
+	commitTx(t, committed, tx)
+	fresh := newPoolCache()
+	if got, err = fresh.get(beginTx(committed), "t"); err != nil || !samePool(got, pool) {
+		t.Errorf("read %+v after it was written anew, %v", got, err)
+	}
+}
+
+// A number that was given in a batch that came to nothing may go to another holder: nobody is taken for it.
+func TestNumbersOfLostBatches(t *testing.T) {
+	s, committed := quotaServer(t)
+	put := func(tx *Tx, tenant, holder string, units int) {
+		t.Helper()
+		pool, err := s.poolCache.get(tx, tenant)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if pool.Held == nil {
+			pool.Held = map[string]share.Hold{}
+		}
+		pool.Held[holder] = share.Hold{Units: units, Turn: 1}
+		if err := s.poolCache.put(tx, tenant, pool); err != nil {
+			t.Fatal(err)
+		}
+	}
+	put(beginTx(committed), "t", "lost", 5) // never committed
+	undone := beginTx(committed)
+	put(undone, "t", "undone", 4)
+	undone.undo(0)
+	put(undone, "u", "kept", 3)
+	commitTx(t, committed, undone)
+	tx := beginTx(committed)
+	put(tx, "u", "lost", 2)
+	put(tx, "u", "undone", 1)
+	commitTx(t, committed, tx)
+	for name, cache := range map[string]poolCache{"own": s.poolCache, "fresh": newPoolCache()} {
+		got, err := cache.get(beginTx(committed), "u")
+		want := map[string]share.Hold{"kept": {Units: 3, Turn: 1}, "lost": {Units: 2, Turn: 1}, "undone": {Units: 1, Turn: 1}}
+		if err != nil || !maps.Equal(got.Held, want) {
+			t.Errorf("%s: %+v, %v", name, got, err)
+		}
+		if got, err := cache.get(beginTx(committed), "t"); err != nil || len(got.Held) != 0 {
+			t.Errorf("%s: a pool that was never written has %+v, %v", name, got.Held, err)
+		}
+	}
+}
+
+// Records of holders that have nothing are dropped once there are many, never one that a pool names.
+func TestUnusedHoldersAreDropped(t *testing.T) {
+	s, committed := quotaServer(t)
+	for run := range 3 * maxUnusedHolders {
+		tx := beginTx(committed)
+		pool := &share.QuotaPool{Held: map[string]share.Hold{"stays": {Units: 1}, fmt.Sprint("run", run): {Units: 2}}}
+		if err := s.poolCache.put(tx, "t", pool); err != nil {
+			t.Fatal(err)
+		}
+		if err := s.dropUnusedHolders(tx); err != nil {
+			t.Fatal(err)
+		}
+		commitTx(t, committed, tx)
+	}
+	records := 0
+	committed.Each(holderPrefix, func(string, []byte) { records++ })
+	if records > maxUnusedHolders+3 {
+		t.Errorf("%d records of holders", records)
+	}
+	fresh := newPoolCache()
+	got, err := fresh.get(beginTx(committed), "t")
+	if err != nil || got.Held["stays"].Units != 1 || len(got.Held) != 2 {
+		t.Errorf("read %+v, %v", got, err)
+	}
+}
--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -184,7 +184,7 @@
 		failedAt:    map[string]time.Time{},
 		silentSince: map[string]time.Time{},
 		firstSeen:   map[string]time.Time{},
-		poolCache:   poolCache{},
+		poolCache:   newPoolCache(),
 	}
 }
 
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -4,7 +4,6 @@
 	"sort"
 	"strings"
 
-	"yarrowridge/internal/share"
 	"yarrowridge/internal/store"
 	"yarrowridge/internal/view"
 )
@@ -39,20 +38,22 @@
 
 // quotaShares lists who holds what of all tenants' quotas, sorted by tenant and holder.
 func quotaShares(committed *store.Store) []QuotaShare {
+	pools := map[string][]byte{} // read first: a store must not be asked again while it is gone through
+	committed.Each(poolPrefix, func(key string, raw []byte) { pools[strings.TrimPrefix(key, poolPrefix)] = raw })
+	names, tx := holderNumbers{}, &Tx{store: committed}
 	var shares []QuotaShare
-	committed.Each(poolPrefix, func(key string, raw []byte) {
-		var pool share.QuotaPool
-		if _, err := pool.UnmarshalMsg(raw); err != nil {
-			return
+	for tenant, raw := range pools {
+		pool, err := decodePool(raw, func(number uint64) (string, error) { return names.name(tx, number) })
+		if err != nil {
+			continue // it was written anew meanwhile
 		}
-		tenant := strings.TrimPrefix(key, poolPrefix)
 		for holder, held := range pool.Held {
 			shares = append(shares, QuotaShare{Tenant: tenant, Holder: holder, Units: held.Units})
 		}
 		for holder, units := range pool.Cool {
 			shares = append(shares, QuotaShare{Tenant: tenant, Holder: holder, Units: units, Cool: true})
 		}
-	})
+	}
 	sort.Slice(shares, func(i, j int) bool {
 		a, b := shares[i], shares[j]
 		return a.Tenant < b.Tenant || a.Tenant == b.Tenant && a.Holder < b.Holder
