--- a/internal/core/replicate.go
+++ b/internal/core/replicate.go
@@ -104,7 +104,7 @@
 func (s *Server) replicateTo(v view.View, id string, request *ReplicateRequest) error {
 	ctx, cancel := context.WithCancelCause(s.ctx)
 	defer cancel(nil)
-	suspect := time.AfterFunc(suspectAfter, func() {
+	suspect := time.AfterFunc(suspectAfter+sendTime(request.Batch), func() {
 		if !s.isAlive(ctx, v.Addr(id)) {
 			cancel(errBackupSilent)
 		}
@@ -117,6 +117,15 @@
 	return err
 }
 
+// sendTime is how long a batch may be on its way alone, at 1 MiB a second: a question to the backup goes behind it.
+func sendTime(batch store.Batch) time.Duration {
+	size := 0
+	for _, put := range batch.Puts {
+		size += len(put.Key) + len(put.Val)
+	}
+	return time.Duration(size) * time.Second / (1 << 20)
+}
+
 // errBackupSilent ends the wait for a backup that gives no sign of life.
 var errBackupSilent = eris.New("no sign of life")
 
