--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -28,9 +28,12 @@
 	at                 time.Time
 }
 
+// decay is what is left of a weight after some time, where it halves in each span of another.
+func decay(age, half time.Duration) float64 { return math.Exp2(-float64(age) / float64(half)) }
+
 // fade lowers the weights to a moment's.
 func (r *weightedTally) fade(now time.Time) {
-	factor := math.Exp2(-float64(now.Sub(r.at)) / float64(healthHalf))
+	factor := decay(now.Sub(r.at), healthHalf)
 	r.attempts, r.failures, r.at = r.attempts*factor, r.failures*factor, now
 }
 
--- a/internal/core/pauses.go
+++ b/internal/core/pauses.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 	"sync"
 	"time"
@@ -35,7 +34,7 @@
 
 // fade lowers the weights to a moment's.
 func (p *weightedPauses) fade(now time.Time) {
-	factor := math.Exp2(-float64(now.Sub(p.at)) / float64(pausesHalf))
+	factor := decay(now.Sub(p.at), pausesHalf)
 	p.count, p.ms, p.at = p.count*factor, p.ms*factor, now
 }
 
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -10,12 +10,12 @@
 	"time"
 
 	"github.com/rotisserie/eris"
+
+	"yarrowridge/internal/tcp"
 )
 
 const (
 	readBufferBytes = 4 << 10
-	// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of Linux, which package syscall does not name.
-	tcpUserTimeout = 18
 	// unacknowledgedLimit is how long bytes may stay without an acknowledgement before TCP gives up.
 	unacknowledgedLimit = 10 * time.Second
 )
@@ -143,18 +143,6 @@
 	if _, err := netip.ParseAddrPort(address); err != nil {
 		return nil, eris.Wrapf(err, "address %q", address)
 	}
-	dialer := net.Dialer{Control: setUserTimeout} // TCP_NODELAY is Go's default
+	dialer := net.Dialer{Control: tcp.GiveUpAfter(unacknowledgedLimit)} // TCP_NODELAY is Go's default
 	return dialer.DialContext(ctx, "tcp4", address)
 }
-
-// setUserTimeout has TCP give a connection up whose bytes stay unacknowledged.
-func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
-	err := raw.Control(func(descriptor uintptr) {
-		failed = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, int(unacknowledgedLimit/time.Millisecond))
-	})
-	if err != nil {
-		return err
-	}
-	return failed
-}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -15,6 +15,8 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"golang.org/x/sys/unix"
 )
 
 // await bounds what a test waits for; it is met only by a test that fails.
@@ -1161,7 +1163,7 @@
 		t.Fatal(err)
 	}
 	raw.Control(func(descriptor uintptr) {
-		limit, _ := syscall.GetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout)
+		limit, _ := syscall.GetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 		noDelay, _ := syscall.GetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
 		if limit != int(unacknowledgedLimit/time.Millisecond) || noDelay == 0 {
 			t.Errorf("TCP_USER_TIMEOUT %d ms, TCP_NODELAY %d", limit, noDelay)
--- a/internal/wire/silence_test.go
+++ b/internal/wire/silence_test.go
@@ -5,12 +5,13 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"golang.org/x/sys/unix"
 )
 
 // A machine that loses power says nothing of the connections it had, and TCP sends again at ever longer pauses: a
 // peer that is back after 1.7 s would be reached 3 s after the first lost byte. The kernel is told to give up sooner.
 func TestUnacknowledgedBytesEndAConnection(t *testing.T) {
-	const tcpUserTimeoutOption = 18
 	listener, err := TCP{}.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -27,7 +28,7 @@
 	}
 	var limit int
 	if err := raw.Control(func(descriptor uintptr) {
-		limit, err = syscall.GetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeoutOption)
+		limit, err = syscall.GetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 	}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -9,11 +9,12 @@
 	"io"
 	"net"
 	"sync"
-	"syscall"
 	"time"
 
 	"github.com/rotisserie/eris"
 	"github.com/tinylib/msgp/msgp"
+
+	"yarrowridge/internal/tcp"
 )
 
 // Most is the largest frame body read, in bytes.
@@ -36,9 +37,6 @@
 // sends again at pauses that double, so that a peer back after 1.7 s would be reached 3 s after the first lost byte.
 const unacknowledgedLimit = time.Second
 
-// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of Linux, which package syscall does not name.
-const tcpUserTimeout = 18
-
 // Two kinds of trouble a caller must tell apart.
 var (
 	// ErrUnsent means no byte of the call has left this process.
@@ -65,22 +63,10 @@
 //	con, err := wire.TCP{}.Dial(ctx, "127.0.0.1:7401")
 func (t TCP) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	dialer := Dialer(t.From, 2*time.Second)
-	dialer.Control = setUserTimeout
+	dialer.Control = tcp.GiveUpAfter(unacknowledgedLimit)
 	return dialer.DialContext(ctx, "tcp", addr)
 }
 
-// setUserTimeout has TCP give a connection up whose bytes stay unacknowledged.
-func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
-	err := raw.Control(func(descriptor uintptr) {
-		failed = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, int(unacknowledgedLimit/time.Millisecond))
-	})
-	if err != nil {
-		return err
-	}
-	return failed
-}
-
 // Dialer dials within a time from an IP number; from the system's choice where it is "".
 //
 //	d := wire.Dialer("10.1.0.7", time.Second)
