--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -71,14 +71,15 @@
 	return 0
 }
 
-// Hash is the hex SHA-256 of the configuration obeyed, as it was put; "" before the first.
+// ConfigInForce gives the version of the configuration obeyed and its hex SHA-256, as it was put, both of one
+// configuration however fast they change; 0 and "" before the first.
 //
-//	same := hub.Hash() == fleetconfig.HashKey(string(raw))
-func (h *Hub) Hash() string {
+//	version, hash := hub.ConfigInForce()
+func (h *Hub) ConfigInForce() (version uint64, hash string) {
 	if c := h.current.Load(); c != nil {
-		return fleetconfig.HashKey(string(c.raw))
+		return c.version, fleetconfig.HashKey(string(c.raw))
 	}
-	return ""
+	return 0, ""
 }
 
 // ConfigChanged is closed once a newer configuration is in force. Ask for it before Config, so as to miss none.
--- a/internal/router/views.go
+++ b/internal/router/views.go
@@ -42,17 +42,23 @@
 // views are what operators may read of this router, by path.
 func (r *Router) views() map[string]func() any {
 	return map[string]func() any{
-		"/v1/standing": func() any {
-			return statusView{ConfigHash: r.Hub.Hash(), Node: r.Hub.Me(), Stale: r.Hub.Stale(), View: r.Hub.Core.View(), WhyNotReady: r.Hub.Ready()}
-		},
-		"/v1/relays":  func() any { return relaysView{Near: r.Hub.Neighbours(), Nodes: r.Hub.Nodes()} },
-		"/v1/runners": func() any { return r.runnerViews() },
-		"/v1/shares":  func() any { return r.shareViews() },
-		"/v1/queries": func() any { return r.Log.All() },
-		"/v1/streams": func() any { return r.Streams.List() },
+		"/v1/standing": func() any { return r.statusView() },
+		"/v1/relays":   func() any { return relaysView{Near: r.Hub.Neighbours(), Nodes: r.Hub.Nodes()} },
+		"/v1/runners":  func() any { return r.runnerViews() },
+		"/v1/shares":   func() any { return r.shareViews() },
+		"/v1/queries":  func() any { return r.Log.All() },
+		"/v1/streams":  func() any { return r.Streams.List() },
 	}
 }
 
+// statusView tells one configuration's version and hash, also while configurations come in quick succession.
+func (r *Router) statusView() statusView {
+	version, hash := r.Hub.ConfigInForce()
+	own := r.Hub.Me()
+	own.ConfigVersion = version
+	return statusView{ConfigHash: hash, Node: own, Stale: r.Hub.Stale(), View: r.Hub.Core.View(), WhyNotReady: r.Hub.Ready()}
+}
+
 func (r *Router) runnerViews() []runnerView {
 	views := []runnerView{}
 	for _, instance := range r.Runners.List() {
--- a/internal/sim/document_test.go
+++ b/internal/sim/document_test.go
@@ -187,10 +187,10 @@
 		}
 
 		// One that routers don't understand: the old one stays in force, the next is taken.
-		hash := r.hub.Hash()
+		_, hash := r.hub.ConfigInForce()
 		write(core.WriteRequest{AnyVersion: true, Raw: whole(last+2, "strange")}, 200, last+2)
 		time.Sleep(time.Second)
-		if r.hub.ConfigVersion() != last+1 || r.hub.Hash() != hash || r.hub.Ready() != "" {
+		if version, now := r.hub.ConfigInForce(); version != last+1 || now != hash || r.hub.Ready() != "" {
 			t.Errorf("after a strange document the router is at %d, %q", r.hub.ConfigVersion(), r.hub.Ready())
 		}
 		write(core.WriteRequest{AnyVersion: true, Raw: whole(last+3, "a 10")}, 200, last+3)
