--- a/internal/core/client.go
+++ b/internal/core/client.go
@@ -23,6 +23,7 @@
 	seeds       []string
 	mu          sync.Mutex
 	view        view.View
+	viewHeardAt time.Time // when a view was last told, a newer one or not
 	peers       []string
 	searchEnd   chan struct{} // closed when the search under way ends; nil: there is none
 	viewChanged chan struct{} // closed when a newer view is heard of
@@ -50,6 +51,7 @@
 func (c *Client) Learn(v view.View) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
+	c.viewHeardAt = time.Now()
 	if v.Epoch > c.view.Epoch {
 		c.view = v
 		close(c.viewChanged)
@@ -126,6 +128,20 @@
 	return c.searchEnd, c.viewChanged
 }
 
+// viewFreshFor is how old the view of a client that makes calls may become.
+const viewFreshFor = 5 * time.Second
+
+// refreshView asks for the view where none was told for long. A primary may stay while all others that the client
+// knows are replaced: after its loss nobody would be left to ask. Nodes are told the view with their heartbeats.
+func (c *Client) refreshView() {
+	c.mu.Lock()
+	isOld := time.Since(c.viewHeardAt) > viewFreshFor
+	c.mu.Unlock()
+	if isOld {
+		c.search()
+	}
+}
+
 // askForView asks members, seeds and peers which view they know.
 func (c *Client) askForView(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, searchTimeout)
@@ -170,6 +186,7 @@
 		if primary := v.Addr(v.Primary); primary != "" {
 			err := c.callPrimary(ctx, primary, kind, request, response, repeatable)
 			if err == nil {
+				c.refreshView()
 				return nil
 			}
 			if !isWorthRepeating(err, repeatable) {
--- a/internal/sim/membership_test.go
+++ b/internal/sim/membership_test.go
@@ -682,3 +682,55 @@
 		t.Logf("%d writes, %d acknowledged", len(b.all), ok)
 	})
 }
+
+// While one primary stays, all cores that a client knew are replaced one after the other. Once the primary is lost too, the
+// client finds the next one: it has asked for the view meanwhile.
+func TestClientOutlivesTheMembersItKnew(t *testing.T) {
+	t.Parallel()
+	overSeeds(t, func(t *testing.T, seed uint64) {
+		f := grown(t, seed, 3, 1)
+		old := f.place
+		f.place = func(p *coreProc) core.Settings {
+			set := old(p)
+			set.Bootstrap, set.Seeds = false, nil
+			for _, o := range f.cores {
+				if o != p && len(set.Seeds) < 3 {
+					set.Seeds = append(set.Seeds, o.addr)
+				}
+			}
+			return set
+		}
+		o, b := f.operator(), &book{}
+		b.add(o.put(1, 0, ""))
+		primary := f.primary()
+		mark := 2
+		replace := func(k int) {
+			lost := f.cores[k]
+			f.crashCore(lost)
+			next := &coreProc{addr: fmt.Sprintf("10.0.3.%d:1", k+1), hall: lost.hall, disk: sim.NewDisk()}
+			f.cores[k] = next
+			f.startCore(next)
+			for begun := time.Now(); time.Since(begun) < 8*time.Second; mark++ {
+				b.add(o.put(mark, 0, fmt.Sprint(mark)))
+				time.Sleep(100 * time.Millisecond)
+			}
+		}
+		for k, p := range f.cores {
+			if p != primary {
+				replace(k)
+			}
+		}
+		if f.primary() != primary {
+			t.Fatal("the primary changed while only others were replaced")
+		}
+		f.crashCore(primary)
+		lost := time.Now()
+		for o.put(mark, 0, fmt.Sprint(mark)).code != 200 && time.Since(lost) < 10*time.Second {
+			mark++
+			time.Sleep(20 * time.Millisecond)
+		}
+		if took := time.Since(lost); took > 5*time.Second {
+			t.Errorf("no write for %s after the loss of the last member that the client had known", took)
+		}
+	})
+}
