--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -79,12 +79,17 @@
 	}
 }
 
+// statusOf asks the process at an address who it is and which view it knows. It needs no disk for its answer.
+func (s *Server) statusOf(ctx context.Context, addr string) (status view.StatusResponse, err error) {
+	err = s.call(ctx, addr, "view.ask", &view.StatusRequest{}, &status)
+	return status, err
+}
+
 // probe asks one voter for a sign of life.
 func (s *Server) probe(m view.Member, primacy *lease.Lease) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.settings.LeaseTerm/2)
 	defer cancel()
-	var status view.StatusResponse
-	if s.call(ctx, m.Addr, "view.ask", &view.StatusRequest{}, &status) == nil && status.Id == m.Id {
+	if status, err := s.statusOf(ctx, m.Addr); err == nil && status.Id == m.Id {
 		primacy.Saw(m.Id)
 		s.learn(status.View)
 	}
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -29,8 +29,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
-	var status view.StatusResponse
-	if s.call(ctx, member.Addr, "view.ask", &view.StatusRequest{}, &status) != nil || status.Id != member.Id {
+	if status, err := s.statusOf(ctx, member.Addr); err != nil || status.Id != member.Id {
 		return nil, wire.Fault{Code: "not-reached"}
 	}
 	s.mu.Lock()
--- a/internal/core/primary.go
+++ b/internal/core/primary.go
@@ -61,8 +61,7 @@
 		}
 		asked[addr] = true
 		all.Go(func() {
-			var status view.StatusResponse
-			if s.call(ctx, addr, "view.ask", &view.StatusRequest{}, &status) == nil {
+			if status, err := s.statusOf(ctx, addr); err == nil {
 				mu.Lock()
 				defer mu.Unlock()
 				statuses[addr] = status
--- a/internal/core/quota_test.go
+++ b/internal/core/quota_test.go
@@ -74,16 +74,7 @@
 // What is held on top of the quota while units cool may be spent to the last unit: it does not count against
 // those who hold it.
 func TestUnitsOnTopMayBeSpent(t *testing.T) {
-	disk, err := store.OpenFolder(t.TempDir())
-	if err != nil {
-		t.Fatal(err)
-	}
-	opened, err := store.Open(disk, slog.New(slog.DiscardHandler))
-	if err != nil {
-		t.Fatal(err)
-	}
-	s := &Server{runLoopState: newRunLoopState(), scarceSince: map[string]time.Time{}}
-	s.store.Store(opened)
+	s, opened := quotaServer(t)
 	tx := &Tx{store: opened, newest: map[string]*store.Put{}}
 	if err := s.poolCache.put(tx, "t", &share.QuotaPool{Cool: map[string]int{"dead/1": 10}}); err != nil {
 		t.Fatal(err)
--- a/internal/core/quotaholders.go
+++ b/internal/core/quotaholders.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 
 	"github.com/rotisserie/eris"
 
@@ -71,18 +72,19 @@
 	return holder.Name, nil
 }
 
-// sweepHolders drops the records of holders that have nothing any longer, once there are many.
-func (s *Server) sweepHolders() {
-	records := 0
-	s.store.Load().Each(holderPrefix, func(string, []byte) { records++ })
-	if records <= maxUnusedHolders {
-		return
-	}
-	s.submitLater(s.dropUnusedHolders)
-}
-
-// dropUnusedHolders drops the records of holders that no pool names. Only the run loop calls it.
+// dropUnusedHolders drops the records of holders that no pool names any longer, once there are many. Only the run
+// loop calls it.
 func (s *Server) dropUnusedHolders(tx *Tx) error {
+	names := map[string]string{} // by key
+	var holder storedHolder
+	tx.store.Each(holderPrefix, func(key string, raw []byte) {
+		if _, err := holder.UnmarshalMsg(raw); err == nil {
+			names[key] = holder.Name
+		}
+	})
+	if len(names) <= maxUnusedHolders {
+		return nil
+	}
 	used := map[string]bool{}
 	err := s.updatePools(tx, func(_ string, pool *share.QuotaPool) bool {
 		for holder := range pool.Held {
@@ -93,17 +95,11 @@
 	if err != nil {
 		return err
 	}
-	var unused []string
-	tx.store.Each(holderPrefix, func(key string, raw []byte) {
-		var holder storedHolder
-		if _, err := holder.UnmarshalMsg(raw); err == nil && !used[holder.Name] {
-			unused = append(unused, key)
-		}
-	})
-	if len(unused) <= maxUnusedHolders {
+	maps.DeleteFunc(names, func(_, name string) bool { return used[name] })
+	if len(names) <= maxUnusedHolders {
 		return nil
 	}
-	for _, key := range unused {
+	for key := range names {
 		tx.Drop(key)
 	}
 	return nil
--- a/internal/core/replicate.go
+++ b/internal/core/replicate.go
@@ -89,9 +89,10 @@
 
 // replicate has every backup of the view store a batch, and tells which did not.
 func (s *Server) replicate(v view.View, batch store.Batch) []string {
+	request := &ReplicateRequest{View: v, Primary: v.Primary, Batch: batch}
+	askAfter := suspectAfter + sendTime(batch)
 	return callAll(v.Backups(), func(id string) bool {
-		request := &ReplicateRequest{View: v, Primary: v.Primary, Batch: batch}
-		err := s.replicateTo(v, id, request)
+		err := s.replicateTo(v, id, request, askAfter)
 		if err != nil {
 			s.ctx.Log.Warn("Backup did not hold a write.", "peer", v.Addr(id), "error", err.Error())
 		}
@@ -100,11 +101,11 @@
 }
 
 // replicateTo has one backup store a batch. All writes wait for it meanwhile, so one that does not even give a sign
-// of life is let go sooner than one whose disk is slow.
-func (s *Server) replicateTo(v view.View, id string, request *ReplicateRequest) error {
+// of life, for which it is asked after a while, is let go sooner than one whose disk is slow.
+func (s *Server) replicateTo(v view.View, id string, request *ReplicateRequest, askAfter time.Duration) error {
 	ctx, cancel := context.WithCancelCause(s.ctx)
 	defer cancel(nil)
-	suspect := time.AfterFunc(suspectAfter+sendTime(request.Batch), func() {
+	suspect := time.AfterFunc(askAfter, func() {
 		if !s.isAlive(ctx, v.Addr(id)) {
 			cancel(errBackupSilent)
 		}
@@ -129,12 +130,12 @@
 // errBackupSilent ends the wait for a backup that gives no sign of life.
 var errBackupSilent = eris.New("no sign of life")
 
-// isAlive tells whether the process at an address gives a sign of life. It needs no disk for that.
+// isAlive tells whether the process at an address gives a sign of life.
 func (s *Server) isAlive(ctx context.Context, addr string) bool {
 	ctx, cancel := context.WithTimeout(ctx, signOfLifeTimeout)
 	defer cancel()
-	var status view.StatusResponse
-	return s.call(ctx, addr, "view.ask", &view.StatusRequest{}, &status) == nil
+	_, err := s.statusOf(ctx, addr)
+	return err == nil
 }
 
 // callBackup asks a backup to store something. Another process at its address has no say for it.
--- a/internal/core/sweep.go
+++ b/internal/core/sweep.go
@@ -47,7 +47,7 @@
 		s.claimsSweptAt = time.Now()
 		s.sweepClaims(document.Claims)
 		s.sweepRunners(s.registry.List(time.Now()))
-		s.sweepHolders()
+		s.submitLater(s.dropUnusedHolders)
 	}
 	s.sweepQuotas(document, live)
 }
