--- /dev/null
+++ b/internal/compat/messages_test.go
@@ -0,0 +1,158 @@
+// Package compat holds the tests that what stands on the wire, on disk and in others' scripts stays as it is.
+package compat
+
+import (
+	"bytes"
+	"encoding/hex"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/tinylib/msgp/msgp"
+
+	"yarrowridge/internal/core"
+	"yarrowridge/internal/node"
+	"yarrowridge/internal/relay"
+	"yarrowridge/internal/routing"
+	"yarrowridge/internal/runner"
+	"yarrowridge/internal/session"
+	"yarrowridge/internal/share"
+	"yarrowridge/internal/store"
+	"yarrowridge/internal/view"
+	"yarrowridge/internal/wire"
+)
+
+// message is an encoded type that travels between processes or lies on disk.
+type message interface {
+	msgp.Marshaler
+	msgp.Unmarshaler
+}
+
+// messages names the type of each file in testdata/messages. The labels are historical: they stay when a type is renamed
+// or moved.
+var messages = map[string]message{
+	"core.Claim":              new(core.Claim),
+	"core.ClaimRequest":       new(core.ClaimRequest),
+	"core.ClaimResponse":      new(core.ClaimResponse),
+	"core.HeartbeatRequest":   new(core.HeartbeatRequest),
+	"core.HeartbeatResponse":  new(core.HeartbeatResponse),
+	"core.JoinRequest":        new(core.JoinRequest),
+	"core.Node":               new(core.Node),
+	"core.QuotaMove":          new(core.QuotaMove),
+	"core.QuotaMovesRequest":  new(core.QuotaMovesRequest),
+	"core.QuotaMovesResponse": new(core.QuotaMovesResponse),
+	"core.QuotaShare":         new(core.QuotaShare),
+	"core.ReplicateRequest":   new(core.ReplicateRequest),
+	"core.RunnerHeartbeat":    new(core.RunnerHeartbeat),
+	"core.RunnerTally":        new(core.RunnerTally),
+	"core.SessionDirectory":   new(core.SessionDirectory),
+	"core.SettleRequest":      new(core.SettleRequest),
+	"core.SnapshotRequest":    new(core.SnapshotRequest),
+	"core.State":              new(core.State),
+	"core.StoredConfig":       new(core.StoredConfig),
+	"core.WriteHistory":       new(core.WriteHistory),
+	"core.WriteRequest":       new(core.WriteRequest),
+	"core.WriteResponse":      new(core.WriteResponse),
+	"core.ConfigError":        new(core.ConfigError),
+	"core.ConfigRequest":      new(core.ConfigRequest),
+	"core.Empty":              new(core.Empty),
+	"core.FailingRunner":      new(core.FailingRunner),
+	"core.QuotaMoveResult":    new(core.QuotaMoveResult),
+	"core.ReplicateResponse":  new(core.ReplicateResponse),
+	"core.StateRequest":       new(core.StateRequest),
+	"core.WriteRecord":        new(core.WriteRecord),
+	"node.NodeList":           new(node.NodeList),
+	"node.StreamCopy":         new(node.StreamCopy),
+	"node.StreamReadRequest":  new(node.StreamReadRequest),
+	"node.StreamReadResponse": new(node.StreamReadResponse),
+	"node.StreamRequest":      new(node.StreamRequest),
+	"node.Work":               new(node.Work),
+	"node.Load":               new(node.Load),
+	"node.NodeListRequest":    new(node.NodeListRequest),
+	"relay.Difference":        new(relay.Difference),
+	"relay.Digests":           new(relay.Digests),
+	"relay.News":              new(relay.News),
+	"relay.Record":            new(relay.Record),
+	"relay.Repair":            new(relay.Repair),
+	"relay.RecordVersion":     new(relay.RecordVersion),
+	"routing.Runner":          new(routing.Runner),
+	"routing.RunnerModel":     new(routing.RunnerModel),
+	"routing.RunnerState":     new(routing.RunnerState),
+	"runner.Report":           new(runner.Report),
+	"session.Batch":           new(session.Batch),
+	"session.PackedEntry":     new(session.PackedEntry),
+	"session.Fetch":           new(session.Fetch),
+	"share.Charge":            new(share.Charge),
+	"share.Hold":              new(share.Hold),
+	"store.Batch":             new(store.Batch),
+	"store.Put":               new(store.Put),
+	"view.AcceptRequest":      new(view.AcceptRequest),
+	"view.BallotResponse":     new(view.BallotResponse),
+	"view.LearnRequest":       new(view.LearnRequest),
+	"view.PrepareRequest":     new(view.PrepareRequest),
+	"view.RenewRequest":       new(view.RenewRequest),
+	"view.RenewResponse":      new(view.RenewResponse),
+	"view.StatusResponse":     new(view.StatusResponse),
+	"view.View":               new(view.View),
+	"view.VoterState":         new(view.VoterState),
+	"view.Ballot":             new(view.Ballot),
+	"view.Member":             new(view.Member),
+	"view.ReleaseRequest":     new(view.ReleaseRequest),
+	"view.StatusRequest":      new(view.StatusRequest),
+	"wire.Frame":              new(wire.Frame),
+}
+
+// Every message that older processes wrote is read whole, and written the same.
+func TestMessagesKeepTheirEncoding(t *testing.T) {
+	files := readHexFolder(t, "testdata/messages", ".msgp")
+	for label := range files {
+		if messages[label] == nil {
+			t.Errorf("%s: no type reads this file", label)
+		}
+	}
+	for label, value := range messages {
+		old, ok := files[label]
+		if !ok {
+			t.Errorf("%s: no file", label)
+			continue
+		}
+		rest, err := value.UnmarshalMsg(old)
+		if err != nil || len(rest) > 0 {
+			t.Errorf("%s: %d bytes left unread, error %v", label, len(rest), err)
+			continue
+		}
+		if encoded, err := value.MarshalMsg(nil); err != nil || !bytes.Equal(encoded, old) {
+			t.Errorf("%s: encoded as\n%q, error %v; expected\n%q", label, encoded, err, old)
+		}
+	}
+}
+
+// readHexFolder decodes the files of a folder that end in suffix+".hex", by their names without that end. The files are
+// kept in hex since the repository takes no binary files.
+func readHexFolder(t *testing.T, folder, suffix string) map[string][]byte {
+	t.Helper()
+	paths, err := filepath.Glob(filepath.Join(folder, "*"+suffix+".hex"))
+	if err != nil || len(paths) == 0 {
+		t.Fatalf("%s: %d files, error %v", folder, len(paths), err)
+	}
+	decoded := map[string][]byte{}
+	for _, path := range paths {
+		decoded[strings.TrimSuffix(filepath.Base(path), suffix+".hex")] = readHex(t, path)
+	}
+	return decoded
+}
+
+// readHex decodes a file of hex digits in lines.
+func readHex(t *testing.T, path string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	data, err := hex.DecodeString(strings.Join(strings.Fields(string(text)), ""))
+	if err != nil {
+		t.Fatalf("%s: %v", path, err)
+	}
+	return data
+}
