--- a/internal/compat/names_test.go
+++ b/internal/compat/names_test.go
@@ -5,7 +5,6 @@
 	"go/parser"
 	"go/token"
 	"io/fs"
-	"maps"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -70,11 +69,6 @@
 	return n.names[name] || slices.Contains(mayMove, section) && n.literals[literal]
 }
 
-// sorted lists the names, one a line.
-func (n names) sorted() string {
-	return strings.Join(slices.Sorted(maps.Keys(n.names)), "\n") + "\n"
-}
-
 // namesInSources reads all files below a folder but for tests and tools.
 func namesInSources(t *testing.T, root string) names {
 	t.Helper()
