--- a/cmd/core/main.go
+++ b/cmd/core/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"yarrowridge/internal/control"
+	"yarrowridge/internal/controlplane/control"
 )
 
 func main() { os.Exit(control.Main(os.Args[1:], os.Stderr)) }
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"yarrowridge/internal/drill"
+	"yarrowridge/internal/testing/drill"
 )
 
 func main() { os.Exit(drill.Main(os.Args[1:], os.Stdout)) }
--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"yarrowridge/internal/router"
+	"yarrowridge/internal/dataplane/router"
 )
 
 func main() { os.Exit(router.Main(os.Args[1:], os.Stderr)) }
--- a/internal/control/main_test.go
+++ b/internal/controlplane/control/main_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"yarrowridge/internal/env"
+	"yarrowridge/internal/lib/daemon"
 )
 
 // Settings that do not hold are told by name, value and what was expected, all at once, and end
@@ -26,22 +26,22 @@
 		code int
 		says []string
 	}{
-		{append(good, "-check"), env.ExitOk, []string{"settings hold"}},
-		{[]string{"-version"}, env.ExitOk, []string{env.Version}},
-		{append(good, "-check", "-lost", "soon", "-log", "loud"), env.ExitUsage, []string{`"lost": value "soon"`, `"log": value "loud"`}},
-		{append(good, "-check", "stray"), env.ExitUsage, []string{`"stray"`}},
-		{append(good, "-check", "-nosuch", "1"), env.ExitUsage, []string{"nosuch"}},
-		{append(good, "-check", "-founders", "127.0.0.1:7402,127.0.0.1:7402"), env.ExitUsage, []string{"odd number", "twice", "own addr"}},
-		{append(good, "-check", "-founders", ""), env.ExitUsage, []string{`"seeds"`}},
-		{append(good, "-check", "-operator-key-hash", "zz"), env.ExitUsage, []string{"64 hex digits"}},
-		{append(good, "-check", "-env", file(`{"pox":"1","seeds":7,"hall":"west"}`)), env.ExitUsage, []string{`"pox": unknown`, `"seeds": value 7`}},
-		{append(good, "-check", "-losses", "0", "-bootstrap", "yes", "-max-members", "many"), env.ExitUsage, []string{`"losses": value "0"`, `"bootstrap": value "yes"`, `"max-members": value "many"`}},
-		{append(good, "-check", "-bootstrap", "true"), env.ExitUsage, []string{`"bootstrap"`, "no founders"}},
-		{append(good, "-check", "-founders", "", "-bootstrap", "true"), env.ExitUsage, []string{`"seeds"`}},
-		{append(good, "-check", "-founders", "", "-seeds", "127.0.0.1:1,127.0.0.1:2,127.0.0.1:3", "-bootstrap", "true", "-losses", "2", "-max-members", "5"), env.ExitOk, []string{"settings hold"}},
-		{append(good, "-check", "-env", file(`{`)), env.ExitUsage, []string{"valid JSON"}},
-		{append(good, "-check", "-env", "/nowhere/env.json"), env.ExitUsage, []string{"/nowhere/env.json"}},
-		{append(good, "-check", "-env", file(`{"seeds":["127.0.0.1:1","127.0.0.1:2"],"lost":"3s"}`)), env.ExitOk, []string{"settings hold"}},
+		{append(good, "-check"), daemon.ExitOK, []string{"settings hold"}},
+		{[]string{"-version"}, daemon.ExitOK, []string{daemon.Version}},
+		{append(good, "-check", "-lost", "soon", "-log", "loud"), daemon.ExitUsage, []string{`"lost": value "soon"`, `"log": value "loud"`}},
+		{append(good, "-check", "stray"), daemon.ExitUsage, []string{`"stray"`}},
+		{append(good, "-check", "-nosuch", "1"), daemon.ExitUsage, []string{"nosuch"}},
+		{append(good, "-check", "-founders", "127.0.0.1:7402,127.0.0.1:7402"), daemon.ExitUsage, []string{"odd number", "twice", "own addr"}},
+		{append(good, "-check", "-founders", ""), daemon.ExitUsage, []string{`"seeds"`}},
+		{append(good, "-check", "-operator-key-hash", "zz"), daemon.ExitUsage, []string{"64 hex digits"}},
+		{append(good, "-check", "-env", file(`{"pox":"1","seeds":7,"hall":"west"}`)), daemon.ExitUsage, []string{`"pox": unknown`, `"seeds": value 7`}},
+		{append(good, "-check", "-losses", "0", "-bootstrap", "yes", "-max-members", "many"), daemon.ExitUsage, []string{`"losses": value "0"`, `"bootstrap": value "yes"`, `"max-members": value "many"`}},
+		{append(good, "-check", "-bootstrap", "true"), daemon.ExitUsage, []string{`"bootstrap"`, "no founders"}},
+		{append(good, "-check", "-founders", "", "-bootstrap", "true"), daemon.ExitUsage, []string{`"seeds"`}},
+		{append(good, "-check", "-founders", "", "-seeds", "127.0.0.1:1,127.0.0.1:2,127.0.0.1:3", "-bootstrap", "true", "-losses", "2", "-max-members", "5"), daemon.ExitOK, []string{"settings hold"}},
+		{append(good, "-check", "-env", file(`{`)), daemon.ExitUsage, []string{"valid JSON"}},
+		{append(good, "-check", "-env", "/nowhere/env.json"), daemon.ExitUsage, []string{"/nowhere/env.json"}},
+		{append(good, "-check", "-env", file(`{"seeds":["127.0.0.1:1","127.0.0.1:2"],"lost":"3s"}`)), daemon.ExitOK, []string{"settings hold"}},
 	} {
 		var out bytes.Buffer
 		if code := Main(c.args, &out); code != c.code {
--- a/internal/control/metrics.go
+++ b/internal/controlplane/control/metrics.go
@@ -5,8 +5,8 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/metrics"
+	"yarrowridge/internal/controlplane/core"
+	"yarrowridge/internal/lib/metrics"
 )
 
 // coreGauge is one of a core's figures, as a metric.
--- a/internal/control/metrics_test.go
+++ b/internal/controlplane/control/metrics_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"yarrowridge/internal/core"
+	"yarrowridge/internal/controlplane/core"
 )
 
 // A core's figures stand in its metrics, as they are when they are read.
--- a/internal/control/node.go
+++ b/internal/controlplane/control/node.go
@@ -7,12 +7,14 @@
 
 	"github.com/rotisserie/eris"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/metrics"
-	"yarrowridge/internal/store"
-	"yarrowridge/internal/web"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/core"
+	"yarrowridge/internal/controlplane/coreclient"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/lib/metrics"
+	"yarrowridge/internal/lib/runloop"
+	"yarrowridge/internal/lib/web"
+	"yarrowridge/internal/transport/wire"
 )
 
 // NodeSettings are what a core that serves another interface than ours is told about its place.
@@ -29,8 +31,8 @@
 	Term        time.Duration   // lease of the primacy; 0: the default
 	MemoryLimit int64           // bytes; 0: none
 	Codec       core.Codec
-	Metrics     metrics.Endpoint                                    // where the core's own figures are served
-	Handler     func(primary *core.Forwarder) (http.Handler, error) // serves Control
+	Metrics     metrics.Endpoint                                          // where the core's own figures are served
+	Handler     func(primary *coreclient.Forwarder) (http.Handler, error) // serves Control
 }
 
 // garbagePercent is how much garbage may lie beside the live heap, in hundredths of it, before it is collected. A
@@ -39,7 +41,7 @@
 const garbagePercent = 400
 
 // RunNode runs a core until it is told to stop.
-func RunNode(process *env.Proc, settings NodeSettings) error {
+func RunNode(process *daemon.Process, settings NodeSettings) error {
 	if settings.MemoryLimit > 0 {
 		debug.SetMemoryLimit(settings.MemoryLimit * 6 / 10)
 		debug.SetGCPercent(garbagePercent)
@@ -48,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	server, err := core.Open(process.Ctx.Part("core"), core.Settings{Addr: settings.Internal, Seeds: settings.Seeds, Bootstrap: settings.Bootstrap,
+	server, err := core.Open(process.Ctx.WithComponent("core"), core.Settings{Addr: settings.Internal, Seeds: settings.Seeds, Bootstrap: settings.Bootstrap,
 		Losses: settings.Losses, AllowNoBackup: settings.Alone, LostAfter: settings.Lost, LeaseTerm: settings.Term, Codec: settings.Codec}, disk)
 	if err != nil {
 		return err
@@ -60,12 +62,12 @@
 	go wire.Serve(process.Ctx, internal, server.Handle)
 	caller := wire.NewCaller(process.Ctx.Net)
 	defer caller.Close()
-	client := core.NewClient(process.Ctx, caller, append([]string{settings.Internal}, settings.Seeds...))
-	go env.Loop(process.Ctx, settings.NewSeeds, 0, func(seeds []string) {
+	client := coreclient.NewClient(process.Ctx, caller, append([]string{settings.Internal}, settings.Seeds...))
+	go runloop.Run(process.Ctx, settings.NewSeeds, 0, func(seeds []string) {
 		server.SetSeeds(seeds)
 		client.SetSeeds(append([]string{settings.Internal}, seeds...))
 	}, nil)
-	handler, err := settings.Handler(core.NewForwarder(client, server.View))
+	handler, err := settings.Handler(coreclient.NewForwarder(client, server.View))
 	if err != nil {
 		return err
 	}
@@ -84,7 +86,7 @@
 	<-process.Stop
 	process.Ctx.Log.Info("Core stops.")
 	server.StepDown()
-	process.End()
+	process.Close()
 	<-done
 	return nil
 }
--- a/internal/core/announce.go
+++ b/internal/controlplane/core/announce.go
@@ -5,7 +5,8 @@
 	"strings"
 	"time"
 
-	"yarrowridge/internal/view"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/view"
 )
 
 // Where routers have been is kept on disk, so that a router which starts again with seeds that name
@@ -17,7 +18,7 @@
 )
 
 // rememberAddress notes a node's address, once for each address.
-func (s *Server) rememberAddress(n Node) {
+func (s *Server) rememberAddress(n coreapi.Node) {
 	key := placePrefix + n.Addr
 	if _, ok := s.store.Load().Get(key); ok {
 		return
@@ -33,7 +34,7 @@
 // rememberedRouters counts the routers whose address is on disk: those heard within placeLifetime.
 func (s *Server) rememberedRouters() int {
 	count := 0
-	s.store.Load().Each(placePrefix, func(string, []byte) { count++ })
+	s.store.Load().ForEachWithPrefix(placePrefix, func(string, []byte) { count++ })
 	return count
 }
 
@@ -43,7 +44,7 @@
 	v := s.voter.View()
 	silent := map[string]bool{}
 	var expired []string
-	s.store.Load().Each(placePrefix, func(key string, _ []byte) {
+	s.store.Load().ForEachWithPrefix(placePrefix, func(key string, _ []byte) {
 		addr := strings.TrimPrefix(key, placePrefix)
 		if live[addr] {
 			return
--- a/internal/core/backups.go
+++ b/internal/controlplane/core/backups.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
-	"yarrowridge/internal/lease"
-	"yarrowridge/internal/view"
+	"yarrowridge/internal/controlplane/lease"
+	"yarrowridge/internal/controlplane/view"
 )
 
 // How long backups are kept or left out.
@@ -32,14 +32,14 @@
 func (s *Server) respondingBackups(v view.View, primacy *lease.Lease, ledSince time.Time) []string {
 	var out []string
 	for _, id := range v.Backups() {
-		if primacy.Gone(id, ledSince) <= backupSilentAfter {
+		if primacy.SinceResponse(id, ledSince) <= backupSilentAfter {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// settleBackups sees to it that enough backups hold all that we hold, and tells whether the view names exactly those.
+// settleBackups sees to it that enough backups hold all that we hold, and reports whether the view names exactly those.
 // Members that are new as backups get a full copy first; one decision then puts them in the place of those that are let
 // go. Until then the latter may still lead: they hold all that was acknowledged, so that the loss of our own disk
 // meanwhile loses nothing. Nothing is acknowledged in between, so the copies are whole.
@@ -64,7 +64,7 @@
 	return s.decide(v, v.WithBackups(backups), false)
 }
 
-// sameMembers tells whether two lists name the same members, in whatever order.
+// sameMembers reports whether two lists name the same members, in whatever order.
 func sameMembers(a, b []string) bool {
 	return slices.Equal(slices.Sorted(slices.Values(a)), slices.Sorted(slices.Values(b)))
 }
@@ -79,10 +79,10 @@
 	var free, lastResort []view.Member
 	for _, m := range v.Members {
 		switch {
-		case m.Id == me || slices.Contains(keep, m.Id) || primacy.Gone(m.Id, time.Time{}) > aliveWithin:
-		case m.Id != s.predecessor && !s.hasFailedWithin(m.Id, failedFor):
+		case m.ID == me || slices.Contains(keep, m.ID) || primacy.SinceResponse(m.ID, time.Time{}) > aliveWithin:
+		case m.ID != s.predecessor && !s.hasFailedWithin(m.ID, failedFor):
 			free = append(free, m)
-		case !s.hasFailedWithin(m.Id, retryFailedAfter):
+		case !s.hasFailedWithin(m.ID, retryFailedAfter):
 			lastResort = append(lastResort, m)
 		}
 	}
@@ -90,18 +90,18 @@
 	return append(chosen, spread(lastResort, used, count-len(chosen))...)
 }
 
-// hasFailedWithin tells whether a member failed as backup within the span.
+// hasFailedWithin reports whether a member failed as backup within the span.
 func (s *Server) hasFailedWithin(id string, span time.Duration) bool {
 	return time.Since(s.failedAt[id]) < span
 }
 
 // spread picks members, those of zones not used yet first.
 func spread(from []view.Member, used map[string]bool, count int) []string {
-	free := slices.SortedFunc(slices.Values(from), func(a, b view.Member) int { return strings.Compare(a.Id, b.Id) })
+	free := slices.SortedFunc(slices.Values(from), func(a, b view.Member) int { return strings.Compare(a.ID, b.ID) })
 	var out []string
 	for len(out) < count && len(free) > 0 {
 		best := max(0, slices.IndexFunc(free, func(m view.Member) bool { return !used[m.Zone] }))
-		out = append(out, free[best].Id)
+		out = append(out, free[best].ID)
 		used[free[best].Zone] = true
 		free = slices.Delete(free, best, best+1)
 	}
@@ -125,7 +125,7 @@
 		used[v.ZoneOf(id)] = true
 	}
 	for _, m := range v.Members {
-		if worst != "" && !used[m.Zone] && primacy.Gone(m.Id, time.Time{}) < aliveWithin && !s.hasFailedWithin(m.Id, steadyFor) {
+		if worst != "" && !used[m.Zone] && primacy.SinceResponse(m.ID, time.Time{}) < aliveWithin && !s.hasFailedWithin(m.ID, steadyFor) {
 			return worst
 		}
 	}
--- a/internal/core/bench_test.go
+++ b/internal/controlplane/core/bench_test.go
@@ -11,9 +11,11 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/store"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/coreclient"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/transport/wire"
 )
 
 // BenchmarkClaims takes durable claims from five cores with real folders over TCP, by 64 at once.
@@ -46,7 +48,7 @@
 		if ran > 0 {
 			day(b, disk, ran)
 		}
-		ec := env.Ctx{Context: ctx, Name: addrs[i], Zone: fmt.Sprint(i), Born: rand.Uint64(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Net: wire.TCP{}}
+		ec := daemon.Context{Context: ctx, Name: addrs[i], Zone: fmt.Sprint(i), RunID: rand.Uint64(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Net: wire.TCP{}}
 		s, err := Open(ec, Settings{Addr: addrs[i], Founders: addrs, Seeds: addrs}, disk)
 		if err != nil {
 			b.Fatal(err)
@@ -55,11 +57,11 @@
 		go wire.Serve(ctx, l, s.Handle)
 		go s.Run()
 	}
-	c := NewClient(env.Ctx{Context: ctx, Net: wire.TCP{}}, wire.NewCaller(wire.TCP{}), addrs)
+	c := coreclient.NewClient(daemon.Context{Context: ctx, Net: wire.TCP{}}, wire.NewCaller(wire.TCP{}), addrs)
 	founded := time.Now()
 	up, stop := context.WithTimeout(ctx, 20*time.Second)
 	defer stop()
-	if err := c.Call(up, "core.layout", &ConfigRequest{}, &StoredConfig{}, true); err != nil {
+	if err := c.Call(up, "core.layout", &coreapi.ConfigRequest{}, &coreapi.StoredConfig{}, true); err != nil {
 		b.Fatal(err)
 	}
 	ready := time.Since(founded)
@@ -72,7 +74,7 @@
 	}
 	before := lead.State().StoreVersion
 	if p := lead.State(); p.FinishedKeys > 0 {
-		raw := lead.store.Load().Whole()
+		raw := lead.store.Load().Snapshot()
 		b.Logf("%d keys that ran in %d parts: %.1f MB on disk; founded, copied to the backup and ready in %s", p.FinishedKeys, p.FinishedKeyParts, float64(raw.Msgsize())/1e6, ready.Round(time.Millisecond))
 	}
 	b.SetParallelism(64)
@@ -80,8 +82,8 @@
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			k := n.Add(1)
-			var response ClaimResponse
-			request := ClaimRequest{Key: fmt.Sprintf("t/new%d", k), Claim: Claim{RequestHash: "s", Claimant: fmt.Sprint(k), Node: "n"}}
+			var response coreapi.ClaimResponse
+			request := coreapi.ClaimRequest{Key: fmt.Sprintf("t/new%d", k), Claim: coreapi.Claim{RequestHash: "s", Claimant: fmt.Sprint(k), Node: "n"}}
 			one, cancel := context.WithTimeout(ctx, 10*time.Second)
 			err := c.Call(one, "core.take", &request, &response, true)
 			cancel()
@@ -103,7 +105,7 @@
 		b.Fatal(err)
 	}
 	s := &Server{}
-	tx := &Tx{store: opened, newest: map[string]*store.Put{}}
+	tx := &Tx{store: opened, newest: map[string]*store.Mutation{}}
 	for i := 0; i < n; {
 		size := min(n-i, 110_000)
 		if n-i < 120_000 {
@@ -116,7 +118,7 @@
 		s.putFinishedKeys(tx, sums)
 		i += size
 	}
-	if err := opened.Add(store.Batch{Seq: 1, Base: true, Puts: tx.puts}); err != nil {
+	if err := opened.Append(store.Batch{Version: 1, Base: true, Mutations: tx.puts}); err != nil {
 		b.Fatal(err)
 	}
 }
--- a/internal/core/claims.go
+++ b/internal/controlplane/core/claims.go
@@ -3,22 +3,15 @@
 import (
 	"context"
 	"time"
+	"yarrowridge/internal/controlplane/coreapi"
 )
 
 // claimPrefix begins the keys of claims.
 const claimPrefix = "claim/"
 
-// States of a claim.
-const (
-	ClaimRuns    = 0
-	ClaimDone    = 1
-	ClaimUnknown = 2
-	ClaimFreed   = 3 // let go: anybody but its own late taking may claim the key
-)
-
 // takeClaim gives a once-only key to who asks first, and tells the others what became of it.
-func (s *Server) takeClaim(ctx context.Context, request *ClaimRequest) (*ClaimResponse, error) {
-	response := &ClaimResponse{}
+func (s *Server) takeClaim(ctx context.Context, request *coreapi.ClaimRequest) (*coreapi.ClaimResponse, error) {
+	response := &coreapi.ClaimResponse{}
 	err := s.Submit(ctx, func(tx *Tx) error { return s.putClaim(tx, request, response) })
 	if err != nil {
 		return nil, err
@@ -27,16 +20,16 @@
 }
 
 // putClaim judges one request for a claim and records the claim where it is granted.
-func (s *Server) putClaim(tx *Tx, request *ClaimRequest, response *ClaimResponse) error {
+func (s *Server) putClaim(tx *Tx, request *coreapi.ClaimRequest, response *coreapi.ClaimResponse) error {
 	stored, known, err := tx.claim(request.Key)
 	if err != nil {
 		return err
 	}
 	isOwn := stored.Claimant == request.Claim.Claimant
-	if !known || stored.State == ClaimFreed && !isOwn {
+	if !known || stored.State == coreapi.ClaimReleased && !isOwn {
 		return s.putNewClaim(tx, request, response, known)
 	}
-	if stored.State == ClaimFreed {
+	if stored.State == coreapi.ClaimReleased {
 		response.Claim = stored
 		return nil
 	}
@@ -46,19 +39,19 @@
 		response.Granted = !response.Conflict
 	case !response.Conflict:
 		response.Claim = stored
-		response.Running = stored.State == ClaimRuns && s.mayRun(stored.Node, stored.NodeRun)
+		response.Running = stored.State == coreapi.ClaimRunning && s.mayRun(stored.Node, stored.NodeRun)
 	}
 	return nil
 }
 
 // putNewClaim grants a key that nobody holds, if it did not run before and there is room.
-func (s *Server) putNewClaim(tx *Tx, request *ClaimRequest, response *ClaimResponse, known bool) error {
+func (s *Server) putNewClaim(tx *Tx, request *coreapi.ClaimRequest, response *coreapi.ClaimResponse, known bool) error {
 	switch {
 	case !known && s.finishedKeys.has(tx, keyHash(request.Key)):
 		response.AlreadyRan = true
 		return nil
 	case s.finishedKeys.count >= s.maxFinishedKeys():
-		response.Full = true
+		response.TooManyKeys = true
 		return nil
 	}
 	response.Granted = true
@@ -66,7 +59,7 @@
 }
 
 // claim reads the claim of a key. known is false where there is none.
-func (t *Tx) claim(key string) (claim Claim, known bool, err error) {
+func (t *Tx) claim(key string) (claim coreapi.Claim, known bool, err error) {
 	raw, known := t.Get(claimPrefix + key)
 	if known {
 		_, err = claim.UnmarshalMsg(raw)
@@ -74,7 +67,7 @@
 	return claim, known, err
 }
 
-// mayRun tells whether a run of a node may be alive. Just after a hand-over every one counts as alive until it has had
+// mayRun reports whether a run of a node may be alive. Just after a hand-over every one counts as alive until it has had
 // time to send a heartbeat.
 func (s *Server) mayRun(node string, run uint64) bool {
 	s.mu.Lock()
@@ -87,27 +80,23 @@
 }
 
 // settleClaim records what became of a claimed key, or lets it go.
-func (s *Server) settleClaim(ctx context.Context, request *SettleRequest) (*Empty, error) {
-	return &Empty{}, s.Submit(ctx, func(tx *Tx) error {
+func (s *Server) settleClaim(ctx context.Context, request *coreapi.CompleteClaimRequest) (*coreapi.Empty, error) {
+	return &coreapi.Empty{}, s.Submit(ctx, func(tx *Tx) error {
 		stored, known, err := tx.claim(request.Key)
 		if err != nil {
 			return err
 		}
-		if known && stored.Claimant != request.Claim.Claimant || stored.State != ClaimRuns {
+		if known && stored.Claimant != request.Claim.Claimant || stored.State != coreapi.ClaimRunning {
 			return nil // another's, or settled before
 		}
 		key := claimPrefix + request.Key
 		switch {
 		case request.Release:
 			// The taking itself may still be under way to us: it must find that it was let go.
-			return tx.Put(key, &Claim{Claimant: request.Claim.Claimant, State: ClaimFreed})
+			return tx.Put(key, &coreapi.Claim{Claimant: request.Claim.Claimant, State: coreapi.ClaimReleased})
 		case known:
 			return tx.Put(key, &request.Claim)
 		}
 		return nil
 	})
 }
-
-// StreamPrefix begins the keys under which the right to carry a stream on is claimed. No tenant's key
-// begins so: a tenant's name is not empty.
-const StreamPrefix = "/stream/"
--- a/internal/core/claimsweep.go
+++ b/internal/controlplane/core/claimsweep.go
@@ -3,6 +3,7 @@
 import (
 	"strings"
 	"time"
+	"yarrowridge/internal/controlplane/coreapi"
 )
 
 const (
@@ -25,7 +26,7 @@
 		return now.Sub(since) > keep
 	}
 	var ended []string
-	s.store.Load().Each(claimPrefix, func(key string, _ []byte) {
+	s.store.Load().ForEachWithPrefix(claimPrefix, func(key string, _ []byte) {
 		keep := limits.Keep
 		if isStreamClaim(key) {
 			keep = max(keep, streamClaimKeep)
@@ -46,8 +47,8 @@
 	s.submitLater(s.mergeFinishedKeys)
 }
 
-// isStreamClaim tells whether a claim is on the right to carry a stream on.
-func isStreamClaim(key string) bool { return strings.HasPrefix(key, claimPrefix+StreamPrefix) }
+// isStreamClaim reports whether a claim is on the right to carry a stream on.
+func isStreamClaim(key string) bool { return strings.HasPrefix(key, claimPrefix+coreapi.StreamPrefix) }
 
 // endClaimsLater has the run loop end claims, in pieces: after a hand-over an hour's claims may end at once, and a batch
 // has to fit a frame.
@@ -74,10 +75,10 @@
 		if !known {
 			continue
 		}
-		if claim.State != ClaimFreed && !isStreamClaim(key) {
+		if claim.State != coreapi.ClaimReleased && !isStreamClaim(key) {
 			hashes = append(hashes, keyHash(name))
 		}
-		tx.Drop(key)
+		tx.Delete(key)
 	}
 	if len(hashes) > 0 {
 		s.putFinishedKeys(tx, hashes)
--- a/internal/core/codec.go
+++ b/internal/controlplane/core/codec.go
@@ -1,11 +1,14 @@
 package core
 
-import "time"
+import (
+	"time"
+	"yarrowridge/internal/controlplane/coreapi"
+)
 
 // Codec reads the configuration documents that operators write. The core keeps them as they came.
 type Codec interface {
 	// Check reads a whole document. With any flaw the document is invalid.
-	Check(raw []byte) (document Document, configErrors []ConfigError)
+	Check(raw []byte) (document Document, configErrors []coreapi.ConfigError)
 	// Merge applies a partial change to the current document.
 	Merge(current, change []byte) (raw []byte, err error)
 	// MaxBytes is the size of the largest document.
--- a/internal/core/codec_test.go
+++ b/internal/controlplane/core/codec_test.go
@@ -8,15 +8,16 @@
 	"strings"
 	"testing"
 
-	"yarrowridge/internal/sim"
-	"yarrowridge/internal/store"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/testing/sim"
 )
 
 // records puts documents one by one into a store, as committed writes.
 type records struct {
 	t   *testing.T
 	st  *store.Store
-	cur StoredConfig
+	cur coreapi.StoredConfig
 }
 
 func newRecords(t *testing.T) *records {
@@ -28,12 +29,12 @@
 }
 
 func (r *records) put(version uint64, size int, numbered bool, id string) {
-	tx := &Tx{store: r.st, newest: map[string]*store.Put{}}
-	next := StoredConfig{Version: version, Raw: bytes.Repeat([]byte("x"), size)}
+	tx := &Tx{store: r.st, newest: map[string]*store.Mutation{}}
+	next := coreapi.StoredConfig{Version: version, Raw: bytes.Repeat([]byte("x"), size)}
 	if err := tx.recordWrite(r.cur, next, numbered, id, "hash"); err != nil {
 		r.t.Fatal(err)
 	}
-	if err := r.st.Add(store.Batch{Seq: r.st.Seq() + 1, Puts: tx.puts}); err != nil {
+	if err := r.st.Append(store.Batch{Version: r.st.Version() + 1, Mutations: tx.puts}); err != nil {
 		r.t.Fatal(err)
 	}
 	r.cur = next
@@ -41,7 +42,7 @@
 
 func (r *records) count(head string) int {
 	n := 0
-	r.st.Each(head, func(string, []byte) { n++ })
+	r.st.ForEachWithPrefix(head, func(string, []byte) { n++ })
 	return n
 }
 
@@ -148,7 +149,7 @@
 	t *testing.T
 }
 
-func (w wary) Check(raw []byte) (Document, []ConfigError) {
+func (w wary) Check(raw []byte) (Document, []coreapi.ConfigError) {
 	if len(raw) == 0 {
 		w.t.Error("the codec was shown an empty document")
 	}
@@ -158,13 +159,13 @@
 // Before the first configuration there is none to read.
 func TestNothingToReadBeforeTheFirst(t *testing.T) {
 	s := &Server{settings: Settings{Codec: wary{t: t}}.WithDefaults()}
-	if document := s.parsedConfig(StoredConfig{}); document != nil {
+	if document := s.parsedConfig(coreapi.StoredConfig{}); document != nil {
 		t.Errorf("read %+v from nothing", document)
 	}
 	if got := s.maxFinishedKeys(); got != defaultMaxFinishedKeys {
 		t.Errorf("%d keys that ran are kept", got)
 	}
-	if document := s.parsedConfig(StoredConfig{Version: 1, Raw: []byte("x")}); document == nil || document.Claims.Keep == 0 {
+	if document := s.parsedConfig(coreapi.StoredConfig{Version: 1, Raw: []byte("x")}); document == nil || document.Claims.Keep == 0 {
 		t.Errorf("read %+v from a document", document)
 	}
 }
--- a/internal/core/commit.go
+++ b/internal/controlplane/core/commit.go
@@ -8,11 +8,12 @@
 
 	"github.com/rotisserie/eris"
 
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/store"
-	"yarrowridge/internal/strike"
-	"yarrowridge/internal/view"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/lib/faultinjection"
+	"yarrowridge/internal/lib/runloop"
+	"yarrowridge/internal/transport/wire"
 )
 
 // job is one operation of the run loop; its state says who may still end it.
@@ -33,29 +34,27 @@
 
 // Submit passes an operation to the run loop and waits for its outcome. The error is NotReady
 // where the operation surely was not and will not be taken, InDoubt where it may be.
-//
-//	err := srv.Submit(ctx, func(tx *core.Tx) error { ... })
 func (s *Server) Submit(ctx context.Context, do func(*Tx) error) error {
 	if !s.isReady() {
-		if v := s.voter.View(); v.Primary != s.voter.Id() {
-			return wire.Fault{Code: NotPrimary}
+		if v := s.voter.View(); v.Primary != s.voter.ID() {
+			return wire.StatusError{Code: coreapi.CodeNotPrimary}
 		}
-		return wire.Fault{Code: NotReady}
+		return wire.StatusError{Code: coreapi.CodeNotReady}
 	}
 	operation := &job{do: do, done: make(chan error, 1)}
 	select {
 	case s.jobs <- operation:
 	default:
-		return wire.Fault{Code: NotReady}
+		return wire.StatusError{Code: coreapi.CodeNotReady}
 	}
 	select {
 	case err := <-operation.done:
 		return err
 	case <-ctx.Done():
 		if operation.state.CompareAndSwap(jobWaiting, jobAbandoned) {
-			return wire.Fault{Code: NotReady}
+			return wire.StatusError{Code: coreapi.CodeNotReady}
 		}
-		return wire.Fault{Code: InDoubt}
+		return wire.StatusError{Code: coreapi.CodeOutcomeUnknown}
 	}
 }
 
@@ -70,7 +69,7 @@
 	ready, epoch := s.ready, s.epoch
 	s.mu.Unlock()
 	v := s.voter.View()
-	tx := &Tx{store: s.store.Load(), newest: map[string]*store.Put{}}
+	tx := &Tx{store: s.store.Load(), newest: map[string]*store.Mutation{}}
 	mayWrite := ready && v.Epoch == epoch && s.isPrimary(v)
 	var taken []*job
 	var step *job
@@ -89,14 +88,14 @@
 	}
 }
 
-// run puts what a job does into the batch, and tells whether it did. A job that was abandoned is passed over, and
+// run puts what a job does into the batch, and reports whether it did. A job that was abandoned is passed over, and
 // where writes are not taken the job ends.
 func (j *job) run(tx *Tx, mayWrite bool) bool {
 	if !j.state.CompareAndSwap(jobWaiting, jobTaken) {
 		return false
 	}
 	if !mayWrite {
-		j.done <- wire.Fault{Code: NotReady}
+		j.done <- wire.StatusError{Code: coreapi.CodeNotReady}
 		return false
 	}
 	mark := len(tx.puts)
@@ -130,7 +129,7 @@
 		}
 	}
 	if err == nil && len(tx.puts) > 0 {
-		if err := tx.store.Tidy(); err != nil {
+		if err := tx.store.CompactIfNeeded(); err != nil {
 			s.failDisk(err)
 		}
 	}
@@ -138,16 +137,16 @@
 
 // commit stores the batch on our disk and the backups', and looks at the lease once more. Only then is it done.
 func (s *Server) commit(v view.View, tx *Tx) error {
-	inDoubt := wire.Fault{Code: InDoubt}
+	inDoubt := wire.StatusError{Code: coreapi.CodeOutcomeUnknown}
 	if len(tx.puts) == 0 {
 		if !s.isPrimary(v) {
-			return wire.Fault{Code: NotReady}
+			return wire.StatusError{Code: coreapi.CodeNotReady}
 		}
 		return nil
 	}
-	batch := store.Batch{Seq: tx.store.Seq() + 1, Puts: tx.newestPuts()}
+	batch := store.Batch{Version: tx.store.Version() + 1, Mutations: tx.newestPuts()}
 	stored, replicated := make(chan error, 1), make(chan []string, 1)
-	go func() { stored <- tx.store.Add(batch) }()
+	go func() { stored <- tx.store.Append(batch) }()
 	go func() { replicated <- s.replicate(v, batch) }()
 	tooSlow := time.NewTimer(diskTimeout)
 	defer tooSlow.Stop()
@@ -161,7 +160,7 @@
 		s.failDisk(eris.New("sync takes too long"))
 		return inDoubt
 	}
-	if failed := <-replicated; len(failed) > 0 && !strike.Out("backup-copy") {
+	if failed := <-replicated; len(failed) > 0 && !faultinjection.Disabled("backup-copy") {
 		s.noteFailed(failed)
 		if !s.replaceBackups() {
 			return inDoubt
@@ -177,7 +176,7 @@
 // others can be had.
 func (s *Server) replaceBackups() bool {
 	s.setReady(false)
-	me := s.voter.Id()
+	me := s.voter.ID()
 	for deadline := time.Now().Add(replaceTimeout); time.Now().Before(deadline); {
 		current := s.voter.View()
 		if current.Primary != me || s.hasDiskFailed() {
@@ -191,7 +190,7 @@
 		if next.Epoch != current.Epoch {
 			continue // a step was made, and the next one need not wait
 		}
-		if !env.Wait(s.ctx, replaceStepPause) {
+		if !runloop.Sleep(s.ctx, replaceStepPause) {
 			return false
 		}
 	}
@@ -206,8 +205,8 @@
 		}
 	}
 	if put, ok := tx.newest[configKey]; ok {
-		var storedConfig StoredConfig
-		if _, err := storedConfig.UnmarshalMsg(put.Val); err == nil {
+		var storedConfig coreapi.StoredConfig
+		if _, err := storedConfig.UnmarshalMsg(put.Value); err == nil {
 			s.mu.Lock()
 			s.config = storedConfig
 			s.mu.Unlock()
--- a/internal/core/config.go
+++ b/internal/controlplane/core/config.go
@@ -8,9 +8,10 @@
 	"fmt"
 	"strconv"
 
-	"yarrowridge/internal/relay"
-	"yarrowridge/internal/strike"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/lib/faultinjection"
+	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/wire"
 )
 
 // configKey is the key of the configuration in force.
@@ -23,7 +24,7 @@
 const maxWriteIDs = 1000
 
 // readConfig gives the configuration in force, or an older one that is still kept.
-func (s *Server) readConfig(request *ConfigRequest) (*StoredConfig, error) {
+func (s *Server) readConfig(request *coreapi.ConfigRequest) (*coreapi.StoredConfig, error) {
 	if err := s.requirePrimary(); err != nil {
 		return nil, err
 	}
@@ -35,9 +36,9 @@
 	}
 	raw, ok := s.store.Load().Get(versionKey(request.Version))
 	if !ok || request.Version > current.Version {
-		return nil, wire.Fault{Code: "no-such-sequence"}
+		return nil, wire.StatusError{Code: "no-such-sequence"}
 	}
-	var old StoredConfig
+	var old coreapi.StoredConfig
 	if _, err := old.UnmarshalMsg(raw); err != nil {
 		return nil, err
 	}
@@ -48,8 +49,8 @@
 func versionKey(version uint64) string { return "past/" + strconv.FormatUint(version, 10) }
 
 // config reads the configuration in force; version 0 before the first.
-func (t *Tx) config() (StoredConfig, error) {
-	var current StoredConfig
+func (t *Tx) config() (coreapi.StoredConfig, error) {
+	var current coreapi.StoredConfig
 	raw, ok := t.Get(configKey)
 	if !ok {
 		return current, nil
@@ -60,14 +61,14 @@
 
 // writeConfig checks and takes an operator's change. It is answered once the disks hold it and each
 // zone's first relays have it, or a short time for that has passed.
-func (s *Server) writeConfig(ctx context.Context, request *WriteRequest) (*WriteResponse, error) {
-	response := &WriteResponse{Code: 200}
+func (s *Server) writeConfig(ctx context.Context, request *coreapi.WriteRequest) (*coreapi.WriteResponse, error) {
+	response := &coreapi.WriteResponse{Code: 200}
 	if len(request.Raw) > s.settings.Codec.MaxBytes() {
-		return &WriteResponse{Code: 413}, nil
+		return &coreapi.WriteResponse{Code: 413}, nil
 	}
 	sum := sha256.Sum256(request.Raw)
 	hash := hex.EncodeToString(sum[:])
-	var written StoredConfig
+	var written coreapi.StoredConfig
 	err := s.Submit(ctx, func(tx *Tx) (err error) {
 		written, err = s.applyWrite(tx, request, hash, response)
 		return err
@@ -79,7 +80,7 @@
 		s.ctx.Log.Info("Configuration taken.", "sequence", written.Version)
 		s.push(relay.ConfigRecord(written.Version, written.Raw))
 		if !s.isPrimary(s.voter.View()) {
-			return nil, wire.Fault{Code: InDoubt}
+			return nil, wire.StatusError{Code: coreapi.CodeOutcomeUnknown}
 		}
 	}
 	return response, nil
@@ -87,52 +88,52 @@
 
 // applyWrite checks one write against the configuration in force and records it. The response says what came of it; the
 // configuration is the new one, or empty where the write changes nothing.
-func (s *Server) applyWrite(tx *Tx, request *WriteRequest, hash string, response *WriteResponse) (StoredConfig, error) {
+func (s *Server) applyWrite(tx *Tx, request *coreapi.WriteRequest, hash string, response *coreapi.WriteResponse) (coreapi.StoredConfig, error) {
 	current, err := tx.config()
 	if err != nil {
-		return StoredConfig{}, err
+		return coreapi.StoredConfig{}, err
 	}
 	if repeated, err := tx.isRepeated(request, hash, response); repeated || err != nil {
-		return StoredConfig{}, err
+		return coreapi.StoredConfig{}, err
 	}
 	response.Version = current.Version
 	if !request.AnyVersion && request.BaseVersion != current.Version {
 		response.Code = 412
-		if !strike.Out("race") {
-			return StoredConfig{}, nil
+		if !faultinjection.Disabled("race") {
+			return coreapi.StoredConfig{}, nil
 		}
 	}
 	raw := request.Raw
 	if request.Patch {
 		if raw, err = s.settings.Codec.Merge(current.Raw, request.Raw); err != nil {
-			response.Code, response.Errors = 400, []ConfigError{{Text: "valid JSON expected"}}
-			return StoredConfig{}, nil
+			response.Code, response.Errors = 400, []coreapi.ConfigError{{Text: "valid JSON expected"}}
+			return coreapi.StoredConfig{}, nil
 		}
 		if len(raw) > s.settings.Codec.MaxBytes() {
 			response.Code = 413
-			return StoredConfig{}, nil
+			return coreapi.StoredConfig{}, nil
 		}
 	}
 	next, numbered, configErrors := s.check(current, raw)
 	if len(configErrors) > 0 {
 		response.Code, response.Errors = 400, configErrors
-		return StoredConfig{}, nil
+		return coreapi.StoredConfig{}, nil
 	}
 	response.Version = next.Version
-	return next, tx.recordWrite(current, next, numbered, request.Id, hash)
+	return next, tx.recordWrite(current, next, numbered, request.ID, hash)
 }
 
-// isRepeated tells whether a write with this id was taken before. The response is then the one that was given, or says that
+// isRepeated reports whether a write with this id was taken before. The response is then the one that was given, or says that
 // the id stands for another document.
-func (t *Tx) isRepeated(request *WriteRequest, hash string, response *WriteResponse) (bool, error) {
-	if request.Id == "" {
+func (t *Tx) isRepeated(request *coreapi.WriteRequest, hash string, response *coreapi.WriteResponse) (bool, error) {
+	if request.ID == "" {
 		return false, nil
 	}
-	raw, ok := t.Get("mark/" + request.Id)
+	raw, ok := t.Get("mark/" + request.ID)
 	if !ok {
 		return false, nil
 	}
-	var record WriteRecord
+	var record WriteResult
 	if _, err := record.UnmarshalMsg(raw); err != nil {
 		return true, err
 	}
@@ -144,23 +145,23 @@
 }
 
 // check reads a new configuration and gives it its version. numbered: the document numbers itself.
-func (s *Server) check(current StoredConfig, raw []byte) (next StoredConfig, numbered bool, configErrors []ConfigError) {
+func (s *Server) check(current coreapi.StoredConfig, raw []byte) (next coreapi.StoredConfig, numbered bool, configErrors []coreapi.ConfigError) {
 	document, configErrors := s.settings.Codec.Check(raw)
 	if len(configErrors) > 0 {
-		return StoredConfig{}, false, configErrors
+		return coreapi.StoredConfig{}, false, configErrors
 	}
 	if document.Version == 0 {
-		return StoredConfig{Version: current.Version + 1, Raw: raw}, false, nil
+		return coreapi.StoredConfig{Version: current.Version + 1, Raw: raw}, false, nil
 	}
 	if document.Version <= current.Version {
 		text := fmt.Sprintf("a sequence above %d, the current one, is expected; the document has %d", current.Version, document.Version)
-		return StoredConfig{}, true, []ConfigError{{Path: "sequence", Text: text}}
+		return coreapi.StoredConfig{}, true, []coreapi.ConfigError{{Path: "sequence", Text: text}}
 	}
-	return StoredConfig{Version: document.Version, Raw: raw}, true, nil
+	return coreapi.StoredConfig{Version: document.Version, Raw: raw}, true, nil
 }
 
 // recordWrite puts the new configuration, a copy for reading back and the write's id.
-func (t *Tx) recordWrite(current, next StoredConfig, numbered bool, id, hash string) error {
+func (t *Tx) recordWrite(current, next coreapi.StoredConfig, numbered bool, id, hash string) error {
 	history, known, err := t.history(current.Version)
 	if err != nil {
 		return err
@@ -172,7 +173,7 @@
 	if err := t.keepVersion(&history, &next, numbered); err != nil {
 		return err
 	}
-	if err := t.keepWriteID(history.Writes, id, WriteRecord{Version: next.Version, Hash: hash}); err != nil {
+	if err := t.keepWriteID(history.Writes, id, WriteResult{Version: next.Version, Hash: hash}); err != nil {
 		return err
 	}
 	if known || numbered {
@@ -208,14 +209,14 @@
 	return document, nil
 }
 
-// sameBytes tells whether two slices are the same memory: what was decoded from one is good for the other.
+// sameBytes reports whether two slices are the same memory: what was decoded from one is good for the other.
 func sameBytes(a, b []byte) bool {
 	return len(a) > 0 && len(a) == len(b) && &a[0] == &b[0]
 }
 
 // parsedConfig reads a configuration, or gives it as it was read last. Nil: none was put yet, or it is not understood.
 // Only the run loop calls it.
-func (s *Server) parsedConfig(config StoredConfig) *Document {
+func (s *Server) parsedConfig(config coreapi.StoredConfig) *Document {
 	if config.Version == 0 {
 		return nil
 	}
--- a/internal/core/config_test.go
+++ b/internal/controlplane/core/config_test.go
@@ -5,13 +5,14 @@
 	"runtime"
 	"testing"
 
-	"yarrowridge/internal/store"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/store"
 )
 
 // wholeCodec takes any configuration: its document has one tenant whose quota is the length of the text.
 type wholeCodec struct{ fleetConfigCodec }
 
-func (wholeCodec) Check(raw []byte) (Document, []ConfigError) {
+func (wholeCodec) Check(raw []byte) (Document, []coreapi.ConfigError) {
 	return Document{Quotas: map[string]int{"t": len(raw)}}, nil
 }
 
@@ -21,21 +22,21 @@
 	s, committed := quotaServer(t)
 	s.settings.Codec = wholeCodec{}
 	for sequence := uint64(1); sequence <= 2; sequence++ {
-		tx := &Tx{store: committed, newest: map[string]*store.Put{}}
+		tx := &Tx{store: committed, newest: map[string]*store.Mutation{}}
 		raw := bytes.Repeat([]byte("x"), size*int(sequence))
-		if err := tx.Put("layout", &StoredConfig{Version: sequence, Raw: raw}); err != nil {
+		if err := tx.Put("layout", &coreapi.StoredConfig{Version: sequence, Raw: raw}); err != nil {
 			t.Fatal(err)
 		}
 		if document, err := s.documentIn(tx); err != nil || document == nil || document.Quotas["t"] != len(raw) {
 			t.Fatalf("configuration %d within its own batch: %+v, %v", sequence, document, err)
 		}
-		if err := committed.Add(store.Batch{Seq: sequence, Puts: tx.newestPuts()}); err != nil {
+		if err := committed.Append(store.Batch{Version: sequence, Mutations: tx.newestPuts()}); err != nil {
 			t.Fatal(err)
 		}
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		for range 100 {
-			tx := &Tx{store: committed, newest: map[string]*store.Put{}}
+			tx := &Tx{store: committed, newest: map[string]*store.Mutation{}}
 			if document, err := s.documentIn(tx); err != nil || document == nil || document.Quotas["t"] != len(raw) {
 				t.Fatalf("configuration %d: %+v, %v", sequence, document, err)
 			}
@@ -52,18 +53,18 @@
 func TestUncommittedConfigurationLeavesNothing(t *testing.T) {
 	s, committed := quotaServer(t)
 	s.settings.Codec = wholeCodec{}
-	lost := &Tx{store: committed, newest: map[string]*store.Put{}}
-	if err := lost.Put(configKey, &StoredConfig{Version: 7, Raw: []byte("lost")}); err != nil {
+	lost := &Tx{store: committed, newest: map[string]*store.Mutation{}}
+	if err := lost.Put(configKey, &coreapi.StoredConfig{Version: 7, Raw: []byte("lost")}); err != nil {
 		t.Fatal(err)
 	}
 	if document, err := s.documentIn(lost); err != nil || document.Quotas["t"] != len("lost") {
 		t.Fatalf("within its batch: %+v, %v", document, err)
 	}
-	acknowledged := StoredConfig{Version: 7, Raw: []byte("acknowledged")}
+	acknowledged := coreapi.StoredConfig{Version: 7, Raw: []byte("acknowledged")}
 	if document := s.parsedConfig(acknowledged); document.Quotas["t"] != len("acknowledged") {
 		t.Errorf("version 7 is read with a quota of %d, the lost one's; %d expected", document.Quotas["t"], len("acknowledged"))
 	}
-	later := &Tx{store: committed, newest: map[string]*store.Put{}}
+	later := &Tx{store: committed, newest: map[string]*store.Mutation{}}
 	if err := later.Put(configKey, &acknowledged); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/core/disk.go
+++ b/internal/controlplane/core/disk.go
@@ -5,18 +5,19 @@
 	"strings"
 	"time"
 
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/store"
-	"yarrowridge/internal/view"
+	"yarrowridge/internal/controlplane/paxos"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/lib/runloop"
 )
 
 // probeEvery is between two attempts to write to a disk that has failed.
 const probeEvery = 2 * time.Second
 
 // openStore reads the stored state. Where it is damaged it is set aside, and the voter is blank.
-func openStore(ctx env.Ctx, disk store.Disk, voter *view.Voter) (*store.Store, error) {
-	opened, err := store.Open(disk, ctx.Part("store").Log)
-	if !errors.Is(err, store.ErrBroken) {
+func openStore(ctx daemon.Context, disk store.Disk, voter *paxos.Acceptor) (*store.Store, error) {
+	opened, err := store.Open(disk, ctx.WithComponent("store").Log)
+	if !errors.Is(err, store.ErrCorrupt) {
 		return opened, err
 	}
 	ctx.Log.Error("State is damaged; set aside. This disk counts as blank.", "error", err.Error())
@@ -46,7 +47,7 @@
 	return nil
 }
 
-// hasDiskFailed tells whether our disk can't be relied on now.
+// hasDiskFailed reports whether our disk can't be relied on now.
 func (s *Server) hasDiskFailed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,7 +72,7 @@
 
 // recoverDisk waits until the disk takes a synced file again, then reads all anew from it.
 func (s *Server) recoverDisk() {
-	for env.Wait(s.ctx, probeEvery) {
+	for runloop.Sleep(s.ctx, probeEvery) {
 		if s.disk.Write("probe", []byte("probe")) == nil && s.reopenStore() {
 			s.ctx.Log.Info("Disk is sound again.")
 			return
@@ -79,7 +80,7 @@
 	}
 }
 
-// reopenStore reads the state from disk anew, and tells whether it could.
+// reopenStore reads the state from disk anew, and reports whether it could.
 func (s *Server) reopenStore() bool {
 	s.storeGate.Lock()
 	defer s.storeGate.Unlock()
--- a/internal/core/doubt_test.go
+++ b/internal/controlplane/core/doubt_test.go
@@ -10,10 +10,10 @@
 
 	"github.com/tinylib/msgp/msgp"
 
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/sim"
-	"yarrowridge/internal/view"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/testing/sim"
+	"yarrowridge/internal/transport/wire"
 )
 
 // loopbackNet lets the cores of one test reach one another by names of their own.
@@ -41,22 +41,22 @@
 			t.Fatal(err)
 		}
 		reach[addr] = listener
-		ctx := env.Ctx{Context: t.Context(), Name: addr, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Net: reach}
+		ctx := daemon.Context{Context: t.Context(), Name: addr, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Net: reach}
 		core, err := Open(ctx, Settings{Addr: addr, Losses: 1}.WithDefaults(), sim.NewDisk().Use())
 		if err != nil {
 			t.Fatal(err)
 		}
 		go wire.Serve(ctx, listener, func(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 			if kind == "view.pick" && acceptsLost.Load() {
-				return nil, wire.Fault{Code: "lost"}
+				return nil, wire.StatusError{Code: "lost"}
 			}
 			return core.handlers.Do(ctx, kind, body)
 		})
 		cores = append(cores, core)
-		v.Members = append(v.Members, view.Member{Id: core.voter.Id(), Addr: addr})
+		v.Members = append(v.Members, view.Member{ID: core.voter.ID(), Addr: addr})
 	}
-	v.Primary = v.Members[0].Id
-	v = v.WithBackups([]string{v.Members[1].Id})
+	v.Primary = v.Members[0].ID
+	v = v.WithBackups([]string{v.Members[1].ID})
 	for _, core := range cores {
 		core.learn(v)
 	}
@@ -70,7 +70,7 @@
 	cores, v := restingCores(t, 3, &acceptsLost)
 	primary := cores[0]
 	primary.setReady(true)
-	asked := v.WithBackups([]string{v.Members[2].Id})
+	asked := v.WithBackups([]string{v.Members[2].ID})
 	acceptsLost.Store(true)
 	if primary.decide(v, asked, false) {
 		t.Fatal("a view was decided by one voter of three")
@@ -81,7 +81,7 @@
 	acceptsLost.Store(false)
 	primary.beginEpoch(v)
 	decided := primary.voter.View()
-	if decided.Epoch != v.Epoch+1 || !decided.IsBackup(v.Members[2].Id) {
+	if decided.Epoch != v.Epoch+1 || !decided.IsBackup(v.Members[2].ID) {
 		t.Errorf("epoch %d was decided with backups %v, not the view that was accepted", decided.Epoch, decided.Backups())
 	}
 	if !primary.mayLeadEpoch(decided.Epoch) {
@@ -95,7 +95,7 @@
 	cores, v := restingCores(t, 3, &acceptsLost)
 	primary := cores[0]
 	alone := v
-	alone.Members = append(alone.Members[:1:1], view.Member{Id: "x", Addr: "b"}, view.Member{Id: "y", Addr: "c"})
+	alone.Members = append(alone.Members[:1:1], view.Member{ID: "x", Addr: "b"}, view.Member{ID: "y", Addr: "c"})
 	if primary.decide(alone, alone, false) {
 		t.Fatal("a view was decided by strangers")
 	}
--- a/internal/core/figures.go
+++ b/internal/controlplane/core/figures.go
@@ -16,11 +16,9 @@
 }
 
 // Figures gives what this core counts of itself now.
-//
-//	primary := server.Figures().Primary
 func (s *Server) Figures() Figures {
 	v := s.voter.View()
-	figures := Figures{Epoch: v.Epoch, Members: len(v.Members), Primary: s.isPrimary(v), StoreVersion: s.store.Load().Seq(),
+	figures := Figures{Epoch: v.Epoch, Members: len(v.Members), Primary: s.isPrimary(v), StoreVersion: s.store.Load().Version(),
 		Runners: len(s.registry.List(time.Now()))}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/core/findfleet.go
+++ b/internal/controlplane/core/findfleet.go
@@ -5,8 +5,7 @@
 	"math/rand/v2"
 	"slices"
 	"time"
-
-	"yarrowridge/internal/view"
+	"yarrowridge/internal/controlplane/view"
 )
 
 // About how long it is between two attempts to find the fleet or to join it.
@@ -44,10 +43,10 @@
 	current := view.View{}
 	for _, addr := range founders {
 		status, ok := statuses[addr]
-		if !ok || status.View.Epoch > 0 || status.Id == "" {
+		if !ok || status.View.Epoch > 0 || status.ID == "" {
 			return
 		}
-		current.Members = append(current.Members, view.Member{Id: status.Id, Addr: addr, Zone: status.Zone})
+		current.Members = append(current.Members, view.Member{ID: status.ID, Addr: addr, Zone: status.Zone})
 	}
 	s.decide(current, foundingView(current, s.settings.Losses), true)
 }
@@ -57,15 +56,13 @@
 func foundingView(current view.View, losses int) view.View {
 	next := current
 	next.TargetSize = len(current.Members)
-	next.Primary = current.Members[0].Id
+	next.Primary = current.Members[0].ID
 	used := map[string]bool{current.Members[0].Zone: true}
 	return next.WithBackups(spread(current.Members[1:], used, losses))
 }
 
 // SetSeeds replaces the addresses at which the fleet is looked for: the settings have changed. Who founds a
 // fleet stays as it was at the start.
-//
-//	srv.SetSeeds([]string{"127.0.0.1:7401"})
 func (s *Server) SetSeeds(seeds []string) { s.seeds.Store(&seeds) }
 
 // join asks the primary to become a member; where it can't be asked, it asks all who the primary is.
@@ -74,7 +71,7 @@
 		return
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, stepTimeout)
-	request := &JoinRequest{Member: view.Member{Id: s.voter.Id(), Addr: s.settings.Addr, Zone: s.ctx.Zone}}
+	request := &JoinRequest{Member: view.Member{ID: s.voter.ID(), Addr: s.settings.Addr, Zone: s.ctx.Zone}}
 	err := s.call(ctx, v.Addr(v.Primary), "core.join", request, nil)
 	cancel()
 	if err == nil {
--- a/internal/core/finishedkeys.go
+++ b/internal/controlplane/core/finishedkeys.go
@@ -9,7 +9,7 @@
 	"sort"
 	"strings"
 
-	"yarrowridge/internal/store"
+	"yarrowridge/internal/controlplane/store"
 )
 
 // A claim with its response is kept for claim_keep_s. That its key ran is kept far longer, as eight
@@ -29,47 +29,47 @@
 
 // finishedKeys is the parts, as committed. Only the run loop touches it.
 type finishedKeys struct {
-	parts []store.Put
+	parts []store.Mutation
 	count int // hashes
 }
 
 // countHashes tells how many hashes a part has.
-func countHashes(part store.Put) int { return len(part.Val) / hashBytes }
+func countHashes(part store.Mutation) int { return len(part.Value) / hashBytes }
 
 // load reads all parts anew.
 func (f *finishedKeys) load(committed *store.Store) {
 	*f = finishedKeys{}
-	committed.Each(finishedPrefix, func(key string, raw []byte) { f.apply(store.Put{Key: key, Val: raw}) })
+	committed.ForEachWithPrefix(finishedPrefix, func(key string, raw []byte) { f.apply(store.Mutation{Key: key, Value: raw}) })
 }
 
 // apply follows a committed put.
-func (f *finishedKeys) apply(put store.Put) {
-	f.parts = slices.DeleteFunc(f.parts, func(known store.Put) bool {
+func (f *finishedKeys) apply(put store.Mutation) {
+	f.parts = slices.DeleteFunc(f.parts, func(known store.Mutation) bool {
 		if known.Key == put.Key {
 			f.count -= countHashes(known)
 		}
 		return known.Key == put.Key
 	})
-	if !put.Gone {
+	if !put.Deleted {
 		f.parts = append(f.parts, put)
 		f.count += countHashes(put)
 	}
 }
 
-// has tells whether a key's hash stands in a part, one of the same batch included.
+// has reports whether a key's hash stands in a part, one of the same batch included.
 func (f *finishedKeys) has(tx *Tx, hash uint64) bool {
 	var want [hashBytes]byte
 	binary.BigEndian.PutUint64(want[:], hash)
-	isIn := func(part store.Put) bool {
+	isIn := func(part store.Mutation) bool {
 		_, found := sort.Find(countHashes(part), func(i int) int {
-			return bytes.Compare(want[:], part.Val[i*hashBytes:(i+1)*hashBytes])
+			return bytes.Compare(want[:], part.Value[i*hashBytes:(i+1)*hashBytes])
 		})
 		return found
 	}
 	if slices.ContainsFunc(f.parts, isIn) {
 		return true
 	}
-	return tx.hasFinishedKeys && slices.ContainsFunc(tx.puts, func(put store.Put) bool {
+	return tx.hasFinishedKeys && slices.ContainsFunc(tx.puts, func(put store.Mutation) bool {
 		return strings.HasPrefix(put.Key, finishedPrefix) && isIn(put)
 	})
 }
@@ -84,8 +84,8 @@
 	}
 	s.finishedParts++
 	tx.hasFinishedKeys = true
-	key := fmt.Sprintf("%s%016x-%x", finishedPrefix, tx.store.Seq()+1, s.finishedParts)
-	tx.add(store.Put{Key: key, Val: raw})
+	key := fmt.Sprintf("%s%016x-%x", finishedPrefix, tx.store.Version()+1, s.finishedParts)
+	tx.add(store.Mutation{Key: key, Value: raw})
 }
 
 // maxFinishedKeys is how many keys that ran are kept at most, by the configuration in force. It is asked for every
@@ -102,7 +102,7 @@
 
 // mergeFinishedKeys makes one part of the smallest ones, once there are many small ones.
 func (s *Server) mergeFinishedKeys(tx *Tx) error {
-	var small []store.Put
+	var small []store.Mutation
 	for _, put := range s.finishedKeys.parts {
 		if countHashes(put) < finishedPartSize/2 {
 			small = append(small, put)
@@ -111,16 +111,16 @@
 	if len(small) < finishedMergeAt {
 		return nil
 	}
-	slices.SortFunc(small, func(a, b store.Put) int { return len(a.Val) - len(b.Val) })
+	slices.SortFunc(small, func(a, b store.Mutation) int { return len(a.Value) - len(b.Value) })
 	var hashes []uint64
 	for _, put := range small[:finishedMergeAt] {
 		if len(hashes)+countHashes(put) > finishedPartSize {
 			break
 		}
-		for i := 0; i < len(put.Val); i += hashBytes {
-			hashes = append(hashes, binary.BigEndian.Uint64(put.Val[i:]))
+		for i := 0; i < len(put.Value); i += hashBytes {
+			hashes = append(hashes, binary.BigEndian.Uint64(put.Value[i:]))
 		}
-		tx.Drop(put.Key)
+		tx.Delete(put.Key)
 	}
 	s.putFinishedKeys(tx, hashes)
 	return nil
--- a/internal/core/fleetcodec.go
+++ b/internal/controlplane/core/fleetcodec.go
@@ -3,7 +3,8 @@
 import (
 	"time"
 
-	"yarrowridge/internal/fleetconfig"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/model/fleetconfig"
 )
 
 // defaultMaxFinishedKeys is how many keys that ran are kept where the configuration does not say.
@@ -13,12 +14,12 @@
 type fleetConfigCodec struct{}
 
 // Check reads a whole configuration.
-func (fleetConfigCodec) Check(raw []byte) (Document, []ConfigError) {
+func (fleetConfigCodec) Check(raw []byte) (Document, []coreapi.ConfigError) {
 	config, errors := fleetconfig.Parse(raw)
 	if len(errors) > 0 {
-		configErrors := make([]ConfigError, len(errors))
+		configErrors := make([]coreapi.ConfigError, len(errors))
 		for i, one := range errors {
-			configErrors[i] = ConfigError{Path: one.Path, Text: one.Text}
+			configErrors[i] = coreapi.ConfigError{Path: one.Path, Text: one.Text}
 		}
 		return Document{}, configErrors
 	}
--- /dev/null
+++ b/internal/controlplane/core/handlers.go
@@ -0,0 +1,116 @@
+package core
+
+import (
+	"context"
+	"time"
+
+	"github.com/tinylib/msgp/msgp"
+
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/paxos"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/lib/faultinjection"
+	"yarrowridge/internal/transport/wire"
+)
+
+// handleTimeout bounds the work for one call.
+const handleTimeout = 4 * time.Second
+
+// handleView answers calls about the view. An error of the voter's is one of its disk.
+func (s *Server) handleView(_ context.Context, kind string, body []byte) (msgp.Marshaler, error) {
+	response, err := s.vote(kind, body)
+	if err != nil && !isFault(err) {
+		s.failDisk(err)
+		return nil, wire.StatusError{Code: coreapi.CodeDiskFailed}
+	}
+	return response, err
+}
+
+// isFault reports whether an error is a response that says no.
+func isFault(err error) bool {
+	_, ok := err.(wire.StatusError)
+	return ok
+}
+
+// vote has the voter answer a call.
+func (s *Server) vote(kind string, body []byte) (msgp.Marshaler, error) {
+	switch kind {
+	case "view.ask":
+		return s.voter.Status(s.settings.Addr, s.ctx.Zone), nil
+	case "view.prep":
+		return wire.HandleTyped(body, s.voter.Prepare)
+	case "view.pick":
+		return wire.HandleTyped(body, s.voter.Accept)
+	case "view.learn":
+		return wire.HandleTyped(body, func(request *view.LearnRequest) (*coreapi.Empty, error) {
+			return &coreapi.Empty{}, s.voter.Learn(request.View)
+		})
+	case "view.renew":
+		return wire.HandleTyped(body, s.voter.Renew)
+	case "view.release":
+		return wire.HandleTyped(body, func(request *paxos.ReleaseRequest) (*coreapi.Empty, error) {
+			s.voter.Release(request)
+			return &coreapi.Empty{}, nil
+		})
+	}
+	return nil, wire.StatusError{Code: "unknown-kind"}
+}
+
+// handleCore answers calls of routers, clients and other cores.
+func (s *Server) handleCore(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
+	ctx, cancel := context.WithTimeout(ctx, handleTimeout)
+	defer cancel()
+	switch kind {
+	case "core.hold":
+		return wire.HandleTyped(body, s.takeBatch)
+	case "core.copy":
+		return wire.HandleTyped(body, s.takeSnapshot)
+	case "core.join":
+		return wire.HandleTyped(body, func(request *JoinRequest) (*coreapi.Empty, error) { return s.takeJoin(ctx, request) })
+	case "core.beat":
+		return wire.HandleTyped(body, func(request *coreapi.HeartbeatRequest) (*coreapi.HeartbeatResponse, error) {
+			return s.takeHeartbeat(ctx, request)
+		})
+	case "core.runner":
+		return wire.HandleTyped(body, func(request *coreapi.RunnerHeartbeat) (*coreapi.Empty, error) { return s.takeRunner(ctx, request) })
+	case "core.layout":
+		return wire.HandleTyped(body, s.readConfig)
+	case "core.write":
+		return wire.HandleTyped(body, func(request *coreapi.WriteRequest) (*coreapi.WriteResponse, error) {
+			return s.writeConfig(ctx, request)
+		})
+	case "core.take":
+		return wire.HandleTyped(body, func(request *coreapi.ClaimRequest) (*coreapi.ClaimResponse, error) { return s.takeClaim(ctx, request) })
+	case "core.settle":
+		return wire.HandleTyped(body, func(request *coreapi.CompleteClaimRequest) (*coreapi.Empty, error) {
+			return s.settleClaim(ctx, request)
+		})
+	case "core.move":
+		return wire.HandleTyped(body, func(move *coreapi.QuotaMove) (*coreapi.QuotaMoveResult, error) { return s.move(ctx, move) })
+	case "core.moves":
+		return wire.HandleTyped(body, func(request *coreapi.QuotaMovesRequest) (*coreapi.QuotaMovesResponse, error) {
+			return s.moveAll(ctx, request)
+		})
+	case "core.sessions":
+		return wire.HandleTyped(body, func(*coreapi.ConfigRequest) (*coreapi.SessionDirectory, error) { return s.readSessions() })
+	case "core.sessions.keep":
+		return wire.HandleTyped(body, func(directory *coreapi.SessionDirectory) (*coreapi.Empty, error) {
+			return s.storeSessions(ctx, directory)
+		})
+	case "core.peek":
+		return wire.HandleTyped(body, func(*coreapi.StateRequest) (*coreapi.State, error) { return s.State(), nil })
+	}
+	return nil, wire.StatusError{Code: "unknown-kind"}
+}
+
+// requirePrimary rejects what only a ready primary may answer.
+func (s *Server) requirePrimary() error {
+	v := s.voter.View()
+	if v.Primary != s.voter.ID() {
+		return wire.StatusError{Code: coreapi.CodeNotPrimary}
+	}
+	if (!s.isReady() || !s.isPrimary(v)) && !faultinjection.Disabled("read-lease") {
+		return wire.StatusError{Code: coreapi.CodeNotReady}
+	}
+	return nil
+}
--- a/internal/core/health.go
+++ b/internal/controlplane/core/health.go
@@ -4,6 +4,7 @@
 	"sort"
 	"sync"
 	"time"
+	"yarrowridge/internal/controlplane/coreapi"
 )
 
 // How the attempts of all routers at a runner are judged.
@@ -22,7 +23,7 @@
 }
 
 // note adds one router's tallies.
-func (h *runnerHealth) note(tallies []RunnerTally, now time.Time) {
+func (h *runnerHealth) note(tallies []coreapi.RunnerStats, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, tally := range tallies {
@@ -31,10 +32,10 @@
 }
 
 // failing lists the runners that fail, sorted by ID.
-func (h *runnerHealth) failing(now time.Time) []FailingRunner {
+func (h *runnerHealth) failing(now time.Time) []coreapi.FailingRunner {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var out []FailingRunner
+	var out []coreapi.FailingRunner
 	for id, known := range h.runners {
 		known.fade(now)
 		if known.count < healthForget {
@@ -42,7 +43,7 @@
 			continue
 		}
 		if share := known.mean(); known.amount >= failingLeast && share >= failingShare {
-			out = append(out, FailingRunner{ID: id, Share: share})
+			out = append(out, coreapi.FailingRunner{ID: id, Share: share})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
--- a/internal/core/heartbeat.go
+++ b/internal/controlplane/core/heartbeat.go
@@ -3,19 +3,19 @@
 import (
 	"context"
 	"sort"
-	"strconv"
 	"time"
 
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/transport/wire"
 )
 
 // runTimeout is how long a node may take to say which run of it there is.
 const runTimeout = 250 * time.Millisecond
 
-// isEndedRun tells whether a heartbeat is of a run that another one at the same address has replaced: it was long under
+// isEndedRun reports whether a heartbeat is of a run that another one at the same address has replaced: it was long under
 // way. Believed, it would set the units of the living run cooling. Whoever listens there says which run it is;
 // where nobody answers, the heartbeat is believed.
-func (s *Server) isEndedRun(ctx context.Context, n Node) bool {
+func (s *Server) isEndedRun(ctx context.Context, n coreapi.Node) bool {
 	s.mu.Lock()
 	known := s.nodes[n.Name]
 	s.mu.Unlock()
@@ -24,26 +24,26 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
-	var there Node
-	err := s.call(ctx, n.Addr, "node.run", &Empty{}, &there)
+	var there coreapi.Node
+	err := s.call(ctx, n.Addr, "node.run", &coreapi.Empty{}, &there)
 	return err == nil && there.Run != n.Run
 }
 
 // takeHeartbeat renews a node's lease, or ends it, and tells the node what has changed.
-func (s *Server) takeHeartbeat(ctx context.Context, request *HeartbeatRequest) (*HeartbeatResponse, error) {
+func (s *Server) takeHeartbeat(ctx context.Context, request *coreapi.HeartbeatRequest) (*coreapi.HeartbeatResponse, error) {
 	if err := s.requirePrimary(); err != nil {
 		return nil, err
 	}
 	n := request.Node
 	if !request.Leaving && s.isEndedRun(ctx, n) {
-		return nil, wire.Fault{Code: RunEnded}
+		return nil, wire.StatusError{Code: coreapi.CodeRunEnded}
 	}
 	response, newRun, err := s.noteHeartbeat(request)
 	if err != nil {
 		return nil, err
 	}
 	if request.Leaving {
-		if err := s.coolHolder(ctx, Holder(n)); err != nil {
+		if err := s.coolHolder(ctx, coreapi.Holder(n)); err != nil {
 			return nil, err
 		}
 		return response, nil
@@ -56,32 +56,32 @@
 }
 
 // noteHeartbeat notes what a heartbeat says and makes the response. newRun: the node's run was not known.
-func (s *Server) noteHeartbeat(request *HeartbeatRequest) (response *HeartbeatResponse, newRun bool, err error) {
+func (s *Server) noteHeartbeat(request *coreapi.HeartbeatRequest) (response *coreapi.HeartbeatResponse, newRun bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	known := s.nodes[request.Node.Name]
 	if known != nil && known.node.Addr != request.Node.Addr && time.Since(known.heardAt) <= nodeLeaseTerm {
-		return nil, false, wire.Fault{Code: NameTaken} // a router that moved gets its name once the lease is over
+		return nil, false, wire.StatusError{Code: coreapi.CodeNameTaken} // a router that moved gets its name once the lease is over
 	}
 	newRun = known == nil || known.node.Run != request.Node.Run
 	s.noteNode(request, known)
 	s.dropExpiredNodes()
-	response = &HeartbeatResponse{ConfigVersion: s.config.Version, NodesVersion: s.nodesVersion}
+	response = &coreapi.HeartbeatResponse{ConfigVersion: s.config.Version, NodesVersion: s.nodesVersion}
 	if v := s.voter.View(); v.Epoch != request.ViewEpoch {
 		response.View = v
 	}
 	s.tellNodes(request, response)
 	s.registry.Tell(request, response, time.Now())
-	s.health.note(request.Tallies, time.Now())
+	s.health.note(request.RunnerStats, time.Now())
 	response.Failing = s.health.failing(time.Now())
-	s.pauses.note(request.Tallies, time.Now())
-	response.Calm = s.pauses.calm(s.registry.List, time.Now())
+	s.pauses.note(request.RunnerStats, time.Now())
+	response.LowLatencyRunners = s.pauses.calm(s.registry.List, time.Now())
 	response.ScarceTenants = s.scarceTenants()
 	return response, newRun, nil
 }
 
 // noteNode renews or ends a node's lease; the caller holds the lock.
-func (s *Server) noteNode(request *HeartbeatRequest, known *liveNode) {
+func (s *Server) noteNode(request *coreapi.HeartbeatRequest, known *liveNode) {
 	n := request.Node
 	switch {
 	case request.Leaving:
@@ -101,18 +101,18 @@
 
 // tellNodes names the live nodes where they have changed. A primary that has just begun does not know all of them
 // yet, so it names none and tells how many there were. The caller holds the lock.
-func (s *Server) tellNodes(request *HeartbeatRequest, response *HeartbeatResponse) {
+func (s *Server) tellNodes(request *coreapi.HeartbeatRequest, response *coreapi.HeartbeatResponse) {
 	switch {
 	case time.Since(s.readySince) <= nodeLeaseTerm:
-		response.RoutersBefore = s.routersBefore
+		response.PreviousRouters = s.routersBefore
 	case request.NodesVersion != s.nodesVersion:
 		response.NodesChanged = true
 		response.Nodes = s.liveNodes()
 	}
 }
 
-// saysSame tells whether two descriptions of a node say the same to its peers.
-func saysSame(a, b Node) bool {
+// saysSame reports whether two descriptions of a node say the same to its peers.
+func saysSame(a, b coreapi.Node) bool {
 	a.ConfigVersion, b.ConfigVersion = 0, 0
 	return a == b
 }
@@ -128,19 +128,11 @@
 }
 
 // liveNodes lists the nodes whose lease runs, sorted by name; the caller holds the lock.
-func (s *Server) liveNodes() []Node {
-	var nodes []Node
+func (s *Server) liveNodes() []coreapi.Node {
+	var nodes []coreapi.Node
 	for _, known := range s.nodes {
 		nodes = append(nodes, known.node)
 	}
 	sort.Slice(nodes, func(i, j int) bool { return nodes[i].Name < nodes[j].Name })
 	return nodes
 }
-
-// Holder names one run of a node as the holder of units. The address is part of it: a newer run
-// at the same address proves the older one gone, since only one process can listen there.
-//
-//	holder := core.Holder(node)
-func Holder(n Node) string {
-	return n.Name + "@" + n.Addr + "/" + strconv.FormatUint(n.Run, 16)
-}
--- a/internal/core/history.go
+++ b/internal/controlplane/core/history.go
@@ -3,7 +3,8 @@
 import (
 	"strconv"
 
-	"yarrowridge/internal/strike"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/lib/faultinjection"
 )
 
 // What is kept of older configurations and of write ids is bounded by counting writes, not by
@@ -18,7 +19,7 @@
 
 // history reads what is kept of earlier writes. known is false where the core has counted all along, and
 // a write's count is its version.
-func (t *Tx) history(current uint64) (history WriteHistory, known bool, err error) {
+func (t *Tx) history(current uint64) (history ConfigHistory, known bool, err error) {
 	raw, known := t.Get(historyKey)
 	if known {
 		_, err = history.UnmarshalMsg(raw)
@@ -34,7 +35,7 @@
 }
 
 // keepVersion keeps a copy of the new configuration for reading back, and drops the oldest copies beyond the bound.
-func (t *Tx) keepVersion(history *WriteHistory, config *StoredConfig, numbered bool) error {
+func (t *Tx) keepVersion(history *ConfigHistory, config *coreapi.StoredConfig, numbered bool) error {
 	if len(config.Raw) <= maxKeptDocument {
 		if err := t.Put(versionKey(config.Version), config); err != nil {
 			return err
@@ -46,19 +47,19 @@
 		limit = maxLargeVersions
 	}
 	for len(history.KeptVersions) > limit {
-		t.Drop(versionKey(history.KeptVersions[0]))
+		t.Delete(versionKey(history.KeptVersions[0]))
 		history.KeptVersions = history.KeptVersions[1:]
 	}
 	return nil
 }
 
 // keepWriteID remembers the id of the write with this count, and forgets the id of one long ago.
-func (t *Tx) keepWriteID(count uint64, id string, record WriteRecord) error {
-	if id != "" && !strike.Out("write-id") {
+func (t *Tx) keepWriteID(count uint64, id string, record WriteResult) error {
+	if id != "" && !faultinjection.Disabled("write-id") {
 		if err := t.Put("mark/"+id, &record); err != nil {
 			return err
 		}
-		if err := t.Put("marked/"+strconv.FormatUint(count, 10), &Claim{Claimant: id}); err != nil {
+		if err := t.Put("marked/"+strconv.FormatUint(count, 10), &coreapi.Claim{Claimant: id}); err != nil {
 			return err
 		}
 	}
@@ -67,11 +68,11 @@
 	}
 	key := "marked/" + strconv.FormatUint(count-maxWriteIDs, 10)
 	if raw, ok := t.Get(key); ok {
-		var written Claim // of a claim only the id is used here
+		var written coreapi.Claim // of a claim only the id is used here
 		if _, err := written.UnmarshalMsg(raw); err == nil {
-			t.Drop("mark/" + written.Claimant)
+			t.Delete("mark/" + written.Claimant)
 		}
-		t.Drop(key)
+		t.Delete(key)
 	}
 	return nil
 }
--- a/internal/core/lead.go
+++ b/internal/controlplane/core/lead.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"yarrowridge/internal/lease"
-	"yarrowridge/internal/strike"
-	"yarrowridge/internal/view"
+	"yarrowridge/internal/controlplane/lease"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/lib/faultinjection"
 )
 
 // About how long it is between two proposals of one member: the pauses are random, around these.
@@ -21,7 +21,7 @@
 // has copied its state to anybody. It acknowledges nothing before every backup of its view has such a copy.
 func withPrimary(v view.View, id string) view.View {
 	next := v.WithoutBackup(id)
-	if v.HasMember(v.Primary) && !strike.Out("former-primary") {
+	if v.HasMember(v.Primary) && !faultinjection.Disabled("former-primary") {
 		next = next.WithBackups(append(slices.Clone(next.Backups()), v.Primary))
 	}
 	next.Primary = id
@@ -52,7 +52,7 @@
 // watchPrimary takes over from a primary whose lease has run out.
 func (s *Server) watchPrimary(v view.View, me string) {
 	s.predecessor = v.Primary
-	if s.voter.Leased() || strike.Out("takeover") {
+	if s.voter.Leased() || faultinjection.Disabled("takeover") {
 		// In turns, so that two backups hinder one another rarely.
 		turn := time.Duration(slices.Index(v.Backups(), me))
 		s.nextAttempt = time.Now().Add(turn*100*time.Millisecond + rand.N(100*time.Millisecond))
@@ -72,7 +72,7 @@
 func (s *Server) lead(v view.View, me string) {
 	primacy, ready, otherPromised, ledSince := s.leading(v)
 	switch {
-	case !primacy.Stands(v.IsMajority):
+	case !primacy.IsHeld(v.IsMajority):
 		s.leadWithoutLease(v, otherPromised)
 		return
 	case !s.mayLeadEpoch(v.Epoch):
@@ -95,14 +95,14 @@
 	s.sweep()
 }
 
-// mayLeadEpoch tells whether an epoch is ours to lead on. One that began before this run of the process, or before the
+// mayLeadEpoch reports whether an epoch is ours to lead on. One that began before this run of the process, or before the
 // disk was last read, is not: messages of the run before may still be under way, and are known by their epoch only. Nor is
 // one after which we asked for another view without learning what came of it: that view may be decided at any time, and
 // its backups do not hold what we would acknowledge with ours.
 func (s *Server) mayLeadEpoch(epoch uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return epoch > s.endedEpoch || strike.Out("resumed-epoch")
+	return epoch > s.endedEpoch || faultinjection.Disabled("resumed-epoch")
 }
 
 // endEpoch leads an epoch no more, and takes no writes until the next one.
@@ -152,7 +152,7 @@
 			s.ledSince, s.lease = time.Now(), lease.New(s.settings.LeaseTerm)
 			clear(s.copiedTo)
 		} else {
-			s.lease = s.lease.Next() // we led the epoch before: who was silent then still is
+			s.lease = s.lease.ForNextEpoch() // we led the epoch before: who was silent then still is
 		}
 		s.epoch, s.ready, s.otherPromised = v.Epoch, false, false
 		s.mu.Unlock()
--- a/internal/core/lease.go
+++ b/internal/controlplane/core/lease.go
@@ -5,8 +5,9 @@
 	"math/rand/v2"
 	"time"
 
-	"yarrowridge/internal/lease"
-	"yarrowridge/internal/view"
+	"yarrowridge/internal/controlplane/lease"
+	"yarrowridge/internal/controlplane/paxos"
+	"yarrowridge/internal/controlplane/view"
 )
 
 // renew asks all voters to lease us the primacy. It runs beside the run loop, so that a lease
@@ -18,11 +19,11 @@
 	v := s.voter.View()
 	s.mu.Lock()
 	primacy := s.lease
-	heard := time.Since(s.ledSince) < s.settings.LeaseTerm/2 || primacy.Hears(v.IsMajority, s.settings.LeaseTerm/2)
-	leads := v.Primary == s.voter.Id() && s.epoch == v.Epoch && !s.diskFailed && v.Epoch > 0
+	heard := time.Since(s.ledSince) < s.settings.LeaseTerm/2 || primacy.HasRecentResponses(v.IsMajority, s.settings.LeaseTerm/2)
+	leads := v.Primary == s.voter.ID() && s.epoch == v.Epoch && !s.diskFailed && v.Epoch > 0
 	leads = !s.isRenewalPaused(v, heard) && leads
 	s.renewRounds++
-	request := view.RenewRequest{View: v, PrimaryRun: s.runID, Round: s.renewRounds}
+	request := paxos.RenewRequest{View: v, PrimaryRun: s.runID, Round: s.renewRounds}
 	s.mu.Unlock()
 	if !leads {
 		return
@@ -36,11 +37,11 @@
 	}
 }
 
-// isRenewalPaused tells whether we ask for no lease for a while: a majority answers, but has not granted the lease for
+// isRenewalPaused reports whether we ask for no lease for a while: a majority answers, but has not granted the lease for
 // long, so too few follow us, and they must not be kept from following another. The caller holds the lock.
 func (s *Server) isRenewalPaused(v view.View, heard bool) bool {
 	term := s.settings.LeaseTerm
-	if !heard || s.lease.Stands(v.IsMajority) {
+	if !heard || s.lease.IsHeld(v.IsMajority) {
 		s.leaseStoodAt = time.Now()
 		return false
 	}
@@ -54,20 +55,20 @@
 }
 
 // renewAt asks one voter for the lease.
-func (s *Server) renewAt(request view.RenewRequest, m view.Member, primacy *lease.Lease) {
+func (s *Server) renewAt(request paxos.RenewRequest, m view.Member, primacy *lease.Lease) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.settings.LeaseTerm/2)
 	defer cancel()
-	var response view.RenewResponse
+	var response paxos.RenewResponse
 	asked := time.Now()
-	if s.call(ctx, m.Addr, "view.renew", &request, &response) != nil || response.Id != m.Id {
+	if s.call(ctx, m.Addr, "view.renew", &request, &response) != nil || response.ID != m.ID {
 		return
 	}
-	primacy.Saw(m.Id)
+	primacy.RecordResponse(m.ID)
 	switch {
 	case response.Ok:
-		stood := primacy.Stands(request.View.IsMajority)
-		primacy.Grant(m.Id, asked)
-		if !stood && primacy.Stands(request.View.IsMajority) {
+		stood := primacy.IsHeld(request.View.IsMajority)
+		primacy.RecordGrant(m.ID, asked)
+		if !stood && primacy.IsHeld(request.View.IsMajority) {
 			s.wake()
 		}
 	case response.View.Epoch > request.View.Epoch:
@@ -89,8 +90,8 @@
 func (s *Server) probe(m view.Member, primacy *lease.Lease) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.settings.LeaseTerm/2)
 	defer cancel()
-	if status, err := s.statusOf(ctx, m.Addr); err == nil && status.Id == m.Id {
-		primacy.Saw(m.Id)
+	if status, err := s.statusOf(ctx, m.Addr); err == nil && status.ID == m.ID {
+		primacy.RecordResponse(m.ID)
 		s.learn(status.View)
 	}
 }
@@ -98,14 +99,14 @@
 // release gives our lease back to all voters, so that a backup need not wait for its end.
 func (s *Server) release(round uint64) {
 	v := s.voter.View()
-	if v.Primary != s.voter.Id() {
+	if v.Primary != s.voter.ID() {
 		return
 	}
 	for _, m := range v.Members {
 		go func() {
 			ctx, cancel := context.WithTimeout(s.ctx, stepTimeout)
 			defer cancel()
-			s.call(ctx, m.Addr, "view.release", &view.ReleaseRequest{Epoch: v.Epoch, PrimaryRun: s.runID, Round: round}, nil)
+			s.call(ctx, m.Addr, "view.release", &paxos.ReleaseRequest{Epoch: v.Epoch, PrimaryRun: s.runID, Round: round}, nil)
 		}()
 	}
 }
--- a/internal/core/members.go
+++ b/internal/controlplane/core/members.go
@@ -5,10 +5,11 @@
 	"slices"
 	"time"
 
-	"yarrowridge/internal/lease"
-	"yarrowridge/internal/strike"
-	"yarrowridge/internal/view"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/lease"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/lib/faultinjection"
+	"yarrowridge/internal/transport/wire"
 )
 
 // How long a change of the members waits.
@@ -20,29 +21,29 @@
 
 // takeJoin notes a process that wants to become a member, once it has answered at its address: a
 // request that was long under way may be that of a process that is gone.
-func (s *Server) takeJoin(ctx context.Context, request *JoinRequest) (*Empty, error) {
+func (s *Server) takeJoin(ctx context.Context, request *JoinRequest) (*coreapi.Empty, error) {
 	member := request.Member
-	if v := s.voter.View(); v.Primary != s.voter.Id() {
-		return nil, wire.Fault{Code: NotPrimary}
+	if v := s.voter.View(); v.Primary != s.voter.ID() {
+		return nil, wire.StatusError{Code: coreapi.CodeNotPrimary}
 	}
 	if member.Addr == s.settings.Addr {
-		return nil, wire.Fault{Code: "own-address"}
+		return nil, wire.StatusError{Code: "own-address"}
 	}
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
-	if status, err := s.statusOf(ctx, member.Addr); err != nil || status.Id != member.Id {
-		return nil, wire.Fault{Code: "not-reached"}
+	if status, err := s.statusOf(ctx, member.Addr); err != nil || status.ID != member.ID {
+		return nil, wire.StatusError{Code: "not-reached"}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	known, ok := s.candidates[member.Id]
+	known, ok := s.candidates[member.ID]
 	if !ok || now.Sub(known.lastAsked) > candidateFor {
 		known.firstAsked = now
 	}
 	known.member, known.lastAsked = member, now
-	s.candidates[member.Id] = known
-	return &Empty{}, nil
+	s.candidates[member.ID] = known
+	return &coreapi.Empty{}, nil
 }
 
 // nextCandidate is the process that is to become a member next, or nil. One that took the place of a
@@ -70,9 +71,9 @@
 	return a.firstAsked.Before(b.firstAsked)
 }
 
-// supersedes tells whether a newcomer proves a member gone, or is that member at a new address.
+// supersedes reports whether a newcomer proves a member gone, or is that member at a new address.
 func supersedes(v view.View, newcomer view.Member) bool {
-	return slices.ContainsFunc(v.Members, func(m view.Member) bool { return m.Addr == newcomer.Addr || m.Id == newcomer.Id })
+	return slices.ContainsFunc(v.Members, func(m view.Member) bool { return m.Addr == newcomer.Addr || m.ID == newcomer.ID })
 }
 
 // changeMembers changes the members by one step where that is due.
@@ -86,16 +87,16 @@
 		case me:
 			return 0
 		case s.deposed:
-			return primacy.Gone(id, ledSince.Add(-s.settings.LeaseTerm)) // its lease had run out when we took over
+			return primacy.SinceResponse(id, ledSince.Add(-s.settings.LeaseTerm)) // its lease had run out when we took over
 		}
-		return primacy.Gone(id, ledSince)
+		return primacy.SinceResponse(id, ledSince)
 	}
 	next, ok := s.nextMembers(v, newcomer, silence)
 	if !ok {
 		return
 	}
 	if newcomer != nil {
-		primacy.Saw(newcomer.member.Id) // it answered when it asked to join; nobody else has asked it yet
+		primacy.RecordResponse(newcomer.member.ID) // it answered when it asked to join; nobody else has asked it yet
 	}
 	s.ctx.Log.Info("Members change.", "from", len(v.Members), "to", len(next.Members))
 	if !s.decide(v, next, false) {
@@ -114,8 +115,8 @@
 	case newcomer != nil && supersedes(v, newcomer.member):
 		next := v
 		for _, m := range v.Members {
-			if m.Addr == newcomer.member.Addr || m.Id == newcomer.member.Id {
-				next = next.WithoutMember(m.Id)
+			if m.Addr == newcomer.member.Addr || m.ID == newcomer.member.ID {
+				next = next.WithoutMember(m.ID)
 			}
 		}
 		v = next.WithMember(newcomer.member)
@@ -138,7 +139,7 @@
 	return v, true
 }
 
-// isTooManyByOne tells whether fewer members are a majority once one of them is dropped, and enough are left to bear the
+// isTooManyByOne reports whether fewer members are a majority once one of them is dropped, and enough are left to bear the
 // losses. So a machine that was replaced, the new one first, does not count among the members for ever: with four members
 // of which three run, the next loss would leave no majority. A member that was only cut off asks to join again.
 func (s *Server) isTooManyByOne(v view.View) bool {
@@ -152,11 +153,11 @@
 func (s *Server) longestLost(v view.View, silence func(string) time.Duration) (lost, lostBackup string) {
 	for _, m := range v.Members {
 		longest := &lost
-		if v.IsBackup(m.Id) && !strike.Out("lost-backup") {
+		if v.IsBackup(m.ID) && !faultinjection.Disabled("lost-backup") {
 			longest = &lostBackup
 		}
-		if quiet := silence(m.Id); quiet > s.settings.LostAfter && (*longest == "" || quiet > silence(*longest)) {
-			*longest = m.Id
+		if quiet := silence(m.ID); quiet > s.settings.LostAfter && (*longest == "" || quiet > silence(*longest)) {
+			*longest = m.ID
 		}
 	}
 	return lost, lostBackup
@@ -168,7 +169,7 @@
 func countAlive(v view.View, newcomer candidate, silence func(string) time.Duration) (live int, sure bool) {
 	live, sure = 1, true
 	for _, m := range v.Members {
-		switch quiet := silence(m.Id); {
+		switch quiet := silence(m.ID); {
 		case quiet < time.Since(newcomer.firstAsked):
 			live++
 		case quiet < quietFor:
--- a/internal/core/members_test.go
+++ b/internal/controlplane/core/members_test.go
@@ -3,8 +3,7 @@
 import (
 	"testing"
 	"time"
-
-	"yarrowridge/internal/view"
+	"yarrowridge/internal/controlplane/view"
 )
 
 // nextOf gives the members and backups of the view after one, where some members are silent for long.
@@ -26,7 +25,7 @@
 	v := view.View{Epoch: 1, Primary: "a", TargetSize: count}
 	for i := range count {
 		id := string(rune('a' + i))
-		v.Members = append(v.Members, view.Member{Id: id, Addr: id + ":1"})
+		v.Members = append(v.Members, view.Member{ID: id, Addr: id + ":1"})
 	}
 	return v.WithBackups([]string{"b"})
 }
@@ -34,7 +33,7 @@
 // A backup that is silent for long holds all that was acknowledged. It gives its place to a newcomer only where there is no
 // room beside it: the newcomer has no copy yet.
 func TestLostBackupStaysUntilThereIsAnother(t *testing.T) {
-	newcomer := &candidate{member: view.Member{Id: "n", Addr: "n:1"}, firstAsked: time.Now().Add(-time.Second)}
+	newcomer := &candidate{member: view.Member{ID: "n", Addr: "n:1"}, firstAsked: time.Now().Add(-time.Second)}
 	for _, one := range []struct {
 		name       string
 		maxMembers int
@@ -62,7 +61,7 @@
 		dropped         bool
 	}{{4, 1, true}, {6, 1, true}, {6, 2, true}, {4, 2, false}, {3, 1, false}, {5, 1, false}, {2, 1, false}} {
 		v := membersOf(one.members)
-		last := v.Members[one.members-1].Id
+		last := v.Members[one.members-1].ID
 		if one.members == 2 {
 			v = v.WithBackups(nil)
 		}
--- /dev/null
+++ b/internal/controlplane/core/msgs.go
@@ -0,0 +1,81 @@
+package core
+
+import (
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/model/quota"
+)
+
+//go:generate go tool msgp -tests=false -io=false -unexported
+
+// A length read from the wire is believed up to this only.
+//msgp:limit arrays:10000000 maps:200000
+
+// ReplicateRequest asks a backup to store a batch.
+type ReplicateRequest struct {
+	View    view.View   `msg:"v"`
+	Primary string      `msg:"f"`
+	Batch   store.Batch `msg:"b"`
+}
+
+// SnapshotRequest carries a part of the whole state to a backup that is to be.
+type SnapshotRequest struct {
+	View      view.View        `msg:"v"`
+	Primary   string           `msg:"f"`
+	Snapshot  uint64           `msg:"t"`
+	Chunk     int              `msg:"p"`
+	Last      bool             `msg:"l"`
+	Version   uint64           `msg:"s"`
+	Mutations []store.Mutation `msg:"b"`
+}
+
+// ReplicateResponse answers ReplicateRequest and SnapshotRequest with the backup's identity.
+type ReplicateResponse struct {
+	ID string `msg:"i"`
+}
+
+// JoinRequest is a process that is no member asking to become one.
+type JoinRequest struct {
+	Member view.Member `msg:"w"`
+}
+
+// WriteResult remembers what was written under a write id.
+type WriteResult struct {
+	Version uint64 `msg:"s"`
+	Hash    string `msg:"h"`
+}
+
+// ConfigHistory counts the writes of documents that number themselves, and names the older ones still kept.
+type ConfigHistory struct {
+	Writes       uint64   `msg:"c"`
+	KeptVersions []uint64 `msg:"p"`
+}
+
+// storedPool is a tenant's quota pool as it is on disk. It has an entry for every router and is written with every
+// move, so holders go by the numbers of their storedHolder records.
+type storedPool struct {
+	Held    map[string]quota.Allocation `msg:"h,omitempty"` // by name: as older versions wrote it, only read
+	Cool    map[string]int              `msg:"c,omitempty"`
+	Above   int                         `msg:"a,omitempty"`
+	Charges []quota.Charge              `msg:"x,omitempty"`
+	Holds   []numberedHold              `msg:"n,omitempty"`
+}
+
+//msgp:tuple numberedHold
+
+// numberedHold is a share.Hold with the number of its holder.
+type numberedHold struct {
+	Holder uint64
+	Units  int
+	Turn   uint64
+}
+
+// storedHolder is the name of a holder of quota units, under its number.
+type storedHolder struct {
+	Name string `msg:"n"`
+}
+
+// holderCount is how many numbers of holders were given out: none is given twice.
+type holderCount struct {
+	Last uint64 `msg:"l"`
+}
--- a/internal/core/pauses.go
+++ b/internal/controlplane/core/pauses.go
@@ -6,7 +6,8 @@
 	"sync"
 	"time"
 
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/model/routing"
 )
 
 // How the pauses between the events of streams are judged.
@@ -27,12 +28,12 @@
 }
 
 // note adds one router's tallies.
-func (p *runnerPauses) note(tallies []RunnerTally, now time.Time) {
+func (p *runnerPauses) note(tallies []coreapi.RunnerStats, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, tally := range tallies {
-		if tally.Pauses > 0 && tally.PausesMs >= 0 {
-			p.runners.add(tally.ID, pausesHalf, tally.Pauses, tally.PausesMs, now)
+		if tally.TokenGaps > 0 && tally.TokenGapsMs >= 0 {
+			p.runners.add(tally.ID, pausesHalf, tally.TokenGaps, tally.TokenGapsMs, now)
 		}
 	}
 }
--- a/internal/core/pauses_test.go
+++ b/internal/controlplane/core/pauses_test.go
@@ -6,7 +6,8 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/model/routing"
 )
 
 func pausingRunners(service string, ids ...string) func(time.Time) []routing.Runner {
@@ -24,10 +25,10 @@
 	var pauses runnerPauses
 	now := time.Now()
 	for router := range 10 {
-		pauses.note([]RunnerTally{{ID: "a", Pauses: 1, PausesMs: 40 + router}, {ID: "b", Pauses: 1, PausesMs: 60 - router},
-			{ID: "c", Pauses: 1, PausesMs: 30}, {ID: "d", Pauses: 1, PausesMs: 90}}, now)
+		pauses.note([]coreapi.RunnerStats{{ID: "a", TokenGaps: 1, TokenGapsMs: 40 + router}, {ID: "b", TokenGaps: 1, TokenGapsMs: 60 - router},
+			{ID: "c", TokenGaps: 1, TokenGapsMs: 30}, {ID: "d", TokenGaps: 1, TokenGapsMs: 90}}, now)
 	}
-	pauses.note([]RunnerTally{{ID: "seldom", Pauses: 1, PausesMs: 1}}, now)
+	pauses.note([]coreapi.RunnerStats{{ID: "seldom", TokenGaps: 1, TokenGapsMs: 1}}, now)
 	if got := pauses.calm(pausingRunners("s", "a", "b", "c", "d", "seldom", "unseen"), now); !slices.Equal(got, []string{"a", "c"}) {
 		t.Errorf("calm: %v, a and c expected", got)
 	}
@@ -38,13 +39,13 @@
 	var pauses runnerPauses
 	now := time.Now()
 	all := pausingRunners("s", "a", "b")
-	pauses.note([]RunnerTally{{ID: "a", Pauses: 50, PausesMs: 50 * 200}, {ID: "b", Pauses: 50, PausesMs: 50 * 60}}, now)
+	pauses.note([]coreapi.RunnerStats{{ID: "a", TokenGaps: 50, TokenGapsMs: 50 * 200}, {ID: "b", TokenGaps: 50, TokenGapsMs: 50 * 60}}, now)
 	if got := pauses.calm(all, now); !slices.Equal(got, []string{"b"}) {
 		t.Fatalf("calm: %v, b expected", got)
 	}
 	for range 8 {
 		now = now.Add(time.Second)
-		pauses.note([]RunnerTally{{ID: "a", Pauses: 10, PausesMs: 10 * 30}, {ID: "b", Pauses: 10, PausesMs: 10 * 60}}, now)
+		pauses.note([]coreapi.RunnerStats{{ID: "a", TokenGaps: 10, TokenGapsMs: 10 * 30}, {ID: "b", TokenGaps: 10, TokenGapsMs: 10 * 60}}, now)
 	}
 	if got := pauses.calm(all, now); !slices.Equal(got, []string{"a"}) {
 		t.Errorf("calm after eight seconds: %v, a expected", got)
@@ -66,9 +67,9 @@
 			runner.State = routing.RunnerDraining
 		}
 		runners = append(runners, runner)
-		pauses.note([]RunnerTally{{ID: runner.ID, Pauses: 10, PausesMs: 100 * (i + 1)}}, now)
+		pauses.note([]coreapi.RunnerStats{{ID: runner.ID, TokenGaps: 10, TokenGapsMs: 100 * (i + 1)}}, now)
 	}
-	pauses.note([]RunnerTally{{ID: "7", Pauses: -1, PausesMs: 5}, {ID: "7", Pauses: 5, PausesMs: -100000}}, now)
+	pauses.note([]coreapi.RunnerStats{{ID: "7", TokenGaps: -1, TokenGapsMs: 5}, {ID: "7", TokenGaps: 5, TokenGapsMs: -100000}}, now)
 	got := pauses.calm(func(time.Time) []routing.Runner { return runners }, now)
 	if want := []string{"1", "4", "5"}; !slices.Equal(got, want) {
 		t.Errorf("calm: %v, %v expected", got, want)
--- a/internal/core/primary.go
+++ b/internal/controlplane/core/primary.go
@@ -8,8 +8,10 @@
 	"sync"
 	"time"
 
-	"yarrowridge/internal/strike"
-	"yarrowridge/internal/view"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/paxos"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/lib/faultinjection"
 )
 
 // learn takes a decided view, if it is newer.
@@ -24,13 +26,13 @@
 	if s.hasDiskFailed() {
 		return
 	}
-	v, me := s.voter.View(), s.voter.Id()
+	v, me := s.voter.View(), s.voter.ID()
 	switch {
 	case v.Epoch == 0:
 		s.findFleet()
 	case v.Primary == me:
 		s.lead(v, me)
-	case v.IsBackup(me) || v.HasMember(me) && strike.Out("only-holders-lead"):
+	case v.IsBackup(me) || v.HasMember(me) && faultinjection.Disabled("only-holders-lead"):
 		s.watchPrimary(v, me)
 	case v.Addr(me) != s.settings.Addr: // no member, or one that has moved
 		s.join(v)
@@ -39,7 +41,7 @@
 	}
 }
 
-// attemptDue tells whether the next attempt may be made, and if so sets the earliest time of the one after it: a random
+// attemptDue reports whether the next attempt may be made, and if so sets the earliest time of the one after it: a random
 // time around the pause from now, so that members that wait for the same don't hinder one another again and again.
 func (s *Server) attemptDue(pause time.Duration) bool {
 	if time.Now().Before(s.nextAttempt) {
@@ -76,20 +78,20 @@
 
 // decide proposes the next view, and learns what came of it. unanimous: every current member must promise.
 func (s *Server) decide(current, next view.View, unanimous bool) bool {
-	proposal := &view.Proposal{
-		Proposer:      s.voter.Id(),
+	proposal := &paxos.Proposal{
+		ProposerID:    s.voter.ID(),
 		Call:          s.call,
 		Current:       current,
 		Next:          next,
 		Unanimous:     unanimous,
 		StepTimeout:   stepTimeout,
-		HighestBallot: s.highestBallot,
+		HighestNumber: s.highestBallot,
 	}
 	decided, err := proposal.Run(s.ctx)
-	s.highestBallot = proposal.HighestBallot
+	s.highestBallot = proposal.HighestNumber
 	if err != nil {
 		s.ctx.Log.Warn("View not decided.", "after", current.Epoch, "error", err.Error())
-		if errors.Is(err, view.ErrInDoubt) && !strike.Out("decision-in-doubt") {
+		if errors.Is(err, paxos.ErrOutcomeUnknown) && !faultinjection.Disabled("decision-in-doubt") {
 			s.endEpoch(current.Epoch)
 		}
 		return false
@@ -107,7 +109,7 @@
 // tellMembers tells all others of a decided view, and waits for nobody.
 func (s *Server) tellMembers(members []view.Member, decided view.View) {
 	for _, m := range members {
-		if m.Id == s.voter.Id() {
+		if m.ID == s.voter.ID() {
 			continue
 		}
 		go func() {
@@ -118,15 +120,15 @@
 	}
 }
 
-// isPrimary tells whether we are primary of the epoch now, by a majority's lease.
+// isPrimary reports whether we are primary of the epoch now, by a majority's lease.
 func (s *Server) isPrimary(v view.View) bool {
 	s.mu.Lock()
 	primacy, leads := s.lease, s.epoch == v.Epoch && !s.diskFailed
 	s.mu.Unlock()
-	return leads && primacy.Stands(v.IsMajority) && s.voter.View().Epoch == v.Epoch
+	return leads && primacy.IsHeld(v.IsMajority) && s.voter.View().Epoch == v.Epoch
 }
 
-// isReady tells whether we take writes, for as long as we are primary.
+// isReady reports whether we take writes, for as long as we are primary.
 func (s *Server) isReady() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +144,7 @@
 
 // becomeReady opens for writes: the backups hold all we hold, and the lease stands.
 func (s *Server) becomeReady(v view.View) {
-	var config StoredConfig
+	var config coreapi.StoredConfig
 	if raw, ok := s.store.Load().Get(configKey); ok {
 		if _, err := config.UnmarshalMsg(raw); err != nil {
 			s.ctx.Log.Error("Stored configuration can't be read.", "error", err.Error())
@@ -152,7 +154,7 @@
 	s.finishedKeys.load(s.store.Load())
 	s.predecessor = ""
 	s.mu.Lock()
-	s.registry.Begin(registryEpoch(v.Epoch, s.ctx.Born), s.ledSince, time.Now(), s.storedRunners())
+	s.registry.Begin(registryEpoch(v.Epoch, s.ctx.RunID), s.ledSince, time.Now(), s.storedRunners())
 	s.ready, s.config, s.readySince = true, config, time.Now()
 	s.routersBefore = s.rememberedRouters()
 	s.mu.Unlock()
@@ -163,8 +165,6 @@
 const stepDownTimeout = 2 * time.Second
 
 // StepDown hands the primacy to the backup, which holds all we hold, before a planned stop.
-//
-//	srv.StepDown()
 func (s *Server) StepDown() {
 	operation := &job{done: make(chan error, 1), step: s.stepDown}
 	timeout := time.NewTimer(stepDownTimeout)
@@ -183,7 +183,7 @@
 // stepDown has the first backup lead. Only the run loop calls it.
 func (s *Server) stepDown() {
 	v := s.voter.View()
-	if v.Primary != s.voter.Id() || !s.isReady() {
+	if v.Primary != s.voter.ID() || !s.isReady() {
 		return
 	}
 	next, ok := s.afterLeaving(v)
--- a/internal/core/push.go
+++ b/internal/controlplane/core/push.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"yarrowridge/internal/relay"
+	"yarrowridge/internal/transport/relay"
 )
 
 // pushTimeout is how long a push waits for the nodes.
@@ -33,7 +33,7 @@
 	s.mu.Lock()
 	nodes := s.liveNodes()
 	s.mu.Unlock()
-	news := relay.News{Records: records}
+	news := relay.Update{Records: records}
 	inZone := map[string]int{}
 	done := make(chan bool, len(nodes))
 	sent := 0
--- a/internal/core/quota.go
+++ b/internal/controlplane/core/quota.go
@@ -5,12 +5,13 @@
 	"math/rand/v2"
 	"time"
 
-	"yarrowridge/internal/share"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/model/quota"
 )
 
 // move draws or gives units of one tenant.
-func (s *Server) move(ctx context.Context, move *QuotaMove) (*QuotaMoveResult, error) {
-	all, err := s.moveAll(ctx, &QuotaMovesRequest{Holder: move.Holder, Moves: []QuotaMove{*move}})
+func (s *Server) move(ctx context.Context, move *coreapi.QuotaMove) (*coreapi.QuotaMoveResult, error) {
+	all, err := s.moveAll(ctx, &coreapi.QuotaMovesRequest{Holder: move.Holder, Moves: []coreapi.QuotaMove{*move}})
 	if err != nil {
 		return nil, err
 	}
@@ -18,10 +19,10 @@
 }
 
 // moveAll makes all moves of one holder in one write.
-func (s *Server) moveAll(ctx context.Context, request *QuotaMovesRequest) (*QuotaMovesResponse, error) {
-	response := &QuotaMovesResponse{}
+func (s *Server) moveAll(ctx context.Context, request *coreapi.QuotaMovesRequest) (*coreapi.QuotaMovesResponse, error) {
+	response := &coreapi.QuotaMovesResponse{}
 	err := s.Submit(ctx, func(tx *Tx) error {
-		response.Results = make([]QuotaMoveResult, len(request.Moves))
+		response.Results = make([]coreapi.QuotaMoveResult, len(request.Moves))
 		document, err := s.documentIn(tx)
 		if err != nil {
 			return err
@@ -43,25 +44,25 @@
 }
 
 // moveIn makes one move. Only the run loop calls it.
-func (s *Server) moveIn(tx *Tx, holder string, move *QuotaMove, document *Document) (result QuotaMoveResult, err error) {
+func (s *Server) moveIn(tx *Tx, holder string, move *coreapi.QuotaMove, document *Document) (result coreapi.QuotaMoveResult, err error) {
 	pool, err := s.poolCache.get(tx, move.Tenant)
 	if err != nil {
 		return result, err
 	}
 	quota, tolerance := document.Quotas[move.Tenant], document.Tolerances[move.Tenant]
 	var changed bool
-	if move.Give {
-		result.Held, changed = pool.Give(holder, move.Turn, move.Units)
+	if move.Return {
+		result.Held, changed = pool.Return(holder, move.Sequence, move.Units)
 	} else {
 		before := pool.Held[holder].Units
-		free := max(0, pool.Most(quota, tolerance)-pool.Out())
+		free := max(0, pool.MaxAllocated(quota, tolerance)-pool.Allocated())
 		units, short := s.drawUnits(move, free, quota)
-		result.Held, changed = pool.DrawAbove(holder, move.Turn, units, quota, tolerance, s.chargeFor(move.Tenant))
+		result.Held, changed = pool.AcquireWithTolerance(holder, move.Sequence, units, quota, tolerance, s.chargeFor(move.Tenant))
 		if move.Units > 0 {
 			s.noteScarce(move, short || result.Held == before, quota, free-(result.Held-before))
 		}
 	}
-	result.Ceiling = pool.Under(quota)
+	result.Limit = pool.Limit(quota)
 	if changed {
 		err = s.poolCache.put(tx, move.Tenant, pool)
 	}
@@ -69,19 +70,19 @@
 }
 
 // drawUnits is how many of the free units a draw gets. short: a request that waits for them gets none.
-func (s *Server) drawUnits(move *QuotaMove, free, quota int) (units int, short bool) {
+func (s *Server) drawUnits(move *coreapi.QuotaMove, free, total int) (units int, short bool) {
 	if len(move.Costs) == 0 {
 		return min(move.Units, maxDraw(free)), false
 	}
 	if s.savings == nil {
-		s.savings = map[string]*share.Saving{}
+		s.savings = map[string]*quota.Saving{}
 	}
 	saving := s.savings[move.Tenant]
 	if saving == nil {
-		saving = &share.Saving{}
+		saving = &quota.Saving{}
 		s.savings[move.Tenant] = saving
 	}
-	return saving.Draw(time.Now(), free, quota, move.Costs, move.Units)
+	return saving.Draw(time.Now(), free, total, move.Costs, move.Units)
 }
 
 // openCharge is the charge to which what is drawn of a tenant's tolerance is added for a while.
@@ -110,11 +111,11 @@
 }
 
 // maxDraw is the most that one draw gets of what is free.
-func maxDraw(free int) int { return (free + share.DrawDivisor - 1) / share.DrawDivisor }
+func maxDraw(free int) int { return (free + quota.AcquireDivisor - 1) / quota.AcquireDivisor }
 
 // coolHolder sets a holder's units cooling: its process is surely gone.
 func (s *Server) coolHolder(ctx context.Context, holder string) error {
 	return s.Submit(ctx, func(tx *Tx) error {
-		return s.updatePools(tx, func(_ string, pool *share.QuotaPool) bool { return pool.Retire(holder) })
+		return s.updatePools(tx, func(_ string, pool *quota.Pool) bool { return pool.StartCooling(holder) })
 	})
 }
--- a/internal/core/quota_test.go
+++ b/internal/controlplane/core/quota_test.go
@@ -6,8 +6,9 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/share"
-	"yarrowridge/internal/store"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/model/quota"
 )
 
 // quotaServer is a core with an empty store, as far as quotas need one.
@@ -29,23 +30,23 @@
 // A pool is decoded once, and one that a failed job or a failed batch changed is read anew.
 func TestPotsAreReadAnewAfterAFailure(t *testing.T) {
 	s, opened := quotaServer(t)
-	begin := func() *Tx { return &Tx{store: opened, newest: map[string]*store.Put{}} }
+	begin := func() *Tx { return &Tx{store: opened, newest: map[string]*store.Mutation{}} }
 	draw := func(tx *Tx, turn uint64) int {
-		out, err := s.moveIn(tx, "a", &QuotaMove{Tenant: "t", Turn: turn, Units: 1}, &Document{Quotas: map[string]int{"t": 100}})
+		out, err := s.moveIn(tx, "a", &coreapi.QuotaMove{Tenant: "t", Sequence: turn, Units: 1}, &Document{Quotas: map[string]int{"t": 100}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return out.Held
 	}
 	commit := func(tx *Tx) {
-		if err := opened.Add(store.Batch{Seq: opened.Seq() + 1, Puts: tx.newestPuts()}); err != nil {
+		if err := opened.Append(store.Batch{Version: opened.Version() + 1, Mutations: tx.newestPuts()}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	tx := begin()
 	draw(tx, 1)
 	draw(tx, 2)
-	ofPool := slices.DeleteFunc(slices.Clone(tx.newestPuts()), func(put store.Put) bool { return put.Key != poolKey("t") })
+	ofPool := slices.DeleteFunc(slices.Clone(tx.newestPuts()), func(put store.Mutation) bool { return put.Key != poolKey("t") })
 	if len(ofPool) != 1 {
 		t.Fatalf("%d puts of one pool, 1 expected", len(ofPool))
 	}
@@ -66,7 +67,7 @@
 	}
 	commit(tx)
 	pool, err := s.poolCache.get(begin(), "t")
-	if err != nil || pool.Held["a"] != (share.Hold{Turn: 3, Units: 3}) {
+	if err != nil || pool.Held["a"] != (quota.Allocation{Sequence: 3, Units: 3}) {
 		t.Errorf("pot %+v, %v", pool, err)
 	}
 }
@@ -75,31 +76,31 @@
 // those who hold it.
 func TestUnitsOnTopMayBeSpent(t *testing.T) {
 	s, opened := quotaServer(t)
-	tx := &Tx{store: opened, newest: map[string]*store.Put{}}
-	if err := s.poolCache.put(tx, "t", &share.QuotaPool{Cool: map[string]int{"dead/1": 10}}); err != nil {
+	tx := &Tx{store: opened, newest: map[string]*store.Mutation{}}
+	if err := s.poolCache.put(tx, "t", &quota.Pool{Cool: map[string]int{"dead/1": 10}}); err != nil {
 		t.Fatal(err)
 	}
 	document := &Document{Quotas: map[string]int{"t": 10}, Tolerances: map[string]int{"t": 4}}
 	held, spent := 0, 0
 	for _, holder := range []string{"a", "b", "c", "d"} {
-		out, err := s.moveIn(tx, holder, &QuotaMove{Tenant: "t", Turn: 1, Units: 1}, document)
+		out, err := s.moveIn(tx, holder, &coreapi.QuotaMove{Tenant: "t", Sequence: 1, Units: 1}, document)
 		if err != nil {
 			t.Fatal(err)
 		}
 		held += out.Held
-		quotaShare := share.NewQuotaShare()
+		quotaShare := quota.NewShare()
 		quotaShare.Rule(10, time.Minute)
 		quotaShare.Await(1)
-		turn, _, ok := quotaShare.Want(4)
+		turn, _, ok := quotaShare.NextAcquire(4)
 		if !ok {
 			t.Fatal("no draw is wanted")
 		}
-		quotaShare.Got(turn, out.Held, out.Ceiling)
+		quotaShare.Apply(turn, out.Held, out.Limit)
 		for {
-			if ok, _ := quotaShare.Keep(1); !ok {
+			if ok, _ := quotaShare.Reserve(1); !ok {
 				break
 			}
-			quotaShare.Spend(1)
+			quotaShare.Commit(1)
 			spent++
 		}
 	}
@@ -111,15 +112,15 @@
 // After a restart of a whole fleet the units of all earlier runs cool with one write of each pool.
 func TestAllReplacedRunsCoolTogether(t *testing.T) {
 	s, opened := quotaServer(t)
-	tx := &Tx{store: opened, newest: map[string]*store.Put{}}
-	pool := &share.QuotaPool{Held: map[string]share.Hold{"a@1/1": {Units: 2, Turn: 1}, "b@2/1": {Units: 3, Turn: 1}, "c@3/1": {Units: 4, Turn: 1}}}
+	tx := &Tx{store: opened, newest: map[string]*store.Mutation{}}
+	pool := &quota.Pool{Held: map[string]quota.Allocation{"a@1/1": {Units: 2, Sequence: 1}, "b@2/1": {Units: 3, Sequence: 1}, "c@3/1": {Units: 4, Sequence: 1}}}
 	if err := s.poolCache.put(tx, "t", pool); err != nil {
 		t.Fatal(err)
 	}
-	if err := opened.Add(store.Batch{Seq: 1, Puts: tx.newestPuts()}); err != nil {
+	if err := opened.Append(store.Batch{Version: 1, Mutations: tx.newestPuts()}); err != nil {
 		t.Fatal(err)
 	}
-	tx = &Tx{store: opened, newest: map[string]*store.Put{}}
+	tx = &Tx{store: opened, newest: map[string]*store.Mutation{}}
 	ended := time.Now().Add(-time.Second)
 	if !s.replaced.add("a@1", replacedRun{"a@1/2", ended}) || s.replaced.add("b@2", replacedRun{"b@2/2", ended}) {
 		t.Error("the first place alone starts the gathering")
--- a/internal/core/quotaholders.go
+++ b/internal/controlplane/core/quotaholders.go
@@ -6,8 +6,8 @@
 
 	"github.com/rotisserie/eris"
 
-	"yarrowridge/internal/share"
-	"yarrowridge/internal/store"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/model/quota"
 )
 
 const (
@@ -52,7 +52,7 @@
 		return 0, err
 	}
 	known := numberedHolder{number: count.Last, key: holderKey(count.Last), raw: raw}
-	tx.add(store.Put{Key: known.key, Val: raw})
+	tx.add(store.Mutation{Key: known.key, Value: raw})
 	h[name] = known
 	return known.number, nil
 }
@@ -77,7 +77,7 @@
 func (s *Server) dropUnusedHolders(tx *Tx) error {
 	names := map[string]string{} // by key
 	var holder storedHolder
-	tx.store.Each(holderPrefix, func(key string, raw []byte) {
+	tx.store.ForEachWithPrefix(holderPrefix, func(key string, raw []byte) {
 		if _, err := holder.UnmarshalMsg(raw); err == nil {
 			names[key] = holder.Name
 		}
@@ -86,7 +86,7 @@
 		return nil
 	}
 	used := map[string]bool{}
-	err := s.updatePools(tx, func(_ string, pool *share.QuotaPool) bool {
+	err := s.updatePools(tx, func(_ string, pool *quota.Pool) bool {
 		for holder := range pool.Held {
 			used[holder] = true
 		}
@@ -100,7 +100,7 @@
 		return nil
 	}
 	for key := range names {
-		tx.Drop(key)
+		tx.Delete(key)
 	}
 	return nil
 }
--- a/internal/core/quotapools.go
+++ b/internal/controlplane/core/quotapools.go
@@ -3,9 +3,9 @@
 import (
 	"strings"
 
-	"yarrowridge/internal/share"
-	"yarrowridge/internal/store"
-	"yarrowridge/internal/strike"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/lib/faultinjection"
+	"yarrowridge/internal/model/quota"
 )
 
 // poolCache keeps the decoded pools of tenants: each has an entry for every router, and is read and written with
@@ -23,16 +23,16 @@
 // store, or the batch under way, has these very bytes.
 type cachedPool struct {
 	raw  []byte
-	pool share.QuotaPool
+	pool quota.Pool
 }
 
 // get gives a tenant's pool as the batch under way has it. One that is changed must be put.
-func (c poolCache) get(tx *Tx, tenant string) (*share.QuotaPool, error) {
+func (c poolCache) get(tx *Tx, tenant string) (*quota.Pool, error) {
 	raw, ok := tx.Get(poolKey(tenant))
 	if !ok {
-		return &share.QuotaPool{}, nil
+		return &quota.Pool{}, nil
 	}
-	if known := c.pools[tenant]; known != nil && (sameBytes(raw, known.raw) || strike.Out("pool-cache")) {
+	if known := c.pools[tenant]; known != nil && (sameBytes(raw, known.raw) || faultinjection.Disabled("pool-cache")) {
 		return &known.pool, nil
 	}
 	pool, err := decodePool(raw, func(number uint64) (string, error) { return c.holders.name(tx, number) })
@@ -44,7 +44,7 @@
 }
 
 // put puts a changed pool.
-func (c poolCache) put(tx *Tx, tenant string, pool *share.QuotaPool) error {
+func (c poolCache) put(tx *Tx, tenant string, pool *quota.Pool) error {
 	delete(c.pools, tenant)
 	stored := storedPool{Cool: pool.Cool, Above: pool.Above, Charges: pool.Charges, Holds: make([]numberedHold, 0, len(pool.Held))}
 	for holder, held := range pool.Held {
@@ -52,33 +52,33 @@
 		if err != nil {
 			return err
 		}
-		stored.Holds = append(stored.Holds, numberedHold{Holder: number, Units: held.Units, Turn: held.Turn})
+		stored.Holds = append(stored.Holds, numberedHold{Holder: number, Units: held.Units, Turn: held.Sequence})
 	}
 	raw, err := stored.MarshalMsg(nil)
 	if err != nil {
 		return err
 	}
-	tx.add(store.Put{Key: poolKey(tenant), Val: raw})
+	tx.add(store.Mutation{Key: poolKey(tenant), Value: raw})
 	c.pools[tenant] = &cachedPool{raw: raw, pool: *pool}
 	return nil
 }
 
 // decodePool decodes a stored pool, whose holders the function names by their numbers.
-func decodePool(raw []byte, holderName func(number uint64) (string, error)) (share.QuotaPool, error) {
+func decodePool(raw []byte, holderName func(number uint64) (string, error)) (quota.Pool, error) {
 	var stored storedPool
 	if _, err := stored.UnmarshalMsg(raw); err != nil {
-		return share.QuotaPool{}, err
+		return quota.Pool{}, err
 	}
-	pool := share.QuotaPool{Held: stored.Held, Cool: stored.Cool, Above: stored.Above, Charges: stored.Charges}
+	pool := quota.Pool{Held: stored.Held, Cool: stored.Cool, Above: stored.Above, Charges: stored.Charges}
 	if pool.Held == nil {
-		pool.Held = make(map[string]share.Hold, len(stored.Holds))
+		pool.Held = make(map[string]quota.Allocation, len(stored.Holds))
 	}
 	for _, hold := range stored.Holds {
 		name, err := holderName(hold.Holder)
 		if err != nil {
-			return share.QuotaPool{}, err
+			return quota.Pool{}, err
 		}
-		pool.Held[name] = share.Hold{Units: hold.Units, Turn: hold.Turn}
+		pool.Held[name] = quota.Allocation{Units: hold.Units, Sequence: hold.Turn}
 	}
 	return pool, nil
 }
@@ -92,12 +92,12 @@
 // poolTenants lists the tenants that have a pool in the committed state.
 func poolTenants(tx *Tx) []string {
 	var tenants []string
-	tx.store.Each(poolPrefix, func(key string, _ []byte) { tenants = append(tenants, strings.TrimPrefix(key, poolPrefix)) })
+	tx.store.ForEachWithPrefix(poolPrefix, func(key string, _ []byte) { tenants = append(tenants, strings.TrimPrefix(key, poolPrefix)) })
 	return tenants
 }
 
 // updatePools calls update for each pool, and puts those for which it was true.
-func (s *Server) updatePools(tx *Tx, update func(tenant string, pool *share.QuotaPool) bool) error {
+func (s *Server) updatePools(tx *Tx, update func(tenant string, pool *quota.Pool) bool) error {
 	for _, tenant := range poolTenants(tx) {
 		pool, err := s.poolCache.get(tx, tenant)
 		if err != nil {
--- a/internal/core/quotapools_test.go
+++ b/internal/controlplane/core/quotapools_test.go
@@ -9,8 +9,8 @@
 	"github.com/klauspost/compress/s2"
 	"github.com/tinylib/msgp/msgp"
 
-	"yarrowridge/internal/share"
-	"yarrowridge/internal/store"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/model/quota"
 )
 
 func commitTx(t *testing.T, committed *store.Store, tx *Tx) {
@@ -18,25 +18,25 @@
 	if len(tx.puts) == 0 {
 		return
 	}
-	if err := committed.Add(store.Batch{Seq: committed.Seq() + 1, Puts: tx.newestPuts()}); err != nil {
+	if err := committed.Append(store.Batch{Version: committed.Version() + 1, Mutations: tx.newestPuts()}); err != nil {
 		t.Fatal(err)
 	}
 }
 
 func beginTx(committed *store.Store) *Tx {
-	return &Tx{store: committed, newest: map[string]*store.Put{}}
+	return &Tx{store: committed, newest: map[string]*store.Mutation{}}
 }
 
-func poolOf(holders int) *share.QuotaPool {
-	pool := &share.QuotaPool{Held: map[string]share.Hold{}, Cool: map[string]int{"gone@10.0.0.9:1/1": 2}, Above: 1, Charges: []share.Charge{{ID: 7, Units: 1}}}
+func poolOf(holders int) *quota.Pool {
+	pool := &quota.Pool{Held: map[string]quota.Allocation{}, Cool: map[string]int{"gone@10.0.0.9:1/1": 2}, Above: 1, Charges: []quota.Charge{{ID: 7, Units: 1}}}
 	for i := range holders {
-		pool.Held[fmt.Sprintf("edge-%d@10.0.0.%d:7360/%016x", i, i, uint64(i+1)*0x9e3779b97f4a7c15)] = share.Hold{Units: i % 3, Turn: uint64(100 + i)}
+		pool.Held[fmt.Sprintf("edge-%d@10.0.0.%d:7360/%016x", i, i, uint64(i+1)*0x9e3779b97f4a7c15)] = quota.Allocation{Units: i % 3, Sequence: uint64(100 + i)}
 	}
 	return pool
 }
 
 // poolByNames encodes a pool as older versions did: all four fields, and holders by their names.
-func poolByNames(pool *share.QuotaPool) ([]byte, error) {
+func poolByNames(pool *quota.Pool) ([]byte, error) {
 	raw := msgp.AppendMapHeader(nil, 4)
 	raw = msgp.AppendString(raw, "h")
 	raw = msgp.AppendMapHeader(raw, uint32(len(pool.Held)))
@@ -65,7 +65,7 @@
 	return raw, nil
 }
 
-func samePool(a, b *share.QuotaPool) bool {
+func samePool(a, b *quota.Pool) bool {
 	return maps.Equal(a.Held, b.Held) && maps.Equal(a.Cool, b.Cool) && a.Above == b.Above && len(a.Charges) == len(b.Charges)
 }
 
@@ -104,7 +104,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := committed.Add(store.Batch{Seq: 1, Puts: []store.Put{{Key: poolKey("t"), Val: raw}}}); err != nil {
+	if err := committed.Append(store.Batch{Version: 1, Mutations: []store.Mutation{{Key: poolKey("t"), Value: raw}}}); err != nil {
 		t.Fatal(err)
 	}
 	tx := beginTx(committed)
@@ -132,9 +132,9 @@
 			t.Fatal(err)
 		}
 		if pool.Held == nil {
-			pool.Held = map[string]share.Hold{}
+			pool.Held = map[string]quota.Allocation{}
 		}
-		pool.Held[holder] = share.Hold{Units: units, Turn: 1}
+		pool.Held[holder] = quota.Allocation{Units: units, Sequence: 1}
 		if err := s.poolCache.put(tx, tenant, pool); err != nil {
 			t.Fatal(err)
 		}
@@ -151,7 +151,7 @@
 	commitTx(t, committed, tx)
 	for name, cache := range map[string]poolCache{"own": s.poolCache, "fresh": newPoolCache()} {
 		got, err := cache.get(beginTx(committed), "u")
-		want := map[string]share.Hold{"kept": {Units: 3, Turn: 1}, "lost": {Units: 2, Turn: 1}, "undone": {Units: 1, Turn: 1}}
+		want := map[string]quota.Allocation{"kept": {Units: 3, Sequence: 1}, "lost": {Units: 2, Sequence: 1}, "undone": {Units: 1, Sequence: 1}}
 		if err != nil || !maps.Equal(got.Held, want) {
 			t.Errorf("%s: %+v, %v", name, got, err)
 		}
@@ -166,7 +166,7 @@
 	s, committed := quotaServer(t)
 	for run := range 3 * maxUnusedHolders {
 		tx := beginTx(committed)
-		pool := &share.QuotaPool{Held: map[string]share.Hold{"stays": {Units: 1}, fmt.Sprint("run", run): {Units: 2}}}
+		pool := &quota.Pool{Held: map[string]quota.Allocation{"stays": {Units: 1}, fmt.Sprint("run", run): {Units: 2}}}
 		if err := s.poolCache.put(tx, "t", pool); err != nil {
 			t.Fatal(err)
 		}
@@ -176,7 +176,7 @@
 		commitTx(t, committed, tx)
 	}
 	records := 0
-	committed.Each(holderPrefix, func(string, []byte) { records++ })
+	committed.ForEachWithPrefix(holderPrefix, func(string, []byte) { records++ })
 	if records > maxUnusedHolders+3 {
 		t.Errorf("%d records of holders", records)
 	}
@@ -190,7 +190,7 @@
 // BenchmarkPoolSize tells how large a pool's record is at 360 routers, as it is kept and compressed, beside the records of
 // BenchmarkSizes in package scale.
 //
-//	go test ./internal/core -run XXX -bench PoolSize -benchtime 1x
+//	go test ./internal/controlplane/core -run XXX -bench PoolSize -benchtime 1x
 func BenchmarkPoolSize(b *testing.B) {
 	pool := poolOf(360)
 	for b.Loop() {
--- a/internal/core/quotascarce.go
+++ b/internal/controlplane/core/quotascarce.go
@@ -4,7 +4,8 @@
 	"sort"
 	"time"
 
-	"yarrowridge/internal/share"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/model/quota"
 )
 
 // smallQuotaDivisor is the part of a small quota from which on idle units are wanted back: there are more routers than
@@ -16,10 +17,10 @@
 const unevenQuotaDivisor = 8
 
 // noteScarce notes that idle units of a tenant are wanted back: since a draw got too few, or soon may get too few.
-func (s *Server) noteScarce(move *QuotaMove, short bool, quota, free int) {
+func (s *Server) noteScarce(move *coreapi.QuotaMove, short bool, total, free int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	low := share.IsSmall(quota, len(s.nodes)) && free < quota/smallQuotaDivisor || len(move.Costs) > 0 && free < quota/unevenQuotaDivisor
+	low := quota.IsSmall(total, len(s.nodes)) && free < total/smallQuotaDivisor || len(move.Costs) > 0 && free < total/unevenQuotaDivisor
 	if short || low {
 		s.scarceSince[move.Tenant] = time.Now()
 	}
--- a/internal/core/quotasweep.go
+++ b/internal/controlplane/core/quotasweep.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"yarrowridge/internal/share"
+	"yarrowridge/internal/model/quota"
 )
 
 // quotaHolding names one holder's units of one tenant.
@@ -22,10 +22,10 @@
 
 // chargeKeep is how long a charge of a tolerance counts once it has been seen. A spend that it stands for comes
 // within a window of the last draw, and any window that holds this spend has ended a window later.
-func chargeKeep(window time.Duration) time.Duration { return chargeSpan + 2*window + 2*share.Margin }
+func chargeKeep(window time.Duration) time.Duration { return chargeSpan + 2*window + 2*quota.Margin }
 
 // silentHolderKeep is how long a silent holder keeps its units: by then it has stopped spending on its own.
-const silentHolderKeep = share.Term + share.Term/10
+const silentHolderKeep = quota.Term + quota.Term/10
 
 // ageTable tells for how long things have been seen, by the run loop's notes.
 type ageTable struct {
@@ -34,7 +34,7 @@
 	seen      map[string]bool // in this sweep
 }
 
-// isOver tells whether a thing was first seen longer ago than the span.
+// isOver reports whether a thing was first seen longer ago than the span.
 func (a *ageTable) isOver(key string, span time.Duration) bool {
 	a.seen[key] = true
 	since, ok := a.firstSeen[key]
@@ -80,10 +80,10 @@
 }
 
 // add adds what is due in one tenant's pool.
-func (q *quotaSweep) add(tenant string, pool *share.QuotaPool, document *Document, live liveHolders, ages *ageTable) {
+func (q *quotaSweep) add(tenant string, pool *quota.Pool, document *Document, live liveHolders, ages *ageTable) {
 	window := document.Windows[tenant]
 	for holder := range pool.Cool {
-		if ages.isOver(coolKey(tenant, holder), window+share.Margin) {
+		if ages.isOver(coolKey(tenant, holder), window+quota.Margin) {
 			q.thawed = append(q.thawed, quotaHolding{tenant, holder})
 		}
 	}
@@ -109,16 +109,16 @@
 		return
 	}
 	s.submitLater(func(tx *Tx) error {
-		return s.updatePools(tx, func(tenant string, pool *share.QuotaPool) bool {
+		return s.updatePools(tx, func(tenant string, pool *quota.Pool) bool {
 			changed := false
 			for _, holding := range due.thawed {
-				changed = holding.tenant == tenant && pool.Thaw(holding.holder) || changed
+				changed = holding.tenant == tenant && pool.EndCooling(holding.holder) || changed
 			}
 			for _, holding := range due.retired {
-				changed = holding.tenant == tenant && pool.Retire(holding.holder) || changed
+				changed = holding.tenant == tenant && pool.StartCooling(holding.holder) || changed
 			}
 			for _, charge := range due.charges {
-				changed = charge.tenant == tenant && pool.Uncharge(charge.id) || changed
+				changed = charge.tenant == tenant && pool.RemoveCharge(charge.id) || changed
 			}
 			return changed
 		})
--- a/internal/core/registry.go
+++ b/internal/controlplane/core/registry.go
@@ -6,8 +6,9 @@
 	"sync"
 	"time"
 
-	"yarrowridge/internal/routing"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/model/routing"
+	"yarrowridge/internal/transport/wire"
 )
 
 const (
@@ -46,8 +47,6 @@
 // NewRunnerRegistry makes an empty registry. A runner unheard for the silence span is silent. announce is
 // called under the registry's lock for each change that routers must learn of at once; the channel that it
 // returns is closed when they have been told.
-//
-//	registry := core.NewRunnerRegistry(4*time.Second, announce)
 func NewRunnerRegistry(silence time.Duration, announce func(routing.Runner) <-chan struct{}) *RunnerRegistry {
 	return &RunnerRegistry{silence: silence, announce: announce, runners: map[string]*registered{}}
 }
@@ -59,8 +58,6 @@
 // Begin starts taking heartbeats. A primary that has led without a break since led keeps what it knows when
 // its view changes; each runner gets a while to be heard again, since none was heard in between. Otherwise the
 // registry starts from the stored runners, with a new epoch.
-//
-//	registry.Begin(epoch, led, time.Now(), stored)
 func (r *RunnerRegistry) Begin(epoch uint64, led, now time.Time, stored []routing.Runner) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,8 +78,6 @@
 
 // Heartbeat takes one heartbeat. It may be acknowledged once the channel is closed; nil: at once. A heartbeat
 // that is not later than the last one changes nothing, and a runner that has left stays gone.
-//
-//	told := registry.Heartbeat(runner, time.Now())
 func (r *RunnerRegistry) Heartbeat(runner routing.Runner, now time.Time) (told <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,9 +127,7 @@
 
 // Tell answers a router's heartbeat with the runners changed since the version that it has, or with all.
 // Only a list sent once the registry has settled lets the router drop runners that are not named.
-//
-//	registry.Tell(&request, &response, time.Now())
-func (r *RunnerRegistry) Tell(request *HeartbeatRequest, response *HeartbeatResponse, now time.Time) {
+func (r *RunnerRegistry) Tell(request *coreapi.HeartbeatRequest, response *coreapi.HeartbeatResponse, now time.Time) {
 	if !request.RunnersWanted {
 		return
 	}
@@ -151,7 +144,7 @@
 	if r.holdsAll(request) {
 		return
 	}
-	response.RunnersWhole = all && r.settled > 0
+	response.RunnersComplete = all && r.settled > 0
 	for _, known := range r.runners {
 		if all || known.version > has {
 			response.Runners = append(response.Runners, known.runner)
@@ -160,8 +153,8 @@
 	sort.Slice(response.Runners, func(i, j int) bool { return response.Runners[i].ID < response.Runners[j].ID })
 }
 
-// holdsAll tells whether a router that asks for a whole list has exactly that; the caller holds the lock.
-func (r *RunnerRegistry) holdsAll(request *HeartbeatRequest) bool {
+// holdsAll reports whether a router that asks for a whole list has exactly that; the caller holds the lock.
+func (r *RunnerRegistry) holdsAll(request *coreapi.HeartbeatRequest) bool {
 	if request.RunnersEpoch != r.epoch || request.RunnersVersion != 0 || request.RunnersDigest == 0 {
 		return false
 	}
@@ -173,8 +166,6 @@
 }
 
 // Known gives what stands of a runner; without an ID where nothing does.
-//
-//	runner := registry.Known("i-7f3a")
 func (r *RunnerRegistry) Known(id string) routing.Runner {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -185,8 +176,6 @@
 }
 
 // List names all known runners, sorted by ID.
-//
-//	for _, runner := range registry.List(time.Now()) { ... }
 func (r *RunnerRegistry) List(now time.Time) []routing.Runner {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -201,17 +190,17 @@
 
 // takeRunner takes a runner's heartbeat. A change of state is handed to the first routers of every zone
 // before it is acknowledged, so that it outlives us.
-func (s *Server) takeRunner(ctx context.Context, request *RunnerHeartbeat) (*Empty, error) {
+func (s *Server) takeRunner(ctx context.Context, request *coreapi.RunnerHeartbeat) (*coreapi.Empty, error) {
 	if err := s.requirePrimary(); err != nil {
 		return nil, err
 	}
 	switch request.Runner.State {
 	case routing.RunnerReady, routing.RunnerDraining, routing.RunnerGone:
 	default:
-		return nil, wire.Fault{Code: InvalidRunner}
+		return nil, wire.StatusError{Code: coreapi.CodeInvalidRunner}
 	}
 	if request.Runner.ID == "" {
-		return nil, wire.Fault{Code: InvalidRunner}
+		return nil, wire.StatusError{Code: coreapi.CodeInvalidRunner}
 	}
 	told := s.registry.Heartbeat(request.Runner, time.Now())
 	// A late heartbeat says what is no longer so: kept is what stands.
@@ -221,5 +210,5 @@
 	if told != nil {
 		<-told
 	}
-	return &Empty{}, nil
+	return &coreapi.Empty{}, nil
 }
--- a/internal/core/registry_test.go
+++ b/internal/controlplane/core/registry_test.go
@@ -5,9 +5,10 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/relay"
-	"yarrowridge/internal/routing"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/model/routing"
+	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/wire"
 )
 
 // registryAt is a registry whose time the test sets.
@@ -29,16 +30,16 @@
 	return r
 }
 
-// beat tells whether the heartbeat was announced to routers.
+// beat reports whether the heartbeat was announced to routers.
 func (r *registryAt) beat(id string, version uint64, state routing.RunnerState) bool {
 	before := r.announced
 	r.Heartbeat(routing.Runner{ID: id, Address: id + ":1", State: state, Sequence: version, Slots: 4}, r.now)
 	return r.announced > before
 }
 
-func (r *registryAt) tell(epoch, version uint64) *HeartbeatResponse {
-	var response HeartbeatResponse
-	r.Tell(&HeartbeatRequest{RunnersWanted: true, RunnersEpoch: epoch, RunnersVersion: version}, &response, r.now)
+func (r *registryAt) tell(epoch, version uint64) *coreapi.HeartbeatResponse {
+	var response coreapi.HeartbeatResponse
+	r.Tell(&coreapi.HeartbeatRequest{RunnersWanted: true, RunnersEpoch: epoch, RunnersVersion: version}, &response, r.now)
 	return &response
 }
 
@@ -182,23 +183,23 @@
 		r.beat(fmt.Sprint("r", i), 1, routing.RunnerReady)
 	}
 	response := r.tell(0, 0)
-	if len(response.Runners) != 5 || !response.RunnersWhole {
-		t.Errorf("a router without any gets %d, whole %v", len(response.Runners), response.RunnersWhole)
+	if len(response.Runners) != 5 || !response.RunnersComplete {
+		t.Errorf("a router without any gets %d, whole %v", len(response.Runners), response.RunnersComplete)
 	}
 	r.beat("r3", 2, routing.RunnerDraining)
 	response = r.tell(response.RunnersEpoch, response.RunnersVersion)
-	if len(response.Runners) != 1 || response.Runners[0].ID != "r3" || response.RunnersWhole {
-		t.Errorf("one change told as %+v, whole %v", response.Runners, response.RunnersWhole)
+	if len(response.Runners) != 1 || response.Runners[0].ID != "r3" || response.RunnersComplete {
+		t.Errorf("one change told as %+v, whole %v", response.Runners, response.RunnersComplete)
 	}
 	r.Begin(2, r.now, r.now, nil)
 	r.beat("r1", 7, routing.RunnerReady)
 	// The router's version is above the new epoch's: the epoch counts.
 	next := r.tell(response.RunnersEpoch, response.RunnersVersion)
-	if next.RunnersEpoch == response.RunnersEpoch || len(next.Runners) != 1 || next.RunnersWhole {
+	if next.RunnersEpoch == response.RunnersEpoch || len(next.Runners) != 1 || next.RunnersComplete {
 		t.Errorf("a new primary told %+v", next)
 	}
-	var none HeartbeatResponse
-	r.Tell(&HeartbeatRequest{}, &none, r.now)
+	var none coreapi.HeartbeatResponse
+	r.Tell(&coreapi.HeartbeatRequest{}, &none, r.now)
 	if none.RunnersEpoch != 0 || none.Runners != nil {
 		t.Errorf("a router that keeps no registry was told %+v", none)
 	}
@@ -212,20 +213,20 @@
 	r := newRegistryAt()
 	r.beat("a", 1, routing.RunnerReady)
 	early := r.tell(0, 0)
-	if early.RunnersWhole || len(early.Runners) != 1 {
-		t.Errorf("an early list is whole %v with %d", early.RunnersWhole, len(early.Runners))
+	if early.RunnersComplete || len(early.Runners) != 1 {
+		t.Errorf("an early list is whole %v with %d", early.RunnersComplete, len(early.Runners))
 	}
 	r.now = r.now.Add(registrySettleAfter - time.Millisecond)
 	r.beat("a", 2, routing.RunnerReady)
-	if response := r.tell(early.RunnersEpoch, early.RunnersVersion); response.RunnersWhole || len(response.Runners) > 0 {
+	if response := r.tell(early.RunnersEpoch, early.RunnersVersion); response.RunnersComplete || len(response.Runners) > 0 {
 		t.Errorf("told %+v before the span was over", response)
 	}
 	r.now = r.now.Add(time.Millisecond)
 	whole := r.tell(early.RunnersEpoch, early.RunnersVersion)
-	if !whole.RunnersWhole || len(whole.Runners) != 1 {
-		t.Errorf("after the span: whole %v with %d", whole.RunnersWhole, len(whole.Runners))
+	if !whole.RunnersComplete || len(whole.Runners) != 1 {
+		t.Errorf("after the span: whole %v with %d", whole.RunnersComplete, len(whole.Runners))
 	}
-	if response := r.tell(whole.RunnersEpoch, whole.RunnersVersion); response.RunnersWhole || len(response.Runners) > 0 {
+	if response := r.tell(whole.RunnersEpoch, whole.RunnersVersion); response.RunnersComplete || len(response.Runners) > 0 {
 		t.Errorf("the whole list came twice: %+v", response)
 	}
 }
@@ -241,7 +242,7 @@
 	whole := r.tell(0, 0)
 	r.now = r.now.Add(20 * time.Second)
 	r.Begin(3, led, r.now, nil)
-	if response := r.tell(whole.RunnersEpoch, whole.RunnersVersion); response.RunnersEpoch != whole.RunnersEpoch || response.RunnersWhole || len(response.Runners) > 0 {
+	if response := r.tell(whole.RunnersEpoch, whole.RunnersVersion); response.RunnersEpoch != whole.RunnersEpoch || response.RunnersComplete || len(response.Runners) > 0 {
 		t.Errorf("right after a pause told %+v", response)
 	}
 	if a, silent := r.state("a"), r.state("silent"); a != routing.RunnerReady || silent != routing.RunnerSilent {
@@ -294,9 +295,9 @@
 	r.now = r.now.Add(registrySettleAfter)
 	r.beat("a", 2, routing.RunnerReady)
 	r.beat("b", 2, routing.RunnerReady)
-	ask := func(epoch uint64, runners []routing.Runner) *HeartbeatResponse {
-		var response HeartbeatResponse
-		request := HeartbeatRequest{RunnersWanted: true, RunnersEpoch: epoch}
+	ask := func(epoch uint64, runners []routing.Runner) *coreapi.HeartbeatResponse {
+		var response coreapi.HeartbeatResponse
+		request := coreapi.HeartbeatRequest{RunnersWanted: true, RunnersEpoch: epoch}
 		for _, runner := range runners {
 			request.RunnersDigest ^= runner.Digest()
 		}
@@ -304,27 +305,27 @@
 		return &response
 	}
 	has := r.tell(0, 0).Runners
-	if response := ask(1, has); len(response.Runners) > 0 || response.RunnersWhole || response.RunnersEpoch != 1 || response.RunnersVersion == 0 {
+	if response := ask(1, has); len(response.Runners) > 0 || response.RunnersComplete || response.RunnersEpoch != 1 || response.RunnersVersion == 0 {
 		t.Errorf("an equal list: %+v", response)
 	}
 	r.beat("a", 3, routing.RunnerReady) // a heartbeat alone is nothing that routers must know
 	if response := ask(1, has); len(response.Runners) > 0 {
 		t.Errorf("after a heartbeat that says the same: %+v", response)
 	}
-	for name, response := range map[string]*HeartbeatResponse{"another primary's list": ask(7, has), "one runner less": ask(1, has[:1]), "none": ask(1, nil)} {
-		if len(response.Runners) != 2 || !response.RunnersWhole {
+	for name, response := range map[string]*coreapi.HeartbeatResponse{"another primary's list": ask(7, has), "one runner less": ask(1, has[:1]), "none": ask(1, nil)} {
+		if len(response.Runners) != 2 || !response.RunnersComplete {
 			t.Errorf("%s: %+v", name, response)
 		}
 	}
 	r.beat("a", 4, routing.RunnerDraining)
-	if response := ask(1, has); len(response.Runners) != 2 || !response.RunnersWhole {
+	if response := ask(1, has); len(response.Runners) != 2 || !response.RunnersComplete {
 		t.Errorf("after a change of state: %+v", response)
 	}
 	has = r.tell(0, 0).Runners
 	r.beat("a", 5, routing.RunnerDraining)
 	r.now = r.now.Add(runnerForgetAfter + time.Second)
 	r.beat("a", 6, routing.RunnerDraining)
-	if response := ask(1, has); len(response.Runners) != 1 || !response.RunnersWhole {
+	if response := ask(1, has); len(response.Runners) != 1 || !response.RunnersComplete {
 		t.Errorf("after a runner was forgotten: %+v", response)
 	}
 }
--- a/internal/core/replacedruns.go
+++ b/internal/controlplane/core/replacedruns.go
@@ -5,11 +5,12 @@
 	"sync"
 	"time"
 
-	"yarrowridge/internal/share"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/model/quota"
 )
 
 // holderPlace is the part of a holder's name that all runs of a node at one address share.
-func holderPlace(n Node) string { return n.Name + "@" + n.Addr }
+func holderPlace(n coreapi.Node) string { return n.Name + "@" + n.Addr }
 
 // flightTime covers the way of the last requests that a process sent before its end.
 const flightTime = 50 * time.Millisecond
@@ -30,7 +31,7 @@
 // replacedGatherSpan is how long places are gathered.
 const replacedGatherSpan = 20 * time.Millisecond
 
-// add notes a place's new run, and tells whether it is the first since the last take.
+// add notes a place's new run, and reports whether it is the first since the last take.
 func (r *replacedRuns) add(place string, run replacedRun) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,8 +54,8 @@
 // replaceHolder sets the units of earlier runs at a node's address cooling, with those of others that start
 // at the same time. They ended before the new run began, so their last spends are at least as old as the new
 // run.
-func (s *Server) replaceHolder(n Node, age time.Duration) {
-	run := replacedRun{holder: Holder(n), ended: time.Now().Add(flightTime - share.Margin - age)}
+func (s *Server) replaceHolder(n coreapi.Node, age time.Duration) {
+	run := replacedRun{holder: coreapi.Holder(n), ended: time.Now().Add(flightTime - quota.Margin - age)}
 	if s.replaced.add(holderPlace(n), run) {
 		time.AfterFunc(replacedGatherSpan, func() { s.submitLater(s.coolReplaced) })
 	}
@@ -68,11 +69,11 @@
 		run, known := runs[place]
 		return run, known && holder != run.holder
 	}
-	return s.updatePools(tx, func(tenant string, pool *share.QuotaPool) bool {
+	return s.updatePools(tx, func(tenant string, pool *quota.Pool) bool {
 		changed := false
 		for holder := range pool.Held {
 			if _, replaced := replacedBy(holder); replaced {
-				changed = pool.Retire(holder) || changed
+				changed = pool.StartCooling(holder) || changed
 			}
 		}
 		for holder := range pool.Cool {
--- a/internal/core/replica.go
+++ b/internal/controlplane/core/replica.go
@@ -1,32 +1,33 @@
 package core
 
 import (
-	"yarrowridge/internal/store"
-	"yarrowridge/internal/strike"
-	"yarrowridge/internal/view"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/lib/faultinjection"
+	"yarrowridge/internal/transport/wire"
 )
 
-// checkPrimary tells whether we may store state for this view's primary; anything older is rejected. A batch is stored by
+// checkPrimary reports whether we may store state for this view's primary; anything older is rejected. A batch is stored by
 // backups of the view only, a snapshot by any member: it is how one becomes a backup.
 func (s *Server) checkPrimary(v view.View, primary string, asBackup bool) error {
 	if s.hasDiskFailed() {
-		return wire.Fault{Code: DiskFailed}
+		return wire.StatusError{Code: coreapi.CodeDiskFailed}
 	}
 	if err := s.voter.Learn(v); err != nil {
 		s.failDisk(err)
-		return wire.Fault{Code: DiskFailed}
+		return wire.StatusError{Code: coreapi.CodeDiskFailed}
 	}
 	current := s.voter.View()
-	if strike.Out("old-epoch") {
+	if faultinjection.Disabled("old-epoch") {
 		return nil
 	}
 	if current.Epoch != v.Epoch || current.Primary != primary {
-		return wire.Fault{Code: StaleEpoch}
+		return wire.StatusError{Code: coreapi.CodeStaleEpoch}
 	}
-	me := s.voter.Id()
+	me := s.voter.ID()
 	if !current.IsBackup(me) && (asBackup || !current.HasMember(me)) {
-		return wire.Fault{Code: "not-backup"}
+		return wire.StatusError{Code: "not-backup"}
 	}
 	return nil
 }
@@ -39,22 +40,22 @@
 		return nil, err
 	}
 	replica := s.store.Load()
-	if request.Batch.Base || request.Batch.Seq != replica.Seq()+1 {
-		return nil, wire.Fault{Code: "behind"}
+	if request.Batch.Base || request.Batch.Version != replica.Version()+1 {
+		return nil, wire.StatusError{Code: "behind"}
 	}
-	if err := replica.Add(request.Batch); err != nil {
+	if err := replica.Append(request.Batch); err != nil {
 		s.failDisk(err)
-		return nil, wire.Fault{Code: DiskFailed}
+		return nil, wire.StatusError{Code: coreapi.CodeDiskFailed}
 	}
 	go s.tidy(replica) // the primary need not wait for it
-	return &ReplicateResponse{Id: s.voter.Id()}, nil
+	return &ReplicateResponse{ID: s.voter.ID()}, nil
 }
 
 // tidy folds stored batches into one where there are many.
 func (s *Server) tidy(replica *store.Store) {
 	s.storeGate.Lock()
 	defer s.storeGate.Unlock()
-	if err := replica.Tidy(); err != nil {
+	if err := replica.CompactIfNeeded(); err != nil {
 		s.failDisk(err)
 	}
 }
@@ -69,27 +70,27 @@
 	}
 	s.mu.Lock()
 	incoming := s.incoming
-	if number := numberOf(request); request.Part == 0 && (s.lastSnapshot.before(number) || strike.Out("late-snapshot")) {
+	if number := numberOf(request); request.Chunk == 0 && (s.lastSnapshot.before(number) || faultinjection.Disabled("late-snapshot")) {
 		incoming = &incomingSnapshot{number: number}
 		s.incoming, s.lastSnapshot = incoming, number
 	}
 	s.mu.Unlock()
 	if incoming == nil || !incoming.expects(request) {
-		return nil, wire.Fault{Code: "copy-out-of-step"}
+		return nil, wire.StatusError{Code: "copy-out-of-step"}
 	}
 	incoming.part++
-	incoming.puts = append(incoming.puts, request.Puts...)
+	incoming.puts = append(incoming.puts, request.Mutations...)
 	if request.Last {
 		s.mu.Lock()
 		s.incoming = nil
 		s.mu.Unlock()
-		whole := store.Batch{Seq: request.Version, Base: true, Puts: incoming.puts}
-		if err := s.store.Load().Add(whole); err != nil {
+		whole := store.Batch{Version: request.Version, Base: true, Mutations: incoming.puts}
+		if err := s.store.Load().Append(whole); err != nil {
 			s.failDisk(err)
-			return nil, wire.Fault{Code: DiskFailed}
+			return nil, wire.StatusError{Code: coreapi.CodeDiskFailed}
 		}
 	}
-	return &ReplicateResponse{Id: s.voter.Id()}, nil
+	return &ReplicateResponse{ID: s.voter.ID()}, nil
 }
 
 // numberOf is the number of the snapshot that a part belongs to.
@@ -97,7 +98,7 @@
 	return snapshotNumber{epoch: request.View.Epoch, snapshot: request.Snapshot}
 }
 
-// expects tells whether a part is the next one of this snapshot.
+// expects reports whether a part is the next one of this snapshot.
 func (i *incomingSnapshot) expects(request *SnapshotRequest) bool {
-	return i.number == numberOf(request) && i.part == request.Part
+	return i.number == numberOf(request) && i.part == request.Chunk
 }
--- a/internal/core/replicate.go
+++ b/internal/controlplane/core/replicate.go
@@ -8,16 +8,16 @@
 	"github.com/rotisserie/eris"
 	"github.com/tinylib/msgp/msgp"
 
-	"yarrowridge/internal/store"
-	"yarrowridge/internal/strike"
-	"yarrowridge/internal/view"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/lib/faultinjection"
 )
 
 // copyAll brings backups to exactly our state, those that are not there yet, and tells which are.
 func (s *Server) copyAll(v view.View, ids []string) []string {
 	var todo []string
 	for _, id := range ids {
-		if v.IsBackup(id) && strike.Out("copy-first") {
+		if v.IsBackup(id) && faultinjection.Disabled("copy-first") {
 			s.copiedTo[id] = true
 		}
 		if !s.copiedTo[id] {
@@ -25,7 +25,7 @@
 		}
 	}
 	if len(todo) > 0 {
-		whole := s.store.Load().Whole()
+		whole := s.store.Load().Snapshot()
 		s.snapshots++
 		failed := callAll(todo, func(id string) bool { return s.copyTo(v, id, whole, s.snapshots) })
 		for _, id := range todo {
@@ -70,20 +70,20 @@
 
 // copyTo sends our whole state to one backup, in parts.
 func (s *Server) copyTo(v view.View, id string, whole store.Batch, snapshot uint64) bool {
-	request := SnapshotRequest{View: v, Primary: s.voter.Id(), Snapshot: snapshot, Version: whole.Seq}
+	request := SnapshotRequest{View: v, Primary: s.voter.ID(), Snapshot: snapshot, Version: whole.Version}
 	size := 0
 	send := func() bool {
 		err := s.callBackup(s.ctx, v, id, "core.copy", &request, snapshotTimeout)
 		if err != nil {
 			s.ctx.Log.Warn("Copy to backup failed.", "peer", v.Addr(id), "error", err.Error())
 		}
-		request.Part++
-		request.Puts, size = nil, 0
+		request.Chunk++
+		request.Mutations, size = nil, 0
 		return err == nil
 	}
-	for _, put := range whole.Puts {
-		request.Puts = append(request.Puts, put)
-		if size += len(put.Key) + len(put.Val); size > maxBatchBytes && !send() {
+	for _, put := range whole.Mutations {
+		request.Mutations = append(request.Mutations, put)
+		if size += len(put.Key) + len(put.Value); size > maxBatchBytes && !send() {
 			return false
 		}
 	}
@@ -125,8 +125,8 @@
 // sendTime is how long a batch may be on its way alone, at 1 MiB a second: a question to the backup goes behind it.
 func sendTime(batch store.Batch) time.Duration {
 	size := 0
-	for _, put := range batch.Puts {
-		size += len(put.Key) + len(put.Val)
+	for _, put := range batch.Mutations {
+		size += len(put.Key) + len(put.Value)
 	}
 	return time.Duration(size) * time.Second / (1 << 20)
 }
@@ -134,7 +134,7 @@
 // errBackupSilent ends the wait for a backup that gives no sign of life.
 var errBackupSilent = eris.New("no sign of life")
 
-// isAlive tells whether the process at an address gives a sign of life.
+// isAlive reports whether the process at an address gives a sign of life.
 func (s *Server) isAlive(ctx context.Context, addr string) bool {
 	ctx, cancel := context.WithTimeout(ctx, signOfLifeTimeout)
 	defer cancel()
@@ -148,8 +148,8 @@
 	defer cancel()
 	var response ReplicateResponse
 	err := s.call(ctx, v.Addr(id), kind, request, &response)
-	if err == nil && response.Id != id {
-		err = eris.Errorf("identity %s, %s expected", response.Id, id)
+	if err == nil && response.ID != id {
+		err = eris.Errorf("identity %s, %s expected", response.ID, id)
 	}
 	return err
 }
--- a/internal/core/runnernews.go
+++ b/internal/controlplane/core/runnernews.go
@@ -4,8 +4,8 @@
 	"sync"
 	"time"
 
-	"yarrowridge/internal/relay"
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/model/routing"
+	"yarrowridge/internal/transport/relay"
 )
 
 // announce pushes a runner's change to routers, with others that come close to it.
--- a/internal/core/runnerstore.go
+++ b/internal/controlplane/core/runnerstore.go
@@ -4,7 +4,7 @@
 	"context"
 	"strings"
 
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/model/routing"
 )
 
 // Runners are kept on disk, so that after the loss of all processes routers know at once where to send
@@ -26,7 +26,7 @@
 			return tx.Put(key, &runner)
 		}
 		if _, ok := tx.Get(key); ok {
-			tx.Drop(key)
+			tx.Delete(key)
 		}
 		return nil
 	}
@@ -76,7 +76,7 @@
 // storedRunners are the runners that the disk has.
 func (s *Server) storedRunners() []routing.Runner {
 	var out []routing.Runner
-	s.store.Load().Each(runnerPrefix, func(_ string, raw []byte) {
+	s.store.Load().ForEachWithPrefix(runnerPrefix, func(_ string, raw []byte) {
 		var runner routing.Runner
 		if _, err := runner.UnmarshalMsg(raw); err == nil {
 			out = append(out, runner)
@@ -92,7 +92,7 @@
 		named[runner.ID] = true
 	}
 	var old []string
-	s.store.Load().Each(runnerPrefix, func(key string, _ []byte) {
+	s.store.Load().ForEachWithPrefix(runnerPrefix, func(key string, _ []byte) {
 		if !named[strings.TrimPrefix(key, runnerPrefix)] {
 			old = append(old, key)
 		}
--- a/internal/core/runnerstore_test.go
+++ b/internal/controlplane/core/runnerstore_test.go
@@ -5,8 +5,8 @@
 	"testing/synctest"
 	"time"
 
-	"yarrowridge/internal/routing"
-	"yarrowridge/internal/store"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/model/routing"
 )
 
 // keepingServer is a server whose operations are committed by the test.
@@ -17,7 +17,7 @@
 	s.registry.Begin(1, time.Now(), time.Now(), nil)
 	return s, func() {
 		t.Helper()
-		tx := &Tx{store: opened, newest: map[string]*store.Put{}}
+		tx := &Tx{store: opened, newest: map[string]*store.Mutation{}}
 		for len(s.jobs) > 0 {
 			if err := (<-s.jobs).do(tx); err != nil {
 				t.Fatal(err)
@@ -26,7 +26,7 @@
 		if len(tx.puts) == 0 {
 			return
 		}
-		if err := opened.Add(store.Batch{Seq: opened.Seq() + 1, Puts: tx.newestPuts()}); err != nil {
+		if err := opened.Append(store.Batch{Version: opened.Version() + 1, Mutations: tx.newestPuts()}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -60,7 +60,7 @@
 		s, commit := keepingServer(t)
 		stored := func() (routing.RunnerState, uint64) {
 			runner, _ := s.storedRunner("a")
-			return runner.State, s.store.Load().Seq()
+			return runner.State, s.store.Load().Version()
 		}
 		steps := []struct {
 			state    routing.RunnerState
@@ -111,9 +111,9 @@
 		if state := restarted(); state != routing.RunnerSilent {
 			t.Errorf("%q from the disk while the runner is silent", state)
 		}
-		writes := s.store.Load().Seq()
+		writes := s.store.Load().Version()
 		sweep()
-		if again := s.store.Load().Seq(); again != writes {
+		if again := s.store.Load().Version(); again != writes {
 			t.Error("what the disk has is written again")
 		}
 		hear(t, s, commit, routing.RunnerReady, 2)
@@ -148,11 +148,11 @@
 		silent := s.registry.List(time.Now())
 		s.storeSilent(silent)
 		opened := s.store.Load()
-		tx := &Tx{store: opened, newest: map[string]*store.Put{}}
+		tx := &Tx{store: opened, newest: map[string]*store.Mutation{}}
 		if err := tx.Put(runnerPrefix+"a", &routing.Runner{ID: "a", State: routing.RunnerDraining}); err != nil {
 			t.Fatal(err)
 		}
-		if err := opened.Add(store.Batch{Seq: opened.Seq() + 1, Puts: tx.newestPuts()}); err != nil {
+		if err := opened.Append(store.Batch{Version: opened.Version() + 1, Mutations: tx.newestPuts()}); err != nil {
 			t.Fatal(err)
 		}
 		commit()
--- a/internal/core/server.go
+++ b/internal/controlplane/core/server.go
@@ -11,12 +11,15 @@
 
 	"github.com/tinylib/msgp/msgp"
 
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/lease"
-	"yarrowridge/internal/share"
-	"yarrowridge/internal/store"
-	"yarrowridge/internal/view"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/lease"
+	"yarrowridge/internal/controlplane/paxos"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/lib/runloop"
+	"yarrowridge/internal/model/quota"
+	"yarrowridge/internal/transport/wire"
 )
 
 // How long the parts of a hand-over may take.
@@ -35,32 +38,20 @@
 	maxBatchJobs      = 256                     // writes synced together
 )
 
-// The codes of "no" that callers tell apart.
-const (
-	NotPrimary    = "not-primary" // surely not taken: ask the primary
-	NotReady      = "not-ready"   // surely not taken: ask again
-	InDoubt       = "in-doubt"    // may yet take effect
-	StaleEpoch    = "old-epoch"
-	DiskFailed    = "disk-trouble"
-	NameTaken     = "name-taken" // another node with this name holds a lease
-	RunEnded      = "run-ended"  // a heartbeat of a run that another at its address has replaced
-	InvalidRunner = "bad-runner" // a heartbeat without an ID or with a state that no runner has
-)
-
 // Server is one core process.
 type Server struct {
-	ctx      env.Ctx
+	ctx      daemon.Context
 	settings Settings
 	disk     store.Disk
 	store    atomic.Pointer[store.Store]
 	seeds    atomic.Pointer[[]string] // where the fleet is looked for
-	voter    *view.Voter
+	voter    *paxos.Acceptor
 	caller   *wire.Caller
 	handlers wire.Handlers
 	jobs     chan *job
 	runID    uint64 // of this process, at random; not zero
 
-	storeGate env.Gate // held while a batch or a snapshot is taken as backup
+	storeGate runloop.Mutex // held while a batch or a snapshot is taken as backup
 
 	runLoopState
 
@@ -77,7 +68,7 @@
 	readySince    time.Time
 	diskFailed    bool
 
-	config        StoredConfig // the newest one committed
+	config        coreapi.StoredConfig // the newest one committed
 	nodes         map[string]*liveNode
 	nodesVersion  uint64               // goes up with every change of the nodes
 	routersBefore int                  // routers that the disk had when we became ready
@@ -114,7 +105,7 @@
 
 	poolCache       poolCache
 	charges         map[string]openCharge    // of tenants' tolerances
-	savings         map[string]*share.Saving // of quotas whose requests cost unequal numbers of units
+	savings         map[string]*quota.Saving // of quotas whose requests cost unequal numbers of units
 	hasCoolingUnits bool                     // units of some quota cool
 	finishedKeys    finishedKeys
 	finishedParts   int // parts put by this run
@@ -123,7 +114,7 @@
 
 // liveNode is a node whose lease runs.
 type liveNode struct {
-	node    Node
+	node    coreapi.Node
 	heardAt time.Time
 }
 
@@ -138,7 +129,7 @@
 type incomingSnapshot struct {
 	number snapshotNumber
 	part   int // the next one expected
-	puts   []store.Put
+	puts   []store.Mutation
 }
 
 // snapshotNumber orders the snapshots that a backup is sent: an epoch is led by one run of one process, which counts them.
@@ -147,21 +138,19 @@
 	snapshot uint64
 }
 
-// before tells whether a snapshot was begun before another.
+// before reports whether a snapshot was begun before another.
 func (n snapshotNumber) before(other snapshotNumber) bool {
 	return n.epoch < other.epoch || n.epoch == other.epoch && n.snapshot < other.snapshot
 }
 
 // Open reads the disk and makes a core. A disk whose state is damaged counts as blank: its
 // identity is given up, so that it neither votes nor leads on what it no longer has.
-//
-//	srv, err := core.Open(ctx, settings, disk)
-func Open(ctx env.Ctx, settings Settings, disk store.Disk) (*Server, error) {
+func Open(ctx daemon.Context, settings Settings, disk store.Disk) (*Server, error) {
 	settings = settings.WithDefaults()
-	if err := store.Tidy(disk, ctx.Log); err != nil {
+	if err := store.RemoveIncompleteWrites(disk, ctx.Log); err != nil {
 		return nil, err
 	}
-	voter, err := view.Open(disk, settings.LeaseTerm, ctx.Part("view").Log)
+	voter, err := paxos.Open(disk, settings.LeaseTerm, ctx.WithComponent("view").Log)
 	if err != nil {
 		return nil, err
 	}
@@ -177,7 +166,7 @@
 		caller:       wire.NewCaller(ctx.Net),
 		jobs:         make(chan *job, 4*maxBatchJobs),
 		runID:        rand.Uint64() | 1,
-		storeGate:    env.NewGate(),
+		storeGate:    runloop.NewMutex(),
 		runLoopState: newRunLoopState(),
 		lease:        lease.New(settings.LeaseTerm),
 		nodes:        map[string]*liveNode{},
@@ -204,19 +193,15 @@
 }
 
 // Handle answers calls from other processes.
-//
-//	go wire.Serve(ctx, l, srv.Handle)
 func (s *Server) Handle(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 	return s.handlers.Do(ctx, kind, body)
 }
 
 // Run leads, watches or waits, as the view says, until the context ends.
-//
-//	srv.Run()
 func (s *Server) Run() {
-	go env.Loop(s.ctx, nil, s.settings.LeaseTerm/6, func(struct{}) {}, s.renew)
+	go runloop.Run(s.ctx, nil, s.settings.LeaseTerm/6, func(struct{}) {}, s.renew)
 	s.takeStep()
-	env.Loop(s.ctx, s.jobs, tickEvery, s.runBatch, s.takeStep)
+	runloop.Run(s.ctx, s.jobs, tickEvery, s.runBatch, s.takeStep)
 	s.caller.Close()
 }
 
@@ -250,8 +235,6 @@
 }
 
 // UnavailableReason tells why this core is of no use to its fleet now, or "".
-//
-//	if reason := srv.UnavailableReason(); reason != "" { ... }
 func (s *Server) UnavailableReason() string {
 	v := s.voter.View()
 	switch {
@@ -259,7 +242,7 @@
 		return "the disk is in trouble"
 	case v.Epoch == 0:
 		return "no fleet yet"
-	case !v.HasMember(s.voter.Id()):
+	case !v.HasMember(s.voter.ID()):
 		return "waiting for a seat"
 	}
 	return ""
--- a/internal/core/sessions.go
+++ b/internal/controlplane/core/sessions.go
@@ -3,7 +3,8 @@
 import (
 	"context"
 
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/transport/wire"
 )
 
 // sessionsKey is the key of the routers' session directory. It is on disk so that sessions go on where they are
@@ -14,23 +15,23 @@
 const maxSessionsBytes = 1 << 20
 
 // storeSessions keeps the directory in place of the one before.
-func (s *Server) storeSessions(ctx context.Context, directory *SessionDirectory) (*Empty, error) {
+func (s *Server) storeSessions(ctx context.Context, directory *coreapi.SessionDirectory) (*coreapi.Empty, error) {
 	if len(directory.Batch) > maxSessionsBytes {
-		return nil, wire.Fault{Code: "too-large"}
+		return nil, wire.StatusError{Code: "too-large"}
 	}
 	err := s.Submit(ctx, func(tx *Tx) error { return tx.Put(sessionsKey, directory) })
 	if err != nil {
 		return nil, err
 	}
-	return &Empty{}, nil
+	return &coreapi.Empty{}, nil
 }
 
 // readSessions gives the directory that was kept last.
-func (s *Server) readSessions() (*SessionDirectory, error) {
+func (s *Server) readSessions() (*coreapi.SessionDirectory, error) {
 	if err := s.requirePrimary(); err != nil {
 		return nil, err
 	}
-	var directory SessionDirectory
+	var directory coreapi.SessionDirectory
 	if raw, ok := s.store.Load().Get(sessionsKey); ok {
 		if _, err := directory.UnmarshalMsg(raw); err != nil {
 			return nil, err
--- a/internal/core/settings.go
+++ b/internal/controlplane/core/settings.go
@@ -21,8 +21,6 @@
 }
 
 // WithDefaults puts defaults where nothing is set.
-//
-//	settings = settings.WithDefaults()
 func (s Settings) WithDefaults() Settings {
 	if s.LeaseTerm == 0 {
 		s.LeaseTerm = 1500 * time.Millisecond
--- a/internal/core/state.go
+++ b/internal/controlplane/core/state.go
@@ -4,16 +4,15 @@
 	"sort"
 	"strings"
 
-	"yarrowridge/internal/store"
-	"yarrowridge/internal/view"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/view"
 )
 
 // State tells the core's own state.
-//
-//	state := srv.State()
-func (s *Server) State() *State {
+func (s *Server) State() *coreapi.State {
 	committed := s.store.Load()
-	state := &State{View: s.voter.View(), Id: s.voter.Id(), StoreVersion: committed.Seq()}
+	state := &coreapi.State{View: s.voter.View(), ID: s.voter.ID(), StoreVersion: committed.Version()}
 	s.mu.Lock()
 	s.dropExpiredNodes()
 	state.Ready, state.ConfigVersion, state.DiskFailed = s.ready, s.config.Version, s.diskFailed
@@ -22,8 +21,8 @@
 		state.Candidates = append(state.Candidates, known.member)
 	}
 	s.mu.Unlock()
-	committed.Each(claimPrefix, func(string, []byte) { state.Claims++ })
-	committed.Each(finishedPrefix, func(_ string, raw []byte) {
+	committed.ForEachWithPrefix(claimPrefix, func(string, []byte) { state.Claims++ })
+	committed.ForEachWithPrefix(finishedPrefix, func(_ string, raw []byte) {
 		state.FinishedKeyParts++
 		state.FinishedKeys += len(raw) / hashBytes
 	})
@@ -32,26 +31,24 @@
 }
 
 // View is the newest view that this core knows.
-//
-//	primary := server.View().Primary
 func (s *Server) View() view.View { return s.voter.View() }
 
 // quotaShares lists who holds what of all tenants' quotas, sorted by tenant and holder.
-func quotaShares(committed *store.Store) []QuotaShare {
+func quotaShares(committed *store.Store) []coreapi.QuotaShare {
 	pools := map[string][]byte{} // read first: a store must not be asked again while it is gone through
-	committed.Each(poolPrefix, func(key string, raw []byte) { pools[strings.TrimPrefix(key, poolPrefix)] = raw })
+	committed.ForEachWithPrefix(poolPrefix, func(key string, raw []byte) { pools[strings.TrimPrefix(key, poolPrefix)] = raw })
 	names, tx := holderNumbers{}, &Tx{store: committed}
-	var shares []QuotaShare
+	var shares []coreapi.QuotaShare
 	for tenant, raw := range pools {
 		pool, err := decodePool(raw, func(number uint64) (string, error) { return names.name(tx, number) })
 		if err != nil {
 			continue // it was written anew meanwhile
 		}
 		for holder, held := range pool.Held {
-			shares = append(shares, QuotaShare{Tenant: tenant, Holder: holder, Units: held.Units})
+			shares = append(shares, coreapi.QuotaShare{Tenant: tenant, Holder: holder, Units: held.Units})
 		}
 		for holder, units := range pool.Cool {
-			shares = append(shares, QuotaShare{Tenant: tenant, Holder: holder, Units: units, Cool: true})
+			shares = append(shares, coreapi.QuotaShare{Tenant: tenant, Holder: holder, Units: units, Cooling: true})
 		}
 	}
 	sort.Slice(shares, func(i, j int) bool {
--- a/internal/core/sweep.go
+++ b/internal/controlplane/core/sweep.go
@@ -2,6 +2,7 @@
 
 import (
 	"time"
+	"yarrowridge/internal/controlplane/coreapi"
 )
 
 // How often the run loop looks for what has had its time.
@@ -57,7 +58,7 @@
 	s.dropExpiredNodes()
 	live := liveHolders{holders: map[string]bool{}, places: map[string]bool{}, addrs: map[string]bool{}}
 	for _, known := range s.nodes {
-		live.holders[Holder(known.node)] = true
+		live.holders[coreapi.Holder(known.node)] = true
 		live.places[holderPlace(known.node)] = true
 		live.addrs[known.node.Addr] = true
 	}
@@ -71,7 +72,7 @@
 	}
 	s.submitLater(func(tx *Tx) error {
 		for _, key := range keys {
-			tx.Drop(key)
+			tx.Delete(key)
 		}
 		return nil
 	})
--- a/internal/core/msgs.go
+++ b/internal/controlplane/coreapi/messages.go
@@ -1,43 +1,42 @@
-package core
+// Package coreapi holds the messages and codes with which routers, operators' clients and other cores talk to the core.
+// The msgp tags are the names on the wire; Claim, StoredConfig and SessionDirectory are stored on the core's disk in the
+// same form.
+package coreapi
 
 import (
-	"yarrowridge/internal/routing"
-	"yarrowridge/internal/share"
-	"yarrowridge/internal/store"
-	"yarrowridge/internal/view"
+	"errors"
+	"strconv"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/model/routing"
+	"yarrowridge/internal/transport/wire"
 )
 
-//go:generate go tool msgp -tests=false -io=false -unexported
+//go:generate go tool msgp -tests=false -io=false
 
 // A length read from the wire is believed up to this only.
 //msgp:limit arrays:10000000 maps:200000
 
-// ReplicateRequest asks a backup to store a batch.
-type ReplicateRequest struct {
-	View    view.View   `msg:"v"`
-	Primary string      `msg:"f"`
-	Batch   store.Batch `msg:"b"`
-}
+// States of a claim.
+const (
+	ClaimRunning  = 0
+	ClaimDone     = 1
+	ClaimUnknown  = 2
+	ClaimReleased = 3 // let go: anybody but its own late taking may claim the key
+)
 
-// SnapshotRequest carries a part of the whole state to a backup that is to be.
-type SnapshotRequest struct {
-	View     view.View   `msg:"v"`
-	Primary  string      `msg:"f"`
-	Snapshot uint64      `msg:"t"`
-	Part     int         `msg:"p"`
-	Last     bool        `msg:"l"`
-	Version  uint64      `msg:"s"`
-	Puts     []store.Put `msg:"b"`
-}
+// StreamPrefix begins the keys under which the right to carry a stream on is claimed. No tenant's key
+// begins so: a tenant's name is not empty.
+const StreamPrefix = "/stream/"
 
-// ReplicateResponse answers ReplicateRequest and SnapshotRequest with the backup's identity.
-type ReplicateResponse struct {
-	Id string `msg:"i"`
+// IsOutcomeUnknown reports whether a call that ended in err may yet take effect.
+func IsOutcomeUnknown(err error) bool {
+	return wire.HasCode(err, CodeOutcomeUnknown) || errors.Is(err, wire.ErrOutcomeUnknown)
 }
 
-// JoinRequest is a process that is no member asking to become one.
-type JoinRequest struct {
-	Member view.Member `msg:"w"`
+// Holder names one run of a node as the holder of units. The address is part of it: a newer run
+// at the same address proves the older one gone, since only one process can listen there.
+func Holder(n Node) string {
+	return n.Name + "@" + n.Addr + "/" + strconv.FormatUint(n.Run, 16)
 }
 
 // Node is a router as the core and its peers know it.
@@ -65,16 +64,16 @@
 
 	ViewEpoch uint64 `msg:"ve"` // of the view it knows, so that the same need not be sent
 
-	Tallies []RunnerTally `msg:"t"` // of the runners used since the last heartbeat
+	RunnerStats []RunnerStats `msg:"t"` // of the runners used since the last heartbeat
 }
 
-// RunnerTally counts how attempts at a runner ended, and how long it let streams wait for their next event.
-type RunnerTally struct {
-	ID       string `msg:"i"`
-	Attempts int    `msg:"t"`
-	Failures int    `msg:"f"`
-	Pauses   int    `msg:"p"` // between two events of a stream
-	PausesMs int    `msg:"q"` // all of them together, in milliseconds
+// RunnerStats counts how attempts at a runner ended, and how long it let streams wait for their next event.
+type RunnerStats struct {
+	ID          string `msg:"i"`
+	Attempts    int    `msg:"t"`
+	Failures    int    `msg:"f"`
+	TokenGaps   int    `msg:"p"` // between two events of a stream
+	TokenGapsMs int    `msg:"q"` // all of them together, in milliseconds
 }
 
 // FailingRunner is a runner that lately failed a large share of the attempts of all routers.
@@ -92,16 +91,16 @@
 	NodesChanged  bool      `msg:"w"` // Nodes is set
 	ScarceTenants []string  `msg:"h"` // tenants whose units are wanted back where idle
 
-	// RoutersBefore is how many routers there were before this primary began, as the disk has it, while it does
+	// PreviousRouters is how many routers there were before this primary began, as the disk has it, while it does
 	// not know yet which of them live; 0 once it names them, and where there were none.
-	RoutersBefore int `msg:"b"`
-
-	RunnersEpoch   uint64           `msg:"re"` // one primary's count of versions
-	RunnersVersion uint64           `msg:"rv"`
-	Runners        []routing.Runner `msg:"rr"` // those changed since the version it had
-	RunnersWhole   bool             `msg:"rw"` // Runners are all: one that is not named is to be dropped
-	Failing        []FailingRunner  `msg:"rf"` // all that fail now
-	Calm           []string         `msg:"rc"` // IDs of the runners whose streams have the shortest pauses
+	PreviousRouters int `msg:"b"`
+
+	RunnersEpoch      uint64           `msg:"re"` // one primary's count of versions
+	RunnersVersion    uint64           `msg:"rv"`
+	Runners           []routing.Runner `msg:"rr"` // those changed since the version it had
+	RunnersComplete   bool             `msg:"rw"` // Runners are all: one that is not named is to be dropped
+	Failing           []FailingRunner  `msg:"rf"` // all that fail now
+	LowLatencyRunners []string         `msg:"rc"` // IDs of the runners whose streams have the shortest pauses
 }
 
 // RunnerHeartbeat is a runner's heartbeat.
@@ -127,7 +126,7 @@
 
 // WriteRequest is an operator's change.
 type WriteRequest struct {
-	Id          string `msg:"i"` // the operator's write id, may be empty
+	ID          string `msg:"i"` // the operator's write id, may be empty
 	BaseVersion uint64 `msg:"m"` // the version it was made against; ignored with AnyVersion
 	AnyVersion  bool   `msg:"a"`
 	Patch       bool   `msg:"p"`
@@ -148,18 +147,6 @@
 	Repeated bool          `msg:"a"` // the write id was known: applied before
 }
 
-// WriteRecord remembers what was written under a write id.
-type WriteRecord struct {
-	Version uint64 `msg:"s"`
-	Hash    string `msg:"h"`
-}
-
-// WriteHistory counts the writes of documents that number themselves, and names the older ones still kept.
-type WriteHistory struct {
-	Writes       uint64   `msg:"c"`
-	KeptVersions []uint64 `msg:"p"`
-}
-
 // Claim is the durable record of a once-only key.
 type Claim struct {
 	RequestHash string `msg:"h"` // hash of what was asked
@@ -181,16 +168,16 @@
 
 // ClaimResponse answers ClaimRequest.
 type ClaimResponse struct {
-	Granted    bool  `msg:"g"`
-	Conflict   bool  `msg:"x"` // same key, another body
-	Running    bool  `msg:"l"` // still running at a live node
-	AlreadyRan bool  `msg:"r"` // it ran; no more is known of it by now
-	Full       bool  `msg:"f"` // no more keys can be kept for now
-	Claim      Claim `msg:"c"` // the claim in force
+	Granted     bool  `msg:"g"`
+	Conflict    bool  `msg:"x"` // same key, another body
+	Running     bool  `msg:"l"` // still running at a live node
+	AlreadyRan  bool  `msg:"r"` // it ran; no more is known of it by now
+	TooManyKeys bool  `msg:"f"` // no more keys can be kept for now
+	Claim       Claim `msg:"c"` // the claim in force
 }
 
-// SettleRequest ends a claim.
-type SettleRequest struct {
+// CompleteClaimRequest ends a claim.
+type CompleteClaimRequest struct {
 	Key     string `msg:"k"`
 	Release bool   `msg:"f"` // surely not run: the key may be claimed anew
 	Claim   Claim  `msg:"c"`
@@ -201,11 +188,11 @@
 
 // QuotaMove draws or gives units of a tenant's quota.
 type QuotaMove struct {
-	Tenant string `msg:"t"`
-	Holder string `msg:"n"`
-	Turn   uint64 `msg:"k"`
-	Units  int    `msg:"u"`
-	Give   bool   `msg:"g"`
+	Tenant   string `msg:"t"`
+	Holder   string `msg:"n"`
+	Sequence uint64 `msg:"k"`
+	Units    int    `msg:"u"`
+	Return   bool   `msg:"g"`
 
 	// Costs are those of the requests that wait for a draw, where they differ: each gets all of its units or none. The
 	// rest of Units is to be kept at hand.
@@ -214,8 +201,8 @@
 
 // QuotaMoveResult says what the holder has now.
 type QuotaMoveResult struct {
-	Held    int `msg:"h"`
-	Ceiling int `msg:"u"` // what all have, or the quota if larger
+	Held  int `msg:"h"`
+	Limit int `msg:"u"` // what all have, or the quota if larger
 }
 
 // QuotaMovesRequest are draws and gives of one holder, of as many tenants as it has moves to make: one call and one
@@ -235,16 +222,16 @@
 
 // QuotaShare is one holder's part of a tenant's quota.
 type QuotaShare struct {
-	Tenant string `msg:"t" json:"tenant"`
-	Holder string `msg:"h" json:"holder"`
-	Units  int    `msg:"u" json:"units"`
-	Cool   bool   `msg:"c" json:"cooling"`
+	Tenant  string `msg:"t" json:"tenant"`
+	Holder  string `msg:"h" json:"holder"`
+	Units   int    `msg:"u" json:"units"`
+	Cooling bool   `msg:"c" json:"cooling"`
 }
 
 // State is what the primary tells of itself.
 type State struct {
 	View             view.View     `msg:"v" json:"view"`
-	Id               string        `msg:"m" json:"id"`
+	ID               string        `msg:"m" json:"id"`
 	Ready            bool          `msg:"r" json:"ready"`
 	ConfigVersion    uint64        `msg:"s" json:"sequence"`
 	StoreVersion     uint64        `msg:"t" json:"stored"`
@@ -257,31 +244,14 @@
 	FinishedKeyParts int           `msg:"b" json:"parts_of_keys"`
 }
 
-// storedPool is a tenant's quota pool as it is on disk. It has an entry for every router and is written with every
-// move, so holders go by the numbers of their storedHolder records.
-type storedPool struct {
-	Held    map[string]share.Hold `msg:"h,omitempty"` // by name: as older versions wrote it, only read
-	Cool    map[string]int        `msg:"c,omitempty"`
-	Above   int                   `msg:"a,omitempty"`
-	Charges []share.Charge        `msg:"x,omitempty"`
-	Holds   []numberedHold        `msg:"n,omitempty"`
-}
-
-//msgp:tuple numberedHold
-
-// numberedHold is a share.Hold with the number of its holder.
-type numberedHold struct {
-	Holder uint64
-	Units  int
-	Turn   uint64
-}
-
-// storedHolder is the name of a holder of quota units, under its number.
-type storedHolder struct {
-	Name string `msg:"n"`
-}
-
-// holderCount is how many numbers of holders were given out: none is given twice.
-type holderCount struct {
-	Last uint64 `msg:"l"`
-}
+// The codes of "no" that callers tell apart.
+const (
+	CodeNotPrimary     = "not-primary" // surely not taken: ask the primary
+	CodeNotReady       = "not-ready"   // surely not taken: ask again
+	CodeOutcomeUnknown = "in-doubt"    // may yet take effect
+	CodeStaleEpoch     = "old-epoch"
+	CodeDiskFailed     = "disk-trouble"
+	CodeNameTaken      = "name-taken" // another node with this name holds a lease
+	CodeRunEnded       = "run-ended"  // a heartbeat of a run that another at its address has replaced
+	CodeInvalidRunner  = "bad-runner" // a heartbeat without an ID or with a state that no runner has
+)
--- a/internal/core/client.go
+++ b/internal/controlplane/coreclient/client.go
@@ -1,4 +1,6 @@
-package core
+// Package coreclient is how routers, the operators' API and cores that are not primary call the primary: it finds the primary, calls it,
+// repeats what may be repeated and follows replacements. It is the one package of the control plane that the data plane calls.
+package coreclient
 
 import (
 	"context"
@@ -6,19 +8,20 @@
 	"slices"
 	"sync"
 	"time"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/lib/runloop"
+	"yarrowridge/internal/model/routing"
+	"yarrowridge/internal/transport/wire"
 
 	"github.com/rotisserie/eris"
 	"github.com/tinylib/msgp/msgp"
-
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/routing"
-	"yarrowridge/internal/view"
-	"yarrowridge/internal/wire"
 )
 
 // Client finds the primary and calls it, through hand-overs and replaced machines.
 type Client struct {
-	ctx         env.Ctx
+	ctx         daemon.Context
 	caller      *wire.Caller
 	seeds       []string
 	mu          sync.Mutex
@@ -30,15 +33,11 @@
 }
 
 // NewClient makes a client that starts from the seeds: addresses of any processes of the fleet.
-//
-//	c := core.NewClient(ctx, caller, set.Addrs("seeds"))
-func NewClient(ctx env.Ctx, caller *wire.Caller, seeds []string) *Client {
+func NewClient(ctx daemon.Context, caller *wire.Caller, seeds []string) *Client {
 	return &Client{ctx: ctx, caller: caller, seeds: seeds, viewChanged: make(chan struct{})}
 }
 
 // View is the newest view heard of.
-//
-//	v := c.View()
 func (c *Client) View() view.View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,8 +45,6 @@
 }
 
 // Learn takes a view if it is newer.
-//
-//	c.Learn(response.View)
 func (c *Client) Learn(v view.View) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,8 +57,6 @@
 }
 
 // SetSeeds replaces the seeds: the settings have changed.
-//
-//	c.SetSeeds(set.Addrs("seeds"))
 func (c *Client) SetSeeds(seeds []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,8 +64,6 @@
 }
 
 // SetPeers sets addresses to ask besides the seeds: the other nodes.
-//
-//	c.SetPeers(addrs)
 func (c *Client) SetPeers(addrs []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,7 +111,7 @@
 		c.searchEnd = end
 		go func() {
 			c.askForView(c.ctx)
-			env.Wait(c.ctx, searchPause)
+			runloop.Sleep(c.ctx, searchPause)
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.searchEnd = nil
@@ -177,8 +170,6 @@
 // Call asks the primary, looking for it anew as long as ctx runs. repeatable says that the call may be
 // repeated after a response in doubt: it names its own turn, id or version.
 // ErrUnsent or a NotReady fault mean surely not taken; ErrDoubt or an InDoubt fault: perhaps.
-//
-//	err := c.Call(ctx, "core.take", &request, &response, true)
 func (c *Client) Call(ctx context.Context, kind string, request msgp.Marshaler, response msgp.Unmarshaler, repeatable bool) error {
 	var last error
 	for {
@@ -193,7 +184,7 @@
 				return err
 			}
 			// The worst that any attempt may have come to is what the caller is told.
-			if last == nil || !IsInDoubt(last) {
+			if last == nil || !coreapi.IsOutcomeUnknown(last) {
 				last = err
 			}
 		}
@@ -210,12 +201,12 @@
 	return last
 }
 
-// isWorthRepeating tells whether a call that ended in err may be made again and may end otherwise.
+// isWorthRepeating reports whether a call that ended in err may be made again and may end otherwise.
 func isWorthRepeating(err error, repeatable bool) bool {
-	if wire.Is(err, NotPrimary) || wire.Is(err, NotReady) || errors.Is(err, wire.ErrUnsent) {
+	if wire.HasCode(err, coreapi.CodeNotPrimary) || wire.HasCode(err, coreapi.CodeNotReady) || errors.Is(err, wire.ErrUnsent) {
 		return true
 	}
-	return IsInDoubt(err) && repeatable
+	return coreapi.IsOutcomeUnknown(err) && repeatable
 }
 
 // How long a primary is waited for that says nothing: the fleet is asked whether there is another one long
@@ -252,15 +243,6 @@
 
 // SendRunnerHeartbeat tells the primary a runner's heartbeat, whichever core that is. It may be repeated: a
 // heartbeat that was taken before changes nothing.
-//
-//	err := client.SendRunnerHeartbeat(ctx, runner)
 func (c *Client) SendRunnerHeartbeat(ctx context.Context, runner routing.Runner) error {
-	return c.Call(ctx, "core.runner", &RunnerHeartbeat{Runner: runner}, &Empty{}, true)
-}
-
-// IsInDoubt tells whether a call that ended in err may yet take effect.
-//
-//	if core.IsInDoubt(err) { ... }
-func IsInDoubt(err error) bool {
-	return wire.Is(err, InDoubt) || errors.Is(err, wire.ErrDoubt)
+	return c.Call(ctx, "core.runner", &coreapi.RunnerHeartbeat{Runner: runner}, &coreapi.Empty{}, true)
 }
--- a/internal/core/client_test.go
+++ b/internal/controlplane/coreclient/client_test.go
@@ -1,9 +1,10 @@
-package core
+package coreclient
 
 import (
 	"testing"
 
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/transport/wire"
 )
 
 // A call is made again after a clear "not taken" always, in doubt only where its caller says that it may be.
@@ -12,12 +13,12 @@
 		err               error
 		always, ifAllowed bool
 	}{
-		{wire.Fault{Code: NotPrimary}, true, true},
-		{wire.Fault{Code: NotReady}, true, true},
+		{wire.StatusError{Code: coreapi.CodeNotPrimary}, true, true},
+		{wire.StatusError{Code: coreapi.CodeNotReady}, true, true},
 		{wire.ErrUnsent, true, true},
-		{wire.Fault{Code: InDoubt}, false, true},
-		{wire.ErrDoubt, false, true},
-		{wire.Fault{Code: NameTaken}, false, false},
+		{wire.StatusError{Code: coreapi.CodeOutcomeUnknown}, false, true},
+		{wire.ErrOutcomeUnknown, false, true},
+		{wire.StatusError{Code: coreapi.CodeNameTaken}, false, false},
 	} {
 		if got := isWorthRepeating(one.err, false); got != one.always {
 			t.Errorf("%v, not repeatable: again %v", one.err, got)
--- a/internal/core/forwarder.go
+++ b/internal/controlplane/coreclient/forwarder.go
@@ -1,14 +1,13 @@
-package core
+package coreclient
 
 import (
 	"context"
 	"sync"
 	"time"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/model/routing"
 
 	"github.com/tinylib/msgp/msgp"
-
-	"yarrowridge/internal/routing"
-	"yarrowridge/internal/view"
 )
 
 const (
@@ -30,22 +29,16 @@
 }
 
 // NewForwarder makes a forwarder to the primary that the client finds, or that the core of this process knows.
-//
-//	forwarder := core.NewForwarder(client, server.View)
 func NewForwarder(client *Client, known func() view.View) *Forwarder {
 	return &Forwarder{client: client, view: known, lastThrough: time.Now()}
 }
 
 // Call is Client.Call.
-//
-//	err := forwarder.Call(ctx, "core.write", &request, &response, true)
 func (f *Forwarder) Call(ctx context.Context, kind string, request msgp.Marshaler, response msgp.Unmarshaler, repeatable bool) error {
 	return f.forward(ctx, func(ctx context.Context) error { return f.client.Call(ctx, kind, request, response, repeatable) })
 }
 
 // SendRunnerHeartbeat is Client.SendRunnerHeartbeat.
-//
-//	err := forwarder.SendRunnerHeartbeat(ctx, runner)
 func (f *Forwarder) SendRunnerHeartbeat(ctx context.Context, runner routing.Runner) error {
 	return f.forward(ctx, func(ctx context.Context) error { return f.client.SendRunnerHeartbeat(ctx, runner) })
 }
@@ -66,7 +59,7 @@
 	return err
 }
 
-// isCutOff tells whether no call has got through for long.
+// isCutOff reports whether no call has got through for long.
 func (f *Forwarder) isCutOff() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/core/forwarder_test.go
+++ b/internal/controlplane/coreclient/forwarder_test.go
@@ -1,4 +1,4 @@
-package core
+package coreclient
 
 import (
 	"context"
@@ -7,9 +7,10 @@
 	"testing/synctest"
 	"time"
 
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/view"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/transport/wire"
 )
 
 // silentNet reaches nobody: a dial ends after some seconds.
@@ -35,7 +36,7 @@
 		network := silentNet{}
 		caller := wire.NewCaller(network)
 		defer caller.Close()
-		client := NewClient(env.Ctx{Context: ctx, Net: network}, caller, []string{"10.0.0.1:1"})
+		client := NewClient(daemon.Context{Context: ctx, Net: network}, caller, []string{"10.0.0.1:1"})
 		asked := 0
 		forwarder := NewForwarder(client, func() view.View { asked++; return view.View{} })
 		const patience = 900 * time.Millisecond
@@ -43,7 +44,7 @@
 			ctx, cancel := context.WithTimeout(ctx, patience)
 			defer cancel()
 			begun := time.Now()
-			if err := forwarder.Call(ctx, "core.layout", &ConfigRequest{}, &StoredConfig{}, true); err == nil {
+			if err := forwarder.Call(ctx, "core.layout", &coreapi.ConfigRequest{}, &coreapi.StoredConfig{}, true); err == nil {
 				t.Error("a call got through to nobody")
 			}
 			return time.Since(begun)
--- a/internal/lease/lease.go
+++ b/internal/controlplane/lease/lease.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"yarrowridge/internal/strike"
+	"yarrowridge/internal/lib/faultinjection"
 )
 
 // Lease is the holder's side. Each grant counts from when it was asked for, on the holder's own
@@ -20,16 +20,12 @@
 }
 
 // New makes a lease whose grants run for term, less a tenth for drift.
-//
-//	l := lease.New(2 * time.Second)
 func New(term time.Duration) *Lease {
 	return &Lease{term: term - term/10, grantedUntil: map[string]time.Time{}, answeredAt: map[string]time.Time{}}
 }
 
-// Grant notes a voter's yes to a question asked at the time given.
-//
-//	l.Grant("a1", asked)
-func (l *Lease) Grant(voter string, asked time.Time) {
+// RecordGrant notes a voter's yes to a question asked at the time given.
+func (l *Lease) RecordGrant(voter string, asked time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if end := asked.Add(l.term); end.After(l.grantedUntil[voter]) {
@@ -37,19 +33,15 @@
 	}
 }
 
-// Saw notes that a voter answered at all.
-//
-//	l.Saw("a1")
-func (l *Lease) Saw(voter string) {
+// RecordResponse notes that a voter answered at all.
+func (l *Lease) RecordResponse(voter string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.answeredAt[voter] = time.Now()
 }
 
-// Gone tells how long ago a voter last answered; since is used for one never heard.
-//
-//	if l.Gone("a1", start) > 2*time.Second { ... }
-func (l *Lease) Gone(voter string, since time.Time) time.Duration {
+// SinceResponse tells how long ago a voter last answered; since is used for one never heard.
+func (l *Lease) SinceResponse(voter string, since time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.answeredAt[voter]
@@ -59,10 +51,8 @@
 	return time.Since(t)
 }
 
-// Hears tells whether those who answered within the span satisfy most.
-//
-//	if l.Hears(v.Most, time.Second) { ... }
-func (l *Lease) Hears(most func(map[string]bool) bool, span time.Duration) bool {
+// HasRecentResponses reports whether those who answered within the span satisfy most.
+func (l *Lease) HasRecentResponses(most func(map[string]bool) bool, span time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	got := map[string]bool{}
@@ -74,10 +64,8 @@
 	return most(got)
 }
 
-// Next is the lease of the next epoch: no grants yet, but what is known of who answers.
-//
-//	l = l.Next()
-func (l *Lease) Next() *Lease {
+// ForNextEpoch is the lease of the next epoch: no grants yet, but what is known of who answers.
+func (l *Lease) ForNextEpoch() *Lease {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := New(0)
@@ -86,10 +74,8 @@
 	return n
 }
 
-// Stands tells whether the grants that still run now satisfy most.
-//
-//	if l.Stands(v.Most) { ... }
-func (l *Lease) Stands(most func(map[string]bool) bool) bool {
+// IsHeld reports whether the grants that still run now satisfy most.
+func (l *Lease) IsHeld(most func(map[string]bool) bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -99,5 +85,5 @@
 			got[voter] = true
 		}
 	}
-	return most(got) || strike.Out("lease")
+	return most(got) || faultinjection.Disabled("lease")
 }
--- a/internal/lease/lease_test.go
+++ b/internal/controlplane/lease/lease_test.go
@@ -11,17 +11,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		two := func(got map[string]bool) bool { return len(got) >= 2 }
 		l := New(time.Second)
-		l.Saw("a")
+		l.RecordResponse("a")
 		time.Sleep(300 * time.Millisecond)
-		l.Saw("b")
-		if !l.Hears(two, 400*time.Millisecond) || l.Hears(two, 200*time.Millisecond) {
+		l.RecordResponse("b")
+		if !l.HasRecentResponses(two, 400*time.Millisecond) || l.HasRecentResponses(two, 200*time.Millisecond) {
 			t.Error("a was heard 300 ms ago, b just now")
 		}
-		if !l.Next().Hears(two, 400*time.Millisecond) {
+		if !l.ForNextEpoch().HasRecentResponses(two, 400*time.Millisecond) {
 			t.Error("the next epoch's lease has forgotten who answered")
 		}
 		time.Sleep(200 * time.Millisecond)
-		if l.Hears(two, 400*time.Millisecond) {
+		if l.HasRecentResponses(two, 400*time.Millisecond) {
 			t.Error("a was heard half a second ago")
 		}
 	})
--- a/internal/view/proposal.go
+++ b/internal/controlplane/paxos/proposal.go
@@ -1,4 +1,4 @@
-package view
+package paxos
 
 import (
 	"context"
@@ -6,6 +6,7 @@
 	"fmt"
 	"slices"
 	"time"
+	"yarrowridge/internal/controlplane/view"
 
 	"github.com/rotisserie/eris"
 	"github.com/tinylib/msgp/msgp"
@@ -20,41 +21,39 @@
 
 // ErrInDoubt means that voters were asked to accept a view, and too few are known to have done so: whoever proposes next
 // may find it accepted, and decide it. It is an ErrNotDecided too.
-var ErrInDoubt = fmt.Errorf("%w, and may yet be", ErrNotDecided)
+var ErrOutcomeUnknown = fmt.Errorf("%w, and may yet be", ErrNotDecided)
 
 // Proposal is one proposer's attempt to decide the epoch after Current.
 type Proposal struct {
-	Proposer      string
+	ProposerID    string
 	Call          CallFunc
-	Current       View
-	Next          View
+	Current       view.View
+	Next          view.View
 	Unanimous     bool          // founding: every founder must have promised
 	StepTimeout   time.Duration // for each of the two steps
-	HighestBallot uint64        // highest ballot number seen so far
+	HighestNumber uint64        // highest ballot number seen so far
 }
 
 // reply is what one voter answered, or why it did not.
 type reply struct {
 	id       string
-	response BallotResponse
+	response VoteResponse
 	err      error
 }
 
-// quorum tells whether the voters that agreed are enough.
+// quorum reports whether the voters that agreed are enough.
 type quorum func(agreed map[string]bool) bool
 
 // Run makes the proposal. It returns the view now decided for the epoch, which may be another's,
 // or a newer view that a voter knew of; ErrNotDecided where nothing was learnt, ErrInDoubt where voters may have accepted.
-//
-//	v, err := (&view.Proposal{Proposer: id, Call: call, Current: cur, Next: next, StepTimeout: time.Second}).Run(ctx)
-func (p *Proposal) Run(ctx context.Context) (View, error) {
-	ballot := Ballot{Number: p.HighestBallot + 1, Proposer: p.Proposer}
+func (p *Proposal) Run(ctx context.Context) (view.View, error) {
+	ballot := ProposalNumber{Number: p.HighestNumber + 1, Proposer: p.ProposerID}
 	next, newer, err := p.prepare(ctx, ballot)
 	if newer.Epoch > 0 {
 		return newer, nil
 	}
 	if err != nil {
-		return View{}, eris.Wrap(err, "view: prepare")
+		return view.View{}, eris.Wrap(err, "view: prepare")
 	}
 	newer, err = p.accept(ctx, ballot, next)
 	if err == nil {
@@ -63,16 +62,16 @@
 	if newer.Epoch > 0 {
 		return newer, nil
 	}
-	return View{}, eris.Wrap(ErrInDoubt, "view: accept")
+	return view.View{}, eris.Wrap(ErrOutcomeUnknown, "view: accept")
 }
 
 // prepare is the first step: it asks the current members for their promises. next is the view to propose then: the
 // one accepted under the highest ballot, or else our own. newer is the newest decided view that a voter knew of.
-func (p *Proposal) prepare(ctx context.Context, ballot Ballot) (next, newer View, err error) {
+func (p *Proposal) prepare(ctx context.Context, ballot ProposalNumber) (next, newer view.View, err error) {
 	next = p.Next
 	next.Epoch = p.Current.Epoch + 1
-	var best Ballot
-	see := func(response BallotResponse) {
+	var best ProposalNumber
+	see := func(response VoteResponse) {
 		p.note(response, &newer)
 		if response.Ok && response.Accepted.Number > 0 && best.Less(response.Accepted) {
 			best, next = response.Accepted, response.AcceptedView
@@ -82,37 +81,37 @@
 	if p.Unanimous {
 		enough = func(agreed map[string]bool) bool { return len(agreed) == len(p.Current.Members) }
 	}
-	request := &PrepareRequest{Current: p.Current, Ballot: ballot}
+	request := &PrepareRequest{Current: p.Current, Number: ballot}
 	err = p.ask(ctx, p.Current.Members, "view.prep", request, enough, see)
 	return next, newer, err
 }
 
 // accept is the second step: it asks the current and the new members to accept the view. newer is the newest
 // decided view that a voter knew of.
-func (p *Proposal) accept(ctx context.Context, ballot Ballot, next View) (newer View, err error) {
+func (p *Proposal) accept(ctx context.Context, ballot ProposalNumber, next view.View) (newer view.View, err error) {
 	voters := slices.Clone(p.Current.Members)
 	for _, m := range next.Members {
-		if !p.Current.HasMember(m.Id) {
+		if !p.Current.HasMember(m.ID) {
 			voters = append(voters, m)
 		}
 	}
 	enough := func(agreed map[string]bool) bool { return p.Current.IsMajority(agreed) && next.IsMajority(agreed) }
-	see := func(response BallotResponse) { p.note(response, &newer) }
-	request := &AcceptRequest{Current: p.Current, Ballot: ballot, Proposed: next}
+	see := func(response VoteResponse) { p.note(response, &newer) }
+	request := &AcceptRequest{Current: p.Current, Number: ballot, Proposed: next}
 	err = p.ask(ctx, voters, "view.pick", request, enough, see)
 	return newer, err
 }
 
 // note remembers the highest ballot seen and the newest decided view.
-func (p *Proposal) note(response BallotResponse, newer *View) {
-	p.HighestBallot = max(p.HighestBallot, response.Promised.Number)
+func (p *Proposal) note(response VoteResponse, newer *view.View) {
+	p.HighestNumber = max(p.HighestNumber, response.Promised.Number)
 	if response.View.Epoch > p.Current.Epoch && response.View.Epoch > newer.Epoch {
 		*newer = response.View
 	}
 }
 
 // ask sends one request to all voters, shows each response to see, and ends once enough have agreed.
-func (p *Proposal) ask(ctx context.Context, voters []Member, kind string, request msgp.Marshaler, enough quorum, see func(BallotResponse)) error {
+func (p *Proposal) ask(ctx context.Context, voters []view.Member, kind string, request msgp.Marshaler, enough quorum, see func(VoteResponse)) error {
 	ctx, cancel := context.WithTimeout(ctx, p.StepTimeout)
 	defer cancel()
 	replies := make(chan reply, len(voters))
@@ -142,12 +141,12 @@
 }
 
 // askVoter sends one request to one voter.
-func (p *Proposal) askVoter(ctx context.Context, m Member, kind string, request msgp.Marshaler) reply {
-	one := reply{id: m.Id}
+func (p *Proposal) askVoter(ctx context.Context, m view.Member, kind string, request msgp.Marshaler) reply {
+	one := reply{id: m.ID}
 	one.err = p.Call(ctx, m.Addr, kind, request, &one.response)
 	// Another process, or a blank one, at this address has no say for the member.
-	if one.err == nil && one.response.Id != m.Id {
-		one.err = eris.Wrapf(ErrNotDecided, "%s: identity %s, %s expected", m.Addr, one.response.Id, m.Id)
+	if one.err == nil && one.response.ID != m.ID {
+		one.err = eris.Wrapf(ErrNotDecided, "%s: identity %s, %s expected", m.Addr, one.response.ID, m.ID)
 	}
 	return one
 }
--- a/internal/view/view_test.go
+++ b/internal/controlplane/paxos/view_test.go
@@ -1,4 +1,4 @@
-package view
+package paxos
 
 import (
 	"io"
@@ -7,6 +7,7 @@
 	"testing"
 	"testing/synctest"
 	"time"
+	"yarrowridge/internal/controlplane/view"
 
 	"github.com/tinylib/msgp/msgp"
 )
@@ -27,7 +28,7 @@
 	raw = msgp.AppendUint64(msgp.AppendString(raw, "e"), 7)
 	raw = msgp.AppendString(msgp.AppendString(raw, "p"), "a")
 	raw = msgp.AppendString(msgp.AppendString(raw, "b"), "c")
-	var v View
+	var v view.View
 	if _, err := v.UnmarshalMsg(raw); err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +42,7 @@
 
 // The first backup stands where builds that know one look for it, and a dropped member backs nothing.
 func TestBackupsOfAView(t *testing.T) {
-	v := View{Members: []Member{{Id: "a", Addr: "1"}, {Id: "b", Addr: "2"}, {Id: "c", Addr: "3"}}, Primary: "a"}.WithBackups([]string{"b", "c"})
+	v := view.View{Members: []view.Member{{ID: "a", Addr: "1"}, {ID: "b", Addr: "2"}, {ID: "c", Addr: "3"}}, Primary: "a"}.WithBackups([]string{"b", "c"})
 	if v.FirstBackup != "b" || !v.IsBackup("c") || v.IsBackup("a") {
 		t.Errorf("%+v", v)
 	}
@@ -52,7 +53,7 @@
 	if len(v.Members) != 3 || v.FirstBackup != "b" {
 		t.Errorf("the view itself changed: %+v", v)
 	}
-	even := View{Members: v.WithMember(Member{Id: "d", Addr: "4"}).Members}
+	even := view.View{Members: v.WithMember(view.Member{ID: "d", Addr: "4"}).Members}
 	if even.IsMajority(map[string]bool{"a": true, "b": true}) || !even.IsMajority(map[string]bool{"a": true, "b": true, "d": true}) {
 		t.Error("three of four are a majority, two are not")
 	}
@@ -66,7 +67,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		cur := View{Epoch: 3, Primary: "a", Members: []Member{{Id: "a", Addr: "1"}}}
+		cur := view.View{Epoch: 3, Primary: "a", Members: []view.Member{{ID: "a", Addr: "1"}}}
 		grant := func(run, turn uint64) {
 			if g, err := voter.Renew(&RenewRequest{View: cur, PrimaryRun: run, Round: turn}); err != nil || !g.Ok {
 				t.Fatalf("%+v %v", g, err)
--- a/internal/view/voter.go
+++ b/internal/controlplane/paxos/voter.go
@@ -1,4 +1,4 @@
-package view
+package paxos
 
 import (
 	"crypto/rand"
@@ -9,32 +9,31 @@
 
 	"github.com/rotisserie/eris"
 
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/store"
-	"yarrowridge/internal/strike"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/lib/faultinjection"
+	"yarrowridge/internal/lib/runloop"
 )
 
-// Voter is one member's vote: what it has promised, accepted and learnt, on its disk, and the lease that it has
+// Acceptor is one member's vote: what it has promised, accepted and learnt, on its disk, and the lease that it has
 // granted to the primary, in memory.
-type Voter struct {
+type Acceptor struct {
 	disk        store.Disk
 	term        time.Duration
-	mu          env.Gate // held over a write; readers of what is decided never wait for the disk
-	state       VoterState
-	published   atomic.Pointer[VoterState] // state, for readers without the lock
-	leaseEnd    time.Time                  // the primary's lease as granted here
-	leasedRun   uint64                     // of the primary's process that the lease was last granted to
-	leasedRound uint64                     // of the last grant
+	mu          runloop.Mutex // held over a write; readers of what is decided never wait for the disk
+	state       AcceptorState
+	published   atomic.Pointer[AcceptorState] // state, for readers without the lock
+	leaseEnd    time.Time                     // the primary's lease as granted here
+	leasedRun   uint64                        // of the primary's process that the lease was last granted to
+	leasedRound uint64                        // of the last grant
 	openedAt    time.Time
 }
 
 // ballotFile is the name of the file that keeps the voter's state.
-const ballotFile = "ballot"
+const stateFile = "ballot"
 
-// NewId makes a random identity.
-//
-//	id := view.NewId() // "9f86d081884c7d65"
-func NewId() string {
+// NewID makes a random identity.
+func NewID() string {
 	var b [8]byte
 	rand.Read(b[:])
 	return hex.EncodeToString(b[:])
@@ -43,29 +42,27 @@
 // Open reads the voter's state, or begins a blank one with a new identity. term is the longest
 // lease that any run of this voter may have granted: after a restart nothing is promised before it
 // has passed, since the former run's grants are not on disk.
-//
-//	v, err := view.Open(disk, 2*time.Second, log)
-func Open(d store.Disk, term time.Duration, log *slog.Logger) (*Voter, error) {
-	v := &Voter{mu: env.NewGate(), disk: d, term: term, openedAt: time.Now()}
-	raw, err := d.Read(ballotFile)
+func Open(d store.Disk, term time.Duration, log *slog.Logger) (*Acceptor, error) {
+	v := &Acceptor{mu: runloop.NewMutex(), disk: d, term: term, openedAt: time.Now()}
+	raw, err := d.Read(stateFile)
 	if err != nil {
 		return nil, err
 	}
 	if raw != nil {
-		body, ok := store.Unseal(raw)
+		body, ok := store.VerifyChecksum(raw)
 		if ok {
 			_, err = v.state.UnmarshalMsg(body)
 		}
-		if ok && err == nil && v.state.Id != "" {
+		if ok && err == nil && v.state.ID != "" {
 			state := v.state
 			v.published.Store(&state)
-			if !strike.Out("grant-at-restart") {
+			if !faultinjection.Disabled("grant-at-restart") {
 				v.leaseEnd = v.openedAt.Add(term)
 			}
 			return v, nil
 		}
-		log.Error("Ballot file is damaged; set aside. This disk counts as blank.", "file", "bad-"+ballotFile)
-		if err := d.Rename(ballotFile, "bad-"+ballotFile); err != nil {
+		log.Error("Ballot file is damaged; set aside. This disk counts as blank.", "file", "bad-"+stateFile)
+		if err := d.Rename(stateFile, "bad-"+stateFile); err != nil {
 			return nil, err
 		}
 	}
@@ -73,28 +70,26 @@
 }
 
 // reset is Reset for callers that hold the lock.
-func (v *Voter) reset() error {
-	return v.persist(VoterState{Id: NewId()})
+func (v *Acceptor) reset() error {
+	return v.persist(AcceptorState{ID: NewID()})
 }
 
 // Reset forgets all and takes a new identity: the state that stood beside this file is lost.
-//
-//	err := v.Reset()
-func (v *Voter) Reset() error {
+func (v *Acceptor) Reset() error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.reset()
 }
 
 // persist syncs the state to disk before it counts.
-func (v *Voter) persist(state VoterState) error {
+func (v *Acceptor) persist(state AcceptorState) error {
 	raw, err := state.MarshalMsg(nil)
 	if err != nil {
 		return err
 	}
-	isVote := v.state.Id != "" && state.View.Epoch == v.state.View.Epoch
-	if !isVote || !strike.Out("vote-on-disk") {
-		if err := v.disk.Write(ballotFile, store.Seal(raw)); err != nil {
+	isVote := v.state.ID != "" && state.View.Epoch == v.state.View.Epoch
+	if !isVote || !faultinjection.Disabled("vote-on-disk") {
+		if err := v.disk.Write(stateFile, store.AddChecksum(raw)); err != nil {
 			return eris.Wrap(err, "view: ballot not kept")
 		}
 	}
@@ -103,63 +98,53 @@
 	return nil
 }
 
-// Id is this voter's identity.
-//
-//	me := v.Id()
-func (v *Voter) Id() string { return v.published.Load().Id }
+// ID is this voter's identity.
+func (v *Acceptor) ID() string { return v.published.Load().ID }
 
 // View is the newest decided view known here.
-//
-//	cur := v.View()
-func (v *Voter) View() View { return v.published.Load().View }
+func (v *Acceptor) View() view.View { return v.published.Load().View }
 
 // Status answers a StatusRequest.
-//
-//	status := v.Status("127.0.0.1:7401", "north")
-func (v *Voter) Status(addr, zone string) *StatusResponse {
+func (v *Acceptor) Status(addr, zone string) *view.StatusResponse {
 	state := v.published.Load()
-	return &StatusResponse{Id: state.Id, Addr: addr, Zone: zone, View: state.View}
+	return &view.StatusResponse{ID: state.ID, Addr: addr, Zone: zone, View: state.View}
 }
 
 // Learn takes a decided view if it is newer.
-//
-//	err := v.Learn(next)
-func (v *Voter) Learn(next View) error {
+func (v *Acceptor) Learn(next view.View) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.learn(next)
 }
 
 // learn is Learn for callers that hold the lock.
-func (v *Voter) learn(next View) error {
+func (v *Acceptor) learn(next view.View) error {
 	if next.Epoch <= v.state.View.Epoch {
 		return nil
 	}
-	return v.persist(VoterState{Id: v.state.Id, View: next})
+	return v.persist(AcceptorState{ID: v.state.ID, View: next})
 }
 
 // Prepare answers a proposer's first step.
-//
-//	response, err := v.Prepare(&view.PrepareRequest{Current: cur, Ballot: ballot})
-func (v *Voter) Prepare(request *PrepareRequest) (*BallotResponse, error) {
+func (v *Acceptor) Prepare(request *PrepareRequest) (*VoteResponse, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if err := v.learn(request.Current); err != nil {
 		return nil, err
 	}
-	response := &BallotResponse{View: v.state.View, Promised: v.state.Promised, Id: v.state.Id}
+	response := &VoteResponse{View: v.state.View, Promised: v.state.Promised, ID: v.state.ID}
 	if request.Current.Epoch < v.state.View.Epoch {
 		return response, nil
 	}
-	if request.Current.Epoch > 0 && request.Ballot.Proposer != v.state.View.Primary && time.Now().Before(v.leaseEnd) {
+	if request.Current.Epoch > 0 && request.Number.Proposer != v.state.View.Primary && time.Now().Before(v.leaseEnd) {
 		response.Leased = true
 		return response, nil
 	}
-	if !v.state.Promised.Less(request.Ballot) {
+	if !v.state.Promised.Less(request.Number) {
 		return response, nil
 	}
 	next := v.state
-	next.Promised = request.Ballot
+	next.Promised = request.Number
 	if err := v.persist(next); err != nil {
 		return nil, err
 	}
@@ -168,20 +153,18 @@
 }
 
 // Accept answers a proposer's second step.
-//
-//	response, err := v.Accept(&view.AcceptRequest{Current: cur, Ballot: ballot, Proposed: next})
-func (v *Voter) Accept(request *AcceptRequest) (*BallotResponse, error) {
+func (v *Acceptor) Accept(request *AcceptRequest) (*VoteResponse, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if err := v.learn(request.Current); err != nil {
 		return nil, err
 	}
-	response := &BallotResponse{View: v.state.View, Promised: v.state.Promised, Id: v.state.Id}
-	if request.Current.Epoch < v.state.View.Epoch || request.Ballot.Less(v.state.Promised) {
+	response := &VoteResponse{View: v.state.View, Promised: v.state.Promised, ID: v.state.ID}
+	if request.Current.Epoch < v.state.View.Epoch || request.Number.Less(v.state.Promised) {
 		return response, nil
 	}
 	next := v.state
-	next.Promised, next.Accepted, next.AcceptedView = request.Ballot, request.Ballot, request.Proposed
+	next.Promised, next.Accepted, next.AcceptedView = request.Number, request.Number, request.Proposed
 	if err := v.persist(next); err != nil {
 		return nil, err
 	}
@@ -190,15 +173,13 @@
 }
 
 // Renew leases the primacy to a view's primary for the term, counted from now on this clock.
-//
-//	response, err := v.Renew(&view.RenewRequest{View: cur, PrimaryRun: run, Round: round})
-func (v *Voter) Renew(request *RenewRequest) (*RenewResponse, error) {
+func (v *Acceptor) Renew(request *RenewRequest) (*RenewResponse, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if err := v.learn(request.View); err != nil {
 		return nil, err
 	}
-	response := &RenewResponse{View: v.state.View, Id: v.state.Id}
+	response := &RenewResponse{View: v.state.View, ID: v.state.ID}
 	switch {
 	case request.View.Epoch < v.state.View.Epoch:
 	case v.state.Promised.Number > 0 && v.state.Promised.Proposer != v.state.View.Primary:
@@ -216,9 +197,7 @@
 
 // Release ends the primary's lease where it asks so. One that was long under way, so that a newer
 // grant or another run's stands here, ends nothing.
-//
-//	v.Release(&view.ReleaseRequest{Epoch: cur.Epoch, PrimaryRun: run, Round: round})
-func (v *Voter) Release(request *ReleaseRequest) {
+func (v *Acceptor) Release(request *ReleaseRequest) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if request.PrimaryRun != 0 && request.PrimaryRun == v.leasedRun && request.Round > v.leasedRound && request.Epoch == v.state.View.Epoch {
@@ -226,10 +205,8 @@
 	}
 }
 
-// Leased tells whether the primary's lease still runs here.
-//
-//	if !v.Leased() { ... }
-func (v *Voter) Leased() bool {
+// Leased reports whether the primary's lease still runs here.
+func (v *Acceptor) Leased() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return time.Now().Before(v.leaseEnd)
