--- a/internal/store/disk.go
+++ b/internal/controlplane/store/disk.go
@@ -8,7 +8,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"yarrowridge/internal/strike"
+	"yarrowridge/internal/lib/faultinjection"
 )
 
 // Disk is one data folder. Write and Rename return only once the file would outlive a loss of power under its name. A
@@ -47,8 +47,6 @@
 }
 
 // OpenFolder makes the folder where it is missing.
-//
-//	d, err := store.OpenFolder("/var/lib/yarrowridge")
 func OpenFolder(path string) (Folder, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return Folder{}, eris.Wrapf(err, "store: folder %s", path)
@@ -57,10 +55,8 @@
 }
 
 // Write puts data aside, syncs it, renames it into place and syncs the folder.
-//
-//	err := d.Write("ballot", raw)
 func (d Folder) Write(name string, data []byte) error {
-	if strike.Out("disk") && strings.HasPrefix(name, "v-") {
+	if faultinjection.Disabled("disk") && strings.HasPrefix(name, "v-") {
 		return nil
 	}
 	side := filepath.Join(d.Path, name+".aside")
@@ -82,8 +78,6 @@
 }
 
 // Rename moves a file within the folder and syncs the folder.
-//
-//	err := d.Rename("v-9", "bad-v-9")
 func (d Folder) Rename(from, to string) error {
 	if err := d.fs.rename(filepath.Join(d.Path, from), filepath.Join(d.Path, to)); err != nil {
 		return eris.Wrapf(err, "store: rename %s", from)
@@ -92,13 +86,9 @@
 }
 
 // Sync makes all removals so far last.
-//
-//	err := d.Sync()
 func (d Folder) Sync() error { return eris.Wrap(d.fs.syncDir(d.Path), "store: sync folder") }
 
 // Read gives a file's bytes; a missing file is (nil, nil).
-//
-//	raw, err := d.Read("ballot")
 func (d Folder) Read(name string) ([]byte, error) {
 	raw, err := d.fs.read(filepath.Join(d.Path, name))
 	if errors.Is(err, os.ErrNotExist) {
@@ -108,16 +98,12 @@
 }
 
 // List names the files in the folder.
-//
-//	all, err := d.List()
 func (d Folder) List() ([]string, error) {
 	all, err := d.fs.list(d.Path)
 	return all, eris.Wrap(err, "store: list folder")
 }
 
 // Remove drops a file; one that is gone already is no error.
-//
-//	err := d.Remove("v-3")
 func (d Folder) Remove(name string) error {
 	err := d.fs.remove(filepath.Join(d.Path, name))
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/store/lock.go
+++ b/internal/controlplane/store/lock.go
@@ -10,8 +10,6 @@
 )
 
 // Lock keeps a second process off the same data folder, for as long as the result is open.
-//
-//	lock, err := store.Lock("/var/lib/yarrowridge")
 func Lock(path string) (io.Closer, error) {
 	f, err := os.OpenFile(filepath.Join(path, ".lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/internal/store/msgs_gen.go
+++ b/internal/controlplane/store/msgs_gen.go
@@ -18,7 +18,7 @@
 	// map header, size 4
 	// string "s"
 	o = append(o, 0x84, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.Seq)
+	o = msgp.AppendUint64(o, z.Version)
 	// string "f"
 	o = append(o, 0xa1, 0x66)
 	o = msgp.AppendUint64(o, z.From)
@@ -27,18 +27,18 @@
 	o = msgp.AppendBool(o, z.Base)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Puts)))
-	for za0001 := range z.Puts {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Mutations)))
+	for za0001 := range z.Mutations {
 		// map header, size 3
 		// string "k"
 		o = append(o, 0x83, 0xa1, 0x6b)
-		o = msgp.AppendString(o, z.Puts[za0001].Key)
+		o = msgp.AppendString(o, z.Mutations[za0001].Key)
 		// string "v"
 		o = append(o, 0xa1, 0x76)
-		o = msgp.AppendBytes(o, z.Puts[za0001].Val)
+		o = msgp.AppendBytes(o, z.Mutations[za0001].Value)
 		// string "g"
 		o = append(o, 0xa1, 0x67)
-		o = msgp.AppendBool(o, z.Puts[za0001].Gone)
+		o = msgp.AppendBool(o, z.Mutations[za0001].Deleted)
 	}
 	return
 }
@@ -66,7 +66,7 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "s":
-			z.Seq, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Seq")
 				return
@@ -94,12 +94,12 @@
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Puts) >= int(zb0002) {
-				z.Puts = (z.Puts)[:zb0002]
+			if cap(z.Mutations) >= int(zb0002) {
+				z.Mutations = (z.Mutations)[:zb0002]
 			} else {
-				z.Puts = make([]Put, zb0002)
+				z.Mutations = make([]Mutation, zb0002)
 			}
-			for za0001 := range z.Puts {
+			for za0001 := range z.Mutations {
 				var zb0003 uint32
 				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
@@ -119,7 +119,7 @@
 					}
 					switch msgp.UnsafeString(field) {
 					case "k":
-						z.Puts[za0001].Key, bts, err = msgp.ReadStringBytes(bts)
+						z.Mutations[za0001].Key, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
 							err = msgp.WrapError(err, "Puts", za0001, "Key")
 							return
@@ -135,19 +135,19 @@
 							err = msgp.ErrLimitExceeded
 							return
 						}
-						if z.Puts[za0001].Val == nil || uint32(cap(z.Puts[za0001].Val)) < zb0004 {
-							z.Puts[za0001].Val = make([]byte, zb0004)
+						if z.Mutations[za0001].Value == nil || uint32(cap(z.Mutations[za0001].Value)) < zb0004 {
+							z.Mutations[za0001].Value = make([]byte, zb0004)
 						} else {
-							z.Puts[za0001].Val = z.Puts[za0001].Val[:zb0004]
+							z.Mutations[za0001].Value = z.Mutations[za0001].Value[:zb0004]
 						}
 						if uint32(len(bts)) < zb0004 {
 							err = msgp.ErrShortBytes
 							return
 						}
-						copy(z.Puts[za0001].Val, bts[:zb0004])
+						copy(z.Mutations[za0001].Value, bts[:zb0004])
 						bts = bts[zb0004:]
 					case "g":
-						z.Puts[za0001].Gone, bts, err = msgp.ReadBoolBytes(bts)
+						z.Mutations[za0001].Deleted, bts, err = msgp.ReadBoolBytes(bts)
 						if err != nil {
 							err = msgp.WrapError(err, "Puts", za0001, "Gone")
 							return
@@ -176,14 +176,14 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Batch) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Puts {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Puts[za0001].Key) + 2 + msgp.BytesPrefixSize + len(z.Puts[za0001].Val) + 2 + msgp.BoolSize
+	for za0001 := range z.Mutations {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.Mutations[za0001].Key) + 2 + msgp.BytesPrefixSize + len(z.Mutations[za0001].Value) + 2 + msgp.BoolSize
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Put) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Mutation) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 3
 	// string "k"
@@ -191,15 +191,15 @@
 	o = msgp.AppendString(o, z.Key)
 	// string "v"
 	o = append(o, 0xa1, 0x76)
-	o = msgp.AppendBytes(o, z.Val)
+	o = msgp.AppendBytes(o, z.Value)
 	// string "g"
 	o = append(o, 0xa1, 0x67)
-	o = msgp.AppendBool(o, z.Gone)
+	o = msgp.AppendBool(o, z.Deleted)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Put) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Mutation) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -237,19 +237,19 @@
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if z.Val == nil || uint32(cap(z.Val)) < zb0002 {
-				z.Val = make([]byte, zb0002)
+			if z.Value == nil || uint32(cap(z.Value)) < zb0002 {
+				z.Value = make([]byte, zb0002)
 			} else {
-				z.Val = z.Val[:zb0002]
+				z.Value = z.Value[:zb0002]
 			}
 			if uint32(len(bts)) < zb0002 {
 				err = msgp.ErrShortBytes
 				return
 			}
-			copy(z.Val, bts[:zb0002])
+			copy(z.Value, bts[:zb0002])
 			bts = bts[zb0002:]
 		case "g":
-			z.Gone, bts, err = msgp.ReadBoolBytes(bts)
+			z.Deleted, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Gone")
 				return
@@ -267,7 +267,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Put) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + msgp.BytesPrefixSize + len(z.Val) + 2 + msgp.BoolSize
+func (z *Mutation) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + msgp.BytesPrefixSize + len(z.Value) + 2 + msgp.BoolSize
 	return
 }
--- a/internal/store/power_test.go
+++ b/internal/controlplane/store/power_test.go
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"yarrowridge/internal/strike"
+	"yarrowridge/internal/lib/faultinjection"
 )
 
 // volatile is a file system that loses its power after so many steps. What was not synced is lost, or
@@ -164,8 +164,8 @@
 // back with every mixture of what was not synced: the state opens, holds all that was acknowledged and at
 // most the one batch that was under way, and the ballot is the last one written or the one before.
 func TestPowerLoss(t *testing.T) {
-	if strike.Out("") {
-		t.Fatal("built with a mechanism struck out")
+	if faultinjection.Disabled("") {
+		t.Fatal("built with a mechanism disabled")
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	cuts := 0
@@ -174,34 +174,36 @@
 		d := Folder{"d", v}
 		acked, vote, try := 0, 0, 0
 		var lost []int
-		put := func(n int) []Put { return []Put{{Key: fmt.Sprint("k", n), Val: []byte(strings.Repeat("v", n))}} }
+		put := func(n int) []Mutation {
+			return []Mutation{{Key: fmt.Sprint("k", n), Value: []byte(strings.Repeat("v", n))}}
+		}
 		err := func() error {
 			s, err := Open(d, log)
 			if err != nil {
 				return err
 			}
 			for try = 1; try <= 16; try++ {
-				if err := s.Add(Batch{Seq: s.Seq() + 1, Puts: put(try)}); err != nil {
+				if err := s.Append(Batch{Version: s.Version() + 1, Mutations: put(try)}); err != nil {
 					return err
 				}
 				acked = try
 				if try%3 == 0 {
-					if err := d.Write("ballot", Seal([]byte(fmt.Sprint(try)))); err != nil {
+					if err := d.Write("ballot", AddChecksum([]byte(fmt.Sprint(try)))); err != nil {
 						return err
 					}
 					vote = try
 				}
 				switch try {
 				case 5, 12, 15:
-					err = s.Fold()
+					err = s.Compact()
 				case 9:
-					err = s.Rebase()
+					err = s.WriteSnapshot()
 				case 14: // from another primary, who never heard of the last three: they were not acknowledged
-					batch := s.Whole()
-					batch.Seq -= 3
+					batch := s.Snapshot()
+					batch.Version -= 3
 					lost = []int{12, 13, 14}
-					batch.Puts = slices.DeleteFunc(batch.Puts, func(change Put) bool { return change.Key == "k12" || change.Key == "k13" || change.Key == "k14" })
-					err = s.Add(batch)
+					batch.Mutations = slices.DeleteFunc(batch.Mutations, func(change Mutation) bool { return change.Key == "k12" || change.Key == "k13" || change.Key == "k14" })
+					err = s.Append(batch)
 				}
 				if err != nil {
 					return err
@@ -213,7 +215,7 @@
 			for bytes := range 3 {
 				cuts++
 				w := Folder{"d", v.after(names, bytes)}
-				if err := Tidy(w, log); err != nil {
+				if err := RemoveIncompleteWrites(w, log); err != nil {
 					t.Fatal(err)
 				}
 				s, err := Open(w, log)
@@ -229,11 +231,11 @@
 					t.Fatalf("power lost after step %d: a put that was never made", last)
 				}
 				raw, _ := w.Read("ballot")
-				vow, ok := Unseal(raw)
+				vow, ok := VerifyChecksum(raw)
 				if (vote > 0 || raw != nil) && !(ok && (string(vow) == fmt.Sprint(vote) || string(vow) == fmt.Sprint(try))) {
 					t.Fatalf("power lost after step %d, names %b and %d halves kept: ballot %q, %d was the last", last, names, bytes, vow, vote)
 				}
-				if err := s.Add(Batch{Seq: s.Seq() + 1, Puts: put(99)}); err != nil {
+				if err := s.Append(Batch{Version: s.Version() + 1, Mutations: put(99)}); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -13,29 +13,24 @@
 	"sort"
 	"strings"
 	"sync"
+	"yarrowridge/internal/lib/runloop"
 
 	"github.com/rotisserie/eris"
-
-	"yarrowridge/internal/env"
 )
 
 // ErrBroken means a version that was once whole on disk no longer is.
-var ErrBroken = errors.New("store: a version is damaged or missing")
+var ErrCorrupt = errors.New("store: a version is damaged or missing")
 
 // ErrGap means a batch does not follow on from the state held.
 var ErrGap = errors.New("store: batch does not follow")
 
-// Seal adds a checksum so that a damaged file is known for what it is.
-//
-//	d.Write("ballot", store.Seal(raw))
-func Seal(raw []byte) []byte {
+// AddChecksum adds a checksum so that a damaged file is known for what it is.
+func AddChecksum(raw []byte) []byte {
 	return binary.BigEndian.AppendUint32(bytes.Clone(raw), crc32.ChecksumIEEE(raw))
 }
 
-// Unseal checks and strips the checksum.
-//
-//	raw, ok := store.Unseal(file)
-func Unseal(file []byte) ([]byte, bool) {
+// VerifyChecksum checks and strips the checksum.
+func VerifyChecksum(file []byte) ([]byte, bool) {
 	if len(file) < 4 {
 		return nil, false
 	}
@@ -43,10 +38,8 @@
 	return raw, crc32.ChecksumIEEE(raw) == sum
 }
 
-// Tidy sets aside what a broken write left behind, and says so.
-//
-//	err := store.Tidy(d, log)
-func Tidy(disk Disk, log *slog.Logger) error {
+// RemoveIncompleteWrites sets aside what a broken write left behind, and says so.
+func RemoveIncompleteWrites(disk Disk, log *slog.Logger) error {
 	all, err := disk.List()
 	if err != nil {
 		return err
@@ -68,12 +61,12 @@
 	mu            sync.RWMutex
 	version       uint64
 	values        map[string][]byte
-	foldedUpTo    uint64 // the newest version that lies in a fold or base
-	sizeSinceBase int    // bytes put since the base
-	baseSize      int    // bytes of the base
-	unfolded      []Put  // put since the fold
-	folds         int    // folds since the base
-	writing       env.Gate
+	foldedUpTo    uint64     // the newest version that lies in a fold or base
+	sizeSinceBase int        // bytes put since the base
+	baseSize      int        // bytes of the base
+	unfolded      []Mutation // put since the fold
+	folds         int        // folds since the base
+	writing       runloop.Mutex
 	closed        bool
 }
 
@@ -82,10 +75,8 @@
 
 // Open reads all versions. ErrBroken is returned where a sealed version is damaged or missing:
 // the caller must then count this disk as blank.
-//
-//	s, err := store.Open(disk, log)
 func Open(disk Disk, log *slog.Logger) (*Store, error) {
-	s := &Store{writing: env.NewGate(), disk: disk, values: map[string][]byte{}}
+	s := &Store{writing: runloop.NewMutex(), disk: disk, values: map[string][]byte{}}
 	names, err := finishBases(disk)
 	if err != nil {
 		return nil, err
@@ -97,10 +88,10 @@
 	for _, batch := range withoutReplaced(batches) {
 		first := batch.From
 		if first == 0 {
-			first = batch.Seq
+			first = batch.Version
 		}
 		if !batch.Base && first != s.version+1 {
-			return nil, eris.Wrapf(ErrBroken, "version %d missing", s.version+1)
+			return nil, eris.Wrapf(ErrCorrupt, "version %d missing", s.version+1)
 		}
 		s.apply(batch)
 	}
@@ -139,18 +130,18 @@
 		if err != nil {
 			return nil, err
 		}
-		raw, ok := Unseal(file)
+		raw, ok := VerifyChecksum(file)
 		var batch Batch
 		if ok {
 			_, err = batch.UnmarshalMsg(raw)
 		}
-		if !ok || err != nil || fileName(batch.Seq) != name {
+		if !ok || err != nil || fileName(batch.Version) != name {
 			log.Error("Version is damaged.", "file", name)
-			return nil, eris.Wrap(ErrBroken, name)
+			return nil, eris.Wrap(ErrCorrupt, name)
 		}
 		batches = append(batches, batch)
 	}
-	sort.Slice(batches, func(i, j int) bool { return batches[i].Seq < batches[j].Seq })
+	sort.Slice(batches, func(i, j int) bool { return batches[i].Version < batches[j].Version })
 	return batches, nil
 }
 
@@ -165,7 +156,7 @@
 	}
 	var needed []Batch // the newest first
 	for _, batch := range slices.Backward(batches[from:]) {
-		if n := len(needed); n > 0 && needed[n-1].From > 0 && batch.Seq >= needed[n-1].From && !batch.Base {
+		if n := len(needed); n > 0 && needed[n-1].From > 0 && batch.Version >= needed[n-1].From && !batch.Base {
 			continue
 		}
 		needed = append(needed, batch)
@@ -186,36 +177,32 @@
 		s.folds++
 	}
 	if batch.Base || batch.From > 0 {
-		s.foldedUpTo, s.unfolded = batch.Seq, nil
+		s.foldedUpTo, s.unfolded = batch.Version, nil
 	} else {
-		s.unfolded = append(s.unfolded, batch.Puts...)
+		s.unfolded = append(s.unfolded, batch.Mutations...)
 	}
-	for _, change := range batch.Puts {
-		s.sizeSinceBase += len(change.Key) + len(change.Val)
-		if change.Gone {
+	for _, change := range batch.Mutations {
+		s.sizeSinceBase += len(change.Key) + len(change.Value)
+		if change.Deleted {
 			delete(s.values, change.Key)
 		} else {
-			s.values[change.Key] = change.Val
+			s.values[change.Key] = change.Value
 		}
 	}
 	if batch.Base {
 		s.baseSize, s.sizeSinceBase = s.sizeSinceBase, 0
 	}
-	s.version = batch.Seq
+	s.version = batch.Version
 }
 
-// Seq is the newest version held.
-//
-//	n := s.Seq()
-func (s *Store) Seq() uint64 {
+// Version is the newest version held.
+func (s *Store) Version() uint64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.version
 }
 
 // Get reads a key.
-//
-//	raw, ok := s.Get("layout")
 func (s *Store) Get(key string) ([]byte, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -223,10 +210,8 @@
 	return v, ok
 }
 
-// Each visits all keys with a prefix, in no order.
-//
-//	s.Each("share/", func(k string, v []byte) { ... })
-func (s *Store) Each(head string, do func(string, []byte)) {
+// ForEachWithPrefix visits all keys with a prefix, in no order.
+func (s *Store) ForEachWithPrefix(head string, do func(string, []byte)) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	for k, v := range s.values {
@@ -236,40 +221,36 @@
 	}
 }
 
-// Whole gives the state as a base batch.
-//
-//	b := s.Whole()
-func (s *Store) Whole() Batch {
+// Snapshot gives the state as a base batch.
+func (s *Store) Snapshot() Batch {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	batch := Batch{Seq: s.version, Base: true}
+	batch := Batch{Version: s.version, Base: true}
 	for k, v := range s.values {
-		batch.Puts = append(batch.Puts, Put{Key: k, Val: v})
+		batch.Mutations = append(batch.Mutations, Mutation{Key: k, Value: v})
 	}
-	sort.Slice(batch.Puts, func(i, j int) bool { return batch.Puts[i].Key < batch.Puts[j].Key })
+	sort.Slice(batch.Mutations, func(i, j int) bool { return batch.Mutations[i].Key < batch.Mutations[j].Key })
 	return batch
 }
 
-// Add writes and syncs one batch, then takes it. A batch must follow the one before,
+// Append writes and syncs one batch, then takes it. A batch must follow the one before,
 // or be a base, which replaces all. After an error the disk's word can't be relied on:
 // the caller must stop leading.
-//
-//	err := s.Add(store.Batch{Seq: s.Seq() + 1, Puts: puts})
-func (s *Store) Add(batch Batch) error {
+func (s *Store) Append(batch Batch) error {
 	s.writing.Lock()
 	defer s.writing.Unlock()
 	if s.closed {
 		return eris.New("store: closed")
 	}
-	if !batch.Base && batch.Seq != s.Seq()+1 {
-		return eris.Wrapf(ErrGap, "have %d, got %d", s.Seq(), batch.Seq)
+	if !batch.Base && batch.Version != s.Version()+1 {
+		return eris.Wrapf(ErrGap, "have %d, got %d", s.Version(), batch.Version)
 	}
 	raw, err := batch.MarshalMsg(nil)
 	if err != nil {
 		return err
 	}
 	if !batch.Base {
-		if err := s.disk.Write(fileName(batch.Seq), Seal(raw)); err != nil {
+		if err := s.disk.Write(fileName(batch.Version), AddChecksum(raw)); err != nil {
 			return err
 		}
 		s.apply(batch)
@@ -277,14 +258,14 @@
 	}
 	// A base replaces all. It lies whole beside what it replaces before any of that goes: a fold may
 	// hold what was acknowledged together with what never was.
-	if err := s.disk.Write(basePrefix+fileName(batch.Seq), Seal(raw)); err != nil {
+	if err := s.disk.Write(basePrefix+fileName(batch.Version), AddChecksum(raw)); err != nil {
 		return err
 	}
-	if err := settleBase(s.disk, batch.Seq); err != nil {
+	if err := settleBase(s.disk, batch.Version); err != nil {
 		return err
 	}
 	s.apply(batch)
-	return removeVersions(s.disk, func(name string) bool { return name < fileName(batch.Seq) })
+	return removeVersions(s.disk, func(name string) bool { return name < fileName(batch.Version) })
 }
 
 // basePrefix begins the name of a base that has not taken its place yet.
@@ -303,8 +284,6 @@
 }
 
 // Close waits for a write that is under way and rejects all later ones.
-//
-//	s.Close()
 func (s *Store) Close() {
 	s.writing.Lock()
 	defer s.writing.Unlock()
@@ -327,21 +306,19 @@
 	return nil
 }
 
-// Tidy keeps the files few, since each costs time when a process starts: some versions are folded into one file,
+// CompactIfNeeded keeps the files few, since each costs time when a process starts: some versions are folded into one file,
 // the more the more folds there are, and once as much has been put since the last base as the base holds, a new
 // one is written. So what is written stays within a few times what is put, however much is kept, and the number
 // of files grows as the root of the number of versions. It may take a while: call it after answering.
-//
-//	err := s.Tidy()
-func (s *Store) Tidy() error {
+func (s *Store) CompactIfNeeded() error {
 	s.mu.RLock()
 	base, fold := s.sizeSinceBase > max(8<<20, s.baseSize), s.version-s.foldedUpTo >= uint64(foldLeast+s.folds)
 	s.mu.RUnlock()
 	switch {
 	case base:
-		return s.Rebase()
+		return s.WriteSnapshot()
 	case fold:
-		return s.Fold()
+		return s.Compact()
 	}
 	return nil
 }
@@ -349,33 +326,29 @@
 // foldLeast is the fewest versions that are folded into one.
 const foldLeast = 64
 
-// Rebase writes the state as a base in place of the newest version and drops what is older.
-//
-//	err := s.Rebase()
-func (s *Store) Rebase() error { return s.Add(s.Whole()) }
+// WriteSnapshot writes the state as a base in place of the newest version and drops what is older.
+func (s *Store) WriteSnapshot() error { return s.Append(s.Snapshot()) }
 
-// Fold writes the versions since the last fold or base as one, in place of the newest of them.
-//
-//	err := s.Fold()
-func (s *Store) Fold() error {
+// Compact writes the versions since the last fold or base as one, in place of the newest of them.
+func (s *Store) Compact() error {
 	s.writing.Lock()
 	defer s.writing.Unlock()
 	s.mu.RLock()
-	batch := Batch{Seq: s.version, From: s.foldedUpTo + 1, Puts: s.unfolded}
+	batch := Batch{Version: s.version, From: s.foldedUpTo + 1, Mutations: s.unfolded}
 	s.mu.RUnlock()
-	if s.closed || batch.From >= batch.Seq {
+	if s.closed || batch.From >= batch.Version {
 		return nil
 	}
 	raw, err := batch.MarshalMsg(nil)
 	if err != nil {
 		return err
 	}
-	if err := s.disk.Write(fileName(batch.Seq), Seal(raw)); err != nil {
+	if err := s.disk.Write(fileName(batch.Version), AddChecksum(raw)); err != nil {
 		return err
 	}
 	s.mu.Lock()
-	s.foldedUpTo, s.unfolded = batch.Seq, nil
+	s.foldedUpTo, s.unfolded = batch.Version, nil
 	s.folds++
 	s.mu.Unlock()
-	return removeVersions(s.disk, func(name string) bool { return name >= fileName(batch.From) && name < fileName(batch.Seq) })
+	return removeVersions(s.disk, func(name string) bool { return name >= fileName(batch.From) && name < fileName(batch.Version) })
 }
--- a/internal/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -10,8 +10,8 @@
 
 	"pgregory.net/rapid"
 
-	"yarrowridge/internal/sim"
-	"yarrowridge/internal/store"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/testing/sim"
 )
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -23,7 +23,7 @@
 		disk := sim.NewDisk()
 		open := func() *store.Store {
 			h := disk.Use()
-			if err := store.Tidy(h, quiet); err != nil {
+			if err := store.RemoveIncompleteWrites(h, quiet); err != nil {
 				t.Fatal(err)
 			}
 			s, err := store.Open(h, quiet)
@@ -38,19 +38,19 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 7).Draw(t, "step") {
 			case 0, 1, 2:
-				batch := store.Batch{Seq: version + 1}
+				batch := store.Batch{Version: version + 1}
 				next := maps.Clone(model)
 				for range rapid.IntRange(1, 3).Draw(t, "puts") {
 					k, v := rapid.SampledFrom(keys).Draw(t, "key"), rapid.StringN(0, 8, 8).Draw(t, "val")
 					if rapid.IntRange(0, 3).Draw(t, "gone") == 0 {
-						batch.Puts = append(batch.Puts, store.Put{Key: k, Gone: true})
+						batch.Mutations = append(batch.Mutations, store.Mutation{Key: k, Deleted: true})
 						delete(next, k)
 					} else {
-						batch.Puts = append(batch.Puts, store.Put{Key: k, Val: []byte(v)})
+						batch.Mutations = append(batch.Mutations, store.Mutation{Key: k, Value: []byte(v)})
 						next[k] = v
 					}
 				}
-				if err := s.Add(batch); err != nil {
+				if err := s.Append(batch); err != nil {
 					t.Fatal(err)
 				}
 				model, version = next, version+1
@@ -58,25 +58,25 @@
 				if rapid.Bool().Draw(t, "foreign") { // a copy of another's state replaces all
 					version++
 					model = map[string]string{"c/1": "copied"}
-					if err := s.Add(store.Batch{Seq: version, Base: true, Puts: []store.Put{{Key: "c/1", Val: []byte("copied")}}}); err != nil {
+					if err := s.Append(store.Batch{Version: version, Base: true, Mutations: []store.Mutation{{Key: "c/1", Value: []byte("copied")}}}); err != nil {
 						t.Fatal(err)
 					}
 				} else if rapid.Bool().Draw(t, "base") {
-					if err := s.Rebase(); err != nil {
+					if err := s.WriteSnapshot(); err != nil {
 						t.Fatal(err)
 					}
-				} else if err := s.Fold(); err != nil {
+				} else if err := s.Compact(); err != nil {
 					t.Fatal(err)
 				}
 			case 4:
 				disk.Full(true)
-				if s.Add(store.Batch{Seq: version + 1, Puts: []store.Put{{Key: "a", Val: []byte("lost")}}}) == nil {
+				if s.Append(store.Batch{Version: version + 1, Mutations: []store.Mutation{{Key: "a", Value: []byte("lost")}}}) == nil {
 					t.Fatal("a full disk took a batch")
 				}
 				disk.Full(false)
 				s = open() // after a refused write the disk is read anew, as core does
 			case 5:
-				if !errors.Is(s.Add(store.Batch{Seq: version + 2}), store.ErrGap) {
+				if !errors.Is(s.Append(store.Batch{Version: version + 2}), store.ErrGap) {
 					t.Fatal("a gap was taken")
 				}
 			case 6:
@@ -84,18 +84,18 @@
 			case 7: // the process ends when the new file is there and the old ones still are
 				disk.Keep(true)
 				if rapid.Bool().Draw(t, "base") {
-					s.Rebase()
+					s.WriteSnapshot()
 				} else {
-					s.Fold()
+					s.Compact()
 				}
 				disk.Keep(false)
 				s = open()
 			}
-			if s.Seq() != version {
-				t.Fatalf("sequence %d, %d expected", s.Seq(), version)
+			if s.Version() != version {
+				t.Fatalf("sequence %d, %d expected", s.Version(), version)
 			}
 			got := map[string]string{}
-			s.Each("", func(k string, v []byte) { got[k] = string(v) })
+			s.ForEachWithPrefix("", func(k string, v []byte) { got[k] = string(v) })
 			if !maps.Equal(got, model) {
 				t.Fatalf("holds %v, %v expected", got, model)
 			}
@@ -113,7 +113,7 @@
 		}
 		n := rapid.IntRange(2, 8).Draw(t, "batches")
 		for i := range n {
-			if err := s.Add(store.Batch{Seq: uint64(i + 1), Puts: []store.Put{{Key: "k", Val: []byte{byte(i)}}}}); err != nil {
+			if err := s.Append(store.Batch{Version: uint64(i + 1), Mutations: []store.Mutation{{Key: "k", Value: []byte{byte(i)}}}}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -129,7 +129,7 @@
 		} else {
 			return
 		}
-		if _, err := store.Open(h, quiet); !errors.Is(err, store.ErrBroken) {
+		if _, err := store.Open(h, quiet); !errors.Is(err, store.ErrCorrupt) {
 			t.Fatalf("version %s damaged: %v", names[which], err)
 		}
 	})
@@ -154,22 +154,22 @@
 		t.Fatal(err)
 	}
 	for i := range 3 {
-		if err := s.Add(store.Batch{Seq: uint64(i + 1), Puts: []store.Put{{Key: "k", Val: []byte{byte(i)}}}}); err != nil {
+		if err := s.Append(store.Batch{Version: uint64(i + 1), Mutations: []store.Mutation{{Key: "k", Value: []byte{byte(i)}}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := s.Rebase(); err != nil {
+	if err := s.WriteSnapshot(); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Add(store.Batch{Seq: 4, Puts: []store.Put{{Key: "j"}}}); err != nil {
+	if err := s.Append(store.Batch{Version: 4, Mutations: []store.Mutation{{Key: "j"}}}); err != nil {
 		t.Fatal(err)
 	}
 	again, err := store.Open(d, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v, ok := again.Get("k"); again.Seq() != 4 || !ok || v[0] != 2 {
-		t.Errorf("read back sequence %d, k %v", again.Seq(), v)
+	if v, ok := again.Get("k"); again.Version() != 4 || !ok || v[0] != 2 {
+		t.Errorf("read back sequence %d, k %v", again.Version(), v)
 	}
 }
 
@@ -183,12 +183,12 @@
 	val := make([]byte, 200)
 	put, files := 0, 0
 	for i := range 60000 {
-		change := store.Put{Key: fmt.Sprintf("claim/tenant/%d", i), Val: val}
-		put += len(change.Key) + len(change.Val)
-		if err := s.Add(store.Batch{Seq: uint64(i + 1), Puts: []store.Put{change}}); err != nil {
+		change := store.Mutation{Key: fmt.Sprintf("claim/tenant/%d", i), Value: val}
+		put += len(change.Key) + len(change.Value)
+		if err := s.Append(store.Batch{Version: uint64(i + 1), Mutations: []store.Mutation{change}}); err != nil {
 			t.Fatal(err)
 		}
-		if err := s.Tidy(); err != nil {
+		if err := s.CompactIfNeeded(); err != nil {
 			t.Fatal(err)
 		}
 		if i%1000 == 999 {
@@ -201,11 +201,11 @@
 		t.Errorf("%.1f bytes written for each put, %d files", cost, files)
 	}
 	again, err := store.Open(disk.Use(), quiet)
-	if err != nil || again.Seq() != 60000 {
+	if err != nil || again.Version() != 60000 {
 		t.Fatalf("opened anew: %v", err)
 	}
 	n := 0
-	again.Each("claim/", func(string, []byte) { n++ })
+	again.ForEachWithPrefix("claim/", func(string, []byte) { n++ })
 	if n != 60000 {
 		t.Errorf("%d claims read back", n)
 	}
@@ -221,11 +221,11 @@
 	}
 	most := 0
 	for version := uint64(1); version <= 6000; version++ {
-		put := store.Put{Key: fmt.Sprintf("k%d", version%50), Val: []byte(fmt.Sprint(version))}
-		if err := s.Add(store.Batch{Seq: version, Puts: []store.Put{put}}); err != nil {
+		put := store.Mutation{Key: fmt.Sprintf("k%d", version%50), Value: []byte(fmt.Sprint(version))}
+		if err := s.Append(store.Batch{Version: version, Mutations: []store.Mutation{put}}); err != nil {
 			t.Fatal(err)
 		}
-		if err := s.Tidy(); err != nil {
+		if err := s.CompactIfNeeded(); err != nil {
 			t.Fatal(err)
 		}
 		names, err := handle.List()
@@ -241,7 +241,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if raw, _ := again.Get("k0"); again.Seq() != 6000 || string(raw) != "6000" {
-		t.Errorf("read anew: version %d, %q", again.Seq(), raw)
+	if raw, _ := again.Get("k0"); again.Version() != 6000 || string(raw) != "6000" {
+		t.Errorf("read anew: version %d, %q", again.Version(), raw)
 	}
 }
--- a/internal/allow/allow.go
+++ b/internal/dataplane/allow/allow.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"yarrowridge/internal/fleetconfig"
+	"yarrowridge/internal/model/fleetconfig"
 )
 
 // Estimate is what is known of one eligible runner at the moment of judging.
@@ -17,8 +17,6 @@
 
 // Wait is the queued output ahead divided by the summed rate. waiting is what stands in queues
 // for these runners and is not yet on any of them.
-//
-//	w := allow.Wait(rule, []allow.Estimate{{Queued: 600, Rate: 20}}, 0) // 30s
 func Wait(rule fleetconfig.Allowance, estimates []Estimate, waiting float64) time.Duration {
 	queued, rate := waiting, 0.0
 	for _, estimate := range estimates {
@@ -40,8 +38,6 @@
 }
 
 // Size is the allowance in tokens for a wait: the ceiling, then a straight line, then the floor.
-//
-//	n := allow.Size(rule, 180*time.Second) // 2304 with the defaults
 func Size(rule fleetconfig.Allowance, wait time.Duration) int {
 	switch {
 	case wait <= rule.Full:
@@ -81,8 +77,6 @@
 }
 
 // Decide judges a prompt. estimates are of the runners eligible at the asked length.
-//
-//	v := allow.Decide(rule, allow.Demand{Tokens: 2000}, estimates, 0)
 func Decide(rule fleetconfig.Allowance, demand Demand, estimates []Estimate, waiting float64) Verdict {
 	verdict := Verdict{Tokens: demand.Tokens, Size: rule.Floor}
 	if len(estimates) > 0 {
@@ -105,8 +99,6 @@
 }
 
 // Bucket names the size class of a token count.
-//
-//	allow.Bucket(600) // "513-1024"
 func Bucket(n int) string {
 	switch {
 	case n <= 512:
--- a/internal/allow/allow_test.go
+++ b/internal/dataplane/allow/allow_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"yarrowridge/internal/fleetconfig"
+	"yarrowridge/internal/model/fleetconfig"
 )
 
 var rule = fleetconfig.Allowance{Ceiling: 4096, Floor: 512, Full: 60 * time.Second, Low: 300 * time.Second, Rate: 10}
--- a/internal/allow/lengths.go
+++ b/internal/dataplane/allow/lengths.go
@@ -11,8 +11,6 @@
 const ratioLeastRuns, ratioMostRuns = 4, 256
 
 // Add counts a whole response.
-//
-//	lengths.Add(2000, 310)
 func (r *LengthRatio) Add(asked, came int) {
 	if r.runs >= ratioMostRuns {
 		*r = LengthRatio{r.runs / 2, r.asked / 2, r.received / 2}
@@ -23,8 +21,6 @@
 }
 
 // Share is the part of what is asked for that is likely to come: all, until enough was seen.
-//
-//	n := 2000 * ratio.Share()
 func (r *LengthRatio) Share() float64 {
 	if r.runs < ratioLeastRuns || r.asked <= 0 {
 		return 1
@@ -39,13 +35,9 @@
 }
 
 // NewLaneLengths makes an empty record.
-//
-//	lengths := allow.NewLaneLengths()
 func NewLaneLengths() *LaneLengths { return &LaneLengths{byLane: map[string]*LengthRatio{}} }
 
 // Add counts a whole response of a lane.
-//
-//	lengths.Add("writeups", 2000, 310)
 func (l *LaneLengths) Add(lane string, asked, came int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,8 +48,6 @@
 }
 
 // Expect is the output that a request of a lane is likely to come to, of what it asks for.
-//
-//	n := lengths.Expect("writeups", 2000) // 310
 func (l *LaneLengths) Expect(lane string, asked int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/balance/balancer.go
+++ b/internal/dataplane/balance/balancer.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
-	"yarrowridge/internal/routing"
-	"yarrowridge/internal/session"
-	"yarrowridge/internal/spread"
+	"yarrowridge/internal/dataplane/session"
+	"yarrowridge/internal/lib/hashing"
+	"yarrowridge/internal/model/routing"
 )
 
 // Part is one part of a prompt: parts with one id are the same text.
@@ -94,7 +94,7 @@
 			gone = append(gone, id)
 		}
 	}
-	b.Sessions.Gone(gone...)
+	b.Sessions.RemoveRunners(gone...)
 	b.byService.Store(&services)
 }
 
@@ -156,7 +156,7 @@
 			continue
 		}
 		// Each of several equals is as likely as the others, so that routers do not all choose the same runner.
-		if equals == 1 || spread.Mix(b.turn.Add(1))%uint64(equals) == 0 {
+		if equals == 1 || hashing.Mix(b.turn.Add(1))%uint64(equals) == 0 {
 			best, bestCost, bestRead = c.runner, cost, read
 		}
 	}
--- a/internal/balance/choose_test.go
+++ b/internal/dataplane/balance/choose_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/model/routing"
 )
 
 // readyRunners are runners of one service and zone.
--- a/internal/balance/condition.go
+++ b/internal/dataplane/balance/condition.go
@@ -4,13 +4,13 @@
 	"slices"
 	"time"
 
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/model/routing"
 )
 
 // fleetBarred is the share of failures of all routers from which on a runner is a last resort.
 const fleetBarred = 0.5
 
-// usable tells whether the runner may be sent a request at all, and whether only as a last resort. The
+// usable reports whether the runner may be sent a request at all, and whether only as a last resort. The
 // caller holds the lock.
 func (r *Runner) usable(model string, now time.Time) (usable, barred bool) {
 	if r.info.State != routing.RunnerReady && r.info.State != routing.RunnerSilent {
@@ -24,7 +24,7 @@
 	return true, barred
 }
 
-// servesModel tells whether a runner serves the model; "": any.
+// servesModel reports whether a runner serves the model; "": any.
 func servesModel(info *routing.Runner, model string) bool {
 	return model == "" || len(info.Models) == 0 || slices.ContainsFunc(info.Models, func(m routing.RunnerModel) bool { return m.Name == model })
 }
--- a/internal/balance/feeds.go
+++ b/internal/dataplane/balance/feeds.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"yarrowridge/internal/allow"
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/dataplane/allow"
+	"yarrowridge/internal/model/routing"
 )
 
 // Feeds tells, for each runner that could serve the model, the output ahead of a newcomer and the measured
--- a/internal/balance/fleet_test.go
+++ b/internal/dataplane/balance/fleet_test.go
@@ -5,7 +5,7 @@
 	"testing/synctest"
 	"time"
 
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/model/routing"
 )
 
 func twoRunners() *Balancer {
--- a/internal/balance/memory_test.go
+++ b/internal/dataplane/balance/memory_test.go
@@ -5,12 +5,12 @@
 	"runtime"
 	"testing"
 
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/model/routing"
 )
 
 // BenchmarkPrefixMemory tells how many bytes a router keeps for each remembered prompt part, with three runners each.
 //
-//	go test ./internal/balance -run XXX -bench PrefixMemory -benchtime 1x
+//	go test ./internal/dataplane/balance -run XXX -bench PrefixMemory -benchtime 1x
 func BenchmarkPrefixMemory(b *testing.B) {
 	for b.Loop() {
 		before := heap()
@@ -35,7 +35,7 @@
 
 // BenchmarkChoose is what it takes to choose among the runners of a service with 610.
 //
-//	go test ./internal/balance -run XXX -bench Choose
+//	go test ./internal/dataplane/balance -run XXX -bench Choose
 func BenchmarkChoose(b *testing.B) {
 	balancer := New("zone01")
 	var list []routing.Runner
@@ -54,7 +54,7 @@
 
 // BenchmarkUpdate is what it takes to take a changed list of 610 runners.
 //
-//	go test ./internal/balance -run XXX -bench Update
+//	go test ./internal/dataplane/balance -run XXX -bench Update
 func BenchmarkUpdate(b *testing.B) {
 	balancer := New("zone01")
 	var list []routing.Runner
--- a/internal/balance/rendezvous.go
+++ b/internal/dataplane/balance/rendezvous.go
@@ -3,7 +3,7 @@
 import (
 	"hash/fnv"
 
-	"yarrowridge/internal/spread"
+	"yarrowridge/internal/lib/hashing"
 )
 
 // affinity gives the key by which all routers pick the same runner for a session, and how many tokens of
@@ -49,5 +49,5 @@
 	}
 	hash.Write(word[:])
 	hash.Write([]byte(id))
-	return spread.Mix(hash.Sum64())
+	return hashing.Mix(hash.Sum64())
 }
--- a/internal/balance/runner.go
+++ b/internal/dataplane/balance/runner.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/model/routing"
 )
 
 // How a runner's condition is judged.
@@ -123,7 +123,7 @@
 	}
 }
 
-// progress tells whether these were the first bytes.
+// progress reports whether these were the first bytes.
 func (a *Attempt) progress(now time.Time) bool {
 	r := a.runner
 	r.mu.Lock()
--- a/internal/balance/session.go
+++ b/internal/dataplane/balance/session.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"yarrowridge/internal/routing"
-	"yarrowridge/internal/session"
+	"yarrowridge/internal/dataplane/session"
+	"yarrowridge/internal/model/routing"
 )
 
 const (
@@ -51,7 +51,7 @@
 	return weightOf(key, service+"\x00"+model) | 1 // 0 is no session
 }
 
-// holds tells whether the runner is an announced holder of the session.
+// holds reports whether the runner is an announced holder of the session.
 func (s *sessionRef) holds(id string) bool { return slices.Contains(s.holders, id) }
 
 // expected gives the runner that is taken for the session's holder although nobody is known to have sent it
@@ -79,7 +79,7 @@
 		return
 	default:
 		// The one before keeps it too, as far as this router knows of one.
-		b.Sessions.Hold(ref.id, append([]string{id}, b.readyOf(ref.holders)...)...)
+		b.Sessions.Record(ref.id, append([]string{id}, b.readyOf(ref.holders)...)...)
 	}
 	b.recent.forget(ref.id)
 }
@@ -87,10 +87,10 @@
 // takePlace puts a runner into a session's entry that names others.
 func (b *Balancer) takePlace(id string, entry session.Entry) {
 	ready := b.readyOf(entry.Holders)
-	if len(ready) == session.HoldersMost && b.Sessions.Age(entry.Session) < settle {
+	if len(ready) == session.MaxHolders && b.Sessions.Age(entry.Session) < settle {
 		return
 	}
-	b.Sessions.Hold(entry.Session, append([]string{id}, ready...)...)
+	b.Sessions.Record(entry.Session, append([]string{id}, ready...)...)
 }
 
 // readyOf gives those of the runners that may be sent requests.
@@ -131,7 +131,7 @@
 			continue
 		}
 		if _, known := b.Sessions.Lookup(remembered.id); !known && len(b.readyOf([]string{remembered.holder})) > 0 {
-			b.Sessions.Hold(remembered.id, remembered.holder)
+			b.Sessions.Record(remembered.id, remembered.holder)
 		}
 		b.recent.forget(remembered.id)
 	}
@@ -151,7 +151,7 @@
 	return out
 }
 
-// moves tells whether one of the added runners is the session's home rather than its holder.
+// moves reports whether one of the added runners is the session's home rather than its holder.
 func (s *recentSession) moves(added []routing.Runner) bool {
 	weight := weightOf(s.key, s.holder)
 	for i := range added {
--- a/internal/balance/session_bench_test.go
+++ b/internal/dataplane/balance/session_bench_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/model/routing"
 )
 
 // BenchmarkRehome is what a router with as many sessions as it remembers does when a hundredth runner is added.
--- a/internal/balance/session_test.go
+++ b/internal/dataplane/balance/session_test.go
@@ -5,7 +5,7 @@
 	"sync"
 	"testing"
 
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/model/routing"
 )
 
 // sessionFleet is some routers' balancers before the same runners.
@@ -54,7 +54,7 @@
 func (f *sessionFleet) spread() {
 	for _, from := range f.routers {
 		from.Rehome()
-		told := from.Sessions.Take()
+		told := from.Sessions.TakeUpdates()
 		for _, to := range f.routers {
 			to.Sessions.Merge(told)
 		}
@@ -236,7 +236,7 @@
 func TestTriedRunnerIsNotChosenAgain(t *testing.T) {
 	f := newSessionFleet(t, 1, "a", "b")
 	b, request := f.routers[0], sessionRequest(1)
-	b.Sessions.Hold(b.session(&request, request.Parts[0].ID, 3000).id, "a", "b")
+	b.Sessions.Record(b.session(&request, request.Parts[0].ID, 3000).id, "a", "b")
 	request.Tried = map[int]bool{}
 	for range 2 {
 		attempt := b.Choose(request)
@@ -259,7 +259,7 @@
 		ref := f.routers[i%2].session(ptr(sessionRequest(1)), sessionRequest(1).Parts[0].ID, 3000)
 		f.routers[i%2].noteHolder(&ref, []string{"a", "b", "c", "d"}[i%4])
 		for from := range f.routers {
-			entries := f.routers[from].Sessions.Take()
+			entries := f.routers[from].Sessions.TakeUpdates()
 			told += len(entries)
 			f.routers[1-from].Sessions.Merge(entries)
 		}
--- a/internal/balance/silence.go
+++ b/internal/dataplane/balance/silence.go
@@ -55,7 +55,7 @@
 	r.lastByte = now
 }
 
-// silent tells whether requests are under way and nothing has come for far longer than it should. The caller holds the lock.
+// silent reports whether requests are under way and nothing has come for far longer than it should. The caller holds the lock.
 func (r *Runner) silent(now time.Time) bool {
 	return len(r.open) > 0 && now.Sub(r.lastByte) > r.patience(now)
 }
@@ -66,7 +66,7 @@
 	return max(silenceFloor, silenceFactor*r.service.silences.most(now), time.Duration(explained)*time.Millisecond)
 }
 
-// Silent tells whether requests are under way and nothing has come from the runner for far longer than
+// Silent reports whether requests are under way and nothing has come from the runner for far longer than
 // it should.
 func (r *Runner) Silent() bool {
 	r.mu.Lock()
--- a/internal/clientapi/admission.go
+++ b/internal/dataplane/clientapi/admission.go
@@ -6,15 +6,15 @@
 
 	"github.com/tidwall/gjson"
 
-	"yarrowridge/internal/allow"
-	"yarrowridge/internal/request"
-	"yarrowridge/internal/runner"
+	"yarrowridge/internal/dataplane/allow"
+	"yarrowridge/internal/dataplane/request"
+	"yarrowridge/internal/dataplane/runner"
 )
 
 // releaseUnits gives back the units that were reserved and not spent.
 func (x *exchange) releaseUnits() {
 	if x.reservedUnits > 0 {
-		x.server.QuotaShares.For(x.tenant.Name).Loose(x.reservedUnits)
+		x.server.QuotaShares.For(x.tenant.Name).Cancel(x.reservedUnits)
 		x.reservedUnits = 0
 	}
 }
@@ -97,7 +97,7 @@
 			return &Rejection{Status: 429, Code: "over-quota", Message: fmt.Sprintf("This query costs %d units; the quota is %d.", cost, quota.Units)}
 		}
 		x.server.QuotaShares.For(x.tenant.Name).Rule(quota.Units, quota.Window)
-		ok, again := x.server.QuotaShares.Keep(x.incoming.Context(), x.tenant.Name, cost)
+		ok, again := x.server.QuotaShares.Reserve(x.incoming.Context(), x.tenant.Name, cost)
 		if !ok {
 			return &Rejection{Status: 429, Code: "quota-spent", RetryAfter: again, Message: "The tenant's quota is spent for now."}
 		}
--- a/internal/clientapi/body.go
+++ b/internal/dataplane/clientapi/body.go
@@ -12,7 +12,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"yarrowridge/internal/web"
+	"yarrowridge/internal/lib/web"
 )
 
 // readBody takes the body in, within its bounds of size and time.
--- a/internal/clientapi/clientwriter.go
+++ b/internal/dataplane/clientapi/clientwriter.go
@@ -4,7 +4,7 @@
 	"net/http"
 	"time"
 
-	"yarrowridge/internal/web"
+	"yarrowridge/internal/lib/web"
 )
 
 // writeWait is how long a client may take nothing of its response before it counts as gone.
@@ -22,7 +22,7 @@
 	return &clientWriter{writer: x.writer, control: web.Control(x.writer, x.incoming)}
 }
 
-// write hands bytes over, and tells whether the client is still there.
+// write hands bytes over, and reports whether the client is still there.
 func (c *clientWriter) write(data []byte) bool {
 	for len(data) > 0 && !c.closed {
 		n := min(len(data), 64<<10)
--- a/internal/clientapi/dispatch.go
+++ b/internal/dataplane/clientapi/dispatch.go
@@ -4,8 +4,8 @@
 	"errors"
 	"time"
 
-	"yarrowridge/internal/place"
-	"yarrowridge/internal/request"
+	"yarrowridge/internal/dataplane/place"
+	"yarrowridge/internal/dataplane/request"
 )
 
 // serve queues, chooses and sends, trying another runner only while no byte has left.
@@ -45,7 +45,7 @@
 		}
 		if try == 0 && !x.secondRun {
 			x.server.Metrics.Dispatch.WithLabelValues(x.tenantKind()).Observe(x.request.Age().Seconds())
-			x.server.Retries.CountFirst(service, x.server.Hub.Part(service.Spare))
+			x.server.Retries.CountFirst(service, x.server.Hub.ShareOf(service.Spare))
 		}
 		left, err := x.send(slot)
 		if err == nil || left || errors.As(err, &rejection) {
--- a/internal/clientapi/response.go
+++ b/internal/dataplane/clientapi/response.go
@@ -13,9 +13,9 @@
 
 	"github.com/tidwall/gjson"
 
-	"yarrowridge/internal/request"
-	"yarrowridge/internal/runner"
-	"yarrowridge/internal/strike"
+	"yarrowridge/internal/dataplane/request"
+	"yarrowridge/internal/dataplane/runner"
+	"yarrowridge/internal/lib/faultinjection"
 )
 
 // send sends the request to one runner and carries its response. left says a byte may have left us.
@@ -40,7 +40,7 @@
 	}
 	// The units were reserved until now, so counting their window from here only makes it longer.
 	if x.reservedUnits > 0 {
-		x.server.QuotaShares.For(x.tenant.Name).Spend(x.reservedUnits)
+		x.server.QuotaShares.For(x.tenant.Name).Commit(x.reservedUnits)
 		x.reservedUnits = 0
 	}
 	if advanced := x.request.Advance(request.Sent, slot.Addr); advanced != nil {
@@ -132,7 +132,7 @@
 	}
 }
 
-// keyWithdrawn tells whether the config in force no longer knows the key that this request came with.
+// keyWithdrawn reports whether the config in force no longer knows the key that this request came with.
 func (x *exchange) keyWithdrawn() bool {
 	_, ok := x.findTenant(x.server.Hub.Config())
 	return !ok
@@ -154,7 +154,7 @@
 	if context.Cause(ctx) == errRunnerSilent {
 		return &Rejection{Status: 504, Code: "runner-silent", OutcomeUnknown: true, Message: "The runner sent nothing for too long."}
 	}
-	return &Rejection{Status: 502, Code: "runner-lost", OutcomeUnknown: !strike.Out("unknown"), Message: "The runner broke off before its answer was whole."}
+	return &Rejection{Status: 502, Code: "runner-lost", OutcomeUnknown: !faultinjection.Disabled("unknown"), Message: "The runner broke off before its answer was whole."}
 }
 
 // copyHeader copies the runner's headers for the client.
@@ -184,7 +184,7 @@
 			return &Rejection{Status: 502, Code: "answer-too-large", OutcomeUnknown: true, Message: fmt.Sprintf("The runner's answer is over %d bytes.", maxResponse)}
 		}
 	}
-	if err != io.EOF && !strike.Out("frame") {
+	if err != io.EOF && !faultinjection.Disabled("frame") {
 		return x.runnerLost(slot, ctx, err)
 	}
 	if !x.lane.Plain {
--- a/internal/clientapi/resume.go
+++ b/internal/dataplane/clientapi/resume.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/node"
+	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/lib/runloop"
 )
 
 // resumeWait is how long a resumed stream is waited for while nothing new comes and nobody says that
@@ -67,7 +67,7 @@
 		switch {
 		case context.Cause(ctx) == errKeyWithdrawn:
 			told = &node.StreamReadResponse{Lost: rejectKey.Code}
-		case err != nil && misses < maxMisses && env.Wait(ctx, missWait):
+		case err != nil && misses < maxMisses && runloop.Sleep(ctx, missWait):
 			continue // it may just have been passed on from one router to the next
 		case err != nil && !started:
 			return &Rejection{Status: 404, Code: "no-stream", OutcomeUnknown: true, Message: "No router within reach holds this stream for this tenant."}
--- a/internal/clientapi/retries.go
+++ b/internal/dataplane/clientapi/retries.go
@@ -4,9 +4,9 @@
 	"sync"
 	"time"
 
-	"yarrowridge/internal/fleetconfig"
-	"yarrowridge/internal/metrics"
-	"yarrowridge/internal/strike"
+	"yarrowridge/internal/lib/faultinjection"
+	"yarrowridge/internal/lib/metrics"
+	"yarrowridge/internal/model/fleetconfig"
 )
 
 // RetryBudget bounds second tries. Each first try to a service earns a share of a second one; what is
@@ -26,8 +26,6 @@
 }
 
 // NewRetryBudget makes the budget.
-//
-//	budget := clientapi.NewRetryBudget(m)
 func NewRetryBudget(counters *metrics.Metrics) *RetryBudget {
 	return &RetryBudget{byService: map[string]*tryCounts{}, metrics: counters}
 }
@@ -53,8 +51,6 @@
 }
 
 // CountFirst counts a first try. part is what this router has of the fleet's spare tries.
-//
-//	budget.CountFirst(service, hub.Part(service.Spare))
 func (b *RetryBudget) CountFirst(service fleetconfig.Service, part int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -65,8 +61,6 @@
 }
 
 // Counts is how many first and second tries the last ten seconds saw.
-//
-//	first, again := budget.Counts("model")
 func (b *RetryBudget) Counts(service string) (first, again int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -74,15 +68,13 @@
 	return len(counts.first), len(counts.again)
 }
 
-// Allow tells whether a second try may be made now, and counts it.
-//
-//	if budget.Allow(service) { ... }
+// Allow reports whether a second try may be made now, and counts it.
 func (b *RetryBudget) Allow(service fleetconfig.Service) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	counts := b.countsOf(service.Name)
 	let := "no"
-	if counts.allowed >= 1-1e-9 || strike.Out("second") {
+	if counts.allowed >= 1-1e-9 || faultinjection.Disabled("second") {
 		counts.allowed--
 		counts.again = append(counts.again, time.Now())
 		let = "yes"
--- a/internal/clientapi/route.go
+++ b/internal/dataplane/clientapi/route.go
@@ -4,8 +4,8 @@
 	"strings"
 	"time"
 
-	"yarrowridge/internal/fleetconfig"
-	"yarrowridge/internal/request"
+	"yarrowridge/internal/dataplane/request"
+	"yarrowridge/internal/model/fleetconfig"
 )
 
 // authenticate finds the tenant by the headers alone.
--- a/internal/clientapi/secondrun.go
+++ b/internal/dataplane/clientapi/secondrun.go
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/node"
-	"yarrowridge/internal/request"
-	"yarrowridge/internal/runner"
+	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/dataplane/request"
+	"yarrowridge/internal/dataplane/runner"
+	"yarrowridge/internal/lib/runloop"
 )
 
 // carrier is what the runs of one stream have in common: its pieces, and the client it is shown to.
@@ -99,7 +99,7 @@
 	return rejection
 }
 
-// runnerWasLost tells whether a run ended by the runner's loss, so that a second one may take its place.
+// runnerWasLost reports whether a run ended by the runner's loss, so that a second one may take its place.
 func runnerWasLost(err error) bool {
 	return slices.Contains([]string{"runner-lost", "runner-silent", node.LostRouter}, rejectionOf(err).Code)
 }
@@ -135,7 +135,7 @@
 		if x.server.Retries.Allow(x.config.Services[x.pool.Service]) {
 			return true
 		}
-		if time.Now().After(until) || !env.Wait(x.carrier.ctx, retryBudgetPoll) {
+		if time.Now().After(until) || !runloop.Sleep(x.carrier.ctx, retryBudgetPoll) {
 			return false
 		}
 	}
@@ -173,8 +173,6 @@
 
 // TakeOver carries a stream on whose router is gone: the same request again, from what is held of it and
 // its response. Clients read it by its id.
-//
-//	streams.Heir = server.TakeOver
 func (s *Server) TakeOver(stream *node.Stream, saved *node.StreamRequest) {
 	s.open.Add(1)
 	defer s.open.Add(-1)
@@ -210,6 +208,4 @@
 }
 
 // Open counts the requests under way.
-//
-//	for server.Open() > 0 { ... }
 func (s *Server) Open() int { return int(s.open.Load()) }
--- a/internal/clientapi/server.go
+++ b/internal/dataplane/clientapi/server.go
@@ -12,16 +12,16 @@
 	"sync/atomic"
 	"time"
 
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/fleetconfig"
-	"yarrowridge/internal/metrics"
-	"yarrowridge/internal/node"
-	"yarrowridge/internal/place"
-	"yarrowridge/internal/request"
-	"yarrowridge/internal/runner"
-	"yarrowridge/internal/share"
-	"yarrowridge/internal/tracing"
-	"yarrowridge/internal/web"
+	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/dataplane/place"
+	"yarrowridge/internal/dataplane/request"
+	"yarrowridge/internal/dataplane/runner"
+	"yarrowridge/internal/dataplane/tracing"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/lib/metrics"
+	"yarrowridge/internal/lib/web"
+	"yarrowridge/internal/model/fleetconfig"
+	"yarrowridge/internal/model/quota"
 )
 
 // Responses are held whole before a success is written, so they are bounded.
@@ -34,14 +34,14 @@
 
 // Server answers clients.
 type Server struct {
-	Ctx         env.Ctx
+	Ctx         daemon.Context
 	Hub         *node.Hub
 	Runners     *runner.Pool
 	Scheduler   *place.Scheduler
 	Sender      *runner.Sender
 	Metrics     *metrics.Metrics
 	Log         *request.Log
-	QuotaShares *share.QuotaShares
+	QuotaShares *quota.Shares
 	Retries     *RetryBudget
 	Claims      *Claims
 	Streams     *node.Streams
@@ -60,8 +60,6 @@
 }
 
 // Error gives the code.
-//
-//	(&clientapi.Rejection{Code: "unknown-key"}).Error()
 func (r *Rejection) Error() string { return r.Code }
 
 // RejectionBody is the JSON body of a rejection, and the data of the event that ends a stream early.
@@ -109,8 +107,6 @@
 }
 
 // ServeHTTP serves one request from its headers to its end.
-//
-//	http.Handle("/", server)
 func (s *Server) ServeHTTP(writer http.ResponseWriter, incoming *http.Request) {
 	x := &exchange{server: s, request: request.New(), writer: writer, incoming: incoming}
 	writer.Header().Set(runner.RequestHeader, x.request.ID)
--- a/internal/clientapi/stream.go
+++ b/internal/dataplane/clientapi/stream.go
@@ -11,10 +11,10 @@
 	"net/http"
 	"time"
 
-	"yarrowridge/internal/node"
-	"yarrowridge/internal/request"
-	"yarrowridge/internal/runner"
-	"yarrowridge/internal/strike"
+	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/dataplane/request"
+	"yarrowridge/internal/dataplane/runner"
+	"yarrowridge/internal/lib/faultinjection"
 )
 
 // keepForClient is how long a stream runs on for a client that may come back.
@@ -44,7 +44,7 @@
 
 var errEventTooLarge = &Rejection{Status: 502, Code: "piece-too-large", OutcomeUnknown: true, Message: "A piece of the runner's stream is too large."}
 
-// isLastEvent tells whether an event is the runner's own word that the stream is complete.
+// isLastEvent reports whether an event is the runner's own word that the stream is complete.
 func isLastEvent(event []byte) bool { return bytes.HasPrefix(event, []byte("data: [DONE]")) }
 
 // endEvent tells a client that a stream is complete.
@@ -91,7 +91,7 @@
 		count++
 		if numbered := numberEvent(event, e.seen); e.seen > e.held {
 			batch = append(batch, numbered)
-		} else if !stream.Matches(e.seen-1, numbered) && !strike.Out("same") {
+		} else if !stream.Matches(e.seen-1, numbered) && !faultinjection.Disabled("same") {
 			return nil, 0, errDiffers
 		}
 		if e.in.Buffered() == 0 || count >= batchMost {
--- a/internal/gateway/allowance.go
+++ b/internal/dataplane/gateway/allowance.go
@@ -1,9 +1,9 @@
 package gateway
 
 import (
-	"yarrowridge/internal/allow"
-	"yarrowridge/internal/fleetconfig"
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/dataplane/allow"
+	"yarrowridge/internal/model/fleetconfig"
+	"yarrowridge/internal/model/routing"
 )
 
 // The free output allowance on the gateway. Its clients know no funds: a tenant counts as unfunded while its
@@ -42,7 +42,7 @@
 		Low: allowanceLowWaits * route.TargetLatency, Rate: assumedRate}
 }
 
-// funded tells whether the tenant's quota is not nearly spent.
+// funded reports whether the tenant's quota is not nearly spent.
 func (r *request) funded() bool {
 	return r.tenant == nil || r.tenant.Rate <= 0 || !r.gateway.Quotas.Scarce(r.tenant.QuotaName())
 }
--- a/internal/gateway/allowance_test.go
+++ b/internal/dataplane/gateway/allowance_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/allow"
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/dataplane/allow"
+	"yarrowridge/internal/model/routing"
 )
 
 // The allowance's figures follow the route: nobody is refused up to the aim, an eighth of the most that was
--- a/internal/gateway/attempt.go
+++ b/internal/dataplane/gateway/attempt.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"time"
 
-	"yarrowridge/internal/balance"
-	"yarrowridge/internal/upstream"
+	"yarrowridge/internal/dataplane/balance"
+	"yarrowridge/internal/dataplane/upstream"
 )
 
 // outcomeKind says what became of one attempt.
@@ -98,7 +98,7 @@
 	return kind == "text/event-stream"
 }
 
-// isMine tells whether an answer belongs to this request rather than to an earlier one on its connection.
+// isMine reports whether an answer belongs to this request rather than to an earlier one on its connection.
 func (r *request) isMine(status int, header http.Header) bool {
 	id := r.gateway.Dialect.ReadAnswer(status, header).AttemptID
 	return id == "" || r.meta.AttemptID == "" || id == r.meta.AttemptID
--- a/internal/gateway/bounds_test.go
+++ b/internal/dataplane/gateway/bounds_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/model/routing"
 )
 
 // slack is how much later than its bound an answer may come here.
--- a/internal/gateway/counters_test.go
+++ b/internal/dataplane/gateway/counters_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/model/routing"
 )
 
 // The log tells each end once, the metrics tell all ends since the start.
--- a/internal/gateway/fuzz_test.go
+++ b/internal/dataplane/gateway/fuzz_test.go
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/balance"
-	"yarrowridge/internal/routing"
-	"yarrowridge/internal/upstream"
+	"yarrowridge/internal/dataplane/balance"
+	"yarrowridge/internal/dataplane/upstream"
+	"yarrowridge/internal/model/routing"
 )
 
 // gatewayBefore is a gateway with one runner, which answers every request with these bytes and closes.
@@ -111,7 +111,7 @@
 	})
 }
 
-// servedWhole tells whether the answer was not cut off.
+// servedWhole reports whether the answer was not cut off.
 func servedWhole(gateway *Gateway, w http.ResponseWriter, request *http.Request) (whole bool) {
 	defer func() {
 		if failure := recover(); failure != nil && failure != http.ErrAbortHandler {
--- a/internal/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -7,10 +7,10 @@
 	"sync/atomic"
 	"time"
 
-	"yarrowridge/internal/balance"
-	"yarrowridge/internal/retry"
-	"yarrowridge/internal/routing"
-	"yarrowridge/internal/upstream"
+	"yarrowridge/internal/dataplane/balance"
+	"yarrowridge/internal/dataplane/retry"
+	"yarrowridge/internal/dataplane/upstream"
+	"yarrowridge/internal/model/routing"
 )
 
 // Quotas keeps tenants within their limits.
@@ -21,7 +21,7 @@
 	Spend(quota string, units int)
 	// Release ends a reservation unspent.
 	Release(quota string, units int)
-	// Scarce tells whether the quota is nearly spent over all routers.
+	// Scarce reports whether the quota is nearly spent over all routers.
 	Scarce(quota string) bool
 }
 
@@ -43,7 +43,7 @@
 // clockDriftDivisor is the part of the term by which two machines' monotonic clocks may differ over it.
 const clockDriftDivisor = 10
 
-// Stale tells whether keys may have been taken away for longer than the term at a moment, without our knowing.
+// Stale reports whether keys may have been taken away for longer than the term at a moment, without our knowing.
 func (k KeyBounds) Stale(at time.Time) bool {
 	return k.Term > 0 && at.Sub(k.ConfirmedAt()) > k.Term-k.Term/clockDriftDivisor
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/dataplane/gateway/gateway_test.go
@@ -17,9 +17,9 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/balance"
-	"yarrowridge/internal/routing"
-	"yarrowridge/internal/upstream"
+	"yarrowridge/internal/dataplane/balance"
+	"yarrowridge/internal/dataplane/upstream"
+	"yarrowridge/internal/model/routing"
 )
 
 // testDialect is a dialect of the tests' own.
--- a/internal/gateway/handover_test.go
+++ b/internal/dataplane/gateway/handover_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/model/routing"
 )
 
 // An answer that is not a success goes to the client as the runner gave it: status, seal, other headers and body.
--- a/internal/gateway/keys.go
+++ b/internal/dataplane/gateway/keys.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// needsKey tells whether a key decides whether the request may run.
+// needsKey reports whether a key decides whether the request may run.
 func (r *request) needsKey() bool { return !r.route.Public && len(r.table.Tenants) > 0 }
 
 // awaitKeys waits a moment where keys may have been taken away without our knowing. What became known meanwhile counts:
--- a/internal/gateway/keys_test.go
+++ b/internal/dataplane/gateway/keys_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/model/routing"
 )
 
 // staleKeys gives a fleet a term for withdrawn keys, and the moment up to which its configuration is known to be the
--- a/internal/gateway/promise_test.go
+++ b/internal/dataplane/gateway/promise_test.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"testing"
 
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/model/routing"
 )
 
 // turnsAway answers that it has no room.
--- a/internal/gateway/refusal.go
+++ b/internal/dataplane/gateway/refusal.go
@@ -17,7 +17,7 @@
 // Error gives the code.
 func (r *Refusal) Error() string { return r.Code }
 
-// promises tells whether the answer says that the request has not run and never will.
+// promises reports whether the answer says that the request has not run and never will.
 func (r *Refusal) promises() bool {
 	switch r.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
--- a/internal/gateway/request.go
+++ b/internal/dataplane/gateway/request.go
@@ -8,10 +8,10 @@
 	"net/http"
 	"time"
 
-	"yarrowridge/internal/balance"
-	"yarrowridge/internal/retry"
-	"yarrowridge/internal/routing"
-	"yarrowridge/internal/spread"
+	"yarrowridge/internal/dataplane/balance"
+	"yarrowridge/internal/dataplane/retry"
+	"yarrowridge/internal/lib/hashing"
+	"yarrowridge/internal/model/routing"
 )
 
 // request is one request on its way.
@@ -75,7 +75,7 @@
 	startCheck = 20 * time.Millisecond
 )
 
-// await waits a moment until something holds, and tells whether it does.
+// await waits a moment until something holds, and reports whether it does.
 func (r *request) await(holds func() bool) bool {
 	for !holds() {
 		if time.Since(r.received) > startWait {
@@ -121,7 +121,7 @@
 func spreadID(id string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(id))
-	return spread.Mix(hash.Sum64())
+	return hashing.Mix(hash.Sum64())
 }
 
 // payer finds the tenant that a request with a key belongs to on a route. Nil: none is needed.
@@ -274,7 +274,7 @@
 	}
 }
 
-// mayRepeat tells whether the request may be sent to a further runner.
+// mayRepeat reports whether the request may be sent to a further runner.
 func (r *request) mayRepeat(last outcomeKind) bool {
 	if last == mayHaveRun && !r.route.Repeatable() {
 		return false
--- a/internal/gateway/server.go
+++ b/internal/dataplane/gateway/server.go
@@ -8,7 +8,7 @@
 	"net"
 	"net/http"
 
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/model/routing"
 )
 
 // Server is the clients' listener. It is built on net/http directly: rest's router and middlewares would
--- a/internal/gateway/silence_test.go
+++ b/internal/dataplane/gateway/silence_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/model/routing"
 )
 
 // longSilence is more than a runner with a short prompt is usually given.
--- a/internal/gateway/start_test.go
+++ b/internal/dataplane/gateway/start_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/model/routing"
 )
 
 // A request waits for a router that has just started; it is refused as unrun where that takes too long.
--- a/internal/gateway/stream.go
+++ b/internal/dataplane/gateway/stream.go
@@ -8,8 +8,8 @@
 	"strconv"
 	"time"
 
-	"yarrowridge/internal/balance"
-	"yarrowridge/internal/upstream"
+	"yarrowridge/internal/dataplane/balance"
+	"yarrowridge/internal/dataplane/upstream"
 )
 
 // streamAnswer is the answer of one stream, whichever runners it comes from.
@@ -21,7 +21,7 @@
 	guard   *silenceGuard
 }
 
-// begun tells whether the answer's head is out.
+// begun reports whether the answer's head is out.
 func (s *streamAnswer) begun() bool { return s.control != nil }
 
 // begin writes the answer's head: that of the first runner, which it keeps.
@@ -75,7 +75,7 @@
 	}
 }
 
-// isOld tells whether an event of a second run was handed over already.
+// isOld reports whether an event of a second run was handed over already.
 func (s *streamAnswer) isOld(id string) bool {
 	if s.lastID == "" || id == "" {
 		return false
--- a/internal/gateway/urgency.go
+++ b/internal/dataplane/gateway/urgency.go
@@ -21,7 +21,7 @@
 	return min(urgencyLowest, max(0, rank))
 }
 
-// isLateWithTime tells whether the client has waited for longer than its route aims at, and has more time left than that:
+// isLateWithTime reports whether the client has waited for longer than its route aims at, and has more time left than that:
 // with less it might not be served at all. A stream that is carried on is not late: its reader waits for the next event.
 func (r *request) isLateWithTime() bool {
 	if r.route.TargetLatency <= 0 || r.begun || r.meta.LastEventID != "" {
--- a/internal/node/age_test.go
+++ b/internal/dataplane/node/age_test.go
@@ -4,8 +4,7 @@
 	"testing"
 	"testing/synctest"
 	"time"
-
-	"yarrowridge/internal/core"
+	"yarrowridge/internal/controlplane/coreapi"
 )
 
 // A heartbeat that is sent again and again until a primary takes it tells the age of each time.
@@ -18,7 +17,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			var sent core.HeartbeatRequest
+			var sent coreapi.HeartbeatRequest
 			if _, err := sent.UnmarshalMsg(raw); err != nil || sent.AgeMs != age {
 				t.Errorf("age %d ms after %d ms, %v", sent.AgeMs, age, err)
 			}
--- a/internal/node/config.go
+++ b/internal/dataplane/node/config.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"yarrowridge/internal/fleetconfig"
-	"yarrowridge/internal/relay"
-	"yarrowridge/internal/strike"
+	"yarrowridge/internal/lib/faultinjection"
+	"yarrowridge/internal/model/fleetconfig"
+	"yarrowridge/internal/transport/relay"
 )
 
 // configuration is what the core gave and this router obeys.
@@ -34,10 +34,10 @@
 	}
 	config.Version = record.Version
 	next := &configuration{version: config.Version, raw: config.Raw, config: config}
-	if old := h.current.Load(); strike.Out("late") && old != nil {
+	if old := h.current.Load(); faultinjection.Disabled("late") && old != nil {
 		time.AfterFunc(12*time.Second, func() { h.current.Store(next) })
 		return
-	} else if strike.Out("slip") && old != nil {
+	} else if faultinjection.Disabled("slip") && old != nil {
 		time.AfterFunc(time.Second, func() { h.current.Store(old) })
 	}
 	h.applyConfiguration(next)
@@ -52,8 +52,6 @@
 }
 
 // Config is the newest configuration held; nil before the first, and where it is another document.
-//
-//	config := hub.Config()
 func (h *Hub) Config() *fleetconfig.Config {
 	if c := h.current.Load(); c != nil {
 		return c.config
@@ -62,8 +60,6 @@
 }
 
 // ConfigVersion is the version of the configuration obeyed; 0 before the first.
-//
-//	version := hub.ConfigVersion()
 func (h *Hub) ConfigVersion() uint64 {
 	if c := h.current.Load(); c != nil {
 		return c.version
@@ -73,8 +69,6 @@
 
 // ConfigInForce gives the version of the configuration obeyed and its hex SHA-256, as it was put, both of one
 // configuration however fast they change; 0 and "" before the first.
-//
-//	version, hash := hub.ConfigInForce()
 func (h *Hub) ConfigInForce() (version uint64, hash string) {
 	if c := h.current.Load(); c != nil {
 		return c.version, fleetconfig.HashKey(string(c.raw))
@@ -83,6 +77,4 @@
 }
 
 // ConfigChanged is closed once a newer configuration is in force. Ask for it before Config, so as to miss none.
-//
-//	changed, config := hub.ConfigChanged(), hub.Config()
 func (h *Hub) ConfigChanged() <-chan struct{} { return *h.configChanged.Load() }
--- a/internal/node/confirmation.go
+++ b/internal/dataplane/node/confirmation.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"yarrowridge/internal/relay"
+	"yarrowridge/internal/transport/relay"
 )
 
 // clockDriftDivisor is the part of an age by which two machines' monotonic clocks may differ over it.
@@ -25,8 +25,6 @@
 // ConfirmedAt is the latest moment of which it is known that each configuration acknowledged before it is in force here,
 // or a newer one: by our own monotonic clock, from when the primary was asked under its lease, by us or by a node that
 // told us; zero where it never was.
-//
-//	if time.Since(hub.ConfirmedAt()) > 4*time.Second { ... }
 func (h *Hub) ConfirmedAt() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/node/confirmation_test.go
+++ b/internal/dataplane/node/confirmation_test.go
@@ -5,7 +5,7 @@
 	"testing/synctest"
 	"time"
 
-	"yarrowridge/internal/relay"
+	"yarrowridge/internal/transport/relay"
 )
 
 // What is confirmed of a version that is not in force here says nothing, and no word makes an older moment of a newer one.
--- a/internal/node/heartbeat.go
+++ b/internal/dataplane/node/heartbeat.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/relay"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/wire"
 )
 
 // How long the talk with the core, or in place of it with the zone, may take.
@@ -20,7 +20,7 @@
 // timedHeartbeat is a heartbeat that tells the age of our run as of each time that it is sent: the call may look for
 // a primary for long, and the units of earlier runs at our address are free so much sooner as we are older.
 type timedHeartbeat struct {
-	core.HeartbeatRequest
+	coreapi.HeartbeatRequest
 	started time.Time
 	sentAt  time.Time // the last time
 }
@@ -32,7 +32,7 @@
 	return t.HeartbeatRequest.MarshalMsg(raw)
 }
 
-// sendHeartbeat renews our lease at the core and learns what has changed. It tells whether the core has answered.
+// sendHeartbeat renews our lease at the core and learns what has changed. It reports whether the core has answered.
 func (h *Hub) sendHeartbeat() bool {
 	h.mu.Lock()
 	nodesVersion, leaving := h.nodesVersion, h.leaving
@@ -43,9 +43,9 @@
 	ctx, cancel := context.WithTimeout(h.ctx, heartbeatTimeout)
 	defer cancel()
 	request := timedHeartbeat{HeartbeatRequest: h.makeHeartbeat(nodesVersion), started: h.started}
-	var response core.HeartbeatResponse
+	var response coreapi.HeartbeatResponse
 	if err := h.Core.Call(ctx, "core.beat", &request, &response, true); err != nil {
-		if wire.Is(err, core.NameTaken) {
+		if wire.HasCode(err, coreapi.CodeNameTaken) {
 			h.ctx.Log.Error("Another router has our name. Each needs its own.", "name", h.ctx.Name)
 			return true
 		}
@@ -66,8 +66,8 @@
 }
 
 // makeHeartbeat says what this node is, what it holds already, and how its attempts at runners ended.
-func (h *Hub) makeHeartbeat(nodesVersion uint64) core.HeartbeatRequest {
-	request := core.HeartbeatRequest{Node: h.Me(), NodesVersion: nodesVersion, ViewEpoch: h.Core.View().Epoch}
+func (h *Hub) makeHeartbeat(nodesVersion uint64) coreapi.HeartbeatRequest {
+	request := coreapi.HeartbeatRequest{Node: h.Me(), NodesVersion: nodesVersion, ViewEpoch: h.Core.View().Epoch}
 	if h.runners != nil {
 		request.RunnersWanted = true
 		request.RunnersEpoch, request.RunnersVersion = h.runners.Position()
@@ -76,19 +76,19 @@
 		}
 	}
 	if h.tally != nil {
-		request.Tallies = h.tally()
+		request.RunnerStats = h.tally()
 	}
 	return request
 }
 
 // takeHeartbeatResponse takes the view, the nodes and the runners that the core has answered with.
-func (h *Hub) takeHeartbeatResponse(response *core.HeartbeatResponse) {
+func (h *Hub) takeHeartbeatResponse(response *coreapi.HeartbeatResponse) {
 	h.Core.Learn(response.View)
 	h.mu.Lock()
 	wasSilent := time.Since(h.coreHeard) > staleAfter && !h.coreHeard.IsZero()
 	h.coreHeard = time.Now()
 	h.scarceTenants = response.ScarceTenants
-	h.routersBefore = response.RoutersBefore
+	h.routersBefore = response.PreviousRouters
 	if response.NodesChanged {
 		h.nodesVersion = response.NodesVersion
 		h.takeNodes(response.Nodes)
@@ -101,7 +101,7 @@
 		h.runners.Apply(response)
 	}
 	if h.findings != nil {
-		h.findings(Findings{Failing: response.Failing, Calm: response.Calm})
+		h.findings(RunnerFindings{Failing: response.Failing, Calm: response.LowLatencyRunners})
 	}
 }
 
@@ -115,9 +115,9 @@
 	if h.ConfigVersion() >= version || record.Version >= version || !overdue {
 		return
 	}
-	var config core.StoredConfig
-	if h.Core.Call(ctx, "core.layout", &core.ConfigRequest{}, &config, true) == nil && config.Version > 0 {
-		h.Spread(relay.News{Records: []relay.Record{relay.ConfigRecord(config.Version, config.Raw)}})
+	var config coreapi.StoredConfig
+	if h.Core.Call(ctx, "core.layout", &coreapi.ConfigRequest{}, &config, true) == nil && config.Version > 0 {
+		h.Broadcast(relay.Update{Records: []relay.Record{relay.ConfigRecord(config.Version, config.Raw)}})
 	}
 }
 
@@ -146,14 +146,14 @@
 	h.mu.Lock()
 	h.initialSyncDone = true
 	if len(h.nodes) == 0 {
-		h.takeNodes(append(nodes, core.Node{Name: h.ctx.Name, Zone: h.ctx.Zone, Addr: h.addr, Run: h.ctx.Born}))
+		h.takeNodes(append(nodes, coreapi.Node{Name: h.ctx.Name, Zone: h.ctx.Zone, Addr: h.addr, Run: h.ctx.RunID}))
 	}
 	h.mu.Unlock()
 }
 
 // nodesFromSeeds asks all seeds for their nodes, and gives the longest list.
-func (h *Hub) nodesFromSeeds(ctx context.Context) []core.Node {
-	var longest []core.Node
+func (h *Hub) nodesFromSeeds(ctx context.Context) []coreapi.Node {
+	var longest []coreapi.Node
 	for _, addr := range *h.seeds.Load() {
 		var list NodeList
 		err := h.caller.Call(ctx, addr, "node.roll", &NodeListRequest{}, &list)
@@ -166,16 +166,14 @@
 
 // Leave gives up the lease: the core names us no more, our units cool. Serving what has been
 // read goes on meanwhile. It ends after a second at the latest, and with the context.
-//
-//	hub.Leave(ctx)
 func (h *Hub) Leave(ctx context.Context) {
 	h.mu.Lock()
 	h.leaving = true
 	h.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
-	request := core.HeartbeatRequest{Node: h.Me(), Leaving: true}
-	if err := h.Core.Call(ctx, "core.beat", &request, &core.HeartbeatResponse{}, true); err != nil {
+	request := coreapi.HeartbeatRequest{Node: h.Me(), Leaving: true}
+	if err := h.Core.Call(ctx, "core.beat", &request, &coreapi.HeartbeatResponse{}, true); err != nil {
 		h.ctx.Log.Warn("The core was not told that we leave.", "error", err.Error())
 	}
 }
--- a/internal/node/hub.go
+++ b/internal/dataplane/node/hub.go
@@ -8,11 +8,13 @@
 	"sync/atomic"
 	"time"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/registry"
-	"yarrowridge/internal/relay"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/coreclient"
+	"yarrowridge/internal/dataplane/registry"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/lib/runloop"
+	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/wire"
 )
 
 // How often the hub does what.
@@ -25,14 +27,14 @@
 
 // Hub is one router's share in the fleet's control.
 type Hub struct {
-	ctx           env.Ctx
+	ctx           daemon.Context
 	addr          string
 	clientAddr    string
 	seeds         atomic.Pointer[[]string]
 	caller        *wire.Caller
-	Core          *core.Client
+	Core          *coreclient.Client
 	Records       *relay.Store
-	outbox        chan relay.News
+	outbox        chan relay.Update
 	current       atomic.Pointer[configuration] // in force; nil before the first
 	configChanged atomic.Pointer[chan struct{}] // closed by the next configuration
 	onNews        func(relay.Record)
@@ -40,12 +42,12 @@
 	announcedVersion uint64                                 // the version that the core last named; only the heartbeat touches it
 	document         func(version uint64, raw []byte) error // nil: the configuration is read here
 	runners          *registry.Registry                     // nil: none is kept
-	tally            func() []core.RunnerTally              // nil: none is told
-	findings         func(Findings)
+	tally            func() []coreapi.RunnerStats           // nil: none is told
+	findings         func(RunnerFindings)
 
 	mu              sync.Mutex
 	nodesVersion    uint64
-	nodes           []core.Node
+	nodes           []coreapi.Node
 	neighbours      []relay.Node
 	coreHeard       time.Time // last answer of the core
 	confirmedAt     time.Time // see ConfirmedAt
@@ -63,41 +65,33 @@
 
 // Document has the hub pass on configurations as they are, in place of reading them. take is called for
 // each newer one, in order, under the store's lock. With an error the old one stays in force.
-//
-//	hub := node.NewHub(ctx, addr, clientAddr, seeds, onNews, node.Document(take))
 func Document(take func(version uint64, raw []byte) error) Option {
 	return func(h *Hub) { h.document = take }
 }
 
 // Runners has the hub keep a copy of the core's registry of runners.
-//
-//	hub := node.NewHub(ctx, addr, clientAddr, seeds, onNews, node.Runners(registry.New(nil)))
 func Runners(reg *registry.Registry) Option {
 	return func(h *Hub) { h.runners = reg }
 }
 
-// Findings are what the core says of runners from what all routers saw of them.
-type Findings struct {
-	Failing []core.FailingRunner
+// RunnerFindings are what the core says of runners from what all routers saw of them.
+type RunnerFindings struct {
+	Failing []coreapi.FailingRunner
 	Calm    []string // IDs of the runners whose streams have the shortest pauses
 }
 
 // Health has the hub tell the core what was seen of runners since the last heartbeat, and pass on what all routers
 // together saw.
-//
-//	hub := node.NewHub(ctx, addr, clientAddr, seeds, onNews, node.Health(tally, findings))
-func Health(tally func() []core.RunnerTally, findings func(Findings)) Option {
+func Health(tally func() []coreapi.RunnerStats, findings func(RunnerFindings)) Option {
 	return func(h *Hub) { h.tally, h.findings = tally, findings }
 }
 
 // NewHub makes a hub. onNews sees every record of news that is taken, besides the configuration and the
 // registered runners.
-//
-//	hub := node.NewHub(ctx, "127.0.0.1:7501", "127.0.0.1:8501", seeds, onNews)
-func NewHub(ctx env.Ctx, addr, clientAddr string, seeds []string, onNews func(relay.Record), options ...Option) *Hub {
+func NewHub(ctx daemon.Context, addr, clientAddr string, seeds []string, onNews func(relay.Record), options ...Option) *Hub {
 	h := &Hub{ctx: ctx, addr: addr, clientAddr: clientAddr, caller: wire.NewCaller(ctx.Net), onNews: onNews,
-		outbox: make(chan relay.News, 1024), started: time.Now(), handlers: map[string]wire.Handler{}}
-	h.Core = core.NewClient(ctx, h.caller, seeds)
+		outbox: make(chan relay.Update, 1024), started: time.Now(), handlers: map[string]wire.Handler{}}
+	h.Core = coreclient.NewClient(ctx, h.caller, seeds)
 	h.seeds.Store(&seeds)
 	h.Records = relay.NewStore(h.takeRecord)
 	next := make(chan struct{})
@@ -109,20 +103,16 @@
 }
 
 // SetSeeds replaces the seeds: the settings have changed.
-//
-//	hub.SetSeeds([]string{"127.0.0.1:7401"})
 func (h *Hub) SetSeeds(seeds []string) {
 	h.seeds.Store(&seeds)
 	h.Core.SetSeeds(seeds)
 }
 
 // Run sends heartbeats, spreads news and repairs until the context ends.
-//
-//	hub.Run()
 func (h *Hub) Run() {
 	go h.sendHeartbeats()
 	go h.every(repairEvery, h.repair)
-	env.Loop(h.ctx, h.outbox, 0, h.forward, nil)
+	runloop.Run(h.ctx, h.outbox, 0, h.forward, nil)
 	h.caller.Close()
 }
 
@@ -134,7 +124,7 @@
 // not all call the core at one moment.
 func (h *Hub) sendHeartbeats() {
 	for !h.sendHeartbeat() {
-		if !env.Wait(h.ctx, startPause) {
+		if !runloop.Sleep(h.ctx, startPause) {
 			return
 		}
 	}
@@ -144,8 +134,8 @@
 // every does something again and again. The first time is at random, so that nodes that started together do
 // not all call the core at one moment.
 func (h *Hub) every(span time.Duration, do func()) {
-	if env.Wait(h.ctx, rand.N(span)) {
+	if runloop.Sleep(h.ctx, rand.N(span)) {
 		do()
-		env.Loop(h.ctx, nil, span, func(struct{}) {}, do)
+		runloop.Run(h.ctx, nil, span, func(struct{}) {}, do)
 	}
 }
--- a/internal/node/msgs.go
+++ b/internal/dataplane/node/msgs.go
@@ -1,6 +1,6 @@
 package node
 
-import "yarrowridge/internal/core"
+import "yarrowridge/internal/controlplane/coreapi"
 
 //go:generate go tool msgp -tests=false -io=false
 
@@ -22,7 +22,7 @@
 
 // NodeList is a node's list of nodes.
 type NodeList struct {
-	Nodes []core.Node `msg:"n"`
+	Nodes []coreapi.Node `msg:"n"`
 }
 
 // NodeListRequest asks for a NodeList.
--- a/internal/node/msgs_gen.go
+++ b/internal/dataplane/node/msgs_gen.go
@@ -3,7 +3,7 @@
 package node
 
 import (
-	"yarrowridge/internal/core"
+	"yarrowridge/internal/controlplane/coreapi"
 
 	"github.com/tinylib/msgp/msgp"
 )
@@ -141,7 +141,7 @@
 			if cap(z.Nodes) >= int(zb0002) {
 				z.Nodes = (z.Nodes)[:zb0002]
 			} else {
-				z.Nodes = make([]core.Node, zb0002)
+				z.Nodes = make([]coreapi.Node, zb0002)
 			}
 			for za0001 := range z.Nodes {
 				bts, err = z.Nodes[za0001].UnmarshalMsg(bts)
--- a/internal/node/news.go
+++ b/internal/dataplane/node/news.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"yarrowridge/internal/registry"
-	"yarrowridge/internal/relay"
+	"yarrowridge/internal/dataplane/registry"
+	"yarrowridge/internal/transport/relay"
 )
 
 // How long the telling of news may take.
@@ -22,28 +22,26 @@
 	case record.Key == relay.ConfigKey:
 		h.takeConfig(record)
 	case h.runners != nil && registry.Owns(record):
-		h.runners.See(record)
+		h.runners.ApplyRecord(record)
 	case h.onNews != nil:
 		h.onNews(record)
 	}
 }
 
-// Spread takes news and hands on what was new to the neighbours, but for the one it came from.
-//
-//	hub.Spread(relay.News{Records: records})
-func (h *Hub) Spread(news relay.News) {
-	fresh := h.Records.Take(news.Records)
+// Broadcast takes news and hands on what was new to the neighbours, but for the one it came from.
+func (h *Hub) Broadcast(news relay.Update) {
+	fresh := h.Records.Merge(news.Records)
 	if len(fresh) == 0 {
 		return
 	}
 	select {
-	case h.outbox <- relay.News{From: news.From, Records: fresh}:
+	case h.outbox <- relay.Update{From: news.From, Records: fresh}:
 	default: // the digests will carry it
 	}
 }
 
 // forward sends news on, with all that has piled up behind it.
-func (h *Hub) forward(news relay.News) {
+func (h *Hub) forward(news relay.Update) {
 	for _, n := range h.Neighbours() {
 		if n.Name == news.From {
 			continue
@@ -51,17 +49,15 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(h.ctx, tellTimeout)
 			defer cancel()
-			h.caller.Call(ctx, n.Addr, "node.tell", &relay.News{From: h.ctx.Name, Records: news.Records}, nil)
+			h.caller.Call(ctx, n.Addr, "node.tell", &relay.Update{From: h.ctx.Name, Records: news.Records}, nil)
 		}()
 	}
 }
 
-// SpreadToAll hands records to every node directly, beside the tree, and tells whether one at least holds
+// BroadcastToAll hands records to every node directly, beside the tree, and reports whether one at least holds
 // them. It waits until all have answered, for spreadWait at most: if we are gone right after, the
 // tree that led through us must not be what others depend on.
-//
-//	if hub.SpreadToAll(ctx, records) { ... }
-func (h *Hub) SpreadToAll(ctx context.Context, records []relay.Record) bool {
+func (h *Hub) BroadcastToAll(ctx context.Context, records []relay.Record) bool {
 	results, pending := h.tellAll(records)
 	timer := time.NewTimer(spreadWait)
 	defer timer.Stop()
@@ -91,7 +87,7 @@
 func (h *Hub) tellAll(records []relay.Record) (results <-chan bool, count int) {
 	nodes := h.Nodes()
 	all := make(chan bool, len(nodes))
-	news := &relay.News{From: h.ctx.Name, Records: records}
+	news := &relay.Update{From: h.ctx.Name, Records: records}
 	for _, n := range nodes {
 		if n.Name == h.ctx.Name {
 			continue
--- a/internal/node/nodes.go
+++ b/internal/dataplane/node/nodes.go
@@ -1,33 +1,27 @@
 package node
 
 import (
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/relay"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/transport/relay"
 )
 
 // Me is this node as its peers know it.
-//
-//	n := hub.Me()
-func (h *Hub) Me() core.Node {
-	n := core.Node{Name: h.ctx.Name, Zone: h.ctx.Zone, Addr: h.addr, ClientAddr: h.clientAddr, Run: h.ctx.Born}
+func (h *Hub) Me() coreapi.Node {
+	n := coreapi.Node{Name: h.ctx.Name, Zone: h.ctx.Zone, Addr: h.addr, ClientAddr: h.clientAddr, Run: h.ctx.RunID}
 	n.ConfigVersion = h.ConfigVersion()
 	n.Ready = h.Ready() == ""
 	return n
 }
 
 // Nodes lists the nodes that the core last named.
-//
-//	all := hub.Nodes()
-func (h *Hub) Nodes() []core.Node {
+func (h *Hub) Nodes() []coreapi.Node {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.nodes
 }
 
-// Part splits a number between the nodes that the core last named: the parts of all add up to no more than it.
-//
-//	mine := hub.Part(4)
-func (h *Hub) Part(n int) int {
+// ShareOf splits a number between the nodes that the core last named: the parts of all add up to no more than it.
+func (h *Hub) ShareOf(n int) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i, o := range h.nodes {
@@ -44,8 +38,6 @@
 
 // RoutersBefore is how many routers there were before the primary began, where it does not know yet which of them
 // live; 0: it was not told.
-//
-//	sharedBy := hub.RoutersBefore()
 func (h *Hub) RoutersBefore() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -53,8 +45,6 @@
 }
 
 // Neighbours lists our neighbours in the relay tree.
-//
-//	for _, s := range hub.Neighbours() { ... }
 func (h *Hub) Neighbours() []relay.Node {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,8 +52,6 @@
 }
 
 // ScarceTenants lists the tenants whose idle units the core wants back.
-//
-//	for _, t := range hub.ScarceTenants() { ... }
 func (h *Hub) ScarceTenants() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -71,7 +59,7 @@
 }
 
 // takeNodes takes a new list of nodes; the caller holds the lock.
-func (h *Hub) takeNodes(nodes []core.Node) {
+func (h *Hub) takeNodes(nodes []coreapi.Node) {
 	h.nodes = nodes
 	var relayNodes []relay.Node
 	var addrs []string
--- a/internal/node/readiness.go
+++ b/internal/dataplane/node/readiness.go
@@ -5,8 +5,6 @@
 )
 
 // Ready tells why no new clients should be sent to this node, or "".
-//
-//	if why := hub.Ready(); why != "" { ... }
 func (h *Hub) Ready() string {
 	h.mu.Lock()
 	quit := h.draining
@@ -18,8 +16,6 @@
 }
 
 // StartDraining begins leaving: we are no longer ready, but go on serving what comes.
-//
-//	hub.StartDraining()
 func (h *Hub) StartDraining() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -27,8 +23,6 @@
 }
 
 // Servable tells why this node can't serve at all yet, or "".
-//
-//	if why := hub.Servable(); why != "" { ... }
 func (h *Hub) Servable() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -41,18 +35,14 @@
 	return ""
 }
 
-// Stale tells whether the core has not been heard for a while: the configuration may be old.
-//
-//	if hub.Stale() { ... }
+// Stale reports whether the core has not been heard for a while: the configuration may be old.
 func (h *Hub) Stale() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return time.Since(h.coreHeard) > staleAfter
 }
 
-// Fresh tells whether the core has answered one of the last two heartbeats.
-//
-//	if hub.Fresh() { ... }
+// Fresh reports whether the core has answered one of the last two heartbeats.
 func (h *Hub) Fresh() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/node/repair.go
+++ b/internal/dataplane/node/repair.go
@@ -5,12 +5,12 @@
 	"math/rand/v2"
 	"time"
 
-	"yarrowridge/internal/relay"
+	"yarrowridge/internal/transport/relay"
 )
 
 // repair compares our news with one neighbour's, or any node's every other time, by digests.
 func (h *Hub) repair() {
-	h.Records.Forget(forgetAfter)
+	h.Records.Expire(forgetAfter)
 	neighbours := h.Neighbours()
 	nodes := h.Nodes()
 	// A neighbour that does not answer may be what news is stuck behind: another is asked at once.
@@ -33,7 +33,7 @@
 	}
 }
 
-// repairWith compares our news with one node's, and takes and gives what differs. It tells whether the node answered.
+// repairWith compares our news with one node's, and takes and gives what differs. It reports whether the node answered.
 func (h *Hub) repairWith(ctx context.Context, to string) bool {
 	sum := h.Records.Digests(h.ctx.Name)
 	var diff relay.Difference
@@ -43,11 +43,11 @@
 	}
 	fix := h.Records.Repair(h.ctx.Name, diff)
 	if len(fix.Records)+len(fix.Wanted) > 0 {
-		var back relay.News
+		var back relay.Update
 		if h.caller.Call(ctx, to, "node.fix", &fix, &back) != nil {
 			return false
 		}
-		h.Spread(back)
+		h.Broadcast(back)
 	}
 	h.takeConfirmed(&diff, asked)
 	return true
--- a/internal/node/serve.go
+++ b/internal/dataplane/node/serve.go
@@ -5,44 +5,40 @@
 
 	"github.com/tinylib/msgp/msgp"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/relay"
-	"yarrowridge/internal/view"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/wire"
 )
 
 // Handle adds a handler of another owner's calls on the same listener.
-//
-//	hub.Handle("piece", pool.Hand)
 func (h *Hub) Handle(name string, hand wire.Handler) { h.handlers[name] = hand }
 
 // Serve answers calls from other processes.
-//
-//	go wire.Serve(ctx, l, hub.Serve)
 func (h *Hub) Serve(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 	switch kind {
 	case "view.ask":
 		return &view.StatusResponse{Addr: h.addr, View: h.Core.View()}, nil
 	case "node.tell":
-		return wire.On(body, func(news *relay.News) (*core.Empty, error) {
-			h.Spread(*news)
-			return &core.Empty{}, nil
+		return wire.HandleTyped(body, func(news *relay.Update) (*coreapi.Empty, error) {
+			h.Broadcast(*news)
+			return &coreapi.Empty{}, nil
 		})
 	case "node.sum":
-		return wire.On(body, func(digests *relay.Digests) (*relay.Difference, error) {
+		return wire.HandleTyped(body, func(digests *relay.Digests) (*relay.Difference, error) {
 			d := h.Records.Compare(*digests)
 			h.tellConfirmed(&d)
 			return &d, nil
 		})
 	case "node.fix":
-		return wire.On(body, func(repair *relay.Repair) (*relay.News, error) {
-			h.Spread(relay.News{From: repair.From, Records: repair.Records})
-			return &relay.News{From: h.ctx.Name, Records: h.Records.Select(repair.Wanted)}, nil
+		return wire.HandleTyped(body, func(repair *relay.Repair) (*relay.Update, error) {
+			h.Broadcast(relay.Update{From: repair.From, Records: repair.Records})
+			return &relay.Update{From: h.ctx.Name, Records: h.Records.Select(repair.Wanted)}, nil
 		})
 	case "node.view":
-		return wire.On(body, func(request *view.LearnRequest) (*core.Empty, error) {
+		return wire.HandleTyped(body, func(request *view.LearnRequest) (*coreapi.Empty, error) {
 			h.Core.Learn(request.View)
-			return &core.Empty{}, nil
+			return &coreapi.Empty{}, nil
 		})
 	case "node.run":
 		me := h.Me()
@@ -54,8 +50,6 @@
 }
 
 // Call reaches another process of the fleet.
-//
-//	err := hub.Call(ctx, addr, "piece.copy", &request, nil)
 func (h *Hub) Call(ctx context.Context, addr, kind string, request msgp.Marshaler, response msgp.Unmarshaler) error {
 	return h.caller.Call(ctx, addr, kind, request, response)
 }
--- a/internal/node/standby.go
+++ b/internal/dataplane/node/standby.go
@@ -4,13 +4,11 @@
 	"context"
 	"time"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/transport/wire"
 )
 
 // AssignStandby names a standby for a stream that was taken over, before its second run.
-//
-//	err := streams.AssignStandby(ctx, stream)
 func (s *Streams) AssignStandby(ctx context.Context, stream *Stream) error {
 	n, _ := stream.HeldPieces()
 	return s.copyToStandby(ctx, stream, StreamCopy{From: n})
@@ -107,7 +105,7 @@
 }
 
 // takeCopy takes a copy as a standby.
-func (s *Streams) takeCopy(change *StreamCopy) (*core.Empty, error) {
+func (s *Streams) takeCopy(change *StreamCopy) (*coreapi.Empty, error) {
 	size := 0
 	for _, piece := range change.Pieces {
 		size += len(piece)
@@ -117,10 +115,10 @@
 	}
 	stream := s.standbyStream(change)
 	if stream == nil {
-		return nil, wire.Fault{Code: "gap"}
+		return nil, wire.StatusError{Code: "gap"}
 	}
 	if !s.reserveBytes(size) {
-		return nil, wire.Fault{Code: "full"}
+		return nil, wire.StatusError{Code: "full"}
 	}
 	var taken int
 	var err error
@@ -128,7 +126,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.size -= size - taken // reserved, and not needed after all
-	return &core.Empty{}, err
+	return &coreapi.Empty{}, err
 }
 
 // standbyStream gives the stream that a copy is of, and begins it with its first copy; nil where that was missed.
@@ -148,11 +146,11 @@
 	have := len(stream.pieces)
 	switch {
 	case stream.ownerName == "" || change.StandbyTurn < stream.turn:
-		return 0, wire.Fault{Code: "given-up"} // we carry it on, or somebody after its sender does
+		return 0, wire.StatusError{Code: "given-up"} // we carry it on, or somebody after its sender does
 	case stream.lost != "":
-		return 0, wire.Fault{Code: "given-up"} // told a client so already
+		return 0, wire.StatusError{Code: "given-up"} // told a client so already
 	case change.From > have:
-		return 0, wire.Fault{Code: "gap"}
+		return 0, wire.StatusError{Code: "gap"}
 	}
 	for i, piece := range change.Pieces {
 		if change.From+i >= have {
--- a/internal/node/streamlist.go
+++ b/internal/dataplane/node/streamlist.go
@@ -18,8 +18,6 @@
 }
 
 // List tells all streams held here, carried or as standby.
-//
-//	for _, held := range streams.List() { ... }
 func (s *Streams) List() []HeldStream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/streamread.go
+++ b/internal/dataplane/node/streamread.go
@@ -7,7 +7,7 @@
 	"github.com/rotisserie/eris"
 	"github.com/tinylib/msgp/msgp"
 
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/transport/wire"
 )
 
 // How long a resumed stream is read for.
@@ -20,11 +20,11 @@
 func (s *Streams) handle(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 	switch kind {
 	case "stream.copy":
-		return wire.On(body, s.takeCopy)
+		return wire.HandleTyped(body, s.takeCopy)
 	case "stream.read":
-		return wire.On(body, func(request *StreamReadRequest) (*StreamReadResponse, error) { return s.read(ctx, request), nil })
+		return wire.HandleTyped(body, func(request *StreamReadRequest) (*StreamReadResponse, error) { return s.read(ctx, request), nil })
 	}
-	return nil, wire.Fault{Code: "unknown-kind"}
+	return nil, wire.StatusError{Code: "unknown-kind"}
 }
 
 // read gives the pieces after a number, and waits for one where there is none.
@@ -63,8 +63,6 @@
 
 // Resume gives the pieces after a number, waiting for new ones, wherever the stream is held. The
 // router that carries it is asked as well as its standby; who has more is believed.
-//
-//	response, err := streams.Resume(ctx, id, tenant, 12)
 func (s *Streams) Resume(ctx context.Context, id, tenant string, after int) (*StreamReadResponse, error) {
 	request := &StreamReadRequest{ID: id, Tenant: tenant, After: after, WaitMs: int(resumeWait.Milliseconds())}
 	s.mu.Lock()
--- a/internal/node/streams.go
+++ b/internal/dataplane/node/streams.go
@@ -8,7 +8,8 @@
 
 	"github.com/rotisserie/eris"
 
-	"yarrowridge/internal/env"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/lib/runloop"
 )
 
 // Bounds of what is held of streams.
@@ -50,7 +51,7 @@
 
 // Streams are all streams held on this router.
 type Streams struct {
-	ctx  env.Ctx
+	ctx  daemon.Context
 	hub  *Hub
 	mu   sync.Mutex
 	byID map[string]*Stream
@@ -61,19 +62,15 @@
 }
 
 // NewStreams makes the store and answers other routers' calls about streams.
-//
-//	streams := node.NewStreams(ctx, hub)
-func NewStreams(ctx env.Ctx, hub *Hub) *Streams {
+func NewStreams(ctx daemon.Context, hub *Hub) *Streams {
 	s := &Streams{ctx: ctx, hub: hub, byID: map[string]*Stream{}}
 	hub.Handle("stream", s.handle)
 	return s
 }
 
 // Run drops what has had its time, until the context ends.
-//
-//	go streams.Run()
 func (s *Streams) Run() {
-	env.Loop(s.ctx, nil, time.Second, func(struct{}) {}, s.sweep)
+	runloop.Run(s.ctx, nil, time.Second, func(struct{}) {}, s.sweep)
 }
 
 // sweep drops streams that have had their time, and asks after silent owners of the others.
@@ -108,7 +105,7 @@
 	}
 }
 
-// isOwn tells whether this router carries the stream.
+// isOwn reports whether this router carries the stream.
 func (stream *Stream) isOwn() bool {
 	stream.mu.Lock()
 	defer stream.mu.Unlock()
@@ -130,8 +127,6 @@
 var ErrCarriedElsewhere = eris.New("node: another router carries the stream on")
 
 // Open begins a stream on its own router. request is what a second run takes; nil where there must be none.
-//
-//	stream := streams.Open(request.ID, tenant, nil)
 func (s *Streams) Open(id, tenant string, request *StreamRequest) *Stream {
 	stream := &Stream{ID: id, Tenant: tenant, request: request, changed: make(chan struct{}), changedAt: time.Now()}
 	s.mu.Lock()
@@ -141,17 +136,13 @@
 }
 
 // HeldPieces tells how many pieces a second run has to repeat, and whether it may be made at all.
-//
-//	n, ok := stream.HeldPieces()
 func (stream *Stream) HeldPieces() (n int, ok bool) {
 	stream.mu.Lock()
 	defer stream.mu.Unlock()
 	return len(stream.pieces), stream.request != nil && !stream.tooLarge
 }
 
-// Matches tells whether piece i is, byte for byte, what is held.
-//
-//	if !stream.Matches(0, piece) { ... }
+// Matches reports whether piece i is, byte for byte, what is held.
 func (stream *Stream) Matches(i int, piece []byte) bool {
 	stream.mu.Lock()
 	defer stream.mu.Unlock()
@@ -183,8 +174,6 @@
 
 // Append hands numbered pieces to the standby. Once it returns nil they may be shown to the client. A
 // stream that outgrows its bounds goes on, but is no longer held.
-//
-//	err := streams.Append(ctx, stream, [][]byte{event})
 func (s *Streams) Append(ctx context.Context, stream *Stream, pieces [][]byte) error {
 	n := 0
 	for _, piece := range pieces {
@@ -218,8 +207,6 @@
 }
 
 // Close ends a stream: in full where lost is "", else with an error.
-//
-//	err := streams.Close(ctx, stream, "")
 func (s *Streams) Close(ctx context.Context, stream *Stream, lost string) error {
 	n, _ := stream.HeldPieces()
 	if err := s.copyToStandby(ctx, stream, StreamCopy{From: n, End: lost == "", Lost: lost}); err != nil {
--- a/internal/node/takeover.go
+++ b/internal/dataplane/node/takeover.go
@@ -4,8 +4,7 @@
 	"context"
 	"fmt"
 	"time"
-
-	"yarrowridge/internal/core"
+	"yarrowridge/internal/controlplane/coreapi"
 )
 
 // checkOwner finds out whether a silent owner is gone, and if so carries its stream on, or ends it
@@ -73,9 +72,9 @@
 func (s *Streams) claimTurn(ctx context.Context, id string, turn int) (bool, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), claimTimeout)
 	defer cancel()
-	request := core.ClaimRequest{Key: fmt.Sprintf("%s%s/%d", core.StreamPrefix, id, turn),
-		Claim: core.Claim{RequestHash: "stream", Claimant: fmt.Sprintf("%s/%x", s.ctx.Name, s.ctx.Born), Node: s.ctx.Name, NodeRun: s.ctx.Born}}
-	var response core.ClaimResponse
+	request := coreapi.ClaimRequest{Key: fmt.Sprintf("%s%s/%d", coreapi.StreamPrefix, id, turn),
+		Claim: coreapi.Claim{RequestHash: "stream", Claimant: fmt.Sprintf("%s/%x", s.ctx.Name, s.ctx.RunID), Node: s.ctx.Name, NodeRun: s.ctx.RunID}}
+	var response coreapi.ClaimResponse
 	err := s.hub.Core.Call(ctx, "core.take", &request, &response, true)
 	return response.Granted, err
 }
--- a/internal/place/choose.go
+++ b/internal/dataplane/place/choose.go
@@ -1,6 +1,6 @@
 package place
 
-import "yarrowridge/internal/runner"
+import "yarrowridge/internal/dataplane/runner"
 
 // Candidate is a runner that could take the prompt, as the choice sees it.
 type Candidate struct {
@@ -18,8 +18,6 @@
 // Choose picks the runner that most likely holds the prompt's longest prefix, among those whose
 // load is within the bound; a prefix that nobody holds goes by rendezvous hash, so that all routers
 // pick alike; own zone first among equals. It returns -1 where no runner has room.
-//
-//	i := place.Choose(keys, all, memory.Match(keys))
 func Choose(keys []uint64, candidates []Candidate, depth map[int]int) int {
 	sum, n := 0, 0
 	for _, candidate := range candidates {
--- a/internal/place/place_test.go
+++ b/internal/dataplane/place/place_test.go
@@ -12,8 +12,8 @@
 
 	"pgregory.net/rapid"
 
-	"yarrowridge/internal/relay"
-	"yarrowridge/internal/runner"
+	"yarrowridge/internal/dataplane/runner"
+	"yarrowridge/internal/transport/relay"
 )
 
 // one is a pool with a runner of the given room.
--- a/internal/place/prefix.go
+++ b/internal/dataplane/place/prefix.go
@@ -7,7 +7,7 @@
 	"hash/fnv"
 	"sync"
 
-	"yarrowridge/internal/spread"
+	"yarrowridge/internal/lib/hashing"
 )
 
 // BlockSize is how many bytes of a prompt share one hash.
@@ -15,8 +15,6 @@
 
 // PrefixHashes hashes a prompt's prefixes, one hash a block, salted by the tenant so that nothing about
 // one tenant's prompts can be told from how another's are placed.
-//
-//	keys := place.PrefixHashes(3, prompt)
 func PrefixHashes(tenant int, prompt string) []uint64 {
 	var out []uint64
 	hash := fnv.New64a()
@@ -51,8 +49,6 @@
 }
 
 // NewPrefixMemory makes a memory of at most n prefixes.
-//
-//	m := place.NewPrefixMemory(1 << 18)
 func NewPrefixMemory(n int) *PrefixMemory {
 	m := &PrefixMemory{limit: max(1, n/shardCount)}
 	for i := range m.shard {
@@ -63,8 +59,6 @@
 }
 
 // Note remembers that a runner got a prompt with these blocks.
-//
-//	m.Note(keys, instance.Index)
 func (m *PrefixMemory) Note(keys []uint64, runner int) {
 	for _, key := range keys {
 		s := &m.shard[key%shardCount]
@@ -97,8 +91,6 @@
 }
 
 // Match counts, for each runner, how many leading blocks it lately got.
-//
-//	depth := m.Match(keys)
 func (m *PrefixMemory) Match(keys []uint64) map[int]int {
 	out := map[int]int{}
 	for i, key := range keys {
@@ -124,13 +116,11 @@
 }
 
 // RendezvousWeight is the rendezvous weight of a runner for a key: every router works out the same order.
-//
-//	w := place.RendezvousWeight(keys[0], addr)
 func RendezvousWeight(key uint64, addr string) uint64 {
 	hash := fnv.New64a()
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], key)
 	hash.Write(b[:])
 	hash.Write([]byte(addr))
-	return spread.Mix(hash.Sum64())
+	return hashing.Mix(hash.Sum64())
 }
--- a/internal/place/scheduler.go
+++ b/internal/dataplane/place/scheduler.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"yarrowridge/internal/allow"
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/runner"
+	"yarrowridge/internal/dataplane/allow"
+	"yarrowridge/internal/dataplane/runner"
+	"yarrowridge/internal/lib/runloop"
 )
 
 // Why a wait ended without a runner.
@@ -59,15 +59,11 @@
 }
 
 // NewScheduler makes the scheduler of a router in the zone.
-//
-//	scheduler := place.NewScheduler("north", place.NewPrefixMemory(1<<18))
 func NewScheduler(zone string, prefixes *PrefixMemory) *Scheduler {
 	return &Scheduler{zone: zone, prefixes: prefixes, wake: make(chan struct{}, 1), Lengths: allow.NewLaneLengths()}
 }
 
 // Wake has the scheduler look again: a runner may have room.
-//
-//	scheduler.Wake()
 func (s *Scheduler) Wake() {
 	select {
 	case s.wake <- struct{}{}:
@@ -76,15 +72,11 @@
 }
 
 // Run gives out runners until the context ends.
-//
-//	go scheduler.Run(ctx)
 func (s *Scheduler) Run(ctx context.Context) {
-	env.Loop(ctx, s.wake, 50*time.Millisecond, func(struct{}) { s.dispatch() }, s.dispatch)
+	runloop.Run(ctx, s.wake, 50*time.Millisecond, func(struct{}) { s.dispatch() }, s.dispatch)
 }
 
 // Waiting tells how many requests wait, and the tokens that those of each kind will come to.
-//
-//	n, sum := scheduler.Waiting()
 func (s *Scheduler) Waiting() (int, map[string]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,8 +94,6 @@
 // TokensAhead tells the tokens of those waiting for a kind that would go before a newcomer: all of higher ranks,
 // in its own rank all of its tenant's and, since tenants take turns, as many requests of each other
 // tenant as it must itself wait turns.
-//
-//	n := scheduler.TokensAhead("fit/lumen", 3, ten)
 func (s *Scheduler) TokensAhead(kind string, rank, tenant int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,8 +116,6 @@
 
 // Acquire waits for a runner, for at most patience. most bounds all queues of this router together:
 // beyond it the newest of the lowest rank is rejected, be it this one or another.
-//
-//	slot, err := scheduler.Acquire(ctx, w, 2*time.Second, 1000)
 func (s *Scheduler) Acquire(ctx context.Context, waiter *Waiter, patience time.Duration, most int) (*runner.Slot, error) {
 	waiter.granted = make(chan *runner.Slot, 1)
 	waiter.done, waiter.err = false, nil
--- a/internal/registry/registry.go
+++ b/internal/dataplane/registry/registry.go
@@ -9,9 +9,9 @@
 	"sync/atomic"
 	"time"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/relay"
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/model/routing"
+	"yarrowridge/internal/transport/relay"
 )
 
 const (
@@ -38,8 +38,6 @@
 
 // New makes an empty registry. hook (may be nil) gets the list after every change, in order. It runs under
 // the registry's lock: of the registry it may call List only.
-//
-//	reg := registry.New(func(runners []routing.Runner) { ... })
 func New(hook func([]routing.Runner)) *Registry {
 	r := &Registry{hook: hook, runners: map[string]entry{}}
 	r.snapshot.Store(&[]routing.Runner{})
@@ -48,14 +46,10 @@
 
 // List names the runners sorted by ID, each by its newest word that says anything new. The list is shared: it must
 // not be changed.
-//
-//	for _, runner := range reg.List() { ... }
 func (r *Registry) List() []routing.Runner { return *r.snapshot.Load() }
 
 // Position is how much of the primary's registry we have, for the next beat to the core. Every ten seconds
 // it is none, so that a whole list mends whatever went wrong.
-//
-//	beat.RunnersEpoch, beat.RunnersVersion = reg.Position()
 func (r *Registry) Position() (epoch, version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,8 +61,6 @@
 }
 
 // Digest is of all runners known here, for a beat that asks for a whole list: one that is equal is not sent.
-//
-//	beat.RunnersDigest = reg.Digest()
 func (r *Registry) Digest() uint64 {
 	digest := uint64(0)
 	for _, runner := range r.List() {
@@ -77,10 +69,8 @@
 	return digest
 }
 
-// See takes a record that relays brought.
-//
-//	reg.See(record)
-func (r *Registry) See(rec relay.Record) {
+// ApplyRecord takes a record that relays brought.
+func (r *Registry) ApplyRecord(rec relay.Record) {
 	var runner routing.Runner
 	if _, err := runner.UnmarshalMsg(rec.Body); err != nil || relay.RunnerPrefix+runner.ID != rec.Key {
 		return
@@ -97,9 +87,7 @@
 }
 
 // Apply takes the core's answer to a beat.
-//
-//	reg.Apply(&told)
-func (r *Registry) Apply(told *core.HeartbeatResponse) {
+func (r *Registry) Apply(told *coreapi.HeartbeatResponse) {
 	if told.RunnersEpoch == 0 {
 		return // a core that keeps no registry
 	}
@@ -111,7 +99,7 @@
 		_, news := r.take(runner)
 		changed = changed || news
 	}
-	if told.RunnersWhole {
+	if told.RunnersComplete {
 		changed = r.dropOthers(told.Runners) || changed
 	}
 	if changed {
@@ -119,7 +107,7 @@
 	}
 }
 
-// take keeps a runner's word if it is newer than the one known, and tells whether it says anything else; the
+// take keeps a runner's word if it is newer than the one known, and reports whether it says anything else; the
 // caller holds the lock. A new primary tells every runner's word anew: hardly one of them is news.
 func (r *Registry) take(runner routing.Runner) (kept, news bool) {
 	old, known := r.runners[runner.ID]
@@ -130,7 +118,7 @@
 	return true, !known || !old.runner.SaysSame(runner)
 }
 
-// supersedes tells whether a word of a runner replaces the one known. A runner that has left stays gone.
+// supersedes reports whether a word of a runner replaces the one known. A runner that has left stays gone.
 // Silent is the core's own finding, with the last heartbeat that it heard or has on disk: that may be an older
 // one than we know, but not where a push has just told better.
 func supersedes(next routing.Runner, known entry) bool {
@@ -191,7 +179,5 @@
 	}
 }
 
-// Owns tells whether a record is about a registered runner.
-//
-//	if registry.Owns(record) { ... }
+// Owns reports whether a record is about a registered runner.
 func Owns(rec relay.Record) bool { return strings.HasPrefix(rec.Key, relay.RunnerPrefix) }
--- a/internal/registry/registry_test.go
+++ b/internal/dataplane/registry/registry_test.go
@@ -6,9 +6,9 @@
 	"testing/synctest"
 	"time"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/relay"
-	"yarrowridge/internal/routing"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/model/routing"
+	"yarrowridge/internal/transport/relay"
 )
 
 func runner(id string, sequence uint64, state routing.RunnerState) routing.Runner {
@@ -49,15 +49,15 @@
 		{runner("a", 5, routing.RunnerSilent), "a:gone "},
 		{runner("a", 9, routing.RunnerReady), "a:gone "},
 	} {
-		reg.See(record(t, step.word))
+		reg.ApplyRecord(record(t, step.word))
 		if got := states(reg); got != step.want {
 			t.Errorf("after %s %d: %q, %q expected", step.word.State, step.word.Sequence, got, step.want)
 		}
 	}
-	reg.See(relay.Record{Key: relay.RunnerPrefix + "b", Body: []byte("no record")})
+	reg.ApplyRecord(relay.Record{Key: relay.RunnerPrefix + "b", Body: []byte("no record")})
 	wrong := record(t, runner("c", 1, routing.RunnerReady))
 	wrong.Key = relay.RunnerPrefix + "d"
-	reg.See(wrong)
+	reg.ApplyRecord(wrong)
 	if got := states(reg); got != "a:gone " {
 		t.Errorf("after broken records: %q", got)
 	}
@@ -67,10 +67,10 @@
 func TestHook(t *testing.T) {
 	var lists [][]routing.Runner
 	reg := New(func(list []routing.Runner) { lists = append(lists, list) })
-	told := &core.HeartbeatResponse{RunnersEpoch: 1, RunnersVersion: 3, Runners: []routing.Runner{runner("b", 1, routing.RunnerReady), runner("a", 1, routing.RunnerReady)}}
+	told := &coreapi.HeartbeatResponse{RunnersEpoch: 1, RunnersVersion: 3, Runners: []routing.Runner{runner("b", 1, routing.RunnerReady), runner("a", 1, routing.RunnerReady)}}
 	reg.Apply(told)
 	reg.Apply(told)
-	reg.See(record(t, runner("b", 2, routing.RunnerDraining)))
+	reg.ApplyRecord(record(t, runner("b", 2, routing.RunnerDraining)))
 	if len(lists) != 2 || len(lists[0]) != 2 || lists[0][0].ID != "a" || lists[1][1].State != routing.RunnerDraining {
 		t.Errorf("the hook got %+v", lists)
 	}
@@ -83,16 +83,16 @@
 func TestOnlyAWholeListDrops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reg := New(nil)
-		reg.See(record(t, runner("old", 1, routing.RunnerReady)))
-		reg.Apply(&core.HeartbeatResponse{RunnersEpoch: 1, RunnersVersion: 3, Runners: []routing.Runner{runner("a", 1, routing.RunnerReady)}})
+		reg.ApplyRecord(record(t, runner("old", 1, routing.RunnerReady)))
+		reg.Apply(&coreapi.HeartbeatResponse{RunnersEpoch: 1, RunnersVersion: 3, Runners: []routing.Runner{runner("a", 1, routing.RunnerReady)}})
 		time.Sleep(pushedKeep + time.Second)
-		reg.Apply(&core.HeartbeatResponse{RunnersEpoch: 2, RunnersVersion: 2, Runners: []routing.Runner{runner("b", 1, routing.RunnerReady)}})
-		reg.Apply(&core.HeartbeatResponse{}) // a core that keeps none
+		reg.Apply(&coreapi.HeartbeatResponse{RunnersEpoch: 2, RunnersVersion: 2, Runners: []routing.Runner{runner("b", 1, routing.RunnerReady)}})
+		reg.Apply(&coreapi.HeartbeatResponse{}) // a core that keeps none
 		if got := states(reg); got != "a:ready b:ready old:ready " {
 			t.Errorf("without a whole list: %q", got)
 		}
-		reg.See(record(t, runner("new", 1, routing.RunnerReady)))
-		reg.Apply(&core.HeartbeatResponse{RunnersEpoch: 2, RunnersVersion: 9, RunnersWhole: true, Runners: []routing.Runner{runner("b", 1, routing.RunnerReady)}})
+		reg.ApplyRecord(record(t, runner("new", 1, routing.RunnerReady)))
+		reg.Apply(&coreapi.HeartbeatResponse{RunnersEpoch: 2, RunnersVersion: 9, RunnersComplete: true, Runners: []routing.Runner{runner("b", 1, routing.RunnerReady)}})
 		if got := states(reg); got != "b:ready new:ready " {
 			t.Errorf("after a whole list: %q", got)
 		}
@@ -115,13 +115,13 @@
 	if one.Digest() != 0 {
 		t.Error("an empty copy has a digest")
 	}
-	one.See(record(t, runner("a", 1, routing.RunnerReady)))
-	one.See(record(t, runner("b", 1, routing.RunnerDraining)))
-	other.See(record(t, runner("b", 4, routing.RunnerDraining)))
+	one.ApplyRecord(record(t, runner("a", 1, routing.RunnerReady)))
+	one.ApplyRecord(record(t, runner("b", 1, routing.RunnerDraining)))
+	other.ApplyRecord(record(t, runner("b", 4, routing.RunnerDraining)))
 	if one.Digest() == other.Digest() {
 		t.Error("a copy that lacks a runner has the same digest")
 	}
-	other.See(record(t, runner("a", 9, routing.RunnerReady)))
+	other.ApplyRecord(record(t, runner("a", 9, routing.RunnerReady)))
 	if one.Digest() != other.Digest() {
 		t.Error("equal copies have different digests")
 	}
@@ -132,27 +132,27 @@
 	news := 0
 	reg := New(func([]routing.Runner) { news++ })
 	for i := range 600 {
-		reg.See(record(t, runner(fmt.Sprintf("r%03d", i), 1, routing.RunnerReady)))
+		reg.ApplyRecord(record(t, runner(fmt.Sprintf("r%03d", i), 1, routing.RunnerReady)))
 	}
 	if news != 600 || len(reg.List()) != 600 {
 		t.Fatalf("%d runners, told %d times", len(reg.List()), news)
 	}
 	news = 0
-	told := &core.HeartbeatResponse{RunnersEpoch: 2, RunnersVersion: 601}
+	told := &coreapi.HeartbeatResponse{RunnersEpoch: 2, RunnersVersion: 601}
 	for i := range 600 {
 		again := runner(fmt.Sprintf("r%03d", i), 2, routing.RunnerReady)
 		told.Runners = append(told.Runners, again)
-		reg.See(record(t, again))
+		reg.ApplyRecord(record(t, again))
 	}
 	reg.Apply(told)
 	if news > 0 {
 		t.Errorf("600 words that say the same were told as news %d times", news)
 	}
-	reg.See(record(t, runner("r007", 1, routing.RunnerDraining)))
+	reg.ApplyRecord(record(t, runner("r007", 1, routing.RunnerDraining)))
 	if news > 0 || reg.List()[7].State != routing.RunnerReady {
 		t.Error("a word older than one that was kept was taken")
 	}
-	reg.See(record(t, runner("r007", 3, routing.RunnerDraining)))
+	reg.ApplyRecord(record(t, runner("r007", 3, routing.RunnerDraining)))
 	if news != 1 || reg.List()[7].State != routing.RunnerDraining {
 		t.Errorf("a new state: told %d times, %s", news, reg.List()[7].State)
 	}
@@ -162,7 +162,7 @@
 func TestListAfterSingleChanges(t *testing.T) {
 	reg := New(nil)
 	for i := range 500 {
-		reg.See(record(t, runner(fmt.Sprintf("r%02d", i*37%50), uint64(i+1), []routing.RunnerState{routing.RunnerReady, routing.RunnerDraining}[i/50%2])))
+		reg.ApplyRecord(record(t, runner(fmt.Sprintf("r%02d", i*37%50), uint64(i+1), []routing.RunnerState{routing.RunnerReady, routing.RunnerDraining}[i/50%2])))
 		list := reg.List()
 		if want := min(i+1, 50); len(list) != want {
 			t.Fatalf("%d runners after %d words, %d expected", len(list), i+1, want)
@@ -187,7 +187,7 @@
 		for i := range 600 {
 			word := runner(fmt.Sprintf("r%03d", i), 1, routing.RunnerReady)
 			body, _ := word.MarshalMsg(nil)
-			reg.See(relay.Record{Key: relay.RunnerPrefix + word.ID, Version: 1, Body: body})
+			reg.ApplyRecord(relay.Record{Key: relay.RunnerPrefix + word.ID, Version: 1, Body: body})
 		}
 	}
 }
@@ -201,7 +201,7 @@
 			return routing.Runner{ID: "a", Service: "s", State: state, Sequence: sequence}
 		}
 		tell := func(runner routing.Runner) {
-			reg.Apply(&core.HeartbeatResponse{RunnersEpoch: 1, RunnersVersion: 2, Runners: []routing.Runner{runner}})
+			reg.Apply(&coreapi.HeartbeatResponse{RunnersEpoch: 1, RunnersVersion: 2, Runners: []routing.Runner{runner}})
 		}
 		state := func() routing.RunnerState { return reg.List()[0].State }
 		tell(word(routing.RunnerReady, 9))
@@ -209,7 +209,7 @@
 		if state() != routing.RunnerSilent {
 			t.Errorf("state %s, silent expected", state())
 		}
-		reg.See(record(t, word(routing.RunnerReady, 10)))
+		reg.ApplyRecord(record(t, word(routing.RunnerReady, 10)))
 		tell(word(routing.RunnerSilent, 9))
 		if state() != routing.RunnerReady {
 			t.Errorf("state %s after a heartbeat that was just pushed, ready expected", state())
--- a/internal/request/request.go
+++ b/internal/dataplane/request/request.go
@@ -61,8 +61,6 @@
 }
 
 // New begins a request, being read.
-//
-//	q := request.New()
 func New() *Request {
 	var id [12]byte
 	rand.Read(id[:])
@@ -72,8 +70,6 @@
 }
 
 // Advance moves the request on, or refuses a step that the chart does not have.
-//
-//	if err := r.Advance(request.Sent, "127.0.0.1:9001"); err != nil { ... }
 func (r *Request) Advance(to State, note string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,8 +84,6 @@
 }
 
 // State tells where the request stands.
-//
-//	if r.State() == request.Sent { ... }
 func (r *Request) State() State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,8 +91,6 @@
 }
 
 // Age is the time since the request began.
-//
-//	wait := r.Age()
 func (r *Request) Age() time.Duration { return time.Since(r.started) }
 
 // Record is what is kept of a request.
@@ -111,8 +103,6 @@
 }
 
 // Record is the request's way so far, with the code it ended in.
-//
-//	record := r.Record("patience-out")
 func (r *Request) Record(code string) Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,8 +110,6 @@
 }
 
 // Started is when the request began to be read.
-//
-//	at := r.Started()
 func (r *Request) Started() time.Time { return r.started }
 
 // Log keeps the records of the last failed or rejected requests.
@@ -132,13 +120,9 @@
 }
 
 // NewLog makes a log of n records.
-//
-//	l := request.NewLog(256)
 func NewLog(n int) *Log { return &Log{records: make([]Record, 0, n)} }
 
 // Add keeps a request's record.
-//
-//	l.Add(r, "patience-out")
 func (l *Log) Add(r *Request, code string) {
 	record := r.Record(code)
 	l.mu.Lock()
@@ -152,8 +136,6 @@
 }
 
 // All gives the records, oldest first.
-//
-//	for _, r := range l.All() { ... }
 func (l *Log) All() []Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/retry/budget.go
+++ b/internal/dataplane/retry/budget.go
@@ -32,7 +32,7 @@
 // smallest guards the comparison against sums of fractions that miss a whole number by rounding.
 const smallest = 1e-9
 
-// Take tells whether a second attempt may be made now, and counts it.
+// Take reports whether a second attempt may be made now, and counts it.
 func (b *Budget) Take(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/router/gateway.go
+++ b/internal/dataplane/router/gateway.go
@@ -11,19 +11,20 @@
 
 	"github.com/rotisserie/eris"
 
-	"yarrowridge/internal/balance"
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/gateway"
-	"yarrowridge/internal/metrics"
-	"yarrowridge/internal/node"
-	"yarrowridge/internal/registry"
-	"yarrowridge/internal/relay"
-	"yarrowridge/internal/routing"
-	"yarrowridge/internal/share"
-	"yarrowridge/internal/upstream"
-	"yarrowridge/internal/web"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/dataplane/balance"
+	"yarrowridge/internal/dataplane/gateway"
+	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/dataplane/registry"
+	"yarrowridge/internal/dataplane/upstream"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/lib/metrics"
+	"yarrowridge/internal/lib/runloop"
+	"yarrowridge/internal/lib/web"
+	"yarrowridge/internal/model/quota"
+	"yarrowridge/internal/model/routing"
+	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/wire"
 )
 
 // GatewaySettings are what a router that carries opaque requests is told about its place.
@@ -61,11 +62,11 @@
 	Hub         *node.Hub
 	Registry    *registry.Registry
 	Balancer    *balance.Balancer
-	QuotaShares *share.QuotaShares
+	QuotaShares *quota.Shares
 	Pool        *upstream.Pool
 	Front       *gateway.Gateway
 
-	ctx      env.Ctx
+	ctx      daemon.Context
 	settings GatewaySettings
 	sessions *sessionNews
 	table    atomic.Pointer[routing.Table]
@@ -78,34 +79,34 @@
 const reportEvery = 5 * time.Second
 
 // NewGateway puts a gateway's parts together.
-func NewGateway(ctx env.Ctx, settings GatewaySettings) *Gateway {
+func NewGateway(ctx daemon.Context, settings GatewaySettings) *Gateway {
 	g := &Gateway{ctx: ctx, settings: settings, Balancer: balance.New(ctx.Zone)}
 	g.Pool = upstream.New(upstream.Options{Dial: settings.Dial})
 	g.Registry = registry.New(g.Balancer.Update)
-	g.Hub = node.NewHub(ctx.Part("node"), settings.Internal, settings.Data, settings.Seeds, g.seeRecord,
+	g.Hub = node.NewHub(ctx.WithComponent("node"), settings.Internal, settings.Data, settings.Seeds, g.seeRecord,
 		node.Document(g.take), node.Runners(g.Registry), node.Health(g.tally, g.takeFindings))
 	g.sessions = newSessionNews(g)
 	g.Hub.Handle("session", g.sessions.hand)
-	g.QuotaShares = share.NewQuotaShares(ctx.Part("share"), share.Ways{Move: newMoveQueue(ctx, g.Hub).move, Nodes: func() int { return len(g.Hub.Nodes()) },
+	g.QuotaShares = quota.NewShares(ctx.WithComponent("share"), quota.Options{Move: newMoveQueue(ctx, g.Hub).move, Nodes: func() int { return len(g.Hub.Nodes()) },
 		Short: g.Hub.ScarceTenants, Rules: g.rules, Fresh: g.Hub.Fresh, Live: func() bool { return !g.Hub.Stale() }, Margin: quotaMargin})
 	g.Front = gateway.New(gateway.Options{Dialect: settings.Dialect, Table: g.table.Load, Ready: g.canServe, Balancer: g.Balancer,
 		Pool: g.Pool, Quotas: quotas{g.QuotaShares}, Retries: settings.Retries, Part: g.part,
-		Keys: gateway.KeyBounds{Term: settings.KeysTerm, ConfirmedAt: g.Hub.ConfirmedAt}, Log: ctx.Part("gateway").Log})
+		Keys: gateway.KeyBounds{Term: settings.KeysTerm, ConfirmedAt: g.Hub.ConfirmedAt}, Log: ctx.WithComponent("gateway").Log})
 	return g
 }
 
 // tally tells the core what became of attempts at runners since the last beat.
-func (g *Gateway) tally() []core.RunnerTally {
-	var out []core.RunnerTally
+func (g *Gateway) tally() []coreapi.RunnerStats {
+	var out []coreapi.RunnerStats
 	for id, tally := range g.Balancer.Tally() {
-		out = append(out, core.RunnerTally{ID: id, Attempts: tally.Tries, Failures: tally.Fails,
-			Pauses: tally.Pauses, PausesMs: int(tally.Paused.Milliseconds())})
+		out = append(out, coreapi.RunnerStats{ID: id, Attempts: tally.Tries, Failures: tally.Fails,
+			TokenGaps: tally.Pauses, TokenGapsMs: int(tally.Paused.Milliseconds())})
 	}
 	return out
 }
 
 // takeFindings tells the balancer what all routers together saw of runners.
-func (g *Gateway) takeFindings(findings node.Findings) {
+func (g *Gateway) takeFindings(findings node.RunnerFindings) {
 	shares := make(map[string]float64, len(findings.Failing))
 	for _, runner := range findings.Failing {
 		shares[runner.ID] = runner.Share
@@ -173,40 +174,40 @@
 	if len(g.Hub.Nodes()) == 0 {
 		return max(1, whole/routersBefore(g.Hub.RoutersBefore()))
 	}
-	return max(1, g.Hub.Part(whole))
+	return max(1, g.Hub.ShareOf(whole))
 }
 
 // rules gives the quotas of the routing table in force.
-func (g *Gateway) rules() []share.Rule {
+func (g *Gateway) rules() []quota.Rule {
 	table := g.table.Load()
 	if table == nil {
 		return nil
 	}
-	var rules []share.Rule
+	var rules []quota.Rule
 	for _, tenant := range table.Tenants {
 		if tenant.Rate > 0 {
-			quota := g.settings.Quota.For(&tenant)
-			rules = append(rules, share.Rule{Tenant: tenant.QuotaName(), Units: quota.Units, Window: quota.Period})
+			periodic := g.settings.Quota.For(&tenant)
+			rules = append(rules, quota.Rule{Tenant: tenant.QuotaName(), Units: periodic.Units, Window: periodic.Period})
 		}
 	}
 	return rules
 }
 
 // quotas spends tenants' quotas from this router's shares of them.
-type quotas struct{ quotaShares *share.QuotaShares }
+type quotas struct{ quotaShares *quota.Shares }
 
 // Reserve holds units of a quota.
 func (q quotas) Reserve(ctx context.Context, quota string, units int) (bool, time.Duration) {
-	return q.quotaShares.Keep(ctx, quota, units)
+	return q.quotaShares.Reserve(ctx, quota, units)
 }
 
 // Spend turns a reservation into spent units.
-func (q quotas) Spend(quota string, units int) { q.quotaShares.For(quota).Spend(units) }
+func (q quotas) Spend(quota string, units int) { q.quotaShares.For(quota).Commit(units) }
 
 // Release ends a reservation unspent.
-func (q quotas) Release(quota string, units int) { q.quotaShares.For(quota).Loose(units) }
+func (q quotas) Release(quota string, units int) { q.quotaShares.For(quota).Cancel(units) }
 
-// Scarce tells whether the core lately had too little left of the quota.
+// Scarce reports whether the core lately had too little left of the quota.
 func (q quotas) Scarce(quota string) bool { return q.quotaShares.For(quota).Scarce() }
 
 // Start begins all parts but the clients' listener; they end with the context.
@@ -214,15 +215,15 @@
 	go g.QuotaShares.Run()
 	go g.sessions.run()
 	go g.Hub.Run()
-	go env.Loop(g.ctx, g.settings.NewSeeds, 0, g.Hub.SetSeeds, nil)
-	go env.Loop(g.ctx, nil, reportEvery, func(struct{}) {}, g.Front.Report)
+	go runloop.Run(g.ctx, g.settings.NewSeeds, 0, g.Hub.SetSeeds, nil)
+	go runloop.Run(g.ctx, nil, reportEvery, func(struct{}) {}, g.Front.Report)
 }
 
 // startLimits bound what clients may send. They hold from before the first configuration is known.
 var startLimits = routing.Limits{HeaderBytes: 16 << 10, HeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second}
 
 // RunGateway runs a router that carries opaque requests until it is told to stop.
-func RunGateway(p *env.Proc, settings GatewaySettings) error {
+func RunGateway(p *daemon.Process, settings GatewaySettings) error {
 	if settings.MemoryLimit > 0 {
 		debug.SetMemoryLimit(settings.MemoryLimit * 6 / 10)
 	}
@@ -265,12 +266,12 @@
 const exitReserve = 200 * time.Millisecond
 
 // stop finishes what was read and leaves.
-func (g *Gateway) stop(ctx env.Ctx, server *gateway.Server) {
+func (g *Gateway) stop(ctx daemon.Context, server *gateway.Server) {
 	ctx.Log.Info("Router leaves. Requests under way are finished.", slog.Int("open", g.Front.Open()))
 	begun := time.Now()
 	g.Hub.StartDraining()
 	g.Front.Drain()
-	env.Wait(ctx, g.settings.Notice)
+	runloop.Sleep(ctx, g.settings.Notice)
 	left, end := context.WithTimeout(ctx, g.settings.Grace-time.Since(begun)-leaveReserve)
 	defer end()
 	if err := server.Drain(left); err != nil {
--- a/internal/router/gatewaymetrics.go
+++ b/internal/dataplane/router/gatewaymetrics.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 
-	"yarrowridge/internal/metrics"
+	"yarrowridge/internal/lib/metrics"
 )
 
 // metricsHandler serves a gateway's own figures.
--- a/internal/router/main.go
+++ b/internal/dataplane/router/main.go
@@ -10,55 +10,55 @@
 
 	"github.com/zeromicro/go-zero/rest"
 
-	"yarrowridge/internal/clientapi"
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/metrics"
-	"yarrowridge/internal/node"
-	"yarrowridge/internal/operator"
-	"yarrowridge/internal/place"
-	"yarrowridge/internal/relay"
-	"yarrowridge/internal/request"
-	"yarrowridge/internal/runner"
-	"yarrowridge/internal/share"
-	"yarrowridge/internal/strike"
-	"yarrowridge/internal/tracing"
-	"yarrowridge/internal/web"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/dataplane/clientapi"
+	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/dataplane/place"
+	"yarrowridge/internal/dataplane/request"
+	"yarrowridge/internal/dataplane/runner"
+	"yarrowridge/internal/dataplane/tracing"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/lib/faultinjection"
+	"yarrowridge/internal/lib/metrics"
+	"yarrowridge/internal/lib/runloop"
+	"yarrowridge/internal/lib/settings"
+	"yarrowridge/internal/lib/web"
+	"yarrowridge/internal/model/quota"
+	"yarrowridge/internal/transport/operator"
+	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/wire"
 )
 
 // Items are the settings of a router.
-var Items = []env.Setting{
-	{Name: "name", Kind: env.Text, Required: true, Help: "name of this process, its own in the fleet"},
-	{Name: "hall", Kind: env.Text, Required: true, Help: "hall it stands in"},
-	{Name: "addr", Kind: env.Addr, Required: true, Help: "ip:port where other processes reach it"},
-	{Name: "origin", Kind: env.Addr, Required: true, Help: "ip:port of the origins' listener"},
-	{Name: "runner", Kind: env.Addr, Required: true, Help: "ip:port of the runners' listener"},
-	{Name: "listen", Kind: env.Addr, Help: "ip:port to bind for other processes, where that is not addr"},
-	{Name: "from", Kind: env.IP, Help: "ip number to dial other processes and runners from; none: the system's choice"},
-	{Name: "operator", Kind: env.Addr, Help: "ip:port of the operators' listener"},
-	{Name: "operator-key-hash", Kind: env.Hash, Reloadable: true, Help: "hex SHA-256 of the operators' key"},
-	{Name: "runner-key-hash", Kind: env.Hash, Reloadable: true, Help: "hex SHA-256 of the runners' key; none: beats need no key"},
-	{Name: "seeds", Kind: env.List, Required: true, Help: "addresses of three other processes of the fleet"},
-	{Name: "drain", Kind: env.Span, Help: "the most that a stop waits for queries under way; none: as long as they take"},
-	{Name: "notice", Kind: env.Span, Default: "500ms", Help: "how long a stop goes on serving all after /ready has turned"},
-	{Name: "trace", Kind: env.Text, Help: "file to which each query's trace is appended; none: no traces"},
-	{Name: "log", Kind: env.Level, Reloadable: true, Default: "info", Help: "debug, info, warn or error"},
+var Items = []settings.Setting{
+	{Name: "name", Kind: settings.Text, Required: true, Help: "name of this process, its own in the fleet"},
+	{Name: "hall", Kind: settings.Text, Required: true, Help: "hall it stands in"},
+	{Name: "addr", Kind: settings.Addr, Required: true, Help: "ip:port where other processes reach it"},
+	{Name: "origin", Kind: settings.Addr, Required: true, Help: "ip:port of the origins' listener"},
+	{Name: "runner", Kind: settings.Addr, Required: true, Help: "ip:port of the runners' listener"},
+	{Name: "listen", Kind: settings.Addr, Help: "ip:port to bind for other processes, where that is not addr"},
+	{Name: "from", Kind: settings.IP, Help: "ip number to dial other processes and runners from; none: the system's choice"},
+	{Name: "operator", Kind: settings.Addr, Help: "ip:port of the operators' listener"},
+	{Name: "operator-key-hash", Kind: settings.Hash, Reloadable: true, Help: "hex SHA-256 of the operators' key"},
+	{Name: "runner-key-hash", Kind: settings.Hash, Reloadable: true, Help: "hex SHA-256 of the runners' key; none: beats need no key"},
+	{Name: "seeds", Kind: settings.List, Required: true, Help: "addresses of three other processes of the fleet"},
+	{Name: "drain", Kind: settings.Duration, Help: "the most that a stop waits for queries under way; none: as long as they take"},
+	{Name: "notice", Kind: settings.Duration, Default: "500ms", Help: "how long a stop goes on serving all after /ready has turned"},
+	{Name: "trace", Kind: settings.Text, Help: "file to which each query's trace is appended; none: no traces"},
+	{Name: "log", Kind: settings.Level, Reloadable: true, Default: "info", Help: "debug, info, warn or error"},
 }
 
 // Main runs a router and returns its exit code.
-//
-//	os.Exit(router.Main(os.Args[1:], os.Stderr))
 func Main(args []string, out io.Writer) int {
-	process, code := env.Start("router", Items, args, out)
+	process, code := daemon.Start("router", Items, args, out)
 	if code >= 0 {
 		return code
 	}
-	defer process.End()
+	defer process.Close()
 	if err := run(process); err != nil {
 		fmt.Fprintf(out, "router: %s\n", err)
-		return env.ExitError
+		return daemon.ExitError
 	}
-	return env.ExitOk
+	return daemon.ExitOK
 }
 
 // Router is the parts of one router, put together.
@@ -66,60 +66,56 @@
 	Hub         *node.Hub
 	Runners     *runner.Pool
 	Scheduler   *place.Scheduler
-	QuotaShares *share.QuotaShares
+	QuotaShares *quota.Shares
 	Claims      *clientapi.Claims
 	Streams     *node.Streams
 	Log         *request.Log
 	Metrics     *metrics.Metrics
 	Clients     *clientapi.Server
-	ctx         env.Ctx
+	ctx         daemon.Context
 	sender      *runner.Sender
 }
 
 // New puts a router together. clientAddr is where clients reach it, dial how it reaches runners (nil: TCP).
-//
-//	r := router.New(ctx, "127.0.0.1:7501", "127.0.0.1:8501", seeds, nil)
-func New(ctx env.Ctx, addr, clientAddr string, seeds []string, dial runner.Dial) *Router {
+func New(ctx daemon.Context, addr, clientAddr string, seeds []string, dial runner.Dial) *Router {
 	r := &Router{ctx: ctx, Scheduler: place.NewScheduler(ctx.Zone, place.NewPrefixMemory(1<<18)), Log: request.NewLog(256), sender: runner.NewSender(dial)}
 	r.Runners = runner.NewPool(ctx.Name, r.Scheduler.Wake)
-	r.Hub = node.NewHub(ctx.Part("node"), addr, clientAddr, seeds, r.Runners.Apply)
+	r.Hub = node.NewHub(ctx.WithComponent("node"), addr, clientAddr, seeds, r.Runners.Apply)
 	r.Metrics = metrics.New(metrics.Gauges{
 		"yarrowridge_queued":          func() float64 { n, _ := r.Scheduler.Waiting(); return float64(n) },
 		"yarrowridge_layout_sequence": func() float64 { return float64(r.Hub.Me().ConfigVersion) },
 		"yarrowridge_stale":           func() float64 { return metrics.FlagValue(r.Hub.Stale()) },
 	})
-	r.QuotaShares = share.NewQuotaShares(ctx.Part("share"), share.Ways{Move: newMoveQueue(ctx, r.Hub).move, Nodes: func() int { return len(r.Hub.Nodes()) },
+	r.QuotaShares = quota.NewShares(ctx.WithComponent("share"), quota.Options{Move: newMoveQueue(ctx, r.Hub).move, Nodes: func() int { return len(r.Hub.Nodes()) },
 		Short: r.Hub.ScarceTenants, Rules: quotaRules(r.Hub), Fresh: r.Hub.Fresh, Live: func() bool { return !r.Hub.Stale() }})
-	r.Claims = clientapi.NewClaims(ctx.Part("claim"), r.Hub)
-	r.Streams = node.NewStreams(ctx.Part("stream"), r.Hub)
-	r.Clients = &clientapi.Server{Ctx: ctx.Part("origin"), Hub: r.Hub, Runners: r.Runners, Scheduler: r.Scheduler, Sender: r.sender,
+	r.Claims = clientapi.NewClaims(ctx.WithComponent("claim"), r.Hub)
+	r.Streams = node.NewStreams(ctx.WithComponent("stream"), r.Hub)
+	r.Clients = &clientapi.Server{Ctx: ctx.WithComponent("origin"), Hub: r.Hub, Runners: r.Runners, Scheduler: r.Scheduler, Sender: r.sender,
 		Metrics: r.Metrics, Log: r.Log, QuotaShares: r.QuotaShares, Retries: clientapi.NewRetryBudget(r.Metrics), Claims: r.Claims, Streams: r.Streams}
 	r.Streams.Successor = r.Clients.TakeOver
 	return r
 }
 
 // Start begins all parts; they end with the context.
-//
-//	r.Start()
 func (r *Router) Start() {
 	go r.Scheduler.Run(r.ctx)
 	go r.QuotaShares.Run()
 	go r.Streams.Run()
 	go r.Hub.Run()
-	go env.Loop(r.ctx, nil, 250*time.Millisecond, func(struct{}) {}, r.workSpreader())
+	go runloop.Run(r.ctx, nil, 250*time.Millisecond, func(struct{}) {}, r.workSpreader())
 }
 
 // run serves until the process is told to stop.
-func run(process *env.Proc) error {
+func run(process *daemon.Process) error {
 	ctx := process.Ctx
-	router := New(ctx, process.Set["addr"], process.Set["origin"], process.Set.Addrs("seeds"), runner.DialFrom(process.Set["from"]))
-	tracer, err := tracing.Open(process.Set["trace"], ctx.Name)
+	router := New(ctx, process.Settings["addr"], process.Settings["origin"], process.Settings.Addrs("seeds"), runner.DialFrom(process.Settings["from"]))
+	tracer, err := tracing.Open(process.Settings["trace"], ctx.Name)
 	if err != nil {
 		return err
 	}
 	defer tracer.Close()
 	router.Clients.Tracer = tracer
-	listener, err := ctx.Net.Listen(process.Set.Or("listen", "addr"))
+	listener, err := ctx.Net.Listen(process.Settings.ValueOr("listen", "addr"))
 	if err != nil {
 		return err
 	}
@@ -129,17 +125,17 @@
 	}
 	go wire.Serve(ctx, listener, router.Hub.Serve)
 	router.Start()
-	ctx.Log.Info("Router is up.", "addr", process.Set["addr"], "origin", process.Set["origin"], "hall", ctx.Zone)
+	ctx.Log.Info("Router is up.", "addr", process.Settings["addr"], "origin", process.Settings["origin"], "hall", ctx.Zone)
 
 	<-process.Stop
-	if !strike.Out("drain") {
+	if !faultinjection.Disabled("drain") {
 		router.drain(process, servers)
 	}
 	return nil
 }
 
 // listen serves the APIs of clients, runners and operators, as far as they have an address.
-func (r *Router) listen(process *env.Proc) ([]*web.Server, error) {
+func (r *Router) listen(process *daemon.Process) ([]*web.Server, error) {
 	clients, err := web.Handler([]rest.Route{
 		{Method: "GET", Path: "/alive", Handler: func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "{\"alive\":true}\n") }},
 		{Method: "GET", Path: "/ready", Handler: operator.Ready(r.Hub.Ready)},
@@ -147,11 +143,11 @@
 	if err != nil {
 		return nil, err
 	}
-	runners, err := (&runner.API{Hub: r.Hub, KeyHash: func() string { return process.Now("runner-key-hash") }}).Handler()
+	runners, err := (&runner.API{Hub: r.Hub, KeyHash: func() string { return process.Setting("runner-key-hash") }}).Handler()
 	if err != nil {
 		return nil, err
 	}
-	operators, err := (&operator.API{Ctx: r.ctx.Part("operator"), Core: r.Hub.Core, KeyHash: func() string { return process.Now("operator-key-hash") },
+	operators, err := (&operator.API{Ctx: r.ctx.WithComponent("operator"), Core: r.Hub.Core, KeyHash: func() string { return process.Setting("operator-key-hash") },
 		Ready: r.Hub.Ready, Metrics: r.Metrics.Handler(), Views: r.views()}).Handler()
 	if err != nil {
 		return nil, err
@@ -160,7 +156,7 @@
 	for _, api := range []struct {
 		addr    string
 		handler http.Handler
-	}{{process.Set["origin"], clients}, {process.Set["runner"], runners}, {process.Set["operator"], operators}} {
+	}{{process.Settings["origin"], clients}, {process.Settings["runner"], runners}, {process.Settings["operator"], operators}} {
 		if api.addr == "" {
 			continue
 		}
@@ -175,15 +171,15 @@
 }
 
 // drain leaves the fleet and finishes the requests under way.
-func (r *Router) drain(process *env.Proc, servers []*web.Server) {
+func (r *Router) drain(process *daemon.Process, servers []*web.Server) {
 	ctx := process.Ctx
 	ctx.Log.Info("Router leaves. Queries under way are finished.")
 	r.Hub.StartDraining()
-	env.Wait(ctx, process.Set.Span("notice"))
+	runloop.Sleep(ctx, process.Settings.Duration("notice"))
 	// What was read is finished however long it takes; the platform's kill is the bound, unless an
 	// operator has set one below it.
 	within, cancel := ctx.Context, context.CancelFunc(func() {})
-	if limit := process.Set.Span("drain"); limit > 0 {
+	if limit := process.Settings.Duration("drain"); limit > 0 {
 		within, cancel = context.WithTimeout(ctx, limit)
 	}
 	defer cancel()
@@ -192,20 +188,20 @@
 			ctx.Log.Warn("Drain ended before its queries did.", "error", err.Error())
 		}
 	}
-	for r.Claims.Settling()+r.Clients.Open() > 0 && env.Wait(within, 20*time.Millisecond) {
+	for r.Claims.Settling()+r.Clients.Open() > 0 && runloop.Sleep(within, 20*time.Millisecond) {
 	}
 	r.Hub.Leave(ctx)
 	r.sender.Close()
 }
 
 // quotaRules gives the quotas of the config in force. A tenant whose quota was struck has none left to draw.
-func quotaRules(hub *node.Hub) func() []share.Rule {
-	return func() []share.Rule {
-		var out []share.Rule
+func quotaRules(hub *node.Hub) func() []quota.Rule {
+	return func() []quota.Rule {
+		var out []quota.Rule
 		if config := hub.Config(); config != nil {
 			for _, tenant := range config.Tenants {
 				if tenant.Quota.Units > 0 {
-					out = append(out, share.Rule{Tenant: tenant.Name, Units: tenant.Quota.Units, Window: tenant.Quota.Window})
+					out = append(out, quota.Rule{Tenant: tenant.Name, Units: tenant.Quota.Units, Window: tenant.Quota.Window})
 				}
 			}
 		}
@@ -237,6 +233,6 @@
 		if old, _, ok := r.Hub.Records.Get(key); ok && (old.Generation > gen || old.Generation == gen && old.Version >= turn) {
 			gen = old.Generation + 1
 		}
-		r.Hub.Spread(relay.News{Records: []relay.Record{{Key: key, Generation: gen, Version: turn, Body: raw}}})
+		r.Hub.Broadcast(relay.Update{Records: []relay.Record{{Key: key, Generation: gen, Version: turn, Body: raw}}})
 	}
 }
--- a/internal/router/moves.go
+++ b/internal/dataplane/router/moves.go
@@ -7,10 +7,10 @@
 
 	"github.com/rotisserie/eris"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/node"
-	"yarrowridge/internal/share"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/model/quota"
 )
 
 // moveTime is how long one call with moves may take; its moves are made again after it.
@@ -19,8 +19,8 @@
 // moveQueue carries draws and gives of quota units to the core. One call is under way at a time; what comes
 // meanwhile goes with the next one, so that a busy core is asked in fewer and larger calls.
 type moveQueue struct {
-	ctx    env.Ctx
-	call   func(ctx context.Context, in *core.QuotaMovesRequest, out *core.QuotaMovesResponse) error
+	ctx    daemon.Context
+	call   func(ctx context.Context, in *coreapi.QuotaMovesRequest, out *coreapi.QuotaMovesResponse) error
 	holder func() string
 
 	mu      sync.Mutex
@@ -30,26 +30,26 @@
 
 // queuedMove is one move on its way.
 type queuedMove struct {
-	move core.QuotaMove
+	move coreapi.QuotaMove
 	done chan moveResult
 }
 
 type moveResult struct {
-	moved core.QuotaMoveResult
+	moved coreapi.QuotaMoveResult
 	err   error
 }
 
 // newMoveQueue makes a queue to the core that the hub finds.
-func newMoveQueue(ctx env.Ctx, hub *node.Hub) *moveQueue {
-	return &moveQueue{ctx: ctx, holder: func() string { return core.Holder(hub.Me()) },
-		call: func(ctx context.Context, in *core.QuotaMovesRequest, out *core.QuotaMovesResponse) error {
+func newMoveQueue(ctx daemon.Context, hub *node.Hub) *moveQueue {
+	return &moveQueue{ctx: ctx, holder: func() string { return coreapi.Holder(hub.Me()) },
+		call: func(ctx context.Context, in *coreapi.QuotaMovesRequest, out *coreapi.QuotaMovesResponse) error {
 			return hub.Core.Call(ctx, "core.moves", in, out, true)
 		}}
 }
 
 // move is the share.Mover: it makes one move and tells what is held after it, and under what sum.
-func (q *moveQueue) move(ctx context.Context, move share.Move) (int, int, error) {
-	queued := &queuedMove{core.QuotaMove{Tenant: move.Tenant, Turn: move.Turn, Units: move.Units, Costs: move.Costs, Give: move.Give}, make(chan moveResult, 1)}
+func (q *moveQueue) move(ctx context.Context, move quota.Transfer) (int, int, error) {
+	queued := &queuedMove{coreapi.QuotaMove{Tenant: move.Tenant, Sequence: move.Turn, Units: move.Units, Costs: move.Costs, Return: move.Give}, make(chan moveResult, 1)}
 	q.mu.Lock()
 	q.waiting = append(q.waiting, queued)
 	start := !q.sending
@@ -60,7 +60,7 @@
 	}
 	select {
 	case result := <-queued.done:
-		return result.moved.Held, result.moved.Ceiling, result.err
+		return result.moved.Held, result.moved.Limit, result.err
 	case <-ctx.Done():
 		return 0, 0, ctx.Err()
 	}
@@ -84,11 +84,11 @@
 func (q *moveQueue) sendBatch(batch []*queuedMove) {
 	ctx, end := context.WithTimeout(q.ctx, moveTime)
 	defer end()
-	in := core.QuotaMovesRequest{Holder: q.holder(), Moves: make([]core.QuotaMove, len(batch))}
+	in := coreapi.QuotaMovesRequest{Holder: q.holder(), Moves: make([]coreapi.QuotaMove, len(batch))}
 	for i, queued := range batch {
 		in.Moves[i] = queued.move
 	}
-	var out core.QuotaMovesResponse
+	var out coreapi.QuotaMovesResponse
 	err := q.call(ctx, &in, &out)
 	if err == nil && len(out.Results) != len(batch) {
 		err = eris.Errorf("router: %d answers to %d moves of quota units", len(out.Results), len(batch))
--- a/internal/router/sessions.go
+++ b/internal/dataplane/router/sessions.go
@@ -10,12 +10,13 @@
 
 	"github.com/tinylib/msgp/msgp"
 
-	"yarrowridge/internal/balance"
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/relay"
-	"yarrowridge/internal/session"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/dataplane/balance"
+	"yarrowridge/internal/dataplane/session"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/lib/runloop"
+	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/wire"
 )
 
 // How routers tell each other where sessions are held.
@@ -37,12 +38,12 @@
 // sessionNews carries entries of the session directory between routers: those that this router made go into a
 // record of the relay tree, and a router that starts fetches what another one has.
 type sessionNews struct {
-	ctx       env.Ctx
+	ctx       daemon.Context
 	balancer  *balance.Balancer
 	directory *session.Directory
-	spread    func(relay.News)
+	spread    func(relay.Update)
 	sure      func(context.Context, []relay.Record) bool // hands records to all routers directly
-	nodes     func() []core.Node
+	nodes     func() []coreapi.Node
 	call      func(ctx context.Context, addr, kind string, in msgp.Marshaler, out msgp.Unmarshaler) error
 	core      func(ctx context.Context, kind string, in msgp.Marshaler, out msgp.Unmarshaler, again bool) error
 
@@ -57,8 +58,8 @@
 }
 
 func newSessionNews(g *Gateway) *sessionNews {
-	return &sessionNews{ctx: g.ctx.Part("session"), balancer: g.Balancer, directory: g.Balancer.Sessions, spread: g.Hub.Spread,
-		sure: g.Hub.SpreadToAll, nodes: g.Hub.Nodes, call: g.Hub.Call, core: g.Hub.Core.Call}
+	return &sessionNews{ctx: g.ctx.WithComponent("session"), balancer: g.Balancer, directory: g.Balancer.Sessions, spread: g.Hub.Broadcast,
+		sure: g.Hub.BroadcastToAll, nodes: g.Hub.Nodes, call: g.Hub.Call, core: g.Hub.Core.Call}
 }
 
 // see takes a record that the relays brought. Others are passed over.
@@ -79,7 +80,7 @@
 	if kind != "session.fetch" {
 		return nil, fmt.Errorf("router: no call %q", kind)
 	}
-	return wire.On(body, func(in *session.Fetch) (*session.Batch, error) {
+	return wire.HandleTyped(body, func(in *session.Fetch) (*session.Batch, error) {
 		batch := session.Pack(s.directory.Newest(min(in.Most, sessionFetchMost)))
 		batch.Partial = !s.fetched.Load()
 		return batch, nil
@@ -102,7 +103,7 @@
 // routers may send sessions away from their runners.
 func (s *sessionNews) wait() bool {
 	if !s.fetched.Load() {
-		return env.Wait(s.ctx, sessionFetchWait)
+		return runloop.Sleep(s.ctx, sessionFetchWait)
 	}
 	timer := time.NewTimer(sessionEvery + rand.N(sessionSpread))
 	defer timer.Stop()
@@ -110,7 +111,7 @@
 	case <-timer.C:
 		return true
 	case <-s.balancer.Added():
-		return env.Wait(s.ctx, rand.N(sessionAdded))
+		return runloop.Sleep(s.ctx, rand.N(sessionAdded))
 	case <-s.ctx.Done():
 		return false
 	}
@@ -118,19 +119,19 @@
 
 // tell hands what is new to the other routers. Nothing is sent where nothing is.
 func (s *sessionNews) tell() {
-	entries := s.directory.Take()
+	entries := s.directory.TakeUpdates()
 	if len(entries) == 0 {
 		return
 	}
 	if record, ok := s.record(entries); ok {
-		s.spread(relay.News{Records: []relay.Record{record}})
+		s.spread(relay.Update{Records: []relay.Record{record}})
 	}
 }
 
 // leave hands the last news to the other routers directly: the part of the tree that leads through this one
 // must not be what others depend on.
 func (s *sessionNews) leave(ctx context.Context) {
-	entries := s.directory.Take()
+	entries := s.directory.TakeUpdates()
 	if record, ok := s.record(entries); ok && len(entries) > 0 {
 		s.sure(ctx, []relay.Record{record})
 	}
@@ -145,7 +146,7 @@
 		return relay.Record{}, false
 	}
 	s.turn++
-	key := fmt.Sprintf("%s%s/%x/%d", sessionHead, s.ctx.Name, s.ctx.Born, s.turn%sessionSlots)
+	key := fmt.Sprintf("%s%s/%x/%d", sessionHead, s.ctx.Name, s.ctx.RunID, s.turn%sessionSlots)
 	return relay.Record{Key: key, Version: s.turn, Body: body}, true
 }
 
@@ -169,7 +170,7 @@
 	}
 }
 
-// awaited tells whether requests should wait for the directory: for a moment from when they could be served.
+// awaited reports whether requests should wait for the directory: for a moment from when they could be served.
 func (s *sessionNews) awaited() bool {
 	if s.fetched.Load() {
 		return false
@@ -179,8 +180,8 @@
 	return time.Since(*s.servable.Load()) < sessionAwait
 }
 
-// fetchFromRouter tells whether a router has answered that has fetched the directory itself.
-func (s *sessionNews) fetchFromRouter(ctx context.Context, nodes []core.Node) bool {
+// fetchFromRouter reports whether a router has answered that has fetched the directory itself.
+func (s *sessionNews) fetchFromRouter(ctx context.Context, nodes []coreapi.Node) bool {
 	node, found := s.neighbour(nodes)
 	if !found {
 		return false
@@ -194,10 +195,10 @@
 	return !batch.Partial
 }
 
-// fetchFromCore tells whether the core has answered.
+// fetchFromCore reports whether the core has answered.
 func (s *sessionNews) fetchFromCore(ctx context.Context) bool {
-	var kept core.SessionDirectory
-	if err := s.core(ctx, "core.sessions", &core.ConfigRequest{}, &kept, true); err != nil {
+	var kept coreapi.SessionDirectory
+	if err := s.core(ctx, "core.sessions", &coreapi.ConfigRequest{}, &kept, true); err != nil {
 		s.ctx.Log.Debug("The core does not give the session directory.", "error", err.Error())
 		return false
 	}
@@ -227,7 +228,7 @@
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, sessionFetchTime)
 	defer cancel()
-	if err := s.core(ctx, "core.sessions.keep", &core.SessionDirectory{Batch: body}, &core.Empty{}, true); err != nil {
+	if err := s.core(ctx, "core.sessions.keep", &coreapi.SessionDirectory{Batch: body}, &coreapi.Empty{}, true); err != nil {
 		s.ctx.Log.Debug("The core does not keep the session directory.", "error", err.Error())
 		return
 	}
@@ -235,7 +236,7 @@
 }
 
 // neighbour picks another router at random, one of the own zone where there is any.
-func (s *sessionNews) neighbour(nodes []core.Node) (best core.Node, found bool) {
+func (s *sessionNews) neighbour(nodes []coreapi.Node) (best coreapi.Node, found bool) {
 	for _, at := range rand.Perm(len(nodes)) {
 		node := nodes[at]
 		if node.Name == s.ctx.Name || !node.Ready {
--- a/internal/router/sessions_test.go
+++ b/internal/dataplane/router/sessions_test.go
@@ -9,12 +9,12 @@
 
 	"github.com/tinylib/msgp/msgp"
 
-	"yarrowridge/internal/balance"
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/relay"
-	"yarrowridge/internal/routing"
-	"yarrowridge/internal/session"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/dataplane/balance"
+	"yarrowridge/internal/dataplane/session"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/model/routing"
+	"yarrowridge/internal/transport/relay"
 )
 
 // newsFleet is the news of some routers, joined without a network, and a core that keeps the directory.
@@ -38,10 +38,10 @@
 
 // start starts a router's news; one of the same name is replaced.
 func (f *newsFleet) start(name string) *sessionNews {
-	ctx := env.Ctx{Context: f.Context(), Name: name, Zone: "east", Born: uint64(len(f.routers) + 1), Log: slog.New(slog.DiscardHandler)}
+	ctx := daemon.Context{Context: f.Context(), Name: name, Zone: "east", RunID: uint64(len(f.routers) + 1), Log: slog.New(slog.DiscardHandler)}
 	balancer := balance.New("east")
 	s := &sessionNews{ctx: ctx, balancer: balancer, directory: balancer.Sessions, nodes: f.nodes, call: f.call, core: f.core}
-	s.spread = func(news relay.News) {
+	s.spread = func(news relay.Update) {
 		f.records += len(news.Records)
 		f.deliver(news.Records)
 	}
@@ -68,10 +68,10 @@
 	}
 }
 
-func (f *newsFleet) nodes() []core.Node {
-	var out []core.Node
+func (f *newsFleet) nodes() []coreapi.Node {
+	var out []coreapi.Node
 	for _, router := range f.routers {
-		out = append(out, core.Node{Name: router.ctx.Name, Addr: router.ctx.Name, Zone: "east", Ready: true})
+		out = append(out, coreapi.Node{Name: router.ctx.Name, Addr: router.ctx.Name, Zone: "east", Ready: true})
 	}
 	return out
 }
@@ -109,10 +109,10 @@
 	}
 	if kind == "core.sessions.keep" {
 		f.keeps++
-		f.kept = in.(*core.SessionDirectory).Batch
+		f.kept = in.(*coreapi.SessionDirectory).Batch
 		return nil
 	}
-	return pass(&core.SessionDirectory{Batch: f.kept}, out)
+	return pass(&coreapi.SessionDirectory{Batch: f.kept}, out)
 }
 
 func (f *newsFleet) round() {
@@ -128,7 +128,7 @@
 func TestNewsReachesAllRouters(t *testing.T) {
 	f := newNewsFleet(t, "a", "b", "c")
 	f.round()
-	f.routers[1].directory.Hold(7, "runner")
+	f.routers[1].directory.Record(7, "runner")
 	f.round()
 	for _, router := range f.routers {
 		if entry, known := router.directory.Lookup(7); !known || entry.Holders[0] != "runner" {
@@ -148,7 +148,7 @@
 	f := newNewsFleet(t, "a", "b")
 	f.round()
 	for session := range uint64(20) {
-		f.routers[1].directory.Hold(session, "runner")
+		f.routers[1].directory.Record(session, "runner")
 		f.round()
 	}
 	if f.keeps != 1 {
@@ -167,7 +167,7 @@
 func TestRoutersThatStart(t *testing.T) {
 	f := newNewsFleet(t, "a", "b")
 	f.round()
-	f.routers[1].directory.Hold(7, "runner")
+	f.routers[1].directory.Record(7, "runner")
 	f.round()
 	f.round() // the first router, which had its turn before the news came, keeps it
 	fresh := f.start("b")
@@ -216,7 +216,7 @@
 	if f.handed != 0 {
 		t.Error("something was handed over though nothing was new")
 	}
-	f.routers[0].directory.Hold(7, "runner")
+	f.routers[0].directory.Record(7, "runner")
 	f.routers[0].leave(t.Context())
 	if _, known := f.routers[2].directory.Lookup(7); !known {
 		t.Error("the last news of a router that left is lost")
--- a/internal/router/status_test.go
+++ b/internal/dataplane/router/status_test.go
@@ -6,23 +6,23 @@
 	"sync"
 	"testing"
 
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/fleetconfig"
-	"yarrowridge/internal/node"
-	"yarrowridge/internal/relay"
+	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/model/fleetconfig"
+	"yarrowridge/internal/transport/relay"
 )
 
 // While configurations come in quick succession, the version and the hash that a router shows are of one of them: an
 // operator who compares them with what was acknowledged must not see a configuration that never was.
 func TestStatusIsOfOneConfiguration(t *testing.T) {
 	text := func(version uint64) string { return fmt.Sprint("configuration ", version) }
-	ctx := env.Ctx{Context: t.Context(), Name: "north1", Log: slog.New(slog.DiscardHandler)}
+	ctx := daemon.Context{Context: t.Context(), Name: "north1", Log: slog.New(slog.DiscardHandler)}
 	hub := node.NewHub(ctx, "10.0.0.1:1", "10.0.0.1:2", nil, func(relay.Record) {}, node.Document(func(uint64, []byte) error { return nil }))
 	r := &Router{Hub: hub}
 	var writing sync.WaitGroup
 	writing.Go(func() {
 		for version := uint64(1); version <= 3000; version++ {
-			hub.Records.Take([]relay.Record{relay.ConfigRecord(version, []byte(text(version)))})
+			hub.Records.Merge([]relay.Record{relay.ConfigRecord(version, []byte(text(version)))})
 		}
 	})
 	for seen := uint64(0); seen < 3000; {
--- a/internal/router/views.go
+++ b/internal/dataplane/router/views.go
@@ -1,25 +1,25 @@
 package router
 
 import (
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/relay"
-	"yarrowridge/internal/runner"
-	"yarrowridge/internal/view"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/dataplane/runner"
+	"yarrowridge/internal/transport/relay"
 )
 
 // statusView is the body of /v1/standing.
 type statusView struct {
-	ConfigHash  string    `json:"layout_sha256"`
-	Node        core.Node `json:"node"`
-	Stale       bool      `json:"stale"`
-	View        view.View `json:"view"`
-	WhyNotReady string    `json:"why_not_ready"`
+	ConfigHash  string       `json:"layout_sha256"`
+	Node        coreapi.Node `json:"node"`
+	Stale       bool         `json:"stale"`
+	View        view.View    `json:"view"`
+	WhyNotReady string       `json:"why_not_ready"`
 }
 
 // relaysView is the body of /v1/relays.
 type relaysView struct {
-	Near  []relay.Node `json:"near"`
-	Nodes []core.Node  `json:"nodes"`
+	Near  []relay.Node   `json:"near"`
+	Nodes []coreapi.Node `json:"nodes"`
 }
 
 // runnerView is one runner in the body of /v1/runners.
@@ -77,7 +77,7 @@
 func (r *Router) shareViews() map[string]shareView {
 	views := map[string]shareView{}
 	for _, tenant := range r.QuotaShares.Names() {
-		held, free, spent := r.QuotaShares.For(tenant).Stat()
+		held, free, spent := r.QuotaShares.For(tenant).Stats()
 		views[tenant] = shareView{Held: held, Free: free, SpentInWindow: spent}
 	}
 	return views
--- a/internal/router/views_test.go
+++ b/internal/dataplane/router/views_test.go
@@ -4,21 +4,21 @@
 	"encoding/json"
 	"testing"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/runner"
-	"yarrowridge/internal/view"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/dataplane/runner"
 )
 
 // Operators' scripts read these views: they are what the untyped maps before them gave, byte for byte.
 func TestViewsStayAsTheyWere(t *testing.T) {
-	node, report := core.Node{Name: "north1"}, runner.Report{Name: "r1", Zone: "north"}
+	node, report := coreapi.Node{Name: "north1"}, runner.Report{Name: "r1", Zone: "north"}
 	for _, c := range []struct {
 		now  any
 		then map[string]any
 	}{
 		{statusView{ConfigHash: "ab", Node: node, Stale: true, View: view.View{Epoch: 3}, WhyNotReady: "stale"},
 			map[string]any{"node": node, "layout_sha256": "ab", "stale": true, "why_not_ready": "stale", "view": view.View{Epoch: 3}}},
-		{relaysView{Nodes: []core.Node{node}}, map[string]any{"near": nil, "nodes": []core.Node{node}}},
+		{relaysView{Nodes: []coreapi.Node{node}}, map[string]any{"near": nil, "nodes": []coreapi.Node{node}}},
 		{runnerView{Report: report, Health: "ready", Load: 1, Room: 2, QueuedTokens: 3, Rate: 4.5},
 			map[string]any{"runner": report, "standing": "ready", "load": 1, "room": 2, "queued_tokens": 3, "rate": 4.5}},
 		{shareView{Free: 1, Held: 2, SpentInWindow: 3}, map[string]any{"held": 2, "free": 1, "spent_in_window": 3}},
--- a/internal/runner/api.go
+++ b/internal/dataplane/runner/api.go
@@ -12,10 +12,10 @@
 	"github.com/tidwall/gjson"
 	"github.com/zeromicro/go-zero/rest"
 
-	"yarrowridge/internal/fleetconfig"
-	"yarrowridge/internal/node"
-	"yarrowridge/internal/relay"
-	"yarrowridge/internal/web"
+	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/lib/web"
+	"yarrowridge/internal/model/fleetconfig"
+	"yarrowridge/internal/transport/relay"
 )
 
 // API is the runners' listener: where they send heartbeats.
@@ -30,15 +30,11 @@
 }
 
 // Handler makes the API's routes.
-//
-//	h, err := api.Handler()
 func (api *API) Handler() (http.Handler, error) {
 	return web.Handler([]rest.Route{{Method: "POST", Path: "/v1/runners/beat", Handler: api.Heartbeat}}, nil)
 }
 
 // ParseHeartbeat reads a heartbeat and tells everything that is wrong with it.
-//
-//	news, turn, bad := runner.ParseHeartbeat(raw)
 func ParseHeartbeat(raw []byte) (Report, uint64, []string) {
 	var bad []string
 	if !gjson.ValidBytes(raw) || !gjson.ParseBytes(raw).IsObject() {
@@ -91,8 +87,6 @@
 }
 
 // Heartbeat takes one heartbeat.
-//
-//	http.HandleFunc("/v1/runners/beat", api.Heartbeat)
 func (api *API) Heartbeat(w http.ResponseWriter, r *http.Request) {
 	if hash := api.KeyHash(); hash != "" {
 		key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -116,12 +110,12 @@
 	}
 	record, fresh := NextRecord(api.Hub.Records, report, turn)
 	recs := []relay.Record{record}
-	api.Hub.Spread(relay.News{Records: recs})
+	api.Hub.Broadcast(relay.Update{Records: recs})
 	// A word of leaving, or any change of state, must outlive this router before we say it is taken.
 	if fresh {
 		ctx, end := context.WithTimeout(r.Context(), time.Second)
 		defer end()
-		if !api.Hub.SpreadToAll(ctx, recs) && report.State == "leaving" {
+		if !api.Hub.BroadcastToAll(ctx, recs) && report.State == "leaving" {
 			w.Header().Set("Retry-After", "1")
 			web.WriteError(w, http.StatusServiceUnavailable, "not-spread", "No other router could be told yet. Beat again.")
 			return
@@ -130,10 +124,8 @@
 	web.WriteJSON(w, http.StatusOK, Taken{Taken: true})
 }
 
-// NextRecord makes the news store's next record for a runner's word, and tells whether its state changed.
+// NextRecord makes the news store's next record for a runner's word, and reports whether its state changed.
 // Another run at a known address gets a generation of its own, whatever its clock says.
-//
-//	record, fresh := runner.NextRecord(board, news, turn)
 func NextRecord(store *relay.Store, report Report, turn uint64) (relay.Record, bool) {
 	record := relay.Record{Key: KeyPrefix + report.Addr, Generation: 1, Version: max(turn, 1)}
 	fresh := true
--- a/internal/runner/api_test.go
+++ b/internal/dataplane/runner/api_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/relay"
+	"yarrowridge/internal/transport/relay"
 )
 
 // A heartbeat long under way does not undo a later word of leaving; another run at the address does.
@@ -15,7 +15,7 @@
 	yard = NewPool("r1", func() {})
 	word := func(born, state string, turn uint64) {
 		record, _ := NextRecord(store, Report{Name: "a", Addr: "10.0.0.1:1", Born: born, State: state}, turn)
-		store.Take([]relay.Record{record})
+		store.Merge([]relay.Record{record})
 	}
 	state := func() string { return yard.List()[0].Health() }
 	word("1", "ready", 4)
--- a/internal/runner/pool.go
+++ b/internal/dataplane/runner/pool.go
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
-	"yarrowridge/internal/fleetconfig"
-	"yarrowridge/internal/node"
-	"yarrowridge/internal/relay"
-	"yarrowridge/internal/strike"
+	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/lib/faultinjection"
+	"yarrowridge/internal/model/fleetconfig"
+	"yarrowridge/internal/transport/relay"
 )
 
 // What decides a runner's health.
@@ -64,8 +64,6 @@
 }
 
 // NewPool makes the empty pool of a router; wake is called when a runner may have become free.
-//
-//	pool := runner.NewPool("north1", scheduler.Wake)
 func NewPool(me string, wake func()) *Pool {
 	return &Pool{self: me, byAddr: map[string]*Instance{}, work: map[string]remoteWork{}, lastBusy: map[[2]string]time.Time{}, wake: wake}
 }
@@ -77,8 +75,6 @@
 )
 
 // Apply takes a record of news.
-//
-//	hub := node.NewHub(ctx, addr, clientAddr, seeds, pool.Apply)
 func (p *Pool) Apply(record relay.Record) {
 	switch {
 	case strings.HasPrefix(record.Key, KeyPrefix):
@@ -86,7 +82,7 @@
 		if _, err := report.UnmarshalMsg(record.Body); err != nil {
 			return
 		}
-		if strike.Out("leaving") && report.State == "leaving" {
+		if faultinjection.Disabled("leaving") && report.State == "leaving" {
 			report.State = "ready"
 		}
 		p.mu.Lock()
@@ -121,8 +117,6 @@
 }
 
 // SumRemoteWork sums up anew what the other routers have sent, leaving out those not heard of lately.
-//
-//	pool.SumRemoteWork()
 func (p *Pool) SumRemoteWork() {
 	p.mu.Lock()
 	sum := map[string]node.Load{}
@@ -174,8 +168,6 @@
 
 // Waiting is what other routers hold in their queues for a kind of work, in output tokens, and how
 // many of them hold any.
-//
-//	sum, routers := pool.Waiting("fit/lumen")
 func (p *Pool) Waiting(kind string) (sum, routers int) {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
@@ -189,8 +181,6 @@
 }
 
 // OwnWork tells our own work, for the other routers.
-//
-//	w := pool.OwnWork()
 func (p *Pool) OwnWork() node.Work {
 	work := node.Work{Runners: map[string]node.Load{}, Queued: map[string]int{}}
 	for _, instance := range p.List() {
@@ -205,8 +195,6 @@
 }
 
 // List gives all runs that are not known to be gone, in a steady order.
-//
-//	for _, instance := range pool.List() { ... }
 func (p *Pool) List() []*Instance {
 	p.mu.RLock()
 	out := make([]*Instance, 0, len(p.byAddr))
@@ -219,8 +207,6 @@
 }
 
 // Forget drops runners that have been silent for long.
-//
-//	pool.Forget(time.Minute)
 func (p *Pool) Forget(duration time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -235,17 +221,13 @@
 }
 
 // Report is what the runner last said.
-//
-//	n := instance.Report()
 func (instance *Instance) Report() Report {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
 	return instance.report
 }
 
-// Health tells whether the runner may get new requests, and if not why.
-//
-//	if why := instance.Health(); why != "" { ... }
+// Health reports whether the runner may get new requests, and if not why.
 func (instance *Instance) Health() string {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
@@ -270,7 +252,7 @@
 	return ""
 }
 
-// overdue tells whether a request under way should have sent something by now. A whole response says
+// overdue reports whether a request under way should have sent something by now. A whole response says
 // nothing until it is finished, so its time is that of the length asked for.
 func (instance *Instance) overdue(now time.Time) bool {
 	for _, slot := range instance.slots {
@@ -281,9 +263,7 @@
 	return false
 }
 
-// Serves tells whether the runner is of the kind asked for, whatever its health.
-//
-//	if instance.Serves(pool, "lumen", 512) { ... }
+// Serves reports whether the runner is of the kind asked for, whatever its health.
 func (instance *Instance) Serves(selector fleetconfig.Selector, model string, tokens int) bool {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
@@ -294,17 +274,13 @@
 }
 
 // Load is how many streams are on the runner by all accounts, and how many it takes.
-//
-//	n, room := instance.Load()
 func (instance *Instance) Load() (n, room int) {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
 	return instance.streams(), instance.report.Room
 }
 
-// HasRoom tells whether the runner has room for one more request of ours.
-//
-//	if instance.HasRoom() { ... }
+// HasRoom reports whether the runner has room for one more request of ours.
 func (instance *Instance) HasRoom() bool {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
@@ -314,8 +290,6 @@
 // QueuedTokens is the output that the runner still has to give. Each stream counts once: our own by our own
 // count, others' by their routers' news. more is what its late report says beyond that, less what it should have
 // worked off since.
-//
-//	queued, more := instance.QueuedTokens()
 func (instance *Instance) QueuedTokens() (queued, more float64) {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
@@ -335,8 +309,6 @@
 // gives what it owes beside the newcomer, not before it: with a place free nothing is ahead, with none what
 // the first place to come free still has to give, which is all of it where one runs at a time. The rate is
 // that of as many streams as will run: one more than now, or, where requests wait, all that it takes.
-//
-//	ahead, rate := instance.Estimate(true)
 func (instance *Instance) Estimate(wait bool) (ahead, rate float64) {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
@@ -356,15 +328,13 @@
 }
 
 // Zone is where the runner stands.
-//
-//	if instance.Zone() == mine { ... }
 func (instance *Instance) Zone() string {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
 	return instance.report.Zone
 }
 
-// hasRoom tells whether there is room for one more of our streams. News of the others' streams is
+// hasRoom reports whether there is room for one more of our streams. News of the others' streams is
 // late, so routers that fill a runner together would overfill it: near its limit each keeps to
 // an equal part.
 func (instance *Instance) hasRoom() bool {
@@ -377,8 +347,6 @@
 }
 
 // MarkFailed notes that a request failed by the runner's fault: it gets no new requests for a while, longer each time.
-//
-//	instance.MarkFailed()
 func (instance *Instance) MarkFailed() {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
--- a/internal/runner/send.go
+++ b/internal/dataplane/runner/send.go
@@ -13,8 +13,8 @@
 
 	"github.com/rotisserie/eris"
 
-	"yarrowridge/internal/strike"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/lib/faultinjection"
+	"yarrowridge/internal/transport/wire"
 )
 
 // Sender is the one place that sends requests to runners. It is built on net/http rather than httpc:
@@ -26,13 +26,9 @@
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // DialFrom dials over TCP from an IP number; from the system's choice where it is "".
-//
-//	s := runner.NewSender(runner.DialFrom("10.1.0.7"))
 func DialFrom(ip string) Dial { return wire.Dialer(ip, time.Second).DialContext }
 
 // NewSender makes a sender. dial may be nil for TCP.
-//
-//	s := runner.NewSender(nil)
 func NewSender(dial Dial) *Sender {
 	if dial == nil {
 		dial = DialFrom("")
@@ -67,8 +63,6 @@
 )
 
 // ForwardedHeader copies the headers that pass through us: no hop-by-hop ones, no key, none of our own.
-//
-//	out := runner.ForwardedHeader(req.Header)
 func ForwardedHeader(in http.Header) http.Header {
 	out := in.Clone()
 	for _, v := range in.Values("Connection") {
@@ -96,10 +90,8 @@
 	Tenant, ID   string
 }
 
-// Send sends once. left tells whether a byte may have left: only where it is false may the request
+// Send sends once. left reports whether a byte may have left: only where it is false may the request
 // be sent again.
-//
-//	ans, left, err := s.Send(ctx, "127.0.0.1:9001", out)
 func (s *Sender) Send(ctx context.Context, addr string, out Request) (ans *http.Response, left bool, err error) {
 	var got atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { got.Store(true) }})
@@ -110,7 +102,7 @@
 	req.Header = ForwardedHeader(out.Header)
 	req.Header.Del("Authorization")
 	req.Header.Set(TenantHeader, out.Tenant)
-	if strike.Out("tenant") {
+	if faultinjection.Disabled("tenant") {
 		req.Header.Set(TenantHeader, out.Header.Get(TenantHeader))
 	}
 	req.Header.Set(RequestHeader, out.ID)
@@ -124,6 +116,4 @@
 }
 
 // Close drops idle connections.
-//
-//	s.Close()
 func (s *Sender) Close() { s.transport.CloseIdleConnections() }
--- a/internal/runner/slot.go
+++ b/internal/dataplane/runner/slot.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"yarrowridge/internal/allow"
+	"yarrowridge/internal/dataplane/allow"
 )
 
 // Slot is one request's place on a runner.
@@ -21,8 +21,6 @@
 
 // Acquire takes a place on the runner for one request, if it may have one now; nil if not. silentFor is how long
 // its response takes before anything of it is sent: zero for one that comes piece by piece.
-//
-//	if slot := instance.Acquire(512, 0); slot != nil { defer slot.Release(true) }
 func (instance *Instance) Acquire(tokens int, silentFor time.Duration) *Slot {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
@@ -43,8 +41,6 @@
 }
 
 // AddTokens notes output that has come.
-//
-//	slot.AddTokens(1)
 func (slot *Slot) AddTokens(n int) {
 	slot.mu.Lock()
 	defer slot.mu.Unlock()
@@ -53,8 +49,6 @@
 }
 
 // Release ends a request's place; ok says whether the runner answered in full. received is the output there was.
-//
-//	received := slot.Release(true)
 func (slot *Slot) Release(ok bool) (received int) {
 	slot.mu.Lock()
 	defer slot.mu.Unlock()
--- a/internal/session/directory.go
+++ b/internal/dataplane/session/directory.go
@@ -12,7 +12,7 @@
 )
 
 // HoldersMost is how many runners an entry names: a hot session may have a second holder.
-const HoldersMost = 2
+const MaxHolders = 2
 
 const (
 	goneMost = 1024 // runners remembered as gone, so that late entries do not name them again
@@ -26,7 +26,7 @@
 	Holders []string // ids of runners, the newest holder first
 }
 
-// newer tells whether a replaces b. Entries with one version are ordered by their holders, so that all
+// newer reports whether a replaces b. Entries with one version are ordered by their holders, so that all
 // routers keep the same one.
 func newer(a, b Entry) bool {
 	if a.Version != b.Version {
@@ -91,9 +91,9 @@
 	return d.changes
 }
 
-// Hold notes what this router found: these runners hold the session, the newest holder first. The other
+// Record notes what this router found: these runners hold the session, the newest holder first. The other
 // routers are told with the next announcement, unless they know it.
-func (d *Directory) Hold(session uint64, holders ...string) {
+func (d *Directory) Record(session uint64, holders ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	holders = d.alive(holders)
@@ -181,15 +181,15 @@
 func (d *Directory) alive(holders []string) []string {
 	var out []string
 	for _, runner := range holders {
-		if _, gone := d.gone[runner]; !gone && len(out) < HoldersMost && !slices.Contains(out, runner) {
+		if _, gone := d.gone[runner]; !gone && len(out) < MaxHolders && !slices.Contains(out, runner) {
 			out = append(out, runner)
 		}
 	}
 	return out
 }
 
-// Gone takes runners that have left for good out of all entries. A runner's id is never used again.
-func (d *Directory) Gone(runners ...string) {
+// RemoveRunners takes runners that have left for good out of all entries. A runner's id is never used again.
+func (d *Directory) RemoveRunners(runners ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	fresh := false
@@ -220,8 +220,8 @@
 	}
 }
 
-// Take gives the entries that the other routers are to be told now, in the order in which they came.
-func (d *Directory) Take() []Entry {
+// TakeUpdates gives the entries that the other routers are to be told now, in the order in which they came.
+func (d *Directory) TakeUpdates() []Entry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var out []Entry
--- a/internal/session/directory_test.go
+++ b/internal/dataplane/session/directory_test.go
@@ -31,20 +31,20 @@
 
 func TestTheNewestWordStands(t *testing.T) {
 	one, two := New(10), New(10)
-	one.Hold(1, "a")
-	first := one.Take()
+	one.Record(1, "a")
+	first := one.TakeUpdates()
 	two.Merge(first)
-	two.Hold(1, "b", "a")
-	second := two.Take()
+	two.Record(1, "b", "a")
+	second := two.TakeUpdates()
 	one.Merge(second)
 	one.Merge(first) // once more, late
 	lookup(t, one, 1, "b", "a")
 	lookup(t, two, 1, "b", "a")
-	if again := append(one.Take(), two.Take()...); len(again) != 0 {
+	if again := append(one.TakeUpdates(), two.TakeUpdates()...); len(again) != 0 {
 		t.Errorf("told again: %v", again)
 	}
-	one.Hold(1, "b", "a")
-	if again := one.Take(); len(again) != 0 {
+	one.Record(1, "b", "a")
+	if again := one.TakeUpdates(); len(again) != 0 {
 		t.Errorf("told though nothing moved: %v", again)
 	}
 }
@@ -53,10 +53,10 @@
 func TestClockThatLags(t *testing.T) {
 	ahead, behind := New(10), New(10)
 	ahead.now = func() time.Time { return time.Now().Add(time.Hour) }
-	ahead.Hold(1, "a")
-	behind.Merge(ahead.Take())
-	behind.Hold(1, "b")
-	ahead.Merge(behind.Take())
+	ahead.Record(1, "a")
+	behind.Merge(ahead.TakeUpdates())
+	behind.Record(1, "b")
+	ahead.Merge(behind.TakeUpdates())
 	lookup(t, ahead, 1, "b")
 	lookup(t, behind, 1, "b")
 }
@@ -64,10 +64,10 @@
 // Of several routers that find the same at once, one tells.
 func TestTheSameWordIsToldOnce(t *testing.T) {
 	one, two := New(10), New(10)
-	one.Hold(1, "a")
-	two.Hold(1, "a")
-	two.Merge(one.Take())
-	if told := two.Take(); len(told) != 0 {
+	one.Record(1, "a")
+	two.Record(1, "a")
+	two.Merge(one.TakeUpdates())
+	if told := two.TakeUpdates(); len(told) != 0 {
 		t.Errorf("told again: %v", told)
 	}
 	if !reflect.DeepEqual(contents(one), contents(two)) {
@@ -77,14 +77,14 @@
 
 func TestRunnersThatAreGone(t *testing.T) {
 	d := New(10)
-	d.Hold(1, "a", "b")
-	d.Hold(2, "a")
-	told := d.Take()
-	d.Gone("a")
+	d.Record(1, "a", "b")
+	d.Record(2, "a")
+	told := d.TakeUpdates()
+	d.RemoveRunners("a")
 	lookup(t, d, 1, "b")
 	lookup(t, d, 2)
 	d.Merge(told) // late word of a runner that is gone
-	d.Hold(3, "a")
+	d.Record(3, "a")
 	lookup(t, d, 1, "b")
 	lookup(t, d, 2)
 	if d.Len() != 1 {
@@ -95,7 +95,7 @@
 func TestBounds(t *testing.T) {
 	d := New(100)
 	for session := range uint64(1000) {
-		d.Hold(session, "a", "b", "c")
+		d.Record(session, "a", "b", "c")
 		d.Lookup(0) // in use all the time
 	}
 	if d.Len() != 100 {
@@ -104,11 +104,11 @@
 	lookup(t, d, 0, "a", "b")
 	lookup(t, d, 1)
 	lookup(t, d, 999, "a", "b")
-	if told := d.Take(); len(told) != 100 {
+	if told := d.TakeUpdates(); len(told) != 100 {
 		t.Errorf("%d entries are told, those that are kept expected", len(told))
 	}
 	for i := range 3 * goneMost {
-		d.Gone(fmt.Sprint("runner ", i))
+		d.RemoveRunners(fmt.Sprint("runner ", i))
 	}
 	if len(d.gone) != goneMost || len(d.goneIDs) != goneMost {
 		t.Errorf("%d runners remembered as gone", len(d.gone))
@@ -119,7 +119,7 @@
 func TestFetched(t *testing.T) {
 	old := New(10)
 	for session := range uint64(10) {
-		old.Hold(session, "a")
+		old.Record(session, "a")
 	}
 	old.Lookup(0)
 	fresh := New(4)
@@ -170,7 +170,7 @@
 			routers[i].now = func() time.Time { return clock.Add(skew) }
 		}
 		var told []announcement
-		tell := func(i int) { told = append(told, announcement{routers[i].Take(), map[int]bool{i: true}}) }
+		tell := func(i int) { told = append(told, announcement{routers[i].TakeUpdates(), map[int]bool{i: true}}) }
 		hear := func(i int, what announcement) {
 			what.heard[i] = true
 			routers[i].Merge(what.entries)
@@ -180,7 +180,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				holders := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 2, rapid.ID[string]).Draw(t, "holders")
-				routers[i].Hold(rapid.Uint64Range(0, 1).Draw(t, "session"), holders...)
+				routers[i].Record(rapid.Uint64Range(0, 1).Draw(t, "session"), holders...)
 			case 1:
 				tell(i)
 			case 2:
@@ -206,7 +206,7 @@
 			if got := contents(router); !reflect.DeepEqual(got, newest) {
 				t.Fatalf("router %d has %v, %v expected", i, got, newest)
 			}
-			if again := router.Take(); len(again) != 0 {
+			if again := router.TakeUpdates(); len(again) != 0 {
 				t.Fatalf("router %d tells again: %v", i, again)
 			}
 		}
--- a/internal/session/memory_bench_test.go
+++ b/internal/dataplane/session/memory_bench_test.go
@@ -9,7 +9,7 @@
 // BenchmarkMemory tells how many bytes a router keeps for each entry with two holders, and how many an entry
 // takes on the wire.
 //
-//	go test ./internal/session -run XXX -bench Memory -benchtime 1x
+//	go test ./internal/dataplane/session -run XXX -bench Memory -benchtime 1x
 func BenchmarkMemory(b *testing.B) {
 	const entries = 1 << 15
 	runners := make([]string, 20)
@@ -20,9 +20,9 @@
 		before := heap()
 		d := New(entries)
 		for i := range uint64(entries) {
-			d.Hold(i*0x9e3779b97f4a7c15, runners[i%20], runners[(i+1)%20])
+			d.Record(i*0x9e3779b97f4a7c15, runners[i%20], runners[(i+1)%20])
 		}
-		for len(d.Take()) > 0 {
+		for len(d.TakeUpdates()) > 0 {
 		}
 		b.ReportMetric(float64(heap()-before)/entries, "B/entry")
 		raw, err := Pack(d.Newest(1000)).MarshalMsg(nil)
@@ -38,7 +38,7 @@
 func BenchmarkLookup(b *testing.B) {
 	d := New(1 << 15)
 	for i := range uint64(1 << 15) {
-		d.Hold(i, "a", "b")
+		d.Record(i, "a", "b")
 	}
 	session := uint64(0)
 	for b.Loop() {
--- a/internal/tracing/tracing.go
+++ b/internal/dataplane/tracing/tracing.go
@@ -14,7 +14,7 @@
 	sdk "go.opentelemetry.io/otel/sdk/trace"
 	"go.opentelemetry.io/otel/trace"
 
-	"yarrowridge/internal/request"
+	"yarrowridge/internal/dataplane/request"
 )
 
 // Tracer writes traces; a nil one writes none.
@@ -25,8 +25,6 @@
 }
 
 // Open begins a tracer that appends to a file; "" gives nil, which traces nothing.
-//
-//	tracer, err := tracing.Open("/var/log/yarrowridge/traces.json", "north1")
 func Open(path, name string) (*Tracer, error) {
 	if path == "" {
 		return nil, nil
@@ -45,8 +43,6 @@
 
 // Export writes a request that has come to its end: one span, an event for each state. Neither key,
 // prompt nor response is in it.
-//
-//	tracer.Export(r, "done")
 func (t *Tracer) Export(request *request.Request, code string) {
 	if t == nil {
 		return
@@ -64,8 +60,6 @@
 }
 
 // Close writes out what is left.
-//
-//	tracer.Close()
 func (t *Tracer) Close() {
 	if t == nil {
 		return
--- a/internal/tracing/tracing_test.go
+++ b/internal/dataplane/tracing/tracing_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"yarrowridge/internal/request"
+	"yarrowridge/internal/dataplane/request"
 )
 
 // A request's states stand in the file as events of one span, in order.
--- a/internal/upstream/connection.go
+++ b/internal/dataplane/upstream/connection.go
@@ -11,7 +11,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"yarrowridge/internal/tcp"
+	"yarrowridge/internal/transport/tcp"
 )
 
 const (
--- a/internal/upstream/events.go
+++ b/internal/dataplane/upstream/events.go
@@ -74,7 +74,7 @@
 	return raw, id, nil
 }
 
-// Ready tells whether Next has a whole event without reading from the source.
+// Ready reports whether Next has a whole event without reading from the source.
 func (r *EventReader) Ready() bool {
 	for !r.whole {
 		length := bytes.IndexByte(r.buffer[r.scanned:], '\n')
--- a/internal/upstream/exchange.go
+++ b/internal/dataplane/upstream/exchange.go
@@ -75,7 +75,7 @@
 	state      atomic.Int32 // running, finished or aborted
 }
 
-// Reused tells whether the connection was idle before.
+// Reused reports whether the connection was idle before.
 func (e *Exchange) Reused() bool { return e.reused }
 
 // SetReadDeadline bounds reads of the head and the body; the zero time lifts the bound. After a read has met
@@ -247,7 +247,7 @@
 	return n, io.EOF
 }
 
-// blankLineBuffered tells whether an empty trailer is there.
+// blankLineBuffered reports whether an empty trailer is there.
 func (e *Exchange) blankLineBuffered() bool {
 	if e.reader.Buffered() < 2 {
 		return false
--- a/internal/upstream/request.go
+++ b/internal/dataplane/upstream/request.go
@@ -61,7 +61,7 @@
 	return append(buffer, r.Body...), nil, nil
 }
 
-// needsLength tells whether a request of the method states the length of its body even when it has none.
+// needsLength reports whether a request of the method states the length of its body even when it has none.
 func needsLength(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
@@ -97,7 +97,7 @@
 	return names
 }
 
-// isHopByHop tells whether a field concerns one connection only, or is written by this package itself.
+// isHopByHop reports whether a field concerns one connection only, or is written by this package itself.
 func isHopByHop(canonical string) bool {
 	switch canonical {
 	case "Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Host", "Content-Length":
@@ -106,7 +106,7 @@
 	return strings.HasPrefix(canonical, "Proxy-")
 }
 
-// isToken tells whether a string is a token of RFC 9110, section 5.6.2.
+// isToken reports whether a string is a token of RFC 9110, section 5.6.2.
 func isToken(text string) bool {
 	for i := range len(text) {
 		b := text[i]
@@ -118,7 +118,7 @@
 	return text != ""
 }
 
-// isVisible tells whether a string has no spaces and no control characters.
+// isVisible reports whether a string has no spaces and no control characters.
 func isVisible(text string) bool {
 	for i := range len(text) {
 		if text[i] <= ' ' || text[i] == 0x7f {
@@ -128,7 +128,7 @@
 	return text != ""
 }
 
-// isFieldValue tells whether a string may stand as a header field's value: no control characters but tabs.
+// isFieldValue reports whether a string may stand as a header field's value: no control characters but tabs.
 func isFieldValue(text string) bool {
 	for i := range len(text) {
 		if text[i] < ' ' && text[i] != '\t' || text[i] == 0x7f {
--- a/internal/upstream/send.go
+++ b/internal/dataplane/upstream/send.go
@@ -26,8 +26,6 @@
 // Send writes a request to a runner, on the most recently used idle connection that is proved clean or on a new
 // one. The exchange ends with ctx: its connection is then closed. An error is a *SendError. Send writes on
 // another connection only where the one before took no byte.
-//
-//	exchange, err := pool.Send(ctx, "10.0.0.7:9001", upstream.Request{Method: "GET", Target: "/", Host: "example.org"})
 func (p *Pool) Send(ctx context.Context, address string, request Request) (*Exchange, error) {
 	buffer := buffers.Get().(*[]byte)
 	defer putBuffer(buffer)
@@ -110,7 +108,7 @@
 	}
 }
 
-// answeredEarly tells whether an answer has come to a request that could not be written whole.
+// answeredEarly reports whether an answer has come to a request that could not be written whole.
 func (e *Exchange) answeredEarly() bool {
 	e.spoiled = true
 	if e.SetReadDeadline(time.Now().Add(earlyAnswerWait)) != nil {
--- a/internal/env/clock_test.go
+++ b/internal/lib/daemon/clock_test.go
@@ -1,4 +1,4 @@
-package env
+package daemon
 
 import (
 	"os"
@@ -14,7 +14,7 @@
 func TestOnlyMonotonicTime(t *testing.T) {
 	wall := regexp.MustCompile(`\.Unix(Nano|Milli|Micro)?\(\)|\.Round\(0\)|\.Truncate\(0\)|\btime\.(Date|Parse|ParseInLocation|Unix|UnixMilli)\(|\.(UTC|Local)\(\)|\.MarshalBinary\(\)`)
 	files, lines := 0, 0
-	err := filepath.WalkDir("..", func(path string, e os.DirEntry, err error) error {
+	err := filepath.WalkDir(filepath.Join("..", ".."), func(path string, e os.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
@@ -28,7 +28,7 @@
 		files++
 		for i, line := range strings.Split(string(raw), "\n") {
 			lines++
-			if wall.MatchString(line) && !strings.HasSuffix(path, filepath.Join("env", "log.go")) {
+			if wall.MatchString(line) && !strings.HasSuffix(path, filepath.Join("logging", "log.go")) {
 				t.Errorf("%s:%d takes a moment off the wall clock: %s", path, i+1, strings.TrimSpace(line))
 			}
 		}
--- a/internal/env/proc.go
+++ b/internal/lib/daemon/daemon.go
@@ -1,4 +1,4 @@
-package env
+package daemon
 
 import (
 	"context"
@@ -13,12 +13,15 @@
 	"sync/atomic"
 	"syscall"
 
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/lib/logging"
+	"yarrowridge/internal/lib/runloop"
+	"yarrowridge/internal/lib/settings"
+	"yarrowridge/internal/transport/wire"
 )
 
 // Exit codes of the programs.
 const (
-	ExitOk    = 0
+	ExitOK    = 0
 	ExitError = 1 // it ran, and ended with an error
 	ExitUsage = 2 // the command line or the settings do not hold
 )
@@ -26,30 +29,28 @@
 // Version of the programs.
 const Version = "0.1.0"
 
-// Proc is a running program: its settings, and what the signals ask for.
-type Proc struct {
-	Ctx      Ctx
-	Set      Settings        // as at the start
+// Process is a running program: its settings, and what the signals ask for.
+type Process struct {
+	Ctx      Context
+	Settings settings.Values // as at the start
 	Stop     <-chan struct{} // closed upon SIGTERM or SIGINT: drain, then end
-	now      atomic.Pointer[Settings]
+	now      atomic.Pointer[settings.Values]
 	logLevel *slog.LevelVar
 	cancel   context.CancelFunc
 }
 
-// Now reads a setting that may be reloaded.
-//
-//	hash := p.Now("operator-key-hash")
-func (process *Proc) Now(name string) string { return (*process.now.Load())[name] }
+// Setting reads a setting that may be reloaded.
+func (process *Process) Setting(name string) string { return (*process.now.Load())[name] }
 
 // reload reads the settings anew. Where they do not hold, all stays as it was.
-func (process *Proc) reload(prog string, items []Setting, args []string) {
-	set, _, err := Read(prog, items, args)
+func (process *Process) reload(prog string, items []settings.Setting, args []string) {
+	set, _, err := settings.Read(prog, items, args)
 	if err != nil {
 		process.Ctx.Log.Error("Reloaded settings do not hold. The old ones stay.", "error", err.Error())
 		return
 	}
 	for _, setting := range items {
-		if was := process.Now(setting.Name); was != set[setting.Name] && !setting.Reloadable {
+		if was := process.Setting(setting.Name); was != set[setting.Name] && !setting.Reloadable {
 			process.Ctx.Log.Warn("Setting changes only with a restart.", "setting", setting.Name)
 			set[setting.Name] = was
 		}
@@ -59,17 +60,13 @@
 	process.Ctx.Log.Info("Settings reloaded.")
 }
 
-// End ends the context of all parts.
-//
-//	defer p.End()
-func (process *Proc) End() { process.cancel() }
+// Close ends the context of all parts.
+func (process *Process) Close() { process.cancel() }
 
 // Start reads settings and sets up log and signals. Where code is not -1 the program ends with it.
 // more are checks of settings against each other.
-//
-//	p, code := env.Start("core", items, args, os.Stderr)
-func Start(prog string, items []Setting, args []string, out io.Writer, more ...func(Settings) Problems) (*Proc, int) {
-	set, command, err := Read(prog, items, args)
+func Start(prog string, items []settings.Setting, args []string, out io.Writer, more ...func(settings.Values) settings.Problems) (*Process, int) {
+	set, command, err := settings.Read(prog, items, args)
 	for _, check := range more {
 		if err == nil && !command.Version {
 			if problems := check(set); len(problems) > 0 {
@@ -79,34 +76,32 @@
 	}
 	switch {
 	case errors.Is(err, flag.ErrHelp):
-		return nil, ExitOk
+		return nil, ExitOK
 	case err != nil:
 		fmt.Fprintf(out, "%s: %s\n", prog, err)
 		return nil, ExitUsage
 	case command.Version:
-		fmt.Fprintf(out, "%s %s, wire format %d\n", prog, Version, wire.Fmt)
-		return nil, ExitOk
+		fmt.Fprintf(out, "%s %s, wire format %d\n", prog, Version, wire.FormatVersion)
+		return nil, ExitOK
 	case command.Check:
 		fmt.Fprintf(out, "%s: settings hold\n", prog)
-		return nil, ExitOk
+		return nil, ExitOK
 	}
 	process, hangup := begin(set, out)
-	go Loop(process.Ctx, hangup, 0, func(os.Signal) { process.reload(prog, items, args) }, nil)
+	go runloop.Run(process.Ctx, hangup, 0, func(os.Signal) { process.reload(prog, items, args) }, nil)
 	return process, -1
 }
 
 // Begin sets up log and signals of a program whose settings come from elsewhere. The settings used are
 // "name", "hall", "log" and "from". reload is called for each SIGHUP.
-//
-//	p := env.Begin(env.Settings{"name": "n1", "hall": "north", "log": "info"}, os.Stderr, reload)
-func Begin(set Settings, out io.Writer, reload func()) *Proc {
+func Begin(set settings.Values, out io.Writer, reload func()) *Process {
 	process, hangup := begin(set, out)
-	go Loop(process.Ctx, hangup, 0, func(os.Signal) { reload() }, nil)
+	go runloop.Run(process.Ctx, hangup, 0, func(os.Signal) { reload() }, nil)
 	return process
 }
 
 // begin makes the process and tells the channel of its SIGHUPs.
-func begin(set Settings, out io.Writer) (*Proc, <-chan os.Signal) {
+func begin(set settings.Values, out io.Writer) (*Process, <-chan os.Signal) {
 	level := &slog.LevelVar{}
 	level.Set(logLevelOf(set["log"]))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -119,9 +114,9 @@
 		<-signals
 		close(stop)
 	}()
-	process := &Proc{Set: set, logLevel: level, Stop: stop, cancel: cancel,
-		Ctx: Ctx{Context: ctx, Name: set["name"], Zone: set["hall"], Born: rand.Uint64(),
-			Log: NewLog(out, level), Net: wire.TCP{From: set["from"]}}}
+	process := &Process{Settings: set, logLevel: level, Stop: stop, cancel: cancel,
+		Ctx: Context{Context: ctx, Name: set["name"], Zone: set["hall"], RunID: rand.Uint64(),
+			Log: logging.New(out, level), Net: wire.TCP{From: set["from"]}}}
 	process.now.Store(&set)
 	return process, hangups
 }
--- a/internal/spread/spread_test.go
+++ b/internal/lib/hashing/spread_test.go
@@ -1,4 +1,4 @@
-package spread
+package hashing
 
 import "testing"
 
--- a/internal/env/log.go
+++ b/internal/lib/logging/log.go
@@ -1,4 +1,5 @@
-package env
+// Package logging writes the programs' log: log/slog records as short lines for people.
+package logging
 
 import (
 	"context"
@@ -17,10 +18,8 @@
 	rest string
 }
 
-// NewLog makes the logger of a process. Every part's lines start with the part's name.
-//
-//	log := env.NewLog(os.Stderr, slog.LevelInfo)
-func NewLog(out io.Writer, level slog.Leveler) *slog.Logger {
+// New makes the logger of a process. Every part's lines start with the part's name.
+func New(out io.Writer, level slog.Leveler) *slog.Logger {
 	return slog.New(&lineHandler{mu: &sync.Mutex{}, out: out, low: level, part: "main"})
 }
 
--- a/internal/metrics/endpoint.go
+++ b/internal/lib/metrics/endpoint.go
@@ -9,8 +9,8 @@
 	"github.com/rotisserie/eris"
 	"github.com/zeromicro/go-zero/rest"
 
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/web"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/lib/web"
 )
 
 // Endpoint is where a process serves its metrics. The zero value: nowhere.
@@ -32,7 +32,7 @@
 
 // Start serves the metrics until the context ends. A process does its work without them: where the address cannot be
 // bound, the log says so and nothing else happens.
-func (e Endpoint) Start(ctx env.Ctx, handler http.Handler) {
+func (e Endpoint) Start(ctx daemon.Context, handler http.Handler) {
 	if e.Address == "" {
 		return
 	}
@@ -41,7 +41,7 @@
 	}
 }
 
-func (e Endpoint) start(ctx env.Ctx, handler http.Handler) error {
+func (e Endpoint) start(ctx daemon.Context, handler http.Handler) error {
 	routes, err := web.Handler([]rest.Route{{Method: http.MethodGet, Path: e.Path, Handler: handler.ServeHTTP}}, nil)
 	if err != nil {
 		return err
--- a/internal/metrics/endpoint_test.go
+++ b/internal/lib/metrics/endpoint_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"yarrowridge/internal/env"
+	"yarrowridge/internal/lib/daemon"
 )
 
 func TestParseEndpoint(t *testing.T) {
@@ -48,7 +48,7 @@
 	}
 	endpoint := Endpoint{Address: free.Addr().String(), Path: "/metrics"}
 	var logged bytes.Buffer
-	ctx := env.Ctx{Context: t.Context(), Log: slog.New(slog.NewTextHandler(&logged, nil))}
+	ctx := daemon.Context{Context: t.Context(), Log: slog.New(slog.NewTextHandler(&logged, nil))}
 	handler := NewHandler(Gauges{"yarrowridge_ready": func() float64 { return FlagValue(true) }})
 
 	endpoint.Start(ctx, handler)
--- a/internal/metrics/metrics.go
+++ b/internal/lib/metrics/metrics.go
@@ -51,8 +51,6 @@
 }
 
 // New makes the metrics.
-//
-//	m := metrics.New(metrics.Gauges{"yarrowridge_queued": n})
 func New(gauges Gauges) *Metrics {
 	m := &Metrics{
 		Requests:    prometheus.NewCounterVec(prometheus.CounterOpts{Name: "yarrowridge_queries_total", Help: "Queries ended, by lane and code."}, []string{"lane", "code"}),
@@ -68,8 +66,6 @@
 }
 
 // Handler serves the metrics in Prometheus' text form.
-//
-//	http.Handle("/metrics", m.Handler())
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
--- a/internal/metrics/traffic.go
+++ b/internal/lib/metrics/traffic.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/prometheus/client_golang/prometheus"
 
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/transport/wire"
 )
 
 var (
--- a/internal/metrics/traffic_test.go
+++ b/internal/lib/metrics/traffic_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/tinylib/msgp/msgp"
 
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/transport/wire"
 )
 
 // Messages between processes stand in the metrics, by kind and direction.
