--- a/internal/env/env.go
+++ b/internal/lib/settings/settings.go
@@ -1,13 +1,10 @@
-// Package env holds what a process is told about its place (the settings), the project's
-// one context type, and the run loop that every part shares.
-package env
+// Package settings reads and checks the settings of a program, from its flags and a JSON file.
+package settings
 
 import (
-	"context"
 	"encoding/hex"
 	"flag"
 	"fmt"
-	"log/slog"
 	"net/netip"
 	"os"
 	"sort"
@@ -16,78 +13,21 @@
 
 	"github.com/rotisserie/eris"
 	"github.com/tidwall/gjson"
-
-	"yarrowridge/internal/wire"
 )
 
-// Ctx is the project's context: what nearly every part needs, in one value.
-type Ctx struct {
-	context.Context
-	Name string       // this process's name
-	Zone string       // the zone it stands in
-	Born uint64       // this run of the process; a restart has another, drawn at random
-	Log  *slog.Logger // already prefixed for the part
-	Net  wire.Net     // how to dial and listen
-}
-
-// Part gives the context of one part: its log lines begin with the part's name.
-//
-//	c := ctx.Part("lease")
-func (c Ctx) Part(name string) Ctx {
-	c.Log = c.Log.With("part", name)
-	return c
-}
-
-// Loop is the run loop of every part: it takes work from box and calls beat at each tick until ctx ends.
-// A nil box only ticks; a tick of zero only takes work.
-//
-//	env.Loop(ctx, box, time.Second, func(w work) { ... }, func() { ... })
-func Loop[M any](ctx context.Context, box <-chan M, tick time.Duration, on func(M), beat func()) {
-	var ticks <-chan time.Time
-	if tick > 0 {
-		ticker := time.NewTicker(tick)
-		defer ticker.Stop()
-		ticks = ticker.C
-	}
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case work := <-box:
-			on(work)
-		case <-ticks:
-			beat()
-		}
-	}
-}
-
-// Wait blocks for d or until ctx ends; it tells whether the time ran out in full.
-//
-//	if !env.Wait(ctx, time.Second) { return }
-func Wait(ctx context.Context, duration time.Duration) bool {
-	timer := time.NewTimer(duration)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-timer.C:
-		return true
-	}
-}
-
 // Kind is what a setting must look like.
 type Kind int
 
 // The kinds of setting.
 const (
-	Text  Kind = iota // any string that is not empty
-	Addr              // ip:port
-	List              // ip:port, comma-separated; a JSON list in the file
-	Span              // a duration such as "2s"
-	Dir               // a folder
-	Hash              // 64 hex digits
-	Level             // a log level
-	IP                // an ip number
+	Text     Kind = iota // any string that is not empty
+	Addr                 // ip:port
+	List                 // ip:port, comma-separated; a JSON list in the file
+	Duration             // a duration such as "2s"
+	Dir                  // a folder
+	Hash                 // 64 hex digits
+	Level                // a log level
+	IP                   // an ip number
 )
 
 // Setting describes one setting: what the flag, the key in the file and the check are called.
@@ -100,31 +40,25 @@
 	Help       string
 }
 
-// Settings is what was settled: every setting by name.
-type Settings map[string]string
+// Values is what was settled: every setting by name.
+type Values map[string]string
 
 // Addrs splits a List setting.
-//
-//	for _, a := range set.Addrs("seeds") { ... }
-func (s Settings) Addrs(name string) []string {
+func (s Values) Addrs(name string) []string {
 	if s[name] == "" {
 		return nil
 	}
 	return strings.Split(s[name], ",")
 }
 
-// Span reads a Span setting, already checked.
-//
-//	d := set.Span("drain")
-func (s Settings) Span(name string) time.Duration {
+// Duration reads a Span setting, already checked.
+func (s Values) Duration(name string) time.Duration {
 	duration, _ := time.ParseDuration(s[name])
 	return duration
 }
 
-// Or reads a setting, or another where it is not set.
-//
-//	at := set.Or("listen", "addr")
-func (s Settings) Or(name, other string) string {
+// ValueOr reads a setting, or another where it is not set.
+func (s Values) ValueOr(name, other string) string {
 	if s[name] != "" {
 		return s[name]
 	}
@@ -135,8 +69,6 @@
 type Problems []string
 
 // Error joins them, a line each.
-//
-//	env.Trouble{"a", "b"}.Error()
 func (t Problems) Error() string { return strings.Join(t, "\n") }
 
 // Command is what the command line asked for beyond settings.
@@ -146,9 +78,7 @@
 }
 
 // Read settles the settings from args and, where -env names one, a JSON file. Flags win.
-//
-//	set, ask, err := env.Read("core", items, os.Args[1:])
-func Read(prog string, items []Setting, args []string) (Settings, Command, error) {
+func Read(prog string, items []Setting, args []string) (Values, Command, error) {
 	var command Command
 	flagSet := flag.NewFlagSet(prog, flag.ContinueOnError)
 	flagSet.StringVar(&command.File, "env", "", "settings file (JSON); flags win over it")
@@ -162,12 +92,12 @@
 		return nil, command, err
 	}
 	if command.Version {
-		return Settings{}, command, nil
+		return Values{}, command, nil
 	}
 	if flagSet.NArg() > 0 {
 		return nil, command, Problems{fmt.Sprintf("argument %q: nothing expected after the flags", flagSet.Arg(0))}
 	}
-	set := Settings{}
+	set := Values{}
 	for _, setting := range items {
 		set[setting.Name] = *values[setting.Name]
 	}
@@ -194,7 +124,7 @@
 	return set, command, nil
 }
 
-func parse(items []Setting, raw []byte) (Settings, Problems) {
+func parse(items []Setting, raw []byte) (Values, Problems) {
 	if !gjson.ValidBytes(raw) {
 		return nil, Problems{"settings file: valid JSON expected"}
 	}
@@ -206,7 +136,7 @@
 	for _, setting := range items {
 		know[setting.Name] = setting
 	}
-	set, problems := Settings{}, Problems{}
+	set, problems := Values{}, Problems{}
 	doc.ForEach(func(k, v gjson.Result) bool {
 		setting, ok := know[k.String()]
 		switch {
@@ -229,9 +159,7 @@
 }
 
 // Check tells everything that is wrong with a set, by name, value and what was expected.
-//
-//	if bad := env.Check(items, set); len(bad) > 0 { ... }
-func Check(items []Setting, set Settings) Problems {
+func Check(items []Setting, set Values) Problems {
 	var problems Problems
 	say := func(name, value, want string) {
 		problems = append(problems, fmt.Sprintf("setting %q: value %q: %s expected", name, value, want))
@@ -259,7 +187,7 @@
 					say(setting.Name, a, "ip:port in each place")
 				}
 			}
-		case Span:
+		case Duration:
 			if duration, err := time.ParseDuration(value); err != nil || duration <= 0 {
 				say(setting.Name, value, "a duration above zero, such as 2s")
 			}
--- a/internal/web/json.go
+++ b/internal/lib/web/json.go
@@ -17,8 +17,6 @@
 }
 
 // WriteJSON answers with a status and a JSON body.
-//
-//	web.WriteJSON(w, http.StatusOK, status)
 func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
@@ -26,8 +24,6 @@
 }
 
 // WriteError answers with a status and an ErrorBody.
-//
-//	web.WriteError(w, http.StatusUnauthorized, "unknown-key", "A known key is expected.")
 func WriteError(w http.ResponseWriter, status int, code, message string) {
 	WriteJSON(w, status, ErrorBody{Error{Code: code, Message: message}})
 }
--- a/internal/web/web.go
+++ b/internal/lib/web/web.go
@@ -22,8 +22,6 @@
 // Handler makes a rest router over fixed routes; all else goes to rest's not-found hook.
 // Every middleware of rest is off: its time-out and recover buffer streams or turn an abort into
 // a response, its gunzip changes bodies, its breaker, shedding and limits reject on their own.
-//
-//	h, err := web.Handler([]rest.Route{{Method: "GET", Path: "/alive", Handler: alive}}, front)
 func Handler(routes []rest.Route, other http.Handler) (http.Handler, error) {
 	silenceLogs.Do(func() {
 		logx.Disable()
@@ -51,8 +49,6 @@
 
 // Control gives the controls of a request's connection. rest wraps the writer without a way back to it,
 // so a deadline set through rest's would do nothing.
-//
-//	web.Control(w, r).SetReadDeadline(time.Now().Add(time.Second))
 func Control(w http.ResponseWriter, r *http.Request) *http.ResponseController {
 	if controller, ok := r.Context().Value(controllerKey{}).(*http.ResponseController); ok {
 		return controller
@@ -67,8 +63,6 @@
 }
 
 // Listen binds addr for a handler. head bounds the time a client may take to send its headers.
-//
-//	s, err := web.Listen("127.0.0.1:8501", h)
 func Listen(addr string, handler http.Handler) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -78,8 +72,6 @@
 }
 
 // NewServer serves a handler on a listener.
-//
-//	go web.NewServer(listener, handler).Run()
 func NewServer(listener net.Listener, handler http.Handler) *Server {
 	// Nothing of the request before on the same connection bounds the writing of this response.
 	fresh := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -92,8 +84,6 @@
 }
 
 // Run serves until Drain.
-//
-//	go s.Run()
 func (s *Server) Run() error {
 	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -102,6 +92,4 @@
 }
 
 // Drain takes no new connections and waits for requests under way, until ctx ends.
-//
-//	err := s.Drain(ctx)
 func (s *Server) Drain(ctx context.Context) error { return s.http.Shutdown(ctx) }
--- a/internal/fleetconfig/config.go
+++ b/internal/model/fleetconfig/config.go
@@ -106,32 +106,24 @@
 }
 
 // HashKey is how a key is written in a config: the hex SHA-256 of its text.
-//
-//	"keys": ["<fleetconfig.HashKey("s3cret")>"]
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
 // TenantByKey finds the tenant that a key belongs to.
-//
-//	tenant, ok := config.TenantByKey("s3cret")
 func (c *Config) TenantByKey(key string) (int, bool) {
 	return c.TenantByHash(HashKey(key))
 }
 
 // TenantByHash finds the tenant by the hash of a key, for those who hold only that.
-//
-//	tenant, ok := config.TenantByHash(fleetconfig.HashKey("s3cret"))
 func (c *Config) TenantByHash(hash string) (int, bool) {
 	i, ok := c.tenantByHash[hash]
 	return i, ok
 }
 
-// FindRoute finds the first route for a request: method, path and headers. known tells whether the path
+// FindRoute finds the first route for a request: method, path and headers. known reports whether the path
 // is mapped at all, by any method.
-//
-//	route, known := config.FindRoute("POST", "/v1/completions", req.Header.Get)
 func (c *Config) FindRoute(method, path string, head func(string) string) (route *Route, known bool) {
 	for i := range c.Routes {
 		route := &c.Routes[i]
@@ -153,7 +145,5 @@
 	return nil, known
 }
 
-// Admits tells whether a lane is open to a tenant.
-//
-//	if !lane.Admits(tenant) { ... }
+// Admits reports whether a lane is open to a tenant.
 func (l *Lane) Admits(tenant int) bool { return l.All || l.Tenants[tenant] }
--- a/internal/fleetconfig/merge.go
+++ b/internal/model/fleetconfig/merge.go
@@ -6,8 +6,6 @@
 )
 
 // Merge applies a JSON merge patch (RFC 7386) to a config's text.
-//
-//	next, err := fleetconfig.Merge(raw, []byte(`{"lanes":{"old":null}}`))
 func Merge(raw, patch []byte) ([]byte, error) {
 	var base, change any
 	if len(raw) > 0 {
--- a/internal/fleetconfig/parse.go
+++ b/internal/model/fleetconfig/parse.go
@@ -22,8 +22,6 @@
 }
 
 // Parse checks raw whole and tells every error, or gives the config.
-//
-//	config, errors := fleetconfig.Parse(raw)
 func Parse(raw []byte) (*Config, []FieldError) {
 	if len(raw) > MaxBytes {
 		return nil, []FieldError{{"", fmt.Sprintf("%d bytes; at most %d expected", len(raw), MaxBytes)}}
--- a/internal/fleetconfig/selector.go
+++ b/internal/model/fleetconfig/selector.go
@@ -17,8 +17,6 @@
 
 // ParseSelector reads "model=a, hall in (north,east), gpu, !canary"; the second value is
 // the plain sentence of what is wrong, or "".
-//
-//	sel, bad := fleetconfig.ParseSelector("model=lumen, hall notin (west)")
 func ParseSelector(s string) (Selector, string) {
 	var out Selector
 	for _, part := range splitTerms(s) {
@@ -95,9 +93,7 @@
 	return term, ""
 }
 
-// Match tells whether a label set satisfies every term.
-//
-//	if sel.Match(map[string]string{"model": "lumen"}) { ... }
+// Match reports whether a label set satisfies every term.
 func (s Selector) Match(tags map[string]string) bool {
 	for _, term := range s {
 		v, has := tags[term.Key]
--- a/internal/share/grown_test.go
+++ b/internal/model/quota/grown_test.go
@@ -1,4 +1,4 @@
-package share
+package quota
 
 import (
 	"context"
@@ -12,12 +12,12 @@
 
 	"pgregory.net/rapid"
 
-	"yarrowridge/internal/env"
+	"yarrowridge/internal/lib/daemon"
 )
 
 // crowd is a large fleet of holders that share one tenant's small quota.
 type crowd struct {
-	quotaShares []*QuotaShares
+	quotaShares []*Shares
 	moves       atomic.Int64
 	short       atomic.Bool
 }
@@ -26,26 +26,26 @@
 func newCrowd(ctx context.Context, holders, quota int, window time.Duration) *crowd {
 	c := &crowd{}
 	var mu sync.Mutex
-	var pool QuotaPool
+	var pool Pool
 	for i := range holders {
 		name := string(rune('A' + i))
-		ps := NewQuotaShares(env.Ctx{Context: ctx}, Ways{
-			Move: func(_ context.Context, move Move) (int, int, error) {
+		ps := NewShares(daemon.Context{Context: ctx}, Options{
+			Move: func(_ context.Context, move Transfer) (int, int, error) {
 				turn, n, give := move.Turn, move.Units, move.Give
 				c.moves.Add(1)
 				time.Sleep(5 * time.Millisecond)
 				mu.Lock()
 				defer mu.Unlock()
 				if give {
-					have, _ := pool.Give(name, turn, n)
-					return have, max(quota, pool.Out()), nil
+					have, _ := pool.Return(name, turn, n)
+					return have, max(quota, pool.Allocated()), nil
 				}
 				was := pool.Held[name].Units
-				have, _ := pool.Draw(name, turn, n, quota)
+				have, _ := pool.Acquire(name, turn, n, quota)
 				if have-was < n {
 					c.short.Store(true)
 				}
-				return have, max(quota, pool.Out()), nil
+				return have, max(quota, pool.Allocated()), nil
 			},
 			Nodes: func() int { return holders },
 			Short: func() []string {
@@ -84,8 +84,8 @@
 			asked++
 			ps := c.quotaShares[random.IntN(holders)]
 			all.Go(func() {
-				if ok, _ := ps.Keep(ctx, "t", 1); ok {
-					ps.For("t").Spend(1)
+				if ok, _ := ps.Reserve(ctx, "t", 1); ok {
+					ps.For("t").Commit(1)
 				} else {
 					refused.Add(1)
 				}
@@ -113,7 +113,7 @@
 		var all sync.WaitGroup
 		for range 20 {
 			all.Go(func() {
-				if ok, _ := c.quotaShares[0].Keep(ctx, "t", 1); !ok {
+				if ok, _ := c.quotaShares[0].Reserve(ctx, "t", 1); !ok {
 					refused.Add(1)
 				}
 			})
@@ -135,8 +135,8 @@
 		defer synctest.Wait()
 		defer time.Sleep(time.Second)
 		defer end()
-		ps := NewQuotaShares(env.Ctx{Context: ctx}, Ways{
-			Move: func(_ context.Context, move Move) (int, int, error) {
+		ps := NewShares(daemon.Context{Context: ctx}, Options{
+			Move: func(_ context.Context, move Transfer) (int, int, error) {
 				n := move.Units
 				time.Sleep(600 * time.Millisecond)
 				return n, 40, nil
@@ -147,12 +147,12 @@
 		go ps.Run()
 		time.Sleep(time.Second)
 		begun := time.Now()
-		if ok, _ := ps.Keep(ctx, "t", 1); ok || time.Since(begun) > 400*time.Millisecond {
+		if ok, _ := ps.Reserve(ctx, "t", 1); ok || time.Since(begun) > 400*time.Millisecond {
 			t.Errorf("without a deadline: %v after %s, a refusal within 400ms expected", ok, time.Since(begun))
 		}
 		bounded, cancel := context.WithTimeout(ctx, 800*time.Millisecond)
 		defer cancel()
-		if ok, _ := ps.Keep(bounded, "t", 1); !ok {
+		if ok, _ := ps.Reserve(bounded, "t", 1); !ok {
 			t.Errorf("with a deadline: refused after %s", time.Since(begun))
 		}
 	})
@@ -170,14 +170,14 @@
 			}
 			quota := rapid.IntRange(1, 60).Draw(rt, "quota")
 			tolerance := rapid.IntRange(0, 20).Draw(rt, "tolerance")
-			var pool QuotaPool
+			var pool Pool
 			var spendings []spending
 			names := []string{"a", "b", "c", "d"}
-			quotaShares, runs, cools := map[string]*QuotaShare{}, map[string]int{}, map[string]time.Time{}
+			quotaShares, runs, cools := map[string]*Share{}, map[string]int{}, map[string]time.Time{}
 			charge, charged := uint64(0), map[uint64]time.Time{}
 			const spans = 3
 			for _, name := range names {
-				quotaShares[name] = NewQuotaShare()
+				quotaShares[name] = NewShare()
 			}
 			for range rapid.IntRange(20, 150).Draw(rt, "steps") {
 				name := names[rapid.IntRange(0, 3).Draw(rt, "who")]
@@ -185,45 +185,45 @@
 				switch rapid.IntRange(0, 10).Draw(rt, "step") {
 				case 0, 1, 2, 3:
 					quotaShare.Rule(quota, window)
-					if turn, units, ok := quotaShare.Want(4); ok {
+					if turn, units, ok := quotaShare.NextAcquire(4); ok {
 						charge++
 						charged[charge] = time.Now()
-						have, _ := pool.DrawAbove(who, turn, units, quota, tolerance, charge)
+						have, _ := pool.AcquireWithTolerance(who, turn, units, quota, tolerance, charge)
 						if rapid.Bool().Draw(rt, "lost") {
-							have, _ = pool.DrawAbove(who, turn, units, quota, tolerance, charge)
+							have, _ = pool.AcquireWithTolerance(who, turn, units, quota, tolerance, charge)
 						}
-						quotaShare.Got(turn, have, pool.Under(quota))
+						quotaShare.Apply(turn, have, pool.Limit(quota))
 					}
 				case 4, 5, 6:
 					for {
-						if ok, _ := quotaShare.Keep(1); !ok {
+						if ok, _ := quotaShare.Reserve(1); !ok {
 							break
 						}
-						quotaShare.Spend(1)
+						quotaShare.Commit(1)
 						spendings = append(spendings, spending{1, time.Now()})
 					}
 				case 7:
 					time.Sleep(time.Duration(rapid.IntRange(1, 1500).Draw(rt, "ms")) * time.Millisecond)
 				case 8: // the holder dies and comes back as another run
-					pool.Retire(who)
+					pool.StartCooling(who)
 					cools[who] = time.Now()
 					runs[name]++
-					quotaShares[name] = NewQuotaShare()
+					quotaShares[name] = NewShare()
 				case 10:
-					if turn, units, ok := quotaShare.Spare(rapid.Bool().Draw(rt, "short"), 4); ok {
-						have, _ := pool.Give(who, turn, units)
-						quotaShare.Got(turn, have, pool.Under(quota))
+					if turn, units, ok := quotaShare.NextReturn(rapid.Bool().Draw(rt, "short"), 4); ok {
+						have, _ := pool.Return(who, turn, units)
+						quotaShare.Apply(turn, have, pool.Limit(quota))
 					}
 				case 9:
 					for dead, at := range cools {
 						if time.Since(at) > window+Margin {
-							pool.Thaw(dead)
+							pool.EndCooling(dead)
 							delete(cools, dead)
 						}
 					}
 					for id, at := range charged {
 						if time.Since(at) > (spans+1)*window+Margin {
-							pool.Uncharge(id)
+							pool.RemoveCharge(id)
 							delete(charged, id)
 						}
 					}
@@ -259,8 +259,8 @@
 		defer time.Sleep(10 * time.Second)
 		defer end()
 		var gone atomic.Bool
-		ps := NewQuotaShares(env.Ctx{Context: ctx}, Ways{
-			Move: func(ctx context.Context, move Move) (int, int, error) {
+		ps := NewShares(daemon.Context{Context: ctx}, Options{
+			Move: func(ctx context.Context, move Transfer) (int, int, error) {
 				n := move.Units
 				if gone.Load() {
 					<-ctx.Done()
@@ -273,19 +273,19 @@
 			Live:  func() bool { return !gone.Load() }})
 		go ps.Run()
 		time.Sleep(time.Second)
-		if ok, _ := ps.Keep(ctx, "t", 1); !ok {
+		if ok, _ := ps.Reserve(ctx, "t", 1); !ok {
 			t.Fatal("no unit drawn from a core that answers")
 		}
-		ps.For("t").Spend(1)
+		ps.For("t").Commit(1)
 		gone.Store(true)
 		time.Sleep(20 * time.Second)
 		bounded, cancel := context.WithTimeout(ctx, 800*time.Millisecond)
 		defer cancel()
-		if ok, _ := ps.Keep(bounded, "t", 1); !ok {
+		if ok, _ := ps.Reserve(bounded, "t", 1); !ok {
 			t.Error("the unit held here was given up while there was no core")
 		}
 		begun := time.Now()
-		if ok, _ := ps.Keep(bounded, "t", 1); ok || time.Since(begun) > 100*time.Millisecond {
+		if ok, _ := ps.Reserve(bounded, "t", 1); ok || time.Since(begun) > 100*time.Millisecond {
 			t.Errorf("%v after %s, a refusal within 100ms expected", ok, time.Since(begun))
 		}
 	})
--- a/internal/share/quotashare.go
+++ b/internal/model/quota/quotashare.go
@@ -1,4 +1,4 @@
-package share
+package quota
 
 import (
 	"math/bits"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"yarrowridge/internal/strike"
+	"yarrowridge/internal/lib/faultinjection"
 )
 
 // Margin is added to the window before a spent unit counts as back: it covers the time between
@@ -17,8 +17,8 @@
 // back a silent holder's units only after this and a window more.
 const Term = 24 * time.Hour
 
-// QuotaShare is a node's side: what it holds of one tenant's quota.
-type QuotaShare struct {
+// Share is a node's side: what it holds of one tenant's quota.
+type Share struct {
 	mu     sync.Mutex
 	units  int // held by the core's word
 	under  int // what all holders had, or the quota if larger, when the core last spoke
@@ -50,18 +50,14 @@
 	at time.Time
 }
 
-// NewQuotaShare makes an empty quotaShare.
-//
-//	p := share.NewQuotaShare()
-func NewQuotaShare() *QuotaShare {
-	return &QuotaShare{margin: Margin, heard: time.Now(), first: make(chan struct{}), changed: make(chan struct{})}
+// NewShare makes an empty quotaShare.
+func NewShare() *Share {
+	return &Share{margin: Margin, heard: time.Now(), first: make(chan struct{}), changed: make(chan struct{})}
 }
 
 // Rule sets the tenant's quota as the layout has it now. A lowered quota shrinks at once what may
 // be spent here, in proportion.
-//
-//	p.Rule(600, time.Minute)
-func (p *QuotaShare) Rule(quota int, window time.Duration) {
+func (p *Share) Rule(quota int, window time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.quota, p.window = quota, max(p.window, window)
@@ -70,7 +66,7 @@
 	}
 }
 
-func (p *QuotaShare) sweep(now time.Time) {
+func (p *Share) sweep(now time.Time) {
 	for len(p.spent) > 0 && now.Sub(p.spent[0].at) > p.window+p.margin {
 		p.out -= p.spent[0].n
 		p.spent = p.spent[1:]
@@ -78,14 +74,14 @@
 }
 
 // free is what may be promised now; the caller holds the lock.
-func (p *QuotaShare) free(now time.Time) int {
+func (p *Share) free(now time.Time) int {
 	p.sweep(now)
 	return p.cap() - p.out - p.kept
 }
 
 // cap is what of the units may be in use. Under a lowered quota each holder cuts its own part in
 // proportion, so that the sum is within the quota before any unit has been given back.
-func (p *QuotaShare) cap() int {
+func (p *Share) cap() int {
 	if p.under <= p.quota {
 		return p.units
 	}
@@ -94,11 +90,9 @@
 	return int(part)
 }
 
-// Keep reserves n units for a query that has been let in. False: not enough, and the time
+// Reserve reserves n units for a query that has been let in. False: not enough, and the time
 // after which to ask again.
-//
-//	if ok, again := p.Keep(1); !ok { ... }
-func (p *QuotaShare) Keep(n int) (bool, time.Duration) {
+func (p *Share) Reserve(n int) (bool, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -110,7 +104,7 @@
 	if now.Sub(p.heard) > Term {
 		return false, time.Minute
 	}
-	if p.free(now) < n && !strike.Out("quota") {
+	if p.free(now) < n && !faultinjection.Disabled("quota") {
 		p.need = max(p.need, n)
 		return false, p.again(n, now)
 	}
@@ -126,7 +120,7 @@
 
 // again is when to ask again for n units: once units spent here are back, or when others may have given
 // some. The caller holds the lock and has swept.
-func (p *QuotaShare) again(n int, now time.Time) time.Duration {
+func (p *Share) again(n int, now time.Time) time.Duration {
 	if len(p.spent) == 0 || p.units < n {
 		return againLeast
 	}
@@ -135,10 +129,7 @@
 }
 
 // Await counts n units that a request waits for; a draw asks for as many as all of them need. -n ends it.
-//
-//	p.Await(1)
-//	defer p.Await(-1)
-func (p *QuotaShare) Await(n int) {
+func (p *Share) Await(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.queue += n
@@ -158,7 +149,7 @@
 const maxCosts = 64
 
 // Waiting lists what the requests cost that wait now, in the order in which they came; nil where each costs a unit.
-func (p *QuotaShare) Waiting() []int {
+func (p *Share) Waiting() []int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.uneven {
@@ -167,17 +158,15 @@
 	return slices.Clone(p.costs[:min(len(p.costs), maxCosts)])
 }
 
-// Busy tells whether the core has been asked and has not answered yet.
-func (p *QuotaShare) Busy() bool {
+// Busy reports whether the core has been asked and has not answered yet.
+func (p *Share) Busy() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.busy
 }
 
 // Changed is closed by the core's next word. dry: it had too little just now.
-//
-//	next, dry := p.Changed()
-func (p *QuotaShare) Changed() (next <-chan struct{}, dry bool) {
+func (p *Share) Changed() (next <-chan struct{}, dry bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.changed, time.Now().Before(p.dry)
@@ -186,19 +175,15 @@
 // scarceFor is how long a quota counts as scarce once the core had too little left of it.
 const scarceFor = time.Second
 
-// Scarce tells whether the core lately had too little left of the quota.
-//
-//	if p.Scarce() { ... }
-func (p *QuotaShare) Scarce() bool {
+// Scarce reports whether the core lately had too little left of the quota.
+func (p *Share) Scarce() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.dry.IsZero() && time.Since(p.dry) < scarceFor
 }
 
-// Spend turns a reservation into a spend: the query leaves now.
-//
-//	p.Spend(1)
-func (p *QuotaShare) Spend(n int) {
+// Commit turns a reservation into a spend: the query leaves now.
+func (p *Share) Commit(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.kept -= n
@@ -206,19 +191,15 @@
 	p.spent = append(p.spent, spend{n, time.Now()})
 }
 
-// Loose ends a reservation unspent.
-//
-//	p.Loose(1)
-func (p *QuotaShare) Loose(n int) {
+// Cancel ends a reservation unspent.
+func (p *Share) Cancel(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.kept -= n
 }
 
-// Heard notes that the core was heard of.
-//
-//	p.Heard()
-func (p *QuotaShare) Heard() {
+// RecordContact notes that the core was heard of.
+func (p *Share) RecordContact() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.heard = time.Now()
@@ -241,11 +222,11 @@
 	unevenSpan    = time.Second // and what is spent in so long
 )
 
-// reserve is how many free units should be at hand. Where the equal parts of all nodes are smaller than a
+// minReserve is how many free units should be at hand. Where the equal parts of all nodes are smaller than a
 // few units, one that spends nothing holds none: they would lie idle everywhere. The same holds while the
 // fleet is not known (nodes is 0): after a restart of all, each would ask for units of every tenant. The caller
 // holds the lock and has swept.
-func (p *QuotaShare) reserve(nodes int) int {
+func (p *Share) minReserve(nodes int) int {
 	wanted := max(p.need, p.queue)
 	if p.units == 0 && p.out == 0 {
 		if nodes == 0 {
@@ -268,26 +249,22 @@
 	return max(least, wanted, int(spent+0.999))
 }
 
-// IsSmall tells whether a quota is too small for each node to keep a unit idle. With an unknown number of
+// IsSmall reports whether a quota is too small for each node to keep a unit idle. With an unknown number of
 // nodes (0) it counts as small.
-//
-//	if share.IsSmall(40, 74) { ... }
 func IsSmall(quota, nodes int) bool { return nodes == 0 || quota < idlePart*nodes }
 
-// scarce tells whether the core lately had too little: within a window, where costs are even, since units come back with it.
+// scarce reports whether the core lately had too little: within a window, where costs are even, since units come back with it.
 // Uneven ones come back all the time. The caller holds the lock.
-func (p *QuotaShare) scarce(now time.Time) bool {
+func (p *Share) scarce(now time.Time) bool {
 	if p.uneven {
 		return now.Sub(p.lacked) < scarceFor
 	}
 	return now.Sub(p.lacked) < p.window
 }
 
-// Want starts a draw if one is called for: it tells the turn and how much to ask, or ok false.
+// NextAcquire starts a draw if one is called for: it tells the turn and how much to ask, or ok false.
 // Until Got is called no other move starts: a turn whose answer was lost is asked again as it was.
-//
-//	turn, n, ok := p.Want(14)
-func (p *QuotaShare) Want(nodes int) (turn uint64, n int, ok bool) {
+func (p *Share) NextAcquire(nodes int) (turn uint64, n int, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -295,7 +272,7 @@
 		return 0, 0, false
 	}
 	free := p.free(now)
-	reserve := p.reserve(nodes)
+	reserve := p.minReserve(nodes)
 	if free >= max(p.need, p.queue, (reserve+1)/2) {
 		return 0, 0, false
 	}
@@ -305,11 +282,9 @@
 	return p.turn, p.asked, true
 }
 
-// Spare starts a give of units that lie idle here: more of them if the fleet is short of this tenant's
+// NextReturn starts a give of units that lie idle here: more of them if the fleet is short of this tenant's
 // units. They are struck off at once, before the core may hand them on.
-//
-//	turn, n, ok := p.Spare(true, 14)
-func (p *QuotaShare) Spare(short bool, nodes int) (turn uint64, n int, ok bool) {
+func (p *Share) NextReturn(short bool, nodes int) (turn uint64, n int, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -326,7 +301,7 @@
 	}
 	p.sweep(now)
 	idle := p.units - p.out - p.kept
-	reserve := p.reserve(nodes)
+	reserve := p.minReserve(nodes)
 	switch {
 	case short:
 		n = idle / 2
@@ -350,10 +325,8 @@
 	return p.turn, n, true
 }
 
-// Got ends a draw or a give with the core's word on what is held now.
-//
-//	p.Got(turn, 40, 600)
-func (p *QuotaShare) Got(turn uint64, have, under int) {
+// Apply ends a draw or a give with the core's word on what is held now.
+func (p *Share) Apply(turn uint64, have, under int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if turn != p.turn || !p.busy {
@@ -377,10 +350,8 @@
 	p.changed = make(chan struct{})
 }
 
-// Stat tells what is held, what may be spent now, and what was spent in the window.
-//
-//	held, free, out := p.Stat()
-func (p *QuotaShare) Stat() (held, free, out int) {
+// Stats tells what is held, what may be spent now, and what was spent in the window.
+func (p *Share) Stats() (held, free, out int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f := p.free(time.Now())
--- a/internal/share/quotashares.go
+++ b/internal/model/quota/quotashares.go
@@ -1,4 +1,4 @@
-package share
+package quota
 
 import (
 	"context"
@@ -6,11 +6,12 @@
 	"sync"
 	"time"
 
-	"yarrowridge/internal/env"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/lib/runloop"
 )
 
-// Move is a draw or a give of units.
-type Move struct {
+// Transfer is a draw or a give of units.
+type Transfer struct {
 	Tenant string
 	Turn   uint64 // of this holder and tenant: one that was taken already changes nothing
 	Units  int
@@ -18,12 +19,12 @@
 	Give   bool
 }
 
-// Mover asks the core for a move and tells what is held after it, and under what sum.
-type Mover func(ctx context.Context, move Move) (have, under int, err error)
+// TransferFunc asks the core for a move and tells what is held after it, and under what sum.
+type TransferFunc func(ctx context.Context, move Transfer) (have, under int, err error)
 
-// Ways are what the quotaShares of a node ask of the rest of it.
-type Ways struct {
-	Move  Mover
+// Options are what the quotaShares of a node ask of the rest of it.
+type Options struct {
+	Move  TransferFunc
 	Nodes func() int      // live nodes
 	Short func() []string // tenants whose idle units are wanted back
 	Rules func() []Rule   // the quotas of the layout in force
@@ -34,13 +35,13 @@
 	Margin time.Duration
 }
 
-// QuotaShares are a node's quotaShares, and the part that moves units to and from them.
-type QuotaShares struct {
-	ctx  env.Ctx
-	ways Ways
+// Shares are a node's quotaShares, and the part that moves units to and from them.
+type Shares struct {
+	ctx  daemon.Context
+	ways Options
 	bell chan struct{}
 	mu   sync.Mutex
-	all  map[string]*QuotaShare
+	all  map[string]*Share
 }
 
 // Rule is a tenant's quota as the layout has it.
@@ -50,22 +51,18 @@
 	Window time.Duration
 }
 
-// NewQuotaShares makes the quotaShares of a node.
-//
-//	ps := share.NewQuotaShares(ctx, share.Ways{Move: move, Nodes: nodes, Short: hub.Short, Rules: rules, Live: live})
-func NewQuotaShares(ctx env.Ctx, ways Ways) *QuotaShares {
-	return &QuotaShares{ctx: ctx, ways: ways, bell: make(chan struct{}, 1), all: map[string]*QuotaShare{}}
+// NewShares makes the quotaShares of a node.
+func NewShares(ctx daemon.Context, ways Options) *Shares {
+	return &Shares{ctx: ctx, ways: ways, bell: make(chan struct{}, 1), all: map[string]*Share{}}
 }
 
 // For gives a tenant's quotaShare.
-//
-//	ok, again := ps.For("counter").Keep(1)
-func (ps *QuotaShares) For(tenant string) *QuotaShare {
+func (ps *Shares) For(tenant string) *Share {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	p := ps.all[tenant]
 	if p == nil {
-		p = NewQuotaShare()
+		p = NewShare()
 		if ps.ways.Margin > 0 {
 			p.margin = ps.ways.Margin
 		}
@@ -80,11 +77,9 @@
 	drawWait  = 35 * time.Millisecond
 )
 
-// Keep reserves units of a tenant's quota. Where they are short here it waits a moment for more from the
+// Reserve reserves units of a tenant's quota. Where they are short here it waits a moment for more from the
 // core; where the context has a deadline, it waits until then for a core that has just fallen silent.
-//
-//	ok, again := ps.Keep(ctx, "counter", 1)
-func (ps *QuotaShares) Keep(ctx context.Context, tenant string, n int) (bool, time.Duration) {
+func (ps *Shares) Reserve(ctx context.Context, tenant string, n int) (bool, time.Duration) {
 	p := ps.For(tenant)
 	wait := drawWait
 	select {
@@ -96,7 +91,7 @@
 	var timer *time.Timer
 	for expired := false; ; {
 		changed, _ := p.Changed()
-		ok, again := p.Keep(n)
+		ok, again := p.Reserve(n)
 		if ok {
 			return true, 0
 		}
@@ -121,18 +116,16 @@
 }
 
 // draw starts a draw where one is called for.
-func (ps *QuotaShares) draw(tenant string, p *QuotaShare) bool {
-	turn, n, ok := p.Want(ps.ways.Nodes())
+func (ps *Shares) draw(tenant string, p *Share) bool {
+	turn, n, ok := p.NextAcquire(ps.ways.Nodes())
 	if ok {
-		go ps.carry(p, Move{Tenant: tenant, Turn: turn, Units: n, Costs: p.Waiting()})
+		go ps.carry(p, Transfer{Tenant: tenant, Turn: turn, Units: n, Costs: p.Waiting()})
 	}
 	return ok
 }
 
 // Wake looks at once whether units should be drawn.
-//
-//	ps.Wake()
-func (ps *QuotaShares) Wake() {
+func (ps *Shares) Wake() {
 	select {
 	case ps.bell <- struct{}{}:
 	default:
@@ -140,9 +133,7 @@
 }
 
 // Names lists the tenants that have a quotaShare here.
-//
-//	for _, t := range ps.Names() { ... }
-func (ps *QuotaShares) Names() []string {
+func (ps *Shares) Names() []string {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	var out []string
@@ -156,9 +147,7 @@
 const roundEvery = 500 * time.Millisecond
 
 // Run draws and gives until the context ends.
-//
-//	go ps.Run()
-func (ps *QuotaShares) Run() {
+func (ps *Shares) Run() {
 	select { // nodes that started together do not ask the core together
 	case <-time.After(rand.N(roundEvery)):
 	case <-ps.bell:
@@ -166,10 +155,10 @@
 		return
 	}
 	ps.round()
-	env.Loop(ps.ctx, ps.bell, roundEvery, func(struct{}) { ps.round() }, ps.round)
+	runloop.Run(ps.ctx, ps.bell, roundEvery, func(struct{}) { ps.round() }, ps.round)
 }
 
-func (ps *QuotaShares) round() {
+func (ps *Shares) round() {
 	short := map[string]bool{}
 	for _, t := range ps.ways.Short() {
 		short[t] = true
@@ -180,7 +169,7 @@
 	for _, t := range ps.Names() {
 		p := ps.For(t)
 		if ps.ways.Live() {
-			p.Heard()
+			p.RecordContact()
 		}
 		if ps.draw(t, p) {
 			continue
@@ -188,13 +177,13 @@
 		if !ps.fresh() {
 			continue // units given now would be lost here, and no core could hand them on
 		}
-		if turn, n, ok := p.Spare(short[t], ps.ways.Nodes()); ok {
-			go ps.carry(p, Move{Tenant: t, Turn: turn, Units: n, Give: true})
+		if turn, n, ok := p.NextReturn(short[t], ps.ways.Nodes()); ok {
+			go ps.carry(p, Transfer{Tenant: t, Turn: turn, Units: n, Give: true})
 		}
 	}
 }
 
-func (ps *QuotaShares) fresh() bool {
+func (ps *Shares) fresh() bool {
 	if ps.ways.Fresh == nil {
 		return ps.ways.Live()
 	}
@@ -202,16 +191,16 @@
 }
 
 // carry repeats one turn until the core has answered it: a lost answer changes nothing.
-func (ps *QuotaShares) carry(p *QuotaShare, move Move) {
+func (ps *Shares) carry(p *Share, move Transfer) {
 	for {
 		ctx, end := context.WithTimeout(ps.ctx, 5*time.Second)
 		have, under, err := ps.ways.Move(ctx, move)
 		end()
 		if err == nil {
-			p.Got(move.Turn, have, under)
+			p.Apply(move.Turn, have, under)
 			return
 		}
-		if !env.Wait(ps.ctx, 500*time.Millisecond) {
+		if !runloop.Sleep(ps.ctx, 500*time.Millisecond) {
 			return
 		}
 	}
--- a/internal/share/saving.go
+++ b/internal/model/quota/saving.go
@@ -1,4 +1,4 @@
-package share
+package quota
 
 import "time"
 
@@ -8,7 +8,7 @@
 
 // DrawDivisor is the part of what is free that one draw may get beyond what requests wait for: after a restart all routers
 // draw at once, and the first must not leave the others without any.
-const DrawDivisor = 8
+const AcquireDivisor = 8
 
 // Saving shares out the free units of one quota among draws whose requests cost unequal numbers of them. A request gets
 // all of its units or none: parts of large costs, held by many routers, would be of use to nobody. While one was
@@ -24,8 +24,6 @@
 // Draw gives the units that a draw gets of those that are free: for each of the costs in their order as far as there are
 // enough, and beyond that as many as are wanted, up to a part of what is left. Nothing is saved for a cost above most,
 // the whole quota. short: one of the costs was not paid.
-//
-//	units, short := saving.Draw(now, free, 500_000, []int{17_000, 300}, 20_000)
 func (s *Saving) Draw(now time.Time, free, most int, costs []int, wanted int) (units int, short bool) {
 	s.save(now, free)
 	left, sum := free, 0
@@ -47,7 +45,7 @@
 			*s = Saving{}
 		}
 	}
-	if extra := min(wanted-sum, (left-s.saved+DrawDivisor-1)/DrawDivisor); extra > 0 && !short {
+	if extra := min(wanted-sum, (left-s.saved+AcquireDivisor-1)/AcquireDivisor); extra > 0 && !short {
 		left -= extra
 	}
 	s.lastFree = left
--- a/internal/share/saving_test.go
+++ b/internal/model/quota/saving_test.go
@@ -1,4 +1,4 @@
-package share
+package quota
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	"yarrowridge/internal/env"
+	"yarrowridge/internal/lib/daemon"
 )
 
 // A draw never gets more than is free, and of what it gets each request is paid whole: without a refusal all of them are.
@@ -79,11 +79,11 @@
 // unevenCrowd is routers that draw from one pool as the core lets them.
 type unevenCrowd struct {
 	mu     sync.Mutex
-	pool   QuotaPool
+	pool   Pool
 	saving Saving
 	quota  atomic.Int64
 	short  atomic.Bool
-	shares []*QuotaShares
+	shares []*Shares
 }
 
 func newUnevenCrowd(ctx context.Context, count, quota int, window time.Duration) *unevenCrowd {
@@ -91,8 +91,8 @@
 	c.quota.Store(int64(quota))
 	for i := range count {
 		who := string(rune('a' + i))
-		shares := NewQuotaShares(env.Ctx{Context: ctx}, Ways{
-			Move: func(_ context.Context, move Move) (int, int, error) {
+		shares := NewShares(daemon.Context{Context: ctx}, Options{
+			Move: func(_ context.Context, move Transfer) (int, int, error) {
 				time.Sleep(time.Duration(rand.IntN(10)) * time.Millisecond)
 				return c.move(who, move)
 			},
@@ -111,22 +111,22 @@
 	return c
 }
 
-func (c *unevenCrowd) move(who string, move Move) (int, int, error) {
+func (c *unevenCrowd) move(who string, move Transfer) (int, int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	quota := int(c.quota.Load())
 	if move.Give {
-		have, _ := c.pool.Give(who, move.Turn, move.Units)
-		return have, c.pool.Under(quota), nil
+		have, _ := c.pool.Return(who, move.Turn, move.Units)
+		return have, c.pool.Limit(quota), nil
 	}
-	free := max(0, quota-c.pool.Out())
-	units, short := min(move.Units, (free+DrawDivisor-1)/DrawDivisor), false
+	free := max(0, quota-c.pool.Allocated())
+	units, short := min(move.Units, (free+AcquireDivisor-1)/AcquireDivisor), false
 	if len(move.Costs) > 0 {
 		units, short = c.saving.Draw(time.Now(), free, quota, move.Costs, move.Units)
 	}
-	have, _ := c.pool.Draw(who, move.Turn, units, quota)
+	have, _ := c.pool.Acquire(who, move.Turn, units, quota)
 	c.short.Store(short || free-units < quota/8)
-	return have, c.pool.Under(quota), nil
+	return have, c.pool.Limit(quota), nil
 }
 
 // spentUnits is one request that was let in.
@@ -144,9 +144,9 @@
 		all.Go(func() {
 			units := cost()
 			shares := c.shares[rand.IntN(len(c.shares))]
-			ok, _ := shares.Keep(ctx, "t", units)
+			ok, _ := shares.Reserve(ctx, "t", units)
 			if ok {
-				shares.For("t").Spend(units)
+				shares.For("t").Commit(units)
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -249,39 +249,39 @@
 func TestUnevenReserve(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const quota, nodes, cost = 640_000, 40, 400
-		p := NewQuotaShare()
+		p := NewShare()
 		p.Rule(quota, 8*time.Second)
 		draw := func() int {
-			turn, units, ok := p.Want(nodes)
+			turn, units, ok := p.NextAcquire(nodes)
 			if !ok {
 				return 0
 			}
-			held, _, _ := p.Stat()
-			p.Got(turn, held+units, quota)
+			held, _, _ := p.Stats()
+			p.Apply(turn, held+units, quota)
 			return units
 		}
 		draw()
 		for range 60 { // one request now and then: little is spent in any window
 			time.Sleep(2 * time.Second)
-			if ok, _ := p.Keep(cost); !ok {
+			if ok, _ := p.Reserve(cost); !ok {
 				t.Fatal("a small request found nothing at hand")
 			}
-			p.Spend(cost)
+			p.Commit(cost)
 			draw()
-			if turn, _, ok := p.Spare(false, nodes); ok {
-				held, _, _ := p.Stat()
-				p.Got(turn, held, quota)
+			if turn, _, ok := p.NextReturn(false, nodes); ok {
+				held, _, _ := p.Stats()
+				p.Apply(turn, held, quota)
 			}
 		}
-		if _, free, _ := p.Stat(); free < cost || free > quota/nodes {
+		if _, free, _ := p.Stats(); free < cost || free > quota/nodes {
 			t.Errorf("%d units at hand", free)
 		}
-		turn, _, ok := p.Spare(true, nodes)
+		turn, _, ok := p.NextReturn(true, nodes)
 		if !ok {
 			t.Fatal("nothing is given back though units are scarce")
 		}
-		held, free, _ := p.Stat()
-		p.Got(turn, held, quota)
+		held, free, _ := p.Stats()
+		p.Apply(turn, held, quota)
 		if free != 0 {
 			t.Errorf("%d units kept though they are scarce", free)
 		}
--- a/internal/share/share_test.go
+++ b/internal/model/quota/share_test.go
@@ -1,4 +1,4 @@
-package share
+package quota
 
 import (
 	"context"
@@ -11,12 +11,12 @@
 
 	"pgregory.net/rapid"
 
-	"yarrowridge/internal/env"
+	"yarrowridge/internal/lib/daemon"
 )
 
 // whole is the quota system of some holders and one core, with answers that get lost.
 type whole struct {
-	pool  QuotaPool
+	pool  Pool
 	quota int
 }
 
@@ -28,10 +28,10 @@
 			const window = 10 * time.Second
 			w := whole{quota: rapid.IntRange(1, 60).Draw(rt, "quota")}
 			names := []string{"a", "b", "c", "d"}
-			quotaShares := map[string]*QuotaShare{}
+			quotaShares := map[string]*Share{}
 			cool := map[string]time.Time{}
 			for _, n := range names {
-				quotaShares[n] = NewQuotaShare()
+				quotaShares[n] = NewShare()
 			}
 			type hit struct {
 				n  int
@@ -51,45 +51,45 @@
 				switch rapid.IntRange(0, 9).Draw(rt, "step") {
 				case 0, 1, 2: // draw; the answer may be lost, and the turn asked again
 					p.Rule(w.quota, window)
-					if turn, k, ok := p.Want(4); ok {
-						have, _ := w.pool.Draw(n, turn, k, w.quota)
-						under := max(w.quota, w.pool.Out())
+					if turn, k, ok := p.NextAcquire(4); ok {
+						have, _ := w.pool.Acquire(n, turn, k, w.quota)
+						under := max(w.quota, w.pool.Allocated())
 						if rapid.Bool().Draw(rt, "lost") {
-							have, _ = w.pool.Draw(n, turn, k, w.quota)
-							under = max(w.quota, w.pool.Out())
+							have, _ = w.pool.Acquire(n, turn, k, w.quota)
+							under = max(w.quota, w.pool.Allocated())
 						}
-						p.Got(turn, have, under)
+						p.Apply(turn, have, under)
 					}
 				case 3: // give
-					if turn, k, ok := p.Spare(rapid.Bool().Draw(rt, "short"), 4); ok {
-						w.pool.Give(n, turn, k)
-						have, _ := w.pool.Give(n, turn, k)
-						p.Got(turn, have, max(w.quota, w.pool.Out()))
+					if turn, k, ok := p.NextReturn(rapid.Bool().Draw(rt, "short"), 4); ok {
+						w.pool.Return(n, turn, k)
+						have, _ := w.pool.Return(n, turn, k)
+						p.Apply(turn, have, max(w.quota, w.pool.Allocated()))
 					}
 				case 4, 5, 6:
 					k := rapid.IntRange(1, 4).Draw(rt, "units")
 					for range rapid.SampledFrom([]int{1, 100}).Draw(rt, "times") {
-						if ok, _ := p.Keep(k); !ok {
+						if ok, _ := p.Reserve(k); !ok {
 							break
 						}
-						p.Spend(k)
+						p.Commit(k)
 						hits = append(hits, hit{k, time.Now()})
 					}
 				case 7:
 					time.Sleep(time.Duration(rapid.IntRange(1, 4000).Draw(rt, "ms")) * time.Millisecond)
 				case 8: // the holder dies and comes back as another run under the same name
 					lives++
-					w.pool.Retire(n)
+					w.pool.StartCooling(n)
 					cool[n] = time.Now()
-					quotaShares[n] = NewQuotaShare()
+					quotaShares[n] = NewShare()
 				case 9:
 					for who, at := range cool {
-						if time.Since(at) > window+2*Margin && w.pool.Thaw(who) {
+						if time.Since(at) > window+2*Margin && w.pool.EndCooling(who) {
 							delete(cool, who)
 						}
 					}
 				}
-				if out := w.pool.Out(); out > w.quota {
+				if out := w.pool.Allocated(); out > w.quota {
 					rt.Fatalf("%d units out of a quota of %d", out, w.quota)
 				}
 			}
@@ -117,14 +117,14 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		high := rapid.IntRange(10, 200).Draw(rt, "high")
 		low := rapid.IntRange(1, high).Draw(rt, "low")
-		var pool QuotaPool
-		var all []*QuotaShare
+		var pool Pool
+		var all []*Share
 		for i := range 5 {
-			p := NewQuotaShare()
+			p := NewShare()
 			p.Rule(high, time.Minute)
-			if turn, _, ok := p.Want(1); ok {
-				have, _ := pool.Draw(string(rune('a'+i)), turn, rapid.IntRange(0, high).Draw(rt, "units"), high)
-				p.Got(turn, have, max(high, pool.Out()))
+			if turn, _, ok := p.NextAcquire(1); ok {
+				have, _ := pool.Acquire(string(rune('a'+i)), turn, rapid.IntRange(0, high).Draw(rt, "units"), high)
+				p.Apply(turn, have, max(high, pool.Allocated()))
 			}
 			all = append(all, p)
 		}
@@ -132,10 +132,10 @@
 		for _, p := range all {
 			p.Rule(low, time.Minute)
 			for {
-				if ok, _ := p.Keep(1); !ok {
+				if ok, _ := p.Reserve(1); !ok {
 					break
 				}
-				p.Spend(1)
+				p.Commit(1)
 				sum++
 			}
 		}
@@ -154,26 +154,26 @@
 		var live atomic.Bool
 		live.Store(true)
 		var mu sync.Mutex
-		var pool QuotaPool
-		ps := NewQuotaShares(env.Ctx{Context: ctx}, Ways{
-			Move: func(_ context.Context, move Move) (int, int, error) {
+		var pool Pool
+		ps := NewShares(daemon.Context{Context: ctx}, Options{
+			Move: func(_ context.Context, move Transfer) (int, int, error) {
 				turn, n := move.Turn, move.Units
 				mu.Lock()
 				defer mu.Unlock()
 				if !live.Load() {
 					return 0, 0, errors.New("cut off")
 				}
-				have, _ := pool.Draw("a", turn, n, 100)
-				return have, max(100, pool.Out()), nil
+				have, _ := pool.Acquire("a", turn, n, 100)
+				return have, max(100, pool.Allocated()), nil
 			},
 			Nodes: func() int { return 1 }, Short: func() []string { return nil },
 			Rules: func() []Rule { return []Rule{{"t", 100, 10 * time.Second}} },
 			Live:  live.Load})
 		go ps.Run()
 		spend := func() bool {
-			ok, _ := ps.Keep(ctx, "t", 1)
+			ok, _ := ps.Reserve(ctx, "t", 1)
 			if ok {
-				ps.For("t").Spend(1)
+				ps.For("t").Commit(1)
 			}
 			return ok
 		}
--- a/internal/share/tolerance_test.go
+++ b/internal/model/quota/tolerance_test.go
@@ -1,4 +1,4 @@
-package share
+package quota
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 // greedyFleet is a fleet of holders that draw and spend all they can, and die, in steps of time. It has no clock
 // but its own, and its spends take no time, so that it comes as near to the limit as can be.
 type greedyFleet struct {
-	pool             QuotaPool
+	pool             Pool
 	quota, tolerance int
 	period, window   int // in steps
 	keep             int // how long a charge counts
@@ -44,14 +44,14 @@
 func (f *greedyFleet) draw(name string) {
 	f.turn++
 	f.charged[f.turn] = f.now
-	f.holders[name].units, _ = f.pool.DrawAbove(f.who(name), f.turn, 1000, f.quota, f.tolerance, f.turn)
+	f.holders[name].units, _ = f.pool.AcquireWithTolerance(f.who(name), f.turn, 1000, f.quota, f.tolerance, f.turn)
 }
 
 // spend has a holder spend all units that it has not spent within the period.
 func (f *greedyFleet) spend(name string) {
 	h := f.holders[name]
 	cap := h.units
-	if under := f.pool.Under(f.quota); under > f.quota {
+	if under := f.pool.Limit(f.quota); under > f.quota {
 		cap = cap * f.quota / under
 	}
 	for at, units := range h.spent {
@@ -75,12 +75,12 @@
 		}
 	}
 	f.turn++
-	h.units, _ = f.pool.Give(f.who(name), f.turn, max(idle, 0))
+	h.units, _ = f.pool.Return(f.who(name), f.turn, max(idle, 0))
 }
 
 // die has a holder die and come back as another run.
 func (f *greedyFleet) die(name string) {
-	f.pool.Retire(f.who(name))
+	f.pool.StartCooling(f.who(name))
 	f.died[f.who(name)] = f.now
 	f.holders[name] = &greedyHolder{run: f.holders[name].run + 1, spent: map[int]int{}}
 }
@@ -91,13 +91,13 @@
 	f.spent = append(f.spent, 0)
 	for who, at := range f.died {
 		if f.now-at >= f.period {
-			f.pool.Thaw(who)
+			f.pool.EndCooling(who)
 			delete(f.died, who)
 		}
 	}
 	for id, at := range f.charged {
 		if f.now-at >= f.keep {
-			f.pool.Uncharge(id)
+			f.pool.RemoveCharge(id)
 			delete(f.charged, id)
 		}
 	}
--- a/internal/routing/runner.go
+++ b/internal/model/routing/runner.go
@@ -42,7 +42,7 @@
 	Sequence     uint64        `msg:"q" json:"sequence"` // goes up with every heartbeat
 }
 
-// SaysSame tells whether two words of one runner say the same to routers: all but the heartbeats' numbers and how
+// SaysSame reports whether two words of one runner say the same to routers: all but the heartbeats' numbers and how
 // long exactly it stays slow.
 func (r Runner) SaysSame(other Runner) bool {
 	return r.State == other.State && r.Address == other.Address && r.Service == other.Service && r.Zone == other.Zone &&
--- a/internal/compat/disk_test.go
+++ b/internal/testing/compat/disk_test.go
@@ -12,11 +12,12 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/store"
-	"yarrowridge/internal/view"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/core"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/paxos"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/transport/wire"
 )
 
 // A data folder that an older core left is read whole: identity, view, version, and every key with its bytes. What a
@@ -42,7 +43,7 @@
 		return "", err
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	voter, err := view.Open(disk, time.Second, log)
+	voter, err := paxos.Open(disk, time.Second, log)
 	if err != nil {
 		return "", err
 	}
@@ -50,8 +51,8 @@
 	if err != nil {
 		return "", err
 	}
-	lines := []string{fmt.Sprintf("identity %s", voter.Id()), fmt.Sprintf("version %d", opened.Seq())}
-	opened.Each("", func(key string, value []byte) { lines = append(lines, fmt.Sprintf("key %q %x", key, value)) })
+	lines := []string{fmt.Sprintf("identity %s", voter.ID()), fmt.Sprintf("version %d", opened.Version())}
+	opened.ForEachWithPrefix("", func(key string, value []byte) { lines = append(lines, fmt.Sprintf("key %q %x", key, value)) })
 	slices.Sort(lines)
 	return strings.Join(append(lines, leadAgain(t, disk, log)...), "\n") + "\n", nil
 }
@@ -71,7 +72,7 @@
 // leadAgain runs a core on the disk until it is ready, and lists in JSON what it then tells.
 func leadAgain(t *testing.T, disk store.Disk, log *slog.Logger) []string {
 	t.Helper()
-	ctx := env.Ctx{Context: t.Context(), Name: "core-1", Zone: "east", Log: log, Net: wire.TCP{}}
+	ctx := daemon.Context{Context: t.Context(), Name: "core-1", Zone: "east", Log: log, Net: wire.TCP{}}
 	server, err := core.Open(ctx, core.Settings{AllowNoBackup: true}, disk)
 	if err != nil {
 		t.Fatal(err)
@@ -99,12 +100,12 @@
 		request  message
 		response message
 	}{
-		{"core.layout", &core.ConfigRequest{}, &core.StoredConfig{}},
-		{"core.layout", &core.ConfigRequest{Version: 2}, &core.StoredConfig{}},
-		{"core.sessions", &core.ConfigRequest{}, &core.SessionDirectory{}},
-		{"core.write", &core.WriteRequest{Id: "write-1", AnyVersion: true, Raw: []byte("{}")}, &core.WriteResponse{}},
-		{"core.take", &core.ClaimRequest{Key: "alpha/key-0", Claim: core.Claim{RequestHash: "hash-0", Claimant: "attempt-2"}}, &core.ClaimResponse{}},
-		{"core.take", &core.ClaimRequest{Key: "alpha/key-0", Claim: core.Claim{RequestHash: "other", Claimant: "attempt-2"}}, &core.ClaimResponse{}},
+		{"core.layout", &coreapi.ConfigRequest{}, &coreapi.StoredConfig{}},
+		{"core.layout", &coreapi.ConfigRequest{Version: 2}, &coreapi.StoredConfig{}},
+		{"core.sessions", &coreapi.ConfigRequest{}, &coreapi.SessionDirectory{}},
+		{"core.write", &coreapi.WriteRequest{ID: "write-1", AnyVersion: true, Raw: []byte("{}")}, &coreapi.WriteResponse{}},
+		{"core.take", &coreapi.ClaimRequest{Key: "alpha/key-0", Claim: coreapi.Claim{RequestHash: "hash-0", Claimant: "attempt-2"}}, &coreapi.ClaimResponse{}},
+		{"core.take", &coreapi.ClaimRequest{Key: "alpha/key-0", Claim: coreapi.Claim{RequestHash: "other", Claimant: "attempt-2"}}, &coreapi.ClaimResponse{}},
 	} {
 		lines = append(lines, ask(t, server, call.kind, call.request, call.response))
 	}
--- a/internal/compat/frames_test.go
+++ b/internal/testing/compat/frames_test.go
@@ -14,8 +14,8 @@
 
 	"github.com/tinylib/msgp/msgp"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/transport/wire"
 )
 
 // A dialogue of calls and answers, small, large and refused, is byte for byte the one that older processes had: both
@@ -42,12 +42,12 @@
 	calls := wire.NewCaller(pipeNet{caller})
 	defer calls.Close()
 	for _, size := range []int{5, 6000, 6000} {
-		request, response := core.StoredConfig{Version: 7, Raw: bytes.Repeat([]byte("x"), size)}, core.StoredConfig{}
+		request, response := coreapi.StoredConfig{Version: 7, Raw: bytes.Repeat([]byte("x"), size)}, coreapi.StoredConfig{}
 		if err := calls.Call(ctx, "far", "test.echo", &request, &response); err != nil || !bytes.Equal(response.Raw, request.Raw) {
 			t.Fatalf("echo of %d bytes: %d came back, error %v", size, len(response.Raw), err)
 		}
 	}
-	if err := calls.Call(ctx, "far", "test.refuse", &core.Empty{}, nil); !wire.Is(err, "no-such-test") {
+	if err := calls.Call(ctx, "far", "test.refuse", &coreapi.Empty{}, nil); !wire.HasCode(err, "no-such-test") {
 		t.Fatalf("refused call ended with %v", err)
 	}
 	return caller.written(), server.written()
@@ -56,9 +56,9 @@
 // answer echoes a configuration, or refuses.
 func answer(_ context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 	if strings.HasSuffix(kind, ".refuse") {
-		return nil, wire.Fault{Code: "no-such-test"}
+		return nil, wire.StatusError{Code: "no-such-test"}
 	}
-	return wire.On(body, func(config *core.StoredConfig) (*core.StoredConfig, error) { return config, nil })
+	return wire.HandleTyped(body, func(config *coreapi.StoredConfig) (*coreapi.StoredConfig, error) { return config, nil })
 }
 
 // recordingConn keeps what is written to a connection.
--- a/internal/compat/messages_test.go
+++ b/internal/testing/compat/messages_test.go
@@ -11,16 +11,18 @@
 
 	"github.com/tinylib/msgp/msgp"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/node"
-	"yarrowridge/internal/relay"
-	"yarrowridge/internal/routing"
-	"yarrowridge/internal/runner"
-	"yarrowridge/internal/session"
-	"yarrowridge/internal/share"
-	"yarrowridge/internal/store"
-	"yarrowridge/internal/view"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/core"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/paxos"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/dataplane/runner"
+	"yarrowridge/internal/dataplane/session"
+	"yarrowridge/internal/model/quota"
+	"yarrowridge/internal/model/routing"
+	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/wire"
 )
 
 // message is an encoded type that travels between processes or lies on disk.
@@ -32,36 +34,36 @@
 // messages names the type of each file in testdata/messages. The labels are historical: they stay when a type is renamed
 // or moved.
 var messages = map[string]message{
-	"core.Claim":              new(core.Claim),
-	"core.ClaimRequest":       new(core.ClaimRequest),
-	"core.ClaimResponse":      new(core.ClaimResponse),
-	"core.HeartbeatRequest":   new(core.HeartbeatRequest),
-	"core.HeartbeatResponse":  new(core.HeartbeatResponse),
+	"core.Claim":              new(coreapi.Claim),
+	"core.ClaimRequest":       new(coreapi.ClaimRequest),
+	"core.ClaimResponse":      new(coreapi.ClaimResponse),
+	"core.HeartbeatRequest":   new(coreapi.HeartbeatRequest),
+	"core.HeartbeatResponse":  new(coreapi.HeartbeatResponse),
 	"core.JoinRequest":        new(core.JoinRequest),
-	"core.Node":               new(core.Node),
-	"core.QuotaMove":          new(core.QuotaMove),
-	"core.QuotaMovesRequest":  new(core.QuotaMovesRequest),
-	"core.QuotaMovesResponse": new(core.QuotaMovesResponse),
-	"core.QuotaShare":         new(core.QuotaShare),
+	"core.Node":               new(coreapi.Node),
+	"core.QuotaMove":          new(coreapi.QuotaMove),
+	"core.QuotaMovesRequest":  new(coreapi.QuotaMovesRequest),
+	"core.QuotaMovesResponse": new(coreapi.QuotaMovesResponse),
+	"core.QuotaShare":         new(coreapi.QuotaShare),
 	"core.ReplicateRequest":   new(core.ReplicateRequest),
-	"core.RunnerHeartbeat":    new(core.RunnerHeartbeat),
-	"core.RunnerTally":        new(core.RunnerTally),
-	"core.SessionDirectory":   new(core.SessionDirectory),
-	"core.SettleRequest":      new(core.SettleRequest),
+	"core.RunnerHeartbeat":    new(coreapi.RunnerHeartbeat),
+	"core.RunnerTally":        new(coreapi.RunnerStats),
+	"core.SessionDirectory":   new(coreapi.SessionDirectory),
+	"core.SettleRequest":      new(coreapi.CompleteClaimRequest),
 	"core.SnapshotRequest":    new(core.SnapshotRequest),
-	"core.State":              new(core.State),
-	"core.StoredConfig":       new(core.StoredConfig),
-	"core.WriteHistory":       new(core.WriteHistory),
-	"core.WriteRequest":       new(core.WriteRequest),
-	"core.WriteResponse":      new(core.WriteResponse),
-	"core.ConfigError":        new(core.ConfigError),
-	"core.ConfigRequest":      new(core.ConfigRequest),
-	"core.Empty":              new(core.Empty),
-	"core.FailingRunner":      new(core.FailingRunner),
-	"core.QuotaMoveResult":    new(core.QuotaMoveResult),
+	"core.State":              new(coreapi.State),
+	"core.StoredConfig":       new(coreapi.StoredConfig),
+	"core.WriteHistory":       new(core.ConfigHistory),
+	"core.WriteRequest":       new(coreapi.WriteRequest),
+	"core.WriteResponse":      new(coreapi.WriteResponse),
+	"core.ConfigError":        new(coreapi.ConfigError),
+	"core.ConfigRequest":      new(coreapi.ConfigRequest),
+	"core.Empty":              new(coreapi.Empty),
+	"core.FailingRunner":      new(coreapi.FailingRunner),
+	"core.QuotaMoveResult":    new(coreapi.QuotaMoveResult),
 	"core.ReplicateResponse":  new(core.ReplicateResponse),
-	"core.StateRequest":       new(core.StateRequest),
-	"core.WriteRecord":        new(core.WriteRecord),
+	"core.StateRequest":       new(coreapi.StateRequest),
+	"core.WriteRecord":        new(core.WriteResult),
 	"node.NodeList":           new(node.NodeList),
 	"node.StreamCopy":         new(node.StreamCopy),
 	"node.StreamReadRequest":  new(node.StreamReadRequest),
@@ -72,7 +74,7 @@
 	"node.NodeListRequest":    new(node.NodeListRequest),
 	"relay.Difference":        new(relay.Difference),
 	"relay.Digests":           new(relay.Digests),
-	"relay.News":              new(relay.News),
+	"relay.News":              new(relay.Update),
 	"relay.Record":            new(relay.Record),
 	"relay.Repair":            new(relay.Repair),
 	"relay.RecordVersion":     new(relay.RecordVersion),
@@ -83,22 +85,22 @@
 	"session.Batch":           new(session.Batch),
 	"session.PackedEntry":     new(session.PackedEntry),
 	"session.Fetch":           new(session.Fetch),
-	"share.Charge":            new(share.Charge),
-	"share.Hold":              new(share.Hold),
+	"share.Charge":            new(quota.Charge),
+	"share.Hold":              new(quota.Allocation),
 	"store.Batch":             new(store.Batch),
-	"store.Put":               new(store.Put),
-	"view.AcceptRequest":      new(view.AcceptRequest),
-	"view.BallotResponse":     new(view.BallotResponse),
+	"store.Put":               new(store.Mutation),
+	"view.AcceptRequest":      new(paxos.AcceptRequest),
+	"view.BallotResponse":     new(paxos.VoteResponse),
 	"view.LearnRequest":       new(view.LearnRequest),
-	"view.PrepareRequest":     new(view.PrepareRequest),
-	"view.RenewRequest":       new(view.RenewRequest),
-	"view.RenewResponse":      new(view.RenewResponse),
+	"view.PrepareRequest":     new(paxos.PrepareRequest),
+	"view.RenewRequest":       new(paxos.RenewRequest),
+	"view.RenewResponse":      new(paxos.RenewResponse),
 	"view.StatusResponse":     new(view.StatusResponse),
 	"view.View":               new(view.View),
-	"view.VoterState":         new(view.VoterState),
-	"view.Ballot":             new(view.Ballot),
+	"view.VoterState":         new(paxos.AcceptorState),
+	"view.Ballot":             new(paxos.ProposalNumber),
 	"view.Member":             new(view.Member),
-	"view.ReleaseRequest":     new(view.ReleaseRequest),
+	"view.ReleaseRequest":     new(paxos.ReleaseRequest),
 	"view.StatusRequest":      new(view.StatusRequest),
 	"wire.Frame":              new(wire.Frame),
 }
--- a/internal/compat/names_test.go
+++ b/internal/testing/compat/names_test.go
@@ -16,7 +16,7 @@
 )
 
 // pureToolFolders hold no code of the daemons.
-var pureToolFolders = []string{"internal/drill", "internal/sim", "internal/modelcheck", ".git"}
+var pureToolFolders = []string{"internal/testing/drill", "internal/testing/sim", "internal/testing/modelcheck", ".git"}
 
 // literalPatterns are the sections for literals that are told by their form alone, wherever they stand. Message kinds and
 // most codes are in "dashed or dotted".
@@ -32,12 +32,12 @@
 var mayMove = []string{"code", "flag or setting"}
 
 // notRead are calls whose literals nobody else reads: log lines, and the switches of mechanisms in tests.
-var notRead = map[string]bool{"Debug": true, "Info": true, "Warn": true, "Error": true, "With": true, "Part": true, "Out": true}
+var notRead = map[string]bool{"Debug": true, "Info": true, "Warn": true, "Error": true, "With": true, "WithComponent": true, "Disabled": true}
 
 // Every name that others read, processes of another release, scripts and operators, is still there, and no new one has
 // come unnoticed. Where a name stands does not matter.
 func TestNamesStay(t *testing.T) {
-	found := namesInSources(t, "../..")
+	found := namesInSources(t, "../../..")
 	text, err := os.ReadFile("testdata/names.txt")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/drill/check.go
+++ b/internal/testing/drill/check.go
@@ -13,8 +13,6 @@
 }
 
 // Check holds all that was seen against the promises and names every broken one.
-//
-//	for _, b := range drill.Check(watch.Evidence(load)) { ... }
 func Check(ev Evidence) []Breach {
 	var bad []Breach
 	report := func(promise, f string, a ...any) { bad = append(bad, Breach{promise, fmt.Sprintf(f, a...)}) }
--- a/internal/drill/checkrequests.go
+++ b/internal/testing/drill/checkrequests.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// hasBody tells whether the runner got the body unchanged: whole, or its beginning where the sender died in the middle of it.
+// hasBody reports whether the runner got the body unchanged: whole, or its beginning where the sender died in the middle of it.
 func (s *Seen) hasBody(sent []byte) bool {
 	if s.Cut {
 		return bytes.HasPrefix(sent, s.Body)
--- a/internal/drill/configfaults.go
+++ b/internal/testing/drill/configfaults.go
@@ -11,8 +11,8 @@
 
 	"github.com/tidwall/gjson"
 
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/fleetconfig"
+	"yarrowridge/internal/lib/runloop"
+	"yarrowridge/internal/model/fleetconfig"
 )
 
 // putConfig writes a config with a mark of its own, and notes what the operator was told.
@@ -53,7 +53,7 @@
 		all.Go(func() { d.putConfig(ctx, d.config, m, at) }) // one of them wins
 	}
 	all.Wait()
-	env.Wait(ctx, time.Second) // a loser that took effect would be seen
+	runloop.Sleep(ctx, time.Second) // a loser that took effect would be seen
 	for range 8 {
 		d.putConfig(ctx, d.config, d.nextMark(), "*")
 	}
@@ -70,7 +70,7 @@
 			}
 		})
 	}
-	env.Wait(ctx, 3*time.Second)
+	runloop.Sleep(ctx, 3*time.Second)
 }
 
 func (d *Day) withdrawKey(ctx context.Context) {
@@ -82,7 +82,7 @@
 	tenant[who] = less
 	config["tenants"] = tenant
 	from := d.putUntilAcknowledged(ctx, config)
-	env.Wait(ctx, 4*time.Second)
+	runloop.Sleep(ctx, 4*time.Second)
 	to := time.Now()
 	d.putUntilAcknowledged(ctx, d.config)
 	d.watch.note(func(ev *Evidence) { ev.KeyWithdrawals = append(ev.KeyWithdrawals, KeyWithdrawal{who, from, to}) })
--- a/internal/drill/day.go
+++ b/internal/testing/drill/day.go
@@ -12,8 +12,8 @@
 
 	"github.com/tidwall/gjson"
 
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/fleetconfig"
+	"yarrowridge/internal/lib/runloop"
+	"yarrowridge/internal/model/fleetconfig"
 )
 
 // Day is a deployment's day, compressed: its traffic, its operators, and a course of faults that ends
@@ -32,8 +32,6 @@
 }
 
 // NewDay makes a day over a fleet that is up.
-//
-//	d := drill.NewDay(f, load, seed, os.Stdout)
 func NewDay(f *Fleet, l *Load, seed uint64, out io.Writer) *Day {
 	d := &Day{fleet: f, load: l, watch: NewWatch(f), out: out, random: rand.New(rand.NewPCG(seed, 12)), config: maps.Clone(f.Mix.Config)}
 	d.watch.note(func(ev *Evidence) {
@@ -43,8 +41,6 @@
 }
 
 // Run plays the course under traffic, reads all back and gives the evidence.
-//
-//	ev, err := d.Run(ctx, []string{"edits", "routers", "closing-all"}, 3*time.Second)
 func (d *Day) Run(ctx context.Context, names []string, slack time.Duration) (Evidence, error) {
 	d.slack = slack
 	run, stop := context.WithCancel(ctx)
@@ -67,7 +63,7 @@
 			break
 		}
 	}
-	env.Wait(ctx, time.Second)
+	runloop.Sleep(ctx, time.Second)
 	stop()
 	all.Wait()
 	d.requests.Wait()
@@ -130,7 +126,7 @@
 	})
 }
 
-// servedSince tells whether a request of a kind that began after a moment has come to a whole answer.
+// servedSince reports whether a request of a kind that began after a moment has come to a whole answer.
 func servedSince(outcomes []Outcome, kind string, from time.Time) bool {
 	for _, o := range outcomes {
 		if o.Kind == kind && o.served() && o.Begun.After(from) {
--- a/internal/drill/day_test.go
+++ b/internal/testing/drill/day_test.go
@@ -24,22 +24,22 @@
 	}
 }
 
-// struck builds the daemons so that one mechanism can be struck out, by the variable YARROWRIDGE_STRIKE.
-func struck(t *testing.T) string {
+// buildWithFaultInjection builds the daemons so that one mechanism can be disabled, by the variable YARROWRIDGE_DISABLED_MECHANISM.
+func buildWithFaultInjection(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	if out, err := exec.Command("go", append(build, "-tags", "strike", "-o", dir, "yarrowridge/cmd/router", "yarrowridge/cmd/core")...).CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", append(build, "-tags", "faultinjection", "-o", dir, "yarrowridge/cmd/router", "yarrowridge/cmd/core")...).CombinedOutput(); err != nil {
 		t.Fatalf("%s", out)
 	}
 	return dir
 }
 
-// For each promise a fleet in which the one mechanism that keeps it is struck out: the drill says that
-// this promise is broken, and ends so. The same courses with nothing struck out hold.
+// For each promise a fleet in which the one mechanism that keeps it is disabled: the drill says that
+// this promise is broken, and ends so. The same courses with nothing disabled hold.
 func TestDrillSeesStrikes(t *testing.T) {
-	dir := struck(t)
+	dir := buildWithFaultInjection(t)
 	gate := make(chan bool, 3)
-	for _, c := range []struct{ strike, promise, mix, course string }{
+	for _, c := range []struct{ mechanism, promise, mix, course string }{
 		{"claim", "once", "trentvale", "half"},
 		{"unknown", "not-run", "trentvale", "half"},
 		{"frame", "answer", "trentvale", "half"},
@@ -57,15 +57,15 @@
 		{"", "", "trentvale", "half,restart"},
 		{"", "", "tokachi", "leave,edits,half,deaf"},
 	} {
-		t.Run(c.strike+"-"+c.promise, func(t *testing.T) {
+		t.Run(c.mechanism+"-"+c.promise, func(t *testing.T) {
 			t.Parallel()
 			gate <- true // a few fleets at once
 			defer func() { <-gate }()
 			var out bytes.Buffer
-			code := rehearse([]string{"day", "-mix", c.mix, "-bin", dir, "-dir", t.TempDir(), "-scale", "0.7", "-slack", "5s", "-course", c.course}, &out, []string{"YARROWRIDGE_STRIKE=" + c.strike})
-			if c.strike == "" {
+			code := rehearse([]string{"day", "-mix", c.mix, "-bin", dir, "-dir", t.TempDir(), "-scale", "0.7", "-slack", "5s", "-course", c.course}, &out, []string{"YARROWRIDGE_DISABLED_MECHANISM=" + c.mechanism})
+			if c.mechanism == "" {
 				if code != 0 {
-					t.Errorf("nothing is struck out, and the drill ended with %d:\n%s", code, out.String())
+					t.Errorf("nothing is disabled, and the drill ended with %d:\n%s", code, out.String())
 				}
 				return
 			}
--- a/internal/drill/drill_test.go
+++ b/internal/testing/drill/drill_test.go
@@ -14,7 +14,7 @@
 	"github.com/tidwall/gjson"
 	"github.com/zeromicro/go-zero/core/logx"
 
-	"yarrowridge/internal/fleetconfig"
+	"yarrowridge/internal/model/fleetconfig"
 )
 
 var bin string
--- a/internal/drill/evidence.go
+++ b/internal/testing/drill/evidence.go
@@ -9,10 +9,9 @@
 	"strings"
 	"sync"
 	"time"
+	"yarrowridge/internal/lib/runloop"
 
 	"github.com/tidwall/gjson"
-
-	"yarrowridge/internal/env"
 )
 
 // ConfigWrite is one write of an operator, and what came of it.
@@ -98,17 +97,13 @@
 }
 
 // NewWatch begins with nothing seen.
-//
-//	w := drill.NewWatch(fleet)
 func NewWatch(f *Fleet) *Watch {
 	return &Watch{fleet: f, tries: TryCount{First: map[string]float64{}, Again: map[string]float64{}}, counters: map[string]float64{}}
 }
 
 // Run looks at every router, again and again, until ctx ends.
-//
-//	go w.Run(ctx)
 func (w *Watch) Run(ctx context.Context) {
-	env.Loop(ctx, nil, 200*time.Millisecond, func(struct{}) {}, func() {
+	runloop.Run(ctx, nil, 200*time.Millisecond, func(struct{}) {}, func() {
 		var all sync.WaitGroup
 		for _, r := range w.fleet.Routers {
 			all.Go(func() { w.readRouter(ctx, r) })
@@ -169,8 +164,6 @@
 }
 
 // Evidence is all that was seen, with the clients' outcomes and the runners' request logs.
-//
-//	bad := drill.Check(w.Evidence(load))
 func (w *Watch) Evidence(l *Load) Evidence {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/drill/fault_test.go
+++ b/internal/testing/drill/fault_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/lib/runloop"
+	"yarrowridge/internal/transport/wire"
 )
 
 // under plays a mix while a fault is brought about, then holds every promise against what was seen.
@@ -231,7 +231,7 @@
 }
 
 // A primary is frozen until another has acknowledged a config, and asked for the config meanwhile: what it
-// answers in the moment in which it thaws is never the old one. With its lease struck out it is.
+// answers in the moment in which it thaws is never the old one. With its lease disabled it is.
 func TestThawedPrimary(t *testing.T) {
 	for range 2 {
 		if bounced, old := thaw(t, bin, ""); old > 0 || bounced != 200 {
@@ -239,7 +239,7 @@
 		}
 	}
 	// Who is first as it thaws, a reader or the others in the core, is chance.
-	from := struck(t)
+	from := buildWithFaultInjection(t)
 	for i := range 8 {
 		if bounced, old := thaw(t, from, "lease"); old > 0 {
 			t.Logf("without a lease, fleet %d: of 200 reads %d were bounced, %d told the old layout", i+1, bounced, old)
@@ -250,12 +250,12 @@
 }
 
 // thaw freezes and thaws the primary of a new fleet, and counts what 200 readers are told as it thaws.
-func thaw(t *testing.T, from, strike string) (bounced, old int) {
+func thaw(t *testing.T, from, mechanism string) (bounced, old int) {
 	f, err := NewFleet(Tokachi(), from, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.more = []string{"YARROWRIDGE_STRIKE=" + strike}
+	f.more = []string{"YARROWRIDGE_DISABLED_MECHANISM=" + mechanism}
 	defer f.Stop()
 	ctx, end := context.WithTimeout(t.Context(), time.Minute)
 	defer end()
@@ -269,8 +269,8 @@
 	// Each on a connection of its own, opened before: some are read before what the others in the core
 	// have sent meanwhile.
 	ask := func(cal *wire.Caller) (uint64, error) {
-		var out core.StoredConfig
-		err := cal.Call(ctx, p.Addr, "core.layout", &core.ConfigRequest{}, &out)
+		var out coreapi.StoredConfig
+		err := cal.Call(ctx, p.Addr, "core.layout", &coreapi.ConfigRequest{}, &out)
 		return out.Version, err
 	}
 	var cals []*wire.Caller
@@ -328,7 +328,7 @@
 		all.Go(func() {
 			for n := uint64(i * 100000); run.Err() == nil; n++ {
 				l.Ask(k, n+1, k.body("", n+1, newRand(n)), "casual", r)
-				env.Wait(run, 5*time.Millisecond)
+				runloop.Sleep(run, 5*time.Millisecond)
 			}
 		})
 	}
@@ -338,7 +338,7 @@
 		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
-		env.Wait(run, 700*time.Millisecond)
+		runloop.Sleep(run, 700*time.Millisecond)
 	}
 	all.Wait()
 	var at []time.Time
--- a/internal/drill/fleet.go
+++ b/internal/testing/drill/fleet.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"yarrowridge/internal/fleetconfig"
+	"yarrowridge/internal/model/fleetconfig"
 )
 
 // Fleet is a whole rehearsal fleet.
@@ -34,8 +34,6 @@
 
 // NewFleet lays a fleet out: five cores and the mix's routers over its zones, with the binaries
 // router and core from bin and all files under dir.
-//
-//	f, err := drill.NewFleet(drill.Trentvale(), "bin", dir)
 func NewFleet(mix Mix, bin, dir string) (*Fleet, error) {
 	f := &Fleet{Mix: mix, Dir: dir, RequestLog: &RequestLog{}, Lost: 10 * time.Second}
 	hash := fleetconfig.HashKey(OperatorKey)
@@ -103,8 +101,6 @@
 }
 
 // SetLost changes, before the start, after which silence a core's seat may go to a spare.
-//
-//	f.SetLost(2 * time.Second)
 func (f *Fleet) SetLost(d time.Duration) {
 	f.Lost = d
 	for _, p := range f.Cores {
@@ -113,8 +109,6 @@
 }
 
 // NewCore makes a core that was not there before: blank, at new addresses, knowing the first seeds only.
-//
-//	p, err := f.NewCore("core6", "north")
 func (f *Fleet) NewCore(name, zone string) (*Proc, error) {
 	p := &Proc{Name: name, Zone: zone, prog: f.Cores[0].prog, more: f.more, log: filepath.Join(f.Dir, name+".log")}
 	var err error
@@ -140,8 +134,6 @@
 }
 
 // Link puts forwarders between the zones, before the start.
-//
-//	err := f.Link()
 func (f *Fleet) Link() error {
 	f.Links = NewLinks(f.Mix.Zones)
 	was := map[string]string{}
@@ -203,8 +195,6 @@
 
 // Start begins all daemons and stand-ins, puts the mix's config and waits until every router is
 // ready and knows the runners.
-//
-//	err := f.Start(ctx)
 func (f *Fleet) Start(ctx context.Context) error {
 	for _, l := range f.ports {
 		l.Close()
@@ -239,8 +229,6 @@
 }
 
 // Stop ends all that the fleet started.
-//
-//	defer f.Stop()
 func (f *Fleet) Stop() {
 	for _, s := range append(append([]*Standin{}, f.Models...), f.Apps...) {
 		if s.cancel != nil {
@@ -257,8 +245,6 @@
 }
 
 // In lists the processes and the runners of a zone.
-//
-//	procs, runs := f.In("north")
 func (f *Fleet) In(zone string) (procs []*Proc, runs []*Standin) {
 	for _, p := range slices.Concat(f.Cores, f.Routers) {
 		if p.Zone == zone {
@@ -274,8 +260,6 @@
 }
 
 // Describe prints where everything listens.
-//
-//	f.Describe(os.Stdout)
 func (f *Fleet) Describe(w io.Writer) {
 	for _, p := range f.Cores {
 		fmt.Fprintf(w, "%-8s hall %-6s operators http://%s\n", p.Name, p.Zone, p.Operator)
--- a/internal/drill/links.go
+++ b/internal/testing/drill/links.go
@@ -27,22 +27,16 @@
 }
 
 // NewLinks makes links between zones.
-//
-//	f.Links = drill.NewLinks(mix.Zones)
 func NewLinks(zones []string) *Links {
 	return &Links{zones: zones, changed: make(chan struct{}), forwarders: map[string]*forwarder{}, connections: map[net.Conn]bool{}}
 }
 
 // IP is the loopback address that a zone's processes listen on and dial from.
-//
-//	l.IP("north")
 func (l *Links) IP(zone string) string {
 	return fmt.Sprintf("127.0.%d.1", 10+slices.Index(l.zones, zone))
 }
 
 // Cut cuts a zone off from all others; "" heals. What is under way waits, as on a line that is down.
-//
-//	l.Cut("north"); defer l.Cut("")
 func (l *Links) Cut(zone string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,9 +45,7 @@
 	l.changed = make(chan struct{})
 }
 
-// Blocked tells whether nothing gets from one zone to another, and when to ask again.
-//
-//	blocked, changed := l.Blocked("north", "east")
+// Blocked reports whether nothing gets from one zone to another, and when to ask again.
 func (l *Links) Blocked(a, b string) (bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,8 +53,6 @@
 }
 
 // Open forwards a new address to a process of a zone.
-//
-//	at, err := l.Open("north", "127.0.11.1:7501")
 func (l *Links) Open(zone, to string) (string, error) {
 	listener, err := freePort("127.0.0.1")
 	if err != nil {
@@ -77,8 +67,6 @@
 }
 
 // Refuse refuses connections to a forwarder's address, as a machine does on which nobody listens.
-//
-//	l.Refuse(at)
 func (l *Links) Refuse(at string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,8 +77,6 @@
 }
 
 // Accept ends Refuse.
-//
-//	err := l.Accept(at)
 func (l *Links) Accept(at string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -161,8 +147,6 @@
 }
 
 // Close ends all forwarding.
-//
-//	defer l.Close()
 func (l *Links) Close() {
 	l.Cut("")
 	l.mu.Lock()
--- a/internal/drill/load.go
+++ b/internal/testing/drill/load.go
@@ -15,10 +15,9 @@
 	"sync"
 	"sync/atomic"
 	"time"
+	"yarrowridge/internal/lib/runloop"
 
 	"github.com/tidwall/gjson"
-
-	"yarrowridge/internal/env"
 )
 
 // Outcome is one try of an client, as the client saw it.
@@ -45,7 +44,7 @@
 	Resumed   int    // times the stream was asked for again
 }
 
-// served tells whether the client has a whole answer.
+// served reports whether the client has a whole answer.
 func (o *Outcome) served() bool { return o.Whole && o.Status == 200 }
 
 // Load plays a mix's clients against a fleet.
@@ -62,16 +61,12 @@
 }
 
 // NewLoad makes a load; equal seeds ask the same things in the same order.
-//
-//	l := drill.NewLoad(fleet, 1, 42)
 func NewLoad(f *Fleet, scale float64, seed uint64) *Load {
 	return &Load{Fleet: f, Scale: scale, Seed: seed, Tries: 6, http: &http.Client{Timeout: 40 * time.Second, Transport: &http.Transport{
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxIdleConnsPerHost: 64, DisableCompression: true}}}
 }
 
 // Run plays until ctx ends, then waits for what is under way.
-//
-//	l.Run(ctx)
 func (l *Load) Run(ctx context.Context) {
 	var all sync.WaitGroup
 	for i, k := range l.Fleet.Mix.Kinds {
@@ -83,8 +78,6 @@
 
 // Burst plays on top of the load for as long as ctx runs: scale times the mix's own traffic, over docs
 // shared prefixes where docs is above zero.
-//
-//	l.Burst(ctx, 5, 1)
 func (l *Load) Burst(ctx context.Context, scale float64, docs int) {
 	var all sync.WaitGroup
 	for i, k := range l.Fleet.Mix.Kinds {
@@ -100,7 +93,7 @@
 func (l *Load) kind(ctx context.Context, k Kind, scale float64, r *rand.Rand, all *sync.WaitGroup) {
 	for {
 		wait := time.Duration(r.ExpFloat64() / (k.Rate * scale) * float64(time.Second))
-		if !env.Wait(ctx, wait) {
+		if !runloop.Sleep(ctx, wait) {
 			return
 		}
 		n := l.next.Add(1)
@@ -149,14 +142,12 @@
 	}
 }
 
-// broken tells whether a stream broke off with no word of its end.
+// broken reports whether a stream broke off with no word of its end.
 func (o *Outcome) broken(k Kind) bool {
 	return k.Stream && o.Status == 200 && !o.Whole && o.Code == "" && o.RequestID != ""
 }
 
 // Resume asks a router for the rest of a stream that broke off.
-//
-//	l.Resume(&o, fleet.Routers[1])
 func (l *Load) Resume(o *Outcome, r *Proc) {
 	req, err := http.NewRequest("GET", "http://"+r.Client+"/v1/streams/"+o.RequestID, nil)
 	if err != nil {
@@ -182,8 +173,6 @@
 }
 
 // Ask makes one try at one router.
-//
-//	o := l.Ask(kind, 1, body, "casual", fleet.Routers[0])
 func (l *Load) Ask(k Kind, n uint64, body []byte, tenant string, r *Proc) (o Outcome) {
 	o = Outcome{Kind: k.Name, Number: n, Tenant: tenant, Router: r.Name, Body: body, Begun: time.Now(), Path: k.Path}
 	defer func() { o.Took = time.Since(o.Begun) }()
@@ -264,8 +253,6 @@
 }
 
 // All copies the outcomes so far.
-//
-//	outs := l.All()
 func (l *Load) All() []Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/drill/main.go
+++ b/internal/testing/drill/main.go
@@ -11,7 +11,8 @@
 
 	"github.com/zeromicro/go-zero/core/logx"
 
-	"yarrowridge/internal/env"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/lib/runloop"
 )
 
 const usage = `drill rehearses a yarrowridge fleet on this machine. Usage:
@@ -27,15 +28,13 @@
 
 // Main runs the drill and returns its exit code: 0 all promises held, 1 one was broken or the
 // fleet did not come up, 2 the command line does not hold.
-//
-//	os.Exit(drill.Main(os.Args[1:], os.Stdout))
 func Main(args []string, out io.Writer) int { return rehearse(args, out, nil) }
 
 // rehearse is Main with something added to the daemons' environment.
 func rehearse(args []string, out io.Writer, more []string) int {
 	if len(args) == 0 {
 		fmt.Fprint(out, usage)
-		return env.ExitUsage
+		return daemon.ExitUsage
 	}
 	logx.Disable() // httpc logs every call
 	r := &rehearsal{command: args[0], out: out}
@@ -44,7 +43,7 @@
 	}
 	if err := r.makeDir(); err != nil {
 		fmt.Fprintf(out, "drill: -dir: %s\n", err)
-		return env.ExitError
+		return daemon.ExitError
 	}
 	ctx, end := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer end()
@@ -54,7 +53,7 @@
 	}
 	if err != nil {
 		fmt.Fprintf(out, "drill: %s; logs are under %s\n", err, r.dir)
-		return env.ExitError
+		return daemon.ExitError
 	}
 	return r.play(ctx)
 }
@@ -121,12 +120,12 @@
 		fmt.Fprintf(out, "  the day was cut short: %s\n", err)
 	}
 	fmt.Fprintf(out, "logs are under %s\n", r.dir)
-	return env.ExitError
+	return daemon.ExitError
 }
 
 // loseZone kills every process of one zone, runners too, and starts them again later.
 func (f *Fleet) loseZone(ctx context.Context, span time.Duration, out io.Writer, load *Load) {
-	if !env.Wait(ctx, span/4) {
+	if !runloop.Sleep(ctx, span/4) {
 		return
 	}
 	lost := f.Mix.Zones[0]
@@ -142,7 +141,7 @@
 	for _, s := range runs {
 		s.Crash()
 	}
-	env.Wait(ctx, span/3)
+	runloop.Sleep(ctx, span/3)
 	for _, k := range f.Mix.Kinds {
 		fmt.Fprintf(out, "  %s: longest time without a whole answer %s\n", k.Name, Gap(load.All(), k.Name, at, time.Now()).Round(time.Millisecond))
 	}
--- a/internal/drill/mix.go
+++ b/internal/testing/drill/mix.go
@@ -7,7 +7,7 @@
 	"sort"
 	"strings"
 
-	"yarrowridge/internal/fleetconfig"
+	"yarrowridge/internal/model/fleetconfig"
 )
 
 // Mix is a deployment as the drill plays it: its zones, runners, config and traffic.
@@ -38,8 +38,6 @@
 }
 
 // Key is the demonstration key of a tenant in the example configs.
-//
-//	drill.Key("north-counter") // "demo-north-counter"
 func Key(tenant string) string { return "demo-" + tenant }
 
 type object = map[string]any
@@ -57,8 +55,6 @@
 }
 
 // Trentvale is the order desk: heavy fit checks, few write-ups, confirmations.
-//
-//	mix := drill.Trentvale()
 func Trentvale() Mix {
 	return Mix{Name: "trentvale", Zones: []string{"east", "north", "south", "west"}, Routers: 9, Model: "lumen-7b", Models: 12, Apps: 4,
 		Kinds: []Kind{
@@ -84,8 +80,6 @@
 }
 
 // Tokachi is the loan desk: risk notes over long histories, few replies, status look-ups.
-//
-//	mix := drill.Tokachi()
 func Tokachi() Mix {
 	return Mix{Name: "tokachi", Zones: []string{"hills", "plain", "river"}, Routers: 8, Model: "kumo-13b", Models: 9, Apps: 3,
 		Kinds: []Kind{
@@ -111,8 +105,6 @@
 }
 
 // MixOf finds a mix by name.
-//
-//	mix, err := drill.MixOf("trentvale")
 func MixOf(name string) (Mix, error) {
 	for _, m := range []Mix{Trentvale(), Tokachi()} {
 		if m.Name == name {
@@ -123,8 +115,6 @@
 }
 
 // Raw is the mix's config as text.
-//
-//	os.WriteFile("examples/trentvale.json", mix.Raw(), 0o644)
 func (m Mix) Raw() []byte {
 	raw, err := json.MarshalIndent(m.Config, "", "  ")
 	if err != nil {
--- a/internal/drill/operatorcalls.go
+++ b/internal/testing/drill/operatorcalls.go
@@ -6,23 +6,20 @@
 	"io"
 	"net/http"
 	"time"
+	"yarrowridge/internal/lib/runloop"
 
 	"github.com/rotisserie/eris"
 	"github.com/tidwall/gjson"
 	"github.com/zeromicro/go-zero/rest/httpc"
-
-	"yarrowridge/internal/env"
 )
 
 // OperatorKey is the operators' key of a rehearsal fleet.
 const OperatorKey = "demo-operator"
 
 // Until asks until what is awaited holds, or ctx ends.
-//
-//	err := f.Until(ctx, "all are ready", func() bool { ... })
 func (f *Fleet) Until(ctx context.Context, what string, ok func() bool) error {
 	for !ok() {
-		if !env.Wait(ctx, 50*time.Millisecond) {
+		if !runloop.Sleep(ctx, 50*time.Millisecond) {
 			return eris.Errorf("drill: gave up waiting until %s", what)
 		}
 	}
@@ -30,8 +27,6 @@
 }
 
 // Ask makes one operator's call.
-//
-//	code, raw, err := f.Ask(ctx, "GET", p.Operator, "/v1/fleet", nil, nil)
 func (f *Fleet) Ask(ctx context.Context, method, at, path string, body []byte, head map[string]string) (int, []byte, error) {
 	ctx, end := context.WithTimeout(ctx, 8*time.Second)
 	defer end()
@@ -53,16 +48,12 @@
 }
 
 // Put puts a config through a process and tells the code and the version.
-//
-//	code, version, err := f.Put(ctx, f.Cores[0], raw, "*", "write-1")
 func (f *Fleet) Put(ctx context.Context, p *Proc, raw []byte, match, id string) (int, uint64, error) {
 	code, response, err := f.Ask(ctx, "PUT", p.Operator, "/v1/layout", raw, map[string]string{"If-Match": match, "X-Write-Id": id})
 	return code, gjson.GetBytes(response, "sequence").Uint(), err
 }
 
 // Ready asks a process whether it is ready.
-//
-//	if f.Ready(ctx, r) { ... }
 func (f *Fleet) Ready(ctx context.Context, p *Proc) bool {
 	ctx, end := context.WithTimeout(ctx, time.Second)
 	defer end()
@@ -71,8 +62,6 @@
 }
 
 // Serving counts the runners that a router would send to.
-//
-//	n := f.Serving(ctx, r)
 func (f *Fleet) Serving(ctx context.Context, p *Proc) int {
 	code, raw, err := f.Ask(ctx, "GET", p.Operator, "/v1/runners", nil, nil)
 	if err != nil || code != 200 {
@@ -82,8 +71,6 @@
 }
 
 // Primary finds the core that leads.
-//
-//	p := f.Primary(ctx)
 func (f *Fleet) Primary(ctx context.Context) *Proc {
 	for _, c := range f.Cores {
 		code, raw, err := f.Ask(ctx, "GET", c.Operator, "/v1/standing", nil, nil)
@@ -95,8 +82,6 @@
 }
 
 // ConfigVersion is the config version that a router obeys.
-//
-//	n := f.ConfigVersion(ctx, r)
 func (f *Fleet) ConfigVersion(ctx context.Context, p *Proc) uint64 {
 	_, raw, err := f.Ask(ctx, "GET", p.Operator, "/v1/standing", nil, nil)
 	if err != nil {
--- a/internal/drill/process.go
+++ b/internal/testing/drill/process.go
@@ -26,8 +26,6 @@
 }
 
 // Start begins a process.
-//
-//	err := f.Cores[0].Start()
 func (p *Proc) Start() error {
 	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -52,8 +50,6 @@
 }
 
 // Signal sends a signal to the process.
-//
-//	p.Signal(syscall.SIGSTOP)
 func (p *Proc) Signal(sig syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,16 +59,12 @@
 }
 
 // Kill ends the process at once and waits until it is gone.
-//
-//	p.Kill()
 func (p *Proc) Kill() {
 	p.Signal(syscall.SIGKILL)
 	p.Wait(10 * time.Second)
 }
 
 // Wait waits for the process to end.
-//
-//	if !p.Wait(time.Minute) { ... }
 func (p *Proc) Wait(d time.Duration) bool {
 	p.mu.Lock()
 	gone := p.gone
@@ -89,8 +81,6 @@
 }
 
 // PID is the process's number; 0 before it was started.
-//
-//	usage := fmt.Sprintf("/proc/%d/stat", p.PID())
 func (p *Proc) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/drill/processfaults.go
+++ b/internal/testing/drill/processfaults.go
@@ -7,8 +7,7 @@
 	"strconv"
 	"syscall"
 	"time"
-
-	"yarrowridge/internal/env"
+	"yarrowridge/internal/lib/runloop"
 )
 
 func (d *Day) noteFault(name string) {
@@ -21,7 +20,7 @@
 	for _, p := range procs {
 		p.Signal(syscall.SIGKILL)
 	}
-	env.Wait(ctx, down)
+	runloop.Sleep(ctx, down)
 	for _, p := range procs {
 		p.Wait(10 * time.Second)
 		if err := p.Start(); err != nil {
@@ -43,7 +42,7 @@
 	zone := d.primaryCore(ctx).Zone
 	from := time.Now()
 	d.fleet.Links.Cut(zone)
-	env.Wait(ctx, 15*time.Second)
+	runloop.Sleep(ctx, 15*time.Second)
 	d.putUntilAcknowledged(ctx, d.config)
 	d.watch.note(func(ev *Evidence) { ev.LinkCuts = append(ev.LinkCuts, LinkCut{zone, from, time.Now()}) })
 	d.fleet.Links.Cut("")
@@ -53,9 +52,9 @@
 	for _, p := range []*Proc{d.primaryCore(ctx), d.pickRouter()} {
 		p.Signal(syscall.SIGSTOP)
 		d.noteFault(p.Name + " frozen")
-		env.Wait(ctx, 4*time.Second)
+		runloop.Sleep(ctx, 4*time.Second)
 		p.Signal(syscall.SIGCONT)
-		env.Wait(ctx, time.Second)
+		runloop.Sleep(ctx, time.Second)
 	}
 }
 
--- a/internal/drill/rehearsal.go
+++ b/internal/testing/drill/rehearsal.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"yarrowridge/internal/env"
+	"yarrowridge/internal/lib/daemon"
 )
 
 // fleetStartLimit is how long a fleet may take to come up.
@@ -48,33 +48,33 @@
 	eventCount := fs.Int("events", 8, "how many events a day has")
 	fs.DurationVar(&r.slack, "slack", 3*time.Second, "what a slow machine is given beyond a promise's time")
 	if err := fs.Parse(args); err != nil {
-		return env.ExitUsage, true
+		return daemon.ExitUsage, true
 	}
 	mix, err := MixOf(*name)
 	if err != nil || r.scale <= 0 || r.span <= 0 || fs.NArg() > 0 {
 		fmt.Fprintf(r.out, "drill: -mix %s -scale %g -for %s: a known mix, a scale and a time above zero, and nothing after the flags are expected\n", *name, r.scale, r.span)
-		return env.ExitUsage, true
+		return daemon.ExitUsage, true
 	}
 	r.mix = mix
 	if r.command == "layout" {
 		r.out.Write(mix.Raw())
-		return env.ExitOk, true
+		return daemon.ExitOK, true
 	}
 	r.course = drawCourse(mix, r.seed, *eventCount)
 	if *course != "" {
 		r.course = strings.Split(*course, ",")
 	}
 	if !r.checkCourse() {
-		return env.ExitUsage, true
+		return daemon.ExitUsage, true
 	}
 	if r.command != "fleet" && r.command != "load" && r.command != "hall" && r.command != "day" {
 		fmt.Fprintf(r.out, "drill: %q is not a command\n\n%s", r.command, usage)
-		return env.ExitUsage, true
+		return daemon.ExitUsage, true
 	}
 	return 0, false
 }
 
-// checkCourse tells whether every event of the course is known, and prints which are if one is not.
+// checkCourse reports whether every event of the course is known, and prints which are if one is not.
 func (r *rehearsal) checkCourse() bool {
 	for _, name := range r.course {
 		closing, isClosing := strings.CutPrefix(name, closingPrefix)
@@ -109,7 +109,7 @@
 		r.fleet.Stop()
 		os.RemoveAll(r.dir)
 	}
-	return env.ExitOk
+	return daemon.ExitOK
 }
 
 // startFleet starts the fleet, with something added to the daemons' environment. The fleet is set, for the
--- a/internal/drill/requestlog.go
+++ b/internal/testing/drill/requestlog.go
@@ -38,8 +38,6 @@
 }
 
 // All copies the log.
-//
-//	for _, s := range requestLog.All() { ... }
 func (d *RequestLog) All() []Seen {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/drill/runnerfaults.go
+++ b/internal/testing/drill/runnerfaults.go
@@ -4,8 +4,7 @@
 	"context"
 	"slices"
 	"time"
-
-	"yarrowridge/internal/env"
+	"yarrowridge/internal/lib/runloop"
 )
 
 func (d *Day) pickModelRunner() *Standin { return d.fleet.Models[d.random.IntN(len(d.fleet.Models))] }
@@ -19,12 +18,12 @@
 	s := d.pickModelRunner()
 	word := Departure{Runner: s.Name, RunID: s.runID, At: s.Leave(ctx)}
 	d.watch.note(func(ev *Evidence) { ev.Departures = append(ev.Departures, word) })
-	env.Wait(ctx, leavingTime+d.slack)
+	runloop.Sleep(ctx, leavingTime+d.slack)
 	kind := d.fleet.Mix.Kinds[0] // the most frequent one that goes to model runners
 	var numbers []uint64
 	for i := range requestsWhileLeaving * len(d.fleet.Models) {
 		numbers = append(numbers, d.sendRequest(kind, i))
-		env.Wait(ctx, 10*time.Millisecond)
+		runloop.Sleep(ctx, 10*time.Millisecond)
 	}
 	what := "the requests sent while " + s.Name + " leaves have ended"
 	d.waitUntil(ctx, restLimit, what, func() bool { return allEnded(d.load.All(), numbers) })
@@ -32,7 +31,7 @@
 	d.startRunner(s)
 }
 
-// allEnded tells whether each of these requests has had an answer.
+// allEnded reports whether each of these requests has had an answer.
 func allEnded(outcomes []Outcome, numbers []uint64) bool {
 	answered := map[uint64]bool{}
 	for _, outcome := range outcomes {
@@ -50,16 +49,16 @@
 func (d *Day) replaceRunners(ctx context.Context) {
 	for _, s := range slices.Concat(d.fleet.Models[:len(d.fleet.Models)/2], d.fleet.Apps[:1]) {
 		s.Crash()
-		env.Wait(ctx, 100*time.Millisecond)
+		runloop.Sleep(ctx, 100*time.Millisecond)
 		d.startRunner(s)
-		env.Wait(ctx, 300*time.Millisecond)
+		runloop.Sleep(ctx, 300*time.Millisecond)
 	}
 }
 
 func (d *Day) hangRunner(ctx context.Context) {
 	s := d.pickModelRunner()
 	s.Hang(true)
-	env.Wait(ctx, 4*time.Second)
+	runloop.Sleep(ctx, 4*time.Second)
 	s.Crash()
 	d.startRunner(s)
 }
@@ -69,7 +68,7 @@
 	for _, s := range half {
 		s.RefuseConnections()
 	}
-	env.Wait(ctx, 5*time.Second)
+	runloop.Sleep(ctx, 5*time.Second)
 	for _, s := range half {
 		if err := s.AcceptConnections(); err != nil {
 			d.err = err
@@ -88,7 +87,7 @@
 			d.sendRequest(k, i)
 		}
 	}
-	env.Wait(ctx, 4*time.Second)
+	runloop.Sleep(ctx, 4*time.Second)
 	for _, s := range half {
 		s.CutAfter(0)
 	}
--- a/internal/drill/standin.go
+++ b/internal/testing/drill/standin.go
@@ -18,11 +18,10 @@
 	"sync"
 	"sync/atomic"
 	"time"
+	"yarrowridge/internal/lib/runloop"
 
 	"github.com/tidwall/gjson"
 	"github.com/zeromicro/go-zero/rest/httpc"
-
-	"yarrowridge/internal/env"
 )
 
 // Standin plays a runner: batches with a rate that falls as the batch fills, a prefix cache,
@@ -63,8 +62,6 @@
 var runCount atomic.Uint64
 
 // Start listens and begins its heartbeats. A second start at the same address is another run.
-//
-//	err := s.Start()
 func (s *Standin) Start() error {
 	l, err := s.listen()
 	if err != nil {
@@ -88,7 +85,7 @@
 		t := time.NewTicker(500 * time.Millisecond)
 		defer t.Stop()
 		for at := 0; ; at++ {
-			if !s.silent.Load() && !s.sendHeartbeat(ctx, s.HeartbeatAddrs[at%len(s.HeartbeatAddrs)]) && env.Wait(ctx, 20*time.Millisecond) {
+			if !s.silent.Load() && !s.sendHeartbeat(ctx, s.HeartbeatAddrs[at%len(s.HeartbeatAddrs)]) && runloop.Sleep(ctx, 20*time.Millisecond) {
 				continue
 			}
 			at--
@@ -103,31 +100,21 @@
 }
 
 // Crash drops the listener and every connection at once.
-//
-//	s.Crash()
 func (s *Standin) Crash() {
 	s.cancel()
 	s.RefuseConnections()
 }
 
 // Hang has the runner take requests, go on with its heartbeats, and answer nothing.
-//
-//	s.Hang(true)
 func (s *Standin) Hang(on bool) { s.hanging.Store(on) }
 
 // Mute stops the heartbeats.
-//
-//	s.Mute(true)
 func (s *Standin) Mute(on bool) { s.silent.Store(on) }
 
 // CutAfter breaks every stream off after n tokens; zero stops that.
-//
-//	s.CutAfter(5)
 func (s *Standin) CutAfter(n int) { s.cutAt.Store(int64(n)) }
 
 // RefuseConnections closes the listener and all connections; heartbeats go on. AcceptConnections listens again, as the same run.
-//
-//	s.RefuseConnections(); defer s.AcceptConnections()
 func (s *Standin) RefuseConnections() {
 	if s.links != nil {
 		s.links.Refuse(s.Addr)
@@ -136,8 +123,6 @@
 }
 
 // AcceptConnections ends RefuseConnections.
-//
-//	err := s.AcceptConnections()
 func (s *Standin) AcceptConnections() error {
 	l, err := s.listen()
 	if err != nil {
@@ -165,8 +150,6 @@
 }
 
 // Leave tells the router asked that this runner leaves, and returns once that was taken.
-//
-//	at := s.Leave(ctx)
 func (s *Standin) Leave(ctx context.Context) time.Time {
 	s.state.Store("leaving")
 	for i := 0; ctx.Err() == nil; i++ {
@@ -201,16 +184,12 @@
 }
 
 // Echo is what a stand-in answers to show which request its answer belongs to.
-//
-//	if got != drill.Echo(body) { ... }
 func Echo(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:8])
 }
 
 // ServeHTTP answers one request.
-//
-//	http.Serve(l, standin)
 func (s *Standin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	seen := &Seen{Runner: s.Name, RunID: s.runID, At: time.Now(), Method: r.Method, Path: r.URL.RequestURI(), Header: r.Header.Clone(), Body: body, Cut: err != nil}
@@ -235,7 +214,7 @@
 
 // servePlain answers as the ordinary application.
 func (s *Standin) servePlain(w http.ResponseWriter, r *http.Request, body []byte) {
-	if !env.Wait(r.Context(), s.TokenTime) {
+	if !runloop.Sleep(r.Context(), s.TokenTime) {
 		panic(http.ErrAbortHandler)
 	}
 	raw, _ := json.Marshal(map[string]any{"echo": Echo(body), "path": r.URL.RequestURI(), "tenant": r.Header.Get("X-Yarrowridge-Tenant")})
@@ -256,7 +235,7 @@
 	left := tokens
 	defer func() { s.queued.Add(-int64(left)) }()
 	text := gjson.GetBytes(body, "prompt").String() + gjson.GetBytes(body, "messages").Raw
-	if !env.Wait(r.Context(), s.prefill(text)) {
+	if !runloop.Sleep(r.Context(), s.prefill(text)) {
 		panic(http.ErrAbortHandler)
 	}
 	stream := gjson.GetBytes(body, "stream").Bool()
@@ -290,7 +269,7 @@
 // makeToken takes the time of one token, and breaks the connection off where that was asked for.
 func (s *Standin) makeToken(w http.ResponseWriter, r *http.Request, i int) {
 	others := s.active.Load() - 1
-	if !env.Wait(r.Context(), s.TokenTime+time.Duration(s.Slowdown*float64(others)*float64(s.TokenTime))) {
+	if !runloop.Sleep(r.Context(), s.TokenTime+time.Duration(s.Slowdown*float64(others)*float64(s.TokenTime))) {
 		panic(http.ErrAbortHandler)
 	}
 	if at := s.cutAt.Load(); at > 0 && int64(i) >= at {
--- a/internal/drill/total.go
+++ b/internal/testing/drill/total.go
@@ -15,8 +15,6 @@
 }
 
 // Total sums outcomes up.
-//
-//	sum := drill.Total(load.All())
 func Total(outcomes []Outcome) Sum {
 	s := Sum{Codes: map[string]int{}}
 	var took []time.Duration
@@ -45,8 +43,6 @@
 }
 
 // Print writes the figures.
-//
-//	sum.Print(os.Stdout)
 func (s Sum) Print(w io.Writer) {
 	fmt.Fprintf(w, "tries %d: done %d, bounced %d, troubled %d, connection lost %d; median %s, 99th of a hundred %s\n",
 		s.Requests, s.Done, s.Rejected, s.Failed, s.Broken, s.P50.Round(time.Millisecond), s.P99.Round(time.Millisecond))
@@ -61,8 +57,6 @@
 }
 
 // Gap is the longest time between two moments in which no request of a kind came to a whole answer.
-//
-//	back := drill.Gap(outs, "checks", fault, time.Now())
 func Gap(outcomes []Outcome, kind string, from, to time.Time) time.Duration {
 	var ends []time.Time
 	for _, o := range outcomes {
--- a/internal/modelcheck/doubt_test.go
+++ b/internal/testing/modelcheck/doubt_test.go
@@ -6,8 +6,9 @@
 	"strings"
 	"testing"
 
-	"yarrowridge/internal/strike"
-	"yarrowridge/internal/view"
+	"yarrowridge/internal/controlplane/paxos"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/lib/faultinjection"
 )
 
 // The roles of the members in a course of a vote together with writes: a primary and its backup of the epoch that ends, and
@@ -26,10 +27,10 @@
 // takes over and keeps the former primary.
 func nextHolders(current view.View, proposer int) view.View {
 	if proposer == leader {
-		return current.WithBackups([]string{current.Members[newcomer].Id})
+		return current.WithBackups([]string{current.Members[newcomer].ID})
 	}
-	next := current.WithBackups([]string{current.Members[leader].Id})
-	next.Primary = current.Members[backup].Id
+	next := current.WithBackups([]string{current.Members[leader].ID})
+	next.Primary = current.Members[backup].ID
 	return next
 }
 
@@ -39,14 +40,14 @@
 	acknowledged bool
 }
 
-// leadsOn tells whether the primary may acknowledge a write in the epoch that ends: it makes no proposal now, does not know
+// leadsOn reports whether the primary may acknowledge a write in the epoch that ends: it makes no proposal now, does not know
 // the next view, none of its proposals is in doubt, and a majority has promised nothing to another, so that its lease may
 // stand.
 func (c *votedWrites) leadsOn() bool {
 	if c.decided[leader] != "" || c.ended[leader] == nil {
 		return false
 	}
-	if errors.Is(c.ended[leader], view.ErrInDoubt) && !strike.Out("decision-in-doubt") {
+	if errors.Is(c.ended[leader], paxos.ErrOutcomeUnknown) && !faultinjection.Disabled("decision-in-doubt") {
 		return false
 	}
 	promisedOther := 0
@@ -69,7 +70,7 @@
 // disagreement tells where a view was chosen of which a holder lacks an acknowledged write.
 func (c *votedWrites) disagreement() string {
 	for chosen := range c.chosen {
-		if c.acknowledged && strings.Contains(chosen, c.current.Members[newcomer].Id) {
+		if c.acknowledged && strings.Contains(chosen, c.current.Members[newcomer].ID) {
 			return "the newcomer holds the state of " + chosen + ", without a write that was acknowledged"
 		}
 	}
@@ -98,8 +99,8 @@
 // backup and the backup's that takes over, beside a write that the primary acknowledges with the old backup: whatever
 // view is chosen, all its holders have each acknowledged write.
 func TestEveryCourseOfVoteAndWrite(t *testing.T) {
-	if strike.Out("") {
-		t.Skip("built with a mechanism struck out")
+	if faultinjection.Disabled("") {
+		t.Skip("built with a mechanism disabled")
 	}
 	t.Parallel()
 	e := exploreAllWrites(t, voteBounds{attempts: 1, lost: 2})
--- a/internal/modelcheck/draws_test.go
+++ b/internal/testing/modelcheck/draws_test.go
@@ -5,9 +5,10 @@
 	"fmt"
 	"time"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/coreclient"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/transport/wire"
 )
 
 // The tenant whose units holders draw. Its window outlasts every run: no unit becomes free by itself.
@@ -75,7 +76,7 @@
 type holder struct {
 	fleet  *fleet
 	number int
-	client *core.Client
+	client *coreclient.Client
 	turn   uint64
 	held   int
 }
@@ -83,8 +84,8 @@
 // newHolder makes a holder on a machine of its own.
 func (f *fleet) newHolder(number int) *holder {
 	network, _ := f.world.Net(holderAddr(number))
-	where := env.Ctx{Context: f.ctx, Name: "holder", Log: f.log, Net: network}
-	return &holder{fleet: f, number: number, client: core.NewClient(where, wire.NewCaller(network), f.seeds())}
+	where := daemon.Context{Context: f.ctx, Name: "holder", Log: f.log, Net: network}
+	return &holder{fleet: f, number: number, client: coreclient.NewClient(where, wire.NewCaller(network), f.seeds())}
 }
 
 func holderAddr(number int) string { return fmt.Sprintf("10.0.8.%d:1", number+1) }
@@ -103,11 +104,11 @@
 	}
 }
 
-// move sends one move until it is answered or the time is up, and tells whether it was.
+// move sends one move until it is answered or the time is up, and reports whether it was.
 func (h *holder) move(asked move, until time.Time) bool {
 	h.turn++
-	request := core.QuotaMovesRequest{Holder: fmt.Sprint("holder-", h.number),
-		Moves: []core.QuotaMove{{Tenant: quotaTenant, Turn: h.turn, Units: asked.units, Give: asked.give}}}
+	request := coreapi.QuotaMovesRequest{Holder: fmt.Sprint("holder-", h.number),
+		Moves: []coreapi.QuotaMove{{Tenant: quotaTenant, Sequence: h.turn, Units: asked.units, Return: asked.give}}}
 	begun := h.fleet.history.begin()
 	var told moved
 	for !told.known && time.Now().Before(until) {
@@ -120,10 +121,10 @@
 }
 
 // try sends a move once.
-func (h *holder) try(request *core.QuotaMovesRequest) moved {
+func (h *holder) try(request *coreapi.QuotaMovesRequest) moved {
 	ctx, cancel := context.WithTimeout(h.fleet.ctx, callTimeout)
 	defer cancel()
-	var response core.QuotaMovesResponse
+	var response coreapi.QuotaMovesResponse
 	if h.client.Call(ctx, "core.moves", request, &response, true) != nil || len(response.Results) != 1 {
 		return moved{}
 	}
--- a/internal/modelcheck/fleet_test.go
+++ b/internal/testing/modelcheck/fleet_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/sim"
-	"yarrowridge/internal/view"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/lib/logging"
+	"yarrowridge/internal/testing/sim"
 )
 
 // Times of the checked fleets.
@@ -64,7 +64,7 @@
 	if loud {
 		out = os.Stderr
 	}
-	f := &fleet{t: t, world: sim.NewWorld(seed), losses: losses, log: env.NewLog(out, slog.LevelDebug),
+	f := &fleet{t: t, world: sim.NewWorld(seed), losses: losses, log: logging.New(out, slog.LevelDebug),
 		random: rand.New(rand.NewPCG(seed, 3)), history: &history{}}
 	f.ctx, f.cancel = context.WithCancel(t.Context())
 	for range cores {
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// isServing tells whether a primary takes writes.
+// isServing reports whether a primary takes writes.
 func (f *fleet) isServing() bool {
 	for _, p := range f.processes {
 		if p.running && p.server.State().Ready {
@@ -175,7 +175,7 @@
 	return false
 }
 
-// isWhole tells whether a primary takes writes whose members are all machines, with all backups, and the losses to bear
+// isWhole reports whether a primary takes writes whose members are all machines, with all backups, and the losses to bear
 // would leave a majority. One member more than machines may be left of a replacement where it changes no majority.
 func (f *fleet) isWhole() bool {
 	v := f.current()
@@ -195,7 +195,7 @@
 	return true
 }
 
-// within waits until ok holds, and tells whether it did.
+// within waits until ok holds, and reports whether it did.
 func (f *fleet) within(span time.Duration, ok func() bool) bool {
 	for begun := time.Now(); !ok(); {
 		if time.Since(begun) > span {
--- a/internal/modelcheck/history_test.go
+++ b/internal/testing/modelcheck/history_test.go
@@ -165,7 +165,7 @@
 	return broken
 }
 
-// isInDoubt tells whether nobody knows if an operation or a move took effect.
+// isInDoubt reports whether nobody knows if an operation or a move took effect.
 func isInDoubt(output any) bool {
 	if told, isMove := output.(moved); isMove {
 		return !told.known
--- a/internal/modelcheck/operator_test.go
+++ b/internal/testing/modelcheck/operator_test.go
@@ -5,9 +5,10 @@
 	"fmt"
 	"time"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/coreclient"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/transport/wire"
 )
 
 // How operators go about it.
@@ -21,7 +22,7 @@
 type operator struct {
 	fleet   *fleet
 	number  int
-	clients [2]*core.Client
+	clients [2]*coreclient.Client
 	known   uint64 // the newest version that it knows of
 	orders  int
 }
@@ -31,8 +32,8 @@
 	o := &operator{fleet: f, number: number}
 	for i := range o.clients {
 		network, _ := f.world.Net(operatorAddr(number, i))
-		where := env.Ctx{Context: f.ctx, Name: "operator", Log: f.log, Net: network}
-		o.clients[i] = core.NewClient(where, wire.NewCaller(network), f.seeds())
+		where := daemon.Context{Context: f.ctx, Name: "operator", Log: f.log, Net: network}
+		o.clients[i] = coreclient.NewClient(where, wire.NewCaller(network), f.seeds())
 	}
 	return o
 }
@@ -61,14 +62,14 @@
 	return o.known
 }
 
-// read reads the configuration once, and tells whether it could.
+// read reads the configuration once, and reports whether it could.
 func (o *operator) read() bool {
 	begun := o.fleet.history.begin()
 	ctx, cancel := context.WithTimeout(o.fleet.ctx, callTimeout)
 	defer cancel()
-	var config core.StoredConfig
+	var config coreapi.StoredConfig
 	client := o.clients[o.fleet.chance(len(o.clients))]
-	if client.Call(ctx, "core.layout", &core.ConfigRequest{}, &config, true) != nil {
+	if client.Call(ctx, "core.layout", &coreapi.ConfigRequest{}, &config, true) != nil {
 		return false
 	}
 	o.known = max(o.known, config.Version)
@@ -82,7 +83,7 @@
 	quota := leastQuota + quotaStep*o.fleet.chance(quotasOfWrite)
 	value := fmt.Sprintf(`{"limits":{"queue":%d},`+quotaFormat+`}`, 1000*(o.number+1)+o.orders, quota)
 	asked := operation{kind: writeConfig, base: base, value: value, quota: quota}
-	request := core.WriteRequest{Id: fmt.Sprintf("order-%d-%d", o.number, o.orders), BaseVersion: base, Raw: []byte(value)}
+	request := coreapi.WriteRequest{ID: fmt.Sprintf("order-%d-%d", o.number, o.orders), BaseVersion: base, Raw: []byte(value)}
 	begun := o.fleet.history.begin()
 	told := result{outcome: notTaken}
 	for deadline := time.Now().Add(orderTimeout); time.Now().Before(deadline); {
@@ -97,7 +98,7 @@
 		time.Sleep(time.Duration(o.fleet.chance(int(200 * time.Millisecond))))
 	}
 	if told.outcome == unexpected {
-		o.fleet.history.fail("order %s on version %d was answered %s", request.Id, base, told.value)
+		o.fleet.history.fail("order %s on version %d was answered %s", request.ID, base, told.value)
 	}
 	if told.outcome == done {
 		o.known = max(o.known, told.version)
@@ -107,13 +108,13 @@
 }
 
 // try sends an order once.
-func (o *operator) try(request *core.WriteRequest) result {
+func (o *operator) try(request *coreapi.WriteRequest) result {
 	ctx, cancel := context.WithTimeout(o.fleet.ctx, callTimeout)
 	defer cancel()
-	var response core.WriteResponse
+	var response coreapi.WriteResponse
 	err := o.clients[o.fleet.chance(len(o.clients))].Call(ctx, "core.write", request, &response, true)
 	switch {
-	case err != nil && core.IsInDoubt(err):
+	case err != nil && coreapi.IsOutcomeUnknown(err):
 		return result{outcome: inDoubt}
 	case err != nil:
 		return result{outcome: notTaken}
--- a/internal/modelcheck/planted_test.go
+++ b/internal/testing/modelcheck/planted_test.go
@@ -1,4 +1,4 @@
-//go:build strike
+//go:build faultinjection
 
 package modelcheck
 
@@ -12,11 +12,11 @@
 )
 
 var (
-	only       = flag.String("strike", "", "the one mechanism that TestStruckMechanisms strikes out")
-	findWithin = flag.Duration("find", 2*time.Minute, "how long TestStruckMechanisms looks for the fault of each mechanism")
+	only       = flag.String("mechanism", "", "the one mechanism that TestDisabledMechanisms disables")
+	findWithin = flag.Duration("find", 2*time.Minute, "how long TestDisabledMechanisms looks for the fault of each mechanism")
 )
 
-// mechanism is one of those that the protocol rests on, by its name in package strike, with the kinds of fault that the
+// mechanism is one of those that the protocol rests on, by its name in package faultinjection, with the kinds of fault that the
 // search keeps to; none: all.
 type mechanism struct {
 	name  string
@@ -24,8 +24,8 @@
 	rare  bool // it may take longer than the search in CI: left out with -short
 }
 
-// struckMechanisms are struck out one by one.
-var struckMechanisms = []mechanism{
+// disabledMechanisms are disabled one by one.
+var disabledMechanisms = []mechanism{
 	{"read-lease", nil, false},                                   // a read without contact with a majority
 	{"lease", []string{"island", "late"}, false},                 // a lease that never ends
 	{"backup-copy", nil, false},                                  // an acknowledgement before the backups hold the write
@@ -43,16 +43,16 @@
 	{"pool-cache", nil, false},                                   // a quota pool kept in memory, whatever the store says
 }
 
-// TestStruckMechanisms strikes out one mechanism after the other: the walks have to find what it guards against.
-func TestStruckMechanisms(t *testing.T) {
-	for _, struck := range struckMechanisms {
-		if *only != "" && *only != struck.name || struck.rare && testing.Short() {
+// TestDisabledMechanisms disables one mechanism after the other: the walks have to find what it guards against.
+func TestDisabledMechanisms(t *testing.T) {
+	for _, mechanism := range disabledMechanisms {
+		if *only != "" && *only != mechanism.name || mechanism.rare && testing.Short() {
 			continue
 		}
-		t.Run(struck.name, func(t *testing.T) {
-			t.Setenv("YARROWRIDGE_STRIKE", struck.name)
+		t.Run(mechanism.name, func(t *testing.T) {
+			t.Setenv("YARROWRIDGE_DISABLED_MECHANISM", mechanism.name)
 			begun := time.Now()
-			s, broken, played := find(t, struck.kinds, begun.Add(*findWithin))
+			s, broken, played := find(t, mechanism.kinds, begun.Add(*findWithin))
 			if broken == "" {
 				t.Fatalf("nothing was found in %d schedules", played)
 			}
@@ -90,15 +90,15 @@
 	return failed, broken, next.Load()
 }
 
-// TestStruckVote strikes out what the vote rests on: the exploration of all its courses has to find two views decided.
-func TestStruckVote(t *testing.T) {
-	struck := map[string]voteBounds{
+// TestDisabledVote disables what the vote rests on: the exploration of all its courses has to find two views decided.
+func TestDisabledVote(t *testing.T) {
+	disabled := map[string]voteBounds{
 		"vote-on-disk": {attempts: 1, restarts: 1}, // a voter that forgets its promise when it starts again
 		"majority":     {attempts: 1},              // decisions by one voter less than a majority
 	}
-	for name, bounds := range struck {
+	for name, bounds := range disabled {
 		t.Run(name, func(t *testing.T) {
-			t.Setenv("YARROWRIDGE_STRIKE", name)
+			t.Setenv("YARROWRIDGE_DISABLED_MECHANISM", name)
 			e := exploreAll(t, bounds)
 			if e.problem == "" {
 				t.Fatalf("nothing was found in %d courses", e.played)
@@ -108,17 +108,17 @@
 	}
 }
 
-// TestStruckReplication strikes out what keeps a backup's copy: the exploration of all courses has to find an acknowledged
+// TestDisabledReplication disables what keeps a backup's copy: the exploration of all courses has to find an acknowledged
 // write lost, or a copy that differs.
-func TestStruckReplication(t *testing.T) {
-	struck := map[string]replicationBounds{
+func TestDisabledReplication(t *testing.T) {
+	disabled := map[string]replicationBounds{
 		"late-snapshot": {writes: 1, parts: 1, givenUp: 1},                                      // a backup that takes snapshots in any order
 		"old-epoch":     {writes: 1, parts: 1, givenUp: 1, primaryRestarts: 1},                  // a backup that takes calls of an older epoch
 		"":              {writes: 1, parts: 1, givenUp: 1, primaryRestarts: 1, sameEpoch: true}, // a run that leads on in the epoch of the run before it
 	}
-	for name, bounds := range struck {
+	for name, bounds := range disabled {
 		t.Run(fmt.Sprintf("%s same epoch %v", name, bounds.sameEpoch), func(t *testing.T) {
-			t.Setenv("YARROWRIDGE_STRIKE", name)
+			t.Setenv("YARROWRIDGE_DISABLED_MECHANISM", name)
 			e := exploreReplication(t, bounds)
 			if e.problem == "" {
 				t.Fatalf("nothing was found in %d courses", e.played)
@@ -128,10 +128,10 @@
 	}
 }
 
-// TestStruckDoubt has a primary lead on after a decision in doubt: the exploration of votes together with writes has to find
+// TestDisabledDoubt has a primary lead on after a decision in doubt: the exploration of votes together with writes has to find
 // a holder without an acknowledged write.
-func TestStruckDoubt(t *testing.T) {
-	t.Setenv("YARROWRIDGE_STRIKE", "decision-in-doubt")
+func TestDisabledDoubt(t *testing.T) {
+	t.Setenv("YARROWRIDGE_DISABLED_MECHANISM", "decision-in-doubt")
 	e := exploreAllWrites(t, voteBounds{attempts: 1, lost: 2})
 	if e.problem == "" {
 		t.Fatalf("nothing was found in %d courses", e.played)
--- a/internal/modelcheck/process_test.go
+++ b/internal/testing/modelcheck/process_test.go
@@ -7,12 +7,13 @@
 
 	"github.com/tinylib/msgp/msgp"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/sim"
-	"yarrowridge/internal/store"
-	"yarrowridge/internal/view"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/core"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/lib/runloop"
+	"yarrowridge/internal/testing/sim"
+	"yarrowridge/internal/transport/wire"
 )
 
 // process is one core: a machine with a disk, and the process that runs on it now.
@@ -55,7 +56,7 @@
 	return err
 }
 
-// countWrite tells whether the process dies at this write, and whether after it.
+// countWrite reports whether the process dies at this write, and whether after it.
 func (p *process) countWrite() (dies, after bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,7 +80,7 @@
 	settings := core.Settings{Addr: p.addr, Seeds: p.fleet.seeds(), Bootstrap: p.first, Losses: p.fleet.losses,
 		LeaseTerm: p.term, LostAfter: lostAfter}
 	p.first = false
-	where := env.Ctx{Context: ctx, Name: p.addr, Zone: p.zone, Born: uint64(time.Now().UnixNano()), Log: p.fleet.log.With("at", p.addr), Net: network}
+	where := daemon.Context{Context: ctx, Name: p.addr, Zone: p.zone, RunID: uint64(time.Now().UnixNano()), Log: p.fleet.log.With("at", p.addr), Net: network}
 	disk := faultyDisk{p.disk.Use(), p}
 	server, err := core.Open(where, settings, disk)
 	if err != nil {
@@ -103,19 +104,19 @@
 	return func(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 		fault := p.fleet.messageFault(kind)
 		if fault.hold > 0 {
-			env.Wait(run, fault.hold)
+			runloop.Sleep(run, fault.hold)
 			ctx = run // it arrives, whether its caller still waits or not
 		}
 		if fault.again > 0 {
 			go func() {
-				if env.Wait(run, fault.again) {
+				if runloop.Sleep(run, fault.again) {
 					server.Handle(run, kind, body)
 				}
 			}()
 		}
 		response, err := server.Handle(ctx, kind, body)
 		if fault.holdAnswer > 0 {
-			env.Wait(run, fault.holdAnswer)
+			runloop.Sleep(run, fault.holdAnswer)
 		}
 		return response, err
 	}
@@ -131,4 +132,4 @@
 func (p *process) view() view.View { return p.server.View() }
 
 // id is the identity on the process's disk.
-func (p *process) id() string { return p.server.State().Id }
+func (p *process) id() string { return p.server.State().ID }
--- a/internal/modelcheck/replication_test.go
+++ b/internal/testing/modelcheck/replication_test.go
@@ -13,13 +13,13 @@
 
 	"github.com/tinylib/msgp/msgp"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/sim"
-	"yarrowridge/internal/store"
-	"yarrowridge/internal/strike"
-	"yarrowridge/internal/view"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/core"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/lib/faultinjection"
+	"yarrowridge/internal/testing/sim"
+	"yarrowridge/internal/transport/wire"
 )
 
 // replicationBounds are how much one course of replication may hold.
@@ -70,7 +70,7 @@
 // newReplication begins a course: the primary holds one write, the backup nothing.
 func newReplication(ctx context.Context, t *testing.T, bounds replicationBounds) *replication {
 	r := &replication{bounds: bounds, ctx: ctx, disk: diskOf(t, backupID), values: []string{"first"}, acknowledged: []string{"first"}}
-	members := []view.Member{{Id: primaryID, Addr: "10.0.0.1:1"}, {Id: backupID, Addr: "10.0.0.2:1"}}
+	members := []view.Member{{ID: primaryID, Addr: "10.0.0.1:1"}, {ID: backupID, Addr: "10.0.0.2:1"}}
 	r.view = view.View{Epoch: 1, Primary: primaryID, Members: members}.WithBackups([]string{backupID})
 	r.startBackup(t)
 	return r
@@ -78,7 +78,7 @@
 
 // startBackup opens the backup from its disk. Its run loop rests: it only answers calls.
 func (r *replication) startBackup(t *testing.T) {
-	where := env.Ctx{Context: r.ctx, Name: backupID, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Net: wire.TCP{}}
+	where := daemon.Context{Context: r.ctx, Name: backupID, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Net: wire.TCP{}}
 	backup, err := core.Open(where, core.Settings{Addr: "10.0.0.2:1"}, r.disk.Use())
 	if err != nil {
 		t.Fatal(err)
@@ -158,7 +158,7 @@
 		r.bounds.writes--
 		r.written++
 		r.values = append(r.values, fmt.Sprint("write ", r.written))
-		batch := store.Batch{Seq: uint64(len(r.values)), Puts: r.puts(len(r.values)-1, len(r.values))}
+		batch := store.Batch{Version: uint64(len(r.values)), Mutations: r.puts(len(r.values)-1, len(r.values))}
 		r.outstanding = &replicationCall{name: r.values[len(r.values)-1], kind: "core.hold",
 			body: &core.ReplicateRequest{View: r.view, Primary: primaryID, Batch: batch}}
 		return
@@ -166,14 +166,14 @@
 	if r.nextPart == 0 {
 		r.snapshots++
 	}
-	request := &core.SnapshotRequest{View: r.view, Primary: primaryID, Snapshot: r.snapshots, Version: uint64(len(r.values)), Part: r.nextPart}
+	request := &core.SnapshotRequest{View: r.view, Primary: primaryID, Snapshot: r.snapshots, Version: uint64(len(r.values)), Chunk: r.nextPart}
 	switch {
 	case r.bounds.parts == 1:
-		request.Last, request.Puts = true, r.puts(0, len(r.values))
+		request.Last, request.Mutations = true, r.puts(0, len(r.values))
 	case r.nextPart == 0:
-		request.Puts = r.puts(0, 1)
+		request.Mutations = r.puts(0, 1)
 	default:
-		request.Last, request.Puts = true, r.puts(1, len(r.values))
+		request.Last, request.Mutations = true, r.puts(1, len(r.values))
 	}
 	r.outstanding = &replicationCall{name: fmt.Sprintf("snapshot %d.%d part %d of %d writes", r.view.Epoch, r.snapshots, r.nextPart, len(r.values)),
 		kind: "core.copy", body: request, last: request.Last}
@@ -181,17 +181,17 @@
 }
 
 // puts are the primary's writes from one index to another, as its store holds them.
-func (r *replication) puts(from, to int) []store.Put {
-	var puts []store.Put
+func (r *replication) puts(from, to int) []store.Mutation {
+	var puts []store.Mutation
 	for i := from; i < to; i++ {
-		puts = append(puts, store.Put{Key: writeKey(i), Val: []byte(r.values[i])})
+		puts = append(puts, store.Mutation{Key: writeKey(i), Value: []byte(r.values[i])})
 	}
 	return puts
 }
 
 func writeKey(index int) string { return fmt.Sprint("write/", index) }
 
-// deliver has the backup take a call, and tells whether it did.
+// deliver has the backup take a call, and reports whether it did.
 func (r *replication) deliver(t *testing.T, call *replicationCall) bool {
 	raw, err := call.body.MarshalMsg(nil)
 	if err != nil {
@@ -260,8 +260,8 @@
 		t.Fatal(err)
 	}
 	values = map[string]string{}
-	replica.Each("write/", func(key string, raw []byte) { values[key] = string(raw) })
-	return replica.Seq(), values
+	replica.ForEachWithPrefix("write/", func(key string, raw []byte) { values[key] = string(raw) })
+	return replica.Version(), values
 }
 
 // ownWrites are the primary's writes by their keys.
@@ -355,8 +355,8 @@
 // TestEveryCourseOfReplication plays every order in which a primary's calls arrive at its backup, late ones and those of
 // its earlier runs among them: the backup loses no acknowledged write.
 func TestEveryCourseOfReplication(t *testing.T) {
-	if strike.Out("") {
-		t.Skip("built with a mechanism struck out")
+	if faultinjection.Disabled("") {
+		t.Skip("built with a mechanism disabled")
 	}
 	for _, bounds := range []replicationBounds{
 		{writes: 2, parts: 2, givenUp: 2, doubled: 1},
--- a/internal/modelcheck/vote_test.go
+++ b/internal/testing/modelcheck/vote_test.go
@@ -15,10 +15,11 @@
 
 	"github.com/tinylib/msgp/msgp"
 
-	"yarrowridge/internal/sim"
-	"yarrowridge/internal/store"
-	"yarrowridge/internal/strike"
-	"yarrowridge/internal/view"
+	"yarrowridge/internal/controlplane/paxos"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/lib/faultinjection"
+	"yarrowridge/internal/testing/sim"
 )
 
 // The bounds of the exhaustive exploration of the vote.
@@ -38,14 +39,14 @@
 type pendingCall struct {
 	proposer, attempt, voter int
 	request                  msgp.Marshaler
-	response                 *view.BallotResponse
+	response                 *paxos.VoteResponse
 	outcome                  chan error
 }
 
 // name tells calls of one state apart.
 func (c *pendingCall) name() string {
 	kind := "prepare"
-	if _, ok := c.request.(*view.AcceptRequest); ok {
+	if _, ok := c.request.(*paxos.AcceptRequest); ok {
 		kind = "accept"
 	}
 	return fmt.Sprintf("%d.%d %s %d", c.proposer, c.attempt, kind, c.voter)
@@ -58,7 +59,7 @@
 type vote struct {
 	bounds   voteBounds
 	disks    []*sim.Disk
-	voters   []*view.Voter
+	voters   []*paxos.Acceptor
 	current  view.View
 	mu       sync.Mutex
 	pending  []*pendingCall
@@ -76,7 +77,7 @@
 
 // proposeItself is the view in which a proposer is the primary.
 func proposeItself(current view.View, proposer int) view.View {
-	current.Primary = current.Members[proposer].Id
+	current.Primary = current.Members[proposer].ID
 	return current
 }
 
@@ -88,13 +89,13 @@
 	v := &vote{bounds: bounds, next: next, ended: make([]error, proposersExplored), promised: map[int]int{}, decided: make([]string, proposersExplored), accepted: map[string]map[int]bool{}, chosen: map[string]bool{}}
 	v.current = view.View{Epoch: 1}
 	for i := range votersExplored {
-		member := view.Member{Id: fmt.Sprint("member-", i), Addr: fmt.Sprint(i)}
+		member := view.Member{ID: fmt.Sprint("member-", i), Addr: fmt.Sprint(i)}
 		v.current.Members = append(v.current.Members, member)
-		v.disks = append(v.disks, diskOf(t, member.Id))
+		v.disks = append(v.disks, diskOf(t, member.ID))
 		v.voters = append(v.voters, nil)
 		v.restart(t, i)
 	}
-	v.current.Primary = v.current.Members[0].Id
+	v.current.Primary = v.current.Members[0].ID
 	for i := range proposersExplored {
 		v.running.Go(func() { v.propose(i) })
 	}
@@ -104,13 +105,13 @@
 // diskOf is the disk of a voter that has an identity and has never voted: drawn at random, identities would make each
 // course another one.
 func diskOf(t *testing.T, id string) *sim.Disk {
-	state := view.VoterState{Id: id}
+	state := paxos.AcceptorState{ID: id}
 	raw, err := state.MarshalMsg(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	disk := sim.NewDisk()
-	if err := disk.Use().Write("ballot", store.Seal(raw)); err != nil {
+	if err := disk.Use().Write("ballot", store.AddChecksum(raw)); err != nil {
 		t.Fatal(err)
 	}
 	return disk
@@ -118,7 +119,7 @@
 
 // restart opens a voter from its disk.
 func (v *vote) restart(t *testing.T, voter int) {
-	opened, err := view.Open(v.disks[voter].Use(), 0, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	opened, err := paxos.Open(v.disks[voter].Use(), 0, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,12 +131,12 @@
 	next := v.next(v.current, proposer)
 	highest := uint64(0)
 	for attempt := range v.bounds.attempts {
-		proposal := view.Proposal{Proposer: v.current.Members[proposer].Id, Current: v.current, Next: next, StepTimeout: time.Hour, HighestBallot: highest,
+		proposal := paxos.Proposal{ProposerID: v.current.Members[proposer].ID, Current: v.current, Next: next, StepTimeout: time.Hour, HighestNumber: highest,
 			Call: func(_ context.Context, addr, _ string, in msgp.Marshaler, out msgp.Unmarshaler) error {
 				return v.send(proposer, attempt, addr, in, out)
 			}}
 		decided, err := proposal.Run(context.Background())
-		highest = proposal.HighestBallot
+		highest = proposal.HighestNumber
 		if err == nil {
 			v.mu.Lock()
 			v.decided[proposer] = nameOf(decided)
@@ -151,7 +152,7 @@
 // send puts a call before the scheduler and waits for what becomes of it.
 func (v *vote) send(proposer, attempt int, addr string, in msgp.Marshaler, out msgp.Unmarshaler) error {
 	call := &pendingCall{proposer: proposer, attempt: attempt, voter: int(addr[0] - '0'), request: in,
-		response: out.(*view.BallotResponse), outcome: make(chan error, 1)}
+		response: out.(*paxos.VoteResponse), outcome: make(chan error, 1)}
 	v.mu.Lock()
 	v.pending = append(v.pending, call)
 	v.mu.Unlock()
@@ -160,12 +161,12 @@
 
 // deliver has a voter take a call, and notes what it accepts.
 func (v *vote) deliver(call *pendingCall) error {
-	var response *view.BallotResponse
+	var response *paxos.VoteResponse
 	var err error
 	switch request := call.request.(type) {
-	case *view.PrepareRequest:
+	case *paxos.PrepareRequest:
 		response, err = v.voters[call.voter].Prepare(request)
-	case *view.AcceptRequest:
+	case *paxos.AcceptRequest:
 		response, err = v.voters[call.voter].Accept(request)
 		if err == nil && response.Ok {
 			v.noteAccepted(request, call.voter)
@@ -181,8 +182,8 @@
 }
 
 // noteAccepted remembers who accepted what: a majority under one ballot has chosen it.
-func (v *vote) noteAccepted(request *view.AcceptRequest, voter int) {
-	key := fmt.Sprintf("%d/%s", request.Ballot.Number, request.Ballot.Proposer)
+func (v *vote) noteAccepted(request *paxos.AcceptRequest, voter int) {
+	key := fmt.Sprintf("%d/%s", request.Number.Number, request.Number.Proposer)
 	if v.accepted[key] == nil {
 		v.accepted[key] = map[int]bool{}
 	}
@@ -346,8 +347,8 @@
 // TestEveryCourseOfTheVote plays every order of messages, losses and restarts of two proposals to three voters: never are
 // two views decided for one epoch.
 func TestEveryCourseOfTheVote(t *testing.T) {
-	if strike.Out("") {
-		t.Skip("built with a mechanism struck out")
+	if faultinjection.Disabled("") {
+		t.Skip("built with a mechanism disabled")
 	}
 	for _, bounds := range []voteBounds{{attempts: 1}, {attempts: 1, lost: 1}, {attempts: 1, restarts: 1}} {
 		t.Run(fmt.Sprintf("%+v", bounds), func(t *testing.T) {
--- a/internal/modelcheck/walk_test.go
+++ b/internal/testing/modelcheck/walk_test.go
@@ -11,7 +11,7 @@
 	"testing/synctest"
 	"time"
 
-	"yarrowridge/internal/strike"
+	"yarrowridge/internal/lib/faultinjection"
 )
 
 var (
@@ -109,7 +109,7 @@
 	return s
 }
 
-// fails tells whether one of a few runs of a schedule shows a violation.
+// fails reports whether one of a few runs of a schedule shows a violation.
 func fails(t *testing.T, s Schedule) bool {
 	for range shrinkTries {
 		if len(play(t, s).violations) > 0 {
@@ -121,8 +121,8 @@
 
 // TestRandomWalks plays many schedules of faults: what operators saw is linearizable, and service comes back.
 func TestRandomWalks(t *testing.T) {
-	if strike.Out("") {
-		t.Skip("built with a mechanism struck out")
+	if faultinjection.Disabled("") {
+		t.Skip("built with a mechanism disabled")
 	}
 	var mu sync.Mutex
 	total := verdict{}
--- a/internal/sim/answer_test.go
+++ b/internal/testing/sim/answer_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"yarrowridge/internal/runner"
+	"yarrowridge/internal/dataplane/runner"
 )
 
 // A whole answer sends nothing until it is finished. However long the length asked for takes, it is
--- a/internal/sim/beat_test.go
+++ b/internal/testing/sim/beat_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/transport/wire"
 )
 
 // The answer to a beat holds the view only where the router does not know it.
@@ -16,11 +16,11 @@
 		f := newFleet(t, seed, 1)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
 		o := f.operator()
-		beat := func(known uint64) core.HeartbeatResponse {
+		beat := func(known uint64) coreapi.HeartbeatResponse {
 			ctx, end := context.WithTimeout(f.ctx, 5*time.Second)
 			defer end()
-			var told core.HeartbeatResponse
-			in := core.HeartbeatRequest{Node: core.Node{Name: "n", Zone: "h", Addr: o.addr, Run: 7}, ViewEpoch: known}
+			var told coreapi.HeartbeatResponse
+			in := coreapi.HeartbeatRequest{Node: coreapi.Node{Name: "n", Zone: "h", Addr: o.addr, Run: 7}, ViewEpoch: known}
 			if err := o.cli.Call(ctx, "core.beat", &in, &told, true); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/sim/core_test.go
+++ b/internal/testing/sim/core_test.go
@@ -10,9 +10,10 @@
 
 	"github.com/tinylib/msgp/msgp"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/sim"
-	"yarrowridge/internal/store"
+	"yarrowridge/internal/controlplane/core"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/testing/sim"
 )
 
 // Faults of every kind, at random, under operators who race: no acknowledged layout is lost, no
@@ -267,7 +268,7 @@
 			})
 			f.within(15*time.Second, "five members again", func() bool {
 				p := f.primary()
-				return p != nil && len(p.srv.State().View.Members) == 5 && p.srv.State().View.Addr(lost.srv.State().Id) != ""
+				return p != nil && len(p.srv.State().View.Members) == 5 && p.srv.State().View.Addr(lost.srv.State().ID) != ""
 			})
 		}
 		f.check(b)
@@ -359,18 +360,20 @@
 				t.Fatalf("%s: %v", kind, err)
 			}
 		}
-		claim := func(id string) core.Claim { return core.Claim{RequestHash: "s", Claimant: id, Node: "r00", NodeRun: 1} }
-		call("core.settle", &core.SettleRequest{Key: "t/k", Release: true, Claim: claim("late")}, nil)
-		var late, next, third core.ClaimResponse
-		call("core.take", &core.ClaimRequest{Key: "t/k", Claim: claim("late")}, &late)
+		claim := func(id string) coreapi.Claim {
+			return coreapi.Claim{RequestHash: "s", Claimant: id, Node: "r00", NodeRun: 1}
+		}
+		call("core.settle", &coreapi.CompleteClaimRequest{Key: "t/k", Release: true, Claim: claim("late")}, nil)
+		var late, next, third coreapi.ClaimResponse
+		call("core.take", &coreapi.ClaimRequest{Key: "t/k", Claim: claim("late")}, &late)
 		if late.Granted {
 			t.Error("a claim that had been let go was granted")
 		}
-		call("core.take", &core.ClaimRequest{Key: "t/k", Claim: claim("next")}, &next)
+		call("core.take", &coreapi.ClaimRequest{Key: "t/k", Claim: claim("next")}, &next)
 		if !next.Granted {
 			t.Errorf("the key could not be used again: %+v", next)
 		}
-		call("core.take", &core.ClaimRequest{Key: "t/k", Claim: claim("third")}, &third)
+		call("core.take", &coreapi.ClaimRequest{Key: "t/k", Claim: claim("third")}, &third)
 		if third.Granted {
 			t.Error("a standing claim was granted to another")
 		}
@@ -396,10 +399,10 @@
 			}
 		}
 		id := 0
-		take := func(key string) (out core.ClaimResponse, c core.Claim) {
+		take := func(key string) (out coreapi.ClaimResponse, c coreapi.Claim) {
 			id++
-			c = core.Claim{RequestHash: "s", Claimant: fmt.Sprint(id), Node: "n", NodeRun: 1}
-			call("core.take", &core.ClaimRequest{Key: key, Claim: c}, &out)
+			c = coreapi.Claim{RequestHash: "s", Claimant: fmt.Sprint(id), Node: "n", NodeRun: 1}
+			call("core.take", &coreapi.ClaimRequest{Key: key, Claim: c}, &out)
 			return out, c
 		}
 		expect := func(key, when string, got, ran bool) {
@@ -410,10 +413,10 @@
 		}
 		expect("t/k", "at first", true, false)
 		_, c := take("t/done")
-		c.State, c.Status, c.HasResponse = core.ClaimDone, 200, true
-		call("core.settle", &core.SettleRequest{Key: "t/done", Claim: c}, nil)
+		c.State, c.Status, c.HasResponse = coreapi.ClaimDone, 200, true
+		call("core.settle", &coreapi.CompleteClaimRequest{Key: "t/done", Claim: c}, nil)
 		_, c = take("t/free")
-		call("core.settle", &core.SettleRequest{Key: "t/free", Release: true, Claim: c}, nil)
+		call("core.settle", &coreapi.CompleteClaimRequest{Key: "t/free", Release: true, Claim: c}, nil)
 		time.Sleep(50 * time.Second)
 		expect("t/k", "within the span", false, false)
 		f.crashCore(f.primary())
@@ -503,8 +506,8 @@
 			all.Go(func() {
 				for j := range many / 200 {
 					ctx, end := context.WithTimeout(f.ctx, 20*time.Second)
-					var out core.ClaimResponse
-					if err := o.cli.Call(ctx, "core.take", &core.ClaimRequest{Key: fmt.Sprintf("t/%s-%d-%d", long, i, j), Claim: core.Claim{RequestHash: "s", Claimant: fmt.Sprint(i, j), Node: "n", NodeRun: 1}}, &out, true); err != nil || !out.Granted {
+					var out coreapi.ClaimResponse
+					if err := o.cli.Call(ctx, "core.take", &coreapi.ClaimRequest{Key: fmt.Sprintf("t/%s-%d-%d", long, i, j), Claim: coreapi.Claim{RequestHash: "s", Claimant: fmt.Sprint(i, j), Node: "n", NodeRun: 1}}, &out, true); err != nil || !out.Granted {
 						t.Error(err, out)
 					}
 					end()
@@ -539,11 +542,11 @@
 		if heir.addr != v.Addr(v.FirstBackup) {
 			t.Fatalf("%s leads, %s was backup", heir.addr, v.Addr(v.FirstBackup))
 		}
-		late, err := (&core.StoredConfig{Version: first.seq + 1, Raw: sheet(99)}).MarshalMsg(nil)
+		late, err := (&coreapi.StoredConfig{Version: first.seq + 1, Raw: sheet(99)}).MarshalMsg(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		in := core.ReplicateRequest{View: v, Primary: v.Primary, Batch: store.Batch{Seq: heir.srv.State().StoreVersion + 1, Puts: []store.Put{{Key: "layout", Val: late}}}}
+		in := core.ReplicateRequest{View: v, Primary: v.Primary, Batch: store.Batch{Version: heir.srv.State().StoreVersion + 1, Mutations: []store.Mutation{{Key: "layout", Value: late}}}}
 		raw, err := in.MarshalMsg(nil)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/sim/day_test.go
+++ b/internal/testing/sim/day_test.go
@@ -11,9 +11,9 @@
 	"testing/synctest"
 	"time"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/router"
-	"yarrowridge/internal/sim"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/dataplane/router"
+	"yarrowridge/internal/testing/sim"
 )
 
 var plan = flag.String("course", "", "a day's events for TestDays, comma-separated, in place of those drawn")
@@ -215,7 +215,7 @@
 			wg.Go(func() {
 				for o := w.operator(); !over.Load(); w.pass(1500) {
 					// Whole layouts, each unlike all others; half of them on condition of what was read last.
-					in := &core.WriteRequest{Raw: []byte(strings.Replace(lay, `{"services"`, fmt.Sprintf(`{"limits":{"queue":%d},"services"`, 2000+mark.Add(1)), 1)), AnyVersion: w.chance(2) == 0}
+					in := &coreapi.WriteRequest{Raw: []byte(strings.Replace(lay, `{"services"`, fmt.Sprintf(`{"limits":{"queue":%d},"services"`, 2000+mark.Add(1)), 1)), AnyVersion: w.chance(2) == 0}
 					if o.look(b); !in.AnyVersion {
 						b.mu.Lock()
 						if n := len(b.looks); n > 0 {
@@ -283,6 +283,6 @@
 				}
 			}
 		}
-		t.Errorf("broken; the shortest course found: go test ./internal/sim -run TestDays -seed %d -seeds 1 -course %s", seed, strings.Join(course, ","))
+		t.Errorf("broken; the shortest course found: go test ./internal/testing/sim -run TestDays -seed %d -seeds 1 -course %s", seed, strings.Join(course, ","))
 	}
 }
--- a/internal/sim/disk.go
+++ b/internal/testing/sim/disk.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"yarrowridge/internal/store"
+	"yarrowridge/internal/controlplane/store"
 )
 
 // ErrFull is a write to a full disk, ErrDead one by a process that has crashed.
@@ -32,8 +32,6 @@
 }
 
 // NewDisk makes an empty disk.
-//
-//	d := sim.NewDisk()
 func NewDisk() *Disk { return &Disk{files: map[string][]byte{}, gone: map[string][]byte{}} }
 
 // Handle is a disk as one run of a process sees it.
@@ -41,8 +39,6 @@
 
 // Use opens the disk for a new run; the run before can do nothing more to it. A write that was
 // under way is lost, and leaves its unfinished file behind.
-//
-//	h := d.Use()
 func (d *Disk) Use() *Handle {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -52,8 +48,6 @@
 
 // LosePower undoes some of the removals that were not synced: those for which the function says so. The machine's
 // process has ended. What was written is synced by Write itself.
-//
-//	d.LosePower(func() bool { return random.IntN(2) == 0 })
 func (d *Disk) LosePower(undo func() bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,8 +61,6 @@
 }
 
 // Slow makes every write take so long.
-//
-//	d.Slow(200 * time.Millisecond)
 func (d *Disk) Slow(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -76,8 +68,6 @@
 }
 
 // Full has every write fail, or no longer.
-//
-//	d.Full(true)
 func (d *Disk) Full(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -85,8 +75,6 @@
 }
 
 // Keep has every removal fail, as a crash just before it would leave things.
-//
-//	d.Keep(true)
 func (d *Disk) Keep(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -94,8 +82,6 @@
 }
 
 // Stall has every write wait until Flow.
-//
-//	d.Stall()
 func (d *Disk) Stall() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -105,8 +91,6 @@
 }
 
 // Flow ends a stall.
-//
-//	d.Flow()
 func (d *Disk) Flow() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -117,8 +101,6 @@
 }
 
 // Spoil flips a bit of a file's byte, as a bad sector would.
-//
-//	ok := d.Spoil("v-0000000000000001", 17)
 func (d *Disk) Spoil(name string, at int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -133,8 +115,6 @@
 }
 
 // Names lists the files.
-//
-//	all := d.Names()
 func (d *Disk) Names() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/sim/document_test.go
+++ b/internal/testing/sim/document_test.go
@@ -10,26 +10,27 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/node"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/core"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/transport/wire"
 )
 
 // lines is a codec of documents that number themselves: the first line is the sequence, then come the
 // units of tenants, one a line. A line "bad" is a flaw.
 type lines struct{}
 
-func (lines) Check(raw []byte) (doc core.Document, flaws []core.ConfigError) {
+func (lines) Check(raw []byte) (doc core.Document, flaws []coreapi.ConfigError) {
 	doc.Quotas, doc.Windows = map[string]int{}, map[string]time.Duration{}
 	for i, line := range strings.Split(string(raw), "\n") {
 		var name string
 		var units int
 		if i == 0 {
 			if _, err := fmt.Sscan(line, &doc.Version); err != nil {
-				return doc, []core.ConfigError{{Path: "0", Text: "a sequence is expected"}}
+				return doc, []coreapi.ConfigError{{Path: "0", Text: "a sequence is expected"}}
 			}
 		} else if line == "bad" {
-			return doc, []core.ConfigError{{Path: fmt.Sprint(i), Text: "bad"}}
+			return doc, []coreapi.ConfigError{{Path: fmt.Sprint(i), Text: "bad"}}
 		} else if n, _ := fmt.Sscan(line, &name, &units); n == 2 {
 			doc.Quotas[name], doc.Windows[name] = units, 3*time.Second
 		}
@@ -93,9 +94,9 @@
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f, got := newDocumentFleet(t, seed, 6)
 		o := f.operator()
-		write := func(in core.WriteRequest, code int, sequence uint64) *core.WriteResponse {
+		write := func(in coreapi.WriteRequest, code int, sequence uint64) *coreapi.WriteResponse {
 			t.Helper()
-			var out core.WriteResponse
+			var out coreapi.WriteResponse
 			ctx, end := context.WithTimeout(f.ctx, 6*time.Second)
 			defer end()
 			if err := o.cli.Call(ctx, "core.write", &in, &out, true); err != nil {
@@ -107,29 +108,29 @@
 			return &out
 		}
 		whole := func(sequence uint64, more string) []byte { return fmt.Appendf(nil, "%d\n%s", sequence, more) }
-		write(core.WriteRequest{AnyVersion: true, Id: "first", Raw: whole(5, "a 10")}, 200, 5)
-		write(core.WriteRequest{AnyVersion: true, Raw: whole(1_000_000, "a 10")}, 200, 1_000_000)
+		write(coreapi.WriteRequest{AnyVersion: true, ID: "first", Raw: whole(5, "a 10")}, 200, 5)
+		write(coreapi.WriteRequest{AnyVersion: true, Raw: whole(1_000_000, "a 10")}, 200, 1_000_000)
 		for _, sequence := range []uint64{999_999, 1_000_000} {
-			out := write(core.WriteRequest{AnyVersion: true, Raw: whole(sequence, "")}, 400, 1_000_000)
+			out := write(coreapi.WriteRequest{AnyVersion: true, Raw: whole(sequence, "")}, 400, 1_000_000)
 			if len(out.Errors) != 1 || out.Errors[0].Path != "sequence" || !strings.Contains(out.Errors[0].Text, "above 1000000") {
 				t.Errorf("flaws %+v", out.Errors)
 			}
 		}
 		// A known id goes before a lost race, that before a flaw.
-		if out := write(core.WriteRequest{Id: "first", BaseVersion: 7, Raw: whole(5, "a 10")}, 200, 5); !out.Repeated {
+		if out := write(coreapi.WriteRequest{ID: "first", BaseVersion: 7, Raw: whole(5, "a 10")}, 200, 5); !out.Repeated {
 			t.Error("a known id was not seen")
 		}
-		write(core.WriteRequest{Id: "first", BaseVersion: 7, Raw: whole(6, "a 10")}, 422, 5)
-		write(core.WriteRequest{BaseVersion: 7, Raw: whole(1, "bad")}, 412, 1_000_000)
-		write(core.WriteRequest{BaseVersion: 1_000_000, Raw: whole(2_000_000, "bad")}, 400, 1_000_000)
-		write(core.WriteRequest{BaseVersion: 1_000_000, Raw: whole(1_000_007, "a 10")}, 200, 1_000_007)
+		write(coreapi.WriteRequest{ID: "first", BaseVersion: 7, Raw: whole(6, "a 10")}, 422, 5)
+		write(coreapi.WriteRequest{BaseVersion: 7, Raw: whole(1, "bad")}, 412, 1_000_000)
+		write(coreapi.WriteRequest{BaseVersion: 1_000_000, Raw: whole(2_000_000, "bad")}, 400, 1_000_000)
+		write(coreapi.WriteRequest{BaseVersion: 1_000_000, Raw: whole(1_000_007, "a 10")}, 200, 1_000_007)
 		f.within(2*time.Second, "every router is there", f.everyRouterAt(1_000_007))
 
 		// The quota is the document's.
 		// A draw gets a part of what is free; all draws together get the quota and no more.
-		var moved core.QuotaMoveResult
+		var moved coreapi.QuotaMoveResult
 		for turn := range uint64(30) {
-			if err := o.cli.Call(f.ctx, "core.move", &core.QuotaMove{Tenant: "a", Holder: "h", Turn: turn + 1, Units: 25}, &moved, true); err != nil {
+			if err := o.cli.Call(f.ctx, "core.move", &coreapi.QuotaMove{Tenant: "a", Holder: "h", Sequence: turn + 1, Units: 25}, &moved, true); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -143,20 +144,20 @@
 		for i := range uint64(20) {
 			last += 1 + i*i*31
 			sequences = append(sequences, last)
-			write(core.WriteRequest{AnyVersion: true, Id: fmt.Sprint("big", i), Raw: whole(last, big)}, 200, last)
+			write(coreapi.WriteRequest{AnyVersion: true, ID: fmt.Sprint("big", i), Raw: whole(last, big)}, 200, last)
 			if i == 9 {
 				f.crashCore(f.primary())
 			}
 		}
 		f.within(2*time.Second, "every router is at the last", f.everyRouterAt(last))
 		f.settle()
-		write(core.WriteRequest{AnyVersion: true, Id: "big3", Raw: whole(sequences[6], big)}, 200, sequences[6])
+		write(coreapi.WriteRequest{AnyVersion: true, ID: "big3", Raw: whole(sequences[6], big)}, 200, sequences[6])
 		kept := 0
 		for _, sequence := range sequences {
-			err := o.cli.Call(f.ctx, "core.layout", &core.ConfigRequest{Version: sequence}, &core.StoredConfig{}, true)
+			err := o.cli.Call(f.ctx, "core.layout", &coreapi.ConfigRequest{Version: sequence}, &coreapi.StoredConfig{}, true)
 			if err == nil {
 				kept++
-			} else if !wire.Is(err, "no-such-sequence") {
+			} else if !wire.HasCode(err, "no-such-sequence") {
 				t.Fatal(err)
 			}
 		}
@@ -168,14 +169,14 @@
 		huge := whole(last+1, "")
 		huge = append(huge, bytes.Repeat([]byte("0123456789abcde\n"), (4<<20-len(huge))/16)...)
 		begun := time.Now()
-		write(core.WriteRequest{AnyVersion: true, Raw: huge}, 200, last+1)
+		write(coreapi.WriteRequest{AnyVersion: true, Raw: huge}, 200, last+1)
 		t.Logf("%d bytes acknowledged after %s", len(huge), time.Since(begun))
 		f.within(2*time.Second, "every router has the largest", f.everyRouterAt(last+1))
-		write(core.WriteRequest{AnyVersion: true, Raw: make([]byte, 4<<20+1)}, 413, 0)
+		write(coreapi.WriteRequest{AnyVersion: true, Raw: make([]byte, 4<<20+1)}, 413, 0)
 		f.crashCore(f.primary())
 		f.settle()
-		var back core.StoredConfig
-		if err := o.cli.Call(f.ctx, "core.layout", &core.ConfigRequest{}, &back, true); err != nil || !bytes.Equal(back.Raw, huge) {
+		var back coreapi.StoredConfig
+		if err := o.cli.Call(f.ctx, "core.layout", &coreapi.ConfigRequest{}, &back, true); err != nil || !bytes.Equal(back.Raw, huge) {
 			t.Errorf("the largest document came back with %d bytes: %v", len(back.Raw), err)
 		}
 		r := f.routers[2]
@@ -188,12 +189,12 @@
 
 		// One that routers don't understand: the old one stays in force, the next is taken.
 		_, hash := r.hub.ConfigInForce()
-		write(core.WriteRequest{AnyVersion: true, Raw: whole(last+2, "strange")}, 200, last+2)
+		write(coreapi.WriteRequest{AnyVersion: true, Raw: whole(last+2, "strange")}, 200, last+2)
 		time.Sleep(time.Second)
 		if version, now := r.hub.ConfigInForce(); version != last+1 || now != hash || r.hub.Ready() != "" {
 			t.Errorf("after a strange document the router is at %d, %q", r.hub.ConfigVersion(), r.hub.Ready())
 		}
-		write(core.WriteRequest{AnyVersion: true, Raw: whole(last+3, "a 10")}, 200, last+3)
+		write(coreapi.WriteRequest{AnyVersion: true, Raw: whole(last+3, "a 10")}, 200, last+3)
 		f.within(2*time.Second, "every router takes the next", f.everyRouterAt(last+3))
 	})
 }
--- a/internal/sim/fleet_test.go
+++ b/internal/testing/sim/fleet_test.go
@@ -15,12 +15,16 @@
 	"testing/synctest"
 	"time"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/node"
-	"yarrowridge/internal/relay"
-	"yarrowridge/internal/sim"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/core"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/coreclient"
+	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/lib/logging"
+	"yarrowridge/internal/lib/runloop"
+	"yarrowridge/internal/testing/sim"
+	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/wire"
 )
 
 var (
@@ -84,7 +88,7 @@
 	if *loud {
 		out = os.Stderr
 	}
-	f.log = env.NewLog(out, slog.LevelDebug)
+	f.log = logging.New(out, slog.LevelDebug)
 	f.ctx, f.end = context.WithCancel(t.Context())
 	t.Cleanup(f.stop)
 	return f
@@ -147,7 +151,7 @@
 	n, crash := f.w.Net(c.addr)
 	ctx, end := context.WithCancel(f.ctx)
 	c.crash = func() { end(); crash() }
-	ec := env.Ctx{Context: ctx, Name: c.addr, Zone: c.hall, Born: uint64(time.Now().UnixNano()), Log: f.log.With("at", c.addr), Net: n}
+	ec := daemon.Context{Context: ctx, Name: c.addr, Zone: c.hall, RunID: uint64(time.Now().UnixNano()), Log: f.log.With("at", c.addr), Net: n}
 	var srv *core.Server
 	var err error
 	set := core.Settings{Addr: c.addr, Founders: f.founder, Seeds: []string{"10.0.1.1:1", "10.0.1.2:1", f.founder[0]}, LostAfter: f.lost, Codec: f.codec}
@@ -155,7 +159,7 @@
 		set = f.place(c)
 	}
 	for range 40 { // a stalled or full disk keeps a process from starting
-		srv, err = core.Open(ec.Part("core"), set, c.disk.Use())
+		srv, err = core.Open(ec.WithComponent("core"), set, c.disk.Use())
 		if err == nil {
 			break
 		}
@@ -185,12 +189,12 @@
 	n, crash := f.w.Net(r.addr)
 	ctx, end := context.WithCancel(f.ctx)
 	r.crash = func() { end(); crash() }
-	ec := env.Ctx{Context: ctx, Name: r.name, Zone: r.hall, Born: uint64(time.Now().UnixNano()), Log: f.log.With("at", r.name), Net: n}
+	ec := daemon.Context{Context: ctx, Name: r.name, Zone: r.hall, RunID: uint64(time.Now().UnixNano()), Log: f.log.With("at", r.name), Net: n}
 	var options []node.Option
 	if f.options != nil {
 		options = f.options(r)
 	}
-	r.hub = node.NewHub(ec.Part("node"), r.addr, r.addr, []string{f.founder[0], f.founder[1], "10.0.1.1:1"}, func(relay.Record) {}, options...)
+	r.hub = node.NewHub(ec.WithComponent("node"), r.addr, r.addr, []string{f.founder[0], f.founder[1], "10.0.1.1:1"}, func(relay.Record) {}, options...)
 	r.mu.Lock()
 	r.seen = nil
 	r.mu.Unlock()
@@ -202,7 +206,7 @@
 	go wire.Serve(ctx, l, r.hub.Serve)
 	go r.hub.Run()
 	hub := r.hub
-	go env.Loop(ctx, nil, 20*time.Millisecond, func(struct{}) {}, func() {
+	go runloop.Run(ctx, nil, 20*time.Millisecond, func(struct{}) {}, func() {
 		lay := hub.Config()
 		if lay == nil {
 			return
@@ -271,7 +275,7 @@
 type operator struct {
 	f    *fleet
 	addr string
-	cli  *core.Client
+	cli  *coreclient.Client
 }
 
 // machines counts the machines and requests that runs have made beside those of their fleets; runs are parallel.
@@ -280,8 +284,8 @@
 func (f *fleet) operator() *operator {
 	addr := fmt.Sprintf("10.0.9.%d:1", machines.Add(1))
 	n, _ := f.w.Net(addr)
-	ec := env.Ctx{Context: f.ctx, Name: "op", Log: f.log, Net: n}
-	return &operator{f, addr, core.NewClient(ec, wire.NewCaller(n), append([]string{"10.0.1.1:1", "10.0.1.2:1", "10.0.1.3:1"}, f.founder...))}
+	ec := daemon.Context{Context: f.ctx, Name: "op", Log: f.log, Net: n}
+	return &operator{f, addr, coreclient.NewClient(ec, wire.NewCaller(n), append([]string{"10.0.1.1:1", "10.0.1.2:1", "10.0.1.3:1"}, f.founder...))}
 }
 
 // sheet is a small layout that differs from all others by its mark.
@@ -297,27 +301,27 @@
 }
 
 func (o *operator) put(mark int, match uint64, id string) put {
-	p := o.write(&core.WriteRequest{Id: id, BaseVersion: match, AnyVersion: match == 0, Raw: sheet(mark)})
+	p := o.write(&coreapi.WriteRequest{ID: id, BaseVersion: match, AnyVersion: match == 0, Raw: sheet(mark)})
 	p.mark = mark
 	return p
 }
 
 // raw puts a whole layout.
 func (o *operator) raw(lay []byte, id string) put {
-	return o.write(&core.WriteRequest{Id: id, AnyVersion: true, Raw: lay})
+	return o.write(&coreapi.WriteRequest{ID: id, AnyVersion: true, Raw: lay})
 }
 
-func (o *operator) write(in *core.WriteRequest) put {
+func (o *operator) write(in *coreapi.WriteRequest) put {
 	p := put{begun: time.Now(), raw: string(in.Raw)}
 	ctx, end := context.WithTimeout(o.f.ctx, 6*time.Second)
 	defer end()
-	var out core.WriteResponse
-	err := o.cli.Call(ctx, "core.write", in, &out, in.Id != "")
+	var out coreapi.WriteResponse
+	err := o.cli.Call(ctx, "core.write", in, &out, in.ID != "")
 	p.end = time.Now()
 	switch {
 	case err == nil:
 		p.code, p.seq = out.Code, out.Version
-	case core.IsInDoubt(err):
+	case coreapi.IsOutcomeUnknown(err):
 		p.code = 504
 	default:
 		p.code = 503
@@ -337,8 +341,8 @@
 	l := look{begun: time.Now()}
 	ctx, end := context.WithTimeout(o.f.ctx, 2*time.Second)
 	defer end()
-	var out core.StoredConfig
-	if o.cli.Call(ctx, "core.layout", &core.ConfigRequest{}, &out, true) != nil {
+	var out coreapi.StoredConfig
+	if o.cli.Call(ctx, "core.layout", &coreapi.ConfigRequest{}, &out, true) != nil {
 		return
 	}
 	l.seq, l.raw = out.Version, string(out.Raw)
@@ -418,8 +422,8 @@
 	o := f.operator()
 	ctx, end := context.WithTimeout(f.ctx, 10*time.Second)
 	defer end()
-	var last core.StoredConfig
-	if err := o.cli.Call(ctx, "core.layout", &core.ConfigRequest{}, &last, true); err != nil {
+	var last coreapi.StoredConfig
+	if err := o.cli.Call(ctx, "core.layout", &coreapi.ConfigRequest{}, &last, true); err != nil {
 		t.Fatalf("reading back: %v", err)
 	}
 	see("the core", last.Version, string(last.Raw))
--- a/internal/sim/load_test.go
+++ b/internal/testing/sim/load_test.go
@@ -311,7 +311,7 @@
 			b.add(o.put(i+1, 0, ""))
 		}
 		p := f.primary()
-		was := p.srv.State().Id
+		was := p.srv.State().ID
 		f.crashCore(p)
 		bad := ""
 		for _, n := range p.disk.Names() {
@@ -323,12 +323,12 @@
 			t.Fatal("nothing to spoil")
 		}
 		f.startCore(p)
-		if p.srv.State().Id == was {
+		if p.srv.State().ID == was {
 			t.Error("a core with a damaged state kept its identity")
 		}
 		f.within(15*time.Second, "five members again, the damaged one as a new process", func() bool {
 			q := f.primary()
-			return q != nil && len(q.srv.State().View.Members) == 5 && q.srv.State().View.HasMember(p.srv.State().Id)
+			return q != nil && len(q.srv.State().View.Members) == 5 && q.srv.State().View.HasMember(p.srv.State().ID)
 		})
 		b.add(o.put(9, 0, ""))
 		f.check(b)
--- a/internal/sim/membership_test.go
+++ b/internal/testing/sim/membership_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/sim"
-	"yarrowridge/internal/view"
+	"yarrowridge/internal/controlplane/core"
+	"yarrowridge/internal/controlplane/view"
+	"yarrowridge/internal/testing/sim"
 )
 
 // seedFleet is a world of cores that are told the first three addresses only; none runs yet.
@@ -38,7 +38,7 @@
 	return f
 }
 
-// whole tells whether a primary is ready whose members are exactly the cores that run, with as many
+// whole reports whether a primary is ready whose members are exactly the cores that run, with as many
 // backups as losses are to be borne.
 func (f *fleet) whole(losses int) bool {
 	p := f.primary()
@@ -50,7 +50,7 @@
 	for _, c := range f.cores {
 		if c.up {
 			up++
-			if v.Addr(c.srv.State().Id) != c.addr {
+			if v.Addr(c.srv.State().ID) != c.addr {
 				return false
 			}
 		}
@@ -301,7 +301,7 @@
 		var heir *coreProc
 		f.within(4*time.Second, "a backup takes over", func() bool {
 			for _, c := range f.cores {
-				if c.up && c.srv.State().View.Primary == c.srv.State().Id {
+				if c.up && c.srv.State().View.Primary == c.srv.State().ID {
 					heir = c
 				}
 			}
@@ -432,7 +432,7 @@
 				o := f.operator()
 				b.add(o.put(1, 0, ""))
 				cut := f.cores[f.chance(5)]
-				id := cut.srv.State().Id
+				id := cut.srv.State().ID
 				next := &coreProc{addr: "10.0.0.20:1", hall: "west", disk: sim.NewDisk()}
 				f.w.Split([]string{cut.addr}, append(f.rest(cut), o.addr, next.addr))
 				f.cores = append(f.cores, next)
@@ -441,7 +441,7 @@
 					for _, c := range f.cores {
 						if c != cut && c.srv.State().Ready {
 							v := c.srv.State().View
-							return v.Addr(id) == "" && v.HasMember(next.srv.State().Id) && len(v.Members) == 5
+							return v.Addr(id) == "" && v.HasMember(next.srv.State().ID) && len(v.Members) == 5
 						}
 					}
 					return false
@@ -487,7 +487,7 @@
 					v := f.primary().srv.State().View
 					var lost *coreProc
 					for _, c := range f.cores {
-						id := c.srv.State().Id
+						id := c.srv.State().ID
 						if role == "primary" && id == v.Primary || role == "backup" && v.IsBackup(id) || role == "member" && id != v.Primary && !v.IsBackup(id) {
 							lost = c
 						}
@@ -530,11 +530,11 @@
 			t.Fatalf("%d members", n)
 		}
 		lost := f.primary()
-		id := lost.srv.State().Id
+		id := lost.srv.State().ID
 		f.crashCore(lost)
 		f.within(6*time.Second, "another in place of the lost one", func() bool {
 			all := members()
-			return len(all) == 5 && !slices.ContainsFunc(all, func(m view.Member) bool { return m.Id == id })
+			return len(all) == 5 && !slices.ContainsFunc(all, func(m view.Member) bool { return m.ID == id })
 		})
 	})
 }
--- a/internal/sim/net.go
+++ b/internal/testing/sim/net.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/transport/wire"
 )
 
 // World is a network of machines, each known by its address.
@@ -29,8 +29,6 @@
 }
 
 // NewWorld makes a world whose delays come from the seed.
-//
-//	w := sim.NewWorld(42)
 func NewWorld(seed uint64) *World {
 	w := &World{rnd: rand.New(rand.NewPCG(seed, 7)), listeners: map[string]*listener{}, connections: map[*connection]bool{},
 		cuts: map[[2]string]bool{}, maxDelay: 4 * time.Millisecond}
@@ -50,8 +48,6 @@
 
 // Net gives a process at addr its net, and the function that crashes it: all its connections
 // break and nothing it still does is seen by anyone.
-//
-//	n, crash := w.Net("10.0.0.1:7401")
 func (w *World) Net(addr string) (wire.Net, func()) {
 	m := &machine{w: w, addr: addr}
 	return m, func() {
@@ -74,8 +70,6 @@
 
 // Cut stops all that goes from one address's machine to the other's; Heal lets it through again. What is
 // written meanwhile arrives late, as TCP has it.
-//
-//	w.Cut(a, b); w.Cut(b, a)
 func (w *World) Cut(from, to string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -91,8 +85,6 @@
 func (w *World) cut(from, to string) bool { return w.cuts[[2]string{host(from), host(to)}] }
 
 // Heal ends every cut.
-//
-//	w.Heal()
 func (w *World) Heal() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -103,8 +95,6 @@
 }
 
 // Sent counts the pieces sent so far.
-//
-//	before := w.Sent()
 func (w *World) Sent() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -112,8 +102,6 @@
 }
 
 // Dialled counts the connections tried so far.
-//
-//	before := w.Dialled()
 func (w *World) Dialled() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -121,8 +109,6 @@
 }
 
 // Split cuts two groups off each other, both ways.
-//
-//	w.Split([]string{a}, []string{b, c})
 func (w *World) Split(a, b []string) {
 	for _, x := range a {
 		for _, y := range b {
--- a/internal/sim/promise_test.go
+++ b/internal/testing/sim/promise_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"yarrowridge/internal/runner"
+	"yarrowridge/internal/dataplane/runner"
 )
 
 var cutFor = flag.Duration("cut", 10*time.Minute, "how long a hall is cut off, in simulated time")
--- a/internal/sim/quota_test.go
+++ b/internal/testing/sim/quota_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/transport/wire"
 )
 
 // A beat of a run that has ended, which comes after the next run at its address has drawn units, sets nothing of
@@ -14,25 +14,25 @@
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f, _ := newDocumentFleet(t, seed, 3)
 		o := f.operator()
-		if err := o.cli.Call(f.ctx, "core.write", &core.WriteRequest{AnyVersion: true, Raw: []byte("5\na 10")}, &core.WriteResponse{}, true); err != nil {
+		if err := o.cli.Call(f.ctx, "core.write", &coreapi.WriteRequest{AnyVersion: true, Raw: []byte("5\na 10")}, &coreapi.WriteResponse{}, true); err != nil {
 			t.Fatal(err)
 		}
 		f.within(2*time.Second, "every router is there", f.everyRouterAt(5))
 		r := f.routers[0]
-		late := core.HeartbeatRequest{Node: r.hub.Me(), AgeMs: 60_000}
+		late := coreapi.HeartbeatRequest{Node: r.hub.Me(), AgeMs: 60_000}
 		f.crashRouter(r)
 		time.Sleep(time.Second)
 		f.startRouter(r)
 		f.within(5*time.Second, "the new run is there", f.everyRouterAt(5))
 
 		draw := func(holder string, turn uint64) int {
-			var moved core.QuotaMoveResult
-			if err := o.cli.Call(f.ctx, "core.move", &core.QuotaMove{Tenant: "a", Holder: holder, Turn: turn, Units: 25}, &moved, true); err != nil {
+			var moved coreapi.QuotaMoveResult
+			if err := o.cli.Call(f.ctx, "core.move", &coreapi.QuotaMove{Tenant: "a", Holder: holder, Sequence: turn, Units: 25}, &moved, true); err != nil {
 				t.Fatal(err)
 			}
 			return moved.Held
 		}
-		living := core.Holder(r.hub.Me())
+		living := coreapi.Holder(r.hub.Me())
 		held := 0
 		for turn := range uint64(30) {
 			held = draw(living, turn+1)
@@ -40,8 +40,8 @@
 		if held != 10 {
 			t.Fatalf("the living run holds %d of 10 units", held)
 		}
-		err := o.cli.Call(f.ctx, "core.beat", &late, &core.HeartbeatResponse{}, true)
-		if !wire.Is(err, core.RunEnded) {
+		err := o.cli.Call(f.ctx, "core.beat", &late, &coreapi.HeartbeatResponse{}, true)
+		if !wire.HasCode(err, coreapi.CodeRunEnded) {
 			t.Errorf("the late beat was answered with %v", err)
 		}
 		time.Sleep(5 * time.Second)
--- a/internal/sim/registry_test.go
+++ b/internal/testing/sim/registry_test.go
@@ -7,18 +7,19 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/node"
-	"yarrowridge/internal/registry"
-	"yarrowridge/internal/routing"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreclient"
+	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/dataplane/registry"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/lib/runloop"
+	"yarrowridge/internal/model/routing"
+	"yarrowridge/internal/transport/wire"
 )
 
 // beater is a runner that sends its heartbeats to one core, whichever is primary.
 type beater struct {
 	f      *fleet
-	client *core.Client
+	client *coreclient.Client
 	mu     sync.Mutex
 	runner routing.Runner
 	mute   bool
@@ -27,14 +28,14 @@
 func (f *fleet) beater(i int) *beater {
 	c := f.cores[i%5]
 	n, _ := f.w.Net(fmt.Sprintf("10.0.7.%d:1", i+1))
-	ec := env.Ctx{Context: f.ctx, Name: "beater", Log: f.log, Net: n}
-	b := &beater{f: f, client: core.NewClient(ec, wire.NewCaller(n), []string{c.addr}), runner: routing.Runner{
+	ec := daemon.Context{Context: f.ctx, Name: "beater", Log: f.log, Net: n}
+	b := &beater{f: f, client: coreclient.NewClient(ec, wire.NewCaller(n), []string{c.addr}), runner: routing.Runner{
 		ID: fmt.Sprintf("life%02d", i), Service: "s", Address: fmt.Sprintf("10.0.8.%d:1", i+1), Zone: c.hall, State: routing.RunnerReady, Slots: 4}}
-	go env.Loop(f.ctx, nil, 500*time.Millisecond, func(struct{}) {}, func() { b.beat() })
+	go runloop.Run(f.ctx, nil, 500*time.Millisecond, func(struct{}) {}, func() { b.beat() })
 	return b
 }
 
-// beat sends one heartbeat and tells whether it was acknowledged.
+// beat sends one heartbeat and reports whether it was acknowledged.
 func (b *beater) beat() bool {
 	b.mu.Lock()
 	if b.mute {
@@ -54,7 +55,7 @@
 	b.mu.Lock()
 	b.runner.State = state
 	b.mu.Unlock()
-	for !b.beat() && env.Wait(b.f.ctx, 50*time.Millisecond) {
+	for !b.beat() && runloop.Sleep(b.f.ctx, 50*time.Millisecond) {
 	}
 }
 
@@ -64,7 +65,7 @@
 	b.mute = mute
 }
 
-// knownAs tells whether every router that is up knows a runner in this state; "" stands for not at all.
+// knownAs reports whether every router that is up knows a runner in this state; "" stands for not at all.
 func (f *fleet) knownAs(regs map[string]*registry.Registry, id string, state routing.RunnerState) bool {
 	for _, r := range f.routers {
 		found := routing.RunnerState("")
--- a/internal/sim/router_test.go
+++ b/internal/testing/sim/router_test.go
@@ -19,11 +19,12 @@
 
 	"github.com/tidwall/gjson"
 
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/fleetconfig"
-	"yarrowridge/internal/router"
-	"yarrowridge/internal/runner"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/dataplane/router"
+	"yarrowridge/internal/dataplane/runner"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/lib/runloop"
+	"yarrowridge/internal/model/fleetconfig"
+	"yarrowridge/internal/transport/wire"
 )
 
 // whole is a simulated fleet whose routers are whole, with runners and origins.
@@ -175,7 +176,7 @@
 	if r.born > 0 {
 		born = r.born
 	}
-	ec := env.Ctx{Context: ctx, Name: r.name, Zone: r.hall, Born: born, Log: w.log.With("at", r.name), Net: n}
+	ec := daemon.Context{Context: ctx, Name: r.name, Zone: r.hall, RunID: born, Log: w.log.With("at", r.name), Net: n}
 	run := router.New(ec, r.addr, r.face, []string{w.founder[0], w.founder[1], "10.0.1.1:1"}, func(ctx context.Context, _, addr string) (net.Conn, error) {
 		return n.Dial(ctx, addr)
 	})
@@ -233,10 +234,10 @@
 			s.mu.Unlock()
 			if !mute && !s.beat(ctx, cli, at) {
 				at++
-				env.Wait(ctx, 50*time.Millisecond)
+				runloop.Sleep(ctx, 50*time.Millisecond)
 				continue
 			}
-			env.Wait(ctx, time.Second)
+			runloop.Sleep(ctx, time.Second)
 		}
 	}()
 }
@@ -353,7 +354,7 @@
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	}
-	env.Wait(r.Context(), time.Duration(miss)*s.cold)
+	runloop.Sleep(r.Context(), time.Duration(miss)*s.cold)
 	if s.raw != "" {
 		con, _, err := http.NewResponseController(rw).Hijack()
 		if err != nil {
@@ -375,7 +376,7 @@
 		s.mu.Lock()
 		d := s.step + time.Duration(s.slow*float64(s.active-1)*float64(s.step))
 		s.mu.Unlock()
-		if !env.Wait(r.Context(), d) {
+		if !runloop.Sleep(r.Context(), d) {
 			panic(http.ErrAbortHandler)
 		}
 		if tokens > 0 {
@@ -387,7 +388,7 @@
 		if stream {
 			mark := ""
 			if s.pause != nil {
-				env.Wait(r.Context(), s.pause(i))
+				runloop.Sleep(r.Context(), s.pause(i))
 			}
 			s.mu.Lock()
 			differ := s.differ
--- a/internal/sim/secondloss_test.go
+++ b/internal/testing/sim/secondloss_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/sim"
+	"yarrowridge/internal/testing/sim"
 )
 
 // cutOff cuts a core off from all others, routers and operators too.
@@ -64,7 +64,7 @@
 		for next == nil {
 			time.Sleep(time.Millisecond / 4)
 			for _, c := range f.cores {
-				if c != old && c.srv.View().Primary == c.srv.State().Id {
+				if c != old && c.srv.View().Primary == c.srv.State().ID {
 					next = c
 				}
 			}
--- a/internal/sim/sessions_test.go
+++ b/internal/testing/sim/sessions_test.go
@@ -6,9 +6,10 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/coreclient"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/transport/wire"
 )
 
 // The session directory that routers keep at the core is there after the loss of all cores' processes; the one
@@ -18,18 +19,18 @@
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := grown(t, seed, 5, 1)
 		network, _ := f.w.Net("10.0.7.1:1")
-		client := core.NewClient(env.Ctx{Context: f.ctx, Name: "router", Log: f.log, Net: network}, wire.NewCaller(network), f.founder)
+		client := coreclient.NewClient(daemon.Context{Context: f.ctx, Name: "router", Log: f.log, Net: network}, wire.NewCaller(network), f.founder)
 		keep := func(body []byte) error {
 			ctx, end := context.WithTimeout(f.ctx, 2*time.Second)
 			defer end()
-			return client.Call(ctx, "core.sessions.keep", &core.SessionDirectory{Batch: body}, &core.Empty{}, true)
+			return client.Call(ctx, "core.sessions.keep", &coreapi.SessionDirectory{Batch: body}, &coreapi.Empty{}, true)
 		}
 		for _, body := range []string{"first", "second"} {
 			if err := keep([]byte(body)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if err := keep(make([]byte, 2<<20)); !wire.Is(err, "too-large") {
+		if err := keep(make([]byte, 2<<20)); !wire.HasCode(err, "too-large") {
 			t.Errorf("a directory of 2 MB: %v", err)
 		}
 		for _, c := range f.cores {
@@ -41,8 +42,8 @@
 		f.within(10*time.Second, "a primary is ready", func() bool { return f.primary() != nil })
 		ctx, end := context.WithTimeout(f.ctx, 2*time.Second)
 		defer end()
-		var kept core.SessionDirectory
-		if err := client.Call(ctx, "core.sessions", &core.ConfigRequest{}, &kept, true); err != nil || !bytes.Equal(kept.Batch, []byte("second")) {
+		var kept coreapi.SessionDirectory
+		if err := client.Call(ctx, "core.sessions", &coreapi.ConfigRequest{}, &kept, true); err != nil || !bytes.Equal(kept.Batch, []byte("second")) {
 			t.Errorf("%q is kept: %v", kept.Batch, err)
 		}
 		f.stop()
--- a/internal/sim/stream_test.go
+++ b/internal/testing/sim/stream_test.go
@@ -16,9 +16,9 @@
 
 	"github.com/tidwall/gjson"
 
-	"yarrowridge/internal/fleetconfig"
-	"yarrowridge/internal/node"
-	"yarrowridge/internal/runner"
+	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/dataplane/runner"
+	"yarrowridge/internal/model/fleetconfig"
 )
 
 // tap is an origin's connection: what comes through while its router lives and the origin listens.
@@ -327,7 +327,7 @@
 	all.Wait()
 }
 
-// ended tells whether a router holds a stream's end.
+// ended reports whether a router holds a stream's end.
 func ended(r *fullRouter, id string) bool {
 	return slices.ContainsFunc(r.now().Streams.List(), func(h node.HeldStream) bool { return h.RequestID == id && h.Ended })
 }
--- a/internal/sim/worstdays_test.go
+++ b/internal/testing/sim/worstdays_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/tinylib/msgp/msgp"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/routing"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/model/routing"
+	"yarrowridge/internal/transport/wire"
 )
 
 // The primary is cut off from the other cores for 20 s, one way or both, while all others reach it: from the end of its lease on
@@ -75,17 +75,17 @@
 	t.Helper()
 	runner := routing.Runner{ID: "i-1", Service: "s", Address: "10.9.0.1:80", State: routing.RunnerGone, Sequence: 9}
 	for kind, request := range map[string]msgp.Marshaler{
-		"core.layout": &core.ConfigRequest{},
-		"core.write":  &core.WriteRequest{Id: fmt.Sprint("near-", number), AnyVersion: true, Raw: sheet(100000 + number)},
-		"core.beat":   &core.HeartbeatRequest{Node: core.Node{Name: "r99", Addr: "10.0.1.99:1", Run: 1}},
-		"core.runner": &core.RunnerHeartbeat{Runner: runner},
-		"core.move":   &core.QuotaMove{},
-		"core.take":   &core.ClaimRequest{Key: fmt.Sprint("t/", number), Claim: core.Claim{Claimant: "c"}},
+		"core.layout": &coreapi.ConfigRequest{},
+		"core.write":  &coreapi.WriteRequest{ID: fmt.Sprint("near-", number), AnyVersion: true, Raw: sheet(100000 + number)},
+		"core.beat":   &coreapi.HeartbeatRequest{Node: coreapi.Node{Name: "r99", Addr: "10.0.1.99:1", Run: 1}},
+		"core.runner": &coreapi.RunnerHeartbeat{Runner: runner},
+		"core.move":   &coreapi.QuotaMove{},
+		"core.take":   &coreapi.ClaimRequest{Key: fmt.Sprint("t/", number), Claim: coreapi.Claim{Claimant: "c"}},
 	} {
 		ctx, cancel := context.WithTimeout(d.ctx, 900*time.Millisecond)
 		err := d.caller.Call(ctx, addr, kind, request, nil)
 		cancel()
-		if !wire.Is(err, core.NotReady) && !wire.Is(err, core.NotPrimary) {
+		if !wire.HasCode(err, coreapi.CodeNotReady) && !wire.HasCode(err, coreapi.CodeNotPrimary) {
 			t.Errorf("%s was answered %v", kind, err)
 		}
 	}
@@ -100,18 +100,18 @@
 		o, b := f.operator(), &book{}
 		base := o.put(1, 0, "first")
 		b.add(base)
-		taken := o.write(&core.WriteRequest{Id: "order", BaseVersion: base.seq, Raw: sheet(2)})
+		taken := o.write(&coreapi.WriteRequest{ID: "order", BaseVersion: base.seq, Raw: sheet(2)})
 		b.add(taken)
 		if taken.code != 200 {
 			t.Fatalf("the order was answered %d", taken.code)
 		}
 		again := func(when string) {
 			t.Helper()
-			repeat := f.operator().write(&core.WriteRequest{Id: "order", BaseVersion: base.seq, Raw: sheet(2)})
+			repeat := f.operator().write(&coreapi.WriteRequest{ID: "order", BaseVersion: base.seq, Raw: sheet(2)})
 			if repeat.code != 200 || repeat.seq != taken.seq {
 				t.Errorf("%s the order was answered %d at %d, first it was %d", when, repeat.code, repeat.seq, taken.seq)
 			}
-			if rival := f.operator().write(&core.WriteRequest{Id: "rival", BaseVersion: base.seq, Raw: sheet(3)}); rival.code != 412 {
+			if rival := f.operator().write(&coreapi.WriteRequest{ID: "rival", BaseVersion: base.seq, Raw: sheet(3)}); rival.code != 412 {
 				t.Errorf("%s a rival on the same base was answered %d", when, rival.code)
 			}
 		}
@@ -205,7 +205,7 @@
 // holds is the running core with an identity, or nil.
 func (f *fleet) holds(id string) *coreProc {
 	for _, c := range f.cores {
-		if c.up && c.srv.State().Id == id {
+		if c.up && c.srv.State().ID == id {
 			return c
 		}
 	}
--- a/internal/operator/api.go
+++ b/internal/transport/operator/api.go
@@ -8,10 +8,10 @@
 
 	"github.com/zeromicro/go-zero/rest"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/env"
-	"yarrowridge/internal/fleetconfig"
-	"yarrowridge/internal/web"
+	"yarrowridge/internal/controlplane/coreclient"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/lib/web"
+	"yarrowridge/internal/model/fleetconfig"
 )
 
 // WriteIDHeader is the header with the operator's own id for a write, so that a repeat does not apply twice.
@@ -19,8 +19,8 @@
 
 // API serves the operators of a router or a core.
 type API struct {
-	Ctx     env.Ctx
-	Core    *core.Client
+	Ctx     daemon.Context
+	Core    *coreclient.Client
 	KeyHash func() string         // hex SHA-256 of the operators' key
 	Ready   func() string         // why not, or ""
 	Views   map[string]func() any // further things to read, by path
@@ -28,8 +28,6 @@
 }
 
 // Handler makes the API's routes.
-//
-//	handler, err := api.Handler()
 func (api *API) Handler() (http.Handler, error) {
 	var routes []rest.Route
 	add := func(method, path string, handler http.HandlerFunc) {
@@ -53,8 +51,6 @@
 }
 
 // Ready answers 200 where why gives "", else 503 with the reason.
-//
-//	http.Handle("/ready", operator.Ready(hub.Ready))
 func Ready(why func() string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if reason := why(); reason != "" {
--- a/internal/operator/bodies.go
+++ b/internal/transport/operator/bodies.go
@@ -1,6 +1,6 @@
 package operator
 
-import "yarrowridge/internal/core"
+import "yarrowridge/internal/controlplane/coreapi"
 
 // Alive is the body of /alive.
 type Alive struct {
@@ -26,13 +26,13 @@
 
 // BadConfig is an error that lists all that is wrong with a config.
 type BadConfig struct {
-	Code    string             `json:"code"`
-	Message string             `json:"message"`
-	Flaws   []core.ConfigError `json:"troubles"`
+	Code    string                `json:"code"`
+	Message string                `json:"message"`
+	Flaws   []coreapi.ConfigError `json:"troubles"`
 }
 
 // Fleet is the body of /v1/fleet.
 type Fleet struct {
-	core.State
+	coreapi.State
 	Relays map[string][]string `json:"relays"` // with whom each router exchanges news
 }
--- a/internal/operator/bodies_test.go
+++ b/internal/transport/operator/bodies_test.go
@@ -4,8 +4,8 @@
 	"encoding/json"
 	"testing"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/web"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/lib/web"
 )
 
 // Operators' scripts read these bodies: their fields and the order of them stay as they were.
@@ -20,7 +20,7 @@
 		{Written{Version: 7}, `{"repeated":false,"sequence":7}`},
 		{web.ErrorBody{Error: web.Error{Code: "no-core", Message: "text"}}, `{"error":{"code":"no-core","message":"text"}}`},
 		{BadConfigBody{BadConfig{Code: "bad-layout", Message: "text"}}, `{"error":{"code":"bad-layout","message":"text","troubles":null}}`},
-		{BadConfigBody{BadConfig{Code: "bad-layout", Message: "text", Flaws: []core.ConfigError{{Path: "a", Text: "b"}}}},
+		{BadConfigBody{BadConfig{Code: "bad-layout", Message: "text", Flaws: []coreapi.ConfigError{{Path: "a", Text: "b"}}}},
 			`{"error":{"code":"bad-layout","message":"text","troubles":[{"path":"a","text":"b"}]}}`},
 	} {
 		got, err := json.Marshal(c.body)
--- a/internal/operator/config.go
+++ b/internal/transport/operator/config.go
@@ -10,10 +10,10 @@
 	"strings"
 	"time"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/fleetconfig"
-	"yarrowridge/internal/web"
-	"yarrowridge/internal/wire"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/lib/web"
+	"yarrowridge/internal/model/fleetconfig"
+	"yarrowridge/internal/transport/wire"
 )
 
 // writeRetryable answers with an error that may be gone when the operator asks again.
@@ -24,7 +24,7 @@
 
 // getConfig answers with the config in force, or an earlier version of it.
 func (api *API) getConfig(w http.ResponseWriter, r *http.Request) {
-	var wanted core.ConfigRequest
+	var wanted coreapi.ConfigRequest
 	if text := r.URL.Query().Get("sequence"); text != "" {
 		number, err := strconv.ParseUint(text, 10, 64)
 		if err != nil || number == 0 {
@@ -35,9 +35,9 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), 3*time.Second)
 	defer cancel()
-	var sheet core.StoredConfig
+	var sheet coreapi.StoredConfig
 	switch err := api.Core.Call(ctx, "core.layout", &wanted, &sheet, true); {
-	case wire.Is(err, "no-such-sequence"):
+	case wire.HasCode(err, "no-such-sequence"):
 		web.WriteError(w, http.StatusNotFound, "no-such-sequence", "This sequence is not kept.")
 	case err != nil:
 		writeRetryable(w, http.StatusServiceUnavailable, "no-core", "The core did not answer in time.")
@@ -51,9 +51,9 @@
 }
 
 // readWrite reads a write of the config; where it is not one, it answers and ok is false.
-func readWrite(w http.ResponseWriter, r *http.Request) (write core.WriteRequest, ok bool) {
-	write = core.WriteRequest{Id: r.Header.Get(WriteIDHeader), Patch: r.Method == http.MethodPatch, AnyVersion: true}
-	if len(write.Id) > 200 {
+func readWrite(w http.ResponseWriter, r *http.Request) (write coreapi.WriteRequest, ok bool) {
+	write = coreapi.WriteRequest{ID: r.Header.Get(WriteIDHeader), Patch: r.Method == http.MethodPatch, AnyVersion: true}
+	if len(write.ID) > 200 {
 		web.WriteError(w, http.StatusBadRequest, "bad-write-id", WriteIDHeader+": at most 200 bytes are expected.")
 		return write, false
 	}
@@ -87,12 +87,12 @@
 	// The write goes on if the operator hangs up: its outcome is settled either way.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), 6*time.Second)
 	defer cancel()
-	var written core.WriteResponse
-	err := api.Core.Call(ctx, "core.write", &write, &written, write.Id != "")
+	var written coreapi.WriteResponse
+	err := api.Core.Call(ctx, "core.write", &write, &written, write.ID != "")
 	switch {
-	case core.IsInDoubt(err):
+	case coreapi.IsOutcomeUnknown(err):
 		writeRetryable(w, http.StatusGatewayTimeout, "in-doubt", "The write may yet take effect. Read the layout back, or repeat it with the same "+WriteIDHeader+".")
-	case errors.Is(err, wire.ErrUnsent), wire.Is(err, core.NotReady), wire.Is(err, core.NotPrimary):
+	case errors.Is(err, wire.ErrUnsent), wire.HasCode(err, coreapi.CodeNotReady), wire.HasCode(err, coreapi.CodeNotPrimary):
 		writeRetryable(w, http.StatusServiceUnavailable, "not-taken", "The core can't take writes now. This one was surely not taken.")
 	case err != nil:
 		api.Ctx.Log.Error("Write in trouble.", "error", err.Error())
--- a/internal/operator/fleet.go
+++ b/internal/transport/operator/fleet.go
@@ -5,17 +5,17 @@
 	"net/http"
 	"time"
 
-	"yarrowridge/internal/core"
-	"yarrowridge/internal/relay"
-	"yarrowridge/internal/web"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/lib/web"
+	"yarrowridge/internal/transport/relay"
 )
 
 // getFleet answers with what the core knows of the fleet.
 func (api *API) getFleet(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), 2*time.Second)
 	defer cancel()
-	var state core.State
-	if err := api.Core.Call(ctx, "core.peek", &core.StateRequest{}, &state, true); err != nil {
+	var state coreapi.State
+	if err := api.Core.Call(ctx, "core.peek", &coreapi.StateRequest{}, &state, true); err != nil {
 		writeRetryable(w, http.StatusServiceUnavailable, "no-core", "The core did not answer in time. GET /v1/standing tells what this process knows.")
 		return
 	}
--- a/internal/relay/drop_test.go
+++ b/internal/transport/relay/drop_test.go
@@ -12,14 +12,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		a, b := NewStore(nil), NewStore(nil)
 		rec := Record{Key: "runners/x", Version: 3, Body: []byte("x")}
-		a.Take([]Record{rec})
+		a.Merge([]Record{rec})
 		time.Sleep(700 * time.Millisecond)
 		mend(a, b)
 		for range 250 {
 			time.Sleep(300 * time.Millisecond)
-			a.Forget(time.Minute)
+			a.Expire(time.Minute)
 			mend(a, b)
-			b.Forget(time.Minute)
+			b.Expire(time.Minute)
 			mend(b, a)
 		}
 		for _, store := range []*Store{a, b} {
@@ -28,7 +28,7 @@
 			}
 		}
 		rec.Version = 4
-		if fresh := a.Take([]Record{rec}); len(fresh) != 1 {
+		if fresh := a.Merge([]Record{rec}); len(fresh) != 1 {
 			t.Error("a newer word is refused")
 		}
 	})
--- a/internal/relay/msgs.go
+++ b/internal/transport/relay/msgs.go
@@ -13,8 +13,8 @@
 	Body       []byte `msg:"b"`
 }
 
-// News hands on news.
-type News struct {
+// Update hands on news.
+type Update struct {
 	From    string   `msg:"f"`
 	Records []Record `msg:"r"`
 }
--- a/internal/relay/msgs_gen.go
+++ b/internal/transport/relay/msgs_gen.go
@@ -309,7 +309,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *News) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Update) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "f"
@@ -329,7 +329,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *News) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Update) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -392,7 +392,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *News) Msgsize() (s int) {
+func (z *Update) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Records {
 		s += z.Records[za0001].Msgsize()
--- a/internal/relay/relay_test.go
+++ b/internal/transport/relay/relay_test.go
@@ -17,9 +17,9 @@
 		return bytes
 	}
 	fix := a.Repair("a", diff)
-	b.Take(fix.Records)
-	back := News{Records: b.Select(fix.Wanted)}
-	a.Take(back.Records)
+	b.Merge(fix.Records)
+	back := Update{Records: b.Select(fix.Wanted)}
+	a.Merge(back.Records)
 	return bytes + fix.Msgsize() + back.Msgsize()
 }
 
@@ -36,18 +36,18 @@
 			}
 			switch rapid.IntRange(0, 2).Draw(t, "where") {
 			case 0:
-				a.Take([]Record{r})
+				a.Merge([]Record{r})
 			case 1:
-				b.Take([]Record{r})
+				b.Merge([]Record{r})
 			default:
-				a.Take([]Record{r})
-				b.Take([]Record{r})
+				a.Merge([]Record{r})
+				b.Merge([]Record{r})
 			}
 		}
 		mend(a, b)
 		for _, x := range []*Store{a, b} {
 			n := 0
-			x.Each("", func(Record, time.Duration) { n++ })
+			x.ForEachWithPrefix("", func(Record, time.Duration) { n++ })
 			if n != len(model) {
 				t.Fatalf("%d records, %d expected", n, len(model))
 			}
@@ -68,13 +68,13 @@
 	const all = 200
 	for _, lost := range []int{0, 1, 5, 20, 200} {
 		a, b := NewStore(nil), NewStore(nil)
-		full := News{}
+		full := Update{}
 		for i := range all {
 			r := Record{Key: fmt.Sprintf("runner/10.0.0.%d:1", i), Generation: 1, Version: 7, Body: make([]byte, 400)}
 			full.Records = append(full.Records, r)
-			a.Take([]Record{r})
+			a.Merge([]Record{r})
 			if i >= lost {
-				b.Take([]Record{r})
+				b.Merge([]Record{r})
 			}
 		}
 		cost := mend(a, b)
@@ -122,7 +122,7 @@
 func TestFalseLength(t *testing.T) {
 	raw := []byte{0x82, 0xa1, 'f', 0xa1, 'x', 0xa1, 'r', 0xdd, 0xff, 0xff, 0xff, 0xf0} // a list of four thousand million
 	if n := testing.AllocsPerRun(1, func() {
-		var tell News
+		var tell Update
 		if _, err := tell.UnmarshalMsg(raw); err == nil {
 			t.Error("read")
 		}
--- a/internal/relay/store.go
+++ b/internal/transport/relay/store.go
@@ -17,8 +17,6 @@
 const ConfigKey = "layout"
 
 // ConfigRecord makes the record of a layout.
-//
-//	record := relay.ConfigRecord(7, raw)
 func ConfigRecord(seq uint64, raw []byte) Record {
 	return Record{Key: ConfigKey, Version: seq, Body: raw}
 }
@@ -26,9 +24,7 @@
 // RunnerPrefix begins the key of a registered runner's record; its ID follows.
 const RunnerPrefix = "runners/"
 
-// Newer tells whether a is newer than b.
-//
-//	if relay.Newer(a, b) { ... }
+// Newer reports whether a is newer than b.
 func Newer(a, b Record) bool {
 	if a.Generation != b.Generation {
 		return a.Generation > b.Generation
@@ -62,8 +58,6 @@
 
 // NewStore makes an empty store. onRecord is called for every record that is taken, in no fixed order
 // between keys, and for one key from the older to the newer.
-//
-//	store := relay.NewStore(func(r relay.Record) { ... })
 func NewStore(onRecord func(Record)) *Store {
 	b := &Store{onRecord: onRecord}
 	for i := range b.shards {
@@ -84,10 +78,8 @@
 
 func rangeOf(key string) int { return int(hash(key) % RangeCount) }
 
-// Take takes the records that are newer than what stands here, and returns those.
-//
-//	fresh := store.Take(news.Records)
-func (s *Store) Take(records []Record) []Record {
+// Merge takes the records that are newer than what stands here, and returns those.
+func (s *Store) Merge(records []Record) []Record {
 	var fresh []Record
 	for _, r := range records {
 		shard := &s.shards[rangeOf(r.Key)]
@@ -111,8 +103,6 @@
 }
 
 // Get reads one record and how long ago it came.
-//
-//	record, age, ok := store.Get("runner/a")
 func (s *Store) Get(key string) (Record, time.Duration, bool) {
 	shard := &s.shards[rangeOf(key)]
 	shard.mu.RLock()
@@ -121,10 +111,8 @@
 	return h.record, time.Since(h.at), ok
 }
 
-// Each visits the records whose key begins with a prefix.
-//
-//	store.Each("runner/", func(r relay.Record, age time.Duration) { ... })
-func (s *Store) Each(prefix string, do func(Record, time.Duration)) {
+// ForEachWithPrefix visits the records whose key begins with a prefix.
+func (s *Store) ForEachWithPrefix(prefix string, do func(Record, time.Duration)) {
 	for i := range s.shards {
 		shard := &s.shards[i]
 		shard.mu.RLock()
@@ -137,10 +125,8 @@
 	}
 }
 
-// Forget forgets records untouched for longer than d: their owner is long gone. The layout stays.
-//
-//	store.Forget(time.Minute)
-func (s *Store) Forget(d time.Duration) {
+// Expire forgets records untouched for longer than d: their owner is long gone. The layout stays.
+func (s *Store) Expire(d time.Duration) {
 	for i := range s.shards {
 		shard := &s.shards[i]
 		shard.mu.Lock()
@@ -168,8 +154,6 @@
 }
 
 // Digests digests every range.
-//
-//	digests := store.Digests("n1")
 func (s *Store) Digests(from string) Digests {
 	out := Digests{From: from, Ranges: make([]uint64, RangeCount)}
 	for i := range s.shards {
@@ -184,8 +168,6 @@
 }
 
 // Compare names what stands in the ranges whose digest differs from the far side's.
-//
-//	difference := store.Compare(digests)
 func (s *Store) Compare(far Digests) Difference {
 	var out Difference
 	mine := s.Digests("")
@@ -205,8 +187,6 @@
 }
 
 // Repair works out, from the far side's names, what to hand over and what to ask for.
-//
-//	repair := store.Repair("n1", difference)
 func (s *Store) Repair(from string, diff Difference) Repair {
 	out := Repair{From: from}
 	far := map[string]RecordVersion{}
@@ -236,8 +216,6 @@
 }
 
 // Select gives the records asked for.
-//
-//	records := store.Select(repair.Wanted)
 func (s *Store) Select(keys []string) []Record {
 	var out []Record
 	for _, k := range keys {
--- a/internal/relay/tree.go
+++ b/internal/transport/relay/tree.go
@@ -15,8 +15,6 @@
 // Neighbours names the neighbours of a node: its parent and children in its zone's tree, and for the
 // first of a zone the first of every other. All nodes work it out from the same list, so it needs
 // no talk; while lists differ, the repair by digests covers the gaps.
-//
-//	for _, n := range relay.Neighbours("n1", nodes) { ... }
 func Neighbours(me string, all []Node) []Node {
 	zones := map[string][]Node{}
 	zone := ""
--- a/internal/wire/caller.go
+++ b/internal/transport/wire/caller.go
@@ -36,7 +36,7 @@
 	used time.Time   // when it was last asked for; under the caller's lock
 }
 
-// idle tells whether no call waits for an answer.
+// idle reports whether no call waits for an answer.
 func (l *link) idle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,15 +44,11 @@
 }
 
 // NewCaller makes a caller over a net.
-//
-//	cal := wire.NewCaller(wire.TCP{})
 func NewCaller(n Net) *Caller {
 	return &Caller{net: n, open: map[string]*link{}, dial: map[string]*dial{}}
 }
 
 // Close ends all connections.
-//
-//	defer cal.Close()
 func (c *Caller) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,8 +82,8 @@
 		traffic.of(f.Kind).answersReceived.add(f.size)
 		l.pack.Store(f.Unpacks)
 		l.mu.Lock()
-		ch := l.wait[f.Id]
-		delete(l.wait, f.Id)
+		ch := l.wait[f.ID]
+		delete(l.wait, f.ID)
 		l.mu.Unlock()
 		if ch != nil {
 			ch <- f
@@ -188,10 +184,8 @@
 
 // Call sends in to addr and reads the answer into out (nil where none is wanted).
 // The error is a *CallError that wraps ErrUnsent, ErrDoubt or a Fault.
-//
-//	err := cal.Call(ctx, addr, "core.find", &ask, &ans)
 func (c *Caller) Call(ctx context.Context, addr, kind string, in msgp.Marshaler, out msgp.Unmarshaler) error {
-	f := Frame{Fmt: Fmt, Kind: kind, Unpacks: true}
+	f := Frame{Fmt: FormatVersion, Kind: kind, Unpacks: true}
 	if in != nil {
 		var err error
 		if f.Body, err = in.MarshalMsg(nil); err != nil {
@@ -212,8 +206,8 @@
 		return &CallError{Kind: kind, Peer: addr, Cause: ErrUnsent}
 	}
 	l.next++
-	f.Id = l.next
-	l.wait[f.Id] = ch
+	f.ID = l.next
+	l.wait[f.ID] = ch
 	if end, ok := ctx.Deadline(); ok {
 		l.con.SetWriteDeadline(end)
 	} else {
@@ -229,10 +223,10 @@
 	select {
 	case ans, ok := <-ch:
 		if !ok {
-			return &CallError{Kind: kind, Peer: addr, Step: "connection lost", Cause: ErrDoubt}
+			return &CallError{Kind: kind, Peer: addr, Step: "connection lost", Cause: ErrOutcomeUnknown}
 		}
 		if ans.Err != "" {
-			return &CallError{Kind: kind, Peer: addr, Cause: Fault{ans.Err}}
+			return &CallError{Kind: kind, Peer: addr, Cause: StatusError{ans.Err}}
 		}
 		if out != nil {
 			if _, err := out.UnmarshalMsg(ans.Body); err != nil {
@@ -242,7 +236,7 @@
 		return nil
 	case <-ctx.Done():
 		l.mu.Lock()
-		delete(l.wait, f.Id)
+		delete(l.wait, f.ID)
 		l.mu.Unlock()
 		return inDoubt(kind, addr, "", ctx.Err())
 	}
--- a/internal/wire/callerror.go
+++ b/internal/transport/wire/callerror.go
@@ -12,8 +12,6 @@
 }
 
 // Error gives the call, the peer, the step and the cause.
-//
-//	err.Error() // "core.beat to 10.0.0.1:7401: connection lost: in doubt"
 func (e *CallError) Error() string {
 	text := e.Kind + " to " + e.Peer
 	if e.Step != "" {
@@ -23,8 +21,6 @@
 }
 
 // Unwrap gives the cause.
-//
-//	errors.Is(err, wire.ErrDoubt)
 func (e *CallError) Unwrap() error { return e.Cause }
 
 // unsent is a call of which no byte has left.
@@ -34,5 +30,5 @@
 
 // inDoubt is a call that may have been carried out.
 func inDoubt(kind, peer, step string, cause error) error {
-	return &CallError{Kind: kind, Peer: peer, Step: step, Cause: errors.Join(ErrDoubt, cause)}
+	return &CallError{Kind: kind, Peer: peer, Step: step, Cause: errors.Join(ErrOutcomeUnknown, cause)}
 }
--- a/internal/wire/callerror_test.go
+++ b/internal/transport/wire/callerror_test.go
@@ -15,19 +15,19 @@
 		want error
 	}{
 		{unsent("core.beat", "a:1", context.Canceled), eris.Wrapf(errors.Join(ErrUnsent, context.Canceled), "%s to %s", "core.beat", "a:1")},
-		{inDoubt("core.beat", "a:1", "", context.DeadlineExceeded), eris.Wrapf(errors.Join(ErrDoubt, context.DeadlineExceeded), "%s to %s", "core.beat", "a:1")},
-		{&CallError{"core.beat", "a:1", "connection lost", ErrDoubt}, eris.Wrapf(ErrDoubt, "%s to %s: connection lost", "core.beat", "a:1")},
-		{&CallError{"core.beat", "a:1", "", Fault{"lost"}}, eris.Wrapf(Fault{"lost"}, "%s to %s", "core.beat", "a:1")},
+		{inDoubt("core.beat", "a:1", "", context.DeadlineExceeded), eris.Wrapf(errors.Join(ErrOutcomeUnknown, context.DeadlineExceeded), "%s to %s", "core.beat", "a:1")},
+		{&CallError{"core.beat", "a:1", "connection lost", ErrOutcomeUnknown}, eris.Wrapf(ErrOutcomeUnknown, "%s to %s: connection lost", "core.beat", "a:1")},
+		{&CallError{"core.beat", "a:1", "", StatusError{"lost"}}, eris.Wrapf(StatusError{"lost"}, "%s to %s", "core.beat", "a:1")},
 	} {
 		if c.got.Error() != c.want.Error() {
 			t.Errorf("reads %q, %q expected", c.got, c.want)
 		}
-		for _, cause := range []error{ErrUnsent, ErrDoubt, context.Canceled, context.DeadlineExceeded, Fault{"lost"}} {
+		for _, cause := range []error{ErrUnsent, ErrOutcomeUnknown, context.Canceled, context.DeadlineExceeded, StatusError{"lost"}} {
 			if errors.Is(c.got, cause) != errors.Is(c.want, cause) {
 				t.Errorf("%q: cause %q is not found as it was", c.got, cause)
 			}
 		}
-		if Is(c.got, "lost") != Is(c.want, "lost") {
+		if HasCode(c.got, "lost") != HasCode(c.want, "lost") {
 			t.Errorf("%q: the fault is not found as it was", c.got)
 		}
 	}
--- a/internal/wire/format.go
+++ b/internal/transport/wire/format.go
@@ -3,4 +3,4 @@
 package wire
 
 // Fmt is the format this build speaks. A frame one below or above is read too.
-const Fmt = 1
+const FormatVersion = 1
--- a/internal/wire/late_test.go
+++ b/internal/transport/wire/late_test.go
@@ -43,7 +43,7 @@
 			defer mu.Unlock()
 			if err != nil {
 				givenUp++
-				if !errors.Is(err, ErrDoubt) && !errors.Is(err, ErrUnsent) {
+				if !errors.Is(err, ErrOutcomeUnknown) && !errors.Is(err, ErrUnsent) {
 					t.Errorf("call %d ended with %v", i, err)
 				}
 				return
@@ -101,7 +101,7 @@
 			err := caller.Call(ctx, listener.Addr().String(), "test.once", echoed(msgp.AppendInt(nil, i)), nil)
 			mu.Lock()
 			defer mu.Unlock()
-			if err == nil || seen[i] > 1 || seen[i] == 1 && !errors.Is(err, ErrDoubt) {
+			if err == nil || seen[i] > 1 || seen[i] == 1 && !errors.Is(err, ErrOutcomeUnknown) {
 				t.Errorf("call %d was seen %d times and ended with %v", i, seen[i], err)
 			}
 		})
--- a/internal/wire/msgs.go
+++ b/internal/transport/wire/msgs.go
@@ -9,7 +9,7 @@
 // Fmt is the message format of the sender; neighbours one format apart still talk.
 type Frame struct {
 	Fmt  uint8  `msg:"f"`
-	Id   uint64 `msg:"i"`
+	ID   uint64 `msg:"i"`
 	Kind string `msg:"k"`
 	Err  string `msg:"e"`
 	Body []byte `msg:"b"`
--- a/internal/wire/msgs_gen.go
+++ b/internal/transport/wire/msgs_gen.go
@@ -21,7 +21,7 @@
 	o = msgp.AppendUint8(o, z.Fmt)
 	// string "i"
 	o = append(o, 0xa1, 0x69)
-	o = msgp.AppendUint64(o, z.Id)
+	o = msgp.AppendUint64(o, z.ID)
 	// string "k"
 	o = append(o, 0xa1, 0x6b)
 	o = msgp.AppendString(o, z.Kind)
@@ -69,7 +69,7 @@
 				return
 			}
 		case "i":
-			z.Id, bts, err = msgp.ReadUint64Bytes(bts)
+			z.ID, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Id")
 				return
--- a/internal/wire/pack_test.go
+++ b/internal/transport/wire/pack_test.go
@@ -83,7 +83,7 @@
 	go serve(t.Context(), far, func(context.Context, string, []byte) (msgp.Marshaler, error) {
 		return text(strings.Repeat("x", 50_000)), nil
 	})
-	go write(near, &Frame{Fmt: Fmt, Id: 1, Kind: "a.b"})
+	go write(near, &Frame{Fmt: FormatVersion, ID: 1, Kind: "a.b"})
 	var head [4]byte
 	if _, err := near.Read(head[:]); err != nil {
 		t.Fatal(err)
@@ -105,7 +105,7 @@
 		t.Error("noise was compressed")
 	}
 	for _, body := range [][]byte{nil, {0xff}, s2.Encode(nil, make([]byte, MaxFrameBytes+1)), s2.Encode(nil, bytes.Repeat([]byte("x"), 9000))[:9]} {
-		f := Frame{Fmt: Fmt, Body: body, Packed: true}
+		f := Frame{Fmt: FormatVersion, Body: body, Packed: true}
 		var b bytes.Buffer
 		if err := write(&b, &f); err != nil {
 			t.Fatal(err)
--- a/internal/wire/traffic.go
+++ b/internal/transport/wire/traffic.go
@@ -20,18 +20,12 @@
 }
 
 // Sent is everything that left this process.
-//
-//	bytes := traffic.Sent().Bytes
 func (t Traffic) Sent() Count { return t.CallsSent.plus(t.AnswersSent) }
 
 // Received is everything that came to this process.
-//
-//	bytes := traffic.Received().Bytes
 func (t Traffic) Received() Count { return t.CallsReceived.plus(t.AnswersReceived) }
 
 // Minus is the traffic since an earlier reading.
-//
-//	since := now.Minus(before)
 func (t Traffic) Minus(earlier Traffic) Traffic {
 	return Traffic{t.CallsSent.minus(earlier.CallsSent), t.AnswersReceived.minus(earlier.AnswersReceived),
 		t.CallsReceived.minus(earlier.CallsReceived), t.AnswersSent.minus(earlier.AnswersSent)}
@@ -99,6 +93,4 @@
 }
 
 // TrafficByKind tells what this process has sent and received since its start, by kind of message.
-//
-//	beats := wire.TrafficByKind()["core.beat"]
 func TrafficByKind() map[string]Traffic { return traffic.read() }
