--- a/internal/wire/wire.go
+++ b/internal/transport/wire/wire.go
@@ -14,7 +14,7 @@
 	"github.com/rotisserie/eris"
 	"github.com/tinylib/msgp/msgp"
 
-	"yarrowridge/internal/tcp"
+	"yarrowridge/internal/transport/tcp"
 )
 
 // MaxFrameBytes is the largest frame body read, in bytes.
@@ -41,8 +41,8 @@
 var (
 	// ErrUnsent means no byte of the call has left this process.
 	ErrUnsent = errors.New("not sent")
-	// ErrDoubt means the call may have been carried out.
-	ErrDoubt = errors.New("in doubt")
+	// ErrOutcomeUnknown means the call may have been carried out.
+	ErrOutcomeUnknown = errors.New("in doubt")
 )
 
 // Net dials and listens. The daemons use TCP; the simulated fleet uses memory.
@@ -52,15 +52,11 @@
 }
 
 // TCP is the net of the daemons.
-//
-//	con, err := wire.TCP{}.Dial(ctx, "127.0.0.1:7401")
 type TCP struct {
 	From string // the IP number to dial from; empty: the system's choice
 }
 
 // Dial opens a connection within two seconds. It ends by itself once a byte is not acknowledged for a second.
-//
-//	con, err := wire.TCP{}.Dial(ctx, "127.0.0.1:7401")
 func (t TCP) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	dialer := Dialer(t.From, 2*time.Second)
 	dialer.Control = tcp.GiveUpAfter(unacknowledgedLimit)
@@ -68,8 +64,6 @@
 }
 
 // Dialer dials within a time from an IP number; from the system's choice where it is "".
-//
-//	d := wire.Dialer("10.1.0.7", time.Second)
 func Dialer(from string, wait time.Duration) *net.Dialer {
 	d := &net.Dialer{Timeout: wait}
 	if ip := net.ParseIP(from); ip != nil {
@@ -79,23 +73,17 @@
 }
 
 // Listen binds addr.
-//
-//	l, err := wire.TCP{}.Listen("127.0.0.1:7401")
 func (TCP) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 
-// Fault is an answer of "no" from the far side, as against a break on the way.
-type Fault struct{ Code string }
+// StatusError is an answer of "no" from the far side, as against a break on the way.
+type StatusError struct{ Code string }
 
 // Error gives the code.
-//
-//	wire.Fault{Code: "lost"}.Error() // "lost"
-func (f Fault) Error() string { return f.Code }
+func (f StatusError) Error() string { return f.Code }
 
-// Is tells whether err is a far-side fault with this code.
-//
-//	if wire.Is(err, "not-primary") { ... }
-func Is(err error, code string) bool {
-	var f Fault
+// HasCode reports whether err is a far-side fault with this code.
+func HasCode(err error, code string) bool {
+	var f StatusError
 	return errors.As(err, &f) && f.Code == code
 }
 
@@ -131,15 +119,13 @@
 	if _, err := f.UnmarshalMsg(buf); err != nil {
 		return eris.Wrap(err, "wire: frame unread")
 	}
-	if f.Fmt+1 < Fmt || f.Fmt > Fmt+1 {
-		return eris.Errorf("wire: format %d, %d to %d expected", f.Fmt, Fmt-1, Fmt+1)
+	if f.Fmt+1 < FormatVersion || f.Fmt > FormatVersion+1 {
+		return eris.Errorf("wire: format %d, %d to %d expected", f.Fmt, FormatVersion-1, FormatVersion+1)
 	}
 	return f.unpack()
 }
 
 // Serve answers calls on l until ctx ends. Each call runs as its own task.
-//
-//	go wire.Serve(ctx, l, handler)
 func Serve(ctx context.Context, l net.Listener, handler Handler) {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
@@ -218,14 +204,14 @@
 
 // answer carries out one call and writes its answer.
 func (a *answerer) answer(ctx context.Context, f *Frame) {
-	out := Frame{Fmt: Fmt, Id: f.Id, Kind: f.Kind, Unpacks: true}
+	out := Frame{Fmt: FormatVersion, ID: f.ID, Kind: f.Kind, Unpacks: true}
 	ans, err := a.handler(ctx, f.Kind, f.Body)
 	if err == nil && ans != nil {
 		out.Body, err = ans.MarshalMsg(nil)
 	}
 	if err != nil {
 		out.Err = "trouble"
-		var far Fault
+		var far StatusError
 		if errors.As(err, &far) {
 			out.Err = far.Code
 		}
@@ -244,13 +230,9 @@
 }
 
 // Handlers sends each call to the handler that owns the part of its kind before the dot.
-//
-//	wire.Handlers{"core": a, "view": b}.Do
 type Handlers map[string]Handler
 
 // Do is the Handler that splits by owner.
-//
-//	wire.Serve(ctx, l, hands.Do)
 func (h Handlers) Do(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 	for i := range len(kind) {
 		if kind[i] == '.' {
@@ -260,19 +242,17 @@
 			break
 		}
 	}
-	return nil, Fault{"unknown-kind"}
+	return nil, StatusError{"unknown-kind"}
 }
 
-// On unpacks a call's body and passes it to a typed function.
-//
-//	return wire.On(body, func(in *Ask) (*Ans, error) { ... })
-func On[I any, P interface {
+// HandleTyped unpacks a call's body and passes it to a typed function.
+func HandleTyped[I any, P interface {
 	*I
 	msgp.Unmarshaler
 }, O msgp.Marshaler](body []byte, do func(P) (O, error)) (msgp.Marshaler, error) {
 	in := P(new(I))
 	if _, err := in.UnmarshalMsg(body); err != nil {
-		return nil, Fault{"bad-body"}
+		return nil, StatusError{"bad-body"}
 	}
 	return do(in)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/transport/wire/wire_test.go
@@ -15,13 +15,13 @@
 	for _, c := range []struct {
 		fmt  uint8
 		good bool
-	}{{Fmt - 1, true}, {Fmt, true}, {Fmt + 1, true}, {Fmt + 2, false}} {
+	}{{FormatVersion - 1, true}, {FormatVersion, true}, {FormatVersion + 1, true}, {FormatVersion + 2, false}} {
 		var b bytes.Buffer
-		if err := write(&b, &Frame{Fmt: c.fmt, Id: 7, Kind: "core.beat", Body: []byte("x")}); err != nil {
+		if err := write(&b, &Frame{Fmt: c.fmt, ID: 7, Kind: "core.beat", Body: []byte("x")}); err != nil {
 			t.Fatal(err)
 		}
 		var f Frame
-		if err := read(&b, &f); (err == nil) != c.good || c.good && (f.Id != 7 || string(f.Body) != "x") {
+		if err := read(&b, &f); (err == nil) != c.good || c.good && (f.ID != 7 || string(f.Body) != "x") {
 			t.Errorf("format %d: %v %+v", c.fmt, err, f)
 		}
 	}
@@ -32,9 +32,9 @@
 	m = msgp.AppendString(m, "later")
 	m = msgp.AppendString(m, "news")
 	m = msgp.AppendString(m, "f")
-	m = msgp.AppendUint8(m, Fmt+1)
+	m = msgp.AppendUint8(m, FormatVersion+1)
 	var f Frame
-	if _, err := f.UnmarshalMsg(m); err != nil || f.Id != 9 || f.Kind != "" {
+	if _, err := f.UnmarshalMsg(m); err != nil || f.ID != 9 || f.Kind != "" {
 		t.Errorf("a frame with a later field: %v %+v", err, f)
 	}
 }
@@ -53,7 +53,7 @@
 		defer close(served)
 		Serve(ctx, l, func(ctx context.Context, kind string, _ []byte) (msgp.Marshaler, error) {
 			if kind == "a.no" {
-				return nil, Fault{"not-primary"}
+				return nil, StatusError{"not-primary"}
 			}
 			<-ctx.Done()
 			return nil, ctx.Err()
@@ -61,18 +61,18 @@
 	}()
 	cal := NewCaller(TCP{})
 	defer cal.Close()
-	if err := cal.Call(ctx, at, "a.no", nil, nil); !Is(err, "not-primary") || errors.Is(err, ErrDoubt) {
+	if err := cal.Call(ctx, at, "a.no", nil, nil); !HasCode(err, "not-primary") || errors.Is(err, ErrOutcomeUnknown) {
 		t.Errorf("a no came as %v", err)
 	}
 	one, stop := context.WithCancel(ctx)
 	go stop()
-	if err := cal.Call(one, at, "a.wait", nil, nil); !errors.Is(err, ErrDoubt) && !errors.Is(err, ErrUnsent) {
+	if err := cal.Call(one, at, "a.wait", nil, nil); !errors.Is(err, ErrOutcomeUnknown) && !errors.Is(err, ErrUnsent) {
 		t.Errorf("a call given up on came as %v", err)
 	}
 	done := make(chan error, 1)
 	go func() { done <- cal.Call(ctx, at, "a.wait", nil, nil) }()
 	end()
-	if err := <-done; !errors.Is(err, ErrDoubt) && !errors.Is(err, ErrUnsent) {
+	if err := <-done; !errors.Is(err, ErrOutcomeUnknown) && !errors.Is(err, ErrUnsent) {
 		t.Errorf("a broken call came as %v", err)
 	}
 	l.Close()
@@ -85,7 +85,7 @@
 // Whatever bytes come, reading a frame ends in a frame or a plain error.
 func FuzzRead(f *testing.F) {
 	var b bytes.Buffer
-	write(&b, &Frame{Fmt: Fmt, Id: 1, Kind: "a.b", Body: []byte("c")})
+	write(&b, &Frame{Fmt: FormatVersion, ID: 1, Kind: "a.b", Body: []byte("c")})
 	f.Add(b.Bytes())
 	f.Add([]byte{0, 0, 0, 2, 0x81, 0xa1})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff})
