--- a/internal/controlplane/control/main.go
+++ b/internal/controlplane/control/main.go
@@ -96,7 +96,7 @@
 	}
 	defer process.Close()
 	if err := run(process); err != nil {
-		fmt.Fprintf(out, "core: %s\n", err)
+		_, _ = fmt.Fprintf(out, "core: %s\n", err)
 		return daemon.ExitError
 	}
 	return daemon.ExitOK
@@ -111,7 +111,7 @@
 	if err != nil {
 		return err
 	}
-	defer lock.Close()
+	defer func() { _ = lock.Close() }()
 	seeds := process.Settings.Addrs("seeds")
 	server, err := core.Open(process.Ctx.WithComponent("core"), core.Settings{
 		Addr: process.Settings["addr"], Founders: process.Settings.Addrs("founders"), Seeds: seeds, LostAfter: process.Settings.Duration("lost"),
@@ -141,11 +141,11 @@
 		if err != nil {
 			return err
 		}
-		go operators.Run()
+		go func() { _ = operators.Run() }() // a listener that breaks leaves the core its work
 		defer func() {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			operators.Drain(ctx)
+			_ = operators.Drain(ctx) // who still waits after a second is not waited for
 		}()
 	}
 	done := make(chan struct{})
--- a/internal/controlplane/control/node.go
+++ b/internal/controlplane/control/node.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	go control.Run()
+	go func() { _ = control.Run() }() // a listener that breaks leaves the core its work
 	settings.Metrics.Start(process.Ctx, metricsHandler(server.Figures))
 	done := make(chan struct{})
 	go func() {
--- a/internal/dataplane/tracing/tracing.go
+++ b/internal/dataplane/tracing/tracing.go
@@ -66,6 +66,6 @@
 	}
 	ctx, end := context.WithTimeout(context.Background(), time.Second)
 	defer end()
-	t.provider.Shutdown(ctx)
-	t.file.Close()
+	_ = t.provider.Shutdown(ctx) // traces are lost at the end rather than the end held up by them
+	_ = t.file.Close()
 }
--- a/internal/lib/metrics/endpoint.go
+++ b/internal/lib/metrics/endpoint.go
@@ -50,10 +50,11 @@
 	if err != nil {
 		return eris.Wrap(err, "metrics: listener")
 	}
-	go web.NewServer(listener, routes).Run()
+	server := web.NewServer(listener, routes)
+	go func() { _ = server.Run() }() // it ends with the listener, below
 	go func() {
 		<-ctx.Done()
-		listener.Close()
+		_ = listener.Close()
 	}()
 	return nil
 }
--- a/internal/lib/metrics/endpoint_test.go
+++ b/internal/lib/metrics/endpoint_test.go
@@ -55,7 +55,9 @@
 	if !strings.Contains(logged.String(), "Metrics are not served.") {
 		t.Errorf("a taken port is logged as %q", logged.String())
 	}
-	free.Close()
+	if err := free.Close(); err != nil {
+		t.Fatal(err)
+	}
 	endpoint.Start(ctx, handler)
 	if status, text := get(t, "http://"+endpoint.Address+"/metrics"); status != http.StatusOK || !strings.Contains(text, "yarrowridge_ready 1\n") {
 		t.Errorf("status %d, %q", status, text)
@@ -71,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	raw, err := io.ReadAll(response.Body)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lib/web/json.go
+++ b/internal/lib/web/json.go
@@ -20,7 +20,7 @@
 func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	json.NewEncoder(w).Encode(body)
+	_ = json.NewEncoder(w).Encode(body) // the status is out: nothing more can be said to a client that has gone
 }
 
 // WriteError answers with a status and an ErrorBody.
--- a/internal/lib/web/web.go
+++ b/internal/lib/web/web.go
@@ -76,7 +76,7 @@
 	// Nothing of the request before on the same connection bounds the writing of this response.
 	fresh := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		controller := http.NewResponseController(w)
-		controller.SetWriteDeadline(time.Time{})
+		_ = controller.SetWriteDeadline(time.Time{}) // a writer without deadlines has none to take away
 		handler.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), controllerKey{}, controller)))
 	})
 	return &Server{listener, &http.Server{Handler: fresh, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 60 * time.Second,
--- a/internal/lib/web/web_test.go
+++ b/internal/lib/web/web_test.go
@@ -18,8 +18,12 @@
 func TestRestTouchesNothing(t *testing.T) {
 	var zip bytes.Buffer
 	z := gzip.NewWriter(&zip)
-	z.Write(bytes.Repeat([]byte("order "), 1000))
-	z.Close()
+	if _, err := z.Write(bytes.Repeat([]byte("order "), 1000)); err != nil {
+		t.Fatal(err)
+	}
+	if err := z.Close(); err != nil {
+		t.Fatal(err)
+	}
 	big := bytes.Repeat([]byte("x"), 9<<20)
 	seen := make(chan []byte, 1)
 	probe := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -36,8 +40,12 @@
 		}
 		switch r.URL.Path {
 		case "/abort", "/other/abort":
-			w.Write([]byte("half"))
-			http.NewResponseController(w).Flush()
+			if _, err := w.Write([]byte("half")); err != nil {
+				t.Errorf("write: %v", err)
+			}
+			if err := http.NewResponseController(w).Flush(); err != nil {
+				t.Errorf("flush: %v", err)
+			}
 			panic(http.ErrAbortHandler)
 		case "/flush", "/other/flush":
 			if err := http.NewResponseController(w).Flush(); err != nil {
@@ -71,7 +79,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			ans.Body.Close()
+			_ = ans.Body.Close()
 			if got := <-seen; !bytes.Equal(got, c.body) {
 				t.Errorf("%s: a body of %d bytes came as %d others", root, len(c.body), len(got))
 			}
--- a/internal/testing/modelcheck/process_test.go
+++ b/internal/testing/modelcheck/process_test.go
@@ -110,7 +110,7 @@
 		if fault.again > 0 {
 			go func() {
 				if runloop.Sleep(run, fault.again) {
-					server.Handle(run, kind, body)
+					_, _ = server.Handle(run, kind, body) // nobody waits for the answer to a repeated message
 				}
 			}()
 		}
--- a/internal/transport/operator/config.go
+++ b/internal/transport/operator/config.go
@@ -46,7 +46,7 @@
 	default:
 		w.Header().Set("Content-Type", "application/json")
 		w.Header().Set("ETag", strconv.Quote(strconv.FormatUint(sheet.Version, 10)))
-		w.Write(sheet.Raw)
+		_, _ = w.Write(sheet.Raw) // a client that has gone asks again
 	}
 }
 
