--- a/internal/testing/sim/answer_test.go
+++ b/internal/testing/sim/answer_test.go
@@ -115,7 +115,7 @@
 		over := make(chan time.Time, 1)
 		begun := time.Now()
 		go func() {
-			defer func() { recover(); over <- time.Now() }()
+			defer func() { _ = recover(); over <- time.Now() }()
 			r.r.Clients.ServeHTTP(d, req)
 		}()
 		time.Sleep(18 * time.Second)
--- a/internal/testing/sim/document_test.go
+++ b/internal/testing/sim/document_test.go
@@ -38,7 +38,7 @@
 	return doc, nil
 }
 
-func (lines) Merge(current, change []byte) ([]byte, error) {
+func (lines) Merge(_, _ []byte) ([]byte, error) {
 	return nil, errors.New("no partial changes")
 }
 
--- a/internal/testing/sim/membership_test.go
+++ b/internal/testing/sim/membership_test.go
@@ -573,11 +573,11 @@
 		{"primary cut off both ways", 4 * time.Second, func(f *fleet, lead *coreProc, _ []*coreProc) { cut(f, lead, true, true) }},
 		{"primary sends but does not receive", 4 * time.Second, func(f *fleet, lead *coreProc, _ []*coreProc) { cut(f, lead, false, true) }},
 		{"primary receives but does not send", 4 * time.Second, func(f *fleet, lead *coreProc, _ []*coreProc) { cut(f, lead, true, false) }},
-		{"a backup's disk stalls", 2 * time.Second, func(f *fleet, _ *coreProc, back []*coreProc) {
+		{"a backup's disk stalls", 2 * time.Second, func(_ *fleet, _ *coreProc, back []*coreProc) {
 			back[0].disk.Stall()
 			time.AfterFunc(3500*time.Millisecond, back[0].disk.Flow)
 		}},
-		{"the primary's disk stalls", 3 * time.Second, func(f *fleet, lead *coreProc, _ []*coreProc) {
+		{"the primary's disk stalls", 3 * time.Second, func(_ *fleet, lead *coreProc, _ []*coreProc) {
 			lead.disk.Stall()
 			time.AfterFunc(3500*time.Millisecond, lead.disk.Flow)
 		}},
--- a/internal/testing/sim/moment_test.go
+++ b/internal/testing/sim/moment_test.go
@@ -68,7 +68,7 @@
 								if g.status == 200 || a.key == "" && g.run != "not run" {
 									return
 								}
-								env50(w.ctx)
+								env50()
 							}
 						})
 						time.Sleep(at)
--- a/internal/testing/sim/net.go
+++ b/internal/testing/sim/net.go
@@ -133,6 +133,7 @@
 	})
 }
 
+// Accept waits for the next connection.
 func (e *listener) Accept() (net.Conn, error) {
 	select {
 	case c := <-e.ch:
@@ -142,6 +143,7 @@
 	}
 }
 
+// Close frees the address.
 func (e *listener) Close() error {
 	e.m.w.mu.Lock()
 	defer e.m.w.mu.Unlock()
@@ -149,11 +151,14 @@
 	return nil
 }
 
+// Addr is the address listened at.
 func (e *listener) Addr() net.Addr { return address(e.addr) }
 
 type address string
 
-func (address) Network() string  { return "sim" }
+// Network names the simulated network.
+func (address) Network() string { return "sim" }
+
 func (s address) String() string { return string(s) }
 
 // Listen binds an address of the world.
@@ -339,6 +344,7 @@
 	return len(b), nil
 }
 
+// Close ends the connection: the other end reads what is under way, then the end.
 func (c *connection) Close() error {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
@@ -348,11 +354,19 @@
 	return nil
 }
 
-func (c *connection) LocalAddr() net.Addr                { return address(c.m.addr) }
-func (c *connection) RemoteAddr() net.Addr               { return address(c.to) }
-func (c *connection) SetDeadline(t time.Time) error      { return c.SetReadDeadline(t) }
-func (c *connection) SetWriteDeadline(t time.Time) error { return nil } // a write never waits
+// LocalAddr is the address of this end.
+func (c *connection) LocalAddr() net.Addr { return address(c.m.addr) }
+
+// RemoteAddr is the address of the other end.
+func (c *connection) RemoteAddr() net.Addr { return address(c.to) }
+
+// SetDeadline bounds the reads: a write never waits.
+func (c *connection) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
+
+// SetWriteDeadline does nothing: a write never waits.
+func (c *connection) SetWriteDeadline(time.Time) error { return nil }
 
+// SetReadDeadline bounds the reads, also one that waits already.
 func (c *connection) SetReadDeadline(t time.Time) error {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
--- a/internal/testing/sim/promise_test.go
+++ b/internal/testing/sim/promise_test.go
@@ -110,12 +110,12 @@
 			switch r := w.full[w.chance(len(w.full))]; w.chance(6) {
 			case 0:
 				w.crashFull(r)
-				env50(w.ctx)
+				env50()
 				w.startFull(r)
 			case 1:
 				s := w.runners[w.chance(len(w.runners))]
 				s.stop()
-				env50(w.ctx)
+				env50()
 				s.start()
 			case 2:
 				s := w.runners[w.chance(len(w.runners))]
@@ -179,12 +179,12 @@
 			if g.status == 200 || a.key == "" && g.run != "not run" {
 				break
 			}
-			env50(w.ctx)
+			env50()
 		}
 	}
 }
 
-func env50(ctx context.Context) { time.Sleep(50 * time.Millisecond) }
+func env50() { time.Sleep(50 * time.Millisecond) }
 
 // sides lists the addresses of a hall's processes, and those of all others.
 func (w *whole) sides(hall string) (in, out []string) {
--- a/internal/testing/sim/registry_test.go
+++ b/internal/testing/sim/registry_test.go
@@ -55,7 +55,10 @@
 	b.mu.Lock()
 	b.runner.State = state
 	b.mu.Unlock()
-	for !b.beat() && runloop.Sleep(b.f.ctx, 50*time.Millisecond) {
+	for !b.beat() {
+		if !runloop.Sleep(b.f.ctx, 50*time.Millisecond) {
+			return
+		}
 	}
 }
 
--- a/internal/testing/sim/router_test.go
+++ b/internal/testing/sim/router_test.go
@@ -190,10 +190,10 @@
 		w.t.Fatal(err)
 	}
 	srv := &http.Server{Handler: beats, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, 0)}
-	go srv.Serve(lb)
+	go func() { _ = srv.Serve(lb) }()
 	r.mu.Lock()
 	r.r, r.up = run, true
-	r.crash = func() { end(); crash(); srv.Close() }
+	r.crash = func() { end(); crash(); _ = srv.Close() }
 	r.mu.Unlock()
 	go wire.Serve(ctx, l, run.Hub.Serve)
 	run.Start()
@@ -223,8 +223,8 @@
 	s.cache = map[[32]byte]bool{}
 	s.mu.Unlock()
 	srv := &http.Server{Handler: s, BaseContext: func(net.Listener) context.Context { return ctx }, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, 0)}
-	go srv.Serve(l)
-	s.crash = func() { end(); crash(); srv.Close() }
+	go func() { _ = srv.Serve(l) }()
+	s.crash = func() { end(); crash(); _ = srv.Close() }
 	cli := &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) { return n.Dial(ctx, addr) }}}
 	go func() {
 		defer cli.CloseIdleConnections()
@@ -243,7 +243,7 @@
 }
 
 // deaf closes the listener; beats go on from the same address.
-func (s *simRunner) deaf() { s.ear.Close() }
+func (s *simRunner) deaf() { _ = s.ear.Close() }
 
 // hear listens again, as the same run.
 func (s *simRunner) hear() {
@@ -257,7 +257,8 @@
 	old := s.crash
 	s.crash = func() { old(); crash() }
 	s.mu.Unlock()
-	go (&http.Server{Handler: s, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, 0)}).Serve(l)
+	srv := &http.Server{Handler: s, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, 0)}
+	go func() { _ = srv.Serve(l) }()
 }
 
 func (s *simRunner) stop() {
@@ -293,8 +294,8 @@
 	if err != nil {
 		return false
 	}
-	io.Copy(io.Discard, ans.Body)
-	ans.Body.Close()
+	_, _ = io.Copy(io.Discard, ans.Body)
+	_ = ans.Body.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if state == "leaving" && ans.StatusCode == 200 && s.said.IsZero() {
@@ -331,7 +332,7 @@
 	text := gjson.GetBytes(body, "prompt").Str
 	h := sha256.New()
 	for from := 0; from+256 <= len(text); from += 256 {
-		io.WriteString(h, text[from:from+256])
+		h.Write([]byte(text[from : from+256]))
 		var key [32]byte
 		copy(key[:], h.Sum(nil))
 		s.blocks++
@@ -361,8 +362,8 @@
 			s.w.t.Error(err)
 			return
 		}
-		io.WriteString(con, strings.ReplaceAll(s.raw, "#", strconv.FormatUint(n, 10)))
-		con.Close()
+		_, _ = io.WriteString(con, strings.ReplaceAll(s.raw, "#", strconv.FormatUint(n, 10)))
+		_ = con.Close()
 		return
 	}
 	stream := gjson.GetBytes(body, "stream").Bool()
@@ -399,16 +400,17 @@
 			if i == steps-1 && !s.bare {
 				mark += `,"last":true`
 			}
-			fmt.Fprintf(rw, "data: {\"i\":%d,\"n\":%d%s}\n\n", i, n, mark)
-			http.NewResponseController(rw).Flush()
+			// A router that has gone shows in the request's context.
+			_, _ = fmt.Fprintf(rw, "data: {\"i\":%d,\"n\":%d%s}\n\n", i, n, mark)
+			_ = http.NewResponseController(rw).Flush()
 		}
 	}
 	if stream {
-		io.WriteString(rw, "data: [DONE]\n\n")
+		_, _ = io.WriteString(rw, "data: [DONE]\n\n")
 		return
 	}
 	rw.Header().Set("Content-Type", "application/json")
-	fmt.Fprintf(rw, `{"n":%d,"usage":{"completion_tokens":%d}}`, n, tokens)
+	_, _ = fmt.Fprintf(rw, `{"n":%d,"usage":{"completion_tokens":%d}}`, n, tokens)
 }
 
 // ask is one query of an origin.
