--- a/internal/lib/faultinjection/on.go
+++ b/internal/lib/faultinjection/on.go
@@ -1,5 +1,6 @@
 //go:build faultinjection
 
+// Package faultinjection disables, in a build for tests, the one mechanism that the environment names.
 package faultinjection
 
 import "os"
