--- a/internal/controlplane/core/config.go
+++ b/internal/controlplane/core/config.go
@@ -36,7 +36,7 @@
 	}
 	raw, ok := s.store.Load().Get(versionKey(request.Version))
 	if !ok || request.Version > current.Version {
-		return nil, wire.StatusError{Code: "no-such-sequence"}
+		return nil, wire.StatusError{Code: coreapi.CodeNoSuchVersion}
 	}
 	var old coreapi.StoredConfig
 	if _, err := old.UnmarshalMsg(raw); err != nil {
--- a/internal/controlplane/core/handlers.go
+++ b/internal/controlplane/core/handlers.go
@@ -53,7 +53,7 @@
 			return &coreapi.Empty{}, nil
 		})
 	}
-	return nil, wire.StatusError{Code: "unknown-kind"}
+	return nil, wire.StatusError{Code: wire.CodeUnknownKind}
 }
 
 // handleCore answers calls of routers, clients and other cores.
@@ -100,7 +100,7 @@
 	case "core.peek":
 		return wire.HandleTyped(body, func(*coreapi.StateRequest) (*coreapi.State, error) { return s.State(), nil })
 	}
-	return nil, wire.StatusError{Code: "unknown-kind"}
+	return nil, wire.StatusError{Code: wire.CodeUnknownKind}
 }
 
 // requirePrimary rejects what only a ready primary may answer.
--- a/internal/controlplane/core/members.go
+++ b/internal/controlplane/core/members.go
@@ -27,12 +27,12 @@
 		return nil, wire.StatusError{Code: coreapi.CodeNotPrimary}
 	}
 	if member.Addr == s.settings.Addr {
-		return nil, wire.StatusError{Code: "own-address"}
+		return nil, wire.StatusError{Code: coreapi.CodeOwnAddress}
 	}
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	if status, err := s.statusOf(ctx, member.Addr); err != nil || status.ID != member.ID {
-		return nil, wire.StatusError{Code: "not-reached"}
+		return nil, wire.StatusError{Code: coreapi.CodeNotReached}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/core/replica.go
+++ b/internal/controlplane/core/replica.go
@@ -27,7 +27,7 @@
 	}
 	me := s.voter.ID()
 	if !current.IsBackup(me) && (asBackup || !current.HasMember(me)) {
-		return wire.StatusError{Code: "not-backup"}
+		return wire.StatusError{Code: coreapi.CodeNotBackup}
 	}
 	return nil
 }
@@ -41,7 +41,7 @@
 	}
 	replica := s.store.Load()
 	if request.Batch.Base || request.Batch.Version != replica.Version()+1 {
-		return nil, wire.StatusError{Code: "behind"}
+		return nil, wire.StatusError{Code: coreapi.CodeBehind}
 	}
 	if err := replica.Append(request.Batch); err != nil {
 		s.failDisk(err)
@@ -76,7 +76,7 @@
 	}
 	s.mu.Unlock()
 	if incoming == nil || !incoming.expects(request) {
-		return nil, wire.StatusError{Code: "copy-out-of-step"}
+		return nil, wire.StatusError{Code: coreapi.CodeSnapshotMismatch}
 	}
 	incoming.part++
 	incoming.puts = append(incoming.puts, request.Mutations...)
--- a/internal/controlplane/core/replica_test.go
+++ b/internal/controlplane/core/replica_test.go
@@ -5,6 +5,7 @@
 	"log/slog"
 	"testing"
 
+	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/store"
 	"yarrowridge/internal/controlplane/view"
 	"yarrowridge/internal/lib/daemon"
@@ -43,7 +44,7 @@
 		t.Fatal(err)
 	}
 	for _, number := range []uint64{1, 2} {
-		if err := snapshot(number, 6); !wire.HasCode(err, "copy-out-of-step") {
+		if err := snapshot(number, 6); !wire.HasCode(err, coreapi.CodeSnapshotMismatch) {
 			t.Errorf("snapshot %d after snapshot 2 ended with %v", number, err)
 		}
 	}
--- a/internal/controlplane/core/sessions.go
+++ b/internal/controlplane/core/sessions.go
@@ -17,7 +17,7 @@
 // storeSessions keeps the directory in place of the one before.
 func (s *Server) storeSessions(ctx context.Context, directory *coreapi.SessionDirectory) (*coreapi.Empty, error) {
 	if len(directory.Batch) > maxSessionsBytes {
-		return nil, wire.StatusError{Code: "too-large"}
+		return nil, wire.StatusError{Code: coreapi.CodeTooLarge}
 	}
 	err := s.Submit(ctx, func(tx *Tx) error { return tx.Put(sessionsKey, directory) })
 	if err != nil {
--- a/internal/controlplane/coreapi/messages.go
+++ b/internal/controlplane/coreapi/messages.go
@@ -243,15 +243,3 @@
 	FinishedKeys     int           `msg:"a" json:"keys_that_ran"`
 	FinishedKeyParts int           `msg:"b" json:"parts_of_keys"`
 }
-
-// The codes of "no" that callers tell apart.
-const (
-	CodeNotPrimary     = "not-primary" // surely not taken: ask the primary
-	CodeNotReady       = "not-ready"   // surely not taken: ask again
-	CodeOutcomeUnknown = "in-doubt"    // may yet take effect
-	CodeStaleEpoch     = "old-epoch"
-	CodeDiskFailed     = "disk-trouble"
-	CodeNameTaken      = "name-taken" // another node with this name holds a lease
-	CodeRunEnded       = "run-ended"  // a heartbeat of a run that another at its address has replaced
-	CodeInvalidRunner  = "bad-runner" // a heartbeat without an ID or with a state that no runner has
-)
--- a/internal/dataplane/node/standby.go
+++ b/internal/dataplane/node/standby.go
@@ -115,10 +115,10 @@
 	}
 	stream := s.standbyStream(change)
 	if stream == nil {
-		return nil, wire.StatusError{Code: "gap"}
+		return nil, wire.StatusError{Code: codeGap}
 	}
 	if !s.reserveBytes(size) {
-		return nil, wire.StatusError{Code: "full"}
+		return nil, wire.StatusError{Code: codeFull}
 	}
 	var taken int
 	var err error
@@ -146,11 +146,11 @@
 	have := len(stream.pieces)
 	switch {
 	case stream.ownerName == "" || change.StandbyTurn < stream.turn:
-		return 0, wire.StatusError{Code: "given-up"} // we carry it on, or somebody after its sender does
+		return 0, wire.StatusError{Code: codeGivenUp} // we carry it on, or somebody after its sender does
 	case stream.lost != "":
-		return 0, wire.StatusError{Code: "given-up"} // told a client so already
+		return 0, wire.StatusError{Code: codeGivenUp} // told a client so already
 	case change.From > have:
-		return 0, wire.StatusError{Code: "gap"}
+		return 0, wire.StatusError{Code: codeGap}
 	}
 	for i, piece := range change.Pieces {
 		if change.From+i >= have {
--- a/internal/dataplane/node/streamread.go
+++ b/internal/dataplane/node/streamread.go
@@ -24,7 +24,7 @@
 	case "stream.read":
 		return wire.HandleTyped(body, func(request *StreamReadRequest) (*StreamReadResponse, error) { return s.read(ctx, request), nil })
 	}
-	return nil, wire.StatusError{Code: "unknown-kind"}
+	return nil, wire.StatusError{Code: wire.CodeUnknownKind}
 }
 
 // read gives the pieces after a number, and waits for one where there is none.
--- a/internal/testing/sim/document_test.go
+++ b/internal/testing/sim/document_test.go
@@ -157,7 +157,7 @@
 			err := o.cli.Call(f.ctx, "core.layout", &coreapi.ConfigRequest{Version: sequence}, &coreapi.StoredConfig{}, true)
 			if err == nil {
 				kept++
-			} else if !wire.HasCode(err, "no-such-sequence") {
+			} else if !wire.HasCode(err, coreapi.CodeNoSuchVersion) {
 				t.Fatal(err)
 			}
 		}
--- a/internal/testing/sim/sessions_test.go
+++ b/internal/testing/sim/sessions_test.go
@@ -30,7 +30,7 @@
 				t.Fatal(err)
 			}
 		}
-		if err := keep(make([]byte, 2<<20)); !wire.HasCode(err, "too-large") {
+		if err := keep(make([]byte, 2<<20)); !wire.HasCode(err, coreapi.CodeTooLarge) {
 			t.Errorf("a directory of 2 MB: %v", err)
 		}
 		for _, c := range f.cores {
--- a/internal/transport/operator/config.go
+++ b/internal/transport/operator/config.go
@@ -37,7 +37,7 @@
 	defer cancel()
 	var sheet coreapi.StoredConfig
 	switch err := api.Core.Call(ctx, "core.layout", &wanted, &sheet, true); {
-	case wire.HasCode(err, "no-such-sequence"):
+	case wire.HasCode(err, coreapi.CodeNoSuchVersion):
 		web.WriteError(w, http.StatusNotFound, "no-such-sequence", "This sequence is not kept.")
 	case err != nil:
 		writeRetryable(w, http.StatusServiceUnavailable, "no-core", "The core did not answer in time.")
--- a/internal/transport/wire/caller.go
+++ b/internal/transport/wire/caller.go
@@ -226,7 +226,7 @@
 			return &CallError{Kind: kind, Peer: addr, Step: "connection lost", Cause: ErrOutcomeUnknown}
 		}
 		if ans.Err != "" {
-			return &CallError{Kind: kind, Peer: addr, Cause: StatusError{ans.Err}}
+			return &CallError{Kind: kind, Peer: addr, Cause: StatusError{Code: Code(ans.Err)}}
 		}
 		if out != nil {
 			if _, err := out.UnmarshalMsg(ans.Body); err != nil {
--- a/internal/transport/wire/wire.go
+++ b/internal/transport/wire/wire.go
@@ -75,18 +75,6 @@
 // Listen binds addr.
 func (TCP) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 
-// StatusError is an answer of "no" from the far side, as against a break on the way.
-type StatusError struct{ Code string }
-
-// Error gives the code.
-func (f StatusError) Error() string { return f.Code }
-
-// HasCode reports whether err is a far-side fault with this code.
-func HasCode(err error, code string) bool {
-	var f StatusError
-	return errors.As(err, &f) && f.Code == code
-}
-
 // Handler carries out one call: kind and body in, answer out.
 type Handler func(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error)
 
@@ -210,11 +198,7 @@
 		out.Body, err = ans.MarshalMsg(nil)
 	}
 	if err != nil {
-		out.Err = "trouble"
-		var far StatusError
-		if errors.As(err, &far) {
-			out.Err = far.Code
-		}
+		out.Err = string(codeOf(err))
 	}
 	if f.Unpacks {
 		out.pack()
@@ -242,7 +226,7 @@
 			break
 		}
 	}
-	return nil, StatusError{"unknown-kind"}
+	return nil, StatusError{Code: CodeUnknownKind}
 }
 
 // HandleTyped unpacks a call's body and passes it to a typed function.
@@ -252,7 +236,7 @@
 }, O msgp.Marshaler](body []byte, do func(P) (O, error)) (msgp.Marshaler, error) {
 	in := P(new(I))
 	if _, err := in.UnmarshalMsg(body); err != nil {
-		return nil, StatusError{"bad-body"}
+		return nil, StatusError{Code: CodeInvalidBody}
 	}
 	return do(in)
 }
