--- a/internal/controlplane/core/quota.go
+++ b/internal/controlplane/core/quota.go
@@ -55,7 +55,7 @@
 		result.Held, changed = pool.Return(holder, move.Sequence, move.Units)
 	} else {
 		before := pool.Held[holder].Units
-		free := max(0, pool.MaxAllocated(quota, tolerance)-pool.Allocated())
+		free := max(0, pool.MaxAllocated(quota, tolerance)-pool.AllocatedUnits())
 		units, short := s.drawUnits(move, free, quota)
 		result.Held, changed = pool.AcquireWithTolerance(holder, move.Sequence, units, quota, tolerance, s.chargeFor(move.Tenant))
 		if move.Units > 0 {
@@ -82,7 +82,7 @@
 		saving = &quota.Saving{}
 		s.savings[move.Tenant] = saving
 	}
-	return saving.Draw(time.Now(), free, total, move.Costs, move.Units)
+	return saving.Allocate(time.Now(), free, total, move.Costs, move.Units)
 }
 
 // openCharge is the charge to which what is drawn of a tenant's tolerance is added for a while.
--- a/internal/controlplane/core/quota_test.go
+++ b/internal/controlplane/core/quota_test.go
@@ -77,7 +77,7 @@
 func TestUnitsOnTopMayBeSpent(t *testing.T) {
 	s, opened := quotaServer(t)
 	tx := &Tx{store: opened, newest: map[string]*store.Mutation{}}
-	if err := s.poolCache.put(tx, "t", &quota.Pool{Cool: map[string]int{"dead/1": 10}}); err != nil {
+	if err := s.poolCache.put(tx, "t", &quota.Pool{Cooling: map[string]int{"dead/1": 10}}); err != nil {
 		t.Fatal(err)
 	}
 	document := &Document{Quotas: map[string]int{"t": 10}, Tolerances: map[string]int{"t": 4}}
@@ -89,8 +89,8 @@
 		}
 		held += out.Held
 		quotaShare := quota.NewShare()
-		quotaShare.Rule(10, time.Minute)
-		quotaShare.Await(1)
+		quotaShare.SetLimit(10, time.Minute)
+		quotaShare.Enqueue(1)
 		turn, _, ok := quotaShare.NextAcquire(4)
 		if !ok {
 			t.Fatal("no draw is wanted")
@@ -132,7 +132,7 @@
 		t.Errorf("%d puts, 1 expected", n)
 	}
 	got, err := s.poolCache.get(tx, "t")
-	if err != nil || got.Cooling() != 5 || got.Held["c@3/1"].Units != 4 {
+	if err != nil || got.CoolingUnits() != 5 || got.Held["c@3/1"].Units != 4 {
 		t.Errorf("pot %+v, %v: 5 units cooling and 4 held by c expected", got, err)
 	}
 	if at := s.firstSeen[coolKey("t", "a@1/1")]; !at.Equal(ended) {
--- a/internal/controlplane/core/quotapools.go
+++ b/internal/controlplane/core/quotapools.go
@@ -46,7 +46,7 @@
 // put puts a changed pool.
 func (c poolCache) put(tx *Tx, tenant string, pool *quota.Pool) error {
 	delete(c.pools, tenant)
-	stored := storedPool{Cool: pool.Cool, Above: pool.Above, Charges: pool.Charges, Holds: make([]numberedHold, 0, len(pool.Held))}
+	stored := storedPool{Cool: pool.Cooling, Above: pool.AboveLimit, Charges: pool.Charges, Holds: make([]numberedHold, 0, len(pool.Held))}
 	for holder, held := range pool.Held {
 		number, err := c.holders.number(tx, holder)
 		if err != nil {
@@ -69,7 +69,7 @@
 	if _, err := stored.UnmarshalMsg(raw); err != nil {
 		return quota.Pool{}, err
 	}
-	pool := quota.Pool{Held: stored.Held, Cool: stored.Cool, Above: stored.Above, Charges: stored.Charges}
+	pool := quota.Pool{Held: stored.Held, Cooling: stored.Cool, AboveLimit: stored.Above, Charges: stored.Charges}
 	if pool.Held == nil {
 		pool.Held = make(map[string]quota.Allocation, len(stored.Holds))
 	}
--- a/internal/controlplane/core/quotapools_test.go
+++ b/internal/controlplane/core/quotapools_test.go
@@ -28,7 +28,7 @@
 }
 
 func poolOf(holders int) *quota.Pool {
-	pool := &quota.Pool{Held: map[string]quota.Allocation{}, Cool: map[string]int{"gone@10.0.0.9:1/1": 2}, Above: 1, Charges: []quota.Charge{{ID: 7, Units: 1}}}
+	pool := &quota.Pool{Held: map[string]quota.Allocation{}, Cooling: map[string]int{"gone@10.0.0.9:1/1": 2}, AboveLimit: 1, Charges: []quota.Charge{{ID: 7, Units: 1}}}
 	for i := range holders {
 		pool.Held[fmt.Sprintf("edge-%d@10.0.0.%d:7360/%016x", i, i, uint64(i+1)*0x9e3779b97f4a7c15)] = quota.Allocation{Units: i % 3, Sequence: uint64(100 + i)}
 	}
@@ -48,13 +48,13 @@
 		}
 	}
 	raw = msgp.AppendString(raw, "c")
-	raw = msgp.AppendMapHeader(raw, uint32(len(pool.Cool)))
-	for holder, units := range pool.Cool {
+	raw = msgp.AppendMapHeader(raw, uint32(len(pool.Cooling)))
+	for holder, units := range pool.Cooling {
 		raw = msgp.AppendString(raw, holder)
 		raw = msgp.AppendInt(raw, units)
 	}
 	raw = msgp.AppendString(raw, "a")
-	raw = msgp.AppendInt(raw, pool.Above)
+	raw = msgp.AppendInt(raw, pool.AboveLimit)
 	raw = msgp.AppendString(raw, "x")
 	raw = msgp.AppendArrayHeader(raw, uint32(len(pool.Charges)))
 	for _, charge := range pool.Charges {
@@ -66,7 +66,7 @@
 }
 
 func samePool(a, b *quota.Pool) bool {
-	return maps.Equal(a.Held, b.Held) && maps.Equal(a.Cool, b.Cool) && a.Above == b.Above && len(a.Charges) == len(b.Charges)
+	return maps.Equal(a.Held, b.Held) && maps.Equal(a.Cooling, b.Cooling) && a.AboveLimit == b.AboveLimit && len(a.Charges) == len(b.Charges)
 }
 
 // A pool with an entry for each of many routers is small, and another process reads it as it was.
--- a/internal/controlplane/core/quotasweep.go
+++ b/internal/controlplane/core/quotasweep.go
@@ -25,7 +25,7 @@
 func chargeKeep(window time.Duration) time.Duration { return chargeSpan + 2*window + 2*quota.Margin }
 
 // silentHolderKeep is how long a silent holder keeps its units: by then it has stopped spending on its own.
-const silentHolderKeep = quota.Term + quota.Term/10
+const silentHolderKeep = quota.ContactTTL + quota.ContactTTL/10
 
 // ageTable tells for how long things have been seen, by the run loop's notes.
 type ageTable struct {
@@ -72,7 +72,7 @@
 		if err != nil {
 			continue
 		}
-		s.hasCoolingUnits = s.hasCoolingUnits || len(pool.Cool) > 0
+		s.hasCoolingUnits = s.hasCoolingUnits || len(pool.Cooling) > 0
 		due.add(tenant, pool, document, live, ages)
 	}
 	ages.forgetUnseen()
@@ -82,7 +82,7 @@
 // add adds what is due in one tenant's pool.
 func (q *quotaSweep) add(tenant string, pool *quota.Pool, document *Document, live liveHolders, ages *ageTable) {
 	window := document.Windows[tenant]
-	for holder := range pool.Cool {
+	for holder := range pool.Cooling {
 		if ages.isOver(coolKey(tenant, holder), window+quota.Margin) {
 			q.thawed = append(q.thawed, quotaHolding{tenant, holder})
 		}
--- a/internal/controlplane/core/replacedruns.go
+++ b/internal/controlplane/core/replacedruns.go
@@ -76,7 +76,7 @@
 				changed = pool.StartCooling(holder) || changed
 			}
 		}
-		for holder := range pool.Cool {
+		for holder := range pool.Cooling {
 			if run, replaced := replacedBy(holder); replaced {
 				s.coolSince(tenant, holder, run.ended)
 			}
--- a/internal/controlplane/core/state.go
+++ b/internal/controlplane/core/state.go
@@ -47,7 +47,7 @@
 		for holder, held := range pool.Held {
 			shares = append(shares, coreapi.QuotaShare{Tenant: tenant, Holder: holder, Units: held.Units})
 		}
-		for holder, units := range pool.Cool {
+		for holder, units := range pool.Cooling {
 			shares = append(shares, coreapi.QuotaShare{Tenant: tenant, Holder: holder, Units: units, Cooling: true})
 		}
 	}
--- a/internal/dataplane/clientapi/admission.go
+++ b/internal/dataplane/clientapi/admission.go
@@ -96,7 +96,7 @@
 		if cost > quota.Units {
 			return &Rejection{Status: 429, Code: "over-quota", Message: fmt.Sprintf("This query costs %d units; the quota is %d.", cost, quota.Units)}
 		}
-		x.server.QuotaShares.For(x.tenant.Name).Rule(quota.Units, quota.Window)
+		x.server.QuotaShares.For(x.tenant.Name).SetLimit(quota.Units, quota.Window)
 		ok, again := x.server.QuotaShares.Reserve(x.incoming.Context(), x.tenant.Name, cost)
 		if !ok {
 			return &Rejection{Status: 429, Code: "quota-spent", RetryAfter: again, Message: "The tenant's quota is spent for now."}
--- a/internal/dataplane/router/gateway.go
+++ b/internal/dataplane/router/gateway.go
@@ -87,8 +87,8 @@
 		node.Document(g.take), node.Runners(g.Registry), node.Health(g.tally, g.takeFindings))
 	g.sessions = newSessionNews(g)
 	g.Hub.Handle("session", g.sessions.hand)
-	g.QuotaShares = quota.NewShares(ctx.WithComponent("share"), quota.Options{Move: newMoveQueue(ctx, g.Hub).move, Nodes: func() int { return len(g.Hub.Nodes()) },
-		Short: g.Hub.ScarceTenants, Rules: g.rules, Fresh: g.Hub.Fresh, Live: func() bool { return !g.Hub.Stale() }, Margin: quotaMargin})
+	g.QuotaShares = quota.NewShares(ctx.WithComponent("share"), quota.Options{Transfer: newMoveQueue(ctx, g.Hub).move, Nodes: func() int { return len(g.Hub.Nodes()) },
+		ScarceTenants: g.Hub.ScarceTenants, Rules: g.rules, RecentContact: g.Hub.Fresh, InContact: func() bool { return !g.Hub.Stale() }, Margin: quotaMargin})
 	g.Front = gateway.New(gateway.Options{Dialect: settings.Dialect, Table: g.table.Load, Ready: g.canServe, Balancer: g.Balancer,
 		Pool: g.Pool, Quotas: quotas{g.QuotaShares}, Retries: settings.Retries, Part: g.part,
 		Keys: gateway.KeyBounds{Term: settings.KeysTerm, ConfirmedAt: g.Hub.ConfirmedAt}, Log: ctx.WithComponent("gateway").Log})
--- a/internal/dataplane/router/main.go
+++ b/internal/dataplane/router/main.go
@@ -86,8 +86,8 @@
 		"yarrowridge_layout_sequence": func() float64 { return float64(r.Hub.Me().ConfigVersion) },
 		"yarrowridge_stale":           func() float64 { return metrics.FlagValue(r.Hub.Stale()) },
 	})
-	r.QuotaShares = quota.NewShares(ctx.WithComponent("share"), quota.Options{Move: newMoveQueue(ctx, r.Hub).move, Nodes: func() int { return len(r.Hub.Nodes()) },
-		Short: r.Hub.ScarceTenants, Rules: quotaRules(r.Hub), Fresh: r.Hub.Fresh, Live: func() bool { return !r.Hub.Stale() }})
+	r.QuotaShares = quota.NewShares(ctx.WithComponent("share"), quota.Options{Transfer: newMoveQueue(ctx, r.Hub).move, Nodes: func() int { return len(r.Hub.Nodes()) },
+		ScarceTenants: r.Hub.ScarceTenants, Rules: quotaRules(r.Hub), RecentContact: r.Hub.Fresh, InContact: func() bool { return !r.Hub.Stale() }})
 	r.Claims = clientapi.NewClaims(ctx.WithComponent("claim"), r.Hub)
 	r.Streams = node.NewStreams(ctx.WithComponent("stream"), r.Hub)
 	r.Clients = &clientapi.Server{Ctx: ctx.WithComponent("origin"), Hub: r.Hub, Runners: r.Runners, Scheduler: r.Scheduler, Sender: r.sender,
--- a/internal/dataplane/router/moves.go
+++ b/internal/dataplane/router/moves.go
@@ -49,7 +49,7 @@
 
 // move is the share.Mover: it makes one move and tells what is held after it, and under what sum.
 func (q *moveQueue) move(ctx context.Context, move quota.Transfer) (int, int, error) {
-	queued := &queuedMove{coreapi.QuotaMove{Tenant: move.Tenant, Sequence: move.Turn, Units: move.Units, Costs: move.Costs, Return: move.Give}, make(chan moveResult, 1)}
+	queued := &queuedMove{coreapi.QuotaMove{Tenant: move.Tenant, Sequence: move.Sequence, Units: move.Units, Costs: move.Costs, Return: move.Return}, make(chan moveResult, 1)}
 	q.mu.Lock()
 	q.waiting = append(q.waiting, queued)
 	start := !q.sending
--- a/internal/dataplane/router/views.go
+++ b/internal/dataplane/router/views.go
@@ -76,7 +76,7 @@
 
 func (r *Router) shareViews() map[string]shareView {
 	views := map[string]shareView{}
-	for _, tenant := range r.QuotaShares.Names() {
+	for _, tenant := range r.QuotaShares.Tenants() {
 		held, free, spent := r.QuotaShares.For(tenant).Stats()
 		views[tenant] = shareView{Held: held, Free: free, SpentInWindow: spent}
 	}
--- a/internal/model/quota/grown_test.go
+++ b/internal/model/quota/grown_test.go
@@ -30,32 +30,32 @@
 	for i := range holders {
 		name := string(rune('A' + i))
 		ps := NewShares(daemon.Context{Context: ctx}, Options{
-			Move: func(_ context.Context, move Transfer) (int, int, error) {
-				turn, n, give := move.Turn, move.Units, move.Give
+			Transfer: func(_ context.Context, move Transfer) (int, int, error) {
+				turn, n, give := move.Sequence, move.Units, move.Return
 				c.moves.Add(1)
 				time.Sleep(5 * time.Millisecond)
 				mu.Lock()
 				defer mu.Unlock()
 				if give {
 					have, _ := pool.Return(name, turn, n)
-					return have, max(quota, pool.Allocated()), nil
+					return have, max(quota, pool.AllocatedUnits()), nil
 				}
 				was := pool.Held[name].Units
 				have, _ := pool.Acquire(name, turn, n, quota)
 				if have-was < n {
 					c.short.Store(true)
 				}
-				return have, max(quota, pool.Allocated()), nil
+				return have, max(quota, pool.AllocatedUnits()), nil
 			},
 			Nodes: func() int { return holders },
-			Short: func() []string {
+			ScarceTenants: func() []string {
 				if c.short.Load() {
 					return []string{"t"}
 				}
 				return nil
 			},
-			Rules: func() []Rule { return []Rule{{"t", quota, window}} },
-			Live:  func() bool { return true }})
+			Rules:     func() []Rule { return []Rule{{"t", quota, window}} },
+			InContact: func() bool { return true }})
 		c.quotaShares = append(c.quotaShares, ps)
 		go ps.Run()
 	}
@@ -136,14 +136,14 @@
 		defer time.Sleep(time.Second)
 		defer end()
 		ps := NewShares(daemon.Context{Context: ctx}, Options{
-			Move: func(_ context.Context, move Transfer) (int, int, error) {
+			Transfer: func(_ context.Context, move Transfer) (int, int, error) {
 				n := move.Units
 				time.Sleep(600 * time.Millisecond)
 				return n, 40, nil
 			},
-			Nodes: func() int { return 60 }, Short: func() []string { return nil },
-			Rules: func() []Rule { return []Rule{{"t", 40, 5 * time.Second}} },
-			Live:  func() bool { return true }})
+			Nodes: func() int { return 60 }, ScarceTenants: func() []string { return nil },
+			Rules:     func() []Rule { return []Rule{{"t", 40, 5 * time.Second}} },
+			InContact: func() bool { return true }})
 		go ps.Run()
 		time.Sleep(time.Second)
 		begun := time.Now()
@@ -184,7 +184,7 @@
 				quotaShare, who := quotaShares[name], fmt.Sprintf("%s/%d", name, runs[name])
 				switch rapid.IntRange(0, 10).Draw(rt, "step") {
 				case 0, 1, 2, 3:
-					quotaShare.Rule(quota, window)
+					quotaShare.SetLimit(quota, window)
 					if turn, units, ok := quotaShare.NextAcquire(4); ok {
 						charge++
 						charged[charge] = time.Now()
@@ -260,7 +260,7 @@
 		defer end()
 		var gone atomic.Bool
 		ps := NewShares(daemon.Context{Context: ctx}, Options{
-			Move: func(ctx context.Context, move Transfer) (int, int, error) {
+			Transfer: func(ctx context.Context, move Transfer) (int, int, error) {
 				n := move.Units
 				if gone.Load() {
 					<-ctx.Done()
@@ -268,9 +268,9 @@
 				}
 				return n, 40, nil
 			},
-			Nodes: func() int { return 60 }, Short: func() []string { return []string{"t"} },
-			Rules: func() []Rule { return []Rule{{"t", 40, time.Second}} },
-			Live:  func() bool { return !gone.Load() }})
+			Nodes: func() int { return 60 }, ScarceTenants: func() []string { return []string{"t"} },
+			Rules:     func() []Rule { return []Rule{{"t", 40, time.Second}} },
+			InContact: func() bool { return !gone.Load() }})
 		go ps.Run()
 		time.Sleep(time.Second)
 		if ok, _ := ps.Reserve(ctx, "t", 1); !ok {
--- a/internal/model/quota/msgs.go
+++ b/internal/model/quota/msgs.go
@@ -18,15 +18,15 @@
 	Units int    `msg:"u"`
 }
 
-// Pool is a tenant's quota as the core keeps it: who holds how many units. Cool are units of
-// holders that are surely gone, not yet free since the last spends may still count. Above is how many units are
+// Pool is a tenant's quota as the core keeps it: who holds how many units. Cooling are units of
+// holders that are surely gone, not yet free since the last spends may still count. AboveLimit is how many units are
 // out above the quota by the tolerance, and Charges what of the tolerance was drawn lately.
 type Pool struct {
-	Held    map[string]Allocation
-	Cool    map[string]int
-	Above   int
-	Charges []Charge
+	Held       map[string]Allocation
+	Cooling    map[string]int
+	AboveLimit int
+	Charges    []Charge
 }
 
 // The core stores pools in a form of its own.
-//msgp:ignore QuotaPool
+//msgp:ignore Pool
--- a/internal/model/quota/msgs_gen.go
+++ b/internal/model/quota/msgs_gen.go
@@ -13,20 +13,20 @@
 )
 
 // MarshalMsg implements msgp.Marshaler
-func (z Charge) MarshalMsg(b []byte) (o []byte, err error) {
+func (z Allocation) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
-	// string "i"
-	o = append(o, 0x82, 0xa1, 0x69)
-	o = msgp.AppendUint64(o, z.ID)
 	// string "u"
-	o = append(o, 0xa1, 0x75)
+	o = append(o, 0x82, 0xa1, 0x75)
 	o = msgp.AppendInt(o, z.Units)
+	// string "t"
+	o = append(o, 0xa1, 0x74)
+	o = msgp.AppendUint64(o, z.Sequence)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Charge) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Allocation) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -47,18 +47,18 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "i":
-			z.ID, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "ID")
-				return
-			}
 		case "u":
 			z.Units, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Units")
 				return
 			}
+		case "t":
+			z.Sequence, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Sequence")
+				return
+			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -72,26 +72,26 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Charge) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.IntSize
+func (z Allocation) Msgsize() (s int) {
+	s = 1 + 2 + msgp.IntSize + 2 + msgp.Uint64Size
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Allocation) MarshalMsg(b []byte) (o []byte, err error) {
+func (z Charge) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
+	// string "i"
+	o = append(o, 0x82, 0xa1, 0x69)
+	o = msgp.AppendUint64(o, z.ID)
 	// string "u"
-	o = append(o, 0x82, 0xa1, 0x75)
+	o = append(o, 0xa1, 0x75)
 	o = msgp.AppendInt(o, z.Units)
-	// string "t"
-	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendUint64(o, z.Sequence)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Allocation) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Charge) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -112,16 +112,16 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "u":
-			z.Units, bts, err = msgp.ReadIntBytes(bts)
+		case "i":
+			z.ID, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Units")
+				err = msgp.WrapError(err, "ID")
 				return
 			}
-		case "t":
-			z.Sequence, bts, err = msgp.ReadUint64Bytes(bts)
+		case "u":
+			z.Units, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Turn")
+				err = msgp.WrapError(err, "Units")
 				return
 			}
 		default:
@@ -137,7 +137,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Allocation) Msgsize() (s int) {
-	s = 1 + 2 + msgp.IntSize + 2 + msgp.Uint64Size
+func (z Charge) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.IntSize
 	return
 }
--- a/internal/model/quota/pool.go
+++ b/internal/model/quota/pool.go
@@ -9,26 +9,26 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// Allocated is how many units are not free: held, or cooling.
-func (p *Pool) Allocated() int {
+// AllocatedUnits is how many units are not free: held, or cooling.
+func (p *Pool) AllocatedUnits() int {
 	n := 0
 	for _, h := range p.Held {
 		n += h.Units
 	}
-	return n + p.Cooling()
+	return n + p.CoolingUnits()
 }
 
-// Cooling is how many units holders that are gone may have spent within the window.
-func (p *Pool) Cooling() int {
+// CoolingUnits is how many units holders that are gone may have spent within the window.
+func (p *Pool) CoolingUnits() int {
 	n := 0
-	for _, c := range p.Cool {
+	for _, c := range p.Cooling {
 		n += c
 	}
 	return n
 }
 
-// Charged is how much of the tolerance was drawn lately.
-func (p *Pool) Charged() int {
+// ChargedUnits is how much of the tolerance was drawn lately.
+func (p *Pool) ChargedUnits() int {
 	n := 0
 	for _, c := range p.Charges {
 		n += c.Units
@@ -39,22 +39,22 @@
 // MaxAllocated is how many units may be out under a quota: while some cool, as many again on top of it, as far as the
 // tolerance that the limit allows has not been drawn lately.
 func (p *Pool) MaxAllocated(quota, tolerance int) int {
-	left := max(0, tolerance-p.Charged())
-	return min(max(quota, p.Allocated())+left, quota+p.Cooling())
+	left := max(0, tolerance-p.ChargedUnits())
+	return min(max(quota, p.AllocatedUnits())+left, quota+p.CoolingUnits())
 }
 
 // Limit is what holders measure their units against: the quota, or what is out if that is more, since the quota
 // was lowered. What is out by the tolerance does not count: it is held to be spent.
-func (p *Pool) Limit(quota int) int { return max(quota, p.Allocated()-p.Above) }
+func (p *Pool) Limit(quota int) int { return max(quota, p.AllocatedUnits()-p.AboveLimit) }
 
-// AcquireWithTolerance is Draw where the tolerance may be used as well: what is drawn above the quota counts as a charge of
+// AcquireWithTolerance is Acquire where the tolerance may be used as well: what is drawn above the quota counts as a charge of
 // the given ID, until Uncharge. Each unit of it adds one spend at most to the spends under the quota: the next
 // spend of the unit comes when the unit that cooled is free.
 func (p *Pool) AcquireWithTolerance(who string, turn uint64, want, quota, tolerance int, id uint64) (int, bool) {
-	before := p.Allocated()
+	before := p.AllocatedUnits()
 	have, changed := p.Acquire(who, turn, want, p.MaxAllocated(quota, tolerance))
-	if above := p.Allocated() - max(quota, before); above > 0 {
-		p.Above += above
+	if above := p.AllocatedUnits() - max(quota, before); above > 0 {
+		p.AboveLimit += above
 		p.charge(id, above)
 	}
 	return have, changed
@@ -79,7 +79,7 @@
 }
 
 // less notes that so many units are out no longer. Those above the quota go first.
-func (p *Pool) less(units int) { p.Above = max(0, p.Above-units) }
+func (p *Pool) less(units int) { p.AboveLimit = max(0, p.AboveLimit-units) }
 
 // Acquire gives a holder up to want units of what is free under the quota. A turn already taken
 // changes nothing: the answer to it was lost. It returns what the holder has now, and whether
@@ -90,7 +90,7 @@
 		return h.Units, false
 	}
 	h.Sequence = turn
-	if free := quota - p.Allocated(); free > 0 && want > 0 {
+	if free := quota - p.AllocatedUnits(); free > 0 && want > 0 {
 		h.Units += min(free, want)
 	}
 	p.set(who, h)
@@ -127,18 +127,18 @@
 	}
 	delete(p.Held, who)
 	if h.Units > 0 {
-		if p.Cool == nil {
-			p.Cool = map[string]int{}
+		if p.Cooling == nil {
+			p.Cooling = map[string]int{}
 		}
-		p.Cool[who] += h.Units
+		p.Cooling[who] += h.Units
 	}
 	return true
 }
 
 // EndCooling frees a retired holder's units, a window after the retirement.
 func (p *Pool) EndCooling(who string) bool {
-	units, ok := p.Cool[who]
-	delete(p.Cool, who)
+	units, ok := p.Cooling[who]
+	delete(p.Cooling, who)
 	p.less(units)
 	return ok
 }
--- a/internal/model/quota/quotashare.go
+++ b/internal/model/quota/quotashare.go
@@ -13,9 +13,9 @@
 // the spend here and the runner's first sight of the query.
 const Margin = 250 * time.Millisecond
 
-// Term is how long a holder that hears nothing of the core may go on spending. The core takes
+// ContactTTL is how long a holder that hears nothing of the core may go on spending. The core takes
 // back a silent holder's units only after this and a window more.
-const Term = 24 * time.Hour
+const ContactTTL = 24 * time.Hour
 
 // Share is a node's side: what it holds of one tenant's quota.
 type Share struct {
@@ -55,9 +55,9 @@
 	return &Share{margin: Margin, heard: time.Now(), first: make(chan struct{}), changed: make(chan struct{})}
 }
 
-// Rule sets the tenant's quota as the layout has it now. A lowered quota shrinks at once what may
+// SetLimit sets the tenant's quota as the layout has it now. A lowered quota shrinks at once what may
 // be spent here, in proportion.
-func (p *Share) Rule(quota int, window time.Duration) {
+func (p *Share) SetLimit(quota int, window time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.quota, p.window = quota, max(p.window, window)
@@ -101,7 +101,7 @@
 		p.usual = float64(n)
 	}
 	p.usual += usualWeight * (float64(n) - p.usual)
-	if now.Sub(p.heard) > Term {
+	if now.Sub(p.heard) > ContactTTL {
 		return false, time.Minute
 	}
 	if p.free(now) < n && !faultinjection.Disabled("quota") {
@@ -128,8 +128,8 @@
 	return min(againMost, max(againLeast, back))
 }
 
-// Await counts n units that a request waits for; a draw asks for as many as all of them need. -n ends it.
-func (p *Share) Await(n int) {
+// Enqueue counts n units that a request waits for; a draw asks for as many as all of them need. -n ends it.
+func (p *Share) Enqueue(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.queue += n
@@ -148,8 +148,8 @@
 // maxCosts bounds how many costs a draw tells one by one.
 const maxCosts = 64
 
-// Waiting lists what the requests cost that wait now, in the order in which they came; nil where each costs a unit.
-func (p *Share) Waiting() []int {
+// WaitingCosts lists what the requests cost that wait now, in the order in which they came; nil where each costs a unit.
+func (p *Share) WaitingCosts() []int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.uneven {
@@ -158,8 +158,8 @@
 	return slices.Clone(p.costs[:min(len(p.costs), maxCosts)])
 }
 
-// Busy reports whether the core has been asked and has not answered yet.
-func (p *Share) Busy() bool {
+// TransferInFlight reports whether the core has been asked and has not answered yet.
+func (p *Share) TransferInFlight() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.busy
--- a/internal/model/quota/quotashares.go
+++ b/internal/model/quota/quotashares.go
@@ -12,11 +12,11 @@
 
 // Transfer is a draw or a give of units.
 type Transfer struct {
-	Tenant string
-	Turn   uint64 // of this holder and tenant: one that was taken already changes nothing
-	Units  int
-	Costs  []int // of the requests that wait for the draw, where these differ; the rest of Units is to be kept at hand
-	Give   bool
+	Tenant   string
+	Sequence uint64 // of this holder and tenant: one that was taken already changes nothing
+	Units    int
+	Costs    []int // of the requests that wait for the draw, where these differ; the rest of Units is to be kept at hand
+	Return   bool
 }
 
 // TransferFunc asks the core for a move and tells what is held after it, and under what sum.
@@ -24,12 +24,12 @@
 
 // Options are what the quotaShares of a node ask of the rest of it.
 type Options struct {
-	Move  TransferFunc
-	Nodes func() int      // live nodes
-	Short func() []string // tenants whose idle units are wanted back
-	Rules func() []Rule   // the quotas of the layout in force
-	Live  func() bool     // the core is heard
-	Fresh func() bool     // the core has answered just now; nil: as Live
+	Transfer      TransferFunc
+	Nodes         func() int      // live nodes
+	ScarceTenants func() []string // tenants whose idle units are wanted back
+	Rules         func() []Rule   // the quotas of the layout in force
+	InContact     func() bool     // the core is heard
+	RecentContact func() bool     // the core has answered just now; nil: as InContact
 
 	// Margin is added to the window before a spent unit counts as back; 0: the default.
 	Margin time.Duration
@@ -95,14 +95,14 @@
 		if ok {
 			return true, 0
 		}
-		if expired && !(bounded && p.Busy() && ps.ways.Live()) || ctx.Err() != nil {
+		if expired && !(bounded && p.TransferInFlight() && ps.ways.InContact()) || ctx.Err() != nil {
 			return false, again
 		}
 		if timer == nil {
 			timer = time.NewTimer(wait)
 			defer timer.Stop()
-			p.Await(n)
-			defer p.Await(-n)
+			p.Enqueue(n)
+			defer p.Enqueue(-n)
 		}
 		ps.draw(tenant, p)
 		select {
@@ -119,7 +119,7 @@
 func (ps *Shares) draw(tenant string, p *Share) bool {
 	turn, n, ok := p.NextAcquire(ps.ways.Nodes())
 	if ok {
-		go ps.carry(p, Transfer{Tenant: tenant, Turn: turn, Units: n, Costs: p.Waiting()})
+		go ps.carry(p, Transfer{Tenant: tenant, Sequence: turn, Units: n, Costs: p.WaitingCosts()})
 	}
 	return ok
 }
@@ -132,8 +132,8 @@
 	}
 }
 
-// Names lists the tenants that have a quotaShare here.
-func (ps *Shares) Names() []string {
+// Tenants lists the tenants that have a quotaShare here.
+func (ps *Shares) Tenants() []string {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	var out []string
@@ -160,15 +160,15 @@
 
 func (ps *Shares) round() {
 	short := map[string]bool{}
-	for _, t := range ps.ways.Short() {
+	for _, t := range ps.ways.ScarceTenants() {
 		short[t] = true
 	}
 	for _, r := range ps.ways.Rules() {
-		ps.For(r.Tenant).Rule(r.Units, r.Window)
+		ps.For(r.Tenant).SetLimit(r.Units, r.Window)
 	}
-	for _, t := range ps.Names() {
+	for _, t := range ps.Tenants() {
 		p := ps.For(t)
-		if ps.ways.Live() {
+		if ps.ways.InContact() {
 			p.RecordContact()
 		}
 		if ps.draw(t, p) {
@@ -178,26 +178,26 @@
 			continue // units given now would be lost here, and no core could hand them on
 		}
 		if turn, n, ok := p.NextReturn(short[t], ps.ways.Nodes()); ok {
-			go ps.carry(p, Transfer{Tenant: t, Turn: turn, Units: n, Give: true})
+			go ps.carry(p, Transfer{Tenant: t, Sequence: turn, Units: n, Return: true})
 		}
 	}
 }
 
 func (ps *Shares) fresh() bool {
-	if ps.ways.Fresh == nil {
-		return ps.ways.Live()
+	if ps.ways.RecentContact == nil {
+		return ps.ways.InContact()
 	}
-	return ps.ways.Fresh()
+	return ps.ways.RecentContact()
 }
 
 // carry repeats one turn until the core has answered it: a lost answer changes nothing.
 func (ps *Shares) carry(p *Share, move Transfer) {
 	for {
 		ctx, end := context.WithTimeout(ps.ctx, 5*time.Second)
-		have, under, err := ps.ways.Move(ctx, move)
+		have, under, err := ps.ways.Transfer(ctx, move)
 		end()
 		if err == nil {
-			p.Apply(move.Turn, have, under)
+			p.Apply(move.Sequence, have, under)
 			return
 		}
 		if !runloop.Sleep(ps.ctx, 500*time.Millisecond) {
--- a/internal/model/quota/saving.go
+++ b/internal/model/quota/saving.go
@@ -6,7 +6,7 @@
 // time, to whichever router.
 const savingFor = time.Second
 
-// DrawDivisor is the part of what is free that one draw may get beyond what requests wait for: after a restart all routers
+// AcquireDivisor is the part of what is free that one draw may get beyond what requests wait for: after a restart all routers
 // draw at once, and the first must not leave the others without any.
 const AcquireDivisor = 8
 
@@ -21,10 +21,10 @@
 	until    time.Time // it ends
 }
 
-// Draw gives the units that a draw gets of those that are free: for each of the costs in their order as far as there are
+// Allocate gives the units that a draw gets of those that are free: for each of the costs in their order as far as there are
 // enough, and beyond that as many as are wanted, up to a part of what is left. Nothing is saved for a cost above most,
 // the whole quota. short: one of the costs was not paid.
-func (s *Saving) Draw(now time.Time, free, most int, costs []int, wanted int) (units int, short bool) {
+func (s *Saving) Allocate(now time.Time, free, most int, costs []int, wanted int) (units int, short bool) {
 	s.save(now, free)
 	left, sum := free, 0
 	for _, cost := range costs {
--- a/internal/model/quota/saving_test.go
+++ b/internal/model/quota/saving_test.go
@@ -29,7 +29,7 @@
 			for _, cost := range costs {
 				sum += cost
 			}
-			units, short := saving.Draw(now, free, most, costs, sum+rapid.IntRange(0, 500).Draw(rt, "reserve"))
+			units, short := saving.Allocate(now, free, most, costs, sum+rapid.IntRange(0, 500).Draw(rt, "reserve"))
 			if units < 0 || units > free {
 				rt.Fatalf("%d of %d free units given", units, free)
 			}
@@ -54,7 +54,7 @@
 		if step%5 == 0 {
 			cost, costs = large, []int{large} // asked for again and again, as by clients that come back
 		}
-		units, _ := saving.Draw(now, free, most, costs, cost*len(costs))
+		units, _ := saving.Allocate(now, free, most, costs, cost*len(costs))
 		free -= units
 		got[cost] += units
 	}
@@ -68,10 +68,10 @@
 func TestNothingIsSavedForTheImpossible(t *testing.T) {
 	var saving Saving
 	now := time.Unix(0, 0)
-	if units, short := saving.Draw(now, 1000, 1000, []int{2000}, 2000); units != 0 || !short {
+	if units, short := saving.Allocate(now, 1000, 1000, []int{2000}, 2000); units != 0 || !short {
 		t.Fatalf("%d units for what the quota can't give, short %v", units, short)
 	}
-	if units, short := saving.Draw(now, 1000, 1000, []int{900}, 900); units != 900 || short {
+	if units, short := saving.Allocate(now, 1000, 1000, []int{900}, 900); units != 900 || short {
 		t.Errorf("%d of 1000 units given, 900 expected", units)
 	}
 }
@@ -92,19 +92,19 @@
 	for i := range count {
 		who := string(rune('a' + i))
 		shares := NewShares(daemon.Context{Context: ctx}, Options{
-			Move: func(_ context.Context, move Transfer) (int, int, error) {
+			Transfer: func(_ context.Context, move Transfer) (int, int, error) {
 				time.Sleep(time.Duration(rand.IntN(10)) * time.Millisecond)
 				return c.move(who, move)
 			},
 			Nodes: func() int { return count },
-			Short: func() []string {
+			ScarceTenants: func() []string {
 				if c.short.Load() {
 					return []string{"t"}
 				}
 				return nil
 			},
-			Rules: func() []Rule { return []Rule{{"t", int(c.quota.Load()), window}} },
-			Live:  func() bool { return true }, Margin: 50 * time.Millisecond})
+			Rules:     func() []Rule { return []Rule{{"t", int(c.quota.Load()), window}} },
+			InContact: func() bool { return true }, Margin: 50 * time.Millisecond})
 		go shares.Run()
 		c.shares = append(c.shares, shares)
 	}
@@ -115,16 +115,16 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	quota := int(c.quota.Load())
-	if move.Give {
-		have, _ := c.pool.Return(who, move.Turn, move.Units)
+	if move.Return {
+		have, _ := c.pool.Return(who, move.Sequence, move.Units)
 		return have, c.pool.Limit(quota), nil
 	}
-	free := max(0, quota-c.pool.Allocated())
+	free := max(0, quota-c.pool.AllocatedUnits())
 	units, short := min(move.Units, (free+AcquireDivisor-1)/AcquireDivisor), false
 	if len(move.Costs) > 0 {
-		units, short = c.saving.Draw(time.Now(), free, quota, move.Costs, move.Units)
+		units, short = c.saving.Allocate(time.Now(), free, quota, move.Costs, move.Units)
 	}
-	have, _ := c.pool.Acquire(who, move.Turn, units, quota)
+	have, _ := c.pool.Acquire(who, move.Sequence, units, quota)
 	c.short.Store(short || free-units < quota/8)
 	return have, c.pool.Limit(quota), nil
 }
@@ -250,7 +250,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const quota, nodes, cost = 640_000, 40, 400
 		p := NewShare()
-		p.Rule(quota, 8*time.Second)
+		p.SetLimit(quota, 8*time.Second)
 		draw := func() int {
 			turn, units, ok := p.NextAcquire(nodes)
 			if !ok {
--- /dev/null
+++ b/internal/model/quota/share_benchmark_test.go
@@ -0,0 +1,86 @@
+package quota
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"yarrowridge/internal/lib/daemon"
+)
+
+// endlessShare returns a share that never runs out of units within a benchmark.
+func endlessShare(b *testing.B) *Share {
+	b.Helper()
+	const units = 1 << 40
+	share := NewShare()
+	share.SetLimit(units, 10*time.Millisecond)
+	sequence, _, ok := share.NextAcquire(1)
+	if !ok {
+		b.Fatal("NextAcquire on an empty share: got no transfer, want one")
+	}
+	share.Apply(sequence, units, units)
+	return share
+}
+
+// A request that is admitted and dispatched, with the units committed before coming back meanwhile.
+func BenchmarkReserveCommit(b *testing.B) {
+	share := endlessShare(b)
+	b.ReportAllocs()
+	for b.Loop() {
+		share.Reserve(1)
+		share.Commit(1)
+	}
+}
+
+// A request that is admitted and ends before its dispatch.
+func BenchmarkReserveCancel(b *testing.B) {
+	share := endlessShare(b)
+	b.ReportAllocs()
+	for b.Loop() {
+		share.Reserve(1)
+		share.Cancel(1)
+	}
+}
+
+// All cores admit requests of one tenant at once.
+func BenchmarkReserveCancelParallel(b *testing.B) {
+	share := endlessShare(b)
+	b.ReportAllocs()
+	b.RunParallel(func(pb *testing.PB) {
+		for pb.Next() {
+			share.Reserve(1)
+			share.Cancel(1)
+		}
+	})
+}
+
+// A request takes its units by way of the tenants' shares, as routers do.
+func BenchmarkSharesReserveCancel(b *testing.B) {
+	shares := NewShares(daemon.Context{Context: b.Context()}, Options{Nodes: func() int { return 1 }})
+	shares.all["t"] = endlessShare(b)
+	ctx := context.Background()
+	b.ReportAllocs()
+	for b.Loop() {
+		shares.Reserve(ctx, "t", 1)
+		shares.For("t").Cancel(1)
+	}
+}
+
+// Each of 200 holders in turn acquires a unit and returns it.
+func BenchmarkPoolAcquireReturn(b *testing.B) {
+	const quota = 10_000
+	holders := make([]string, 200)
+	var pool Pool
+	for i := range holders {
+		holders[i] = string(rune('A' + i))
+		pool.Acquire(holders[i], 1, 10, quota)
+	}
+	b.ReportAllocs()
+	sequence := uint64(1)
+	for i := 0; b.Loop(); i++ {
+		holder := holders[i%len(holders)]
+		pool.AcquireWithTolerance(holder, sequence+1, 1, quota, 10, 1)
+		pool.Return(holder, sequence+2, 1)
+		sequence += 2
+	}
+}
--- a/internal/model/quota/share_test.go
+++ b/internal/model/quota/share_test.go
@@ -50,13 +50,13 @@
 				p := quotaShares[n]
 				switch rapid.IntRange(0, 9).Draw(rt, "step") {
 				case 0, 1, 2: // draw; the answer may be lost, and the turn asked again
-					p.Rule(w.quota, window)
+					p.SetLimit(w.quota, window)
 					if turn, k, ok := p.NextAcquire(4); ok {
 						have, _ := w.pool.Acquire(n, turn, k, w.quota)
-						under := max(w.quota, w.pool.Allocated())
+						under := max(w.quota, w.pool.AllocatedUnits())
 						if rapid.Bool().Draw(rt, "lost") {
 							have, _ = w.pool.Acquire(n, turn, k, w.quota)
-							under = max(w.quota, w.pool.Allocated())
+							under = max(w.quota, w.pool.AllocatedUnits())
 						}
 						p.Apply(turn, have, under)
 					}
@@ -64,7 +64,7 @@
 					if turn, k, ok := p.NextReturn(rapid.Bool().Draw(rt, "short"), 4); ok {
 						w.pool.Return(n, turn, k)
 						have, _ := w.pool.Return(n, turn, k)
-						p.Apply(turn, have, max(w.quota, w.pool.Allocated()))
+						p.Apply(turn, have, max(w.quota, w.pool.AllocatedUnits()))
 					}
 				case 4, 5, 6:
 					k := rapid.IntRange(1, 4).Draw(rt, "units")
@@ -89,7 +89,7 @@
 						}
 					}
 				}
-				if out := w.pool.Allocated(); out > w.quota {
+				if out := w.pool.AllocatedUnits(); out > w.quota {
 					rt.Fatalf("%d units out of a quota of %d", out, w.quota)
 				}
 			}
@@ -121,16 +121,16 @@
 		var all []*Share
 		for i := range 5 {
 			p := NewShare()
-			p.Rule(high, time.Minute)
+			p.SetLimit(high, time.Minute)
 			if turn, _, ok := p.NextAcquire(1); ok {
 				have, _ := pool.Acquire(string(rune('a'+i)), turn, rapid.IntRange(0, high).Draw(rt, "units"), high)
-				p.Apply(turn, have, max(high, pool.Allocated()))
+				p.Apply(turn, have, max(high, pool.AllocatedUnits()))
 			}
 			all = append(all, p)
 		}
 		sum := 0
 		for _, p := range all {
-			p.Rule(low, time.Minute)
+			p.SetLimit(low, time.Minute)
 			for {
 				if ok, _ := p.Reserve(1); !ok {
 					break
@@ -147,7 +147,7 @@
 
 // A holder that hears the core spends on for as long as it likes, also without a move; one that
 // does not stops once the term is over.
-func TestTerm(t *testing.T) {
+func TestContactTTL(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, end := context.WithCancel(t.Context())
 		defer end()
@@ -156,19 +156,19 @@
 		var mu sync.Mutex
 		var pool Pool
 		ps := NewShares(daemon.Context{Context: ctx}, Options{
-			Move: func(_ context.Context, move Transfer) (int, int, error) {
-				turn, n := move.Turn, move.Units
+			Transfer: func(_ context.Context, move Transfer) (int, int, error) {
+				turn, n := move.Sequence, move.Units
 				mu.Lock()
 				defer mu.Unlock()
 				if !live.Load() {
 					return 0, 0, errors.New("cut off")
 				}
 				have, _ := pool.Acquire("a", turn, n, 100)
-				return have, max(100, pool.Allocated()), nil
+				return have, max(100, pool.AllocatedUnits()), nil
 			},
-			Nodes: func() int { return 1 }, Short: func() []string { return nil },
-			Rules: func() []Rule { return []Rule{{"t", 100, 10 * time.Second}} },
-			Live:  live.Load})
+			Nodes: func() int { return 1 }, ScarceTenants: func() []string { return nil },
+			Rules:     func() []Rule { return []Rule{{"t", 100, 10 * time.Second}} },
+			InContact: live.Load})
 		go ps.Run()
 		spend := func() bool {
 			ok, _ := ps.Reserve(ctx, "t", 1)
@@ -181,12 +181,12 @@
 		if !spend() {
 			t.Error("nothing to spend at first")
 		}
-		time.Sleep(Term + time.Hour)
+		time.Sleep(ContactTTL + time.Hour)
 		if !spend() {
 			t.Error("a holder that hears the core stopped spending after the term")
 		}
 		live.Store(false)
-		time.Sleep(Term - time.Hour)
+		time.Sleep(ContactTTL - time.Hour)
 		if !spend() {
 			t.Error("a cut-off holder stopped spending within the term")
 		}
