--- a/internal/controlplane/core/announce.go
+++ b/internal/controlplane/core/announce.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/controlplane/view"
 )
 
@@ -23,7 +24,7 @@
 	if _, ok := s.store.Load().Get(key); ok {
 		return
 	}
-	s.submitLater(func(tx *Tx) error {
+	s.submitLater(func(tx *transaction.Tx) error {
 		if _, ok := tx.Get(key); ok {
 			return nil
 		}
--- a/internal/controlplane/core/bench_test.go
+++ b/internal/controlplane/core/bench_test.go
@@ -14,6 +14,7 @@
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/coreclient"
 	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/lib/daemon"
 	"yarrowridge/internal/transport/wire"
 )
@@ -105,7 +106,7 @@
 		b.Fatal(err)
 	}
 	s := &Server{}
-	tx := &Tx{store: opened, newest: map[string]*store.Mutation{}}
+	tx := transaction.New(opened)
 	for i := 0; i < n; {
 		size := min(n-i, 110_000)
 		if n-i < 120_000 {
@@ -118,7 +119,7 @@
 		s.putFinishedKeys(tx, sums)
 		i += size
 	}
-	if err := opened.Append(store.Batch{Version: 1, Base: true, Mutations: tx.puts}); err != nil {
+	if err := opened.Append(store.Batch{Version: 1, Base: true, Mutations: tx.Mutations()}); err != nil {
 		b.Fatal(err)
 	}
 }
--- a/internal/controlplane/core/claims.go
+++ b/internal/controlplane/core/claims.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/transaction"
 )
 
 // claimPrefix begins the keys of claims.
@@ -12,7 +13,7 @@
 // takeClaim gives a once-only key to who asks first, and tells the others what became of it.
 func (s *Server) takeClaim(ctx context.Context, request *coreapi.ClaimRequest) (*coreapi.ClaimResponse, error) {
 	response := &coreapi.ClaimResponse{}
-	err := s.Submit(ctx, func(tx *Tx) error { return s.putClaim(tx, request, response) })
+	err := s.Submit(ctx, func(tx *transaction.Tx) error { return s.putClaim(tx, request, response) })
 	if err != nil {
 		return nil, err
 	}
@@ -20,8 +21,8 @@
 }
 
 // putClaim judges one request for a claim and records the claim where it is granted.
-func (s *Server) putClaim(tx *Tx, request *coreapi.ClaimRequest, response *coreapi.ClaimResponse) error {
-	stored, known, err := tx.claim(request.Key)
+func (s *Server) putClaim(tx *transaction.Tx, request *coreapi.ClaimRequest, response *coreapi.ClaimResponse) error {
+	stored, known, err := readClaim(tx, request.Key)
 	if err != nil {
 		return err
 	}
@@ -45,7 +46,7 @@
 }
 
 // putNewClaim grants a key that nobody holds, if it did not run before and there is room.
-func (s *Server) putNewClaim(tx *Tx, request *coreapi.ClaimRequest, response *coreapi.ClaimResponse, known bool) error {
+func (s *Server) putNewClaim(tx *transaction.Tx, request *coreapi.ClaimRequest, response *coreapi.ClaimResponse, known bool) error {
 	switch {
 	case !known && s.finishedKeys.has(tx, keyHash(request.Key)):
 		response.AlreadyRan = true
@@ -58,9 +59,9 @@
 	return tx.Put(claimPrefix+request.Key, &request.Claim)
 }
 
-// claim reads the claim of a key. known is false where there is none.
-func (t *Tx) claim(key string) (claim coreapi.Claim, known bool, err error) {
-	raw, known := t.Get(claimPrefix + key)
+// readClaim reads the claim of a key. known is false where there is none.
+func readClaim(tx *transaction.Tx, key string) (claim coreapi.Claim, known bool, err error) {
+	raw, known := tx.Get(claimPrefix + key)
 	if known {
 		_, err = claim.UnmarshalMsg(raw)
 	}
@@ -81,8 +82,8 @@
 
 // settleClaim records what became of a claimed key, or lets it go.
 func (s *Server) settleClaim(ctx context.Context, request *coreapi.CompleteClaimRequest) (*coreapi.Empty, error) {
-	return &coreapi.Empty{}, s.Submit(ctx, func(tx *Tx) error {
-		stored, known, err := tx.claim(request.Key)
+	return &coreapi.Empty{}, s.Submit(ctx, func(tx *transaction.Tx) error {
+		stored, known, err := readClaim(tx, request.Key)
 		if err != nil {
 			return err
 		}
--- a/internal/controlplane/core/claimsweep.go
+++ b/internal/controlplane/core/claimsweep.go
@@ -4,6 +4,7 @@
 	"strings"
 	"time"
 	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/transaction"
 )
 
 const (
@@ -57,18 +58,18 @@
 		size += len(keys[i])
 		if size >= maxEndedKeyBytes || i == len(keys)-1 {
 			piece := keys[from : i+1]
-			s.submitLater(func(tx *Tx) error { return s.endClaims(tx, piece) })
+			s.submitLater(func(tx *transaction.Tx) error { return s.endClaims(tx, piece) })
 			from, size = i+1, 0
 		}
 	}
 }
 
 // endClaims ends claims, and keeps that their keys ran.
-func (s *Server) endClaims(tx *Tx, keys []string) error {
+func (s *Server) endClaims(tx *transaction.Tx, keys []string) error {
 	var hashes []uint64
 	for _, key := range keys {
 		name := strings.TrimPrefix(key, claimPrefix)
-		claim, known, err := tx.claim(name)
+		claim, known, err := readClaim(tx, name)
 		if err != nil {
 			return err
 		}
--- a/internal/controlplane/core/codec_test.go
+++ b/internal/controlplane/core/codec_test.go
@@ -10,6 +10,7 @@
 
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/testing/sim"
 )
 
@@ -29,12 +30,12 @@
 }
 
 func (r *records) put(version uint64, size int, numbered bool, id string) {
-	tx := &Tx{store: r.st, newest: map[string]*store.Mutation{}}
+	tx := transaction.New(r.st)
 	next := coreapi.StoredConfig{Version: version, Raw: bytes.Repeat([]byte("x"), size)}
-	if err := tx.recordWrite(r.cur, next, numbered, id, "hash"); err != nil {
+	if err := recordWrite(tx, r.cur, next, numbered, id, "hash"); err != nil {
 		r.t.Fatal(err)
 	}
-	if err := r.st.Append(store.Batch{Version: r.st.Version() + 1, Mutations: tx.puts}); err != nil {
+	if err := r.st.Append(store.Batch{Version: r.st.Version() + 1, Mutations: tx.Mutations()}); err != nil {
 		r.t.Fatal(err)
 	}
 	r.cur = next
--- a/internal/controlplane/core/commit.go
+++ b/internal/controlplane/core/commit.go
@@ -10,6 +10,7 @@
 
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/controlplane/view"
 	"yarrowridge/internal/lib/faultinjection"
 	"yarrowridge/internal/lib/runloop"
@@ -18,7 +19,7 @@
 
 // job is one operation of the run loop; its state says who may still end it.
 type job struct {
-	do    func(*Tx) error
+	do    func(*transaction.Tx) error
 	step  func() // in place of do: a step of the run loop's own
 	state atomic.Int32
 	done  chan error
@@ -34,7 +35,7 @@
 
 // Submit passes an operation to the run loop and waits for its outcome. The error is NotReady
 // where the operation surely was not and will not be taken, InDoubt where it may be.
-func (s *Server) Submit(ctx context.Context, do func(*Tx) error) error {
+func (s *Server) Submit(ctx context.Context, do func(*transaction.Tx) error) error {
 	if !s.isReady() {
 		if v := s.voter.View(); v.Primary != s.voter.ID() {
 			return wire.StatusError{Code: coreapi.CodeNotPrimary}
@@ -69,7 +70,7 @@
 	ready, epoch := s.ready, s.epoch
 	s.mu.Unlock()
 	v := s.voter.View()
-	tx := &Tx{store: s.store.Load(), newest: map[string]*store.Mutation{}}
+	tx := transaction.New(s.store.Load())
 	mayWrite := ready && v.Epoch == epoch && s.isPrimary(v)
 	var taken []*job
 	var step *job
@@ -78,7 +79,7 @@
 			taken = append(taken, next)
 		}
 		next = nil
-		if count < maxBatchJobs && tx.size < maxBatchBytes {
+		if count < maxBatchJobs && tx.Size() < maxBatchBytes {
 			next, step = s.nextJob()
 		}
 	}
@@ -90,7 +91,7 @@
 
 // run puts what a job does into the batch, and reports whether it did. A job that was abandoned is passed over, and
 // where writes are not taken the job ends.
-func (j *job) run(tx *Tx, mayWrite bool) bool {
+func (j *job) run(tx *transaction.Tx, mayWrite bool) bool {
 	if !j.state.CompareAndSwap(jobWaiting, jobTaken) {
 		return false
 	}
@@ -98,9 +99,9 @@
 		j.done <- wire.StatusError{Code: coreapi.CodeNotReady}
 		return false
 	}
-	mark := len(tx.puts)
+	savepoint := tx.Savepoint()
 	if j.err = j.do(tx); j.err != nil {
-		tx.undo(mark)
+		tx.Rollback(savepoint)
 	}
 	return true
 }
@@ -119,7 +120,7 @@
 }
 
 // finishBatch commits a batch and tells its jobs what came of it.
-func (s *Server) finishBatch(v view.View, tx *Tx, taken []*job) {
+func (s *Server) finishBatch(v view.View, tx *transaction.Tx, taken []*job) {
 	err := s.commit(v, tx)
 	for _, one := range taken {
 		if err != nil {
@@ -128,25 +129,25 @@
 			one.done <- one.err
 		}
 	}
-	if err == nil && len(tx.puts) > 0 {
-		if err := tx.store.CompactIfNeeded(); err != nil {
+	if err == nil && len(tx.Mutations()) > 0 {
+		if err := tx.Committed().CompactIfNeeded(); err != nil {
 			s.failDisk(err)
 		}
 	}
 }
 
 // commit stores the batch on our disk and the backups', and looks at the lease once more. Only then is it done.
-func (s *Server) commit(v view.View, tx *Tx) error {
+func (s *Server) commit(v view.View, tx *transaction.Tx) error {
 	inDoubt := wire.StatusError{Code: coreapi.CodeOutcomeUnknown}
-	if len(tx.puts) == 0 {
+	if len(tx.Mutations()) == 0 {
 		if !s.isPrimary(v) {
 			return wire.StatusError{Code: coreapi.CodeNotReady}
 		}
 		return nil
 	}
-	batch := store.Batch{Version: tx.store.Version() + 1, Mutations: tx.newestPuts()}
+	batch := store.Batch{Version: tx.Committed().Version() + 1, Mutations: tx.LastMutations()}
 	stored, replicated := make(chan error, 1), make(chan []string, 1)
-	go func() { stored <- tx.store.Append(batch) }()
+	go func() { stored <- tx.Committed().Append(batch) }()
 	go func() { replicated <- s.replicate(v, batch) }()
 	tooSlow := time.NewTimer(diskTimeout)
 	defer tooSlow.Stop()
@@ -198,13 +199,13 @@
 }
 
 // applyCommitted takes up what a committed batch says: the configuration that nodes are told of, and the keys that ran.
-func (s *Server) applyCommitted(tx *Tx) {
-	for _, put := range tx.puts {
+func (s *Server) applyCommitted(tx *transaction.Tx) {
+	for _, put := range tx.Mutations() {
 		if strings.HasPrefix(put.Key, finishedPrefix) {
 			s.finishedKeys.apply(put)
 		}
 	}
-	if put, ok := tx.newest[configKey]; ok {
+	if put, ok := tx.LastMutation(configKey); ok {
 		var storedConfig coreapi.StoredConfig
 		if _, err := storedConfig.UnmarshalMsg(put.Value); err == nil {
 			s.mu.Lock()
--- a/internal/controlplane/core/config.go
+++ b/internal/controlplane/core/config.go
@@ -9,6 +9,7 @@
 	"strconv"
 
 	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/lib/faultinjection"
 	"yarrowridge/internal/transport/relay"
 	"yarrowridge/internal/transport/wire"
@@ -48,10 +49,10 @@
 // versionKey is the key of the copy of an older configuration.
 func versionKey(version uint64) string { return "past/" + strconv.FormatUint(version, 10) }
 
-// config reads the configuration in force; version 0 before the first.
-func (t *Tx) config() (coreapi.StoredConfig, error) {
+// currentConfig reads the configuration in force; version 0 before the first.
+func currentConfig(tx *transaction.Tx) (coreapi.StoredConfig, error) {
 	var current coreapi.StoredConfig
-	raw, ok := t.Get(configKey)
+	raw, ok := tx.Get(configKey)
 	if !ok {
 		return current, nil
 	}
@@ -69,7 +70,7 @@
 	sum := sha256.Sum256(request.Raw)
 	hash := hex.EncodeToString(sum[:])
 	var written coreapi.StoredConfig
-	err := s.Submit(ctx, func(tx *Tx) (err error) {
+	err := s.Submit(ctx, func(tx *transaction.Tx) (err error) {
 		written, err = s.applyWrite(tx, request, hash, response)
 		return err
 	})
@@ -88,12 +89,12 @@
 
 // applyWrite checks one write against the configuration in force and records it. The response says what came of it; the
 // configuration is the new one, or empty where the write changes nothing.
-func (s *Server) applyWrite(tx *Tx, request *coreapi.WriteRequest, hash string, response *coreapi.WriteResponse) (coreapi.StoredConfig, error) {
-	current, err := tx.config()
+func (s *Server) applyWrite(tx *transaction.Tx, request *coreapi.WriteRequest, hash string, response *coreapi.WriteResponse) (coreapi.StoredConfig, error) {
+	current, err := currentConfig(tx)
 	if err != nil {
 		return coreapi.StoredConfig{}, err
 	}
-	if repeated, err := tx.isRepeated(request, hash, response); repeated || err != nil {
+	if repeated, err := isRepeatedWrite(tx, request, hash, response); repeated || err != nil {
 		return coreapi.StoredConfig{}, err
 	}
 	response.Version = current.Version
@@ -120,16 +121,16 @@
 		return coreapi.StoredConfig{}, nil
 	}
 	response.Version = next.Version
-	return next, tx.recordWrite(current, next, numbered, request.ID, hash)
+	return next, recordWrite(tx, current, next, numbered, request.ID, hash)
 }
 
-// isRepeated reports whether a write with this id was taken before. The response is then the one that was given, or says that
+// isRepeatedWrite reports whether a write with this id was taken before. The response is then the one that was given, or says that
 // the id stands for another document.
-func (t *Tx) isRepeated(request *coreapi.WriteRequest, hash string, response *coreapi.WriteResponse) (bool, error) {
+func isRepeatedWrite(tx *transaction.Tx, request *coreapi.WriteRequest, hash string, response *coreapi.WriteResponse) (bool, error) {
 	if request.ID == "" {
 		return false, nil
 	}
-	raw, ok := t.Get("mark/" + request.ID)
+	raw, ok := tx.Get("mark/" + request.ID)
 	if !ok {
 		return false, nil
 	}
@@ -161,23 +162,23 @@
 }
 
 // recordWrite puts the new configuration, a copy for reading back and the write's id.
-func (t *Tx) recordWrite(current, next coreapi.StoredConfig, numbered bool, id, hash string) error {
-	history, known, err := t.history(current.Version)
+func recordWrite(tx *transaction.Tx, current, next coreapi.StoredConfig, numbered bool, id, hash string) error {
+	history, known, err := readHistory(tx, current.Version)
 	if err != nil {
 		return err
 	}
 	history.Writes++
-	if err := t.Put(configKey, &next); err != nil {
+	if err := tx.Put(configKey, &next); err != nil {
 		return err
 	}
-	if err := t.keepVersion(&history, &next, numbered); err != nil {
+	if err := keepVersion(tx, &history, &next, numbered); err != nil {
 		return err
 	}
-	if err := t.keepWriteID(history.Writes, id, WriteResult{Version: next.Version, Hash: hash}); err != nil {
+	if err := keepWriteID(tx, history.Writes, id, WriteResult{Version: next.Version, Hash: hash}); err != nil {
 		return err
 	}
 	if known || numbered {
-		return t.Put(historyKey, &history)
+		return tx.Put(historyKey, &history)
 	}
 	return nil
 }
@@ -192,7 +193,7 @@
 
 // documentIn gives the configuration as the batch under way has it. Nil: none was put yet, or it is not
 // understood. It is decoded once, since each move of quota units asks for it. Only the run loop calls it.
-func (s *Server) documentIn(tx *Tx) (*Document, error) {
+func (s *Server) documentIn(tx *transaction.Tx) (*Document, error) {
 	record, ok := tx.Get(configKey)
 	if !ok {
 		return nil, nil
@@ -200,7 +201,7 @@
 	if sameBytes(record, s.decoded.record) {
 		return s.decoded.document, nil
 	}
-	config, err := tx.config()
+	config, err := currentConfig(tx)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controlplane/core/config_test.go
+++ b/internal/controlplane/core/config_test.go
@@ -7,6 +7,7 @@
 
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/transaction"
 )
 
 // wholeCodec takes any configuration: its document has one tenant whose quota is the length of the text.
@@ -22,7 +23,7 @@
 	s, committed := quotaServer(t)
 	s.settings.Codec = wholeCodec{}
 	for sequence := uint64(1); sequence <= 2; sequence++ {
-		tx := &Tx{store: committed, newest: map[string]*store.Mutation{}}
+		tx := transaction.New(committed)
 		raw := bytes.Repeat([]byte("x"), size*int(sequence))
 		if err := tx.Put("layout", &coreapi.StoredConfig{Version: sequence, Raw: raw}); err != nil {
 			t.Fatal(err)
@@ -30,13 +31,13 @@
 		if document, err := s.documentIn(tx); err != nil || document == nil || document.Quotas["t"] != len(raw) {
 			t.Fatalf("configuration %d within its own batch: %+v, %v", sequence, document, err)
 		}
-		if err := committed.Append(store.Batch{Version: sequence, Mutations: tx.newestPuts()}); err != nil {
+		if err := committed.Append(store.Batch{Version: sequence, Mutations: tx.LastMutations()}); err != nil {
 			t.Fatal(err)
 		}
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		for range 100 {
-			tx := &Tx{store: committed, newest: map[string]*store.Mutation{}}
+			tx := transaction.New(committed)
 			if document, err := s.documentIn(tx); err != nil || document == nil || document.Quotas["t"] != len(raw) {
 				t.Fatalf("configuration %d: %+v, %v", sequence, document, err)
 			}
@@ -53,7 +54,7 @@
 func TestUncommittedConfigurationLeavesNothing(t *testing.T) {
 	s, committed := quotaServer(t)
 	s.settings.Codec = wholeCodec{}
-	lost := &Tx{store: committed, newest: map[string]*store.Mutation{}}
+	lost := transaction.New(committed)
 	if err := lost.Put(configKey, &coreapi.StoredConfig{Version: 7, Raw: []byte("lost")}); err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +65,7 @@
 	if document := s.parsedConfig(acknowledged); document.Quotas["t"] != len("acknowledged") {
 		t.Errorf("version 7 is read with a quota of %d, the lost one's; %d expected", document.Quotas["t"], len("acknowledged"))
 	}
-	later := &Tx{store: committed, newest: map[string]*store.Mutation{}}
+	later := transaction.New(committed)
 	if err := later.Put(configKey, &acknowledged); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/core/finishedkeys.go
+++ b/internal/controlplane/core/finishedkeys.go
@@ -10,6 +10,7 @@
 	"strings"
 
 	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/transaction"
 )
 
 // A claim with its response is kept for claim_keep_s. That its key ran is kept far longer, as eight
@@ -57,7 +58,7 @@
 }
 
 // has reports whether a key's hash stands in a part, one of the same batch included.
-func (f *finishedKeys) has(tx *Tx, hash uint64) bool {
+func (f *finishedKeys) has(tx *transaction.Tx, hash uint64) bool {
 	var want [hashBytes]byte
 	binary.BigEndian.PutUint64(want[:], hash)
 	isIn := func(part store.Mutation) bool {
@@ -69,13 +70,13 @@
 	if slices.ContainsFunc(f.parts, isIn) {
 		return true
 	}
-	return tx.hasFinishedKeys && slices.ContainsFunc(tx.puts, func(put store.Mutation) bool {
+	return tx.HasTag(finishedPrefix) && slices.ContainsFunc(tx.Mutations(), func(put store.Mutation) bool {
 		return strings.HasPrefix(put.Key, finishedPrefix) && isIn(put)
 	})
 }
 
 // putFinishedKeys adds a part to a batch.
-func (s *Server) putFinishedKeys(tx *Tx, hashes []uint64) {
+func (s *Server) putFinishedKeys(tx *transaction.Tx, hashes []uint64) {
 	slices.Sort(hashes)
 	hashes = slices.Compact(hashes)
 	raw := make([]byte, 0, hashBytes*len(hashes))
@@ -83,9 +84,9 @@
 		raw = binary.BigEndian.AppendUint64(raw, hash)
 	}
 	s.finishedParts++
-	tx.hasFinishedKeys = true
-	key := fmt.Sprintf("%s%016x-%x", finishedPrefix, tx.store.Version()+1, s.finishedParts)
-	tx.add(store.Mutation{Key: key, Value: raw})
+	tx.Tag(finishedPrefix)
+	key := fmt.Sprintf("%s%016x-%x", finishedPrefix, tx.Committed().Version()+1, s.finishedParts)
+	tx.PutRaw(key, raw)
 }
 
 // maxFinishedKeys is how many keys that ran are kept at most, by the configuration in force. It is asked for every
@@ -101,7 +102,7 @@
 }
 
 // mergeFinishedKeys makes one part of the smallest ones, once there are many small ones.
-func (s *Server) mergeFinishedKeys(tx *Tx) error {
+func (s *Server) mergeFinishedKeys(tx *transaction.Tx) error {
 	var small []store.Mutation
 	for _, put := range s.finishedKeys.parts {
 		if countHashes(put) < finishedPartSize/2 {
--- a/internal/controlplane/core/history.go
+++ b/internal/controlplane/core/history.go
@@ -4,6 +4,7 @@
 	"strconv"
 
 	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/lib/faultinjection"
 )
 
@@ -17,10 +18,10 @@
 	maxKeptDocument  = 1 << 20  // of documents above this size no copy is kept: a batch has to fit one frame
 )
 
-// history reads what is kept of earlier writes. known is false where the core has counted all along, and
+// readHistory reads what is kept of earlier writes. known is false where the core has counted all along, and
 // a write's count is its version.
-func (t *Tx) history(current uint64) (history ConfigHistory, known bool, err error) {
-	raw, known := t.Get(historyKey)
+func readHistory(tx *transaction.Tx, current uint64) (history ConfigHistory, known bool, err error) {
+	raw, known := tx.Get(historyKey)
 	if known {
 		_, err = history.UnmarshalMsg(raw)
 		return history, known, err
@@ -35,9 +36,9 @@
 }
 
 // keepVersion keeps a copy of the new configuration for reading back, and drops the oldest copies beyond the bound.
-func (t *Tx) keepVersion(history *ConfigHistory, config *coreapi.StoredConfig, numbered bool) error {
+func keepVersion(tx *transaction.Tx, history *ConfigHistory, config *coreapi.StoredConfig, numbered bool) error {
 	if len(config.Raw) <= maxKeptDocument {
-		if err := t.Put(versionKey(config.Version), config); err != nil {
+		if err := tx.Put(versionKey(config.Version), config); err != nil {
 			return err
 		}
 		history.KeptVersions = append(history.KeptVersions, config.Version)
@@ -47,19 +48,19 @@
 		limit = maxLargeVersions
 	}
 	for len(history.KeptVersions) > limit {
-		t.Delete(versionKey(history.KeptVersions[0]))
+		tx.Delete(versionKey(history.KeptVersions[0]))
 		history.KeptVersions = history.KeptVersions[1:]
 	}
 	return nil
 }
 
 // keepWriteID remembers the id of the write with this count, and forgets the id of one long ago.
-func (t *Tx) keepWriteID(count uint64, id string, record WriteResult) error {
+func keepWriteID(tx *transaction.Tx, count uint64, id string, record WriteResult) error {
 	if id != "" && !faultinjection.Disabled("write-id") {
-		if err := t.Put("mark/"+id, &record); err != nil {
+		if err := tx.Put("mark/"+id, &record); err != nil {
 			return err
 		}
-		if err := t.Put("marked/"+strconv.FormatUint(count, 10), &coreapi.Claim{Claimant: id}); err != nil {
+		if err := tx.Put("marked/"+strconv.FormatUint(count, 10), &coreapi.Claim{Claimant: id}); err != nil {
 			return err
 		}
 	}
@@ -67,12 +68,12 @@
 		return nil
 	}
 	key := "marked/" + strconv.FormatUint(count-maxWriteIDs, 10)
-	if raw, ok := t.Get(key); ok {
+	if raw, ok := tx.Get(key); ok {
 		var written coreapi.Claim // of a claim only the id is used here
 		if _, err := written.UnmarshalMsg(raw); err == nil {
-			t.Delete("mark/" + written.Claimant)
+			tx.Delete("mark/" + written.Claimant)
 		}
-		t.Delete(key)
+		tx.Delete(key)
 	}
 	return nil
 }
--- a/internal/controlplane/core/quota.go
+++ b/internal/controlplane/core/quota.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/model/quota"
 )
 
@@ -21,7 +22,7 @@
 // moveAll makes all moves of one holder in one write.
 func (s *Server) moveAll(ctx context.Context, request *coreapi.QuotaMovesRequest) (*coreapi.QuotaMovesResponse, error) {
 	response := &coreapi.QuotaMovesResponse{}
-	err := s.Submit(ctx, func(tx *Tx) error {
+	err := s.Submit(ctx, func(tx *transaction.Tx) error {
 		response.Results = make([]coreapi.QuotaMoveResult, len(request.Moves))
 		document, err := s.documentIn(tx)
 		if err != nil {
@@ -44,7 +45,7 @@
 }
 
 // moveIn makes one move. Only the run loop calls it.
-func (s *Server) moveIn(tx *Tx, holder string, move *coreapi.QuotaMove, document *Document) (result coreapi.QuotaMoveResult, err error) {
+func (s *Server) moveIn(tx *transaction.Tx, holder string, move *coreapi.QuotaMove, document *Document) (result coreapi.QuotaMoveResult, err error) {
 	pool, err := s.poolCache.get(tx, move.Tenant)
 	if err != nil {
 		return result, err
@@ -115,7 +116,7 @@
 
 // coolHolder sets a holder's units cooling: its process is surely gone.
 func (s *Server) coolHolder(ctx context.Context, holder string) error {
-	return s.Submit(ctx, func(tx *Tx) error {
+	return s.Submit(ctx, func(tx *transaction.Tx) error {
 		return s.updatePools(tx, func(_ string, pool *quota.Pool) bool { return pool.StartCooling(holder) })
 	})
 }
--- a/internal/controlplane/core/quota_test.go
+++ b/internal/controlplane/core/quota_test.go
@@ -8,6 +8,7 @@
 
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/model/quota"
 )
 
@@ -30,23 +31,23 @@
 // A pool is decoded once, and one that a failed job or a failed batch changed is read anew.
 func TestPotsAreReadAnewAfterAFailure(t *testing.T) {
 	s, opened := quotaServer(t)
-	begin := func() *Tx { return &Tx{store: opened, newest: map[string]*store.Mutation{}} }
-	draw := func(tx *Tx, turn uint64) int {
+	begin := func() *transaction.Tx { return transaction.New(opened) }
+	draw := func(tx *transaction.Tx, turn uint64) int {
 		out, err := s.moveIn(tx, "a", &coreapi.QuotaMove{Tenant: "t", Sequence: turn, Units: 1}, &Document{Quotas: map[string]int{"t": 100}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return out.Held
 	}
-	commit := func(tx *Tx) {
-		if err := opened.Append(store.Batch{Version: opened.Version() + 1, Mutations: tx.newestPuts()}); err != nil {
+	commit := func(tx *transaction.Tx) {
+		if err := opened.Append(store.Batch{Version: opened.Version() + 1, Mutations: tx.LastMutations()}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	tx := begin()
 	draw(tx, 1)
 	draw(tx, 2)
-	ofPool := slices.DeleteFunc(slices.Clone(tx.newestPuts()), func(put store.Mutation) bool { return put.Key != poolKey("t") })
+	ofPool := slices.DeleteFunc(slices.Clone(tx.LastMutations()), func(put store.Mutation) bool { return put.Key != poolKey("t") })
 	if len(ofPool) != 1 {
 		t.Fatalf("%d puts of one pool, 1 expected", len(ofPool))
 	}
@@ -57,9 +58,9 @@
 		t.Fatalf("%d units in the batch, 3 expected", have)
 	}
 	undone := begin()
-	mark := len(undone.puts)
+	savepoint := undone.Savepoint()
 	draw(undone, 4)
-	undone.undo(mark)
+	undone.Rollback(savepoint)
 
 	tx = begin()
 	if have := draw(tx, 3); have != 3 {
@@ -76,7 +77,7 @@
 // those who hold it.
 func TestUnitsOnTopMayBeSpent(t *testing.T) {
 	s, opened := quotaServer(t)
-	tx := &Tx{store: opened, newest: map[string]*store.Mutation{}}
+	tx := transaction.New(opened)
 	if err := s.poolCache.put(tx, "t", &quota.Pool{Cooling: map[string]int{"dead/1": 10}}); err != nil {
 		t.Fatal(err)
 	}
@@ -112,15 +113,15 @@
 // After a restart of a whole fleet the units of all earlier runs cool with one write of each pool.
 func TestAllReplacedRunsCoolTogether(t *testing.T) {
 	s, opened := quotaServer(t)
-	tx := &Tx{store: opened, newest: map[string]*store.Mutation{}}
+	tx := transaction.New(opened)
 	pool := &quota.Pool{Held: map[string]quota.Allocation{"a@1/1": {Units: 2, Sequence: 1}, "b@2/1": {Units: 3, Sequence: 1}, "c@3/1": {Units: 4, Sequence: 1}}}
 	if err := s.poolCache.put(tx, "t", pool); err != nil {
 		t.Fatal(err)
 	}
-	if err := opened.Append(store.Batch{Version: 1, Mutations: tx.newestPuts()}); err != nil {
+	if err := opened.Append(store.Batch{Version: 1, Mutations: tx.LastMutations()}); err != nil {
 		t.Fatal(err)
 	}
-	tx = &Tx{store: opened, newest: map[string]*store.Mutation{}}
+	tx = transaction.New(opened)
 	ended := time.Now().Add(-time.Second)
 	if !s.replaced.add("a@1", replacedRun{"a@1/2", ended}) || s.replaced.add("b@2", replacedRun{"b@2/2", ended}) {
 		t.Error("the first place alone starts the gathering")
@@ -128,7 +129,7 @@
 	if err := s.coolReplaced(tx); err != nil {
 		t.Fatal(err)
 	}
-	if n := len(tx.puts); n != 1 {
+	if n := len(tx.Mutations()); n != 1 {
 		t.Errorf("%d puts, 1 expected", n)
 	}
 	got, err := s.poolCache.get(tx, "t")
--- a/internal/controlplane/core/quotaholders.go
+++ b/internal/controlplane/core/quotaholders.go
@@ -6,7 +6,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/model/quota"
 )
 
@@ -31,7 +31,7 @@
 func holderKey(number uint64) string { return fmt.Sprintf("%s%x", holderPrefix, number) }
 
 // number gives a holder's number. One that has none gets it within the batch.
-func (h holderNumbers) number(tx *Tx, name string) (uint64, error) {
+func (h holderNumbers) number(tx *transaction.Tx, name string) (uint64, error) {
 	if known, ok := h[name]; ok {
 		if raw, ok := tx.Get(known.key); ok && sameBytes(raw, known.raw) {
 			return known.number, nil
@@ -52,13 +52,13 @@
 		return 0, err
 	}
 	known := numberedHolder{number: count.Last, key: holderKey(count.Last), raw: raw}
-	tx.add(store.Mutation{Key: known.key, Value: raw})
+	tx.PutRaw(known.key, raw)
 	h[name] = known
 	return known.number, nil
 }
 
 // name gives the name of the holder with a number.
-func (h holderNumbers) name(tx *Tx, number uint64) (string, error) {
+func (h holderNumbers) name(tx *transaction.Tx, number uint64) (string, error) {
 	key := holderKey(number)
 	raw, ok := tx.Get(key)
 	if !ok {
@@ -74,10 +74,10 @@
 
 // dropUnusedHolders drops the records of holders that no pool names any longer, once there are many. Only the run
 // loop calls it.
-func (s *Server) dropUnusedHolders(tx *Tx) error {
+func (s *Server) dropUnusedHolders(tx *transaction.Tx) error {
 	names := map[string]string{} // by key
 	var holder storedHolder
-	tx.store.ForEachWithPrefix(holderPrefix, func(key string, raw []byte) {
+	tx.Committed().ForEachWithPrefix(holderPrefix, func(key string, raw []byte) {
 		if _, err := holder.UnmarshalMsg(raw); err == nil {
 			names[key] = holder.Name
 		}
--- a/internal/controlplane/core/quotapools.go
+++ b/internal/controlplane/core/quotapools.go
@@ -3,7 +3,7 @@
 import (
 	"strings"
 
-	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/lib/faultinjection"
 	"yarrowridge/internal/model/quota"
 )
@@ -27,7 +27,7 @@
 }
 
 // get gives a tenant's pool as the batch under way has it. One that is changed must be put.
-func (c poolCache) get(tx *Tx, tenant string) (*quota.Pool, error) {
+func (c poolCache) get(tx *transaction.Tx, tenant string) (*quota.Pool, error) {
 	raw, ok := tx.Get(poolKey(tenant))
 	if !ok {
 		return &quota.Pool{}, nil
@@ -44,7 +44,7 @@
 }
 
 // put puts a changed pool.
-func (c poolCache) put(tx *Tx, tenant string, pool *quota.Pool) error {
+func (c poolCache) put(tx *transaction.Tx, tenant string, pool *quota.Pool) error {
 	delete(c.pools, tenant)
 	stored := storedPool{Cool: pool.Cooling, Above: pool.AboveLimit, Charges: pool.Charges, Holds: make([]numberedHold, 0, len(pool.Held))}
 	for holder, held := range pool.Held {
@@ -58,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	tx.add(store.Mutation{Key: poolKey(tenant), Value: raw})
+	tx.PutRaw(poolKey(tenant), raw)
 	c.pools[tenant] = &cachedPool{raw: raw, pool: *pool}
 	return nil
 }
@@ -90,14 +90,14 @@
 func poolKey(tenant string) string { return poolPrefix + tenant }
 
 // poolTenants lists the tenants that have a pool in the committed state.
-func poolTenants(tx *Tx) []string {
+func poolTenants(tx *transaction.Tx) []string {
 	var tenants []string
-	tx.store.ForEachWithPrefix(poolPrefix, func(key string, _ []byte) { tenants = append(tenants, strings.TrimPrefix(key, poolPrefix)) })
+	tx.Committed().ForEachWithPrefix(poolPrefix, func(key string, _ []byte) { tenants = append(tenants, strings.TrimPrefix(key, poolPrefix)) })
 	return tenants
 }
 
 // updatePools calls update for each pool, and puts those for which it was true.
-func (s *Server) updatePools(tx *Tx, update func(tenant string, pool *quota.Pool) bool) error {
+func (s *Server) updatePools(tx *transaction.Tx, update func(tenant string, pool *quota.Pool) bool) error {
 	for _, tenant := range poolTenants(tx) {
 		pool, err := s.poolCache.get(tx, tenant)
 		if err != nil {
--- a/internal/controlplane/core/quotapools_test.go
+++ b/internal/controlplane/core/quotapools_test.go
@@ -10,21 +10,22 @@
 	"github.com/tinylib/msgp/msgp"
 
 	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/model/quota"
 )
 
-func commitTx(t *testing.T, committed *store.Store, tx *Tx) {
+func commitTx(t *testing.T, committed *store.Store, tx *transaction.Tx) {
 	t.Helper()
-	if len(tx.puts) == 0 {
+	if len(tx.Mutations()) == 0 {
 		return
 	}
-	if err := committed.Append(store.Batch{Version: committed.Version() + 1, Mutations: tx.newestPuts()}); err != nil {
+	if err := committed.Append(store.Batch{Version: committed.Version() + 1, Mutations: tx.LastMutations()}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func beginTx(committed *store.Store) *Tx {
-	return &Tx{store: committed, newest: map[string]*store.Mutation{}}
+func beginTx(committed *store.Store) *transaction.Tx {
+	return transaction.New(committed)
 }
 
 func poolOf(holders int) *quota.Pool {
@@ -88,8 +89,8 @@
 		t.Errorf("read %+v, %v", got, err)
 	}
 	tx = beginTx(committed)
-	if err := other.put(tx, "t", got); err != nil || len(tx.puts) != 1 {
-		t.Errorf("%d records for one change of a pool by another process, %v", len(tx.puts), err)
+	if err := other.put(tx, "t", got); err != nil || len(tx.Mutations()) != 1 {
+		t.Errorf("%d records for one change of a pool by another process, %v", len(tx.Mutations()), err)
 	}
 	if shares := quotaShares(committed); len(shares) != holders+1 {
 		t.Errorf("%d shares told, %d expected", len(shares), holders+1)
@@ -125,7 +126,7 @@
 // A number that was given in a batch that came to nothing may go to another holder: nobody is taken for it.
 func TestNumbersOfLostBatches(t *testing.T) {
 	s, committed := quotaServer(t)
-	put := func(tx *Tx, tenant, holder string, units int) {
+	put := func(tx *transaction.Tx, tenant, holder string, units int) {
 		t.Helper()
 		pool, err := s.poolCache.get(tx, tenant)
 		if err != nil {
@@ -142,7 +143,7 @@
 	put(beginTx(committed), "t", "lost", 5) // never committed
 	undone := beginTx(committed)
 	put(undone, "t", "undone", 4)
-	undone.undo(0)
+	undone.Rollback(0)
 	put(undone, "u", "kept", 3)
 	commitTx(t, committed, undone)
 	tx := beginTx(committed)
--- a/internal/controlplane/core/quotasweep.go
+++ b/internal/controlplane/core/quotasweep.go
@@ -5,6 +5,7 @@
 	"strings"
 	"time"
 
+	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/model/quota"
 )
 
@@ -66,7 +67,7 @@
 	ages := &ageTable{firstSeen: s.firstSeen, now: time.Now(), seen: map[string]bool{}}
 	var due quotaSweep
 	s.hasCoolingUnits = false
-	tx := &Tx{store: s.store.Load()}
+	tx := transaction.New(s.store.Load())
 	for _, tenant := range poolTenants(tx) {
 		pool, err := s.poolCache.get(tx, tenant)
 		if err != nil {
@@ -108,7 +109,7 @@
 	if len(due.thawed)+len(due.retired)+len(due.charges) == 0 {
 		return
 	}
-	s.submitLater(func(tx *Tx) error {
+	s.submitLater(func(tx *transaction.Tx) error {
 		return s.updatePools(tx, func(tenant string, pool *quota.Pool) bool {
 			changed := false
 			for _, holding := range due.thawed {
--- a/internal/controlplane/core/replacedruns.go
+++ b/internal/controlplane/core/replacedruns.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/model/quota"
 )
 
@@ -62,7 +63,7 @@
 }
 
 // coolReplaced sets the units of all runs that were replaced cooling. Only the run loop calls it.
-func (s *Server) coolReplaced(tx *Tx) error {
+func (s *Server) coolReplaced(tx *transaction.Tx) error {
 	runs := s.replaced.take()
 	replacedBy := func(holder string) (replacedRun, bool) {
 		place, _, _ := strings.Cut(holder, "/")
--- a/internal/controlplane/core/runnerstore.go
+++ b/internal/controlplane/core/runnerstore.go
@@ -4,6 +4,7 @@
 	"context"
 	"strings"
 
+	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/model/routing"
 )
 
@@ -20,7 +21,7 @@
 	if stored, ok := s.storedRunner(runner.ID); ok == (runner.State != routing.RunnerGone) && (!ok || stored.SaysSame(runner)) {
 		return nil
 	}
-	put := func(tx *Tx) error {
+	put := func(tx *transaction.Tx) error {
 		key := runnerPrefix + runner.ID
 		if runner.State != routing.RunnerGone {
 			return tx.Put(key, &runner)
@@ -62,7 +63,7 @@
 		if stored, ok := s.storedRunner(runner.ID); !ok || stored.State != routing.RunnerReady {
 			continue
 		}
-		s.submitLater(func(tx *Tx) error {
+		s.submitLater(func(tx *transaction.Tx) error {
 			// That it leaves may have been written since.
 			stored, ok := decodeRunner(tx.Get(runnerPrefix + runner.ID))
 			if !ok || stored.State != routing.RunnerReady {
--- a/internal/controlplane/core/runnerstore_test.go
+++ b/internal/controlplane/core/runnerstore_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/model/routing"
 )
 
@@ -17,16 +18,16 @@
 	s.registry.Begin(1, time.Now(), time.Now(), nil)
 	return s, func() {
 		t.Helper()
-		tx := &Tx{store: opened, newest: map[string]*store.Mutation{}}
+		tx := transaction.New(opened)
 		for len(s.jobs) > 0 {
 			if err := (<-s.jobs).do(tx); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if len(tx.puts) == 0 {
+		if len(tx.Mutations()) == 0 {
 			return
 		}
-		if err := opened.Append(store.Batch{Version: opened.Version() + 1, Mutations: tx.newestPuts()}); err != nil {
+		if err := opened.Append(store.Batch{Version: opened.Version() + 1, Mutations: tx.LastMutations()}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -148,11 +149,11 @@
 		silent := s.registry.List(time.Now())
 		s.storeSilent(silent)
 		opened := s.store.Load()
-		tx := &Tx{store: opened, newest: map[string]*store.Mutation{}}
+		tx := transaction.New(opened)
 		if err := tx.Put(runnerPrefix+"a", &routing.Runner{ID: "a", State: routing.RunnerDraining}); err != nil {
 			t.Fatal(err)
 		}
-		if err := opened.Append(store.Batch{Version: opened.Version() + 1, Mutations: tx.newestPuts()}); err != nil {
+		if err := opened.Append(store.Batch{Version: opened.Version() + 1, Mutations: tx.LastMutations()}); err != nil {
 			t.Fatal(err)
 		}
 		commit()
--- a/internal/controlplane/core/state.go
+++ b/internal/controlplane/core/state.go
@@ -6,6 +6,7 @@
 
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/controlplane/view"
 )
 
@@ -37,7 +38,7 @@
 func quotaShares(committed *store.Store) []coreapi.QuotaShare {
 	pools := map[string][]byte{} // read first: a store must not be asked again while it is gone through
 	committed.ForEachWithPrefix(poolPrefix, func(key string, raw []byte) { pools[strings.TrimPrefix(key, poolPrefix)] = raw })
-	names, tx := holderNumbers{}, &Tx{store: committed}
+	names, tx := holderNumbers{}, transaction.New(committed)
 	var shares []coreapi.QuotaShare
 	for tenant, raw := range pools {
 		pool, err := decodePool(raw, func(number uint64) (string, error) { return names.name(tx, number) })
--- a/internal/controlplane/core/sweep.go
+++ b/internal/controlplane/core/sweep.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/transaction"
 )
 
 // How often the run loop looks for what has had its time.
@@ -70,7 +71,7 @@
 	if len(keys) == 0 {
 		return
 	}
-	s.submitLater(func(tx *Tx) error {
+	s.submitLater(func(tx *transaction.Tx) error {
 		for _, key := range keys {
 			tx.Delete(key)
 		}
@@ -79,7 +80,7 @@
 }
 
 // submitLater puts an operation of our own into the run loop, if there is room.
-func (s *Server) submitLater(do func(tx *Tx) error) {
+func (s *Server) submitLater(do func(tx *transaction.Tx) error) {
 	select {
 	case s.jobs <- &job{done: make(chan error, 1), do: do}:
 	default:
--- /dev/null
+++ b/internal/controlplane/transaction/transaction_test.go
@@ -0,0 +1,71 @@
+package transaction
+
+import (
+	"io"
+	"log/slog"
+	"testing"
+
+	"yarrowridge/internal/controlplane/store"
+)
+
+// open makes a committed state with one key.
+func open(t *testing.T) *store.Store {
+	t.Helper()
+	folder, err := store.OpenFolder(t.TempDir())
+	if err != nil {
+		t.Fatal(err)
+	}
+	committed, err := store.Open(folder, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	batch := store.Batch{Version: 1, Mutations: []store.Mutation{{Key: "old", Value: []byte("1")}}}
+	if err := committed.Append(batch); err != nil {
+		t.Fatal(err)
+	}
+	return committed
+}
+
+func TestReadsSeeTheBatchOverTheCommittedState(t *testing.T) {
+	tx := New(open(t))
+	tx.PutRaw("new", []byte("2"))
+	tx.Delete("old")
+	if value, ok := tx.Get("new"); !ok || string(value) != "2" {
+		t.Errorf("got %q, %t for a key set in the batch, want 2, true", value, ok)
+	}
+	if _, ok := tx.Get("old"); ok {
+		t.Error("got a key that the batch has deleted")
+	}
+	if value, ok := tx.Committed().Get("old"); !ok || string(value) != "1" {
+		t.Errorf("got %q, %t of the committed state, want it unchanged", value, ok)
+	}
+}
+
+func TestRollbackRemovesOneOperation(t *testing.T) {
+	tx := New(open(t))
+	tx.PutRaw("old", []byte("kept"))
+	size, savepoint := tx.Size(), tx.Savepoint()
+	tx.PutRaw("old", []byte("failed"))
+	tx.PutRaw("other", []byte("failed"))
+	tx.Rollback(savepoint)
+	if value, _ := tx.Get("old"); string(value) != "kept" {
+		t.Errorf("got %q after the rollback, want the operation before it", value)
+	}
+	if _, ok := tx.Get("other"); ok {
+		t.Error("got a key of the operation that was rolled back")
+	}
+	if tx.Size() != size || len(tx.Mutations()) != 1 {
+		t.Errorf("got %d bytes in %d mutations, want %d in 1", tx.Size(), len(tx.Mutations()), size)
+	}
+}
+
+func TestLastMutationsHaveEachKeyOnce(t *testing.T) {
+	tx := New(open(t))
+	tx.PutRaw("a", []byte("1"))
+	tx.PutRaw("b", []byte("1"))
+	tx.PutRaw("a", []byte("2"))
+	got := tx.LastMutations()
+	if len(got) != 2 || got[0].Key != "b" || got[1].Key != "a" || string(got[1].Value) != "2" {
+		t.Errorf("got %v, want b, then a with its last value", got)
+	}
+}
