--- a/internal/controlplane/core/config.go
+++ b/internal/controlplane/core/config.go
@@ -11,7 +11,7 @@
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/lib/faultinjection"
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 	"yarrowridge/internal/transport/wire"
 )
 
@@ -79,7 +79,7 @@
 	}
 	if written.Version > 0 {
 		s.ctx.Log.Info("Configuration taken.", "sequence", written.Version)
-		s.push(relay.ConfigRecord(written.Version, written.Raw))
+		s.push(dissemination.ConfigRecord(written.Version, written.Raw))
 		if !s.isPrimary(s.voter.View()) {
 			return nil, wire.StatusError{Code: coreapi.CodeOutcomeUnknown}
 		}
--- a/internal/controlplane/core/push.go
+++ b/internal/controlplane/core/push.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 )
 
 // pushTimeout is how long a push waits for the nodes.
@@ -12,11 +12,11 @@
 
 // push hands records to the first nodes of every zone and waits for pushTimeout at most, so
 // that the news outlives us once we have answered.
-func (s *Server) push(records ...relay.Record) { s.pushTo(2, records) }
+func (s *Server) push(records ...dissemination.Record) { s.pushTo(2, records) }
 
 // pushRunners is push for runners. A primary that has just begun has named no nodes yet: routers that have
 // none from before can't hand news on, so all are told.
-func (s *Server) pushRunners(records ...relay.Record) {
+func (s *Server) pushRunners(records ...dissemination.Record) {
 	perZone := 2
 	s.mu.Lock()
 	if time.Since(s.readySince) <= nodeLeaseTerm+time.Second {
@@ -27,13 +27,13 @@
 }
 
 // pushTo hands records to so many nodes of every zone.
-func (s *Server) pushTo(perZone int, records []relay.Record) {
+func (s *Server) pushTo(perZone int, records []dissemination.Record) {
 	ctx, cancel := context.WithTimeout(s.ctx, pushTimeout)
 	defer cancel()
 	s.mu.Lock()
 	nodes := s.liveNodes()
 	s.mu.Unlock()
-	news := relay.Update{Records: records}
+	news := dissemination.Update{Records: records}
 	inZone := map[string]int{}
 	done := make(chan bool, len(nodes))
 	sent := 0
--- a/internal/controlplane/core/registry_test.go
+++ b/internal/controlplane/core/registry_test.go
@@ -7,7 +7,7 @@
 
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/model/routing"
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 	"yarrowridge/internal/transport/wire"
 )
 
@@ -258,10 +258,10 @@
 func TestChangesShareOnePush(t *testing.T) {
 	var news runnerNews
 	pushes := make(chan int, 100)
-	push := func(records ...relay.Record) { pushes <- len(records) }
+	push := func(records ...dissemination.Record) { pushes <- len(records) }
 	var waits []<-chan struct{}
 	for range 50 {
-		waits = append(waits, news.add(relay.Record{}, push))
+		waits = append(waits, news.add(dissemination.Record{}, push))
 	}
 	for _, wait := range waits {
 		<-wait
--- a/internal/controlplane/core/runnernews.go
+++ b/internal/controlplane/core/runnernews.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"yarrowridge/internal/model/routing"
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 )
 
 // announce pushes a runner's change to routers, with others that come close to it.
@@ -14,7 +14,7 @@
 	if err != nil {
 		return nil
 	}
-	return s.runnerNews.add(relay.Record{Key: relay.RunnerPrefix + runner.ID, Version: runner.Sequence, Body: body}, s.pushRunners)
+	return s.runnerNews.add(dissemination.Record{Key: dissemination.RunnerPrefix + runner.ID, Version: runner.Sequence, Body: body}, s.pushRunners)
 }
 
 // runnerNews gathers changes of runners that come close together, and pushes them as one.
@@ -24,12 +24,12 @@
 }
 
 type runnerBatch struct {
-	recs []relay.Record
+	recs []dissemination.Record
 	done chan struct{} // closed once the push has ended
 }
 
 // add puts a record into the next batch. The channel is closed once the batch has been pushed.
-func (n *runnerNews) add(record relay.Record, push func(...relay.Record)) <-chan struct{} {
+func (n *runnerNews) add(record dissemination.Record, push func(...dissemination.Record)) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	batch := n.next
@@ -43,7 +43,7 @@
 }
 
 // send waits a moment for more changes, and pushes the batch. Batches don't wait for each other.
-func (n *runnerNews) send(batch *runnerBatch, push func(...relay.Record)) {
+func (n *runnerNews) send(batch *runnerBatch, push func(...dissemination.Record)) {
 	time.Sleep(runnerGatherSpan)
 	n.mu.Lock()
 	n.next = nil
--- a/internal/dataplane/node/config.go
+++ b/internal/dataplane/node/config.go
@@ -5,7 +5,7 @@
 
 	"yarrowridge/internal/lib/faultinjection"
 	"yarrowridge/internal/model/fleetconfig"
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 )
 
 // configuration is what the core gave and this router obeys.
@@ -16,7 +16,7 @@
 }
 
 // takeDocument passes on a configuration that is read elsewhere, and puts it in force if it was understood there.
-func (h *Hub) takeDocument(record relay.Record) {
+func (h *Hub) takeDocument(record dissemination.Record) {
 	if err := h.document(record.Version, record.Body); err != nil {
 		h.ctx.Log.Error("Configuration from the core is not understood. The old one stays.", "sequence", record.Version, "error", err.Error())
 		return
@@ -26,7 +26,7 @@
 }
 
 // takeConfig reads a configuration and puts it in force.
-func (h *Hub) takeConfig(record relay.Record) {
+func (h *Hub) takeConfig(record dissemination.Record) {
 	config, errors := fleetconfig.Parse(record.Body)
 	if len(errors) > 0 {
 		h.ctx.Log.Error("Configuration from the core is not understood. The old one stays.", "sequence", record.Version, "error", errors[0].Path+": "+errors[0].Text)
--- a/internal/dataplane/node/confirmation.go
+++ b/internal/dataplane/node/confirmation.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 )
 
 // clockDriftDivisor is the part of an age by which two machines' monotonic clocks may differ over it.
@@ -32,7 +32,7 @@
 }
 
 // tellConfirmed puts into an answer to another node what is known of the configuration in force.
-func (h *Hub) tellConfirmed(difference *relay.Difference) {
+func (h *Hub) tellConfirmed(difference *dissemination.Difference) {
 	version, at := h.ConfigVersion(), h.ConfirmedAt()
 	if at.IsZero() {
 		return
@@ -43,7 +43,7 @@
 
 // takeConfirmed takes what another node has told of its configuration, in answer to what it was asked at a moment: the
 // answer was made later, so that the age that it tells counts back from no later moment.
-func (h *Hub) takeConfirmed(difference *relay.Difference, asked time.Time) {
+func (h *Hub) takeConfirmed(difference *dissemination.Difference, asked time.Time) {
 	if !difference.Confirmed || difference.ConfirmedAgeMs < 0 {
 		return
 	}
--- a/internal/dataplane/node/confirmation_test.go
+++ b/internal/dataplane/node/confirmation_test.go
@@ -5,7 +5,7 @@
 	"testing/synctest"
 	"time"
 
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 )
 
 // What is confirmed of a version that is not in force here says nothing, and no word makes an older moment of a newer one.
@@ -32,7 +32,7 @@
 		first, second := &Hub{}, &Hub{}
 		first.current.Store(&configuration{version: 5})
 		second.current.Store(&configuration{version: 5})
-		var silent relay.Difference
+		var silent dissemination.Difference
 		first.tellConfirmed(&silent)
 		second.takeConfirmed(&silent, time.Now())
 		if !second.ConfirmedAt().IsZero() {
@@ -43,7 +43,7 @@
 		time.Sleep(time.Second)
 		asked := time.Now()
 		time.Sleep(200 * time.Millisecond) // on the way there
-		var told relay.Difference
+		var told dissemination.Difference
 		first.tellConfirmed(&told)
 		time.Sleep(700 * time.Millisecond) // and back
 		second.takeConfirmed(&told, asked)
--- a/internal/dataplane/node/heartbeat.go
+++ b/internal/dataplane/node/heartbeat.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"yarrowridge/internal/controlplane/coreapi"
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 	"yarrowridge/internal/transport/wire"
 )
 
@@ -109,7 +109,7 @@
 // was not understood is not fetched again and again. A new one is on its way by the relays: it is fetched only
 // if it was missing for a whole heartbeat, else a large part of the fleet would ask the primary at once.
 func (h *Hub) fetchConfig(ctx context.Context, version uint64) {
-	record, _, _ := h.Records.Get(relay.ConfigKey)
+	record, _, _ := h.Records.Get(dissemination.ConfigKey)
 	overdue := h.ConfigVersion() == 0 || record.Version < h.announcedVersion
 	h.announcedVersion = version
 	if h.ConfigVersion() >= version || record.Version >= version || !overdue {
@@ -117,7 +117,7 @@
 	}
 	var config coreapi.StoredConfig
 	if h.Core.Call(ctx, "core.layout", &coreapi.ConfigRequest{}, &config, true) == nil && config.Version > 0 {
-		h.Broadcast(relay.Update{Records: []relay.Record{relay.ConfigRecord(config.Version, config.Raw)}})
+		h.Broadcast(dissemination.Update{Records: []dissemination.Record{dissemination.ConfigRecord(config.Version, config.Raw)}})
 	}
 }
 
--- a/internal/dataplane/node/hub.go
+++ b/internal/dataplane/node/hub.go
@@ -13,7 +13,7 @@
 	"yarrowridge/internal/dataplane/registry"
 	"yarrowridge/internal/lib/daemon"
 	"yarrowridge/internal/lib/runloop"
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 	"yarrowridge/internal/transport/wire"
 )
 
@@ -33,11 +33,11 @@
 	seeds         atomic.Pointer[[]string]
 	caller        *wire.Caller
 	Core          *coreclient.Client
-	Records       *relay.Store
-	outbox        chan relay.Update
+	Records       *dissemination.Store
+	outbox        chan dissemination.Update
 	current       atomic.Pointer[configuration] // in force; nil before the first
 	configChanged atomic.Pointer[chan struct{}] // closed by the next configuration
-	onNews        func(relay.Record)
+	onNews        func(dissemination.Record)
 
 	announcedVersion uint64                                 // the version that the core last named; only the heartbeat touches it
 	document         func(version uint64, raw []byte) error // nil: the configuration is read here
@@ -48,7 +48,7 @@
 	mu              sync.Mutex
 	nodesVersion    uint64
 	nodes           []coreapi.Node
-	neighbours      []relay.Node
+	neighbours      []dissemination.Node
 	coreHeard       time.Time // last answer of the core
 	confirmedAt     time.Time // see ConfirmedAt
 	initialSyncDone bool      // the core, or failing that all nodes of the zone that answer, have been asked
@@ -88,12 +88,12 @@
 
 // NewHub makes a hub. onNews sees every record of news that is taken, besides the configuration and the
 // registered runners.
-func NewHub(ctx daemon.Context, addr, clientAddr string, seeds []string, onNews func(relay.Record), options ...Option) *Hub {
+func NewHub(ctx daemon.Context, addr, clientAddr string, seeds []string, onNews func(dissemination.Record), options ...Option) *Hub {
 	h := &Hub{ctx: ctx, addr: addr, clientAddr: clientAddr, caller: wire.NewCaller(ctx.Net), onNews: onNews,
-		outbox: make(chan relay.Update, 1024), started: time.Now(), handlers: map[string]wire.Handler{}}
+		outbox: make(chan dissemination.Update, 1024), started: time.Now(), handlers: map[string]wire.Handler{}}
 	h.Core = coreclient.NewClient(ctx, h.caller, seeds)
 	h.seeds.Store(&seeds)
-	h.Records = relay.NewStore(h.takeRecord)
+	h.Records = dissemination.NewStore(h.takeRecord)
 	next := make(chan struct{})
 	h.configChanged.Store(&next)
 	for _, option := range options {
--- a/internal/dataplane/node/news.go
+++ b/internal/dataplane/node/news.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"yarrowridge/internal/dataplane/registry"
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 )
 
 // How long the telling of news may take.
@@ -15,11 +15,11 @@
 )
 
 // takeRecord takes one record to who keeps its kind. It runs under the store's lock, for one key from older to newer.
-func (h *Hub) takeRecord(record relay.Record) {
+func (h *Hub) takeRecord(record dissemination.Record) {
 	switch {
-	case record.Key == relay.ConfigKey && h.document != nil:
+	case record.Key == dissemination.ConfigKey && h.document != nil:
 		h.takeDocument(record)
-	case record.Key == relay.ConfigKey:
+	case record.Key == dissemination.ConfigKey:
 		h.takeConfig(record)
 	case h.runners != nil && registry.Owns(record):
 		h.runners.ApplyRecord(record)
@@ -29,19 +29,19 @@
 }
 
 // Broadcast takes news and hands on what was new to the neighbours, but for the one it came from.
-func (h *Hub) Broadcast(news relay.Update) {
+func (h *Hub) Broadcast(news dissemination.Update) {
 	fresh := h.Records.Merge(news.Records)
 	if len(fresh) == 0 {
 		return
 	}
 	select {
-	case h.outbox <- relay.Update{From: news.From, Records: fresh}:
+	case h.outbox <- dissemination.Update{From: news.From, Records: fresh}:
 	default: // the digests will carry it
 	}
 }
 
 // forward sends news on, with all that has piled up behind it.
-func (h *Hub) forward(news relay.Update) {
+func (h *Hub) forward(news dissemination.Update) {
 	for _, n := range h.Neighbours() {
 		if n.Name == news.From {
 			continue
@@ -49,7 +49,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(h.ctx, tellTimeout)
 			defer cancel()
-			h.caller.Call(ctx, n.Addr, "node.tell", &relay.Update{From: h.ctx.Name, Records: news.Records}, nil)
+			h.caller.Call(ctx, n.Addr, "node.tell", &dissemination.Update{From: h.ctx.Name, Records: news.Records}, nil)
 		}()
 	}
 }
@@ -57,7 +57,7 @@
 // BroadcastToAll hands records to every node directly, beside the tree, and reports whether one at least holds
 // them. It waits until all have answered, for spreadWait at most: if we are gone right after, the
 // tree that led through us must not be what others depend on.
-func (h *Hub) BroadcastToAll(ctx context.Context, records []relay.Record) bool {
+func (h *Hub) BroadcastToAll(ctx context.Context, records []dissemination.Record) bool {
 	results, pending := h.tellAll(records)
 	timer := time.NewTimer(spreadWait)
 	defer timer.Stop()
@@ -84,10 +84,10 @@
 }
 
 // tellAll sends records to all other nodes. The channel gets a result from each of them: whether it has taken them.
-func (h *Hub) tellAll(records []relay.Record) (results <-chan bool, count int) {
+func (h *Hub) tellAll(records []dissemination.Record) (results <-chan bool, count int) {
 	nodes := h.Nodes()
 	all := make(chan bool, len(nodes))
-	news := &relay.Update{From: h.ctx.Name, Records: records}
+	news := &dissemination.Update{From: h.ctx.Name, Records: records}
 	for _, n := range nodes {
 		if n.Name == h.ctx.Name {
 			continue
--- a/internal/dataplane/node/nodes.go
+++ b/internal/dataplane/node/nodes.go
@@ -2,7 +2,7 @@
 
 import (
 	"yarrowridge/internal/controlplane/coreapi"
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 )
 
 // Me is this node as its peers know it.
@@ -45,7 +45,7 @@
 }
 
 // Neighbours lists our neighbours in the relay tree.
-func (h *Hub) Neighbours() []relay.Node {
+func (h *Hub) Neighbours() []dissemination.Node {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.neighbours
@@ -61,14 +61,14 @@
 // takeNodes takes a new list of nodes; the caller holds the lock.
 func (h *Hub) takeNodes(nodes []coreapi.Node) {
 	h.nodes = nodes
-	var relayNodes []relay.Node
+	var relayNodes []dissemination.Node
 	var addrs []string
 	for _, n := range nodes {
-		relayNodes = append(relayNodes, relay.Node{Name: n.Name, Zone: n.Zone, Addr: n.Addr})
+		relayNodes = append(relayNodes, dissemination.Node{Name: n.Name, Zone: n.Zone, Addr: n.Addr})
 		if n.Name != h.ctx.Name {
 			addrs = append(addrs, n.Addr)
 		}
 	}
-	h.neighbours = relay.Neighbours(h.ctx.Name, relayNodes)
+	h.neighbours = dissemination.Neighbours(h.ctx.Name, relayNodes)
 	h.Core.SetPeers(addrs)
 }
--- a/internal/dataplane/node/repair.go
+++ b/internal/dataplane/node/repair.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 )
 
 // repair compares our news with one neighbour's, or any node's every other time, by digests.
@@ -36,14 +36,14 @@
 // repairWith compares our news with one node's, and takes and gives what differs. It reports whether the node answered.
 func (h *Hub) repairWith(ctx context.Context, to string) bool {
 	sum := h.Records.Digests(h.ctx.Name)
-	var diff relay.Difference
+	var diff dissemination.Difference
 	asked := time.Now()
 	if h.caller.Call(ctx, to, "node.sum", &sum, &diff) != nil {
 		return false
 	}
 	fix := h.Records.Repair(h.ctx.Name, diff)
 	if len(fix.Records)+len(fix.Wanted) > 0 {
-		var back relay.Update
+		var back dissemination.Update
 		if h.caller.Call(ctx, to, "node.fix", &fix, &back) != nil {
 			return false
 		}
--- a/internal/dataplane/node/serve.go
+++ b/internal/dataplane/node/serve.go
@@ -7,7 +7,7 @@
 
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/view"
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 	"yarrowridge/internal/transport/wire"
 )
 
@@ -20,20 +20,20 @@
 	case "view.ask":
 		return &view.StatusResponse{Addr: h.addr, View: h.Core.View()}, nil
 	case "node.tell":
-		return wire.HandleTyped(body, func(news *relay.Update) (*coreapi.Empty, error) {
+		return wire.HandleTyped(body, func(news *dissemination.Update) (*coreapi.Empty, error) {
 			h.Broadcast(*news)
 			return &coreapi.Empty{}, nil
 		})
 	case "node.sum":
-		return wire.HandleTyped(body, func(digests *relay.Digests) (*relay.Difference, error) {
+		return wire.HandleTyped(body, func(digests *dissemination.Digests) (*dissemination.Difference, error) {
 			d := h.Records.Compare(*digests)
 			h.tellConfirmed(&d)
 			return &d, nil
 		})
 	case "node.fix":
-		return wire.HandleTyped(body, func(repair *relay.Repair) (*relay.Update, error) {
-			h.Broadcast(relay.Update{From: repair.From, Records: repair.Records})
-			return &relay.Update{From: h.ctx.Name, Records: h.Records.Select(repair.Wanted)}, nil
+		return wire.HandleTyped(body, func(repair *dissemination.Repair) (*dissemination.Update, error) {
+			h.Broadcast(dissemination.Update{From: repair.From, Records: repair.Records})
+			return &dissemination.Update{From: h.ctx.Name, Records: h.Records.Select(repair.Wanted)}, nil
 		})
 	case "node.view":
 		return wire.HandleTyped(body, func(request *view.LearnRequest) (*coreapi.Empty, error) {
--- a/internal/dataplane/place/place_test.go
+++ b/internal/dataplane/place/place_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 
 	"yarrowridge/internal/dataplane/runner"
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 )
 
 // one is a pool with a runner of the given room.
@@ -21,7 +21,7 @@
 	y := runner.NewPool("r1", wake)
 	n := runner.Report{Name: "m", Addr: "10.0.0.1:1", Born: "1", State: "ready", Room: room, Labels: map[string]string{}}
 	raw, _ := n.MarshalMsg(nil)
-	y.Apply(relay.Record{Key: runner.KeyPrefix + n.Addr, Generation: 1, Version: 1, Body: raw})
+	y.Apply(dissemination.Record{Key: runner.KeyPrefix + n.Addr, Generation: 1, Version: 1, Body: raw})
 	return y, y.List()[0]
 }
 
@@ -95,11 +95,11 @@
 
 var turn uint64
 
-func beat(y *runner.Pool) relay.Record {
+func beat(y *runner.Pool) dissemination.Record {
 	n := y.List()[0].Report()
 	raw, _ := n.MarshalMsg(nil)
 	turn++
-	return relay.Record{Key: runner.KeyPrefix + n.Addr, Generation: 1, Version: turn, Body: raw}
+	return dissemination.Record{Key: runner.KeyPrefix + n.Addr, Generation: 1, Version: turn, Body: raw}
 }
 
 // Patience ends a wait at its time, a full queue rejects the newest of the lowest rank, a client
--- a/internal/dataplane/registry/registry.go
+++ b/internal/dataplane/registry/registry.go
@@ -11,7 +11,7 @@
 
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/model/routing"
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 )
 
 const (
@@ -70,9 +70,9 @@
 }
 
 // ApplyRecord takes a record that relays brought.
-func (r *Registry) ApplyRecord(rec relay.Record) {
+func (r *Registry) ApplyRecord(rec dissemination.Record) {
 	var runner routing.Runner
-	if _, err := runner.UnmarshalMsg(rec.Body); err != nil || relay.RunnerPrefix+runner.ID != rec.Key {
+	if _, err := runner.UnmarshalMsg(rec.Body); err != nil || dissemination.RunnerPrefix+runner.ID != rec.Key {
 		return
 	}
 	r.mu.Lock()
@@ -180,4 +180,6 @@
 }
 
 // Owns reports whether a record is about a registered runner.
-func Owns(rec relay.Record) bool { return strings.HasPrefix(rec.Key, relay.RunnerPrefix) }
+func Owns(rec dissemination.Record) bool {
+	return strings.HasPrefix(rec.Key, dissemination.RunnerPrefix)
+}
--- a/internal/dataplane/registry/registry_test.go
+++ b/internal/dataplane/registry/registry_test.go
@@ -8,19 +8,19 @@
 
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/model/routing"
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 )
 
 func runner(id string, sequence uint64, state routing.RunnerState) routing.Runner {
 	return routing.Runner{ID: id, Sequence: sequence, State: state}
 }
 
-func record(t *testing.T, r routing.Runner) relay.Record {
+func record(t *testing.T, r routing.Runner) dissemination.Record {
 	body, err := r.MarshalMsg(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return relay.Record{Key: relay.RunnerPrefix + r.ID, Version: r.Sequence, Body: body}
+	return dissemination.Record{Key: dissemination.RunnerPrefix + r.ID, Version: r.Sequence, Body: body}
 }
 
 func states(r *Registry) string {
@@ -54,9 +54,9 @@
 			t.Errorf("after %s %d: %q, %q expected", step.word.State, step.word.Sequence, got, step.want)
 		}
 	}
-	reg.ApplyRecord(relay.Record{Key: relay.RunnerPrefix + "b", Body: []byte("no record")})
+	reg.ApplyRecord(dissemination.Record{Key: dissemination.RunnerPrefix + "b", Body: []byte("no record")})
 	wrong := record(t, runner("c", 1, routing.RunnerReady))
-	wrong.Key = relay.RunnerPrefix + "d"
+	wrong.Key = dissemination.RunnerPrefix + "d"
 	reg.ApplyRecord(wrong)
 	if got := states(reg); got != "a:gone " {
 		t.Errorf("after broken records: %q", got)
@@ -187,7 +187,7 @@
 		for i := range 600 {
 			word := runner(fmt.Sprintf("r%03d", i), 1, routing.RunnerReady)
 			body, _ := word.MarshalMsg(nil)
-			reg.ApplyRecord(relay.Record{Key: relay.RunnerPrefix + word.ID, Version: 1, Body: body})
+			reg.ApplyRecord(dissemination.Record{Key: dissemination.RunnerPrefix + word.ID, Version: 1, Body: body})
 		}
 	}
 }
--- a/internal/dataplane/router/gateway.go
+++ b/internal/dataplane/router/gateway.go
@@ -23,7 +23,7 @@
 	"yarrowridge/internal/lib/web"
 	"yarrowridge/internal/model/quota"
 	"yarrowridge/internal/model/routing"
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 	"yarrowridge/internal/transport/wire"
 )
 
@@ -116,7 +116,7 @@
 }
 
 // seeRecord takes news that is neither a configuration nor a runner.
-func (g *Gateway) seeRecord(record relay.Record) { g.sessions.see(record) }
+func (g *Gateway) seeRecord(record dissemination.Record) { g.sessions.see(record) }
 
 // take puts a newer configuration in force.
 func (g *Gateway) take(sequence uint64, raw []byte) error {
--- a/internal/dataplane/router/main.go
+++ b/internal/dataplane/router/main.go
@@ -23,8 +23,8 @@
 	"yarrowridge/internal/lib/settings"
 	"yarrowridge/internal/lib/web"
 	"yarrowridge/internal/model/quota"
+	"yarrowridge/internal/transport/dissemination"
 	"yarrowridge/internal/transport/operator"
-	"yarrowridge/internal/transport/relay"
 	"yarrowridge/internal/transport/wire"
 )
 
@@ -233,6 +233,6 @@
 		if old, _, ok := r.Hub.Records.Get(key); ok && (old.Generation > gen || old.Generation == gen && old.Version >= turn) {
 			gen = old.Generation + 1
 		}
-		r.Hub.Broadcast(relay.Update{Records: []relay.Record{{Key: key, Generation: gen, Version: turn, Body: raw}}})
+		r.Hub.Broadcast(dissemination.Update{Records: []dissemination.Record{{Key: key, Generation: gen, Version: turn, Body: raw}}})
 	}
 }
--- a/internal/dataplane/router/sessions.go
+++ b/internal/dataplane/router/sessions.go
@@ -15,7 +15,7 @@
 	"yarrowridge/internal/dataplane/session"
 	"yarrowridge/internal/lib/daemon"
 	"yarrowridge/internal/lib/runloop"
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 	"yarrowridge/internal/transport/wire"
 )
 
@@ -41,8 +41,8 @@
 	ctx       daemon.Context
 	balancer  *balance.Balancer
 	directory *session.Directory
-	spread    func(relay.Update)
-	sure      func(context.Context, []relay.Record) bool // hands records to all routers directly
+	spread    func(dissemination.Update)
+	sure      func(context.Context, []dissemination.Record) bool // hands records to all routers directly
 	nodes     func() []coreapi.Node
 	call      func(ctx context.Context, addr, kind string, in msgp.Marshaler, out msgp.Unmarshaler) error
 	core      func(ctx context.Context, kind string, in msgp.Marshaler, out msgp.Unmarshaler, again bool) error
@@ -63,7 +63,7 @@
 }
 
 // see takes a record that the relays brought. Others are passed over.
-func (s *sessionNews) see(record relay.Record) {
+func (s *sessionNews) see(record dissemination.Record) {
 	if !strings.HasPrefix(record.Key, sessionHead) {
 		return
 	}
@@ -124,7 +124,7 @@
 		return
 	}
 	if record, ok := s.record(entries); ok {
-		s.spread(relay.Update{Records: []relay.Record{record}})
+		s.spread(dissemination.Update{Records: []dissemination.Record{record}})
 	}
 }
 
@@ -133,21 +133,21 @@
 func (s *sessionNews) leave(ctx context.Context) {
 	entries := s.directory.TakeUpdates()
 	if record, ok := s.record(entries); ok && len(entries) > 0 {
-		s.sure(ctx, []relay.Record{record})
+		s.sure(ctx, []dissemination.Record{record})
 	}
 }
 
 // record makes the next record of the board. It takes the place of an older one, which the tree has carried to
 // all by then.
-func (s *sessionNews) record(entries []session.Entry) (relay.Record, bool) {
+func (s *sessionNews) record(entries []session.Entry) (dissemination.Record, bool) {
 	body, err := session.Pack(entries).MarshalMsg(nil)
 	if err != nil {
 		s.ctx.Log.Error("Entries of sessions cannot be written.", "error", err.Error())
-		return relay.Record{}, false
+		return dissemination.Record{}, false
 	}
 	s.turn++
 	key := fmt.Sprintf("%s%s/%x/%d", sessionHead, s.ctx.Name, s.ctx.RunID, s.turn%sessionSlots)
-	return relay.Record{Key: key, Version: s.turn, Body: body}, true
+	return dissemination.Record{Key: key, Version: s.turn, Body: body}, true
 }
 
 // fetch asks the core for what it kept, which is all that there is after the loss of all routers, and another
--- a/internal/dataplane/router/sessions_test.go
+++ b/internal/dataplane/router/sessions_test.go
@@ -14,7 +14,7 @@
 	"yarrowridge/internal/dataplane/session"
 	"yarrowridge/internal/lib/daemon"
 	"yarrowridge/internal/model/routing"
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 )
 
 // newsFleet is the news of some routers, joined without a network, and a core that keeps the directory.
@@ -41,11 +41,11 @@
 	ctx := daemon.Context{Context: f.Context(), Name: name, Zone: "east", RunID: uint64(len(f.routers) + 1), Log: slog.New(slog.DiscardHandler)}
 	balancer := balance.New("east")
 	s := &sessionNews{ctx: ctx, balancer: balancer, directory: balancer.Sessions, nodes: f.nodes, call: f.call, core: f.core}
-	s.spread = func(news relay.Update) {
+	s.spread = func(news dissemination.Update) {
 		f.records += len(news.Records)
 		f.deliver(news.Records)
 	}
-	s.sure = func(_ context.Context, records []relay.Record) bool {
+	s.sure = func(_ context.Context, records []dissemination.Record) bool {
 		f.handed += len(records)
 		f.deliver(records)
 		return true
@@ -60,7 +60,7 @@
 	return s
 }
 
-func (f *newsFleet) deliver(records []relay.Record) {
+func (f *newsFleet) deliver(records []dissemination.Record) {
 	for _, router := range f.routers {
 		for _, record := range records {
 			router.see(record)
@@ -226,7 +226,7 @@
 func TestOtherRecordsArePassedOver(t *testing.T) {
 	f := newNewsFleet(t, "a")
 	body, _ := session.Pack([]session.Entry{{Session: 7, Version: 1, Holders: []string{"runner"}}}).MarshalMsg(nil)
-	f.deliver([]relay.Record{{Key: "other/a", Version: 1, Body: body}, {Key: sessionHead + "x/1/1", Version: 1, Body: []byte("no batch")}})
+	f.deliver([]dissemination.Record{{Key: "other/a", Version: 1, Body: body}, {Key: sessionHead + "x/1/1", Version: 1, Body: []byte("no batch")}})
 	if f.routers[0].directory.Len() != 0 {
 		t.Error("a record that is none of the session directory's was taken")
 	}
--- a/internal/dataplane/router/views.go
+++ b/internal/dataplane/router/views.go
@@ -4,7 +4,7 @@
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/view"
 	"yarrowridge/internal/dataplane/runner"
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 )
 
 // statusView is the body of /v1/standing.
@@ -18,8 +18,8 @@
 
 // relaysView is the body of /v1/relays.
 type relaysView struct {
-	Near  []relay.Node   `json:"near"`
-	Nodes []coreapi.Node `json:"nodes"`
+	Near  []dissemination.Node `json:"near"`
+	Nodes []coreapi.Node       `json:"nodes"`
 }
 
 // runnerView is one runner in the body of /v1/runners.
--- a/internal/dataplane/runner/api.go
+++ b/internal/dataplane/runner/api.go
@@ -15,7 +15,7 @@
 	"yarrowridge/internal/dataplane/node"
 	"yarrowridge/internal/lib/web"
 	"yarrowridge/internal/model/fleetconfig"
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 )
 
 // API is the runners' listener: where they send heartbeats.
@@ -109,8 +109,8 @@
 		report.Zone = api.Hub.Me().Zone
 	}
 	record, fresh := NextRecord(api.Hub.Records, report, turn)
-	recs := []relay.Record{record}
-	api.Hub.Broadcast(relay.Update{Records: recs})
+	recs := []dissemination.Record{record}
+	api.Hub.Broadcast(dissemination.Update{Records: recs})
 	// A word of leaving, or any change of state, must outlive this router before we say it is taken.
 	if fresh {
 		ctx, end := context.WithTimeout(r.Context(), time.Second)
@@ -126,8 +126,8 @@
 
 // NextRecord makes the news store's next record for a runner's word, and reports whether its state changed.
 // Another run at a known address gets a generation of its own, whatever its clock says.
-func NextRecord(store *relay.Store, report Report, turn uint64) (relay.Record, bool) {
-	record := relay.Record{Key: KeyPrefix + report.Addr, Generation: 1, Version: max(turn, 1)}
+func NextRecord(store *dissemination.Store, report Report, turn uint64) (dissemination.Record, bool) {
+	record := dissemination.Record{Key: KeyPrefix + report.Addr, Generation: 1, Version: max(turn, 1)}
 	fresh := true
 	if old, _, ok := store.Get(record.Key); ok {
 		var was Report
--- a/internal/dataplane/runner/api_test.go
+++ b/internal/dataplane/runner/api_test.go
@@ -5,17 +5,17 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 )
 
 // A heartbeat long under way does not undo a later word of leaving; another run at the address does.
 func TestLateBeat(t *testing.T) {
 	var yard *Pool
-	store := relay.NewStore(func(record relay.Record) { yard.Apply(record) })
+	store := dissemination.NewStore(func(record dissemination.Record) { yard.Apply(record) })
 	yard = NewPool("r1", func() {})
 	word := func(born, state string, turn uint64) {
 		record, _ := NextRecord(store, Report{Name: "a", Addr: "10.0.0.1:1", Born: born, State: state}, turn)
-		store.Merge([]relay.Record{record})
+		store.Merge([]dissemination.Record{record})
 	}
 	state := func() string { return yard.List()[0].Health() }
 	word("1", "ready", 4)
--- a/internal/dataplane/runner/pool.go
+++ b/internal/dataplane/runner/pool.go
@@ -11,7 +11,7 @@
 	"yarrowridge/internal/dataplane/node"
 	"yarrowridge/internal/lib/faultinjection"
 	"yarrowridge/internal/model/fleetconfig"
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 )
 
 // What decides a runner's health.
@@ -75,7 +75,7 @@
 )
 
 // Apply takes a record of news.
-func (p *Pool) Apply(record relay.Record) {
+func (p *Pool) Apply(record dissemination.Record) {
 	switch {
 	case strings.HasPrefix(record.Key, KeyPrefix):
 		var report Report
--- a/internal/testing/compat/messages_test.go
+++ b/internal/testing/compat/messages_test.go
@@ -21,7 +21,7 @@
 	"yarrowridge/internal/dataplane/session"
 	"yarrowridge/internal/model/quota"
 	"yarrowridge/internal/model/routing"
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 	"yarrowridge/internal/transport/wire"
 )
 
@@ -72,12 +72,12 @@
 	"node.Work":               new(node.Work),
 	"node.Load":               new(node.Load),
 	"node.NodeListRequest":    new(node.NodeListRequest),
-	"relay.Difference":        new(relay.Difference),
-	"relay.Digests":           new(relay.Digests),
-	"relay.News":              new(relay.Update),
-	"relay.Record":            new(relay.Record),
-	"relay.Repair":            new(relay.Repair),
-	"relay.RecordVersion":     new(relay.RecordVersion),
+	"relay.Difference":        new(dissemination.Difference),
+	"relay.Digests":           new(dissemination.Digests),
+	"relay.News":              new(dissemination.Update),
+	"relay.Record":            new(dissemination.Record),
+	"relay.Repair":            new(dissemination.Repair),
+	"relay.RecordVersion":     new(dissemination.RecordVersion),
 	"routing.Runner":          new(routing.Runner),
 	"routing.RunnerModel":     new(routing.RunnerModel),
 	"routing.RunnerState":     new(routing.RunnerState),
--- a/internal/testing/sim/fleet_test.go
+++ b/internal/testing/sim/fleet_test.go
@@ -23,7 +23,7 @@
 	"yarrowridge/internal/lib/logging"
 	"yarrowridge/internal/lib/runloop"
 	"yarrowridge/internal/testing/sim"
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 	"yarrowridge/internal/transport/wire"
 )
 
@@ -194,7 +194,7 @@
 	if f.options != nil {
 		options = f.options(r)
 	}
-	r.hub = node.NewHub(ec.WithComponent("node"), r.addr, r.addr, []string{f.founder[0], f.founder[1], "10.0.1.1:1"}, func(relay.Record) {}, options...)
+	r.hub = node.NewHub(ec.WithComponent("node"), r.addr, r.addr, []string{f.founder[0], f.founder[1], "10.0.1.1:1"}, func(dissemination.Record) {}, options...)
 	r.mu.Lock()
 	r.seen = nil
 	r.mu.Unlock()
--- a/internal/transport/relay/drop_test.go
+++ b/internal/transport/dissemination/drop_test.go
@@ -1,4 +1,4 @@
-package relay
+package dissemination
 
 import (
 	"testing"
--- a/internal/transport/relay/msgs.go
+++ b/internal/transport/dissemination/msgs.go
@@ -1,4 +1,4 @@
-package relay
+package dissemination
 
 //go:generate go tool msgp -tests=false -io=false
 
--- a/internal/transport/relay/store.go
+++ b/internal/transport/dissemination/store.go
@@ -1,6 +1,6 @@
-// Package relay brings news to every node: a store of records on each, a tree over which new ones
+// Package dissemination brings news to every node: a store of records on each, a tree over which new ones
 // flow, and a repair by digests over ranges that mends copies from the newer.
-package relay
+package dissemination
 
 import (
 	"hash/fnv"
--- a/internal/transport/operator/fleet.go
+++ b/internal/transport/operator/fleet.go
@@ -7,7 +7,7 @@
 
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/lib/web"
-	"yarrowridge/internal/transport/relay"
+	"yarrowridge/internal/transport/dissemination"
 )
 
 // getFleet answers with what the core knows of the fleet.
@@ -19,14 +19,14 @@
 		writeRetryable(w, http.StatusServiceUnavailable, "no-core", "The core did not answer in time. GET /v1/standing tells what this process knows.")
 		return
 	}
-	routers := make([]relay.Node, len(state.Nodes))
+	routers := make([]dissemination.Node, len(state.Nodes))
 	for i, node := range state.Nodes {
-		routers[i] = relay.Node{Name: node.Name, Zone: node.Zone, Addr: node.Addr}
+		routers[i] = dissemination.Node{Name: node.Name, Zone: node.Zone, Addr: node.Addr}
 	}
 	neighbours := map[string][]string{}
 	for _, router := range routers {
 		neighbours[router.Name] = []string{}
-		for _, neighbour := range relay.Neighbours(router.Name, routers) {
+		for _, neighbour := range dissemination.Neighbours(router.Name, routers) {
 			neighbours[router.Name] = append(neighbours[router.Name], neighbour.Name)
 		}
 	}
