--- a/internal/dataplane/balance/session_test.go
+++ b/internal/dataplane/balance/session_test.go
@@ -54,7 +54,7 @@
 func (f *sessionFleet) spread() {
 	for _, from := range f.routers {
 		from.Rehome()
-		told := from.Sessions.TakeUpdates()
+		told := from.Sessions.DrainUpdates()
 		for _, to := range f.routers {
 			to.Sessions.Merge(told)
 		}
@@ -259,7 +259,7 @@
 		ref := f.routers[i%2].session(ptr(sessionRequest(1)), sessionRequest(1).Parts[0].ID, 3000)
 		f.routers[i%2].noteHolder(&ref, []string{"a", "b", "c", "d"}[i%4])
 		for from := range f.routers {
-			entries := f.routers[from].Sessions.TakeUpdates()
+			entries := f.routers[from].Sessions.DrainUpdates()
 			told += len(entries)
 			f.routers[1-from].Sessions.Merge(entries)
 		}
--- a/internal/dataplane/clientapi/claims.go
+++ b/internal/dataplane/clientapi/claims.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"yarrowridge/internal/controlplane/coreapi"
-	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/dataplane/cluster"
 	"yarrowridge/internal/lib/daemon"
 	"yarrowridge/internal/lib/faultinjection"
 	"yarrowridge/internal/lib/runloop"
@@ -25,13 +25,15 @@
 // Claims takes and settles the durable claims of once-only keys.
 type Claims struct {
 	ctx      daemon.Context
-	hub      *node.Hub
+	cluster  *cluster.Member
 	next     atomic.Uint64
 	settling atomic.Int64 // settlements under way
 }
 
 // NewClaims makes the part that talks about claims with the core.
-func NewClaims(ctx daemon.Context, hub *node.Hub) *Claims { return &Claims{ctx: ctx, hub: hub} }
+func NewClaims(ctx daemon.Context, member *cluster.Member) *Claims {
+	return &Claims{ctx: ctx, cluster: member}
+}
 
 // Settling counts settlements that the core has not answered yet.
 func (claims *Claims) Settling() int { return int(claims.settling.Load()) }
@@ -56,7 +58,7 @@
 		defer claims.settling.Add(-1)
 		for {
 			ctx, cancel := context.WithTimeout(claims.ctx, 5*time.Second)
-			err := claims.hub.Core.Call(ctx, "core.settle", &in, nil, true)
+			err := claims.cluster.Core.Call(ctx, "core.settle", &in, nil, true)
 			cancel()
 			if err == nil || !runloop.Sleep(claims.ctx, 200*time.Millisecond) {
 				return
@@ -103,7 +105,7 @@
 	ctx, cancel := context.WithTimeout(x.incoming.Context(), min(x.lane.Patience, 3*time.Second))
 	defer cancel()
 	var taken coreapi.ClaimResponse
-	err := x.server.Hub.Core.Call(ctx, "core.take", &coreapi.ClaimRequest{Key: claim.key, Claim: claim.record}, &taken, true)
+	err := x.server.Cluster.Core.Call(ctx, "core.take", &coreapi.ClaimRequest{Key: claim.key, Claim: claim.record}, &taken, true)
 	if err != nil {
 		if coreapi.IsOutcomeUnknown(err) {
 			claim.release(false) // it may stand there: nothing was run, so let it go when the core is back
--- a/internal/dataplane/clientapi/dispatch.go
+++ b/internal/dataplane/clientapi/dispatch.go
@@ -45,7 +45,7 @@
 		}
 		if try == 0 && !x.secondRun {
 			x.server.Metrics.Dispatch.WithLabelValues(x.tenantKind()).Observe(x.request.Age().Seconds())
-			x.server.Retries.CountFirst(service, x.server.Hub.ShareOf(service.Spare))
+			x.server.Retries.CountFirst(service, x.server.Cluster.Share(service.Spare))
 		}
 		left, err := x.send(slot)
 		if err == nil || left || errors.As(err, &rejection) {
--- a/internal/dataplane/clientapi/response.go
+++ b/internal/dataplane/clientapi/response.go
@@ -119,7 +119,7 @@
 // watchKey ends what runs under a key that a new config no longer knows.
 func (x *exchange) watchKey(ctx context.Context, cancel context.CancelCauseFunc) {
 	for {
-		changed := x.server.Hub.ConfigChanged()
+		changed := x.server.Cluster.ConfigChanged()
 		if x.keyWithdrawn() {
 			cancel(errKeyWithdrawn)
 			return
@@ -134,7 +134,7 @@
 
 // keyWithdrawn reports whether the config in force no longer knows the key that this request came with.
 func (x *exchange) keyWithdrawn() bool {
-	_, ok := x.findTenant(x.server.Hub.Config())
+	_, ok := x.findTenant(x.server.Cluster.Config())
 	return !ok
 }
 
--- a/internal/dataplane/clientapi/resume.go
+++ b/internal/dataplane/clientapi/resume.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/dataplane/streamstore"
 	"yarrowridge/internal/lib/runloop"
 )
 
@@ -66,31 +66,31 @@
 		}
 		switch {
 		case context.Cause(ctx) == errKeyWithdrawn:
-			told = &node.StreamReadResponse{Lost: rejectKey.Code}
+			told = &streamstore.ReadResponse{Failure: rejectKey.Code}
 		case err != nil && misses < maxMisses && runloop.Sleep(ctx, missWait):
 			continue // it may just have been passed on from one router to the next
 		case err != nil && !started:
 			return &Rejection{Status: 404, Code: "no-stream", OutcomeUnknown: true, Message: "No router within reach holds this stream for this tenant."}
 		case err != nil || time.Now().After(until):
-			told = &node.StreamReadResponse{Lost: node.LostRouter}
+			told = &streamstore.ReadResponse{Failure: streamstore.CodeRouterLost}
 		}
 		if !started {
 			started = true
 			x.writer.Header().Set("Content-Type", "text/event-stream")
 			x.writer.WriteHeader(http.StatusOK)
 		}
-		after += len(told.Pieces)
-		client.write(bytes.Join(told.Pieces, nil))
+		after += len(told.Chunks)
+		client.write(bytes.Join(told.Chunks, nil))
 		switch {
-		case told.End:
+		case told.Complete:
 			client.write([]byte(endEvent))
 			return &Rejection{Code: "resumed"}
-		case told.Lost != "":
-			client.write(errorEvent(told.Lost, "The run behind this stream was lost, or its key withdrawn.", id))
+		case told.Failure != "":
+			client.write(errorEvent(told.Failure, "The run behind this stream was lost, or its key withdrawn.", id))
 			x.abortConnection = true
-			return &Rejection{Code: told.Lost, OutcomeUnknown: true}
+			return &Rejection{Code: told.Failure, OutcomeUnknown: true}
 		}
-		if len(told.Pieces) > 0 {
+		if len(told.Chunks) > 0 {
 			until = time.Now().Add(resumeWait)
 		}
 	}
--- a/internal/dataplane/clientapi/route.go
+++ b/internal/dataplane/clientapi/route.go
@@ -10,10 +10,10 @@
 
 // authenticate finds the tenant by the headers alone.
 func (x *exchange) authenticate() error {
-	if why := x.server.Hub.Servable(); why != "" {
+	if why := x.server.Cluster.UnavailableReason(); why != "" {
 		return &Rejection{Status: 503, Code: "not-ready", Message: "This router is not ready: " + why + ".", RetryAfter: time.Second}
 	}
-	x.config = x.server.Hub.Config()
+	x.config = x.server.Cluster.Config()
 	key, ok := strings.CutPrefix(x.incoming.Header.Get("Authorization"), "Bearer ")
 	if ok {
 		x.keyHash = fleetconfig.HashKey(strings.TrimSpace(key))
@@ -59,7 +59,7 @@
 // checkConfig holds a waiting request against the config in force, if that is no longer the one it came
 // under: its key, its route, its lane's doors. The pool's selector counts as it is now.
 func (x *exchange) checkConfig() error {
-	config := x.server.Hub.Config()
+	config := x.server.Cluster.Config()
 	if config.Version == x.config.Version {
 		return nil
 	}
--- a/internal/dataplane/clientapi/secondrun.go
+++ b/internal/dataplane/clientapi/secondrun.go
@@ -7,16 +7,16 @@
 	"slices"
 	"time"
 
-	"yarrowridge/internal/dataplane/node"
 	"yarrowridge/internal/dataplane/request"
 	"yarrowridge/internal/dataplane/runner"
+	"yarrowridge/internal/dataplane/streamstore"
 	"yarrowridge/internal/lib/runloop"
 )
 
 // carrier is what the runs of one stream have in common: its pieces, and the client it is shown to.
 type carrier struct {
 	id        string // of the stream: the first run's request
-	stream    *node.Stream
+	stream    *streamstore.Stream
 	client    *clientWriter   // nil where the client is to come by itself
 	ctx       context.Context // of all runs
 	cancel    context.CancelCauseFunc
@@ -31,11 +31,11 @@
 
 // open begins the stream with its first run's headers.
 func (c *carrier) open(x *exchange, response *http.Response) {
-	var saved *node.StreamRequest
+	var saved *streamstore.SavedRequest
 	if x.lane.Repeat {
 		header := runner.ForwardedHeader(x.incoming.Header)
 		header.Del("Authorization")
-		saved = &node.StreamRequest{Method: x.incoming.Method, Path: x.incoming.URL.RequestURI(), Header: header, Body: x.body, Key: x.keyHash}
+		saved = &streamstore.SavedRequest{Method: x.incoming.Method, Path: x.incoming.URL.RequestURI(), Header: header, Body: x.body, KeyHash: x.keyHash}
 	}
 	c.stream = x.server.Streams.Open(c.id, x.request.Tenant, saved)
 	x.copyHeader(response)
@@ -101,18 +101,18 @@
 
 // runnerWasLost reports whether a run ended by the runner's loss, so that a second one may take its place.
 func runnerWasLost(err error) bool {
-	return slices.Contains([]string{"runner-lost", "runner-silent", node.LostRouter}, rejectionOf(err).Code)
+	return slices.Contains([]string{"runner-lost", "runner-silent", streamstore.CodeRouterLost}, rejectionOf(err).Code)
 }
 
 // runAgain makes a second run: a request of its own, with its own log record, units and runner, that obeys the
 // config in force. made is false where none may be made.
 func (x *exchange) runAgain() (err error, made bool) {
 	again := *x
-	if again.applyConfig(x.server.Hub.Config()) != nil || !again.lane.Repeat {
+	if again.applyConfig(x.server.Cluster.Config()) != nil || !again.lane.Repeat {
 		return nil, false
 	}
 	if carrier := again.carrier; carrier.stream != nil {
-		if _, ok := carrier.stream.HeldPieces(); !ok {
+		if _, ok := carrier.stream.Replayable(); !ok {
 			return nil, false
 		}
 	}
@@ -173,10 +173,10 @@
 
 // TakeOver carries a stream on whose router is gone: the same request again, from what is held of it and
 // its response. Clients read it by its id.
-func (s *Server) TakeOver(stream *node.Stream, saved *node.StreamRequest) {
+func (s *Server) TakeOver(stream *streamstore.Stream, saved *streamstore.SavedRequest) {
 	s.open.Add(1)
 	defer s.open.Add(-1)
-	x := &exchange{server: s, request: request.New(), body: saved.Body, bodyRead: true, keyHash: saved.Key, triedRunners: map[int]bool{}}
+	x := &exchange{server: s, request: request.New(), body: saved.Body, bodyRead: true, keyHash: saved.KeyHash, triedRunners: map[int]bool{}}
 	if err := x.restore(stream, saved); err != nil {
 		s.Streams.Close(s.Ctx, stream, rejectionOf(err).Code)
 		return
@@ -185,19 +185,19 @@
 	carrier.ctx, carrier.cancel = context.WithCancelCause(s.Ctx)
 	x.carrier = carrier
 	if s.Streams.AssignStandby(carrier.ctx, stream) == nil {
-		x.continueStream(&Rejection{Code: node.LostRouter, OutcomeUnknown: true})
+		x.continueStream(&Rejection{Code: streamstore.CodeRouterLost, OutcomeUnknown: true})
 	}
 }
 
 // restore brings a request that another router read to where it would be queued.
-func (x *exchange) restore(stream *node.Stream, saved *node.StreamRequest) error {
+func (x *exchange) restore(stream *streamstore.Stream, saved *streamstore.SavedRequest) error {
 	incoming, err := http.NewRequestWithContext(x.server.Ctx, saved.Method, saved.Path, nil)
 	if err != nil {
-		return &Rejection{Code: node.LostRouter}
+		return &Rejection{Code: streamstore.CodeRouterLost}
 	}
 	incoming.Header = saved.Header
 	x.incoming, x.request.Tenant = incoming, stream.Tenant
-	if rejection := x.applyConfig(x.server.Hub.Config()); rejection != nil {
+	if rejection := x.applyConfig(x.server.Cluster.Config()); rejection != nil {
 		return rejection
 	}
 	if err := x.parseBody(); err != nil {
--- a/internal/dataplane/clientapi/server.go
+++ b/internal/dataplane/clientapi/server.go
@@ -12,10 +12,11 @@
 	"sync/atomic"
 	"time"
 
-	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/dataplane/cluster"
 	"yarrowridge/internal/dataplane/place"
 	"yarrowridge/internal/dataplane/request"
 	"yarrowridge/internal/dataplane/runner"
+	"yarrowridge/internal/dataplane/streamstore"
 	"yarrowridge/internal/dataplane/tracing"
 	"yarrowridge/internal/lib/daemon"
 	"yarrowridge/internal/lib/metrics"
@@ -35,7 +36,7 @@
 // Server answers clients.
 type Server struct {
 	Ctx         daemon.Context
-	Hub         *node.Hub
+	Cluster     *cluster.Member
 	Runners     *runner.Pool
 	Scheduler   *place.Scheduler
 	Sender      *runner.Sender
@@ -44,7 +45,7 @@
 	QuotaShares *quota.Shares
 	Retries     *RetryBudget
 	Claims      *Claims
-	Streams     *node.Streams
+	Streams     *streamstore.Store
 	Tracer      *tracing.Tracer
 
 	open atomic.Int64 // known tenants' requests under way
--- a/internal/dataplane/clientapi/stream.go
+++ b/internal/dataplane/clientapi/stream.go
@@ -11,9 +11,9 @@
 	"net/http"
 	"time"
 
-	"yarrowridge/internal/dataplane/node"
 	"yarrowridge/internal/dataplane/request"
 	"yarrowridge/internal/dataplane/runner"
+	"yarrowridge/internal/dataplane/streamstore"
 	"yarrowridge/internal/lib/faultinjection"
 )
 
@@ -75,7 +75,7 @@
 
 // next reads the events that are there now, at least one. batch has those that no earlier run gave, with
 // their numbers; count is of all. Beside an error there may be events that came before it.
-func (e *eventReader) next(stream *node.Stream) (batch [][]byte, count int, err error) {
+func (e *eventReader) next(stream *streamstore.Stream) (batch [][]byte, count int, err error) {
 	for {
 		event, err := readEvent(e.in)
 		if err != nil || e.complete && len(event) > 0 {
@@ -108,7 +108,7 @@
 	if carrier.stream == nil {
 		carrier.open(x, response)
 	}
-	held, _ := carrier.stream.HeldPieces()
+	held, _ := carrier.stream.Replayable()
 	events := &eventReader{in: bufio.NewReaderSize(response.Body, 16<<10), held: held}
 	for {
 		batch, count, err := events.next(carrier.stream)
--- a/internal/dataplane/node/age_test.go
+++ b/internal/dataplane/cluster/age_test.go
@@ -1,4 +1,4 @@
-package node
+package cluster
 
 import (
 	"testing"
--- a/internal/dataplane/node/config.go
+++ b/internal/dataplane/cluster/config.go
@@ -1,4 +1,4 @@
-package node
+package cluster
 
 import (
 	"time"
@@ -16,7 +16,7 @@
 }
 
 // takeDocument passes on a configuration that is read elsewhere, and puts it in force if it was understood there.
-func (h *Hub) takeDocument(record dissemination.Record) {
+func (h *Member) takeDocument(record dissemination.Record) {
 	if err := h.document(record.Version, record.Body); err != nil {
 		h.ctx.Log.Error("Configuration from the core is not understood. The old one stays.", "sequence", record.Version, "error", err.Error())
 		return
@@ -26,7 +26,7 @@
 }
 
 // takeConfig reads a configuration and puts it in force.
-func (h *Hub) takeConfig(record dissemination.Record) {
+func (h *Member) takeConfig(record dissemination.Record) {
 	config, errors := fleetconfig.Parse(record.Body)
 	if len(errors) > 0 {
 		h.ctx.Log.Error("Configuration from the core is not understood. The old one stays.", "sequence", record.Version, "error", errors[0].Path+": "+errors[0].Text)
@@ -45,14 +45,14 @@
 }
 
 // applyConfiguration puts a configuration in force and wakes those who wait for the next.
-func (h *Hub) applyConfiguration(c *configuration) {
+func (h *Member) applyConfiguration(c *configuration) {
 	h.current.Store(c)
 	next := make(chan struct{})
 	close(*h.configChanged.Swap(&next))
 }
 
 // Config is the newest configuration held; nil before the first, and where it is another document.
-func (h *Hub) Config() *fleetconfig.Config {
+func (h *Member) Config() *fleetconfig.Config {
 	if c := h.current.Load(); c != nil {
 		return c.config
 	}
@@ -60,7 +60,7 @@
 }
 
 // ConfigVersion is the version of the configuration obeyed; 0 before the first.
-func (h *Hub) ConfigVersion() uint64 {
+func (h *Member) ConfigVersion() uint64 {
 	if c := h.current.Load(); c != nil {
 		return c.version
 	}
@@ -69,7 +69,7 @@
 
 // ConfigInForce gives the version of the configuration obeyed and its hex SHA-256, as it was put, both of one
 // configuration however fast they change; 0 and "" before the first.
-func (h *Hub) ConfigInForce() (version uint64, hash string) {
+func (h *Member) ConfigInForce() (version uint64, hash string) {
 	if c := h.current.Load(); c != nil {
 		return c.version, fleetconfig.HashKey(string(c.raw))
 	}
@@ -77,4 +77,4 @@
 }
 
 // ConfigChanged is closed once a newer configuration is in force. Ask for it before Config, so as to miss none.
-func (h *Hub) ConfigChanged() <-chan struct{} { return *h.configChanged.Load() }
+func (h *Member) ConfigChanged() <-chan struct{} { return *h.configChanged.Load() }
--- a/internal/dataplane/node/confirmation.go
+++ b/internal/dataplane/cluster/confirmation.go
@@ -1,4 +1,4 @@
-package node
+package cluster
 
 import (
 	"time"
@@ -11,7 +11,7 @@
 
 // noteConfirmed notes that every configuration acknowledged before a moment has that version at most. A newer one than
 // the one in force here says nothing: what it changed is not obeyed yet.
-func (h *Hub) noteConfirmed(version uint64, at time.Time) {
+func (h *Member) noteConfirmed(version uint64, at time.Time) {
 	if version > h.ConfigVersion() {
 		return
 	}
@@ -25,14 +25,14 @@
 // ConfirmedAt is the latest moment of which it is known that each configuration acknowledged before it is in force here,
 // or a newer one: by our own monotonic clock, from when the primary was asked under its lease, by us or by a node that
 // told us; zero where it never was.
-func (h *Hub) ConfirmedAt() time.Time {
+func (h *Member) ConfirmedAt() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.confirmedAt
 }
 
 // tellConfirmed puts into an answer to another node what is known of the configuration in force.
-func (h *Hub) tellConfirmed(difference *dissemination.Difference) {
+func (h *Member) tellConfirmed(difference *dissemination.Difference) {
 	version, at := h.ConfigVersion(), h.ConfirmedAt()
 	if at.IsZero() {
 		return
@@ -43,7 +43,7 @@
 
 // takeConfirmed takes what another node has told of its configuration, in answer to what it was asked at a moment: the
 // answer was made later, so that the age that it tells counts back from no later moment.
-func (h *Hub) takeConfirmed(difference *dissemination.Difference, asked time.Time) {
+func (h *Member) takeConfirmed(difference *dissemination.Difference, asked time.Time) {
 	if !difference.Confirmed || difference.ConfirmedAgeMs < 0 {
 		return
 	}
--- a/internal/dataplane/node/confirmation_test.go
+++ b/internal/dataplane/cluster/confirmation_test.go
@@ -1,4 +1,4 @@
-package node
+package cluster
 
 import (
 	"testing"
@@ -11,7 +11,7 @@
 // What is confirmed of a version that is not in force here says nothing, and no word makes an older moment of a newer one.
 func TestConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := &Hub{}
+		h := &Member{}
 		h.current.Store(&configuration{version: 5})
 		now := time.Now()
 		h.noteConfirmed(6, now)
@@ -29,7 +29,7 @@
 // A node that is told by another is never further than the other, whatever the way took: the age grows by each hop.
 func TestConfirmationIsHandedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		first, second := &Hub{}, &Hub{}
+		first, second := &Member{}, &Member{}
 		first.current.Store(&configuration{version: 5})
 		second.current.Store(&configuration{version: 5})
 		var silent dissemination.Difference
--- a/internal/dataplane/node/heartbeat.go
+++ b/internal/dataplane/cluster/heartbeat.go
@@ -1,4 +1,4 @@
-package node
+package cluster
 
 import (
 	"context"
@@ -33,7 +33,7 @@
 }
 
 // sendHeartbeat renews our lease at the core and learns what has changed. It reports whether the core has answered.
-func (h *Hub) sendHeartbeat() bool {
+func (h *Member) sendHeartbeat() bool {
 	h.mu.Lock()
 	nodesVersion, leaving := h.nodesVersion, h.leaving
 	h.mu.Unlock()
@@ -66,8 +66,8 @@
 }
 
 // makeHeartbeat says what this node is, what it holds already, and how its attempts at runners ended.
-func (h *Hub) makeHeartbeat(nodesVersion uint64) coreapi.HeartbeatRequest {
-	request := coreapi.HeartbeatRequest{Node: h.Me(), NodesVersion: nodesVersion, ViewEpoch: h.Core.View().Epoch}
+func (h *Member) makeHeartbeat(nodesVersion uint64) coreapi.HeartbeatRequest {
+	request := coreapi.HeartbeatRequest{Node: h.Self(), NodesVersion: nodesVersion, ViewEpoch: h.Core.View().Epoch}
 	if h.runners != nil {
 		request.RunnersWanted = true
 		request.RunnersEpoch, request.RunnersVersion = h.runners.Position()
@@ -82,7 +82,7 @@
 }
 
 // takeHeartbeatResponse takes the view, the nodes and the runners that the core has answered with.
-func (h *Hub) takeHeartbeatResponse(response *coreapi.HeartbeatResponse) {
+func (h *Member) takeHeartbeatResponse(response *coreapi.HeartbeatResponse) {
 	h.Core.Learn(response.View)
 	h.mu.Lock()
 	wasSilent := time.Since(h.coreHeard) > staleAfter && !h.coreHeard.IsZero()
@@ -101,14 +101,14 @@
 		h.runners.Apply(response)
 	}
 	if h.findings != nil {
-		h.findings(RunnerFindings{Failing: response.Failing, Calm: response.LowLatencyRunners})
+		h.findings(RunnerFindings{Failing: response.Failing, LowLatency: response.LowLatencyRunners})
 	}
 }
 
 // fetchConfig asks the core for the configuration of a version that it has named, if it is not here yet. One that
 // was not understood is not fetched again and again. A new one is on its way by the relays: it is fetched only
 // if it was missing for a whole heartbeat, else a large part of the fleet would ask the primary at once.
-func (h *Hub) fetchConfig(ctx context.Context, version uint64) {
+func (h *Member) fetchConfig(ctx context.Context, version uint64) {
 	record, _, _ := h.Records.Get(dissemination.ConfigKey)
 	overdue := h.ConfigVersion() == 0 || record.Version < h.announcedVersion
 	h.announcedVersion = version
@@ -122,7 +122,7 @@
 }
 
 // repairFromZone is what a node without a core does: one without a configuration asks all nodes of its zone that it can reach.
-func (h *Hub) repairFromZone() {
+func (h *Member) repairFromZone() {
 	h.mu.Lock()
 	done, nodes := h.initialSyncDone, h.nodes
 	h.mu.Unlock()
@@ -152,7 +152,7 @@
 }
 
 // nodesFromSeeds asks all seeds for their nodes, and gives the longest list.
-func (h *Hub) nodesFromSeeds(ctx context.Context) []coreapi.Node {
+func (h *Member) nodesFromSeeds(ctx context.Context) []coreapi.Node {
 	var longest []coreapi.Node
 	for _, addr := range *h.seeds.Load() {
 		var list NodeList
@@ -166,13 +166,13 @@
 
 // Leave gives up the lease: the core names us no more, our units cool. Serving what has been
 // read goes on meanwhile. It ends after a second at the latest, and with the context.
-func (h *Hub) Leave(ctx context.Context) {
+func (h *Member) Leave(ctx context.Context) {
 	h.mu.Lock()
 	h.leaving = true
 	h.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
-	request := coreapi.HeartbeatRequest{Node: h.Me(), Leaving: true}
+	request := coreapi.HeartbeatRequest{Node: h.Self(), Leaving: true}
 	if err := h.Core.Call(ctx, "core.beat", &request, &coreapi.HeartbeatResponse{}, true); err != nil {
 		h.ctx.Log.Warn("The core was not told that we leave.", "error", err.Error())
 	}
--- a/internal/dataplane/node/hub.go
+++ b/internal/dataplane/cluster/hub.go
@@ -1,6 +1,6 @@
 // Package node is the peer "another router": the hub holds this router's lease at the core, its
 // copy of the news, and the talk with its neighbours in the relay tree.
-package node
+package cluster
 
 import (
 	"math/rand/v2"
@@ -26,7 +26,7 @@
 )
 
 // Hub is one router's share in the fleet's control.
-type Hub struct {
+type Member struct {
 	ctx           daemon.Context
 	addr          string
 	clientAddr    string
@@ -61,35 +61,35 @@
 }
 
 // Option changes what a hub does with its news.
-type Option func(*Hub)
+type Option func(*Member)
 
 // Document has the hub pass on configurations as they are, in place of reading them. take is called for
 // each newer one, in order, under the store's lock. With an error the old one stays in force.
-func Document(take func(version uint64, raw []byte) error) Option {
-	return func(h *Hub) { h.document = take }
+func WithDocument(take func(version uint64, raw []byte) error) Option {
+	return func(h *Member) { h.document = take }
 }
 
 // Runners has the hub keep a copy of the core's registry of runners.
-func Runners(reg *registry.Registry) Option {
-	return func(h *Hub) { h.runners = reg }
+func WithRegistry(reg *registry.Registry) Option {
+	return func(h *Member) { h.runners = reg }
 }
 
 // RunnerFindings are what the core says of runners from what all routers saw of them.
 type RunnerFindings struct {
-	Failing []coreapi.FailingRunner
-	Calm    []string // IDs of the runners whose streams have the shortest pauses
+	Failing    []coreapi.FailingRunner
+	LowLatency []string // IDs of the runners whose streams have the shortest pauses
 }
 
 // Health has the hub tell the core what was seen of runners since the last heartbeat, and pass on what all routers
 // together saw.
-func Health(tally func() []coreapi.RunnerStats, findings func(RunnerFindings)) Option {
-	return func(h *Hub) { h.tally, h.findings = tally, findings }
+func WithRunnerStats(tally func() []coreapi.RunnerStats, findings func(RunnerFindings)) Option {
+	return func(h *Member) { h.tally, h.findings = tally, findings }
 }
 
 // NewHub makes a hub. onNews sees every record of news that is taken, besides the configuration and the
 // registered runners.
-func NewHub(ctx daemon.Context, addr, clientAddr string, seeds []string, onNews func(dissemination.Record), options ...Option) *Hub {
-	h := &Hub{ctx: ctx, addr: addr, clientAddr: clientAddr, caller: wire.NewCaller(ctx.Net), onNews: onNews,
+func NewMember(ctx daemon.Context, addr, clientAddr string, seeds []string, onNews func(dissemination.Record), options ...Option) *Member {
+	h := &Member{ctx: ctx, addr: addr, clientAddr: clientAddr, caller: wire.NewCaller(ctx.Net), onNews: onNews,
 		outbox: make(chan dissemination.Update, 1024), started: time.Now(), handlers: map[string]wire.Handler{}}
 	h.Core = coreclient.NewClient(ctx, h.caller, seeds)
 	h.seeds.Store(&seeds)
@@ -103,13 +103,13 @@
 }
 
 // SetSeeds replaces the seeds: the settings have changed.
-func (h *Hub) SetSeeds(seeds []string) {
+func (h *Member) SetSeeds(seeds []string) {
 	h.seeds.Store(&seeds)
 	h.Core.SetSeeds(seeds)
 }
 
 // Run sends heartbeats, spreads news and repairs until the context ends.
-func (h *Hub) Run() {
+func (h *Member) Run() {
 	go h.sendHeartbeats()
 	go h.every(repairEvery, h.repair)
 	runloop.Run(h.ctx, h.outbox, 0, h.forward, nil)
@@ -122,7 +122,7 @@
 // sendHeartbeats sends one heartbeat after the other. Nothing is served before the core has been asked, so a router
 // that starts does not wait for its turn. Its later heartbeats begin at random, so that nodes that started together do
 // not all call the core at one moment.
-func (h *Hub) sendHeartbeats() {
+func (h *Member) sendHeartbeats() {
 	for !h.sendHeartbeat() {
 		if !runloop.Sleep(h.ctx, startPause) {
 			return
@@ -133,7 +133,7 @@
 
 // every does something again and again. The first time is at random, so that nodes that started together do
 // not all call the core at one moment.
-func (h *Hub) every(span time.Duration, do func()) {
+func (h *Member) every(span time.Duration, do func()) {
 	if runloop.Sleep(h.ctx, rand.N(span)) {
 		do()
 		runloop.Run(h.ctx, nil, span, func(struct{}) {}, do)
--- a/internal/dataplane/node/news.go
+++ b/internal/dataplane/cluster/news.go
@@ -1,4 +1,4 @@
-package node
+package cluster
 
 import (
 	"context"
@@ -15,13 +15,13 @@
 )
 
 // takeRecord takes one record to who keeps its kind. It runs under the store's lock, for one key from older to newer.
-func (h *Hub) takeRecord(record dissemination.Record) {
+func (h *Member) takeRecord(record dissemination.Record) {
 	switch {
 	case record.Key == dissemination.ConfigKey && h.document != nil:
 		h.takeDocument(record)
 	case record.Key == dissemination.ConfigKey:
 		h.takeConfig(record)
-	case h.runners != nil && registry.Owns(record):
+	case h.runners != nil && registry.IsRunnerRecord(record):
 		h.runners.ApplyRecord(record)
 	case h.onNews != nil:
 		h.onNews(record)
@@ -29,7 +29,7 @@
 }
 
 // Broadcast takes news and hands on what was new to the neighbours, but for the one it came from.
-func (h *Hub) Broadcast(news dissemination.Update) {
+func (h *Member) Broadcast(news dissemination.Update) {
 	fresh := h.Records.Merge(news.Records)
 	if len(fresh) == 0 {
 		return
@@ -41,7 +41,7 @@
 }
 
 // forward sends news on, with all that has piled up behind it.
-func (h *Hub) forward(news dissemination.Update) {
+func (h *Member) forward(news dissemination.Update) {
 	for _, n := range h.Neighbours() {
 		if n.Name == news.From {
 			continue
@@ -57,7 +57,7 @@
 // BroadcastToAll hands records to every node directly, beside the tree, and reports whether one at least holds
 // them. It waits until all have answered, for spreadWait at most: if we are gone right after, the
 // tree that led through us must not be what others depend on.
-func (h *Hub) BroadcastToAll(ctx context.Context, records []dissemination.Record) bool {
+func (h *Member) BroadcastToAll(ctx context.Context, records []dissemination.Record) bool {
 	results, pending := h.tellAll(records)
 	timer := time.NewTimer(spreadWait)
 	defer timer.Stop()
@@ -84,7 +84,7 @@
 }
 
 // tellAll sends records to all other nodes. The channel gets a result from each of them: whether it has taken them.
-func (h *Hub) tellAll(records []dissemination.Record) (results <-chan bool, count int) {
+func (h *Member) tellAll(records []dissemination.Record) (results <-chan bool, count int) {
 	nodes := h.Nodes()
 	all := make(chan bool, len(nodes))
 	news := &dissemination.Update{From: h.ctx.Name, Records: records}
--- a/internal/dataplane/node/repair.go
+++ b/internal/dataplane/cluster/repair.go
@@ -1,4 +1,4 @@
-package node
+package cluster
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 )
 
 // repair compares our news with one neighbour's, or any node's every other time, by digests.
-func (h *Hub) repair() {
+func (h *Member) repair() {
 	h.Records.Expire(forgetAfter)
 	neighbours := h.Neighbours()
 	nodes := h.Nodes()
@@ -34,7 +34,7 @@
 }
 
 // repairWith compares our news with one node's, and takes and gives what differs. It reports whether the node answered.
-func (h *Hub) repairWith(ctx context.Context, to string) bool {
+func (h *Member) repairWith(ctx context.Context, to string) bool {
 	sum := h.Records.Digests(h.ctx.Name)
 	var diff dissemination.Difference
 	asked := time.Now()
--- a/internal/dataplane/node/serve.go
+++ b/internal/dataplane/cluster/serve.go
@@ -1,4 +1,4 @@
-package node
+package cluster
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 )
 
 // Handle adds a handler of another owner's calls on the same listener.
-func (h *Hub) Handle(name string, hand wire.Handler) { h.handlers[name] = hand }
+func (h *Member) RegisterHandler(name string, hand wire.Handler) { h.handlers[name] = hand }
 
 // Serve answers calls from other processes.
-func (h *Hub) Serve(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
+func (h *Member) Serve(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 	switch kind {
 	case "view.ask":
 		return &view.StatusResponse{Addr: h.addr, View: h.Core.View()}, nil
@@ -41,7 +41,7 @@
 			return &coreapi.Empty{}, nil
 		})
 	case "node.run":
-		me := h.Me()
+		me := h.Self()
 		return &me, nil
 	case "node.roll":
 		return &NodeList{h.Nodes()}, nil
@@ -50,6 +50,6 @@
 }
 
 // Call reaches another process of the fleet.
-func (h *Hub) Call(ctx context.Context, addr, kind string, request msgp.Marshaler, response msgp.Unmarshaler) error {
+func (h *Member) Call(ctx context.Context, addr, kind string, request msgp.Marshaler, response msgp.Unmarshaler) error {
 	return h.caller.Call(ctx, addr, kind, request, response)
 }
--- a/internal/dataplane/registry/registry.go
+++ b/internal/dataplane/registry/registry.go
@@ -180,6 +180,6 @@
 }
 
 // Owns reports whether a record is about a registered runner.
-func Owns(rec dissemination.Record) bool {
+func IsRunnerRecord(rec dissemination.Record) bool {
 	return strings.HasPrefix(rec.Key, dissemination.RunnerPrefix)
 }
--- a/internal/dataplane/router/gateway.go
+++ b/internal/dataplane/router/gateway.go
@@ -13,8 +13,8 @@
 
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/dataplane/balance"
+	"yarrowridge/internal/dataplane/cluster"
 	"yarrowridge/internal/dataplane/gateway"
-	"yarrowridge/internal/dataplane/node"
 	"yarrowridge/internal/dataplane/registry"
 	"yarrowridge/internal/dataplane/upstream"
 	"yarrowridge/internal/lib/daemon"
@@ -59,7 +59,7 @@
 
 // Gateway is the parts of a router that carries opaque requests, put together.
 type Gateway struct {
-	Hub         *node.Hub
+	Cluster     *cluster.Member
 	Registry    *registry.Registry
 	Balancer    *balance.Balancer
 	QuotaShares *quota.Shares
@@ -83,15 +83,15 @@
 	g := &Gateway{ctx: ctx, settings: settings, Balancer: balance.New(ctx.Zone)}
 	g.Pool = upstream.New(upstream.Options{Dial: settings.Dial})
 	g.Registry = registry.New(g.Balancer.Update)
-	g.Hub = node.NewHub(ctx.WithComponent("node"), settings.Internal, settings.Data, settings.Seeds, g.seeRecord,
-		node.Document(g.take), node.Runners(g.Registry), node.Health(g.tally, g.takeFindings))
+	g.Cluster = cluster.NewMember(ctx.WithComponent("node"), settings.Internal, settings.Data, settings.Seeds, g.seeRecord,
+		cluster.WithDocument(g.take), cluster.WithRegistry(g.Registry), cluster.WithRunnerStats(g.tally, g.takeFindings))
 	g.sessions = newSessionNews(g)
-	g.Hub.Handle("session", g.sessions.hand)
-	g.QuotaShares = quota.NewShares(ctx.WithComponent("share"), quota.Options{Transfer: newMoveQueue(ctx, g.Hub).move, Nodes: func() int { return len(g.Hub.Nodes()) },
-		ScarceTenants: g.Hub.ScarceTenants, Rules: g.rules, RecentContact: g.Hub.Fresh, InContact: func() bool { return !g.Hub.Stale() }, Margin: quotaMargin})
+	g.Cluster.RegisterHandler("session", g.sessions.hand)
+	g.QuotaShares = quota.NewShares(ctx.WithComponent("share"), quota.Options{Transfer: newMoveQueue(ctx, g.Cluster).move, Nodes: func() int { return len(g.Cluster.Nodes()) },
+		ScarceTenants: g.Cluster.ScarceTenants, Rules: g.rules, RecentContact: g.Cluster.CoreResponsive, InContact: func() bool { return !g.Cluster.CoreSilent() }, Margin: quotaMargin})
 	g.Front = gateway.New(gateway.Options{Dialect: settings.Dialect, Table: g.table.Load, Ready: g.canServe, Balancer: g.Balancer,
 		Pool: g.Pool, Quotas: quotas{g.QuotaShares}, Retries: settings.Retries, Part: g.part,
-		Keys: gateway.KeyBounds{Term: settings.KeysTerm, ConfirmedAt: g.Hub.ConfirmedAt}, Log: ctx.WithComponent("gateway").Log})
+		Keys: gateway.KeyBounds{Term: settings.KeysTerm, ConfirmedAt: g.Cluster.ConfirmedAt}, Log: ctx.WithComponent("gateway").Log})
 	return g
 }
 
@@ -106,13 +106,13 @@
 }
 
 // takeFindings tells the balancer what all routers together saw of runners.
-func (g *Gateway) takeFindings(findings node.RunnerFindings) {
+func (g *Gateway) takeFindings(findings cluster.RunnerFindings) {
 	shares := make(map[string]float64, len(findings.Failing))
 	for _, runner := range findings.Failing {
 		shares[runner.ID] = runner.Share
 	}
 	g.Balancer.Failing(shares)
-	g.Balancer.Calm(findings.Calm)
+	g.Balancer.Calm(findings.LowLatency)
 }
 
 // seeRecord takes news that is neither a configuration nor a runner.
@@ -134,7 +134,7 @@
 	if g.table.Load() == nil {
 		return "no configuration yet"
 	}
-	if why := g.Hub.Servable(); why != "" {
+	if why := g.Cluster.UnavailableReason(); why != "" {
 		return why
 	}
 	if g.sessions.awaited() {
@@ -145,7 +145,7 @@
 
 // ready tells why no new clients should be sent here, or "".
 func (g *Gateway) ready() string {
-	if why := g.Hub.Ready(); why != "" {
+	if why := g.Cluster.NotReadyReason(); why != "" {
 		return why
 	}
 	if len(g.Registry.List()) == 0 {
@@ -171,10 +171,10 @@
 
 // part is this router's part of a whole that all routers share, one at least.
 func (g *Gateway) part(whole int) int {
-	if len(g.Hub.Nodes()) == 0 {
-		return max(1, whole/routersBefore(g.Hub.RoutersBefore()))
+	if len(g.Cluster.Nodes()) == 0 {
+		return max(1, whole/routersBefore(g.Cluster.PreviousRouters()))
 	}
-	return max(1, g.Hub.ShareOf(whole))
+	return max(1, g.Cluster.Share(whole))
 }
 
 // rules gives the quotas of the routing table in force.
@@ -214,8 +214,8 @@
 func (g *Gateway) Start() {
 	go g.QuotaShares.Run()
 	go g.sessions.run()
-	go g.Hub.Run()
-	go runloop.Run(g.ctx, g.settings.NewSeeds, 0, g.Hub.SetSeeds, nil)
+	go g.Cluster.Run()
+	go runloop.Run(g.ctx, g.settings.NewSeeds, 0, g.Cluster.SetSeeds, nil)
 	go runloop.Run(g.ctx, nil, reportEvery, func(struct{}) {}, g.Front.Report)
 }
 
@@ -244,7 +244,7 @@
 		}
 		go web.NewServer(listener, handler).Run()
 	}
-	go wire.Serve(ctx, internal, g.Hub.Serve)
+	go wire.Serve(ctx, internal, g.Cluster.Serve)
 	g.Start()
 	ctx.Log.Info("Router is up.", "internal", settings.Internal, "data", settings.Data, "zone", ctx.Zone)
 	data, err := settings.listen(settings.Data)
@@ -269,7 +269,7 @@
 func (g *Gateway) stop(ctx daemon.Context, server *gateway.Server) {
 	ctx.Log.Info("Router leaves. Requests under way are finished.", slog.Int("open", g.Front.Open()))
 	begun := time.Now()
-	g.Hub.StartDraining()
+	g.Cluster.StartDraining()
 	g.Front.Drain()
 	runloop.Sleep(ctx, g.settings.Notice)
 	left, end := context.WithTimeout(ctx, g.settings.Grace-time.Since(begun)-leaveReserve)
@@ -277,7 +277,7 @@
 	if err := server.Drain(left); err != nil {
 		ctx.Log.Warn("The grace ended before the requests did.", slog.Int("open", g.Front.Open()))
 	}
-	leave(ctx, begun.Add(g.settings.Grace-exitReserve), g.sessions.leave, g.Hub.Leave)
+	leave(ctx, begun.Add(g.settings.Grace-exitReserve), g.sessions.leave, g.Cluster.Leave)
 	g.Pool.Close()
 }
 
--- a/internal/dataplane/router/gatewaymetrics.go
+++ b/internal/dataplane/router/gatewaymetrics.go
@@ -10,10 +10,10 @@
 func (g *Gateway) metricsHandler() http.Handler {
 	return metrics.NewHandler(metrics.Gauges{
 		"yarrowridge_requests_open":  func() float64 { return float64(g.Front.Open()) },
-		"yarrowridge_config_version": func() float64 { return float64(g.Hub.ConfigVersion()) },
+		"yarrowridge_config_version": func() float64 { return float64(g.Cluster.ConfigVersion()) },
 		"yarrowridge_runners":        func() float64 { return float64(len(g.Registry.List())) },
-		"yarrowridge_routers":        func() float64 { return float64(len(g.Hub.Nodes())) },
-		"yarrowridge_stale":          func() float64 { return metrics.FlagValue(g.Hub.Stale()) },
+		"yarrowridge_routers":        func() float64 { return float64(len(g.Cluster.Nodes())) },
+		"yarrowridge_stale":          func() float64 { return metrics.FlagValue(g.Cluster.CoreSilent()) },
 		"yarrowridge_ready":          func() float64 { return metrics.FlagValue(g.ready() == "") },
 	}, g.Front.Counts())
 }
--- a/internal/dataplane/router/main.go
+++ b/internal/dataplane/router/main.go
@@ -11,10 +11,11 @@
 	"github.com/zeromicro/go-zero/rest"
 
 	"yarrowridge/internal/dataplane/clientapi"
-	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/dataplane/cluster"
 	"yarrowridge/internal/dataplane/place"
 	"yarrowridge/internal/dataplane/request"
 	"yarrowridge/internal/dataplane/runner"
+	"yarrowridge/internal/dataplane/streamstore"
 	"yarrowridge/internal/dataplane/tracing"
 	"yarrowridge/internal/lib/daemon"
 	"yarrowridge/internal/lib/faultinjection"
@@ -63,12 +64,12 @@
 
 // Router is the parts of one router, put together.
 type Router struct {
-	Hub         *node.Hub
+	Cluster     *cluster.Member
 	Runners     *runner.Pool
 	Scheduler   *place.Scheduler
 	QuotaShares *quota.Shares
 	Claims      *clientapi.Claims
-	Streams     *node.Streams
+	Streams     *streamstore.Store
 	Log         *request.Log
 	Metrics     *metrics.Metrics
 	Clients     *clientapi.Server
@@ -80,19 +81,19 @@
 func New(ctx daemon.Context, addr, clientAddr string, seeds []string, dial runner.Dial) *Router {
 	r := &Router{ctx: ctx, Scheduler: place.NewScheduler(ctx.Zone, place.NewPrefixMemory(1<<18)), Log: request.NewLog(256), sender: runner.NewSender(dial)}
 	r.Runners = runner.NewPool(ctx.Name, r.Scheduler.Wake)
-	r.Hub = node.NewHub(ctx.WithComponent("node"), addr, clientAddr, seeds, r.Runners.Apply)
+	r.Cluster = cluster.NewMember(ctx.WithComponent("node"), addr, clientAddr, seeds, r.Runners.Apply)
 	r.Metrics = metrics.New(metrics.Gauges{
 		"yarrowridge_queued":          func() float64 { n, _ := r.Scheduler.Waiting(); return float64(n) },
-		"yarrowridge_layout_sequence": func() float64 { return float64(r.Hub.Me().ConfigVersion) },
-		"yarrowridge_stale":           func() float64 { return metrics.FlagValue(r.Hub.Stale()) },
+		"yarrowridge_layout_sequence": func() float64 { return float64(r.Cluster.Self().ConfigVersion) },
+		"yarrowridge_stale":           func() float64 { return metrics.FlagValue(r.Cluster.CoreSilent()) },
 	})
-	r.QuotaShares = quota.NewShares(ctx.WithComponent("share"), quota.Options{Transfer: newMoveQueue(ctx, r.Hub).move, Nodes: func() int { return len(r.Hub.Nodes()) },
-		ScarceTenants: r.Hub.ScarceTenants, Rules: quotaRules(r.Hub), RecentContact: r.Hub.Fresh, InContact: func() bool { return !r.Hub.Stale() }})
-	r.Claims = clientapi.NewClaims(ctx.WithComponent("claim"), r.Hub)
-	r.Streams = node.NewStreams(ctx.WithComponent("stream"), r.Hub)
-	r.Clients = &clientapi.Server{Ctx: ctx.WithComponent("origin"), Hub: r.Hub, Runners: r.Runners, Scheduler: r.Scheduler, Sender: r.sender,
+	r.QuotaShares = quota.NewShares(ctx.WithComponent("share"), quota.Options{Transfer: newMoveQueue(ctx, r.Cluster).move, Nodes: func() int { return len(r.Cluster.Nodes()) },
+		ScarceTenants: r.Cluster.ScarceTenants, Rules: quotaRules(r.Cluster), RecentContact: r.Cluster.CoreResponsive, InContact: func() bool { return !r.Cluster.CoreSilent() }})
+	r.Claims = clientapi.NewClaims(ctx.WithComponent("claim"), r.Cluster)
+	r.Streams = streamstore.New(ctx.WithComponent("stream"), r.Cluster)
+	r.Clients = &clientapi.Server{Ctx: ctx.WithComponent("origin"), Cluster: r.Cluster, Runners: r.Runners, Scheduler: r.Scheduler, Sender: r.sender,
 		Metrics: r.Metrics, Log: r.Log, QuotaShares: r.QuotaShares, Retries: clientapi.NewRetryBudget(r.Metrics), Claims: r.Claims, Streams: r.Streams}
-	r.Streams.Successor = r.Clients.TakeOver
+	r.Streams.OnTakeover = r.Clients.TakeOver
 	return r
 }
 
@@ -101,7 +102,7 @@
 	go r.Scheduler.Run(r.ctx)
 	go r.QuotaShares.Run()
 	go r.Streams.Run()
-	go r.Hub.Run()
+	go r.Cluster.Run()
 	go runloop.Run(r.ctx, nil, 250*time.Millisecond, func(struct{}) {}, r.workSpreader())
 }
 
@@ -123,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	go wire.Serve(ctx, listener, router.Hub.Serve)
+	go wire.Serve(ctx, listener, router.Cluster.Serve)
 	router.Start()
 	ctx.Log.Info("Router is up.", "addr", process.Settings["addr"], "origin", process.Settings["origin"], "hall", ctx.Zone)
 
@@ -138,17 +139,17 @@
 func (r *Router) listen(process *daemon.Process) ([]*web.Server, error) {
 	clients, err := web.Handler([]rest.Route{
 		{Method: "GET", Path: "/alive", Handler: func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "{\"alive\":true}\n") }},
-		{Method: "GET", Path: "/ready", Handler: operator.Ready(r.Hub.Ready)},
+		{Method: "GET", Path: "/ready", Handler: operator.Ready(r.Cluster.NotReadyReason)},
 	}, r.Clients)
 	if err != nil {
 		return nil, err
 	}
-	runners, err := (&runner.API{Hub: r.Hub, KeyHash: func() string { return process.Setting("runner-key-hash") }}).Handler()
+	runners, err := (&runner.API{Cluster: r.Cluster, KeyHash: func() string { return process.Setting("runner-key-hash") }}).Handler()
 	if err != nil {
 		return nil, err
 	}
-	operators, err := (&operator.API{Ctx: r.ctx.WithComponent("operator"), Core: r.Hub.Core, KeyHash: func() string { return process.Setting("operator-key-hash") },
-		Ready: r.Hub.Ready, Metrics: r.Metrics.Handler(), Views: r.views()}).Handler()
+	operators, err := (&operator.API{Ctx: r.ctx.WithComponent("operator"), Core: r.Cluster.Core, KeyHash: func() string { return process.Setting("operator-key-hash") },
+		Ready: r.Cluster.NotReadyReason, Metrics: r.Metrics.Handler(), Views: r.views()}).Handler()
 	if err != nil {
 		return nil, err
 	}
@@ -174,7 +175,7 @@
 func (r *Router) drain(process *daemon.Process, servers []*web.Server) {
 	ctx := process.Ctx
 	ctx.Log.Info("Router leaves. Queries under way are finished.")
-	r.Hub.StartDraining()
+	r.Cluster.StartDraining()
 	runloop.Sleep(ctx, process.Settings.Duration("notice"))
 	// What was read is finished however long it takes; the platform's kill is the bound, unless an
 	// operator has set one below it.
@@ -190,15 +191,15 @@
 	}
 	for r.Claims.Settling()+r.Clients.Open() > 0 && runloop.Sleep(within, 20*time.Millisecond) {
 	}
-	r.Hub.Leave(ctx)
+	r.Cluster.Leave(ctx)
 	r.sender.Close()
 }
 
 // quotaRules gives the quotas of the config in force. A tenant whose quota was struck has none left to draw.
-func quotaRules(hub *node.Hub) func() []quota.Rule {
+func quotaRules(member *cluster.Member) func() []quota.Rule {
 	return func() []quota.Rule {
 		var out []quota.Rule
-		if config := hub.Config(); config != nil {
+		if config := member.Config(); config != nil {
 			for _, tenant := range config.Tenants {
 				if tenant.Quota.Units > 0 {
 					out = append(out, quota.Rule{Tenant: tenant.Name, Units: tenant.Quota.Units, Window: tenant.Quota.Window})
@@ -230,9 +231,9 @@
 		turn, last, still = turn+1, now, 0
 		// Word of an earlier run of ours comes back from the others; ours goes above it. No clock
 		// is asked which run is the later.
-		if old, _, ok := r.Hub.Records.Get(key); ok && (old.Generation > gen || old.Generation == gen && old.Version >= turn) {
+		if old, _, ok := r.Cluster.Records.Get(key); ok && (old.Generation > gen || old.Generation == gen && old.Version >= turn) {
 			gen = old.Generation + 1
 		}
-		r.Hub.Broadcast(dissemination.Update{Records: []dissemination.Record{{Key: key, Generation: gen, Version: turn, Body: raw}}})
+		r.Cluster.Broadcast(dissemination.Update{Records: []dissemination.Record{{Key: key, Generation: gen, Version: turn, Body: raw}}})
 	}
 }
--- a/internal/dataplane/router/moves.go
+++ b/internal/dataplane/router/moves.go
@@ -8,7 +8,7 @@
 	"github.com/rotisserie/eris"
 
 	"yarrowridge/internal/controlplane/coreapi"
-	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/dataplane/cluster"
 	"yarrowridge/internal/lib/daemon"
 	"yarrowridge/internal/model/quota"
 )
@@ -40,8 +40,8 @@
 }
 
 // newMoveQueue makes a queue to the core that the hub finds.
-func newMoveQueue(ctx daemon.Context, hub *node.Hub) *moveQueue {
-	return &moveQueue{ctx: ctx, holder: func() string { return coreapi.Holder(hub.Me()) },
+func newMoveQueue(ctx daemon.Context, hub *cluster.Member) *moveQueue {
+	return &moveQueue{ctx: ctx, holder: func() string { return coreapi.Holder(hub.Self()) },
 		call: func(ctx context.Context, in *coreapi.QuotaMovesRequest, out *coreapi.QuotaMovesResponse) error {
 			return hub.Core.Call(ctx, "core.moves", in, out, true)
 		}}
--- a/internal/dataplane/router/sessions.go
+++ b/internal/dataplane/router/sessions.go
@@ -58,8 +58,8 @@
 }
 
 func newSessionNews(g *Gateway) *sessionNews {
-	return &sessionNews{ctx: g.ctx.WithComponent("session"), balancer: g.Balancer, directory: g.Balancer.Sessions, spread: g.Hub.Broadcast,
-		sure: g.Hub.BroadcastToAll, nodes: g.Hub.Nodes, call: g.Hub.Call, core: g.Hub.Core.Call}
+	return &sessionNews{ctx: g.ctx.WithComponent("session"), balancer: g.Balancer, directory: g.Balancer.Sessions, spread: g.Cluster.Broadcast,
+		sure: g.Cluster.BroadcastToAll, nodes: g.Cluster.Nodes, call: g.Cluster.Call, core: g.Cluster.Core.Call}
 }
 
 // see takes a record that the relays brought. Others are passed over.
@@ -119,7 +119,7 @@
 
 // tell hands what is new to the other routers. Nothing is sent where nothing is.
 func (s *sessionNews) tell() {
-	entries := s.directory.TakeUpdates()
+	entries := s.directory.DrainUpdates()
 	if len(entries) == 0 {
 		return
 	}
@@ -131,7 +131,7 @@
 // leave hands the last news to the other routers directly: the part of the tree that leads through this one
 // must not be what others depend on.
 func (s *sessionNews) leave(ctx context.Context) {
-	entries := s.directory.TakeUpdates()
+	entries := s.directory.DrainUpdates()
 	if record, ok := s.record(entries); ok && len(entries) > 0 {
 		s.sure(ctx, []dissemination.Record{record})
 	}
--- a/internal/dataplane/router/status_test.go
+++ b/internal/dataplane/router/status_test.go
@@ -6,7 +6,7 @@
 	"sync"
 	"testing"
 
-	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/dataplane/cluster"
 	"yarrowridge/internal/lib/daemon"
 	"yarrowridge/internal/model/fleetconfig"
 	"yarrowridge/internal/transport/dissemination"
@@ -17,12 +17,12 @@
 func TestStatusIsOfOneConfiguration(t *testing.T) {
 	text := func(version uint64) string { return fmt.Sprint("configuration ", version) }
 	ctx := daemon.Context{Context: t.Context(), Name: "north1", Log: slog.New(slog.DiscardHandler)}
-	hub := node.NewHub(ctx, "10.0.0.1:1", "10.0.0.1:2", nil, func(dissemination.Record) {}, node.Document(func(uint64, []byte) error { return nil }))
-	r := &Router{Hub: hub}
+	member := cluster.NewMember(ctx, "10.0.0.1:1", "10.0.0.1:2", nil, func(dissemination.Record) {}, cluster.WithDocument(func(uint64, []byte) error { return nil }))
+	r := &Router{Cluster: member}
 	var writing sync.WaitGroup
 	writing.Go(func() {
 		for version := uint64(1); version <= 3000; version++ {
-			hub.Records.Merge([]dissemination.Record{dissemination.ConfigRecord(version, []byte(text(version)))})
+			member.Records.Merge([]dissemination.Record{dissemination.ConfigRecord(version, []byte(text(version)))})
 		}
 	})
 	for seen := uint64(0); seen < 3000; {
--- a/internal/dataplane/router/views.go
+++ b/internal/dataplane/router/views.go
@@ -43,7 +43,7 @@
 func (r *Router) views() map[string]func() any {
 	return map[string]func() any{
 		"/v1/standing": func() any { return r.statusView() },
-		"/v1/relays":   func() any { return relaysView{Near: r.Hub.Neighbours(), Nodes: r.Hub.Nodes()} },
+		"/v1/relays":   func() any { return relaysView{Near: r.Cluster.Neighbours(), Nodes: r.Cluster.Nodes()} },
 		"/v1/runners":  func() any { return r.runnerViews() },
 		"/v1/shares":   func() any { return r.shareViews() },
 		"/v1/queries":  func() any { return r.Log.All() },
@@ -53,10 +53,10 @@
 
 // statusView tells one configuration's version and hash, also while configurations come in quick succession.
 func (r *Router) statusView() statusView {
-	version, hash := r.Hub.ConfigInForce()
-	own := r.Hub.Me()
+	version, hash := r.Cluster.ConfigInForce()
+	own := r.Cluster.Self()
 	own.ConfigVersion = version
-	return statusView{ConfigHash: hash, Node: own, Stale: r.Hub.Stale(), View: r.Hub.Core.View(), WhyNotReady: r.Hub.Ready()}
+	return statusView{ConfigHash: hash, Node: own, Stale: r.Cluster.CoreSilent(), View: r.Cluster.Core.View(), WhyNotReady: r.Cluster.NotReadyReason()}
 }
 
 func (r *Router) runnerViews() []runnerView {
--- a/internal/dataplane/runner/api.go
+++ b/internal/dataplane/runner/api.go
@@ -12,7 +12,7 @@
 	"github.com/tidwall/gjson"
 	"github.com/zeromicro/go-zero/rest"
 
-	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/dataplane/cluster"
 	"yarrowridge/internal/lib/web"
 	"yarrowridge/internal/model/fleetconfig"
 	"yarrowridge/internal/transport/dissemination"
@@ -20,7 +20,7 @@
 
 // API is the runners' listener: where they send heartbeats.
 type API struct {
-	Hub     *node.Hub
+	Cluster *cluster.Member
 	KeyHash func() string // hex SHA-256 of the runners' key; "" takes heartbeats without one
 }
 
@@ -106,16 +106,16 @@
 		return
 	}
 	if report.Zone == "" {
-		report.Zone = api.Hub.Me().Zone
+		report.Zone = api.Cluster.Self().Zone
 	}
-	record, fresh := NextRecord(api.Hub.Records, report, turn)
+	record, fresh := NextRecord(api.Cluster.Records, report, turn)
 	recs := []dissemination.Record{record}
-	api.Hub.Broadcast(dissemination.Update{Records: recs})
+	api.Cluster.Broadcast(dissemination.Update{Records: recs})
 	// A word of leaving, or any change of state, must outlive this router before we say it is taken.
 	if fresh {
 		ctx, end := context.WithTimeout(r.Context(), time.Second)
 		defer end()
-		if !api.Hub.BroadcastToAll(ctx, recs) && report.State == "leaving" {
+		if !api.Cluster.BroadcastToAll(ctx, recs) && report.State == "leaving" {
 			w.Header().Set("Retry-After", "1")
 			web.WriteError(w, http.StatusServiceUnavailable, "not-spread", "No other router could be told yet. Beat again.")
 			return
--- a/internal/dataplane/runner/msgs.go
+++ b/internal/dataplane/runner/msgs.go
@@ -18,3 +18,16 @@
 	Queued    int               `msg:"q" json:"queued_tokens"` // its own late count of output still to come
 	Zone      string            `msg:"h" json:"hall"`
 }
+
+// Load is the work that one router has in flight at one runner.
+type Load struct {
+	Streams int     `msg:"s"`
+	Tokens  int     `msg:"t"` // output tokens still to come
+	Rate    float64 `msg:"r"` // output tokens per second seen, 0 where no stream has ended
+}
+
+// Work is a router's report of its own work to the other routers: in flight per runner, and queued per lane.
+type Work struct {
+	Runners map[string]Load `msg:"r"`
+	Queued  map[string]int  `msg:"q"`
+}
--- a/internal/dataplane/runner/msgs_gen.go
+++ b/internal/dataplane/runner/msgs_gen.go
@@ -12,6 +12,80 @@
 	z78411aa4limitMaps   = 200000
 )
 
+// MarshalMsg implements msgp.Marshaler
+func (z Load) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 3
+	// string "s"
+	o = append(o, 0x83, 0xa1, 0x73)
+	o = msgp.AppendInt(o, z.Streams)
+	// string "t"
+	o = append(o, 0xa1, 0x74)
+	o = msgp.AppendInt(o, z.Tokens)
+	// string "r"
+	o = append(o, 0xa1, 0x72)
+	o = msgp.AppendFloat64(o, z.Rate)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Load) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > z78411aa4limitMaps {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "s":
+			z.Streams, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Streams")
+				return
+			}
+		case "t":
+			z.Tokens, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Tokens")
+				return
+			}
+		case "r":
+			z.Rate, bts, err = msgp.ReadFloat64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Rate")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z Load) Msgsize() (s int) {
+	s = 1 + 2 + msgp.IntSize + 2 + msgp.IntSize + 2 + msgp.Float64Size
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z *Report) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -185,3 +259,189 @@
 	s += 2 + msgp.StringPrefixSize + len(z.State) + 2 + msgp.IntSize + 2 + msgp.IntSize + 2 + msgp.Float64Size + 2 + msgp.IntSize + 2 + msgp.StringPrefixSize + len(z.Zone)
 	return
 }
+
+// MarshalMsg implements msgp.Marshaler
+func (z *Work) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 2
+	// string "r"
+	o = append(o, 0x82, 0xa1, 0x72)
+	o = msgp.AppendMapHeader(o, uint32(len(z.Runners)))
+	for za0001, za0002 := range z.Runners {
+		o = msgp.AppendString(o, za0001)
+		// map header, size 3
+		// string "s"
+		o = append(o, 0x83, 0xa1, 0x73)
+		o = msgp.AppendInt(o, za0002.Streams)
+		// string "t"
+		o = append(o, 0xa1, 0x74)
+		o = msgp.AppendInt(o, za0002.Tokens)
+		// string "r"
+		o = append(o, 0xa1, 0x72)
+		o = msgp.AppendFloat64(o, za0002.Rate)
+	}
+	// string "q"
+	o = append(o, 0xa1, 0x71)
+	o = msgp.AppendMapHeader(o, uint32(len(z.Queued)))
+	for za0003, za0004 := range z.Queued {
+		o = msgp.AppendString(o, za0003)
+		o = msgp.AppendInt(o, za0004)
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Work) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > z78411aa4limitMaps {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "r":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Runners")
+				return
+			}
+			if zb0002 > z78411aa4limitMaps {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			if z.Runners == nil {
+				z.Runners = make(map[string]Load, zb0002)
+			} else if len(z.Runners) > 0 {
+				clear(z.Runners)
+			}
+			for zb0002 > 0 {
+				var za0002 Load
+				zb0002--
+				var za0001 string
+				za0001, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Runners")
+					return
+				}
+				var zb0003 uint32
+				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Runners", za0001)
+					return
+				}
+				if zb0003 > z78411aa4limitMaps {
+					err = msgp.ErrLimitExceeded
+					return
+				}
+				for zb0003 > 0 {
+					zb0003--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Runners", za0001)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "s":
+						za0002.Streams, bts, err = msgp.ReadIntBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Runners", za0001, "Streams")
+							return
+						}
+					case "t":
+						za0002.Tokens, bts, err = msgp.ReadIntBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Runners", za0001, "Tokens")
+							return
+						}
+					case "r":
+						za0002.Rate, bts, err = msgp.ReadFloat64Bytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Runners", za0001, "Rate")
+							return
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Runners", za0001)
+							return
+						}
+					}
+				}
+				z.Runners[za0001] = za0002
+			}
+		case "q":
+			var zb0004 uint32
+			zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Queued")
+				return
+			}
+			if zb0004 > z78411aa4limitMaps {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			if z.Queued == nil {
+				z.Queued = make(map[string]int, zb0004)
+			} else if len(z.Queued) > 0 {
+				clear(z.Queued)
+			}
+			for zb0004 > 0 {
+				var za0004 int
+				zb0004--
+				var za0003 string
+				za0003, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Queued")
+					return
+				}
+				za0004, bts, err = msgp.ReadIntBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Queued", za0003)
+					return
+				}
+				z.Queued[za0003] = za0004
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *Work) Msgsize() (s int) {
+	s = 1 + 2 + msgp.MapHeaderSize
+	if z.Runners != nil {
+		for za0001, za0002 := range z.Runners {
+			_ = za0002
+			s += msgp.StringPrefixSize + len(za0001) + 1 + 2 + msgp.IntSize + 2 + msgp.IntSize + 2 + msgp.Float64Size
+		}
+	}
+	s += 2 + msgp.MapHeaderSize
+	if z.Queued != nil {
+		for za0003, za0004 := range z.Queued {
+			_ = za0004
+			s += msgp.StringPrefixSize + len(za0003) + msgp.IntSize
+		}
+	}
+	return
+}
--- a/internal/dataplane/runner/pool.go
+++ b/internal/dataplane/runner/pool.go
@@ -8,7 +8,6 @@
 	"sync"
 	"time"
 
-	"yarrowridge/internal/dataplane/node"
 	"yarrowridge/internal/lib/faultinjection"
 	"yarrowridge/internal/model/fleetconfig"
 	"yarrowridge/internal/transport/dissemination"
@@ -41,7 +40,7 @@
 	excludedUntil time.Time // no new requests before
 	onTrial       bool      // one request is out to see whether it serves again
 	speed         speed
-	remoteLoad    node.Load // what other routers say they have sent
+	remoteLoad    Load // what other routers say they have sent
 	remoteRate    float64
 	remoteRouters int // other routers that lately had streams on it
 }
@@ -59,7 +58,7 @@
 
 // remoteWork is what another router last told of its work.
 type remoteWork struct {
-	work node.Work
+	work Work
 	at   time.Time
 }
 
@@ -105,7 +104,7 @@
 		p.wake()
 	case record.Key == WorkPrefix+p.self: // our own word, come round: we know better
 	case strings.HasPrefix(record.Key, WorkPrefix):
-		var work node.Work
+		var work Work
 		if _, err := work.UnmarshalMsg(record.Body); err != nil {
 			return
 		}
@@ -119,7 +118,7 @@
 // SumRemoteWork sums up anew what the other routers have sent, leaving out those not heard of lately.
 func (p *Pool) SumRemoteWork() {
 	p.mu.Lock()
-	sum := map[string]node.Load{}
+	sum := map[string]Load{}
 	rate := map[string]float64{}
 	rated, busy := map[string]int{}, map[string]int{}
 	for router, remote := range p.work {
@@ -181,11 +180,11 @@
 }
 
 // OwnWork tells our own work, for the other routers.
-func (p *Pool) OwnWork() node.Work {
-	work := node.Work{Runners: map[string]node.Load{}, Queued: map[string]int{}}
+func (p *Pool) OwnWork() Work {
+	work := Work{Runners: map[string]Load{}, Queued: map[string]int{}}
 	for _, instance := range p.List() {
 		instance.mu.Lock()
-		load := node.Load{Streams: len(instance.slots), Tokens: instance.ownQueuedTokens(), Rate: instance.rate(instance.capacity())}
+		load := Load{Streams: len(instance.slots), Tokens: instance.ownQueuedTokens(), Rate: instance.rate(instance.capacity())}
 		instance.mu.Unlock()
 		if load.Streams > 0 || load.Rate > 0 {
 			work.Runners[instance.Addr] = load
--- a/internal/dataplane/session/directory.go
+++ b/internal/dataplane/session/directory.go
@@ -221,7 +221,7 @@
 }
 
 // TakeUpdates gives the entries that the other routers are to be told now, in the order in which they came.
-func (d *Directory) TakeUpdates() []Entry {
+func (d *Directory) DrainUpdates() []Entry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var out []Entry
--- a/internal/dataplane/session/directory_test.go
+++ b/internal/dataplane/session/directory_test.go
@@ -32,19 +32,19 @@
 func TestTheNewestWordStands(t *testing.T) {
 	one, two := New(10), New(10)
 	one.Record(1, "a")
-	first := one.TakeUpdates()
+	first := one.DrainUpdates()
 	two.Merge(first)
 	two.Record(1, "b", "a")
-	second := two.TakeUpdates()
+	second := two.DrainUpdates()
 	one.Merge(second)
 	one.Merge(first) // once more, late
 	lookup(t, one, 1, "b", "a")
 	lookup(t, two, 1, "b", "a")
-	if again := append(one.TakeUpdates(), two.TakeUpdates()...); len(again) != 0 {
+	if again := append(one.DrainUpdates(), two.DrainUpdates()...); len(again) != 0 {
 		t.Errorf("told again: %v", again)
 	}
 	one.Record(1, "b", "a")
-	if again := one.TakeUpdates(); len(again) != 0 {
+	if again := one.DrainUpdates(); len(again) != 0 {
 		t.Errorf("told though nothing moved: %v", again)
 	}
 }
@@ -54,9 +54,9 @@
 	ahead, behind := New(10), New(10)
 	ahead.now = func() time.Time { return time.Now().Add(time.Hour) }
 	ahead.Record(1, "a")
-	behind.Merge(ahead.TakeUpdates())
+	behind.Merge(ahead.DrainUpdates())
 	behind.Record(1, "b")
-	ahead.Merge(behind.TakeUpdates())
+	ahead.Merge(behind.DrainUpdates())
 	lookup(t, ahead, 1, "b")
 	lookup(t, behind, 1, "b")
 }
@@ -66,8 +66,8 @@
 	one, two := New(10), New(10)
 	one.Record(1, "a")
 	two.Record(1, "a")
-	two.Merge(one.TakeUpdates())
-	if told := two.TakeUpdates(); len(told) != 0 {
+	two.Merge(one.DrainUpdates())
+	if told := two.DrainUpdates(); len(told) != 0 {
 		t.Errorf("told again: %v", told)
 	}
 	if !reflect.DeepEqual(contents(one), contents(two)) {
@@ -79,7 +79,7 @@
 	d := New(10)
 	d.Record(1, "a", "b")
 	d.Record(2, "a")
-	told := d.TakeUpdates()
+	told := d.DrainUpdates()
 	d.RemoveRunners("a")
 	lookup(t, d, 1, "b")
 	lookup(t, d, 2)
@@ -104,7 +104,7 @@
 	lookup(t, d, 0, "a", "b")
 	lookup(t, d, 1)
 	lookup(t, d, 999, "a", "b")
-	if told := d.TakeUpdates(); len(told) != 100 {
+	if told := d.DrainUpdates(); len(told) != 100 {
 		t.Errorf("%d entries are told, those that are kept expected", len(told))
 	}
 	for i := range 3 * goneMost {
@@ -170,7 +170,7 @@
 			routers[i].now = func() time.Time { return clock.Add(skew) }
 		}
 		var told []announcement
-		tell := func(i int) { told = append(told, announcement{routers[i].TakeUpdates(), map[int]bool{i: true}}) }
+		tell := func(i int) { told = append(told, announcement{routers[i].DrainUpdates(), map[int]bool{i: true}}) }
 		hear := func(i int, what announcement) {
 			what.heard[i] = true
 			routers[i].Merge(what.entries)
@@ -206,7 +206,7 @@
 			if got := contents(router); !reflect.DeepEqual(got, newest) {
 				t.Fatalf("router %d has %v, %v expected", i, got, newest)
 			}
-			if again := router.TakeUpdates(); len(again) != 0 {
+			if again := router.DrainUpdates(); len(again) != 0 {
 				t.Fatalf("router %d tells again: %v", i, again)
 			}
 		}
--- a/internal/dataplane/session/memory_bench_test.go
+++ b/internal/dataplane/session/memory_bench_test.go
@@ -22,7 +22,7 @@
 		for i := range uint64(entries) {
 			d.Record(i*0x9e3779b97f4a7c15, runners[i%20], runners[(i+1)%20])
 		}
-		for len(d.TakeUpdates()) > 0 {
+		for len(d.DrainUpdates()) > 0 {
 		}
 		b.ReportMetric(float64(heap()-before)/entries, "B/entry")
 		raw, err := Pack(d.Newest(1000)).MarshalMsg(nil)
--- a/internal/dataplane/node/streamlist.go
+++ b/internal/dataplane/streamstore/list.go
@@ -1,30 +1,30 @@
-package node
+package streamstore
 
 import (
 	"sort"
 )
 
 // HeldStream is one stream as an operator may read it.
-type HeldStream struct {
+type Info struct {
 	RequestID  string `json:"query"`
 	Tenant     string `json:"tenant"`
 	Router     string `json:"router"` // that carries it
 	Own        bool   `json:"mine"`   // we do, else we are its standby
-	Repeatable bool   `json:"repeatable"`
-	Turn       int    `json:"turn"` // standbys it has had
-	Pieces     int    `json:"pieces"`
+	Idempotent bool   `json:"repeatable"`
+	Term       int    `json:"turn"` // standbys it has had
+	Chunks     int    `json:"pieces"`
 	Ended      bool   `json:"ended"`
-	Lost       string `json:"lost,omitempty"`
+	Failure    string `json:"lost,omitempty"`
 }
 
 // List tells all streams held here, carried or as standby.
-func (s *Streams) List() []HeldStream {
+func (s *Store) List() []Info {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := []HeldStream{}
+	out := []Info{}
 	for _, stream := range s.byID {
 		stream.mu.Lock()
-		held := HeldStream{stream.ID, stream.Tenant, stream.ownerName, stream.ownerName == "", stream.request != nil, stream.turn, len(stream.pieces), stream.ended, stream.lost}
+		held := Info{stream.ID, stream.Tenant, stream.ownerName, stream.ownerName == "", stream.request != nil, stream.term, len(stream.chunks), stream.ended, stream.failure}
 		stream.mu.Unlock()
 		if held.Own {
 			held.Router = s.ctx.Name
--- a/internal/dataplane/node/standby.go
+++ b/internal/dataplane/streamstore/standby.go
@@ -1,4 +1,4 @@
-package node
+package streamstore
 
 import (
 	"context"
@@ -9,24 +9,24 @@
 )
 
 // AssignStandby names a standby for a stream that was taken over, before its second run.
-func (s *Streams) AssignStandby(ctx context.Context, stream *Stream) error {
-	n, _ := stream.HeldPieces()
-	return s.copyToStandby(ctx, stream, StreamCopy{From: n})
+func (s *Store) AssignStandby(ctx context.Context, stream *Stream) error {
+	n, _ := stream.Replayable()
+	return s.replicate(ctx, stream, ReplicateRequest{Offset: n})
 }
 
 // revokeStandby makes sure that the standby we have does not carry the stream on.
-func (s *Streams) revokeStandby(ctx context.Context, stream *Stream) error {
+func (s *Store) revokeStandby(ctx context.Context, stream *Stream) error {
 	if stream.standbyName == "" || stream.request == nil {
 		return nil // there is none, or it has no right to
 	}
-	granted, err := s.claimTurn(ctx, stream.ID, stream.turn)
+	granted, err := s.claimTerm(ctx, stream.ID, stream.term)
 	if err != nil || !granted {
 		s.ctx.Log.Warn("Another router may carry the stream on. Ours ends.", "query", stream.ID)
-		s.forget(stream) // whoever asks us for it is to ask the others
-		return ErrCarriedElsewhere
+		s.drop(stream) // whoever asks us for it is to ask the others
+		return ErrServedElsewhere
 	}
 	stream.mu.Lock()
-	stream.turn++
+	stream.term++
 	stream.mu.Unlock()
 	return nil
 }
@@ -35,17 +35,17 @@
 // allowed, a standby that did not answer may believe us gone: before anything is shown without it,
 // its turn has to be ours. A new one is called first without the request, which alone gives the right to
 // carry on: one that is out of reach costs no turn, so that a zone cut off from the core serves on.
-func (s *Streams) copyToStandby(ctx context.Context, stream *Stream, change StreamCopy) error {
+func (s *Store) replicate(ctx context.Context, stream *Stream, change ReplicateRequest) error {
 	if stream.tooLarge {
 		return nil
 	}
-	change.ID, change.Tenant, change.Owner, change.Addr = stream.ID, stream.Tenant, s.ctx.Name, s.hub.addr
-	for stream.failedStandbys < maxCopyTries {
+	change.ID, change.Tenant, change.Owner, change.OwnerAddr = stream.ID, stream.Tenant, s.ctx.Name, s.cluster.Addr()
+	for stream.failedStandbys < maxStandbyAttempts {
 		isNew := stream.standbyAddr == ""
 		if isNew && !s.chooseStandby(stream) {
 			return nil
 		}
-		reached, err := s.copyTo(ctx, stream, change, isNew)
+		reached, err := s.replicateTo(ctx, stream, change, isNew)
 		if err == nil {
 			return nil
 		}
@@ -63,33 +63,33 @@
 
 // copyTo sends a change to the chosen standby. reached: it may have the right to carry the stream on, though err says
 // that it did not answer.
-func (s *Streams) copyTo(ctx context.Context, stream *Stream, change StreamCopy, isNew bool) (reached bool, err error) {
+func (s *Store) replicateTo(ctx context.Context, stream *Stream, change ReplicateRequest, isNew bool) (reached bool, err error) {
 	next := change
 	stream.mu.Lock()
-	next.StandbyTurn = stream.turn
+	next.Term = stream.term
 	if isNew {
-		next.From, next.Pieces, next.Request = 0, stream.pieces, stream.request
+		next.Offset, next.Chunks, next.Request = 0, stream.chunks, stream.request
 	}
 	stream.mu.Unlock()
 	if isNew && next.Request != nil {
-		first := StreamCopy{ID: change.ID, Tenant: change.Tenant, Owner: change.Owner, Addr: change.Addr, StandbyTurn: next.StandbyTurn}
-		if err := s.sendCopy(ctx, stream, &first); err != nil {
+		first := ReplicateRequest{ID: change.ID, Tenant: change.Tenant, Owner: change.Owner, OwnerAddr: change.OwnerAddr, Term: next.Term}
+		if err := s.sendReplication(ctx, stream, &first); err != nil {
 			return false, err
 		}
 	}
-	return true, s.sendCopy(ctx, stream, &next)
+	return true, s.sendReplication(ctx, stream, &next)
 }
 
 // sendCopy asks the standby to hold something, for a short time.
-func (s *Streams) sendCopy(ctx context.Context, stream *Stream, change *StreamCopy) error {
-	short, cancel := context.WithTimeout(context.WithoutCancel(ctx), copyTimeout)
+func (s *Store) sendReplication(ctx context.Context, stream *Stream, change *ReplicateRequest) error {
+	short, cancel := context.WithTimeout(context.WithoutCancel(ctx), replicateTimeout)
 	defer cancel()
-	return s.hub.Call(short, stream.standbyAddr, "stream.copy", change, nil)
+	return s.cluster.Call(short, stream.standbyAddr, "stream.copy", change, nil)
 }
 
 // chooseStandby chooses a standby in another zone; without one the stream goes on unguarded.
-func (s *Streams) chooseStandby(stream *Stream) bool {
-	nodes := s.hub.Nodes()
+func (s *Store) chooseStandby(stream *Stream) bool {
+	nodes := s.cluster.Nodes()
 	hash := 0
 	for _, c := range stream.ID {
 		hash = hash*31 + int(c)
@@ -105,15 +105,15 @@
 }
 
 // takeCopy takes a copy as a standby.
-func (s *Streams) takeCopy(change *StreamCopy) (*coreapi.Empty, error) {
+func (s *Store) handleReplicate(change *ReplicateRequest) (*coreapi.Empty, error) {
 	size := 0
-	for _, piece := range change.Pieces {
+	for _, piece := range change.Chunks {
 		size += len(piece)
 	}
 	if change.Request != nil {
 		size += len(change.Request.Body)
 	}
-	stream := s.standbyStream(change)
+	stream := s.replicaFor(change)
 	if stream == nil {
 		return nil, wire.StatusError{Code: codeGap}
 	}
@@ -122,7 +122,7 @@
 	}
 	var taken int
 	var err error
-	stream.change(func() { taken, err = stream.addCopy(change) })
+	stream.update(func() { taken, err = stream.applyReplication(change) })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.size -= size - taken // reserved, and not needed after all
@@ -130,31 +130,31 @@
 }
 
 // standbyStream gives the stream that a copy is of, and begins it with its first copy; nil where that was missed.
-func (s *Streams) standbyStream(change *StreamCopy) *Stream {
+func (s *Store) replicaFor(change *ReplicateRequest) *Stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	stream := s.byID[change.ID]
-	if stream == nil && change.From == 0 {
-		stream = &Stream{ID: change.ID, Tenant: change.Tenant, ownerName: change.Owner, ownerAddr: change.Addr, changed: make(chan struct{}), changedAt: time.Now()}
+	if stream == nil && change.Offset == 0 {
+		stream = &Stream{ID: change.ID, Tenant: change.Tenant, ownerName: change.Owner, ownerAddr: change.OwnerAddr, changed: make(chan struct{}), changedAt: time.Now()}
 		s.byID[change.ID] = stream
 	}
 	return stream
 }
 
 // addCopy adds what is new in a copy, and tells how many bytes that are. The caller holds the lock.
-func (stream *Stream) addCopy(change *StreamCopy) (taken int, err error) {
-	have := len(stream.pieces)
+func (stream *Stream) applyReplication(change *ReplicateRequest) (taken int, err error) {
+	have := len(stream.chunks)
 	switch {
-	case stream.ownerName == "" || change.StandbyTurn < stream.turn:
+	case stream.ownerName == "" || change.Term < stream.term:
 		return 0, wire.StatusError{Code: codeGivenUp} // we carry it on, or somebody after its sender does
-	case stream.lost != "":
+	case stream.failure != "":
 		return 0, wire.StatusError{Code: codeGivenUp} // told a client so already
-	case change.From > have:
+	case change.Offset > have:
 		return 0, wire.StatusError{Code: codeGap}
 	}
-	for i, piece := range change.Pieces {
-		if change.From+i >= have {
-			stream.pieces = append(stream.pieces, piece)
+	for i, piece := range change.Chunks {
+		if change.Offset+i >= have {
+			stream.chunks = append(stream.chunks, piece)
 			taken += len(piece)
 		}
 	}
@@ -163,8 +163,8 @@
 		taken += len(change.Request.Body)
 	}
 	stream.size += taken
-	stream.readable = len(stream.pieces)
-	stream.turn, stream.ownerName, stream.ownerAddr = change.StandbyTurn, change.Owner, change.Addr
-	stream.ended, stream.lost = stream.ended || change.End, change.Lost
+	stream.readable = len(stream.chunks)
+	stream.term, stream.ownerName, stream.ownerAddr = change.Term, change.Owner, change.OwnerAddr
+	stream.ended, stream.failure = stream.ended || change.Complete, change.Failure
 	return taken, nil
 }
--- a/internal/testing/compat/messages_test.go
+++ b/internal/testing/compat/messages_test.go
@@ -16,9 +16,10 @@
 	"yarrowridge/internal/controlplane/paxos"
 	"yarrowridge/internal/controlplane/store"
 	"yarrowridge/internal/controlplane/view"
-	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/dataplane/cluster"
 	"yarrowridge/internal/dataplane/runner"
 	"yarrowridge/internal/dataplane/session"
+	"yarrowridge/internal/dataplane/streamstore"
 	"yarrowridge/internal/model/quota"
 	"yarrowridge/internal/model/routing"
 	"yarrowridge/internal/transport/dissemination"
@@ -64,14 +65,14 @@
 	"core.ReplicateResponse":  new(core.ReplicateResponse),
 	"core.StateRequest":       new(coreapi.StateRequest),
 	"core.WriteRecord":        new(core.WriteResult),
-	"node.NodeList":           new(node.NodeList),
-	"node.StreamCopy":         new(node.StreamCopy),
-	"node.StreamReadRequest":  new(node.StreamReadRequest),
-	"node.StreamReadResponse": new(node.StreamReadResponse),
-	"node.StreamRequest":      new(node.StreamRequest),
-	"node.Work":               new(node.Work),
-	"node.Load":               new(node.Load),
-	"node.NodeListRequest":    new(node.NodeListRequest),
+	"node.NodeList":           new(cluster.NodeList),
+	"node.StreamCopy":         new(streamstore.ReplicateRequest),
+	"node.StreamReadRequest":  new(streamstore.ReadRequest),
+	"node.StreamReadResponse": new(streamstore.ReadResponse),
+	"node.StreamRequest":      new(streamstore.SavedRequest),
+	"node.Work":               new(runner.Work),
+	"node.Load":               new(runner.Load),
+	"node.NodeListRequest":    new(cluster.NodeListRequest),
 	"relay.Difference":        new(dissemination.Difference),
 	"relay.Digests":           new(dissemination.Digests),
 	"relay.News":              new(dissemination.Update),
--- a/internal/testing/sim/core_test.go
+++ b/internal/testing/sim/core_test.go
@@ -194,7 +194,7 @@
 		}
 		f.within(2*time.Second, "routers follow to the new machines", func() bool {
 			for _, r := range f.routers {
-				if lay := r.hub.Config(); lay == nil || lay.Version != p.seq || r.hub.Stale() {
+				if lay := r.hub.Config(); lay == nil || lay.Version != p.seq || r.hub.CoreSilent() {
 					return false
 				}
 			}
@@ -203,7 +203,7 @@
 		// Every router starts again with seeds that name machines long gone; then every process does.
 		ready := func() bool {
 			for _, r := range f.routers {
-				if lay := r.hub.Config(); lay == nil || lay.Version < p.seq || r.hub.Ready() != "" {
+				if lay := r.hub.Config(); lay == nil || lay.Version < p.seq || r.hub.NotReadyReason() != "" {
 					return false
 				}
 			}
--- a/internal/testing/sim/day_test.go
+++ b/internal/testing/sim/day_test.go
@@ -167,10 +167,10 @@
 	for ; !over(); time.Sleep(20 * time.Millisecond) {
 		for i, r := range w.full {
 			run := r.now()
-			if run == nil || run.Hub.Config() == nil {
+			if run == nil || run.Cluster.Config() == nil {
 				continue
 			}
-			seq := run.Hub.Config().Version
+			seq := run.Cluster.Config().Version
 			if was[i].run == run && seq < was[i].seq {
 				w.t.Errorf("%s went back from sequence %d to %d", r.name, was[i].seq, seq)
 			}
--- a/internal/testing/sim/document_test.go
+++ b/internal/testing/sim/document_test.go
@@ -12,7 +12,7 @@
 
 	"yarrowridge/internal/controlplane/core"
 	"yarrowridge/internal/controlplane/coreapi"
-	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/dataplane/cluster"
 	"yarrowridge/internal/transport/wire"
 )
 
@@ -55,10 +55,10 @@
 	got := map[string]*taken{}
 	f := newFleetOf(t, seed, routers, func(f *fleet) {
 		f.codec = lines{}
-		f.options = func(r *routerProc) []node.Option {
+		f.options = func(r *routerProc) []cluster.Option {
 			mine := &taken{}
 			got[r.name] = mine
-			return []node.Option{node.Document(func(sequence uint64, raw []byte) error {
+			return []cluster.Option{cluster.WithDocument(func(sequence uint64, raw []byte) error {
 				mine.mu.Lock()
 				defer mine.mu.Unlock()
 				if n := len(mine.all); n > 0 && mine.all[n-1] >= sequence {
@@ -79,7 +79,7 @@
 func (f *fleet) everyRouterAt(sequence uint64) func() bool {
 	return func() bool {
 		for _, r := range f.routers {
-			if r.hub.ConfigVersion() != sequence || r.hub.Ready() != "" {
+			if r.hub.ConfigVersion() != sequence || r.hub.NotReadyReason() != "" {
 				return false
 			}
 		}
@@ -183,7 +183,7 @@
 		f.crashRouter(r)
 		f.startRouter(r)
 		f.within(3*time.Second, "a new router has it", f.everyRouterAt(last+1))
-		if mine := got[r.name]; !bytes.Equal(mine.raw, huge) || r.hub.Config() != nil || r.hub.Me().ConfigVersion != last+1 {
+		if mine := got[r.name]; !bytes.Equal(mine.raw, huge) || r.hub.Config() != nil || r.hub.Self().ConfigVersion != last+1 {
 			t.Errorf("the new router has %d bytes", len(mine.raw))
 		}
 
@@ -191,8 +191,8 @@
 		_, hash := r.hub.ConfigInForce()
 		write(coreapi.WriteRequest{AnyVersion: true, Raw: whole(last+2, "strange")}, 200, last+2)
 		time.Sleep(time.Second)
-		if version, now := r.hub.ConfigInForce(); version != last+1 || now != hash || r.hub.Ready() != "" {
-			t.Errorf("after a strange document the router is at %d, %q", r.hub.ConfigVersion(), r.hub.Ready())
+		if version, now := r.hub.ConfigInForce(); version != last+1 || now != hash || r.hub.NotReadyReason() != "" {
+			t.Errorf("after a strange document the router is at %d, %q", r.hub.ConfigVersion(), r.hub.NotReadyReason())
 		}
 		write(coreapi.WriteRequest{AnyVersion: true, Raw: whole(last+3, "a 10")}, 200, last+3)
 		f.within(2*time.Second, "every router takes the next", f.everyRouterAt(last+3))
--- a/internal/testing/sim/fleet_test.go
+++ b/internal/testing/sim/fleet_test.go
@@ -18,7 +18,7 @@
 	"yarrowridge/internal/controlplane/core"
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/coreclient"
-	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/dataplane/cluster"
 	"yarrowridge/internal/lib/daemon"
 	"yarrowridge/internal/lib/logging"
 	"yarrowridge/internal/lib/runloop"
@@ -57,10 +57,10 @@
 	end     context.CancelFunc
 	lost    time.Duration
 	founder []string
-	codec   core.Codec                      // of the cores; nil: layouts
-	options func(*routerProc) []node.Option // of the routers' hubs
-	place   func(c *coreProc) core.Settings // in place of the usual settings of a core
-	more    []string                        // addresses that a fault may cut off from a core, besides cores and routers
+	codec   core.Codec                         // of the cores; nil: layouts
+	options func(*routerProc) []cluster.Option // of the routers' hubs
+	place   func(c *coreProc) core.Settings    // in place of the usual settings of a core
+	more    []string                           // addresses that a fault may cut off from a core, besides cores and routers
 }
 
 type coreProc struct {
@@ -73,7 +73,7 @@
 
 type routerProc struct {
 	name, addr, hall string
-	hub              *node.Hub
+	hub              *cluster.Member
 	crash            func()
 	up               bool
 	mu               sync.Mutex
@@ -190,11 +190,11 @@
 	ctx, end := context.WithCancel(f.ctx)
 	r.crash = func() { end(); crash() }
 	ec := daemon.Context{Context: ctx, Name: r.name, Zone: r.hall, RunID: uint64(time.Now().UnixNano()), Log: f.log.With("at", r.name), Net: n}
-	var options []node.Option
+	var options []cluster.Option
 	if f.options != nil {
 		options = f.options(r)
 	}
-	r.hub = node.NewHub(ec.WithComponent("node"), r.addr, r.addr, []string{f.founder[0], f.founder[1], "10.0.1.1:1"}, func(dissemination.Record) {}, options...)
+	r.hub = cluster.NewMember(ec.WithComponent("node"), r.addr, r.addr, []string{f.founder[0], f.founder[1], "10.0.1.1:1"}, func(dissemination.Record) {}, options...)
 	r.mu.Lock()
 	r.seen = nil
 	r.mu.Unlock()
--- a/internal/testing/sim/promise_test.go
+++ b/internal/testing/sim/promise_test.go
@@ -263,8 +263,8 @@
 			time.Sleep(time.Duration(w.chance(50)) * time.Second)
 		}
 		for _, r := range w.full {
-			if r.r.Hub.Stale() != inside[r.hall] {
-				t.Errorf("%s: stale %v", r.name, r.r.Hub.Stale())
+			if r.r.Cluster.CoreSilent() != inside[r.hall] {
+				t.Errorf("%s: stale %v", r.name, r.r.Cluster.CoreSilent())
 			}
 		}
 		o := w.operator()
@@ -275,7 +275,7 @@
 		w.w.Heal()
 		w.within(2*time.Second, "all obey the newest layout", func() bool {
 			for _, r := range w.full {
-				if r.r.Hub.Config().Version < p.seq || r.r.Hub.Stale() {
+				if r.r.Cluster.Config().Version < p.seq || r.r.Cluster.CoreSilent() {
 					return false
 				}
 			}
@@ -389,7 +389,7 @@
 		a.name, b.name = "a", "b"
 		w := newWhole(t, seed, 6, plainLay(""), a, b)
 		told := w.full[w.chance(len(w.full))]
-		face := &runner.API{Hub: told.r.Hub, KeyHash: func() string { return "" }}
+		face := &runner.API{Cluster: told.r.Cluster, KeyHash: func() string { return "" }}
 		a.mu.Lock()
 		a.state, a.mute = "leaving", true
 		raw := fmt.Sprintf(`{"name":"a","addr":%q,"born":"1","turn":%d,"state":"leaving","room":8,"labels":{"app":"model","model":"m"}}`, a.addr, a.turn+1)
@@ -593,7 +593,7 @@
 		a.state, a.mute = "leaving", true
 		raw := fmt.Sprintf(`{"name":"m","addr":%q,"born":"1","turn":%d,"state":"leaving","room":8,"labels":{"app":"model","model":"m"}}`, a.addr, a.turn+1)
 		a.mu.Unlock()
-		if code := post((&runner.API{Hub: told.r.Hub, KeyHash: func() string { return "" }}).Heartbeat, raw); code != 200 {
+		if code := post((&runner.API{Cluster: told.r.Cluster, KeyHash: func() string { return "" }}).Heartbeat, raw); code != 200 {
 			t.Fatalf("the word was answered %d", code)
 		}
 		w.crashFull(told)
--- a/internal/testing/sim/quota_test.go
+++ b/internal/testing/sim/quota_test.go
@@ -19,7 +19,7 @@
 		}
 		f.within(2*time.Second, "every router is there", f.everyRouterAt(5))
 		r := f.routers[0]
-		late := coreapi.HeartbeatRequest{Node: r.hub.Me(), AgeMs: 60_000}
+		late := coreapi.HeartbeatRequest{Node: r.hub.Self(), AgeMs: 60_000}
 		f.crashRouter(r)
 		time.Sleep(time.Second)
 		f.startRouter(r)
@@ -32,7 +32,7 @@
 			}
 			return moved.Held
 		}
-		living := coreapi.Holder(r.hub.Me())
+		living := coreapi.Holder(r.hub.Self())
 		held := 0
 		for turn := range uint64(30) {
 			held = draw(living, turn+1)
--- a/internal/testing/sim/registry_test.go
+++ b/internal/testing/sim/registry_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"yarrowridge/internal/controlplane/coreclient"
-	"yarrowridge/internal/dataplane/node"
+	"yarrowridge/internal/dataplane/cluster"
 	"yarrowridge/internal/dataplane/registry"
 	"yarrowridge/internal/lib/daemon"
 	"yarrowridge/internal/lib/runloop"
@@ -87,9 +87,9 @@
 func newRegistryFleet(t *testing.T, seed uint64, routers int) (*fleet, map[string]*registry.Registry) {
 	regs := map[string]*registry.Registry{}
 	f := newFleetOf(t, seed, routers, func(f *fleet) {
-		f.options = func(r *routerProc) []node.Option {
+		f.options = func(r *routerProc) []cluster.Option {
 			regs[r.name] = registry.New(nil)
-			return []node.Option{node.Runners(regs[r.name])}
+			return []cluster.Option{cluster.WithRegistry(regs[r.name])}
 		}
 	})
 	f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
--- a/internal/testing/sim/restart_test.go
+++ b/internal/testing/sim/restart_test.go
@@ -45,7 +45,7 @@
 
 func (f *fleet) served() bool {
 	for _, r := range f.routers {
-		if r.hub.Servable() != "" {
+		if r.hub.UnavailableReason() != "" {
 			return false
 		}
 	}
--- a/internal/testing/sim/router_test.go
+++ b/internal/testing/sim/router_test.go
@@ -126,7 +126,7 @@
 	w.within(5*time.Second, "founding", func() bool { return w.primary() != nil })
 	w.within(5*time.Second, "the roll is known", func() bool {
 		for _, r := range w.full {
-			if len(r.r.Hub.Nodes()) < n {
+			if len(r.r.Cluster.Nodes()) < n {
 				return false
 			}
 		}
@@ -159,8 +159,8 @@
 			if r.now() == nil {
 				continue
 			}
-			l := r.r.Hub.Config()
-			if l == nil || l.Version < p.seq || r.r.Hub.Ready() != "" || len(r.r.Runners.List()) < len(w.runners) {
+			l := r.r.Cluster.Config()
+			if l == nil || l.Version < p.seq || r.r.Cluster.NotReadyReason() != "" || len(r.r.Runners.List()) < len(w.runners) {
 				return false
 			}
 		}
@@ -184,7 +184,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	beats := http.HandlerFunc((&runner.API{Hub: run.Hub, KeyHash: func() string { return "" }}).Heartbeat)
+	beats := http.HandlerFunc((&runner.API{Cluster: run.Cluster, KeyHash: func() string { return "" }}).Heartbeat)
 	lb, err := n.Listen(r.face)
 	if err != nil {
 		w.t.Fatal(err)
@@ -195,7 +195,7 @@
 	r.r, r.up = run, true
 	r.crash = func() { end(); crash(); _ = srv.Close() }
 	r.mu.Unlock()
-	go wire.Serve(ctx, l, run.Hub.Serve)
+	go wire.Serve(ctx, l, run.Cluster.Serve)
 	run.Start()
 }
 
@@ -564,7 +564,7 @@
 		w.crashFull(r)
 		r.born = 7 // the clock says 1970
 		w.startFull(r)
-		w.within(5*time.Second, "it is ready", func() bool { return r.r.Hub.Ready() == "" && len(r.r.Runners.List()) == 1 })
+		w.within(5*time.Second, "it is ready", func() bool { return r.r.Cluster.NotReadyReason() == "" && len(r.r.Runners.List()) == 1 })
 		time.Sleep(7 * time.Second)
 		for i := range 4 {
 			go w.send(w.ctx, r, ask{n: uint64(i + 1), tenant: "metered", path: "/ask", body: prompt(100)})
@@ -589,15 +589,15 @@
 		defer w.crashFull(twin)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			if twin.r.Hub.Ready() == "" {
+			if twin.r.Cluster.NotReadyReason() == "" {
 				t.Fatal("a second router of the same name is ready")
 			}
-			if n := w.full[0].r.Hub.Nodes(); len(n) != 3 || n[1].Addr != w.full[1].addr {
+			if n := w.full[0].r.Cluster.Nodes(); len(n) != 3 || n[1].Addr != w.full[1].addr {
 				t.Fatalf("the roll is %v", n)
 			}
 		}
 		w.crashFull(w.full[1])
-		w.within(6*time.Second, "the name is free", func() bool { return twin.r.Hub.Ready() == "" })
+		w.within(6*time.Second, "the name is free", func() bool { return twin.r.Cluster.NotReadyReason() == "" })
 	})
 }
 
--- a/internal/testing/sim/stream_test.go
+++ b/internal/testing/sim/stream_test.go
@@ -16,8 +16,8 @@
 
 	"github.com/tidwall/gjson"
 
-	"yarrowridge/internal/dataplane/node"
 	"yarrowridge/internal/dataplane/runner"
+	"yarrowridge/internal/dataplane/streamstore"
 	"yarrowridge/internal/model/fleetconfig"
 )
 
@@ -249,12 +249,12 @@
 			if _, s := w.holders(id); s == nil || ended(s, id) {
 				return // it was over before its router fell
 			}
-			if lay := w.full[0].r.Hub.Config(); !slices.ContainsFunc(lay.Lanes, func(l fleetconfig.Lane) bool { return l.Repeat }) {
+			if lay := w.full[0].r.Cluster.Config(); !slices.ContainsFunc(lay.Lanes, func(l fleetconfig.Lane) bool { return l.Repeat }) {
 				return
 			}
 			w.within(9*time.Second, "taken over and guarded again", func() bool {
 				n, s := w.holders(id)
-				return n != nil && n != c && s != nil && slices.ContainsFunc(s.now().Streams.List(), func(h node.HeldStream) bool { return h.RequestID == id && h.Repeatable })
+				return n != nil && n != c && s != nil && slices.ContainsFunc(s.now().Streams.List(), func(h streamstore.Info) bool { return h.RequestID == id && h.Idempotent })
 			})
 			n, _ := w.holders(id)
 			w.crashFull(n)
@@ -310,7 +310,7 @@
 func (w *whole) earn() {
 	w.within(3*time.Second, "all know all as ready", func() bool {
 		for _, r := range w.full {
-			for _, n := range r.r.Hub.Nodes() {
+			for _, n := range r.r.Cluster.Nodes() {
 				if !n.Ready {
 					return false
 				}
@@ -329,7 +329,7 @@
 
 // ended reports whether a router holds a stream's end.
 func ended(r *fullRouter, id string) bool {
-	return slices.ContainsFunc(r.now().Streams.List(), func(h node.HeldStream) bool { return h.RequestID == id && h.Ended })
+	return slices.ContainsFunc(r.now().Streams.List(), func(h streamstore.Info) bool { return h.RequestID == id && h.Ended })
 }
 
 // fell crashes the runner at an address.
@@ -574,7 +574,7 @@
 		n := 0
 		for _, h := range p.study.now().Streams.List() {
 			if h.RequestID == p.o.id {
-				n = h.Pieces
+				n = h.Chunks
 			}
 		}
 		p.differFrom(n + 1)
