--- a/internal/controlplane/core/doubt_test.go
+++ b/internal/controlplane/core/doubt_test.go
@@ -50,7 +50,7 @@
 			if kind == "view.pick" && acceptsLost.Load() {
 				return nil, wire.StatusError{Code: "lost"}
 			}
-			return core.handlers.Do(ctx, kind, body)
+			return core.handlers.Dispatch(ctx, kind, body)
 		})
 		cores = append(cores, core)
 		v.Members = append(v.Members, view.Member{ID: core.voter.ID(), Addr: addr})
--- a/internal/controlplane/core/server.go
+++ b/internal/controlplane/core/server.go
@@ -194,7 +194,7 @@
 
 // Handle answers calls from other processes.
 func (s *Server) Handle(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
-	return s.handlers.Do(ctx, kind, body)
+	return s.handlers.Dispatch(ctx, kind, body)
 }
 
 // Run leads, watches or waits, as the view says, until the context ends.
@@ -222,7 +222,7 @@
 	if err != nil {
 		return err
 	}
-	own, err := s.handlers.Do(ctx, kind, body)
+	own, err := s.handlers.Dispatch(ctx, kind, body)
 	if err != nil || response == nil {
 		return err
 	}
--- a/internal/dataplane/cluster/serve.go
+++ b/internal/dataplane/cluster/serve.go
@@ -46,7 +46,7 @@
 	case "node.roll":
 		return &NodeList{h.Nodes()}, nil
 	}
-	return wire.Handlers(h.handlers).Do(ctx, kind, body)
+	return wire.Handlers(h.handlers).Dispatch(ctx, kind, body)
 }
 
 // Call reaches another process of the fleet.
--- a/internal/dataplane/runner/send.go
+++ b/internal/dataplane/runner/send.go
@@ -26,7 +26,7 @@
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // DialFrom dials over TCP from an IP number; from the system's choice where it is "".
-func DialFrom(ip string) Dial { return wire.Dialer(ip, time.Second).DialContext }
+func DialFrom(ip string) Dial { return wire.NewDialer(ip, time.Second).DialContext }
 
 // NewSender makes a sender. dial may be nil for TCP.
 func NewSender(dial Dial) *Sender {
--- a/internal/dataplane/upstream/connection.go
+++ b/internal/dataplane/upstream/connection.go
@@ -143,6 +143,6 @@
 	if _, err := netip.ParseAddrPort(address); err != nil {
 		return nil, eris.Wrapf(err, "address %q", address)
 	}
-	dialer := net.Dialer{Control: tcp.GiveUpAfter(unacknowledgedLimit)} // TCP_NODELAY is Go's default
+	dialer := net.Dialer{Control: tcp.UserTimeoutControl(unacknowledgedLimit)} // TCP_NODELAY is Go's default
 	return dialer.DialContext(ctx, "tcp4", address)
 }
--- a/internal/lib/daemon/context.go
+++ b/internal/lib/daemon/context.go
@@ -16,7 +16,7 @@
 	Zone  string       // the zone it stands in
 	RunID uint64       // this run of the process; a restart has another, drawn at random
 	Log   *slog.Logger // already prefixed for the part
-	Net   wire.Net     // how to dial and listen
+	Net   wire.Network // how to dial and listen
 }
 
 // WithComponent returns the context of one component, whose log lines begin with its name.
--- a/internal/lib/daemon/daemon.go
+++ b/internal/lib/daemon/daemon.go
@@ -116,7 +116,7 @@
 	}()
 	process := &Process{Settings: set, logLevel: level, Stop: stop, cancel: cancel,
 		Ctx: Context{Context: ctx, Name: set["name"], Zone: set["hall"], RunID: rand.Uint64(),
-			Log: logging.New(out, level), Net: wire.TCP{From: set["from"]}}}
+			Log: logging.New(out, level), Net: wire.TCP{LocalIP: set["from"]}}}
 	process.now.Store(&set)
 	return process, hangups
 }
--- a/internal/testing/sim/net.go
+++ b/internal/testing/sim/net.go
@@ -48,7 +48,7 @@
 
 // Net gives a process at addr its net, and the function that crashes it: all its connections
 // break and nothing it still does is seen by anyone.
-func (w *World) Net(addr string) (wire.Net, func()) {
+func (w *World) Net(addr string) (wire.Network, func()) {
 	m := &machine{w: w, addr: addr}
 	return m, func() {
 		w.mu.Lock()
--- a/internal/transport/tcp/tcp.go
+++ b/internal/transport/tcp/tcp.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// GiveUpAfter gives a net.Dialer's Control by which TCP ends a connection whose bytes stay unacknowledged for longer
+// UserTimeoutControl gives a net.Dialer's Control by which TCP ends a connection whose bytes stay unacknowledged for longer
 // than the limit (TCP_USER_TIMEOUT, in whole milliseconds). Else it would send them again for many minutes.
-func GiveUpAfter(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
+func UserTimeoutControl(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var failed error
 		err := raw.Control(func(descriptor uintptr) {
--- a/internal/transport/wire/pack.go
+++ b/internal/transport/wire/compression.go
@@ -6,21 +6,21 @@
 )
 
 // packAbove is the size above which a body is compressed.
-const packAbove = 4 << 10
+const compressAboveBytes = 4 << 10
 
 // pack compresses a large body if that is worth it. Only a peer that has said so can read it.
-func (f *Frame) pack() {
-	if len(f.Body) <= packAbove {
+func (f *Frame) compress() {
+	if len(f.Body) <= compressAboveBytes {
 		return
 	}
 	if small := s2.Encode(nil, f.Body); len(small) < len(f.Body)*7/8 {
-		f.Body, f.Packed = small, true
+		f.Body, f.Compressed = small, true
 	}
 }
 
 // unpack restores a compressed body.
-func (f *Frame) unpack() error {
-	if !f.Packed {
+func (f *Frame) decompress() error {
+	if !f.Compressed {
 		return nil
 	}
 	size, err := s2.DecodedLen(f.Body)
@@ -33,6 +33,6 @@
 	if f.Body, err = s2.Decode(nil, f.Body); err != nil {
 		return eris.Wrap(err, "wire: compressed body unread")
 	}
-	f.Packed = false
+	f.Compressed = false
 	return nil
 }
--- a/internal/transport/wire/pack_test.go
+++ b/internal/transport/wire/compression_test.go
@@ -26,28 +26,28 @@
 }
 
 // counted counts the bytes written to a connection.
-type counted struct {
+type countingConn struct {
 	net.Conn
-	n *atomic.Int64
+	written *atomic.Int64
 }
 
-func (c counted) Write(b []byte) (int, error) {
-	c.n.Add(int64(len(b)))
+func (c countingConn) Write(b []byte) (int, error) {
+	c.written.Add(int64(len(b)))
 	return c.Conn.Write(b)
 }
 
-type countedNet struct {
+type countingNetwork struct {
 	TCP
-	n *atomic.Int64
+	written *atomic.Int64
 }
 
-func (c countedNet) Dial(ctx context.Context, addr string) (net.Conn, error) {
+func (c countingNetwork) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	con, err := c.TCP.Dial(ctx, addr)
-	return counted{con, c.n}, err
+	return countingConn{con, c.written}, err
 }
 
 // Large bodies shrink both ways once both sides are known to read it, and arrive whole, up to 4 MB.
-func TestLargeBodiesShrink(t *testing.T) {
+func TestLargeBodiesAreCompressed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -58,9 +58,9 @@
 		return in, err
 	})
 	var sent atomic.Int64
-	cal := NewCaller(countedNet{n: &sent})
+	cal := NewCaller(countingNetwork{written: &sent})
 	defer cal.Close()
-	for i, size := range []int{150_000, 150_000, 4 << 20, 100, packAbove} {
+	for i, size := range []int{150_000, 150_000, 4 << 20, 100, compressAboveBytes} {
 		in, out := text(strings.Repeat("a configuration. ", size/17+1)), text("")
 		before := sent.Load()
 		if err := cal.Call(t.Context(), l.Addr().String(), "a.echo", in, &out); err != nil || in != out {
@@ -71,19 +71,19 @@
 		if i == 0 && wrote < int64(size) {
 			t.Error("the first call was compressed before the far side had said that it reads it")
 		}
-		if i > 0 && size > packAbove && wrote > int64(size)/5 {
+		if i > 0 && size > compressAboveBytes && wrote > int64(size)/5 {
 			t.Errorf("%d bytes took %d on the wire", size, wrote)
 		}
 	}
 }
 
 // A caller that does not say it reads compressed bodies gets none, and one that did not hear so sends none.
-func TestOldReadersAreSpared(t *testing.T) {
+func TestPeersWithoutCompressionGetPlainBodies(t *testing.T) {
 	near, far := net.Pipe()
-	go serve(t.Context(), far, func(context.Context, string, []byte) (msgp.Marshaler, error) {
+	go serveConnection(t.Context(), far, func(context.Context, string, []byte) (msgp.Marshaler, error) {
 		return text(strings.Repeat("x", 50_000)), nil
 	})
-	go write(near, &Frame{Fmt: FormatVersion, ID: 1, Kind: "a.b"})
+	go writeFrame(near, &Frame{Format: FormatVersion, ID: 1, Kind: "a.b"})
 	var head [4]byte
 	if _, err := near.Read(head[:]); err != nil {
 		t.Fatal(err)
@@ -95,23 +95,23 @@
 }
 
 // A body that claims to be larger than a frame may be, or is no compressed one, is refused.
-func TestFalseCompressedBodies(t *testing.T) {
+func TestInvalidCompressedBodiesAreRejected(t *testing.T) {
 	noise := make([]byte, 5000)
 	for i := range noise {
 		noise[i] = byte(rand.Uint32())
 	}
 	f := Frame{Body: noise}
-	if f.pack(); f.Packed {
+	if f.compress(); f.Compressed {
 		t.Error("noise was compressed")
 	}
 	for _, body := range [][]byte{nil, {0xff}, s2.Encode(nil, make([]byte, MaxFrameBytes+1)), s2.Encode(nil, bytes.Repeat([]byte("x"), 9000))[:9]} {
-		f := Frame{Fmt: FormatVersion, Body: body, Packed: true}
+		f := Frame{Format: FormatVersion, Body: body, Compressed: true}
 		var b bytes.Buffer
-		if err := write(&b, &f); err != nil {
+		if err := writeFrame(&b, &f); err != nil {
 			t.Fatal(err)
 		}
 		var got Frame
-		if read(&b, &got) == nil {
+		if readFrame(&b, &got) == nil {
 			t.Errorf("%d bytes were taken as a compressed body", len(body))
 		}
 	}
--- a/internal/transport/wire/late_test.go
+++ b/internal/transport/wire/concurrency_test.go
@@ -17,7 +17,7 @@
 
 // Many calls share a connection, are answered in any order, and some are given up on before their answer comes: none is
 // ever given the answer of another one.
-func TestLateAnswersReachNobodyElse(t *testing.T) {
+func TestLateResponsesReachNoOtherCall(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -61,7 +61,7 @@
 }
 
 // A call whose connection is reset after it was sent is in doubt, and is not sent again: the server sees each once.
-func TestResetCallIsNotSentAgain(t *testing.T) {
+func TestResetCallIsNotRetransmitted(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -78,7 +78,7 @@
 			go func() {
 				var f Frame
 				for range 3 { // three calls, then a reset without an answer
-					if read(connection, &f) != nil {
+					if readFrame(connection, &f) != nil {
 						break
 					}
 					number, _, _ := msgp.ReadIntBytes(f.Body)
--- a/internal/transport/wire/dial_test.go
+++ b/internal/transport/wire/dial_test.go
@@ -12,18 +12,18 @@
 
 // startingNet is a net to a machine that is dark until a moment: what was dialled before is lost, as the opening
 // packet to a machine without power is.
-type startingNet struct {
-	up      time.Time
-	refuses bool // there is no process yet
-	tries   atomic.Int32
-	open    atomic.Int32
+type startingNetwork struct {
+	upAt     time.Time
+	refuses  bool // there is no process yet
+	attempts atomic.Int32
+	open     atomic.Int32
 }
 
-func (n *startingNet) Listen(string) (net.Listener, error) { return nil, errors.ErrUnsupported }
+func (n *startingNetwork) Listen(string) (net.Listener, error) { return nil, errors.ErrUnsupported }
 
-func (n *startingNet) Dial(ctx context.Context, _ string) (net.Conn, error) {
-	n.tries.Add(1)
-	if time.Now().Before(n.up) {
+func (n *startingNetwork) Dial(ctx context.Context, _ string) (net.Conn, error) {
+	n.attempts.Add(1)
+	if time.Now().Before(n.upAt) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -42,7 +42,7 @@
 
 // A machine that starts while it is dialled is reached, or refuses, soon after it is up, and a machine that stays
 // dark takes no longer than before. No connection is left over.
-func TestDialMeetsAStartingMachine(t *testing.T) {
+func TestDialReachesAStartingMachine(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		upAfter time.Duration
@@ -57,16 +57,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n := &startingNet{up: time.Now().Add(c.upAfter), refuses: c.refuses}
+				n := &startingNetwork{upAt: time.Now().Add(c.upAfter), refuses: c.refuses}
 				caller := NewCaller(n)
 				begun := time.Now()
-				_, err := caller.reach(t.Context(), "10.0.0.1:1")
+				_, err := caller.connection(t.Context(), "10.0.0.1:1")
 				if took := time.Since(begun); took > c.most || (err == nil) != c.reached {
 					t.Errorf("after %s (%s at most): %v", took, c.most, err)
 				}
 				time.Sleep(time.Second)
 				if left := n.open.Load(); left > 1 || !c.reached && left > 0 {
-					t.Errorf("%d connections are open after %d tries", left, n.tries.Load())
+					t.Errorf("%d connections are open after %d tries", left, n.attempts.Load())
 				}
 				caller.Close()
 				synctest.Wait()
--- a/internal/transport/wire/callerror_test.go
+++ b/internal/transport/wire/errors_test.go
@@ -15,7 +15,7 @@
 		want error
 	}{
 		{unsent("core.beat", "a:1", context.Canceled), eris.Wrapf(errors.Join(ErrUnsent, context.Canceled), "%s to %s", "core.beat", "a:1")},
-		{inDoubt("core.beat", "a:1", "", context.DeadlineExceeded), eris.Wrapf(errors.Join(ErrOutcomeUnknown, context.DeadlineExceeded), "%s to %s", "core.beat", "a:1")},
+		{outcomeUnknown("core.beat", "a:1", "", context.DeadlineExceeded), eris.Wrapf(errors.Join(ErrOutcomeUnknown, context.DeadlineExceeded), "%s to %s", "core.beat", "a:1")},
 		{&CallError{"core.beat", "a:1", "connection lost", ErrOutcomeUnknown}, eris.Wrapf(ErrOutcomeUnknown, "%s to %s: connection lost", "core.beat", "a:1")},
 		{&CallError{"core.beat", "a:1", "", StatusError{"lost"}}, eris.Wrapf(StatusError{"lost"}, "%s to %s", "core.beat", "a:1")},
 	} {
--- a/internal/transport/wire/msgs.go
+++ b/internal/transport/wire/msgs.go
@@ -8,14 +8,14 @@
 // Frame is what goes over the wire between our own processes: one call or one answer.
 // Fmt is the message format of the sender; neighbours one format apart still talk.
 type Frame struct {
-	Fmt  uint8  `msg:"f"`
-	ID   uint64 `msg:"i"`
-	Kind string `msg:"k"`
-	Err  string `msg:"e"`
-	Body []byte `msg:"b"`
+	Format    uint8  `msg:"f"`
+	ID        uint64 `msg:"i"`
+	Kind      string `msg:"k"`
+	ErrorCode string `msg:"e"`
+	Body      []byte `msg:"b"`
 
-	Packed  bool `msg:"z"` // Body is compressed
-	Unpacks bool `msg:"u"` // the sender reads compressed bodies; a build that does not passes this over
+	Compressed        bool `msg:"z"` // Body is compressed
+	AcceptsCompressed bool `msg:"u"` // the sender reads compressed bodies; a build that does not passes this over
 
-	size int `msg:"-"` // on the wire, known once it was written or read
+	wireBytes int `msg:"-"` // on the wire, known once it was written or read
 }
--- a/internal/transport/wire/msgs_gen.go
+++ b/internal/transport/wire/msgs_gen.go
@@ -18,7 +18,7 @@
 	// map header, size 7
 	// string "f"
 	o = append(o, 0x87, 0xa1, 0x66)
-	o = msgp.AppendUint8(o, z.Fmt)
+	o = msgp.AppendUint8(o, z.Format)
 	// string "i"
 	o = append(o, 0xa1, 0x69)
 	o = msgp.AppendUint64(o, z.ID)
@@ -27,16 +27,16 @@
 	o = msgp.AppendString(o, z.Kind)
 	// string "e"
 	o = append(o, 0xa1, 0x65)
-	o = msgp.AppendString(o, z.Err)
+	o = msgp.AppendString(o, z.ErrorCode)
 	// string "b"
 	o = append(o, 0xa1, 0x62)
 	o = msgp.AppendBytes(o, z.Body)
 	// string "z"
 	o = append(o, 0xa1, 0x7a)
-	o = msgp.AppendBool(o, z.Packed)
+	o = msgp.AppendBool(o, z.Compressed)
 	// string "u"
 	o = append(o, 0xa1, 0x75)
-	o = msgp.AppendBool(o, z.Unpacks)
+	o = msgp.AppendBool(o, z.AcceptsCompressed)
 	return
 }
 
@@ -63,15 +63,15 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "f":
-			z.Fmt, bts, err = msgp.ReadUint8Bytes(bts)
+			z.Format, bts, err = msgp.ReadUint8Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Fmt")
+				err = msgp.WrapError(err, "Format")
 				return
 			}
 		case "i":
 			z.ID, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Id")
+				err = msgp.WrapError(err, "ID")
 				return
 			}
 		case "k":
@@ -81,9 +81,9 @@
 				return
 			}
 		case "e":
-			z.Err, bts, err = msgp.ReadStringBytes(bts)
+			z.ErrorCode, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Err")
+				err = msgp.WrapError(err, "ErrorCode")
 				return
 			}
 		case "b":
@@ -109,15 +109,15 @@
 			copy(z.Body, bts[:zb0002])
 			bts = bts[zb0002:]
 		case "z":
-			z.Packed, bts, err = msgp.ReadBoolBytes(bts)
+			z.Compressed, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Packed")
+				err = msgp.WrapError(err, "Compressed")
 				return
 			}
 		case "u":
-			z.Unpacks, bts, err = msgp.ReadBoolBytes(bts)
+			z.AcceptsCompressed, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Unpacks")
+				err = msgp.WrapError(err, "AcceptsCompressed")
 				return
 			}
 		default:
@@ -134,6 +134,6 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Frame) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint8Size + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Kind) + 2 + msgp.StringPrefixSize + len(z.Err) + 2 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.BoolSize + 2 + msgp.BoolSize
+	s = 1 + 2 + msgp.Uint8Size + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Kind) + 2 + msgp.StringPrefixSize + len(z.ErrorCode) + 2 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.BoolSize + 2 + msgp.BoolSize
 	return
 }
--- a/internal/transport/wire/silence_test.go
+++ b/internal/transport/wire/network_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	con, err := TCP{From: "127.0.0.1"}.Dial(t.Context(), listener.Addr().String())
+	con, err := TCP{LocalIP: "127.0.0.1"}.Dial(t.Context(), listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/transport/wire/traffic.go
+++ b/internal/transport/wire/traffic.go
@@ -13,29 +13,29 @@
 
 // Traffic is what this process has sent and received of one kind of message.
 type Traffic struct {
-	CallsSent       Count `json:"calls_sent"`
-	AnswersReceived Count `json:"answers_received"`
-	CallsReceived   Count `json:"calls_received"`
-	AnswersSent     Count `json:"answers_sent"`
+	CallsSent         Count `json:"calls_sent"`
+	ResponsesReceived Count `json:"answers_received"`
+	CallsReceived     Count `json:"calls_received"`
+	ResponsesSent     Count `json:"answers_sent"`
 }
 
 // Sent is everything that left this process.
-func (t Traffic) Sent() Count { return t.CallsSent.plus(t.AnswersSent) }
+func (t Traffic) Sent() Count { return t.CallsSent.plus(t.ResponsesSent) }
 
 // Received is everything that came to this process.
-func (t Traffic) Received() Count { return t.CallsReceived.plus(t.AnswersReceived) }
+func (t Traffic) Received() Count { return t.CallsReceived.plus(t.ResponsesReceived) }
 
 // Minus is the traffic since an earlier reading.
 func (t Traffic) Minus(earlier Traffic) Traffic {
-	return Traffic{t.CallsSent.minus(earlier.CallsSent), t.AnswersReceived.minus(earlier.AnswersReceived),
-		t.CallsReceived.minus(earlier.CallsReceived), t.AnswersSent.minus(earlier.AnswersSent)}
+	return Traffic{t.CallsSent.minus(earlier.CallsSent), t.ResponsesReceived.minus(earlier.ResponsesReceived),
+		t.CallsReceived.minus(earlier.CallsReceived), t.ResponsesSent.minus(earlier.ResponsesSent)}
 }
 
 func (c Count) plus(d Count) Count  { return Count{c.Frames + d.Frames, c.Bytes + d.Bytes} }
 func (c Count) minus(d Count) Count { return Count{c.Frames - d.Frames, c.Bytes - d.Bytes} }
 
 // mostKinds bounds how many kinds are counted apart: kinds come from the far side, which may be faulty.
-const mostKinds = 100
+const maxKinds = 100
 
 // otherKinds is the name under which kinds beyond the bound are counted together.
 const otherKinds = "other"
@@ -51,7 +51,7 @@
 func (c *counter) read() Count { return Count{c.frames.Load(), c.bytes.Load()} }
 
 type kindCounters struct {
-	callsSent, answersReceived, callsReceived, answersSent counter
+	callsSent, responsesReceived, callsReceived, responsesSent counter
 }
 
 // trafficCounters are the counters of a process, by kind.
@@ -73,7 +73,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.kinds[kind] == nil && len(t.kinds) >= mostKinds {
+	if t.kinds[kind] == nil && len(t.kinds) >= maxKinds {
 		kind = otherKinds
 	}
 	if t.kinds[kind] == nil {
@@ -87,7 +87,7 @@
 	defer t.mu.RUnlock()
 	out := make(map[string]Traffic, len(t.kinds))
 	for kind, c := range t.kinds {
-		out[kind] = Traffic{c.callsSent.read(), c.answersReceived.read(), c.callsReceived.read(), c.answersSent.read()}
+		out[kind] = Traffic{c.callsSent.read(), c.responsesReceived.read(), c.callsReceived.read(), c.responsesSent.read()}
 	}
 	return out
 }
--- a/internal/transport/wire/traffic_test.go
+++ b/internal/transport/wire/traffic_test.go
@@ -27,13 +27,13 @@
 		}
 	}
 	var got Traffic
-	for end := time.Now().Add(5 * time.Second); got.AnswersSent.Frames < 3 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); got.ResponsesSent.Frames < 3 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 		got = TrafficByKind()["traffic.test"].Minus(before) // an answer is counted right after it was sent
 	}
-	if got.CallsSent != got.CallsReceived || got.AnswersSent != got.AnswersReceived {
+	if got.CallsSent != got.CallsReceived || got.ResponsesSent != got.ResponsesReceived {
 		t.Errorf("what one side sent is not what the other received: %+v", got)
 	}
-	if got.CallsSent.Frames != 3 || got.AnswersSent.Frames != 3 || got.CallsSent.Bytes < 30 || got.CallsSent.Bytes > 300 {
+	if got.CallsSent.Frames != 3 || got.ResponsesSent.Frames != 3 || got.CallsSent.Bytes < 30 || got.CallsSent.Bytes > 300 {
 		t.Errorf("three calls of some 40 bytes: %+v", got)
 	}
 	if sent := got.Sent(); sent.Frames != 6 || sent != got.Received() {
@@ -44,31 +44,31 @@
 // A faulty peer that makes kinds up does not fill the memory.
 func TestKindsAreBounded(t *testing.T) {
 	counters := &trafficCounters{kinds: map[string]*kindCounters{}}
-	for i := range 5 * mostKinds {
+	for i := range 5 * maxKinds {
 		counters.of(fmt.Sprint("kind", i)).callsReceived.add(1)
 	}
 	got := counters.read()
-	if len(got) != mostKinds+1 || got[otherKinds].CallsReceived.Frames != 4*mostKinds {
+	if len(got) != maxKinds+1 || got[otherKinds].CallsReceived.Frames != 4*maxKinds {
 		t.Errorf("%d kinds, %+v others", len(got), got[otherKinds])
 	}
 }
 
 // pipeNet opens connections that are served in memory.
-type pipeNet struct{ handler Handler }
+type pipeNetwork struct{ handler Handler }
 
-func (p pipeNet) Dial(ctx context.Context, _ string) (net.Conn, error) {
+func (p pipeNetwork) Dial(ctx context.Context, _ string) (net.Conn, error) {
 	near, far := net.Pipe()
-	go serve(context.WithoutCancel(ctx), far, p.handler)
+	go serveConnection(context.WithoutCancel(ctx), far, p.handler)
 	return near, nil
 }
 
-func (pipeNet) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
+func (pipeNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
 // A connection that is not used goes once others are opened; one in use or with a call under way stays.
-func TestIdleConnectionsGo(t *testing.T) {
+func TestIdleConnectionsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := make(chan struct{})
-		cal := NewCaller(pipeNet{func(_ context.Context, kind string, _ []byte) (msgp.Marshaler, error) {
+		cal := NewCaller(pipeNetwork{func(_ context.Context, kind string, _ []byte) (msgp.Marshaler, error) {
 			if kind == "a.slow" {
 				<-slow
 			}
@@ -91,7 +91,7 @@
 			call("used:1", "a.quick")
 		}
 		cal.mu.Lock()
-		open, used, waiting := len(cal.open), cal.open["used:1"] != nil, cal.open["slow:1"] != nil
+		open, used, waiting := len(cal.connections), cal.connections["used:1"] != nil, cal.connections["slow:1"] != nil
 		cal.mu.Unlock()
 		if open > 14 || !used || !waiting {
 			t.Errorf("%d connections open, the used one %v, the one with a call under way %v", open, used, waiting)
--- a/internal/transport/wire/wire_test.go
+++ b/internal/transport/wire/wire_test.go
@@ -11,17 +11,17 @@
 )
 
 // Neighbours of two adjacent formats talk; one further off is not understood.
-func TestAdjacentFormats(t *testing.T) {
+func TestAdjacentFormatsInteroperate(t *testing.T) {
 	for _, c := range []struct {
 		fmt  uint8
 		good bool
 	}{{FormatVersion - 1, true}, {FormatVersion, true}, {FormatVersion + 1, true}, {FormatVersion + 2, false}} {
 		var b bytes.Buffer
-		if err := write(&b, &Frame{Fmt: c.fmt, ID: 7, Kind: "core.beat", Body: []byte("x")}); err != nil {
+		if err := writeFrame(&b, &Frame{Format: c.fmt, ID: 7, Kind: "core.beat", Body: []byte("x")}); err != nil {
 			t.Fatal(err)
 		}
 		var f Frame
-		if err := read(&b, &f); (err == nil) != c.good || c.good && (f.ID != 7 || string(f.Body) != "x") {
+		if err := readFrame(&b, &f); (err == nil) != c.good || c.good && (f.ID != 7 || string(f.Body) != "x") {
 			t.Errorf("format %d: %v %+v", c.fmt, err, f)
 		}
 	}
@@ -40,7 +40,7 @@
 }
 
 // What the caller is told of a call that failed: surely not carried out, perhaps, or a plain no.
-func TestTroubleIsTold(t *testing.T) {
+func TestCallErrorsTellOutcome(t *testing.T) {
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -83,15 +83,15 @@
 }
 
 // Whatever bytes come, reading a frame ends in a frame or a plain error.
-func FuzzRead(f *testing.F) {
+func FuzzReadFrame(f *testing.F) {
 	var b bytes.Buffer
-	write(&b, &Frame{Fmt: FormatVersion, ID: 1, Kind: "a.b", Body: []byte("c")})
+	writeFrame(&b, &Frame{Format: FormatVersion, ID: 1, Kind: "a.b", Body: []byte("c")})
 	f.Add(b.Bytes())
 	f.Add([]byte{0, 0, 0, 2, 0x81, 0xa1})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var out Frame
-		if err := read(bytes.NewReader(raw), &out); err == nil && len(out.Body) > MaxFrameBytes+1024 {
+		if err := readFrame(bytes.NewReader(raw), &out); err == nil && len(out.Body) > MaxFrameBytes+1024 {
 			t.Error("a frame over the bound was read")
 		}
 	})
