--- a/internal/controlplane/core/quota.go
+++ b/internal/controlplane/core/quota.go
@@ -55,7 +55,7 @@
 	if move.Return {
 		result.Held, changed = pool.Return(holder, move.Sequence, move.Units)
 	} else {
-		before := pool.Held[holder].Units
+		before := pool.Allocations[holder].Units
 		free := max(0, pool.MaxAllocated(quota, tolerance)-pool.AllocatedUnits())
 		units, short := s.drawUnits(move, free, quota)
 		result.Held, changed = pool.AcquireWithTolerance(holder, move.Sequence, units, quota, tolerance, s.chargeFor(move.Tenant))
@@ -63,7 +63,7 @@
 			s.noteScarce(move, short || result.Held == before, quota, free-(result.Held-before))
 		}
 	}
-	result.Limit = pool.Limit(quota)
+	result.Limit = pool.LimitBase(quota)
 	if changed {
 		err = s.poolCache.put(tx, move.Tenant, pool)
 	}
--- a/internal/controlplane/core/quota_test.go
+++ b/internal/controlplane/core/quota_test.go
@@ -68,7 +68,7 @@
 	}
 	commit(tx)
 	pool, err := s.poolCache.get(begin(), "t")
-	if err != nil || pool.Held["a"] != (quota.Allocation{Sequence: 3, Units: 3}) {
+	if err != nil || pool.Allocations["a"] != (quota.Allocation{Sequence: 3, Units: 3}) {
 		t.Errorf("pot %+v, %v", pool, err)
 	}
 }
@@ -114,7 +114,7 @@
 func TestAllReplacedRunsCoolTogether(t *testing.T) {
 	s, opened := quotaServer(t)
 	tx := transaction.New(opened)
-	pool := &quota.Pool{Held: map[string]quota.Allocation{"a@1/1": {Units: 2, Sequence: 1}, "b@2/1": {Units: 3, Sequence: 1}, "c@3/1": {Units: 4, Sequence: 1}}}
+	pool := &quota.Pool{Allocations: map[string]quota.Allocation{"a@1/1": {Units: 2, Sequence: 1}, "b@2/1": {Units: 3, Sequence: 1}, "c@3/1": {Units: 4, Sequence: 1}}}
 	if err := s.poolCache.put(tx, "t", pool); err != nil {
 		t.Fatal(err)
 	}
@@ -133,7 +133,7 @@
 		t.Errorf("%d puts, 1 expected", n)
 	}
 	got, err := s.poolCache.get(tx, "t")
-	if err != nil || got.CoolingUnits() != 5 || got.Held["c@3/1"].Units != 4 {
+	if err != nil || got.CoolingUnits() != 5 || got.Allocations["c@3/1"].Units != 4 {
 		t.Errorf("pot %+v, %v: 5 units cooling and 4 held by c expected", got, err)
 	}
 	if at := s.firstSeen[coolKey("t", "a@1/1")]; !at.Equal(ended) {
--- a/internal/controlplane/core/quotaholders.go
+++ b/internal/controlplane/core/quotaholders.go
@@ -87,7 +87,7 @@
 	}
 	used := map[string]bool{}
 	err := s.updatePools(tx, func(_ string, pool *quota.Pool) bool {
-		for holder := range pool.Held {
+		for holder := range pool.Allocations {
 			used[holder] = true
 		}
 		return false
--- a/internal/controlplane/core/quotapools.go
+++ b/internal/controlplane/core/quotapools.go
@@ -46,8 +46,8 @@
 // put puts a changed pool.
 func (c poolCache) put(tx *transaction.Tx, tenant string, pool *quota.Pool) error {
 	delete(c.pools, tenant)
-	stored := storedPool{Cool: pool.Cooling, Above: pool.AboveLimit, Charges: pool.Charges, Holds: make([]numberedHold, 0, len(pool.Held))}
-	for holder, held := range pool.Held {
+	stored := storedPool{Cool: pool.Cooling, Above: pool.AboveLimit, Charges: pool.Charges, Holds: make([]numberedHold, 0, len(pool.Allocations))}
+	for holder, held := range pool.Allocations {
 		number, err := c.holders.number(tx, holder)
 		if err != nil {
 			return err
@@ -69,16 +69,16 @@
 	if _, err := stored.UnmarshalMsg(raw); err != nil {
 		return quota.Pool{}, err
 	}
-	pool := quota.Pool{Held: stored.Held, Cooling: stored.Cool, AboveLimit: stored.Above, Charges: stored.Charges}
-	if pool.Held == nil {
-		pool.Held = make(map[string]quota.Allocation, len(stored.Holds))
+	pool := quota.Pool{Allocations: stored.Held, Cooling: stored.Cool, AboveLimit: stored.Above, Charges: stored.Charges}
+	if pool.Allocations == nil {
+		pool.Allocations = make(map[string]quota.Allocation, len(stored.Holds))
 	}
 	for _, hold := range stored.Holds {
 		name, err := holderName(hold.Holder)
 		if err != nil {
 			return quota.Pool{}, err
 		}
-		pool.Held[name] = quota.Allocation{Units: hold.Units, Sequence: hold.Turn}
+		pool.Allocations[name] = quota.Allocation{Units: hold.Units, Sequence: hold.Turn}
 	}
 	return pool, nil
 }
--- a/internal/controlplane/core/quotapools_test.go
+++ b/internal/controlplane/core/quotapools_test.go
@@ -29,9 +29,9 @@
 }
 
 func poolOf(holders int) *quota.Pool {
-	pool := &quota.Pool{Held: map[string]quota.Allocation{}, Cooling: map[string]int{"gone@10.0.0.9:1/1": 2}, AboveLimit: 1, Charges: []quota.Charge{{ID: 7, Units: 1}}}
+	pool := &quota.Pool{Allocations: map[string]quota.Allocation{}, Cooling: map[string]int{"gone@10.0.0.9:1/1": 2}, AboveLimit: 1, Charges: []quota.Charge{{ID: 7, Units: 1}}}
 	for i := range holders {
-		pool.Held[fmt.Sprintf("edge-%d@10.0.0.%d:7360/%016x", i, i, uint64(i+1)*0x9e3779b97f4a7c15)] = quota.Allocation{Units: i % 3, Sequence: uint64(100 + i)}
+		pool.Allocations[fmt.Sprintf("edge-%d@10.0.0.%d:7360/%016x", i, i, uint64(i+1)*0x9e3779b97f4a7c15)] = quota.Allocation{Units: i % 3, Sequence: uint64(100 + i)}
 	}
 	return pool
 }
@@ -40,9 +40,9 @@
 func poolByNames(pool *quota.Pool) ([]byte, error) {
 	raw := msgp.AppendMapHeader(nil, 4)
 	raw = msgp.AppendString(raw, "h")
-	raw = msgp.AppendMapHeader(raw, uint32(len(pool.Held)))
+	raw = msgp.AppendMapHeader(raw, uint32(len(pool.Allocations)))
 	var err error
-	for holder, held := range pool.Held {
+	for holder, held := range pool.Allocations {
 		raw = msgp.AppendString(raw, holder)
 		if raw, err = held.MarshalMsg(raw); err != nil {
 			return nil, err
@@ -67,7 +67,7 @@
 }
 
 func samePool(a, b *quota.Pool) bool {
-	return maps.Equal(a.Held, b.Held) && maps.Equal(a.Cooling, b.Cooling) && a.AboveLimit == b.AboveLimit && len(a.Charges) == len(b.Charges)
+	return maps.Equal(a.Allocations, b.Allocations) && maps.Equal(a.Cooling, b.Cooling) && a.AboveLimit == b.AboveLimit && len(a.Charges) == len(b.Charges)
 }
 
 // A pool with an entry for each of many routers is small, and another process reads it as it was.
@@ -132,10 +132,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if pool.Held == nil {
-			pool.Held = map[string]quota.Allocation{}
+		if pool.Allocations == nil {
+			pool.Allocations = map[string]quota.Allocation{}
 		}
-		pool.Held[holder] = quota.Allocation{Units: units, Sequence: 1}
+		pool.Allocations[holder] = quota.Allocation{Units: units, Sequence: 1}
 		if err := s.poolCache.put(tx, tenant, pool); err != nil {
 			t.Fatal(err)
 		}
@@ -153,11 +153,11 @@
 	for name, cache := range map[string]poolCache{"own": s.poolCache, "fresh": newPoolCache()} {
 		got, err := cache.get(beginTx(committed), "u")
 		want := map[string]quota.Allocation{"kept": {Units: 3, Sequence: 1}, "lost": {Units: 2, Sequence: 1}, "undone": {Units: 1, Sequence: 1}}
-		if err != nil || !maps.Equal(got.Held, want) {
+		if err != nil || !maps.Equal(got.Allocations, want) {
 			t.Errorf("%s: %+v, %v", name, got, err)
 		}
-		if got, err := cache.get(beginTx(committed), "t"); err != nil || len(got.Held) != 0 {
-			t.Errorf("%s: a pool that was never written has %+v, %v", name, got.Held, err)
+		if got, err := cache.get(beginTx(committed), "t"); err != nil || len(got.Allocations) != 0 {
+			t.Errorf("%s: a pool that was never written has %+v, %v", name, got.Allocations, err)
 		}
 	}
 }
@@ -167,7 +167,7 @@
 	s, committed := quotaServer(t)
 	for run := range 3 * maxUnusedHolders {
 		tx := beginTx(committed)
-		pool := &quota.Pool{Held: map[string]quota.Allocation{"stays": {Units: 1}, fmt.Sprint("run", run): {Units: 2}}}
+		pool := &quota.Pool{Allocations: map[string]quota.Allocation{"stays": {Units: 1}, fmt.Sprint("run", run): {Units: 2}}}
 		if err := s.poolCache.put(tx, "t", pool); err != nil {
 			t.Fatal(err)
 		}
@@ -183,7 +183,7 @@
 	}
 	fresh := newPoolCache()
 	got, err := fresh.get(beginTx(committed), "t")
-	if err != nil || got.Held["stays"].Units != 1 || len(got.Held) != 2 {
+	if err != nil || got.Allocations["stays"].Units != 1 || len(got.Allocations) != 2 {
 		t.Errorf("read %+v, %v", got, err)
 	}
 }
--- a/internal/controlplane/core/quotasweep.go
+++ b/internal/controlplane/core/quotasweep.go
@@ -93,7 +93,7 @@
 			q.charges = append(q.charges, finishedCharge{tenant, charge.ID})
 		}
 	}
-	for holder := range pool.Held {
+	for holder := range pool.Allocations {
 		if live.holders[holder] {
 			continue
 		}
--- a/internal/controlplane/core/replacedruns.go
+++ b/internal/controlplane/core/replacedruns.go
@@ -72,7 +72,7 @@
 	}
 	return s.updatePools(tx, func(tenant string, pool *quota.Pool) bool {
 		changed := false
-		for holder := range pool.Held {
+		for holder := range pool.Allocations {
 			if _, replaced := replacedBy(holder); replaced {
 				changed = pool.StartCooling(holder) || changed
 			}
--- a/internal/controlplane/core/state.go
+++ b/internal/controlplane/core/state.go
@@ -45,7 +45,7 @@
 		if err != nil {
 			continue // it was written anew meanwhile
 		}
-		for holder, held := range pool.Held {
+		for holder, held := range pool.Allocations {
 			shares = append(shares, coreapi.QuotaShare{Tenant: tenant, Holder: holder, Units: held.Units})
 		}
 		for holder, units := range pool.Cooling {
--- a/internal/model/quota/pool.go
+++ b/internal/model/quota/pool.go
@@ -1,144 +1,101 @@
-// Package share splits a tenant's quota into unit shares. The shares of all holders never sum to
-// more than the quota, a spent unit comes back to its holder after the window, and only unspent
-// units move, giver first: so no rolling window sees more than the quota, whoever is cut off.
 package quota
 
-import (
-	"slices"
+import "yarrowridge/internal/lib/faultinjection"
 
-	"yarrowridge/internal/lib/faultinjection"
-)
+// Pool is the core's state of one tenant's limit: who holds how many units. The core stores it in a form of its own. The
+// zero value is a pool of which nothing is allocated. It has no lock: the core's run loop alone uses it.
+type Pool struct {
+	Allocations map[string]Allocation // by holder
+
+	// Cooling is the units of holders that are gone for good. They are not free yet, since what these holders spent last may
+	// still count in a window.
+	Cooling map[string]int
+
+	AboveLimit int      // units allocated above the limit by the tolerance
+	Charges    []Charge // what of the tolerance was used lately
+}
 
 // AllocatedUnits is how many units are not free: held, or cooling.
 func (p *Pool) AllocatedUnits() int {
-	n := 0
-	for _, h := range p.Held {
-		n += h.Units
+	units := 0
+	for _, allocation := range p.Allocations {
+		units += allocation.Units
 	}
-	return n + p.CoolingUnits()
+	return units + p.CoolingUnits()
 }
 
 // CoolingUnits is how many units holders that are gone may have spent within the window.
 func (p *Pool) CoolingUnits() int {
-	n := 0
-	for _, c := range p.Cooling {
-		n += c
-	}
-	return n
-}
-
-// ChargedUnits is how much of the tolerance was drawn lately.
-func (p *Pool) ChargedUnits() int {
-	n := 0
-	for _, c := range p.Charges {
-		n += c.Units
-	}
-	return n
-}
-
-// MaxAllocated is how many units may be out under a quota: while some cool, as many again on top of it, as far as the
-// tolerance that the limit allows has not been drawn lately.
-func (p *Pool) MaxAllocated(quota, tolerance int) int {
-	left := max(0, tolerance-p.ChargedUnits())
-	return min(max(quota, p.AllocatedUnits())+left, quota+p.CoolingUnits())
-}
-
-// Limit is what holders measure their units against: the quota, or what is out if that is more, since the quota
-// was lowered. What is out by the tolerance does not count: it is held to be spent.
-func (p *Pool) Limit(quota int) int { return max(quota, p.AllocatedUnits()-p.AboveLimit) }
-
-// AcquireWithTolerance is Acquire where the tolerance may be used as well: what is drawn above the quota counts as a charge of
-// the given ID, until Uncharge. Each unit of it adds one spend at most to the spends under the quota: the next
-// spend of the unit comes when the unit that cooled is free.
-func (p *Pool) AcquireWithTolerance(who string, turn uint64, want, quota, tolerance int, id uint64) (int, bool) {
-	before := p.AllocatedUnits()
-	have, changed := p.Acquire(who, turn, want, p.MaxAllocated(quota, tolerance))
-	if above := p.AllocatedUnits() - max(quota, before); above > 0 {
-		p.AboveLimit += above
-		p.charge(id, above)
+	sum := 0
+	for _, units := range p.Cooling {
+		sum += units
 	}
-	return have, changed
+	return sum
 }
 
-func (p *Pool) charge(id uint64, units int) {
-	charges := slices.Clone(p.Charges)
-	at := slices.IndexFunc(charges, func(c Charge) bool { return c.ID == id })
-	if at < 0 {
-		at = len(charges)
-		charges = append(charges, Charge{ID: id})
-	}
-	charges[at].Units += units
-	p.Charges = charges
-}
-
-// RemoveCharge ends a charge of the tolerance, once no window holds a spend that it stands for.
-func (p *Pool) RemoveCharge(id uint64) bool {
-	was := len(p.Charges)
-	p.Charges = slices.DeleteFunc(slices.Clone(p.Charges), func(c Charge) bool { return c.ID == id })
-	return len(p.Charges) < was
-}
-
-// less notes that so many units are out no longer. Those above the quota go first.
-func (p *Pool) less(units int) { p.AboveLimit = max(0, p.AboveLimit-units) }
-
-// Acquire gives a holder up to want units of what is free under the quota. A turn already taken
-// changes nothing: the answer to it was lost. It returns what the holder has now, and whether
-// the pool changed.
-func (p *Pool) Acquire(who string, turn uint64, want, quota int) (int, bool) {
-	h := p.Held[who]
-	if turn <= h.Sequence && !faultinjection.Disabled("draw-turn") {
-		return h.Units, false
+// LimitBase is what holders measure their units against: the limit, or what is allocated if that is more, since the limit
+// was lowered. Units above the limit by the tolerance do not count: they are there to be spent.
+func (p *Pool) LimitBase(limit int) int { return max(limit, p.AllocatedUnits()-p.AboveLimit) }
+
+// Acquire allocates a holder up to the wanted units of what is free under the limit. A sequence number that is not above
+// the holder's last one changes nothing: that transfer was applied before, and its answer was lost. It returns what the
+// holder has now, and reports whether the pool changed.
+func (p *Pool) Acquire(holder string, sequence uint64, wanted, limit int) (units int, changed bool) {
+	allocation := p.Allocations[holder]
+	if sequence <= allocation.Sequence && !faultinjection.Disabled("draw-turn") {
+		return allocation.Units, false
 	}
-	h.Sequence = turn
-	if free := quota - p.AllocatedUnits(); free > 0 && want > 0 {
-		h.Units += min(free, want)
+	allocation.Sequence = sequence
+	if free := limit - p.AllocatedUnits(); free > 0 && wanted > 0 {
+		allocation.Units += min(free, wanted)
 	}
-	p.set(who, h)
-	return h.Units, true
+	p.setAllocation(holder, allocation)
+	return allocation.Units, true
 }
 
-// Return takes back units that the holder has already struck off.
-func (p *Pool) Return(who string, turn uint64, units int) (int, bool) {
-	h := p.Held[who]
-	if turn <= h.Sequence {
-		return h.Units, false
+// Return takes back units that the holder has already struck off. Sequence numbers and results are those of Acquire.
+func (p *Pool) Return(holder string, sequence uint64, returned int) (units int, changed bool) {
+	allocation := p.Allocations[holder]
+	if sequence <= allocation.Sequence {
+		return allocation.Units, false
 	}
-	h.Sequence = turn
-	given := min(max(units, 0), h.Units)
-	h.Units -= given
-	p.less(given)
-	p.set(who, h)
-	return h.Units, true
+	allocation.Sequence = sequence
+	returned = min(max(returned, 0), allocation.Units)
+	allocation.Units -= returned
+	p.releaseAboveLimit(returned)
+	p.setAllocation(holder, allocation)
+	return allocation.Units, true
 }
 
-func (p *Pool) set(who string, h Allocation) {
-	if p.Held == nil {
-		p.Held = map[string]Allocation{}
+func (p *Pool) setAllocation(holder string, allocation Allocation) {
+	if p.Allocations == nil {
+		p.Allocations = map[string]Allocation{}
 	}
-	p.Held[who] = h
+	p.Allocations[holder] = allocation
 }
 
-// StartCooling moves a holder's units to cooling: it can spend no more, but what it spent last may
-// still count in a window.
-func (p *Pool) StartCooling(who string) bool {
-	h, ok := p.Held[who]
+// StartCooling moves the units of a holder that is gone for good to cooling: it spends no more, but what it spent last may
+// still count in a window. It reports whether the pool changed.
+func (p *Pool) StartCooling(holder string) bool {
+	allocation, ok := p.Allocations[holder]
 	if !ok {
 		return false
 	}
-	delete(p.Held, who)
-	if h.Units > 0 {
+	delete(p.Allocations, holder)
+	if allocation.Units > 0 {
 		if p.Cooling == nil {
 			p.Cooling = map[string]int{}
 		}
-		p.Cooling[who] += h.Units
+		p.Cooling[holder] += allocation.Units
 	}
 	return true
 }
 
-// EndCooling frees a retired holder's units, a window after the retirement.
-func (p *Pool) EndCooling(who string) bool {
-	units, ok := p.Cooling[who]
-	delete(p.Cooling, who)
-	p.less(units)
+// EndCooling frees the cooling units of a holder. The caller has waited for a window since the holder's last possible spend.
+// It reports whether the pool changed.
+func (p *Pool) EndCooling(holder string) bool {
+	units, ok := p.Cooling[holder]
+	delete(p.Cooling, holder)
+	p.releaseAboveLimit(units)
 	return ok
 }
--- a/internal/model/quota/saving_test.go
+++ b/internal/model/quota/saving_test.go
@@ -91,7 +91,7 @@
 	c.quota.Store(int64(quota))
 	for i := range count {
 		who := string(rune('a' + i))
-		shares := NewShares(daemon.Context{Context: ctx}, Options{
+		shares := NewShares(daemon.Context{Context: ctx}, Config{
 			Transfer: func(_ context.Context, move Transfer) (int, int, error) {
 				time.Sleep(time.Duration(rand.IntN(10)) * time.Millisecond)
 				return c.move(who, move)
@@ -117,7 +117,7 @@
 	quota := int(c.quota.Load())
 	if move.Return {
 		have, _ := c.pool.Return(who, move.Sequence, move.Units)
-		return have, c.pool.Limit(quota), nil
+		return have, c.pool.LimitBase(quota), nil
 	}
 	free := max(0, quota-c.pool.AllocatedUnits())
 	units, short := min(move.Units, (free+AcquireDivisor-1)/AcquireDivisor), false
@@ -126,7 +126,7 @@
 	}
 	have, _ := c.pool.Acquire(who, move.Sequence, units, quota)
 	c.short.Store(short || free-units < quota/8)
-	return have, c.pool.Limit(quota), nil
+	return have, c.pool.LimitBase(quota), nil
 }
 
 // spentUnits is one request that was let in.
--- a/internal/model/quota/share_benchmark_test.go
+++ b/internal/model/quota/share_benchmark_test.go
@@ -56,8 +56,8 @@
 
 // A request takes its units by way of the tenants' shares, as routers do.
 func BenchmarkSharesReserveCancel(b *testing.B) {
-	shares := NewShares(daemon.Context{Context: b.Context()}, Options{Nodes: func() int { return 1 }})
-	shares.all["t"] = endlessShare(b)
+	shares := NewShares(daemon.Context{Context: b.Context()}, Config{Nodes: func() int { return 1 }})
+	shares.shares["t"] = endlessShare(b)
 	ctx := context.Background()
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/model/quota/share_test.go
+++ b/internal/model/quota/share_test.go
@@ -155,7 +155,7 @@
 		live.Store(true)
 		var mu sync.Mutex
 		var pool Pool
-		ps := NewShares(daemon.Context{Context: ctx}, Options{
+		ps := NewShares(daemon.Context{Context: ctx}, Config{
 			Transfer: func(_ context.Context, move Transfer) (int, int, error) {
 				turn, n := move.Sequence, move.Units
 				mu.Lock()
--- a/internal/model/quota/grown_test.go
+++ b/internal/model/quota/shares_test.go
@@ -29,7 +29,7 @@
 	var pool Pool
 	for i := range holders {
 		name := string(rune('A' + i))
-		ps := NewShares(daemon.Context{Context: ctx}, Options{
+		ps := NewShares(daemon.Context{Context: ctx}, Config{
 			Transfer: func(_ context.Context, move Transfer) (int, int, error) {
 				turn, n, give := move.Sequence, move.Units, move.Return
 				c.moves.Add(1)
@@ -40,7 +40,7 @@
 					have, _ := pool.Return(name, turn, n)
 					return have, max(quota, pool.AllocatedUnits()), nil
 				}
-				was := pool.Held[name].Units
+				was := pool.Allocations[name].Units
 				have, _ := pool.Acquire(name, turn, n, quota)
 				if have-was < n {
 					c.short.Store(true)
@@ -135,7 +135,7 @@
 		defer synctest.Wait()
 		defer time.Sleep(time.Second)
 		defer end()
-		ps := NewShares(daemon.Context{Context: ctx}, Options{
+		ps := NewShares(daemon.Context{Context: ctx}, Config{
 			Transfer: func(_ context.Context, move Transfer) (int, int, error) {
 				n := move.Units
 				time.Sleep(600 * time.Millisecond)
@@ -192,7 +192,7 @@
 						if rapid.Bool().Draw(rt, "lost") {
 							have, _ = pool.AcquireWithTolerance(who, turn, units, quota, tolerance, charge)
 						}
-						quotaShare.Apply(turn, have, pool.Limit(quota))
+						quotaShare.Apply(turn, have, pool.LimitBase(quota))
 					}
 				case 4, 5, 6:
 					for {
@@ -212,7 +212,7 @@
 				case 10:
 					if turn, units, ok := quotaShare.NextReturn(rapid.Bool().Draw(rt, "short"), 4); ok {
 						have, _ := pool.Return(who, turn, units)
-						quotaShare.Apply(turn, have, pool.Limit(quota))
+						quotaShare.Apply(turn, have, pool.LimitBase(quota))
 					}
 				case 9:
 					for dead, at := range cools {
@@ -259,7 +259,7 @@
 		defer time.Sleep(10 * time.Second)
 		defer end()
 		var gone atomic.Bool
-		ps := NewShares(daemon.Context{Context: ctx}, Options{
+		ps := NewShares(daemon.Context{Context: ctx}, Config{
 			Transfer: func(ctx context.Context, move Transfer) (int, int, error) {
 				n := move.Units
 				if gone.Load() {
--- a/internal/model/quota/tolerance_test.go
+++ b/internal/model/quota/tolerance_test.go
@@ -50,18 +50,18 @@
 // spend has a holder spend all units that it has not spent within the period.
 func (f *greedyFleet) spend(name string) {
 	h := f.holders[name]
-	cap := h.units
-	if under := f.pool.Limit(f.quota); under > f.quota {
-		cap = cap * f.quota / under
+	usable := h.units
+	if under := f.pool.LimitBase(f.quota); under > f.quota {
+		usable = usable * f.quota / under
 	}
 	for at, units := range h.spent {
 		if f.now-at < f.period {
-			cap -= units
+			usable -= units
 		}
 	}
-	if cap > 0 {
-		h.spent[f.now] += cap
-		f.spent[f.now] += cap
+	if usable > 0 {
+		h.spent[f.now] += usable
+		f.spent[f.now] += usable
 	}
 }
 
