--- /dev/null
+++ b/internal/dataplane/cluster/antientropy.go
@@ -0,0 +1,60 @@
+package cluster
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"yarrowridge/internal/transport/dissemination"
+)
+
+const (
+	repairTimeout     = 500 * time.Millisecond // of one exchange
+	maxRepairAttempts = 3                      // routers asked in one round until one has answered
+)
+
+// repair is one round of anti-entropy: it compares our records by digests with those of one neighbour, or every other time
+// with those of any router.
+func (m *Member) repair() {
+	m.Records.Expire(recordTTL)
+	neighbours := m.Neighbours()
+	nodes := m.Nodes()
+	// A neighbour that does not answer may be what an update is stuck behind: another is asked at once.
+	for range maxRepairAttempts {
+		addr := ""
+		if len(neighbours) > 0 && rand.N(2) > 0 {
+			addr = neighbours[rand.N(len(neighbours))].Addr
+		} else if len(nodes) > 0 {
+			addr = nodes[rand.N(len(nodes))].Addr
+		}
+		if addr == "" || addr == m.addr {
+			continue
+		}
+		ctx, cancel := context.WithTimeout(m.ctx, repairTimeout)
+		ok := m.repairWith(ctx, addr)
+		cancel()
+		if ok {
+			return
+		}
+	}
+}
+
+// repairWith compares our records with one router's, and exchanges what differs. It reports whether the router answered.
+func (m *Member) repairWith(ctx context.Context, addr string) bool {
+	digests := m.Records.Digests(m.ctx.Name)
+	var difference dissemination.Difference
+	requestedAt := time.Now()
+	if m.caller.Call(ctx, addr, "node.sum", &digests, &difference) != nil {
+		return false
+	}
+	repair := m.Records.Repair(m.ctx.Name, difference)
+	if len(repair.Records)+len(repair.Wanted) > 0 {
+		var update dissemination.Update
+		if m.caller.Call(ctx, addr, "node.fix", &repair, &update) != nil {
+			return false
+		}
+		m.Broadcast(update)
+	}
+	m.learnConfirmed(&difference, requestedAt)
+	return true
+}
--- a/internal/dataplane/cluster/confirmation.go
+++ b/internal/dataplane/cluster/confirmation.go
@@ -1,6 +1,7 @@
 package cluster
 
 import (
+	"sync"
 	"time"
 
 	"yarrowridge/internal/transport/dissemination"
@@ -9,31 +10,45 @@
 // clockDriftDivisor is the part of an age by which two machines' monotonic clocks may differ over it.
 const clockDriftDivisor = 10
 
-// noteConfirmed notes that every configuration acknowledged before a moment has that version at most. A newer one than
-// the one in force here says nothing: what it changed is not obeyed yet.
-func (h *Member) noteConfirmed(version uint64, at time.Time) {
-	if version > h.ConfigVersion() {
-		return
+// confirmation is the latest moment up to which the configuration in force is known to be the newest acknowledged one, by
+// our own monotonic clock. Keys that were revoked before it are of no use here. Its mutex guards it.
+type confirmation struct {
+	mu sync.Mutex
+	at time.Time // zero: never confirmed
+}
+
+// advance moves the moment on; it never moves back.
+func (c *confirmation) advance(at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if at.After(c.at) {
+		c.at = at
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if at.After(h.confirmedAt) {
-		h.confirmedAt = at
+}
+
+func (c *confirmation) latest() time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.at
+}
+
+// recordConfirmed notes that every configuration acknowledged before a moment has that version at most. If it is newer than
+// the one in force, it confirms nothing: what it changed does not hold here yet.
+func (m *Member) recordConfirmed(version uint64, at time.Time) {
+	if version > m.ConfigVersion() {
+		return
 	}
+	m.confirmation.advance(at)
 }
 
 // ConfirmedAt is the latest moment of which it is known that each configuration acknowledged before it is in force here,
-// or a newer one: by our own monotonic clock, from when the primary was asked under its lease, by us or by a node that
-// told us; zero where it never was.
-func (h *Member) ConfirmedAt() time.Time {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.confirmedAt
-}
+// or a newer one: by our own monotonic clock, from when the primary was asked under its lease, by us or by a router that
+// passed its confirmation on; zero where it never was.
+func (m *Member) ConfirmedAt() time.Time { return m.confirmation.latest() }
 
-// tellConfirmed puts into an answer to another node what is known of the configuration in force.
-func (h *Member) tellConfirmed(difference *dissemination.Difference) {
-	version, at := h.ConfigVersion(), h.ConfirmedAt()
+// reportConfirmed adds the confirmation of the configuration in force to an answer to another router.
+func (m *Member) reportConfirmed(difference *dissemination.Difference) {
+	version, at := m.ConfigVersion(), m.ConfirmedAt()
 	if at.IsZero() {
 		return
 	}
@@ -41,12 +56,12 @@
 	difference.ConfirmedAgeMs = int(time.Since(at).Milliseconds()) + 1
 }
 
-// takeConfirmed takes what another node has told of its configuration, in answer to what it was asked at a moment: the
-// answer was made later, so that the age that it tells counts back from no later moment.
-func (h *Member) takeConfirmed(difference *dissemination.Difference, asked time.Time) {
+// learnConfirmed takes over another router's confirmation from its answer to a request sent at a moment. The answer was made
+// after that moment, so that the age in it, counted back from there, errs towards an earlier confirmation.
+func (m *Member) learnConfirmed(difference *dissemination.Difference, requestedAt time.Time) {
 	if !difference.Confirmed || difference.ConfirmedAgeMs < 0 {
 		return
 	}
 	age := time.Duration(difference.ConfirmedAgeMs) * time.Millisecond
-	h.noteConfirmed(difference.ConfigVersion, asked.Add(-age-age/clockDriftDivisor))
+	m.recordConfirmed(difference.ConfigVersion, requestedAt.Add(-age-age/clockDriftDivisor))
 }
--- a/internal/dataplane/cluster/confirmation_test.go
+++ b/internal/dataplane/cluster/confirmation_test.go
@@ -8,48 +8,53 @@
 	"yarrowridge/internal/transport/dissemination"
 )
 
-// What is confirmed of a version that is not in force here says nothing, and no word makes an older moment of a newer one.
+// newMemberAt makes a member with a version of the configuration in force.
+func newMemberAt(version uint64) *Member {
+	m := &Member{}
+	m.config.current.Store(&configuration{version: version})
+	return m
+}
+
+// The confirmation of a version that is not in force here counts for nothing, and an earlier one does not replace a later.
 func TestConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := &Member{}
-		h.current.Store(&configuration{version: 5})
+		m := newMemberAt(5)
 		now := time.Now()
-		h.noteConfirmed(6, now)
-		if !h.ConfirmedAt().IsZero() {
-			t.Error("a version that is not in force here was confirmed")
+		m.recordConfirmed(6, now)
+		if got := m.ConfirmedAt(); !got.IsZero() {
+			t.Errorf("got confirmed at %s by a version that is not in force, want never", got)
 		}
-		h.noteConfirmed(5, now)
-		h.noteConfirmed(4, now.Add(-time.Second))
-		if h.ConfirmedAt() != now {
-			t.Errorf("confirmed at %s, %s expected", h.ConfirmedAt(), now)
+		m.recordConfirmed(5, now)
+		m.recordConfirmed(4, now.Add(-time.Second))
+		if got := m.ConfirmedAt(); got != now {
+			t.Errorf("got confirmed at %s, want %s", got, now)
 		}
 	})
 }
 
-// A node that is told by another is never further than the other, whatever the way took: the age grows by each hop.
-func TestConfirmationIsHandedOn(t *testing.T) {
+// A confirmation that is passed on never becomes later than the original, however long the messages take: each hop adds to
+// its age.
+func TestConfirmationIsPassedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		first, second := &Member{}, &Member{}
-		first.current.Store(&configuration{version: 5})
-		second.current.Store(&configuration{version: 5})
-		var silent dissemination.Difference
-		first.tellConfirmed(&silent)
-		second.takeConfirmed(&silent, time.Now())
-		if !second.ConfirmedAt().IsZero() {
-			t.Error("a node that knows nothing has confirmed something")
+		first, second := newMemberAt(5), newMemberAt(5)
+		var unconfirmed dissemination.Difference
+		first.reportConfirmed(&unconfirmed)
+		second.learnConfirmed(&unconfirmed, time.Now())
+		if got := second.ConfirmedAt(); !got.IsZero() {
+			t.Errorf("got confirmed at %s by a router that was never confirmed, want never", got)
 		}
-		known := time.Now()
-		first.noteConfirmed(5, known)
+		original := time.Now()
+		first.recordConfirmed(5, original)
 		time.Sleep(time.Second)
-		asked := time.Now()
-		time.Sleep(200 * time.Millisecond) // on the way there
-		var told dissemination.Difference
-		first.tellConfirmed(&told)
-		time.Sleep(700 * time.Millisecond) // and back
-		second.takeConfirmed(&told, asked)
+		requestedAt := time.Now()
+		time.Sleep(200 * time.Millisecond) // the request's way
+		var response dissemination.Difference
+		first.reportConfirmed(&response)
+		time.Sleep(700 * time.Millisecond) // the response's way
+		second.learnConfirmed(&response, requestedAt)
 		got := second.ConfirmedAt()
-		if got.IsZero() || got.After(known) || known.Sub(got) > 500*time.Millisecond {
-			t.Errorf("confirmed %s before the first node was, up to 500ms expected", known.Sub(got))
+		if got.IsZero() || got.After(original) || original.Sub(got) > 500*time.Millisecond {
+			t.Errorf("got confirmed %s before the original, want 0 to 500ms", original.Sub(got))
 		}
 	})
 }
--- a/internal/dataplane/cluster/messages.go
+++ b/internal/dataplane/cluster/messages.go
@@ -7,7 +7,7 @@
 // A length read from the wire is believed up to this only.
 //msgp:limit arrays:10000000 maps:200000
 
-// NodeList is a node's list of nodes.
+// NodeList is a router's peer directory.
 type NodeList struct {
 	Nodes []coreapi.Node `msg:"n"`
 }
--- a/internal/dataplane/cluster/readiness.go
+++ b/internal/dataplane/cluster/readiness.go
@@ -1,50 +1,56 @@
 package cluster
 
-import (
-	"time"
-)
-
-// Ready tells why no new clients should be sent to this node, or "".
-func (h *Member) NotReadyReason() string {
-	h.mu.Lock()
-	quit := h.draining
-	h.mu.Unlock()
-	if quit {
-		return "leaving"
-	}
-	return h.UnavailableReason()
+import "sync"
+
+// readiness is whether clients should be sent to this router. Its mutex guards all of it.
+type readiness struct {
+	mu       sync.Mutex
+	synced   bool // the core, or failing that every router of the zone that answers, was asked for the configuration
+	draining bool // clients should go elsewhere
+}
+
+func (r *readiness) setSynced() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.synced = true
+}
+
+func (r *readiness) isSynced() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.synced
+}
+
+func (r *readiness) isDraining() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.draining
 }
 
-// StartDraining begins leaving: we are no longer ready, but go on serving what comes.
-func (h *Member) StartDraining() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.draining = true
+// StartDraining begins the graceful shutdown: this router is no longer ready, but serves the requests that still come.
+func (m *Member) StartDraining() {
+	m.readiness.mu.Lock()
+	defer m.readiness.mu.Unlock()
+	m.readiness.draining = true
 }
 
-// Servable tells why this node can't serve at all yet, or "".
-func (h *Member) UnavailableReason() string {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// NotReadyReason says why no new clients should be sent to this router, or "".
+func (m *Member) NotReadyReason() string {
+	if m.readiness.isDraining() {
+		return "leaving"
+	}
+	return m.UnavailableReason()
+}
+
+// UnavailableReason says why this router can serve no request at all yet, or "".
+func (m *Member) UnavailableReason() string {
+	m.readiness.mu.Lock()
+	defer m.readiness.mu.Unlock()
 	switch {
-	case h.current.Load() == nil:
+	case !m.config.isLoaded():
 		return "no layout yet"
-	case !h.initialSyncDone:
+	case !m.readiness.synced:
 		return "neither the core nor the hall's nodes have been asked yet"
 	}
 	return ""
 }
-
-// Stale reports whether the core has not been heard for a while: the configuration may be old.
-func (h *Member) CoreSilent() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return time.Since(h.coreHeard) > staleAfter
-}
-
-// Fresh reports whether the core has answered one of the last two heartbeats.
-func (h *Member) CoreResponsive() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return time.Since(h.coreHeard) < 2*heartbeatEvery+heartbeatEvery/2
-}
--- a/internal/dataplane/cluster/serve.go
+++ b/internal/dataplane/cluster/serve.go
@@ -11,45 +11,45 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// Handle adds a handler of another owner's calls on the same listener.
-func (h *Member) RegisterHandler(name string, hand wire.Handler) { h.handlers[name] = hand }
+// RegisterHandler adds a handler for the message kinds that begin with name and a dot. It must not be called once Serve is.
+func (m *Member) RegisterHandler(name string, handler wire.Handler) { m.handlers[name] = handler }
 
-// Serve answers calls from other processes.
-func (h *Member) Serve(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
+// Serve is the wire.Handler for other processes' calls.
+func (m *Member) Serve(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 	switch kind {
 	case "view.ask":
-		return &view.StatusResponse{Addr: h.addr, View: h.Core.View()}, nil
+		return &view.StatusResponse{Addr: m.addr, View: m.Core.View()}, nil
 	case "node.tell":
-		return wire.HandleTyped(body, func(news *dissemination.Update) (*coreapi.Empty, error) {
-			h.Broadcast(*news)
+		return wire.HandleTyped(body, func(update *dissemination.Update) (*coreapi.Empty, error) {
+			m.Broadcast(*update)
 			return &coreapi.Empty{}, nil
 		})
 	case "node.sum":
 		return wire.HandleTyped(body, func(digests *dissemination.Digests) (*dissemination.Difference, error) {
-			d := h.Records.Compare(*digests)
-			h.tellConfirmed(&d)
-			return &d, nil
+			difference := m.Records.Compare(*digests)
+			m.reportConfirmed(&difference)
+			return &difference, nil
 		})
 	case "node.fix":
 		return wire.HandleTyped(body, func(repair *dissemination.Repair) (*dissemination.Update, error) {
-			h.Broadcast(dissemination.Update{From: repair.From, Records: repair.Records})
-			return &dissemination.Update{From: h.ctx.Name, Records: h.Records.Select(repair.Wanted)}, nil
+			m.Broadcast(dissemination.Update{From: repair.From, Records: repair.Records})
+			return &dissemination.Update{From: m.ctx.Name, Records: m.Records.Select(repair.Wanted)}, nil
 		})
 	case "node.view":
 		return wire.HandleTyped(body, func(request *view.LearnRequest) (*coreapi.Empty, error) {
-			h.Core.Learn(request.View)
+			m.Core.Learn(request.View)
 			return &coreapi.Empty{}, nil
 		})
 	case "node.run":
-		me := h.Self()
-		return &me, nil
+		self := m.Self()
+		return &self, nil
 	case "node.roll":
-		return &NodeList{h.Nodes()}, nil
+		return &NodeList{m.Nodes()}, nil
 	}
-	return wire.Handlers(h.handlers).Dispatch(ctx, kind, body)
+	return wire.Handlers(m.handlers).Dispatch(ctx, kind, body)
 }
 
-// Call reaches another process of the fleet.
-func (h *Member) Call(ctx context.Context, addr, kind string, request msgp.Marshaler, response msgp.Unmarshaler) error {
-	return h.caller.Call(ctx, addr, kind, request, response)
+// Call sends a request to another process of the fleet and decodes its response, which may be nil to ignore it.
+func (m *Member) Call(ctx context.Context, addr, kind string, request msgp.Marshaler, response msgp.Unmarshaler) error {
+	return m.caller.Call(ctx, addr, kind, request, response)
 }
