--- a/internal/transport/wire/compression.go
+++ b/internal/transport/wire/compression.go
@@ -5,33 +5,34 @@
 	"github.com/rotisserie/eris"
 )
 
-// packAbove is the size above which a body is compressed.
+// compressAboveBytes is the size above which a body is compressed.
 const compressAboveBytes = 4 << 10
 
-// pack compresses a large body if that is worth it. Only a peer that has said so can read it.
+// compress compresses a large body where that saves an eighth of it at least. Only a peer that has said that it accepts
+// compressed bodies can read the frame then.
 func (f *Frame) compress() {
 	if len(f.Body) <= compressAboveBytes {
 		return
 	}
-	if small := s2.Encode(nil, f.Body); len(small) < len(f.Body)*7/8 {
-		f.Body, f.Compressed = small, true
+	if compressed := s2.Encode(nil, f.Body); len(compressed) < len(f.Body)*7/8 {
+		f.Body, f.Compressed = compressed, true
 	}
 }
 
-// unpack restores a compressed body.
+// decompress restores a compressed body. The size that the body claims is checked before memory is allocated for it.
 func (f *Frame) decompress() error {
 	if !f.Compressed {
 		return nil
 	}
 	size, err := s2.DecodedLen(f.Body)
 	if err != nil {
-		return eris.Wrap(err, "wire: compressed body unread")
+		return eris.Wrap(err, "wire: decompress body")
 	}
 	if size > MaxFrameBytes {
-		return eris.Errorf("wire: compressed body of %d bytes, at most %d expected", size, MaxFrameBytes)
+		return eris.Errorf("wire: compressed body of %d bytes is above the limit of %d", size, MaxFrameBytes)
 	}
 	if f.Body, err = s2.Decode(nil, f.Body); err != nil {
-		return eris.Wrap(err, "wire: compressed body unread")
+		return eris.Wrap(err, "wire: decompress body")
 	}
 	f.Compressed = false
 	return nil
--- a/internal/transport/wire/format.go
+++ b/internal/transport/wire/format.go
@@ -2,5 +2,5 @@
 
 package wire
 
-// Fmt is the format this build speaks. A frame one below or above is read too.
+// FormatVersion is the format this build writes. Frames of the format one below or above are read too.
 const FormatVersion = 1
--- a/internal/transport/wire/msgs.go
+++ b/internal/transport/wire/msgs.go
@@ -2,20 +2,20 @@
 
 //go:generate go tool msgp -tests=false -io=false
 
-// A length read from the wire is believed up to this only.
+// No length read from the wire is trusted beyond these.
 //msgp:limit arrays:10000000 maps:200000
 
-// Frame is what goes over the wire between our own processes: one call or one answer.
-// Fmt is the message format of the sender; neighbours one format apart still talk.
+// Frame is what goes over the wire: one call or one response. Unknown fields are skipped and missing ones are zero, so
+// that formats one apart understand each other.
 type Frame struct {
-	Format    uint8  `msg:"f"`
-	ID        uint64 `msg:"i"`
-	Kind      string `msg:"k"`
-	ErrorCode string `msg:"e"`
-	Body      []byte `msg:"b"`
+	Format    uint8  `msg:"f"` // the FormatVersion of the sender
+	ID        uint64 `msg:"i"` // of the call on its connection, from 1 on; a response carries its call's
+	Kind      string `msg:"k"` // which call, as API.name; a response carries its call's
+	ErrorCode string `msg:"e"` // of a response: the Code of a call that failed; else empty
+	Body      []byte `msg:"b"` // the message, in msgp
 
-	Compressed        bool `msg:"z"` // Body is compressed
-	AcceptsCompressed bool `msg:"u"` // the sender reads compressed bodies; a build that does not passes this over
+	Compressed        bool `msg:"z"` // Body is compressed by S2
+	AcceptsCompressed bool `msg:"u"` // the sender reads compressed bodies; a build that does not skips this field
 
-	wireBytes int `msg:"-"` // on the wire, known once it was written or read
+	wireBytes int `msg:"-"` // size on the wire with its length prefix, known once the frame was written or read
 }
--- a/internal/transport/wire/traffic.go
+++ b/internal/transport/wire/traffic.go
@@ -5,13 +5,13 @@
 	"sync/atomic"
 )
 
-// Count is a number of frames and their bytes on the wire, lengths included.
+// Count is a number of frames and their size on the wire in bytes, length prefixes included.
 type Count struct {
 	Frames uint64 `json:"frames"`
 	Bytes  uint64 `json:"bytes"`
 }
 
-// Traffic is what this process has sent and received of one kind of message.
+// Traffic is what this process has sent and received of one kind of call.
 type Traffic struct {
 	CallsSent         Count `json:"calls_sent"`
 	ResponsesReceived Count `json:"answers_received"`
@@ -19,13 +19,13 @@
 	ResponsesSent     Count `json:"answers_sent"`
 }
 
-// Sent is everything that left this process.
+// Sent returns what left this process, calls and responses.
 func (t Traffic) Sent() Count { return t.CallsSent.plus(t.ResponsesSent) }
 
-// Received is everything that came to this process.
+// Received returns what came to this process, calls and responses.
 func (t Traffic) Received() Count { return t.CallsReceived.plus(t.ResponsesReceived) }
 
-// Minus is the traffic since an earlier reading.
+// Minus returns the traffic since an earlier reading.
 func (t Traffic) Minus(earlier Traffic) Traffic {
 	return Traffic{t.CallsSent.minus(earlier.CallsSent), t.ResponsesReceived.minus(earlier.ResponsesReceived),
 		t.CallsReceived.minus(earlier.CallsReceived), t.ResponsesSent.minus(earlier.ResponsesSent)}
@@ -34,13 +34,13 @@
 func (c Count) plus(d Count) Count  { return Count{c.Frames + d.Frames, c.Bytes + d.Bytes} }
 func (c Count) minus(d Count) Count { return Count{c.Frames - d.Frames, c.Bytes - d.Bytes} }
 
-// mostKinds bounds how many kinds are counted apart: kinds come from the far side, which may be faulty.
+// mostKinds bounds how many kinds are counted one by one: a kind comes from a peer, which may be faulty.
 const maxKinds = 100
 
-// otherKinds is the name under which kinds beyond the bound are counted together.
+// otherKinds is the kind under which those beyond maxKinds are counted together.
 const otherKinds = "other"
 
-// counter counts one direction of one kind.
+// counter counts the frames of one kind and direction.
 type counter struct{ frames, bytes atomic.Uint64 }
 
 func (c *counter) add(size int) {
@@ -50,21 +50,22 @@
 
 func (c *counter) read() Count { return Count{c.frames.Load(), c.bytes.Load()} }
 
+// kindCounters counts the frames of one kind.
 type kindCounters struct {
 	callsSent, responsesReceived, callsReceived, responsesSent counter
 }
 
 // trafficCounters are the counters of a process, by kind.
 type trafficCounters struct {
-	mu    sync.RWMutex
+	mu    sync.RWMutex // guards the map; the counters in it are atomic
 	kinds map[string]*kindCounters
 }
 
 // traffic counts all frames of this process.
 var traffic = &trafficCounters{kinds: map[string]*kindCounters{}}
 
-// of gives the counters of a kind.
-func (t *trafficCounters) of(kind string) *kindCounters {
+// forKind returns the counters of a kind.
+func (t *trafficCounters) forKind(kind string) *kindCounters {
 	t.mu.RLock()
 	known := t.kinds[kind]
 	t.mu.RUnlock()
@@ -82,6 +83,7 @@
 	return t.kinds[kind]
 }
 
+// read returns what was counted so far, by kind.
 func (t *trafficCounters) read() map[string]Traffic {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -92,5 +94,6 @@
 	return out
 }
 
-// TrafficByKind tells what this process has sent and received since its start, by kind of message.
+// TrafficByKind returns what this process has sent and received since its start, by kind of call. It may be called
+// concurrently.
 func TrafficByKind() map[string]Traffic { return traffic.read() }
--- a/internal/transport/wire/traffic_test.go
+++ b/internal/transport/wire/traffic_test.go
@@ -45,7 +45,7 @@
 func TestKindsAreBounded(t *testing.T) {
 	counters := &trafficCounters{kinds: map[string]*kindCounters{}}
 	for i := range 5 * maxKinds {
-		counters.of(fmt.Sprint("kind", i)).callsReceived.add(1)
+		counters.forKind(fmt.Sprint("kind", i)).callsReceived.add(1)
 	}
 	got := counters.read()
 	if len(got) != maxKinds+1 || got[otherKinds].CallsReceived.Frames != 4*maxKinds {
