--- a/internal/controlplane/core/announce.go
+++ b/internal/controlplane/core/announce.go
@@ -42,7 +42,7 @@
 // announceView tells the view to each place that sends no heartbeats; live has the addresses of those that do. Places
 // silent for long are forgotten.
 func (s *Server) announceView(live map[string]bool) {
-	v := s.voter.View()
+	v := s.acceptor.View()
 	silent := map[string]bool{}
 	var expired []string
 	s.store.Load().ForEachWithPrefix(placePrefix, func(key string, _ []byte) {
--- a/internal/controlplane/core/backups.go
+++ b/internal/controlplane/core/backups.go
@@ -32,7 +32,7 @@
 func (s *Server) respondingBackups(v view.View, primacy *lease.Lease, ledSince time.Time) []string {
 	var out []string
 	for _, id := range v.Backups() {
-		if primacy.SinceResponse(id, ledSince) <= backupSilentAfter {
+		if primacy.TimeSinceContact(id, ledSince) <= backupSilentAfter {
 			out = append(out, id)
 		}
 	}
@@ -79,7 +79,7 @@
 	var free, lastResort []view.Member
 	for _, m := range v.Members {
 		switch {
-		case m.ID == me || slices.Contains(keep, m.ID) || primacy.SinceResponse(m.ID, time.Time{}) > aliveWithin:
+		case m.ID == me || slices.Contains(keep, m.ID) || primacy.TimeSinceContact(m.ID, time.Time{}) > aliveWithin:
 		case m.ID != s.predecessor && !s.hasFailedWithin(m.ID, failedFor):
 			free = append(free, m)
 		case !s.hasFailedWithin(m.ID, retryFailedAfter):
@@ -125,7 +125,7 @@
 		used[v.ZoneOf(id)] = true
 	}
 	for _, m := range v.Members {
-		if worst != "" && !used[m.Zone] && primacy.SinceResponse(m.ID, time.Time{}) < aliveWithin && !s.hasFailedWithin(m.ID, steadyFor) {
+		if worst != "" && !used[m.Zone] && primacy.TimeSinceContact(m.ID, time.Time{}) < aliveWithin && !s.hasFailedWithin(m.ID, steadyFor) {
 			return worst
 		}
 	}
--- a/internal/controlplane/core/bench_test.go
+++ b/internal/controlplane/core/bench_test.go
@@ -119,7 +119,7 @@
 		s.putFinishedKeys(tx, sums)
 		i += size
 	}
-	if err := opened.Append(store.Batch{Version: 1, Base: true, Mutations: tx.Mutations()}); err != nil {
+	if err := opened.Append(store.Batch{Version: 1, IsSnapshot: true, Mutations: tx.Mutations()}); err != nil {
 		b.Fatal(err)
 	}
 }
--- a/internal/controlplane/core/commit.go
+++ b/internal/controlplane/core/commit.go
@@ -37,7 +37,7 @@
 // where the operation surely was not and will not be taken, InDoubt where it may be.
 func (s *Server) Submit(ctx context.Context, do func(*transaction.Tx) error) error {
 	if !s.isReady() {
-		if v := s.voter.View(); v.Primary != s.voter.ID() {
+		if v := s.acceptor.View(); v.Primary != s.acceptor.ID() {
 			return wire.StatusError{Code: coreapi.CodeNotPrimary}
 		}
 		return wire.StatusError{Code: coreapi.CodeNotReady}
@@ -69,7 +69,7 @@
 	s.mu.Lock()
 	ready, epoch := s.ready, s.epoch
 	s.mu.Unlock()
-	v := s.voter.View()
+	v := s.acceptor.View()
 	tx := transaction.New(s.store.Load())
 	mayWrite := ready && v.Epoch == epoch && s.isPrimary(v)
 	var taken []*job
@@ -177,14 +177,14 @@
 // others can be had.
 func (s *Server) replaceBackups() bool {
 	s.setReady(false)
-	me := s.voter.ID()
+	me := s.acceptor.ID()
 	for deadline := time.Now().Add(replaceTimeout); time.Now().Before(deadline); {
-		current := s.voter.View()
+		current := s.acceptor.View()
 		if current.Primary != me || s.hasDiskFailed() {
 			return false
 		}
 		s.lead(current, me)
-		next := s.voter.View()
+		next := s.acceptor.View()
 		if s.isReady() && s.isPrimary(next) {
 			return true
 		}
--- a/internal/controlplane/core/config.go
+++ b/internal/controlplane/core/config.go
@@ -80,7 +80,7 @@
 	if written.Version > 0 {
 		s.ctx.Log.Info("Configuration taken.", "sequence", written.Version)
 		s.push(dissemination.ConfigRecord(written.Version, written.Raw))
-		if !s.isPrimary(s.voter.View()) {
+		if !s.isPrimary(s.acceptor.View()) {
 			return nil, wire.StatusError{Code: coreapi.CodeOutcomeUnknown}
 		}
 	}
--- a/internal/controlplane/core/disk.go
+++ b/internal/controlplane/core/disk.go
@@ -94,6 +94,6 @@
 	defer s.mu.Unlock()
 	s.diskFailed = false
 	s.epoch = 0 // leading starts over, in a new epoch and with a fresh snapshot to the backups
-	s.endedEpoch = s.voter.View().Epoch
+	s.endedEpoch = s.acceptor.View().Epoch
 	return true
 }
--- a/internal/controlplane/core/doubt_test.go
+++ b/internal/controlplane/core/doubt_test.go
@@ -53,7 +53,7 @@
 			return core.handlers.Dispatch(ctx, kind, body)
 		})
 		cores = append(cores, core)
-		v.Members = append(v.Members, view.Member{ID: core.voter.ID(), Addr: addr})
+		v.Members = append(v.Members, view.Member{ID: core.acceptor.ID(), Addr: addr})
 	}
 	v.Primary = v.Members[0].ID
 	v = v.WithBackups([]string{v.Members[1].ID})
@@ -80,7 +80,7 @@
 	}
 	acceptsLost.Store(false)
 	primary.beginEpoch(v)
-	decided := primary.voter.View()
+	decided := primary.acceptor.View()
 	if decided.Epoch != v.Epoch+1 || !decided.IsBackup(v.Members[2].ID) {
 		t.Errorf("epoch %d was decided with backups %v, not the view that was accepted", decided.Epoch, decided.Backups())
 	}
--- a/internal/controlplane/core/figures.go
+++ b/internal/controlplane/core/figures.go
@@ -17,7 +17,7 @@
 
 // Figures gives what this core counts of itself now.
 func (s *Server) Figures() Figures {
-	v := s.voter.View()
+	v := s.acceptor.View()
 	figures := Figures{Epoch: v.Epoch, Members: len(v.Members), Primary: s.isPrimary(v), StoreVersion: s.store.Load().Version(),
 		Runners: len(s.registry.List(time.Now()))}
 	s.mu.Lock()
--- a/internal/controlplane/core/findfleet.go
+++ b/internal/controlplane/core/findfleet.go
@@ -37,7 +37,7 @@
 			s.learn(status.View)
 		}
 	}
-	if s.voter.View().Epoch > 0 || len(founders) == 0 || founders[0] != s.settings.Addr {
+	if s.acceptor.View().Epoch > 0 || len(founders) == 0 || founders[0] != s.settings.Addr {
 		return
 	}
 	current := view.View{}
@@ -71,7 +71,7 @@
 		return
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, stepTimeout)
-	request := &JoinRequest{Member: view.Member{ID: s.voter.ID(), Addr: s.settings.Addr, Zone: s.ctx.Zone}}
+	request := &JoinRequest{Member: view.Member{ID: s.acceptor.ID(), Addr: s.settings.Addr, Zone: s.ctx.Zone}}
 	err := s.call(ctx, v.Addr(v.Primary), "core.join", request, nil)
 	cancel()
 	if err == nil {
@@ -86,7 +86,7 @@
 // findNewerView asks for a newer view where no lease of the primary has run here for long: we may have
 // been dropped while we were cut off.
 func (s *Server) findNewerView(v view.View) {
-	if s.voter.Leased() {
+	if s.acceptor.HasActiveLease() {
 		s.nextViewSearch = time.Now().Add(2 * s.settings.LeaseTerm)
 		return
 	}
--- a/internal/controlplane/core/handlers.go
+++ b/internal/controlplane/core/handlers.go
@@ -36,20 +36,20 @@
 func (s *Server) vote(kind string, body []byte) (msgp.Marshaler, error) {
 	switch kind {
 	case "view.ask":
-		return s.voter.Status(s.settings.Addr, s.ctx.Zone), nil
+		return s.acceptor.Status(s.settings.Addr, s.ctx.Zone), nil
 	case "view.prep":
-		return wire.HandleTyped(body, s.voter.Prepare)
+		return wire.HandleTyped(body, s.acceptor.Prepare)
 	case "view.pick":
-		return wire.HandleTyped(body, s.voter.Accept)
+		return wire.HandleTyped(body, s.acceptor.Accept)
 	case "view.learn":
 		return wire.HandleTyped(body, func(request *view.LearnRequest) (*coreapi.Empty, error) {
-			return &coreapi.Empty{}, s.voter.Learn(request.View)
+			return &coreapi.Empty{}, s.acceptor.Learn(request.View)
 		})
 	case "view.renew":
-		return wire.HandleTyped(body, s.voter.Renew)
+		return wire.HandleTyped(body, s.acceptor.Renew)
 	case "view.release":
 		return wire.HandleTyped(body, func(request *paxos.ReleaseRequest) (*coreapi.Empty, error) {
-			s.voter.Release(request)
+			s.acceptor.Release(request)
 			return &coreapi.Empty{}, nil
 		})
 	}
@@ -105,8 +105,8 @@
 
 // requirePrimary rejects what only a ready primary may answer.
 func (s *Server) requirePrimary() error {
-	v := s.voter.View()
-	if v.Primary != s.voter.ID() {
+	v := s.acceptor.View()
+	if v.Primary != s.acceptor.ID() {
 		return wire.StatusError{Code: coreapi.CodeNotPrimary}
 	}
 	if (!s.isReady() || !s.isPrimary(v)) && !faultinjection.Disabled("read-lease") {
--- a/internal/controlplane/core/heartbeat.go
+++ b/internal/controlplane/core/heartbeat.go
@@ -67,7 +67,7 @@
 	s.noteNode(request, known)
 	s.dropExpiredNodes()
 	response = &coreapi.HeartbeatResponse{ConfigVersion: s.config.Version, NodesVersion: s.nodesVersion}
-	if v := s.voter.View(); v.Epoch != request.ViewEpoch {
+	if v := s.acceptor.View(); v.Epoch != request.ViewEpoch {
 		response.View = v
 	}
 	s.tellNodes(request, response)
--- a/internal/controlplane/core/lead.go
+++ b/internal/controlplane/core/lead.go
@@ -52,7 +52,7 @@
 // watchPrimary takes over from a primary whose lease has run out.
 func (s *Server) watchPrimary(v view.View, me string) {
 	s.predecessor = v.Primary
-	if s.voter.Leased() || faultinjection.Disabled("takeover") {
+	if s.acceptor.HasActiveLease() || faultinjection.Disabled("takeover") {
 		// In turns, so that two backups hinder one another rarely.
 		turn := time.Duration(slices.Index(v.Backups(), me))
 		s.nextAttempt = time.Now().Add(turn*100*time.Millisecond + rand.N(100*time.Millisecond))
@@ -86,7 +86,7 @@
 			s.changeMembers(v, me, primacy, ledSince) // newcomers may be what is missing
 			return
 		}
-		if s.voter.View().Epoch != v.Epoch {
+		if s.acceptor.View().Epoch != v.Epoch {
 			return // the next step is that of the new epoch
 		}
 		s.becomeReady(v)
--- a/internal/controlplane/core/lease.go
+++ b/internal/controlplane/core/lease.go
@@ -16,11 +16,11 @@
 // A primary that no majority answers only asks for signs of life, until one does: a request that
 // arrives, but whose answer does not, would keep the voters from following another.
 func (s *Server) renew() {
-	v := s.voter.View()
+	v := s.acceptor.View()
 	s.mu.Lock()
 	primacy := s.lease
-	heard := time.Since(s.ledSince) < s.settings.LeaseTerm/2 || primacy.HasRecentResponses(v.IsMajority, s.settings.LeaseTerm/2)
-	leads := v.Primary == s.voter.ID() && s.epoch == v.Epoch && !s.diskFailed && v.Epoch > 0
+	heard := time.Since(s.ledSince) < s.settings.LeaseTerm/2 || primacy.IsInContact(v.IsMajority, s.settings.LeaseTerm/2)
+	leads := v.Primary == s.acceptor.ID() && s.epoch == v.Epoch && !s.diskFailed && v.Epoch > 0
 	leads = !s.isRenewalPaused(v, heard) && leads
 	s.renewRounds++
 	request := paxos.RenewRequest{View: v, PrimaryRun: s.runID, Round: s.renewRounds}
@@ -63,9 +63,9 @@
 	if s.call(ctx, m.Addr, "view.renew", &request, &response) != nil || response.ID != m.ID {
 		return
 	}
-	primacy.RecordResponse(m.ID)
+	primacy.RecordContact(m.ID)
 	switch {
-	case response.Ok:
+	case response.Granted:
 		stood := primacy.IsHeld(request.View.IsMajority)
 		primacy.RecordGrant(m.ID, asked)
 		if !stood && primacy.IsHeld(request.View.IsMajority) {
@@ -91,15 +91,15 @@
 	ctx, cancel := context.WithTimeout(s.ctx, s.settings.LeaseTerm/2)
 	defer cancel()
 	if status, err := s.statusOf(ctx, m.Addr); err == nil && status.ID == m.ID {
-		primacy.RecordResponse(m.ID)
+		primacy.RecordContact(m.ID)
 		s.learn(status.View)
 	}
 }
 
 // release gives our lease back to all voters, so that a backup need not wait for its end.
 func (s *Server) release(round uint64) {
-	v := s.voter.View()
-	if v.Primary != s.voter.ID() {
+	v := s.acceptor.View()
+	if v.Primary != s.acceptor.ID() {
 		return
 	}
 	for _, m := range v.Members {
--- a/internal/controlplane/core/members.go
+++ b/internal/controlplane/core/members.go
@@ -23,7 +23,7 @@
 // request that was long under way may be that of a process that is gone.
 func (s *Server) takeJoin(ctx context.Context, request *JoinRequest) (*coreapi.Empty, error) {
 	member := request.Member
-	if v := s.voter.View(); v.Primary != s.voter.ID() {
+	if v := s.acceptor.View(); v.Primary != s.acceptor.ID() {
 		return nil, wire.StatusError{Code: coreapi.CodeNotPrimary}
 	}
 	if member.Addr == s.settings.Addr {
@@ -87,16 +87,16 @@
 		case me:
 			return 0
 		case s.deposed:
-			return primacy.SinceResponse(id, ledSince.Add(-s.settings.LeaseTerm)) // its lease had run out when we took over
+			return primacy.TimeSinceContact(id, ledSince.Add(-s.settings.LeaseTerm)) // its lease had run out when we took over
 		}
-		return primacy.SinceResponse(id, ledSince)
+		return primacy.TimeSinceContact(id, ledSince)
 	}
 	next, ok := s.nextMembers(v, newcomer, silence)
 	if !ok {
 		return
 	}
 	if newcomer != nil {
-		primacy.RecordResponse(newcomer.member.ID) // it answered when it asked to join; nobody else has asked it yet
+		primacy.RecordContact(newcomer.member.ID) // it answered when it asked to join; nobody else has asked it yet
 	}
 	s.ctx.Log.Info("Members change.", "from", len(v.Members), "to", len(next.Members))
 	if !s.decide(v, next, false) {
--- a/internal/controlplane/core/primary.go
+++ b/internal/controlplane/core/primary.go
@@ -16,7 +16,7 @@
 
 // learn takes a decided view, if it is newer.
 func (s *Server) learn(v view.View) {
-	if err := s.voter.Learn(v); err != nil {
+	if err := s.acceptor.Learn(v); err != nil {
 		s.failDisk(err)
 	}
 }
@@ -26,7 +26,7 @@
 	if s.hasDiskFailed() {
 		return
 	}
-	v, me := s.voter.View(), s.voter.ID()
+	v, me := s.acceptor.View(), s.acceptor.ID()
 	switch {
 	case v.Epoch == 0:
 		s.findFleet()
@@ -78,16 +78,16 @@
 
 // decide proposes the next view, and learns what came of it. unanimous: every current member must promise.
 func (s *Server) decide(current, next view.View, unanimous bool) bool {
-	proposal := &paxos.Proposal{
-		ProposerID:    s.voter.ID(),
+	proposal := &paxos.Proposer{
+		ProposerID:    s.acceptor.ID(),
 		Call:          s.call,
 		Current:       current,
-		Next:          next,
+		Value:         next,
 		Unanimous:     unanimous,
 		StepTimeout:   stepTimeout,
 		HighestNumber: s.highestBallot,
 	}
-	decided, err := proposal.Run(s.ctx)
+	decided, err := proposal.Propose(s.ctx)
 	s.highestBallot = proposal.HighestNumber
 	if err != nil {
 		s.ctx.Log.Warn("View not decided.", "after", current.Epoch, "error", err.Error())
@@ -109,7 +109,7 @@
 // tellMembers tells all others of a decided view, and waits for nobody.
 func (s *Server) tellMembers(members []view.Member, decided view.View) {
 	for _, m := range members {
-		if m.ID == s.voter.ID() {
+		if m.ID == s.acceptor.ID() {
 			continue
 		}
 		go func() {
@@ -125,7 +125,7 @@
 	s.mu.Lock()
 	primacy, leads := s.lease, s.epoch == v.Epoch && !s.diskFailed
 	s.mu.Unlock()
-	return leads && primacy.IsHeld(v.IsMajority) && s.voter.View().Epoch == v.Epoch
+	return leads && primacy.IsHeld(v.IsMajority) && s.acceptor.View().Epoch == v.Epoch
 }
 
 // isReady reports whether we take writes, for as long as we are primary.
@@ -182,8 +182,8 @@
 
 // stepDown has the first backup lead. Only the run loop calls it.
 func (s *Server) stepDown() {
-	v := s.voter.View()
-	if v.Primary != s.voter.ID() || !s.isReady() {
+	v := s.acceptor.View()
+	if v.Primary != s.acceptor.ID() || !s.isReady() {
 		return
 	}
 	next, ok := s.afterLeaving(v)
@@ -198,7 +198,7 @@
 
 // tellSuccessor waits until the primary of the newest view knows it: the process that decided it is about to end.
 func (s *Server) tellSuccessor() {
-	v := s.voter.View()
+	v := s.acceptor.View()
 	ctx, cancel := context.WithTimeout(s.ctx, stepTimeout)
 	defer cancel()
 	if err := s.call(ctx, v.Addr(v.Primary), "view.learn", &view.LearnRequest{View: v}, nil); err != nil {
--- a/internal/controlplane/core/replica.go
+++ b/internal/controlplane/core/replica.go
@@ -14,18 +14,18 @@
 	if s.hasDiskFailed() {
 		return wire.StatusError{Code: coreapi.CodeDiskFailed}
 	}
-	if err := s.voter.Learn(v); err != nil {
+	if err := s.acceptor.Learn(v); err != nil {
 		s.failDisk(err)
 		return wire.StatusError{Code: coreapi.CodeDiskFailed}
 	}
-	current := s.voter.View()
+	current := s.acceptor.View()
 	if faultinjection.Disabled("old-epoch") {
 		return nil
 	}
 	if current.Epoch != v.Epoch || current.Primary != primary {
 		return wire.StatusError{Code: coreapi.CodeStaleEpoch}
 	}
-	me := s.voter.ID()
+	me := s.acceptor.ID()
 	if !current.IsBackup(me) && (asBackup || !current.HasMember(me)) {
 		return wire.StatusError{Code: coreapi.CodeNotBackup}
 	}
@@ -40,7 +40,7 @@
 		return nil, err
 	}
 	replica := s.store.Load()
-	if request.Batch.Base || request.Batch.Version != replica.Version()+1 {
+	if request.Batch.IsSnapshot || request.Batch.Version != replica.Version()+1 {
 		return nil, wire.StatusError{Code: coreapi.CodeBehind}
 	}
 	if err := replica.Append(request.Batch); err != nil {
@@ -48,7 +48,7 @@
 		return nil, wire.StatusError{Code: coreapi.CodeDiskFailed}
 	}
 	go s.tidy(replica) // the primary need not wait for it
-	return &ReplicateResponse{ID: s.voter.ID()}, nil
+	return &ReplicateResponse{ID: s.acceptor.ID()}, nil
 }
 
 // tidy folds stored batches into one where there are many.
@@ -84,13 +84,13 @@
 		s.mu.Lock()
 		s.incoming = nil
 		s.mu.Unlock()
-		whole := store.Batch{Version: request.Version, Base: true, Mutations: incoming.puts}
+		whole := store.Batch{Version: request.Version, IsSnapshot: true, Mutations: incoming.puts}
 		if err := s.store.Load().Append(whole); err != nil {
 			s.failDisk(err)
 			return nil, wire.StatusError{Code: coreapi.CodeDiskFailed}
 		}
 	}
-	return &ReplicateResponse{ID: s.voter.ID()}, nil
+	return &ReplicateResponse{ID: s.acceptor.ID()}, nil
 }
 
 // numberOf is the number of the snapshot that a part belongs to.
--- a/internal/controlplane/core/replica_test.go
+++ b/internal/controlplane/core/replica_test.go
@@ -24,8 +24,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := view.View{Epoch: 3, Primary: "p", Members: []view.Member{{ID: "p", Addr: "10.0.0.1:1"}, {ID: s.voter.ID(), Addr: "10.0.0.2:1"}}}
-	return s, v.WithBackups([]string{s.voter.ID()})
+	v := view.View{Epoch: 3, Primary: "p", Members: []view.Member{{ID: "p", Addr: "10.0.0.1:1"}, {ID: s.acceptor.ID(), Addr: "10.0.0.2:1"}}}
+	return s, v.WithBackups([]string{s.acceptor.ID()})
 }
 
 // A snapshot whose sender gave it up arrives after the next one, and after writes that were acknowledged since: the backup
--- a/internal/controlplane/core/replicate.go
+++ b/internal/controlplane/core/replicate.go
@@ -70,7 +70,7 @@
 
 // copyTo sends our whole state to one backup, in parts.
 func (s *Server) copyTo(v view.View, id string, whole store.Batch, snapshot uint64) bool {
-	request := SnapshotRequest{View: v, Primary: s.voter.ID(), Snapshot: snapshot, Version: whole.Version}
+	request := SnapshotRequest{View: v, Primary: s.acceptor.ID(), Snapshot: snapshot, Version: whole.Version}
 	size := 0
 	send := func() bool {
 		err := s.callBackup(s.ctx, v, id, "core.copy", &request, snapshotTimeout)
--- a/internal/controlplane/core/server.go
+++ b/internal/controlplane/core/server.go
@@ -45,7 +45,7 @@
 	disk     store.Disk
 	store    atomic.Pointer[store.Store]
 	seeds    atomic.Pointer[[]string] // where the fleet is looked for
-	voter    *paxos.Acceptor
+	acceptor *paxos.Acceptor
 	caller   *wire.Caller
 	handlers wire.Handlers
 	jobs     chan *job
@@ -162,7 +162,7 @@
 		ctx:          ctx,
 		settings:     settings,
 		disk:         disk,
-		voter:        voter,
+		acceptor:     voter,
 		caller:       wire.NewCaller(ctx.Net),
 		jobs:         make(chan *job, 4*maxBatchJobs),
 		runID:        rand.Uint64() | 1,
@@ -236,13 +236,13 @@
 
 // UnavailableReason tells why this core is of no use to its fleet now, or "".
 func (s *Server) UnavailableReason() string {
-	v := s.voter.View()
+	v := s.acceptor.View()
 	switch {
 	case s.hasDiskFailed():
 		return "the disk is in trouble"
 	case v.Epoch == 0:
 		return "no fleet yet"
-	case !v.HasMember(s.voter.ID()):
+	case !v.HasMember(s.acceptor.ID()):
 		return "waiting for a seat"
 	}
 	return ""
--- a/internal/controlplane/core/state.go
+++ b/internal/controlplane/core/state.go
@@ -13,7 +13,7 @@
 // State tells the core's own state.
 func (s *Server) State() *coreapi.State {
 	committed := s.store.Load()
-	state := &coreapi.State{View: s.voter.View(), ID: s.voter.ID(), StoreVersion: committed.Version()}
+	state := &coreapi.State{View: s.acceptor.View(), ID: s.acceptor.ID(), StoreVersion: committed.Version()}
 	s.mu.Lock()
 	s.dropExpiredNodes()
 	state.Ready, state.ConfigVersion, state.DiskFailed = s.ready, s.config.Version, s.diskFailed
@@ -32,7 +32,7 @@
 }
 
 // View is the newest view that this core knows.
-func (s *Server) View() view.View { return s.voter.View() }
+func (s *Server) View() view.View { return s.acceptor.View() }
 
 // quotaShares lists who holds what of all tenants' quotas, sorted by tenant and holder.
 func quotaShares(committed *store.Store) []coreapi.QuotaShare {
--- a/internal/controlplane/lease/lease.go
+++ b/internal/controlplane/lease/lease.go
@@ -1,5 +1,6 @@
-// Package lease counts the grants of a majority: a duty's holder may act only while enough
-// voters' grants stand, and stops before they end.
+// Package lease is the primary's side of its master lease (Gray and Cheriton, "Leases", 1989; Chandra, Griesemer and
+// Redstone, "Paxos Made Live", 2007): it counts the grants of the acceptors. The primary may answer only while the grants
+// of a majority run. The acceptors' side is in package paxos.
 package lease
 
 import (
@@ -10,80 +11,83 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// Lease is the holder's side. Each grant counts from when it was asked for, on the holder's own
-// monotonic clock, and is cut by a margin for drift between clocks.
+// quorumFunc reports whether the acceptors marked are enough. It must not call the lease.
+type quorumFunc = func(acceptors map[string]bool) bool
+
+// Lease counts the grants for one epoch. A grant counts from when it was requested, on the primary's own monotonic clock,
+// and is shorter than what the acceptor granted by a margin for drift between clocks: so it ends here before it ends
+// there. All methods may be called concurrently.
 type Lease struct {
-	mu           sync.Mutex
-	term         time.Duration
-	grantedUntil map[string]time.Time
-	answeredAt   map[string]time.Time
+	grantTerm time.Duration
+
+	mu            sync.Mutex // guards the maps, by acceptor
+	grantedUntil  map[string]time.Time
+	lastContactAt map[string]time.Time
 }
 
-// New makes a lease whose grants run for term, less a tenth for drift.
+// New makes a lease without grants. term is what acceptors grant; a tenth of it is the margin for drift.
 func New(term time.Duration) *Lease {
-	return &Lease{term: term - term/10, grantedUntil: map[string]time.Time{}, answeredAt: map[string]time.Time{}}
+	return &Lease{grantTerm: term - term/10, grantedUntil: map[string]time.Time{}, lastContactAt: map[string]time.Time{}}
 }
 
-// RecordGrant notes a voter's yes to a question asked at the time given.
-func (l *Lease) RecordGrant(voter string, asked time.Time) {
+// ForNextEpoch is the lease of the next epoch, where this process leads that as well: no grants yet, but the same
+// knowledge of who answers.
+func (l *Lease) ForNextEpoch() *Lease {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if end := asked.Add(l.term); end.After(l.grantedUntil[voter]) {
-		l.grantedUntil[voter] = end
-	}
+	return &Lease{grantTerm: l.grantTerm, grantedUntil: map[string]time.Time{}, lastContactAt: maps.Clone(l.lastContactAt)}
 }
 
-// RecordResponse notes that a voter answered at all.
-func (l *Lease) RecordResponse(voter string) {
+// RecordGrant records an acceptor's grant of a request that was sent at the time given.
+func (l *Lease) RecordGrant(acceptor string, requestedAt time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.answeredAt[voter] = time.Now()
+	if end := requestedAt.Add(l.grantTerm); end.After(l.grantedUntil[acceptor]) {
+		l.grantedUntil[acceptor] = end
+	}
 }
 
-// SinceResponse tells how long ago a voter last answered; since is used for one never heard.
-func (l *Lease) SinceResponse(voter string, since time.Time) time.Duration {
+// IsHeld reports whether the acceptors whose grants run now are a quorum.
+func (l *Lease) IsHeld(quorum quorumFunc) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.answeredAt[voter]
-	if t.Before(since) {
-		t = since
+	now := time.Now()
+	granted := map[string]bool{}
+	for acceptor, end := range l.grantedUntil {
+		if now.Before(end) {
+			granted[acceptor] = true
+		}
 	}
-	return time.Since(t)
+	return quorum(granted) || faultinjection.Disabled("lease")
 }
 
-// HasRecentResponses reports whether those who answered within the span satisfy most.
-func (l *Lease) HasRecentResponses(most func(map[string]bool) bool, span time.Duration) bool {
+// RecordContact records that an acceptor answered, whatever it answered.
+func (l *Lease) RecordContact(acceptor string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	got := map[string]bool{}
-	for voter, at := range l.answeredAt {
-		if time.Since(at) < span {
-			got[voter] = true
-		}
-	}
-	return most(got)
+	l.lastContactAt[acceptor] = time.Now()
 }
 
-// ForNextEpoch is the lease of the next epoch: no grants yet, but what is known of who answers.
-func (l *Lease) ForNextEpoch() *Lease {
+// TimeSinceContact tells how long ago an acceptor last answered; one that did not since the time given counts from then.
+func (l *Lease) TimeSinceContact(acceptor string, since time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n := New(0)
-	n.term = l.term
-	maps.Copy(n.answeredAt, l.answeredAt)
-	return n
+	last := l.lastContactAt[acceptor]
+	if last.Before(since) {
+		last = since
+	}
+	return time.Since(last)
 }
 
-// IsHeld reports whether the grants that still run now satisfy most.
-func (l *Lease) IsHeld(most func(map[string]bool) bool) bool {
+// IsInContact reports whether the acceptors that answered within the span are a quorum.
+func (l *Lease) IsInContact(quorum quorumFunc, span time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := time.Now()
-	got := map[string]bool{}
-	for voter, end := range l.grantedUntil {
-		if now.Before(end) {
-			got[voter] = true
+	answered := map[string]bool{}
+	for acceptor, at := range l.lastContactAt {
+		if time.Since(at) < span {
+			answered[acceptor] = true
 		}
 	}
-	return most(got) || faultinjection.Disabled("lease")
+	return quorum(answered)
 }
--- a/internal/controlplane/lease/lease_test.go
+++ b/internal/controlplane/lease/lease_test.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Only those who answered within the span count as heard, also in the next epoch.
-func TestHears(t *testing.T) {
+// Only acceptors that answered within the span count as in contact, also in the next epoch.
+func TestIsInContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		two := func(got map[string]bool) bool { return len(got) >= 2 }
-		l := New(time.Second)
-		l.RecordResponse("a")
+		two := func(answered map[string]bool) bool { return len(answered) >= 2 }
+		lease := New(time.Second)
+		lease.RecordContact("a")
 		time.Sleep(300 * time.Millisecond)
-		l.RecordResponse("b")
-		if !l.HasRecentResponses(two, 400*time.Millisecond) || l.HasRecentResponses(two, 200*time.Millisecond) {
-			t.Error("a was heard 300 ms ago, b just now")
+		lease.RecordContact("b")
+		if !lease.IsInContact(two, 400*time.Millisecond) || lease.IsInContact(two, 200*time.Millisecond) {
+			t.Error("a answered 300 ms ago, b just now: want contact within 400 ms, and none within 200 ms")
 		}
-		if !l.ForNextEpoch().HasRecentResponses(two, 400*time.Millisecond) {
-			t.Error("the next epoch's lease has forgotten who answered")
+		if !lease.ForNextEpoch().IsInContact(two, 400*time.Millisecond) {
+			t.Error("the next epoch's lease has lost the record of who answered")
 		}
 		time.Sleep(200 * time.Millisecond)
-		if l.HasRecentResponses(two, 400*time.Millisecond) {
-			t.Error("a was heard half a second ago")
+		if lease.IsInContact(two, 400*time.Millisecond) {
+			t.Error("a answered 500 ms ago: got contact within 400 ms, want none")
 		}
 	})
 }
--- /dev/null
+++ b/internal/controlplane/paxos/acceptor_lease_test.go
@@ -0,0 +1,63 @@
+package paxos
+
+import (
+	"io"
+	"log/slog"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"yarrowridge/internal/controlplane/view"
+)
+
+// memory is a disk without faults.
+type memory map[string][]byte
+
+func (m memory) Write(name string, data []byte) error { m[name] = data; return nil }
+func (m memory) Read(name string) ([]byte, error)     { return m[name], nil }
+func (m memory) List() ([]string, error)              { return nil, nil }
+func (m memory) Remove(name string) error             { delete(m, name); return nil }
+func (m memory) Sync() error                          { return nil }
+func (m memory) Rename(from, to string) error         { m[to] = m[from]; delete(m, from); return nil }
+
+// A primary gives its lease back at once; a release that is older than a grant, of another run or of
+// another epoch ends nothing.
+func TestReleaseLease(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		acceptor, err := Open(memory{}, time.Second, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		if err != nil {
+			t.Fatal(err)
+		}
+		current := view.View{Epoch: 3, Primary: "a", Members: []view.Member{{ID: "a", Addr: "1"}}}
+		grant := func(run, round uint64) {
+			t.Helper()
+			response, err := acceptor.Renew(&RenewRequest{View: current, PrimaryRun: run, Round: round})
+			if err != nil || !response.Granted {
+				t.Fatalf("round %d of run %d: got %+v and error %v, want a grant", round, run, response, err)
+			}
+		}
+		for _, test := range []struct {
+			name              string
+			epoch, run, round uint64
+			ends              bool
+		}{
+			{"an older round", 3, 5, 7, false},
+			{"the round of the grant", 3, 5, 8, false},
+			{"another run", 3, 6, 9, false},
+			{"no run", 3, 0, 9, false},
+			{"another epoch", 2, 5, 9, false},
+			{"the next round", 3, 5, 9, true},
+		} {
+			grant(5, 8)
+			acceptor.Release(&ReleaseRequest{Epoch: test.epoch, PrimaryRun: test.run, Round: test.round})
+			if got := acceptor.HasActiveLease(); got == test.ends {
+				t.Errorf("%s: got active lease %v, want %v", test.name, got, !test.ends)
+			}
+		}
+		grant(5, 10)
+		grant(5, 8) // delayed
+		if acceptor.Release(&ReleaseRequest{Epoch: 3, PrimaryRun: 5, Round: 9}); !acceptor.HasActiveLease() {
+			t.Error("a release older than the newest grant ended the lease")
+		}
+	})
+}
--- a/internal/controlplane/store/msgs_gen.go
+++ b/internal/controlplane/store/batch_gen.go
@@ -8,8 +8,8 @@
 
 // Size limits for msgp deserialization
 const (
-	z78411aa4limitArrays = 100000000
-	z78411aa4limitMaps   = 100000000
+	z38816a7flimitArrays = 100000000
+	z38816a7flimitMaps   = 100000000
 )
 
 // MarshalMsg implements msgp.Marshaler
@@ -21,10 +21,10 @@
 	o = msgp.AppendUint64(o, z.Version)
 	// string "f"
 	o = append(o, 0xa1, 0x66)
-	o = msgp.AppendUint64(o, z.From)
+	o = msgp.AppendUint64(o, z.FirstVersion)
 	// string "b"
 	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendBool(o, z.Base)
+	o = msgp.AppendBool(o, z.IsSnapshot)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Mutations)))
@@ -53,7 +53,7 @@
 		err = msgp.WrapError(err)
 		return
 	}
-	if zb0001 > z78411aa4limitMaps {
+	if zb0001 > z38816a7flimitMaps {
 		err = msgp.ErrLimitExceeded
 		return
 	}
@@ -68,29 +68,29 @@
 		case "s":
 			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Seq")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
 		case "f":
-			z.From, bts, err = msgp.ReadUint64Bytes(bts)
+			z.FirstVersion, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "From")
+				err = msgp.WrapError(err, "FirstVersion")
 				return
 			}
 		case "b":
-			z.Base, bts, err = msgp.ReadBoolBytes(bts)
+			z.IsSnapshot, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Base")
+				err = msgp.WrapError(err, "IsSnapshot")
 				return
 			}
 		case "p":
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Puts")
+				err = msgp.WrapError(err, "Mutations")
 				return
 			}
-			if zb0002 > z78411aa4limitArrays {
+			if zb0002 > z38816a7flimitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
@@ -103,10 +103,10 @@
 				var zb0003 uint32
 				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Puts", za0001)
+					err = msgp.WrapError(err, "Mutations", za0001)
 					return
 				}
-				if zb0003 > z78411aa4limitMaps {
+				if zb0003 > z38816a7flimitMaps {
 					err = msgp.ErrLimitExceeded
 					return
 				}
@@ -114,24 +114,24 @@
 					zb0003--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Puts", za0001)
+						err = msgp.WrapError(err, "Mutations", za0001)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "k":
 						z.Mutations[za0001].Key, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Puts", za0001, "Key")
+							err = msgp.WrapError(err, "Mutations", za0001, "Key")
 							return
 						}
 					case "v":
 						var zb0004 uint32
 						zb0004, bts, err = msgp.ReadBytesHeader(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Puts", za0001, "Val")
+							err = msgp.WrapError(err, "Mutations", za0001, "Value")
 							return
 						}
-						if zb0004 > z78411aa4limitArrays {
+						if zb0004 > z38816a7flimitArrays {
 							err = msgp.ErrLimitExceeded
 							return
 						}
@@ -149,13 +149,13 @@
 					case "g":
 						z.Mutations[za0001].Deleted, bts, err = msgp.ReadBoolBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Puts", za0001, "Gone")
+							err = msgp.WrapError(err, "Mutations", za0001, "Deleted")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Puts", za0001)
+							err = msgp.WrapError(err, "Mutations", za0001)
 							return
 						}
 					}
@@ -208,7 +208,7 @@
 		err = msgp.WrapError(err)
 		return
 	}
-	if zb0001 > z78411aa4limitMaps {
+	if zb0001 > z38816a7flimitMaps {
 		err = msgp.ErrLimitExceeded
 		return
 	}
@@ -230,10 +230,10 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadBytesHeader(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Val")
+				err = msgp.WrapError(err, "Value")
 				return
 			}
-			if zb0002 > z78411aa4limitArrays {
+			if zb0002 > z38816a7flimitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
@@ -251,7 +251,7 @@
 		case "g":
 			z.Deleted, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Gone")
+				err = msgp.WrapError(err, "Deleted")
 				return
 			}
 		default:
--- a/internal/controlplane/store/lock.go
+++ b/internal/controlplane/store/lock.go
@@ -1,6 +1,7 @@
 package store
 
 import (
+	"errors"
 	"io"
 	"os"
 	"path/filepath"
@@ -9,15 +10,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// Lock keeps a second process off the same data folder, for as long as the result is open.
+// Lock keeps a second process off the same data folder, until the result is closed or the process ends.
 func Lock(path string) (io.Closer, error) {
-	f, err := os.OpenFile(filepath.Join(path, ".lock"), os.O_CREATE|os.O_RDWR, 0o600)
+	file, err := os.OpenFile(filepath.Join(path, ".lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, eris.Wrap(err, "store: lock")
 	}
-	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		f.Close()
-		return nil, eris.Errorf("store: folder %s is in use by another process", path)
+	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		return nil, eris.Wrapf(errors.Join(err, file.Close()), "store: folder %s is in use by another process", path)
 	}
-	return f, nil
+	return file, nil
 }
--- /dev/null
+++ b/internal/controlplane/store/recovery.go
@@ -0,0 +1,99 @@
+package store
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"slices"
+	"strings"
+
+	"github.com/rotisserie/eris"
+
+	"yarrowridge/internal/lib/runloop"
+)
+
+// ErrCorrupt means that a version that was written completely is damaged or missing.
+var ErrCorrupt = errors.New("store: a version is damaged or missing")
+
+// RemoveIncompleteWrites removes and logs the files whose writing was interrupted. It is called before Open.
+func RemoveIncompleteWrites(disk Disk, log *slog.Logger) error {
+	names, err := disk.List()
+	if err != nil {
+		return err
+	}
+	for _, name := range names {
+		if strings.HasSuffix(name, unfinishedSuffix) {
+			log.Warn("Unfinished file removed.", "file", name)
+			if err := disk.Remove(name); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// Open recovers the state from disk. The error is ErrCorrupt where a version is damaged or missing: the caller must then
+// count this disk as blank. Any other error is one of the disk. Only one store may be open on a disk.
+func Open(disk Disk, log *slog.Logger) (*Store, error) {
+	s := &Store{writing: runloop.NewMutex(), disk: disk, values: map[string][]byte{}}
+	names, err := installPendingSnapshots(disk)
+	if err != nil {
+		return nil, err
+	}
+	batches, err := readBatches(disk, names, log)
+	if err != nil {
+		return nil, err
+	}
+	for _, batch := range dropSuperseded(batches) {
+		first := batch.FirstVersion
+		if first == 0 {
+			first = batch.Version
+		}
+		if !batch.IsSnapshot && first != s.version+1 {
+			return nil, eris.Wrapf(ErrCorrupt, "version %d missing", s.version+1)
+		}
+		s.apply(batch)
+	}
+	return s, nil
+}
+
+// installPendingSnapshots completes the installation of snapshots that was interrupted, and lists the files after that.
+func installPendingSnapshots(disk Disk) ([]string, error) {
+	names, err := disk.List()
+	if err != nil {
+		return nil, err
+	}
+	for _, name := range names {
+		var version uint64
+		if _, err := fmt.Sscanf(name, pendingSnapshotPrefix+batchPrefix+"%016x", &version); err == nil && name == pendingSnapshotPrefix+fileName(version) {
+			if err := installSnapshot(disk, version); err != nil {
+				return nil, err
+			}
+			names, err = disk.List()
+			if err != nil {
+				return nil, err
+			}
+		}
+	}
+	return names, nil
+}
+
+// dropSuperseded leaves out the batches that the newest snapshot, or a compacted batch, has replaced: where their removal
+// was interrupted, some are still on disk.
+func dropSuperseded(batches []Batch) []Batch {
+	newestSnapshot := 0
+	for i, batch := range batches {
+		if batch.IsSnapshot {
+			newestSnapshot = i
+		}
+	}
+	var needed []Batch // the newest first
+	for _, batch := range slices.Backward(batches[newestSnapshot:]) {
+		if n := len(needed); n > 0 && needed[n-1].FirstVersion > 0 && batch.Version >= needed[n-1].FirstVersion && !batch.IsSnapshot {
+			continue
+		}
+		needed = append(needed, batch)
+	}
+	slices.Reverse(needed)
+	return needed
+}
--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -58,7 +58,7 @@
 				if rapid.Bool().Draw(t, "foreign") { // a copy of another's state replaces all
 					version++
 					model = map[string]string{"c/1": "copied"}
-					if err := s.Append(store.Batch{Version: version, Base: true, Mutations: []store.Mutation{{Key: "c/1", Value: []byte("copied")}}}); err != nil {
+					if err := s.Append(store.Batch{Version: version, IsSnapshot: true, Mutations: []store.Mutation{{Key: "c/1", Value: []byte("copied")}}}); err != nil {
 						t.Fatal(err)
 					}
 				} else if rapid.Bool().Draw(t, "base") {
--- a/internal/controlplane/view/view.go
+++ b/internal/controlplane/view/view.go
@@ -1,9 +1,10 @@
 // Package view holds the value that the core's members agree on for each epoch: who the members are, who is primary and
-// who are its backups. How a view is decided is the matter of package paxos.
+// who are its backups. Package paxos chooses the views.
 package view
 
 import (
 	"slices"
+
 	"yarrowridge/internal/lib/faultinjection"
 )
 
@@ -19,7 +20,8 @@
 	Zone string `msg:"h" json:"hall"`
 }
 
-// View is the small record that a majority of members decides: who is primary and who are backups.
+// View is what the members choose for an epoch: who they are, which of them is primary and which are its backups. It is a
+// value: methods return changed copies.
 // Read the backups with Backups and set them with WithBackups: a record stored by a build that knew
 // one backup only has FirstBackup and no AllBackups.
 type View struct {
@@ -28,10 +30,10 @@
 	Primary     string   `msg:"p" json:"primary"`
 	FirstBackup string   `msg:"b" json:"backup"`
 	AllBackups  []string `msg:"k" json:"backups"`
-	TargetSize  int      `msg:"s" json:"seats"` // the most members that were seen alive at once, less those dropped
+	TargetSize  int      `msg:"s" json:"seats"` // the most members that were alive at once, less those removed
 }
 
-// Addr finds where a member listens; an unknown identity has "".
+// Addr is the address where a member listens; "" for an unknown identity.
 func (v View) Addr(id string) string {
 	for _, m := range v.Members {
 		if m.ID == id {
@@ -41,7 +43,7 @@
 	return ""
 }
 
-// ZoneOf finds the zone a member stands in.
+// ZoneOf is the zone of a member; "" for an unknown identity.
 func (v View) ZoneOf(id string) string {
 	for _, m := range v.Members {
 		if m.ID == id {
@@ -54,7 +56,7 @@
 // HasMember reports whether an identity is a member.
 func (v View) HasMember(id string) bool { return id != "" && v.Addr(id) != "" }
 
-// Backups are the identities that hold every acknowledged write beside the primary.
+// Backups are the identities of the members that have every acknowledged write beside the primary.
 func (v View) Backups() []string {
 	if len(v.AllBackups) == 0 && v.FirstBackup != "" {
 		return []string{v.FirstBackup}
@@ -109,7 +111,7 @@
 // StatusRequest asks a process what it knows of the core.
 type StatusRequest struct{}
 
-// StatusResponse says which view a process knows, and who it is. Blank voters have no view.
+// StatusResponse says which view a process knows, and who it is. A process with a blank disk has no view.
 type StatusResponse struct {
 	ID   string `msg:"i"`
 	Addr string `msg:"a"`
@@ -117,7 +119,7 @@
 	View View   `msg:"v"`
 }
 
-// LearnRequest tells of a decided view.
+// LearnRequest notifies a process of a chosen view.
 type LearnRequest struct {
 	View View `msg:"v"`
 }
--- a/internal/testing/compat/messages_test.go
+++ b/internal/testing/compat/messages_test.go
@@ -91,7 +91,7 @@
 	"store.Batch":             new(store.Batch),
 	"store.Put":               new(store.Mutation),
 	"view.AcceptRequest":      new(paxos.AcceptRequest),
-	"view.BallotResponse":     new(paxos.VoteResponse),
+	"view.BallotResponse":     new(paxos.AcceptorResponse),
 	"view.LearnRequest":       new(view.LearnRequest),
 	"view.PrepareRequest":     new(paxos.PrepareRequest),
 	"view.RenewRequest":       new(paxos.RenewRequest),
--- a/internal/testing/modelcheck/vote_test.go
+++ b/internal/testing/modelcheck/vote_test.go
@@ -39,7 +39,7 @@
 type pendingCall struct {
 	proposer, attempt, voter int
 	request                  msgp.Marshaler
-	response                 *paxos.VoteResponse
+	response                 *paxos.AcceptorResponse
 	outcome                  chan error
 }
 
@@ -131,11 +131,11 @@
 	next := v.next(v.current, proposer)
 	highest := uint64(0)
 	for attempt := range v.bounds.attempts {
-		proposal := paxos.Proposal{ProposerID: v.current.Members[proposer].ID, Current: v.current, Next: next, StepTimeout: time.Hour, HighestNumber: highest,
+		proposal := paxos.Proposer{ProposerID: v.current.Members[proposer].ID, Current: v.current, Value: next, StepTimeout: time.Hour, HighestNumber: highest,
 			Call: func(_ context.Context, addr, _ string, in msgp.Marshaler, out msgp.Unmarshaler) error {
 				return v.send(proposer, attempt, addr, in, out)
 			}}
-		decided, err := proposal.Run(context.Background())
+		decided, err := proposal.Propose(context.Background())
 		highest = proposal.HighestNumber
 		if err == nil {
 			v.mu.Lock()
@@ -152,7 +152,7 @@
 // send puts a call before the scheduler and waits for what becomes of it.
 func (v *vote) send(proposer, attempt int, addr string, in msgp.Marshaler, out msgp.Unmarshaler) error {
 	call := &pendingCall{proposer: proposer, attempt: attempt, voter: int(addr[0] - '0'), request: in,
-		response: out.(*paxos.VoteResponse), outcome: make(chan error, 1)}
+		response: out.(*paxos.AcceptorResponse), outcome: make(chan error, 1)}
 	v.mu.Lock()
 	v.pending = append(v.pending, call)
 	v.mu.Unlock()
@@ -161,20 +161,20 @@
 
 // deliver has a voter take a call, and notes what it accepts.
 func (v *vote) deliver(call *pendingCall) error {
-	var response *paxos.VoteResponse
+	var response *paxos.AcceptorResponse
 	var err error
 	switch request := call.request.(type) {
 	case *paxos.PrepareRequest:
 		response, err = v.voters[call.voter].Prepare(request)
 	case *paxos.AcceptRequest:
 		response, err = v.voters[call.voter].Accept(request)
-		if err == nil && response.Ok {
+		if err == nil && response.Agreed {
 			v.noteAccepted(request, call.voter)
 		}
 	}
 	if err == nil {
 		*call.response = *response
-		if response.Ok {
+		if response.Agreed {
 			v.promised[call.voter] = call.proposer
 		}
 	}
