--- a/internal/controlplane/core/doubt_test.go
+++ b/internal/controlplane/core/doubt_test.go
@@ -5,8 +5,9 @@
 	"io"
 	"log/slog"
 	"net"
-	"sync/atomic"
+	"sync"
 	"testing"
+	"time"
 
 	"github.com/tinylib/msgp/msgp"
 
@@ -27,9 +28,10 @@
 // Listen is not called: the listeners are there before the cores.
 func (n loopbackNet) Listen(addr string) (net.Listener, error) { return n[addr], nil }
 
-// restingCores are cores that answer calls and run no loop; the first is primary, the second its backup. acceptsLost has
-// all but the first lose what asks them to accept a view.
-func restingCores(t *testing.T, count int, acceptsLost *atomic.Bool) ([]*Server, view.View) {
+// idleCores are cores that answer calls and run no loop; the first is primary, the second its backup. The calls of the
+// kinds in lost fail at all but the first, which calls itself without the network; a kind may be limited to the core with
+// one address, as in "view.prep c".
+func idleCores(t *testing.T, count int, lost *sync.Map) ([]*Server, view.View) {
 	t.Helper()
 	reach := loopbackNet{}
 	var cores []*Server
@@ -47,7 +49,9 @@
 			t.Fatal(err)
 		}
 		go wire.Serve(ctx, listener, func(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
-			if kind == "view.pick" && acceptsLost.Load() {
+			_, isLost := lost.Load(kind)
+			_, isLostHere := lost.Load(kind + " " + addr)
+			if isLost || isLostHere {
 				return nil, wire.StatusError{Code: "lost"}
 			}
 			return core.handlers.Dispatch(ctx, kind, body)
@@ -66,20 +70,28 @@
 // A primary asks for a view with another backup and does not learn what came of it. That view may be decided later, and
 // its backup does not hold what the primary would acknowledge with the old one.
 func TestPrimaryEndsItsEpochInDoubt(t *testing.T) {
-	var acceptsLost atomic.Bool
-	cores, v := restingCores(t, 3, &acceptsLost)
+	var lost sync.Map
+	cores, v := idleCores(t, 3, &lost)
 	primary := cores[0]
 	primary.setReady(true)
 	asked := v.WithBackups([]string{v.Members[2].ID})
-	acceptsLost.Store(true)
+	lost.Store("view.pick", true)
 	if primary.decide(v, asked, false) {
-		t.Fatal("a view was decided by one voter of three")
+		t.Fatal("a view was chosen by one acceptor of three")
 	}
 	if primary.isReady() || primary.mayLeadEpoch(v.Epoch) {
 		t.Errorf("the primary takes writes: %v; leads on in epoch %d: %v", primary.isReady(), v.Epoch, primary.mayLeadEpoch(v.Epoch))
 	}
-	acceptsLost.Store(false)
-	primary.beginEpoch(v)
+	lost.Delete("view.pick")
+	// Only the primary itself has accepted that view. A majority without its promise would not tell of it.
+	lost.Store("view.prep c", true)
+	// The first attempt may fail: where the primary's own promise came last, it has not seen the number that it used.
+	for range 3 {
+		primary.nextAttempt = time.Time{}
+		if primary.beginEpoch(v); primary.acceptor.View().Epoch != v.Epoch {
+			break
+		}
+	}
 	decided := primary.acceptor.View()
 	if decided.Epoch != v.Epoch+1 || !decided.IsBackup(v.Members[2].ID) {
 		t.Errorf("epoch %d was decided with backups %v, not the view that was accepted", decided.Epoch, decided.Backups())
@@ -89,10 +101,10 @@
 	}
 }
 
-// Where too few voters have promised anything, none was asked to accept the view: the primary leads on.
+// Where too few acceptors have promised anything, none was asked to accept the view: the primary leads on.
 func TestPrimaryLeadsOnWithoutPromises(t *testing.T) {
-	var acceptsLost atomic.Bool
-	cores, v := restingCores(t, 3, &acceptsLost)
+	var lost sync.Map
+	cores, v := idleCores(t, 3, &lost)
 	primary := cores[0]
 	alone := v
 	alone.Members = append(alone.Members[:1:1], view.Member{ID: "x", Addr: "b"}, view.Member{ID: "y", Addr: "c"})
--- a/internal/controlplane/paxos/number.go
+++ b/internal/controlplane/paxos/number.go
@@ -6,7 +6,9 @@
 //msgp:limit arrays:10000000 maps:200000
 
 // ProposalNumber orders the proposals for one epoch. Two proposers never use the same number, since it contains the
-// proposer's identity, and a proposer raises Number with each proposal of its own.
+// proposer's identity. A proposer may use a number again, after a restart or where it has not seen that an acceptor
+// promised it; but no two proposals with one number get past the first phase, since an acceptor promises each number once
+// and two majorities have an acceptor in common.
 type ProposalNumber struct {
 	Number   uint64 `msg:"n"`
 	Proposer string `msg:"w"`
