--- /dev/null
+++ b/internal/dataplane/upstream/dial.go
@@ -0,0 +1,19 @@
+package upstream
+
+import (
+	"context"
+	"net"
+	"net/netip"
+	"yarrowridge/internal/transport/tcp"
+
+	"github.com/rotisserie/eris"
+)
+
+// dialTCP dials an IPv4 address given by number. It looks no name up.
+func dialTCP(ctx context.Context, address string) (net.Conn, error) {
+	if _, err := netip.ParseAddrPort(address); err != nil {
+		return nil, eris.Wrapf(err, "address %q", address)
+	}
+	dialer := net.Dialer{Control: tcp.UserTimeoutControl(tcpUserTimeout)} // TCP_NODELAY is Go's default
+	return dialer.DialContext(ctx, "tcp4", address)
+}
--- a/internal/dataplane/upstream/errors.go
+++ b/internal/dataplane/upstream/errors.go
@@ -13,12 +13,12 @@
 	ErrClosed = errors.New("connection pool is closed")
 	// ErrBadRequest says that a request cannot be written as HTTP/1.1.
 	ErrBadRequest = errors.New("request cannot be written as HTTP/1.1")
-	// ErrMalformed says that the runner's answer is not HTTP/1.1.
-	ErrMalformed = errors.New("answer is not HTTP/1.1")
-	// ErrHeadTooLarge says that the head of the runner's answer is larger than MaxHeadBytes.
-	ErrHeadTooLarge = errors.New("head of the answer is too large")
-	// ErrExtraAnswers says that the answers of other requests were too many, too large or without an end.
-	ErrExtraAnswers = errors.New("answers of other requests on the connection")
+	// ErrMalformed says that the runner's response is not HTTP/1.1.
+	ErrMalformed = errors.New("response is not HTTP/1.1")
+	// ErrHeadTooLarge says that the head of the runner's response is larger than MaxHeadBytes.
+	ErrHeadTooLarge = errors.New("head of the response is too large")
+	// ErrUnrelatedResponses says that the responses of other requests were too many, too large or without an end.
+	ErrUnrelatedResponses = errors.New("responses of other requests on the connection")
 	// ErrExchangeOver says that an exchange was used after Finish or Abort.
 	ErrExchangeOver = errors.New("exchange is over")
 )
--- a/internal/dataplane/upstream/events.go
+++ b/internal/dataplane/upstream/events.go
@@ -13,11 +13,11 @@
 
 const (
 	firstEventBuffer = 4 << 10 // bytes
-	emptyReadsMost   = 100     // reads that give neither a byte nor an error, in a row
+	maxEmptyReads    = 100     // reads that give neither a byte nor an error, in a row
 )
 
 var (
-	// ErrLeftover comes with what stood behind the last whole event when the stream reached its end.
+	// ErrLeftover comes with what stood behind the last complete event when the stream reached its end.
 	ErrLeftover = errors.New("event stream ends within an event")
 	// ErrEventTooLarge says that an event is larger than MaxEventBytes.
 	ErrEventTooLarge = errors.New("event is too large")
@@ -26,31 +26,31 @@
 // EventReader cuts a text/event-stream into its events. Lines end with \n or \r\n. An event ends with the
 // first blank line after a field; comments and blank lines before its first field belong to it.
 type EventReader struct {
-	source  io.Reader
-	buffer  []byte
-	start   int    // of the event in the buffer
-	line    int    // start of the line that is being looked at
-	scanned int    // up to here the line has no end
-	field   bool   // the event has a field
-	id      []byte // the event's id as a part of the buffer
-	whole   bool   // an event reaches from start to line
-	err     error  // what the source ended with
-	began   bool   // the first line of the stream is over
+	source        io.Reader
+	buffer        []byte
+	eventStart    int    // of the event in the buffer
+	lineStart     int    // start of the line that is being looked at
+	scanned       int    // up to here the line has no end
+	hasField      bool   // the event has a field
+	id            []byte // the event's id as a part of the buffer
+	complete      bool   // an event reaches from start to line
+	err           error  // what the source ended with
+	pastFirstLine bool   // the first line of the stream is over
 }
 
 // NewEventReader reads events from source, usually an Exchange's Body.
 func NewEventReader(source io.Reader) *EventReader { return &EventReader{source: source} }
 
-// Next gives the next event as soon as it is whole: its bytes unchanged, with the blank line, and its id ("": none).
+// Next gives the next event as soon as it is complete: its bytes unchanged, with the blank line, and its id ("": none).
 // raw is good until the next call. Errors:
 //
 //   - io.EOF: the source ended behind the last event;
-//   - ErrLeftover: the source ended with io.EOF, but raw is a part that is no whole event; io.EOF follows;
+//   - ErrLeftover: the source ended with io.EOF, but raw is a part that is no complete event; io.EOF follows;
 //   - ErrEventTooLarge;
 //   - otherwise the source's own error, such as io.ErrUnexpectedEOF; a part that it cut off is not returned.
 func (r *EventReader) Next() (raw []byte, id string, err error) {
 	for empty := 0; !r.Ready(); {
-		if len(r.buffer)-r.start > MaxEventBytes {
+		if len(r.buffer)-r.eventStart > MaxEventBytes {
 			r.err = eris.Wrapf(ErrEventTooLarge, "upstream: more than %d bytes", MaxEventBytes)
 		}
 		if r.err != nil {
@@ -60,31 +60,31 @@
 		if empty++; n > 0 {
 			empty = 0
 		}
-		if empty > emptyReadsMost && r.err == nil {
+		if empty > maxEmptyReads && r.err == nil {
 			r.err = io.ErrNoProgress
 		}
 	}
-	raw, id = r.buffer[r.start:r.line], string(r.id)
+	raw, id = r.buffer[r.eventStart:r.lineStart], string(r.id)
 	if len(raw) > MaxEventBytes {
 		r.err = eris.Wrapf(ErrEventTooLarge, "upstream: %d bytes", len(raw))
-		r.buffer, r.start, r.line, r.scanned, r.whole = nil, 0, 0, 0, false
+		r.buffer, r.eventStart, r.lineStart, r.scanned, r.complete = nil, 0, 0, 0, false
 		return nil, "", r.err
 	}
-	r.start, r.field, r.id, r.whole = r.line, false, nil, false
+	r.eventStart, r.hasField, r.id, r.complete = r.lineStart, false, nil, false
 	return raw, id, nil
 }
 
-// Ready reports whether Next has a whole event without reading from the source.
+// Ready reports whether Next has a complete event without reading from the source.
 func (r *EventReader) Ready() bool {
-	for !r.whole {
+	for !r.complete {
 		length := bytes.IndexByte(r.buffer[r.scanned:], '\n')
 		if length < 0 {
 			r.scanned = len(r.buffer)
 			return false
 		}
 		next := r.scanned + length + 1
-		r.readLine(r.buffer[r.line : next-1])
-		r.line, r.scanned = next, next
+		r.readLine(r.buffer[r.lineStart : next-1])
+		r.lineStart, r.scanned = next, next
 	}
 	return true
 }
@@ -92,18 +92,18 @@
 // readLine notes what a line, without its \n, means for the event.
 func (r *EventReader) readLine(line []byte) {
 	line = bytes.TrimSuffix(line, []byte("\r"))
-	if !r.began {
+	if !r.pastFirstLine {
 		line = bytes.TrimPrefix(line, []byte("\ufeff"))
-		r.began = true
+		r.pastFirstLine = true
 	}
 	switch {
 	case len(line) == 0:
-		r.whole = r.field
+		r.complete = r.hasField
 		return
 	case line[0] == ':':
 		return
 	}
-	r.field = true
+	r.hasField = true
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	if string(name) == "id" && bytes.IndexByte(value, 0) < 0 {
 		r.id = bytes.TrimPrefix(value, []byte(" "))
@@ -112,19 +112,19 @@
 
 // fill reads once from the source.
 func (r *EventReader) fill() int {
-	r.makeRoom()
+	r.growBuffer()
 	n, err := r.source.Read(r.buffer[len(r.buffer):cap(r.buffer)])
 	r.buffer = r.buffer[:len(r.buffer)+n]
 	r.err = err
 	return n
 }
 
-// makeRoom moves the part of an event to the buffer's front, and makes the buffer larger when that is full.
-func (r *EventReader) makeRoom() {
-	if len(r.buffer) < cap(r.buffer) && r.start == 0 {
+// growBuffer moves the part of an event to the buffer's front, and makes the buffer larger when that is full.
+func (r *EventReader) growBuffer() {
+	if len(r.buffer) < cap(r.buffer) && r.eventStart == 0 {
 		return
 	}
-	part := r.buffer[r.start:]
+	part := r.buffer[r.eventStart:]
 	into := r.buffer[:0]
 	if len(part) == cap(r.buffer) {
 		into = make([]byte, 0, max(firstEventBuffer, 2*cap(r.buffer)))
@@ -132,15 +132,15 @@
 	id := bytes.Clone(r.id) // it points into the bytes that move
 	r.buffer = append(into, part...)
 	r.id = id
-	r.line -= r.start
-	r.scanned -= r.start
-	r.start = 0
+	r.lineStart -= r.eventStart
+	r.scanned -= r.eventStart
+	r.eventStart = 0
 }
 
 // end gives what is to be told once the source has ended.
 func (r *EventReader) end() (raw []byte, id string, err error) {
-	raw = r.buffer[r.start:]
-	r.buffer, r.start, r.line, r.scanned = nil, 0, 0, 0
+	raw = r.buffer[r.eventStart:]
+	r.buffer, r.eventStart, r.lineStart, r.scanned = nil, 0, 0, 0
 	if r.err == io.EOF && len(raw) > 0 {
 		return raw, "", ErrLeftover
 	}
--- a/internal/dataplane/upstream/events_test.go
+++ b/internal/dataplane/upstream/events_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// told is one answer of Next.
+// told is one response of Next.
 type told struct{ raw, id string }
 
 // readEvents reads until an error other than ErrLeftover, and gives the leftover apart.
@@ -109,10 +109,10 @@
 
 func TestEventIsGivenAsSoonAsItIsWhole(t *testing.T) {
 	near, far := io.Pipe()
-	defer near.Close()
+	defer func() { _ = near.Close() }()
 	written := make(chan struct{})
 	go func() {
-		io.WriteString(far, "data: a\n\ndata: b\n\ndata: ")
+		_, _ = io.WriteString(far, "data: a\n\ndata: b\n\ndata: ")
 		close(written)
 	}()
 	r := NewEventReader(near)
--- /dev/null
+++ b/internal/dataplane/upstream/keepalive.go
@@ -0,0 +1,37 @@
+package upstream
+
+import (
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// idleTTL is how long the connection may be idle; 0: it is to be closed.
+func (e *Exchange) idleTTL() time.Duration {
+	if e.response == nil || !e.bodyFramed || !e.bodyDone || e.notReusable || e.response.Close || e.reader.Buffered() > 0 {
+		return 0
+	}
+	ttl := e.connection.pool.options.IdleTimeout
+	if timeout, ok := keepAliveTimeout(e.response.Header); ok {
+		ttl = min(ttl, timeout-keepAliveMargin)
+	}
+	return max(ttl, 0)
+}
+
+// keepAliveTimeout reads `Keep-Alive: timeout=N`, in seconds.
+func keepAliveTimeout(header http.Header) (time.Duration, bool) {
+	for _, value := range header["Keep-Alive"] {
+		for part := range strings.SplitSeq(value, ",") {
+			name, number, _ := strings.Cut(strings.TrimSpace(part), "=")
+			if !strings.EqualFold(strings.TrimSpace(name), "timeout") {
+				continue
+			}
+			seconds, err := strconv.ParseUint(strings.Trim(number, " \""), 10, 31)
+			if err == nil {
+				return time.Duration(seconds) * time.Second, true
+			}
+		}
+	}
+	return 0, false
+}
