--- a/internal/transport/tcp/tcp.go
+++ b/internal/transport/tcp/tcp.go
@@ -2,23 +2,28 @@
 package tcp
 
 import (
+	"fmt"
 	"syscall"
 	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// UserTimeoutControl gives a net.Dialer's Control by which TCP ends a connection whose bytes stay unacknowledged for longer
-// than the limit (TCP_USER_TIMEOUT, in whole milliseconds). Else it would send them again for many minutes.
-func UserTimeoutControl(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
+// UserTimeoutControl returns a net.Dialer's Control with which TCP fails a connection whose bytes stay unacknowledged
+// for longer than timeout (TCP_USER_TIMEOUT, RFC 5482; in whole milliseconds, where 0 is the system's default). Without
+// it TCP retransmits for many minutes. The dial fails where the option cannot be set.
+func UserTimeoutControl(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
-		var failed error
+		var optionErr error
 		err := raw.Control(func(descriptor uintptr) {
-			failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limit.Milliseconds()))
+			optionErr = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 		})
 		if err != nil {
 			return err
 		}
-		return failed
+		if optionErr != nil {
+			return fmt.Errorf("set TCP_USER_TIMEOUT: %w", optionErr)
+		}
+		return nil
 	}
 }
--- a/internal/transport/wire/compression_test.go
+++ b/internal/transport/wire/compression_test.go
@@ -25,7 +25,7 @@
 	return rest, err
 }
 
-// counted counts the bytes written to a connection.
+// countingConn counts the bytes written to a connection.
 type countingConn struct {
 	net.Conn
 	written *atomic.Int64
@@ -36,65 +36,66 @@
 	return c.Conn.Write(b)
 }
 
+// countingNetwork counts the bytes written to its connections.
 type countingNetwork struct {
 	TCP
 	written *atomic.Int64
 }
 
 func (c countingNetwork) Dial(ctx context.Context, addr string) (net.Conn, error) {
-	con, err := c.TCP.Dial(ctx, addr)
-	return countingConn{con, c.written}, err
+	conn, err := c.TCP.Dial(ctx, addr)
+	return countingConn{conn, c.written}, err
 }
 
-// Large bodies shrink both ways once both sides are known to read it, and arrive whole, up to 4 MB.
+// Large bodies are compressed both ways once the peer has said that it accepts it, and arrive unchanged, up to 4 MB.
 func TestLargeBodiesAreCompressed(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	go Serve(t.Context(), l, func(_ context.Context, _ string, body []byte) (msgp.Marshaler, error) {
+	listener := listen(t)
+	go Serve(t.Context(), listener, func(_ context.Context, _ string, body []byte) (msgp.Marshaler, error) {
 		var in text
 		_, err := in.UnmarshalMsg(body)
 		return in, err
 	})
 	var sent atomic.Int64
-	cal := NewCaller(countingNetwork{written: &sent})
-	defer cal.Close()
+	caller := newCaller(t, countingNetwork{written: &sent})
 	for i, size := range []int{150_000, 150_000, 4 << 20, 100, compressAboveBytes} {
 		in, out := text(strings.Repeat("a configuration. ", size/17+1)), text("")
 		before := sent.Load()
-		if err := cal.Call(t.Context(), l.Addr().String(), "a.echo", in, &out); err != nil || in != out {
-			t.Fatalf("%d bytes: %v, same %v", size, err, in == out)
+		if err := caller.Call(t.Context(), listener.Addr().String(), "a.echo", in, &out); err != nil || in != out {
+			t.Fatalf("echo of %d bytes: got error %v, same %v; want it back unchanged", size, err, in == out)
 		}
 		wrote := sent.Load() - before
 		t.Logf("%d bytes: %d on the wire", len(in), wrote)
 		if i == 0 && wrote < int64(size) {
-			t.Error("the first call was compressed before the far side had said that it reads it")
+			t.Errorf("first call: got %d bytes on the wire, want %d at least: the peer has not said that it accepts compressed bodies", wrote, size)
 		}
 		if i > 0 && size > compressAboveBytes && wrote > int64(size)/5 {
-			t.Errorf("%d bytes took %d on the wire", size, wrote)
+			t.Errorf("body of %d bytes: got %d on the wire, want at most %d", size, wrote, size/5)
 		}
 	}
 }
 
-// A caller that does not say it reads compressed bodies gets none, and one that did not hear so sends none.
+// A caller that does not say that it accepts compressed bodies gets none.
 func TestPeersWithoutCompressionGetPlainBodies(t *testing.T) {
 	near, far := net.Pipe()
 	go serveConnection(t.Context(), far, func(context.Context, string, []byte) (msgp.Marshaler, error) {
 		return text(strings.Repeat("x", 50_000)), nil
 	})
-	go writeFrame(near, &Frame{Format: FormatVersion, ID: 1, Kind: "a.b"})
+	go func() {
+		if err := writeFrame(near, &Frame{Format: FormatVersion, ID: 1, Kind: "a.b"}); err != nil {
+			t.Errorf("write a call: %v", err)
+		}
+	}()
 	var head [4]byte
 	if _, err := near.Read(head[:]); err != nil {
 		t.Fatal(err)
 	}
 	if n := binary.BigEndian.Uint32(head[:]); n < 50_000 {
-		t.Errorf("an older caller got a frame of %d bytes", n)
+		t.Errorf("got a response of %d bytes, want 50000 at least: uncompressed", n)
 	}
-	near.Close()
+	closeQuietly(near)
 }
 
-// A body that claims to be larger than a frame may be, or is no compressed one, is refused.
+// A body that claims to be larger than a frame may be, or that is not compressed at all, is rejected.
 func TestInvalidCompressedBodiesAreRejected(t *testing.T) {
 	noise := make([]byte, 5000)
 	for i := range noise {
@@ -102,7 +103,7 @@
 	}
 	f := Frame{Body: noise}
 	if f.compress(); f.Compressed {
-		t.Error("noise was compressed")
+		t.Error("got noise compressed, want it left alone: it does not get smaller")
 	}
 	for _, body := range [][]byte{nil, {0xff}, s2.Encode(nil, make([]byte, MaxFrameBytes+1)), s2.Encode(nil, bytes.Repeat([]byte("x"), 9000))[:9]} {
 		f := Frame{Format: FormatVersion, Body: body, Compressed: true}
@@ -112,7 +113,7 @@
 		}
 		var got Frame
 		if readFrame(&b, &got) == nil {
-			t.Errorf("%d bytes were taken as a compressed body", len(body))
+			t.Errorf("body of %d bytes: read without an error, want it rejected", len(body))
 		}
 	}
 }
--- a/internal/transport/wire/concurrency_test.go
+++ b/internal/transport/wire/concurrency_test.go
@@ -12,23 +12,19 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// echoed is a call's body that comes back as its answer.
+// echoed is a call's body that comes back as its response.
 type echoed = msgp.Raw
 
-// Many calls share a connection, are answered in any order, and some are given up on before their answer comes: none is
-// ever given the answer of another one.
+// Many calls share a connection, are answered in any order, and some are given up before their response comes: none ever
+// gets the response of another one.
 func TestLateResponsesReachNoOtherCall(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	answer := func(_ context.Context, _ string, body []byte) (msgp.Marshaler, error) {
+	listener := listen(t)
+	echo := func(_ context.Context, _ string, body []byte) (msgp.Marshaler, error) {
 		time.Sleep(rand.N(6 * time.Millisecond))
 		return echoed(body), nil
 	}
-	go Serve(t.Context(), listener, answer)
-	caller := NewCaller(TCP{})
-	defer caller.Close()
+	go Serve(t.Context(), listener, echo)
+	caller := newCaller(t, TCP{})
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	answered, givenUp := 0, 0
@@ -44,29 +40,26 @@
 			if err != nil {
 				givenUp++
 				if !errors.Is(err, ErrOutcomeUnknown) && !errors.Is(err, ErrUnsent) {
-					t.Errorf("call %d ended with %v", i, err)
+					t.Errorf("call %d: got error %v, want ErrOutcomeUnknown or ErrUnsent", i, err)
 				}
 				return
 			}
 			answered++
 			if number, _, err := msgp.ReadIntBytes(got); err != nil || number != i {
-				t.Errorf("call %d was given the answer of call %d (%v)", i, number, err)
+				t.Errorf("call %d: got the response of call %d (%v), want its own", i, number, err)
 			}
 		})
 	}
 	all.Wait()
 	if answered == 0 || givenUp == 0 {
-		t.Errorf("%d answered, %d given up", answered, givenUp)
+		t.Errorf("got %d calls answered and %d given up, want some of both", answered, givenUp)
 	}
 }
 
-// A call whose connection is reset after it was sent is in doubt, and is not sent again: the server sees each once.
+// The outcome of a call whose connection is reset after it was sent is unknown, and it is not sent again: the server sees
+// each call once at most.
 func TestResetCallIsNotRetransmitted(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer listener.Close()
+	listener := listen(t)
 	var mu sync.Mutex
 	seen := map[int]int{}
 	go func() {
@@ -76,23 +69,22 @@
 				return
 			}
 			go func() {
-				var f Frame
-				for range 3 { // three calls, then a reset without an answer
-					if readFrame(connection, &f) != nil {
+				var call Frame
+				for range 3 { // three calls, then a reset without a response
+					if readFrame(connection, &call) != nil {
 						break
 					}
-					number, _, _ := msgp.ReadIntBytes(f.Body)
+					number, _, _ := msgp.ReadIntBytes(call.Body)
 					mu.Lock()
 					seen[number]++
 					mu.Unlock()
 				}
-				connection.(*net.TCPConn).SetLinger(0)
-				connection.Close()
+				_ = connection.(*net.TCPConn).SetLinger(0) // without it the connection is closed and not reset
+				closeQuietly(connection)
 			}()
 		}
 	}()
-	caller := NewCaller(TCP{})
-	defer caller.Close()
+	caller := newCaller(t, TCP{})
 	var all sync.WaitGroup
 	for i := range 200 {
 		all.Go(func() {
@@ -102,7 +94,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err == nil || seen[i] > 1 || seen[i] == 1 && !errors.Is(err, ErrOutcomeUnknown) {
-				t.Errorf("call %d was seen %d times and ended with %v", i, seen[i], err)
+				t.Errorf("call %d: got error %v, seen %d times; want an error, ErrOutcomeUnknown where seen, and seen once at most", i, err, seen[i])
 			}
 		})
 	}
--- a/internal/transport/wire/dial_test.go
+++ b/internal/transport/wire/dial_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// startingNet is a net to a machine that is dark until a moment: what was dialled before is lost, as the opening
-// packet to a machine without power is.
+// startingNetwork leads to a machine that is down until a moment: a dial before it is lost, as the opening packet to a
+// machine without power is.
 type startingNetwork struct {
 	upAt     time.Time
 	refuses  bool // there is no process yet
@@ -34,39 +34,39 @@
 	n.open.Add(1)
 	near, far := net.Pipe()
 	go func() {
-		far.Read(make([]byte, 1)) // until the near end is closed
+		_, _ = far.Read(make([]byte, 1)) // blocks until the near end is closed
 		n.open.Add(-1)
 	}()
 	return near, nil
 }
 
-// A machine that starts while it is dialled is reached, or refuses, soon after it is up, and a machine that stays
-// dark takes no longer than before. No connection is left over.
+// A machine that starts while it is dialled is reached, or refuses, soon after it is up, and a machine that stays down
+// takes dialTimeout and no longer. Later attempts leave no connection open.
 func TestDialReachesAStartingMachine(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		upAfter time.Duration
 		refuses bool
-		most    time.Duration
+		maxWait time.Duration
 		reached bool
 	}{
 		{"up", 0, false, 5 * time.Millisecond, true},
 		{"starts", 70 * time.Millisecond, false, 110 * time.Millisecond, true},
 		{"starts without a process", 70 * time.Millisecond, true, 110 * time.Millisecond, false},
-		{"dark", time.Hour, false, dialTimeout + 5*time.Millisecond, false},
+		{"down", time.Hour, false, dialTimeout + 5*time.Millisecond, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n := &startingNetwork{upAt: time.Now().Add(c.upAfter), refuses: c.refuses}
 				caller := NewCaller(n)
-				begun := time.Now()
+				started := time.Now()
 				_, err := caller.connection(t.Context(), "10.0.0.1:1")
-				if took := time.Since(begun); took > c.most || (err == nil) != c.reached {
-					t.Errorf("after %s (%s at most): %v", took, c.most, err)
+				if took := time.Since(started); took > c.maxWait || (err == nil) != c.reached {
+					t.Errorf("got error %v after %s, want reached %v within %s", err, took, c.reached, c.maxWait)
 				}
 				time.Sleep(time.Second)
 				if left := n.open.Load(); left > 1 || !c.reached && left > 0 {
-					t.Errorf("%d connections are open after %d tries", left, n.attempts.Load())
+					t.Errorf("got %d open connections after %d attempts, want at most one, and none to a machine that was not reached", left, n.attempts.Load())
 				}
 				caller.Close()
 				synctest.Wait()
--- a/internal/transport/wire/errors_test.go
+++ b/internal/transport/wire/errors_test.go
@@ -8,7 +8,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// A failed call reads as one that eris wrapped, and its cause is found the same way.
+// The error of a call reads as one that eris wrapped, and errors.Is and HasCode find in it what they find there.
 func TestCallErrorReadsAsWrapped(t *testing.T) {
 	for _, c := range []struct {
 		got  error
@@ -20,15 +20,15 @@
 		{&CallError{"core.beat", "a:1", "", StatusError{"lost"}}, eris.Wrapf(StatusError{"lost"}, "%s to %s", "core.beat", "a:1")},
 	} {
 		if c.got.Error() != c.want.Error() {
-			t.Errorf("reads %q, %q expected", c.got, c.want)
+			t.Errorf("Error() = %q, want %q", c.got, c.want)
 		}
 		for _, cause := range []error{ErrUnsent, ErrOutcomeUnknown, context.Canceled, context.DeadlineExceeded, StatusError{"lost"}} {
-			if errors.Is(c.got, cause) != errors.Is(c.want, cause) {
-				t.Errorf("%q: cause %q is not found as it was", c.got, cause)
+			if got, want := errors.Is(c.got, cause), errors.Is(c.want, cause); got != want {
+				t.Errorf("errors.Is(%q, %q) = %v, want %v", c.got, cause, got, want)
 			}
 		}
-		if HasCode(c.got, "lost") != HasCode(c.want, "lost") {
-			t.Errorf("%q: the fault is not found as it was", c.got)
+		if got, want := HasCode(c.got, "lost"), HasCode(c.want, "lost"); got != want {
+			t.Errorf("HasCode(%q, lost) = %v, want %v", c.got, got, want)
 		}
 	}
 }
--- a/internal/transport/wire/network_test.go
+++ b/internal/transport/wire/network_test.go
@@ -9,20 +9,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// A machine that loses power says nothing of the connections it had, and TCP sends again at ever longer pauses: a
-// peer that is back after 1.7 s would be reached 3 s after the first lost byte. The kernel is told to give up sooner.
+// A machine that loses power says nothing of the connections it had, and TCP retransmits at ever longer intervals: a
+// peer that is back after 1.7 s would be reached 3 s after the first lost byte. TCP_USER_TIMEOUT makes it fail sooner.
 func TestUnacknowledgedBytesEndAConnection(t *testing.T) {
-	listener, err := TCP{}.Listen("127.0.0.1:0")
+	listener := listen(t)
+	conn, err := TCP{LocalIP: "127.0.0.1"}.Dial(t.Context(), listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
-	con, err := TCP{LocalIP: "127.0.0.1"}.Dial(t.Context(), listener.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer con.Close()
-	raw, err := con.(*net.TCPConn).SyscallConn()
+	defer closeQuietly(conn)
+	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,6 +32,6 @@
 		t.Fatal(err)
 	}
 	if most := time.Second; limit <= 0 || limit > int(most.Milliseconds()) {
-		t.Errorf("TCP_USER_TIMEOUT is %d ms, above 0 and %s at most expected", limit, most)
+		t.Errorf("got TCP_USER_TIMEOUT %d ms, want above 0 and at most %s", limit, most)
 	}
 }
--- a/internal/transport/wire/traffic_test.go
+++ b/internal/transport/wire/traffic_test.go
@@ -11,37 +11,33 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// Each call is counted by its kind, on both sides, with the bytes that went over the wire.
+// Calls and responses are counted by kind, on both sides, with their size on the wire.
 func TestTrafficByKind(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	go Serve(t.Context(), l, func(_ context.Context, _ string, body []byte) (msgp.Marshaler, error) { return text("an answer"), nil })
-	cal := NewCaller(TCP{})
-	defer cal.Close()
+	listener := listen(t)
+	go Serve(t.Context(), listener, func(context.Context, string, []byte) (msgp.Marshaler, error) { return text("an answer"), nil })
+	caller := newCaller(t, TCP{})
 	before := TrafficByKind()["traffic.test"]
 	for range 3 {
-		if err := cal.Call(t.Context(), l.Addr().String(), "traffic.test", text("a question"), nil); err != nil {
+		if err := caller.Call(t.Context(), listener.Addr().String(), "traffic.test", text("a question"), nil); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var got Traffic
 	for end := time.Now().Add(5 * time.Second); got.ResponsesSent.Frames < 3 && time.Now().Before(end); time.Sleep(time.Millisecond) {
-		got = TrafficByKind()["traffic.test"].Minus(before) // an answer is counted right after it was sent
+		got = TrafficByKind()["traffic.test"].Minus(before) // a response is counted right after it was sent
 	}
 	if got.CallsSent != got.CallsReceived || got.ResponsesSent != got.ResponsesReceived {
-		t.Errorf("what one side sent is not what the other received: %+v", got)
+		t.Errorf("got %+v, want received what was sent", got)
 	}
 	if got.CallsSent.Frames != 3 || got.ResponsesSent.Frames != 3 || got.CallsSent.Bytes < 30 || got.CallsSent.Bytes > 300 {
-		t.Errorf("three calls of some 40 bytes: %+v", got)
+		t.Errorf("got %+v, want three calls of 30 to 300 bytes in all, and three responses", got)
 	}
 	if sent := got.Sent(); sent.Frames != 6 || sent != got.Received() {
-		t.Errorf("sent %+v, received %+v", sent, got.Received())
+		t.Errorf("got sent %+v and received %+v, want six frames each and the same bytes", sent, got.Received())
 	}
 }
 
-// A faulty peer that makes kinds up does not fill the memory.
+// A faulty peer that makes kinds up does not grow the counters without bound.
 func TestKindsAreBounded(t *testing.T) {
 	counters := &trafficCounters{kinds: map[string]*kindCounters{}}
 	for i := range 5 * maxKinds {
@@ -49,11 +45,11 @@
 	}
 	got := counters.read()
 	if len(got) != maxKinds+1 || got[otherKinds].CallsReceived.Frames != 4*maxKinds {
-		t.Errorf("%d kinds, %+v others", len(got), got[otherKinds])
+		t.Errorf("got %d kinds and %+v under %q, want %d kinds and %d frames", len(got), got[otherKinds], otherKinds, maxKinds+1, 4*maxKinds)
 	}
 }
 
-// pipeNet opens connections that are served in memory.
+// pipeNetwork opens connections that a handler serves in memory.
 type pipeNetwork struct{ handler Handler }
 
 func (p pipeNetwork) Dial(ctx context.Context, _ string) (net.Conn, error) {
@@ -64,18 +60,18 @@
 
 func (pipeNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
-// A connection that is not used goes once others are opened; one in use or with a call under way stays.
+// A connection that is not used is closed once others are opened; one in use or with a call under way stays.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := make(chan struct{})
-		cal := NewCaller(pipeNetwork{func(_ context.Context, kind string, _ []byte) (msgp.Marshaler, error) {
+		caller := NewCaller(pipeNetwork{func(_ context.Context, kind string, _ []byte) (msgp.Marshaler, error) {
 			if kind == "a.slow" {
 				<-slow
 			}
 			return text(""), nil
 		}})
 		call := func(addr, kind string) {
-			if err := cal.Call(t.Context(), addr, kind, nil, nil); err != nil {
+			if err := caller.Call(t.Context(), addr, kind, nil, nil); err != nil {
 				t.Errorf("%s at %s: %v", kind, addr, err)
 			}
 		}
@@ -90,15 +86,15 @@
 			time.Sleep(time.Second)
 			call("used:1", "a.quick")
 		}
-		cal.mu.Lock()
-		open, used, waiting := len(cal.connections), cal.connections["used:1"] != nil, cal.connections["slow:1"] != nil
-		cal.mu.Unlock()
+		caller.mu.Lock()
+		open, used, waiting := len(caller.connections), caller.connections["used:1"] != nil, caller.connections["slow:1"] != nil
+		caller.mu.Unlock()
 		if open > 14 || !used || !waiting {
-			t.Errorf("%d connections open, the used one %v, the one with a call under way %v", open, used, waiting)
+			t.Errorf("got %d connections, the used one %v, the one with a call under way %v; want at most 14, with both", open, used, waiting)
 		}
 		close(slow)
 		<-ended
-		cal.Close()
+		caller.Close()
 		synctest.Wait()
 	})
 }
