--- a/internal/dataplane/streamstore/list.go
+++ b/internal/dataplane/streamstore/list.go
@@ -1,36 +1,39 @@
 package streamstore
 
-import (
-	"sort"
-)
+import "sort"
 
-// HeldStream is one stream as an operator may read it.
+// Info is one stream as operators read it.
 type Info struct {
 	RequestID  string `json:"query"`
 	Tenant     string `json:"tenant"`
-	Router     string `json:"router"` // that carries it
-	Own        bool   `json:"mine"`   // we do, else we are its standby
-	Idempotent bool   `json:"repeatable"`
-	Term       int    `json:"turn"` // standbys it has had
+	Router     string `json:"router"`     // name of the owner
+	Own        bool   `json:"mine"`       // this router is the owner, else it is the standby
+	Idempotent bool   `json:"repeatable"` // a further run is allowed
+	Term       int    `json:"turn"`       // standbys the stream has had
 	Chunks     int    `json:"pieces"`
-	Ended      bool   `json:"ended"`
-	Failure    string `json:"lost,omitempty"`
+	Ended      bool   `json:"ended"`          // completely
+	Failure    string `json:"lost,omitempty"` // error code of a stream that ended without being complete
 }
 
-// List tells all streams held here, carried or as standby.
+// List returns all streams kept here, sorted by ID.
 func (s *Store) List() []Info {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := []Info{}
+	list := []Info{}
 	for _, stream := range s.byID {
-		stream.mu.Lock()
-		held := Info{stream.ID, stream.Tenant, stream.ownerName, stream.ownerName == "", stream.request != nil, stream.term, len(stream.chunks), stream.ended, stream.failure}
-		stream.mu.Unlock()
-		if held.Own {
-			held.Router = s.ctx.Name
+		info := stream.info()
+		if info.Own {
+			info.Router = s.ctx.Name
 		}
-		out = append(out, held)
+		list = append(list, info)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].RequestID < out[j].RequestID })
-	return out
+	sort.Slice(list, func(i, j int) bool { return list[i].RequestID < list[j].RequestID })
+	return list
+}
+
+func (stream *Stream) info() Info {
+	stream.mu.Lock()
+	defer stream.mu.Unlock()
+	return Info{RequestID: stream.ID, Tenant: stream.Tenant, Router: stream.ownerName, Own: stream.ownerName == "", Idempotent: stream.request != nil,
+		Term: stream.term, Chunks: len(stream.chunks), Ended: stream.complete, Failure: stream.failure}
 }
--- a/internal/dataplane/streamstore/messages.go
+++ b/internal/dataplane/streamstore/messages.go
@@ -5,8 +5,7 @@
 // A length read from the wire is believed up to this only.
 //msgp:limit arrays:10000000 maps:200000
 
-// StreamRequest is what a second run of a stream's request takes: all but the key, of which only the
-// hash is kept.
+// SavedRequest is what a further run of a stream's request needs: all but the client's key, of which only the hash is kept.
 type SavedRequest struct {
 	Method  string              `msg:"m"`
 	Path    string              `msg:"p"`
@@ -15,32 +14,32 @@
 	KeyHash string              `msg:"k"`
 }
 
-// StreamCopy hands pieces of a stream to its standby.
+// ReplicateRequest sends chunks of a stream, or its end, from its owner to its standby.
 type ReplicateRequest struct {
 	ID        string        `msg:"i"`
 	Tenant    string        `msg:"t"`
-	Owner     string        `msg:"o"` // name of the router that carries it
+	Owner     string        `msg:"o"` // name of the router that owns the stream
 	OwnerAddr string        `msg:"a"`
-	Offset    int           `msg:"f"`
+	Offset    int           `msg:"f"` // number of the first chunk, from 0
 	Chunks    [][]byte      `msg:"p"`
-	Complete  bool          `msg:"e"` // the runner's own end has come
-	Failure   string        `msg:"l"` // or it ended in this error
-	Term      int           `msg:"u"` // which standby this is, counted over all the stream's routers
-	Request   *SavedRequest `msg:"q"` // with the first copy, on repeatable lanes
+	Complete  bool          `msg:"e"` // the runner has ended the stream
+	Failure   string        `msg:"l"` // or it ended with this error code
+	Term      int           `msg:"u"` // of the standby, counted over all owners of the stream
+	Request   *SavedRequest `msg:"q"` // gives the right to take over; in a standby's first full replica, for idempotent requests
 }
 
-// StreamReadRequest asks for the pieces after a number.
+// ReadRequest asks for a stream's chunks from an offset on.
 type ReadRequest struct {
 	ID     string `msg:"i"`
 	Tenant string `msg:"t"`
-	Offset int    `msg:"a"`
-	WaitMs int    `msg:"w"` // wait so long for something new
+	Offset int    `msg:"a"` // number of the first chunk wanted, from 0
+	WaitMs int    `msg:"w"` // how long to wait where there is none yet
 }
 
-// StreamReadResponse answers StreamReadRequest with what is held.
+// ReadResponse answers a ReadRequest.
 type ReadResponse struct {
-	Found    bool     `msg:"h"`
+	Found    bool     `msg:"h"` // the stream is here and can be resumed
 	Chunks   [][]byte `msg:"p"`
-	Complete bool     `msg:"e"`
-	Failure  string   `msg:"l"`
+	Complete bool     `msg:"e"` // the runner has ended the stream; Chunks are the last
+	Failure  string   `msg:"l"` // or it ended with this error code
 }
--- a/internal/dataplane/streamstore/read.go
+++ b/internal/dataplane/streamstore/read.go
@@ -10,13 +10,15 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// How long a resumed stream is read for.
 const (
-	resumeWait    = 700 * time.Millisecond // for a new piece
-	resumeTimeout = 1500 * time.Millisecond
+	resumeWait    = 700 * time.Millisecond  // for a new chunk
+	resumeTimeout = 1500 * time.Millisecond // for other routers' answers
 )
 
-// handle answers other routers' calls about streams.
+// ErrNotFound means that no router within reach has the stream for this tenant.
+var ErrNotFound = eris.New("streamstore: no such stream")
+
+// handle is the wire.Handler of other routers' calls about streams.
 func (s *Store) handle(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 	switch kind {
 	case "stream.copy":
@@ -27,29 +29,21 @@
 	return nil, wire.StatusError{Code: wire.CodeUnknownKind}
 }
 
-// read gives the pieces after a number, and waits for one where there is none.
+// read returns the readable chunks from an offset on, and waits for one where there is none.
 func (s *Store) read(ctx context.Context, request *ReadRequest) *ReadResponse {
-	s.mu.Lock()
-	stream := s.byID[request.ID]
-	s.mu.Unlock()
+	stream := s.find(request.ID)
 	if stream == nil || stream.Tenant != request.Tenant {
 		return &ReadResponse{}
 	}
 	wait := time.NewTimer(time.Duration(request.WaitMs) * time.Millisecond)
 	defer wait.Stop()
 	for {
-		stream.mu.Lock()
-		response := &ReadResponse{Found: !stream.tooLarge, Complete: stream.ended, Failure: stream.failure}
-		if request.Offset < stream.readable {
-			response.Chunks = append(response.Chunks, stream.chunks[max(0, request.Offset):stream.readable]...)
-		}
-		more := stream.changed
-		stream.mu.Unlock()
+		response, changed := stream.readFrom(request.Offset)
 		if len(response.Chunks) > 0 || response.Complete || response.Failure != "" || request.WaitMs <= 0 {
 			return response
 		}
 		select {
-		case <-more:
+		case <-changed:
 		case <-wait.C:
 			return response
 		case <-ctx.Done():
@@ -58,16 +52,23 @@
 	}
 }
 
-// ErrNoStream means that no router within reach holds the stream for this tenant.
-var ErrNotFound = eris.New("node: no such stream")
+// readFrom returns what is readable now. changed is closed by the next change.
+func (stream *Stream) readFrom(offset int) (response *ReadResponse, changed <-chan struct{}) {
+	stream.mu.Lock()
+	defer stream.mu.Unlock()
+	response = &ReadResponse{Found: !stream.tooLarge, Complete: stream.complete, Failure: stream.failure}
+	if offset < stream.readable {
+		response.Chunks = append(response.Chunks, stream.chunks[max(0, offset):stream.readable]...)
+	}
+	return response, stream.changed
+}
 
-// Resume gives the pieces after a number, waiting for new ones, wherever the stream is held. The
-// router that carries it is asked as well as its standby; who has more is believed.
-func (s *Store) Resume(ctx context.Context, id, tenant string, after int) (*ReadResponse, error) {
-	request := &ReadRequest{ID: id, Tenant: tenant, Offset: after, WaitMs: int(resumeWait.Milliseconds())}
-	s.mu.Lock()
-	stream := s.byID[id]
-	s.mu.Unlock()
+// Resume returns a stream's chunks from an offset on, wherever it is kept, and waits up to 700 ms for new ones. Where this
+// router is not the owner it asks all others, since the owner has more than its standby, and takes the first answer with
+// chunks or the end. It fails with ErrNotFound.
+func (s *Store) Resume(ctx context.Context, id, tenant string, offset int) (*ReadResponse, error) {
+	request := &ReadRequest{ID: id, Tenant: tenant, Offset: offset, WaitMs: int(resumeWait.Milliseconds())}
+	stream := s.find(id)
 	if stream != nil && stream.isOwn() {
 		if response := s.read(ctx, request); response.Found {
 			return response, nil
@@ -94,9 +95,9 @@
 	return best, nil
 }
 
-// readEverywhere reads a stream at all other routers, and here if we are its standby. The channel gets a response from
-// each, an empty one from those that do not answer.
-func (s *Store) readFromPeers(ctx context.Context, stream *Stream, request *ReadRequest) (responses <-chan *ReadResponse, count int) {
+// readFromPeers reads a stream at all other routers, and here if we have a replica. The channel gets a response from each of
+// the count of them, an empty one from those that do not answer.
+func (s *Store) readFromPeers(ctx context.Context, replica *Stream, request *ReadRequest) (responses <-chan *ReadResponse, count int) {
 	nodes := s.cluster.Nodes()
 	all := make(chan *ReadResponse, len(nodes)+1)
 	for _, n := range nodes {
@@ -112,7 +113,7 @@
 			all <- &response
 		}()
 	}
-	if stream != nil {
+	if replica != nil {
 		count++
 		go func() { all <- s.read(ctx, request) }()
 	}
--- a/internal/dataplane/streamstore/takeover.go
+++ b/internal/dataplane/streamstore/takeover.go
@@ -4,75 +4,89 @@
 	"context"
 	"fmt"
 	"time"
+
 	"yarrowridge/internal/controlplane/coreapi"
 )
 
-// checkOwner finds out whether a silent owner is gone, and if so carries its stream on, or ends it
-// with an error. The list of nodes alone does not decide it: while the core is away it says nothing.
+const (
+	ownerTimeout = 3 * time.Second // a replica unchanged for longer has its owner checked
+	claimTimeout = 3 * time.Second
+
+	// beyondEnd is an offset that no stream reaches: a read there only asks whether the stream is there.
+	beyondEnd = 1 << 30
+)
+
+// checkOwner finds out whether a silent owner is gone, and if so takes its stream over, or ends it with CodeRouterLost. The
+// peer directory alone does not decide it: while the core is out of reach it says nothing.
 func (s *Store) checkOwner(stream *Stream) {
-	stream.mu.Lock()
-	quiet := stream.ownerName != "" && !stream.checkingOwner && !stream.ended && stream.failure == "" && time.Since(stream.changedAt) > ownerTimeout
-	stream.checkingOwner = stream.checkingOwner || quiet
-	addr, request := stream.ownerAddr, stream.request
-	stream.mu.Unlock()
-	if !quiet {
+	ownerAddr, request, ok := stream.startOwnerCheck()
+	if !ok {
 		return
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, replicateTimeout)
 	defer cancel()
 	var response ReadResponse
-	err := s.cluster.Call(ctx, addr, "stream.read", &ReadRequest{ID: stream.ID, Tenant: stream.Tenant, Offset: 1 << 30}, &response)
+	err := s.cluster.Call(ctx, ownerAddr, "stream.read", &ReadRequest{ID: stream.ID, Tenant: stream.Tenant, Offset: beyondEnd}, &response)
 	switch {
 	case err == nil && response.Found:
 		stream.mu.Lock()
-		stream.changedAt = time.Now() // alive, if silent: its stream is kept
+		stream.changedAt = time.Now() // the owner lives, if silently: its stream is kept
 		stream.mu.Unlock()
 	case request != nil && s.OnTakeover != nil:
 		s.takeOver(stream, request)
 	default:
 		stream.update(func() { stream.failure = CodeRouterLost })
-		s.ctx.Log.Warn("Stream lost with its router.", "query", stream.ID, "peer", addr)
+		s.ctx.Log.Warn("Stream lost with its router.", "request_id", stream.ID, "peer", ownerAddr)
 	}
 	stream.mu.Lock()
 	defer stream.mu.Unlock()
 	stream.checkingOwner = false
 }
 
-// takeOver carries on a stream of another router, if the core grants it: the same turn can be claimed by its router,
-// who would then name another standby, or by us, and by nobody else.
+// startOwnerCheck reports whether the owner has to be checked now, and notes that a check is under way.
+func (stream *Stream) startOwnerCheck() (ownerAddr string, request *SavedRequest, ok bool) {
+	stream.mu.Lock()
+	defer stream.mu.Unlock()
+	silent := stream.ownerName != "" && !stream.checkingOwner && !stream.complete && stream.failure == "" && time.Since(stream.changedAt) > ownerTimeout
+	stream.checkingOwner = stream.checkingOwner || silent
+	return stream.ownerAddr, stream.request, silent
+}
+
+// takeOver makes this router the owner of a replica, if the core grants it: the term can be claimed by the owner, which would
+// then choose another standby, or by us, and by nobody else.
 func (s *Store) takeOver(stream *Stream, request *SavedRequest) {
 	stream.mu.Lock()
-	turn := stream.term
+	term := stream.term
 	stream.mu.Unlock()
-	granted, err := s.claimTerm(s.ctx, stream.ID, turn)
+	granted, err := s.claimTerm(s.ctx, stream.ID, term)
 	if err != nil {
-		s.ctx.Log.Warn("The core can't be asked who carries a stream on.", "query", stream.ID, "error", err.Error())
-		return // asked again by the next dropOld
+		s.ctx.Log.Warn("Takeover failed: the core did not decide the stream's term.", "request_id", stream.ID, "error", err.Error())
+		return // the next sweep checks the owner again
 	}
 	stream.mu.Lock()
-	sameTurn := stream.term == turn
-	carriesOn := granted && sameTurn && !stream.ended && stream.failure == ""
-	if carriesOn {
+	sameTerm := stream.term == term
+	isOwner := granted && sameTerm && !stream.complete && stream.failure == ""
+	if isOwner {
 		stream.ownerName, stream.readable = "", len(stream.chunks)
 		stream.term++
 	}
-	pieces := len(stream.chunks)
+	chunks := len(stream.chunks)
 	stream.mu.Unlock()
-	if !granted && sameTurn {
-		s.ctx.Log.Info("Stream is another standby's by now.", "query", stream.ID)
+	if !granted && sameTerm {
+		s.ctx.Log.Info("Replica dropped: the stream has another standby.", "request_id", stream.ID)
 		s.drop(stream)
 	}
-	if carriesOn {
-		s.ctx.Log.Warn("Stream is carried on in place of its router.", "query", stream.ID, "pieces", pieces)
+	if isOwner {
+		s.ctx.Log.Warn("Stream taken over from its router.", "request_id", stream.ID, "chunks", chunks)
 		go s.OnTakeover(stream, request)
 	}
 }
 
-// claimTurn claims one turn of a stream.
-func (s *Store) claimTerm(ctx context.Context, id string, turn int) (bool, error) {
+// claimTerm claims a term of a stream at the core, and reports whether it is ours. It does not end with ctx.
+func (s *Store) claimTerm(ctx context.Context, id string, term int) (bool, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), claimTimeout)
 	defer cancel()
-	request := coreapi.ClaimRequest{Key: fmt.Sprintf("%s%s/%d", coreapi.StreamPrefix, id, turn),
+	request := coreapi.ClaimRequest{Key: fmt.Sprintf("%s%s/%d", coreapi.StreamPrefix, id, term),
 		Claim: coreapi.Claim{RequestHash: "stream", Claimant: fmt.Sprintf("%s/%x", s.ctx.Name, s.ctx.RunID), Node: s.ctx.Name, NodeRun: s.ctx.RunID}}
 	var response coreapi.ClaimResponse
 	err := s.cluster.Core.Call(ctx, "core.take", &request, &response, true)
