--- a/internal/controlplane/core/heartbeat.go
+++ b/internal/controlplane/core/heartbeat.go
@@ -71,11 +71,11 @@
 		response.View = v
 	}
 	s.tellNodes(request, response)
-	s.registry.Tell(request, response, time.Now())
-	s.health.note(request.RunnerStats, time.Now())
-	response.Failing = s.health.failing(time.Now())
-	s.pauses.note(request.RunnerStats, time.Now())
-	response.LowLatencyRunners = s.pauses.calm(s.registry.List, time.Now())
+	s.registry.FillResponse(request, response, time.Now())
+	s.runnerOutliers.Record(request.RunnerStats, time.Now())
+	response.Failing = s.runnerOutliers.Failing(time.Now())
+	s.runnerLatency.Record(request.RunnerStats, time.Now())
+	response.LowLatencyRunners = s.runnerLatency.LowLatencyRunners(s.registry.List, time.Now())
 	response.ScarceTenants = s.scarceTenants()
 	return response, newRun, nil
 }
--- a/internal/controlplane/core/primary.go
+++ b/internal/controlplane/core/primary.go
@@ -10,6 +10,7 @@
 
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/paxos"
+	"yarrowridge/internal/controlplane/runnerregistry"
 	"yarrowridge/internal/controlplane/view"
 	"yarrowridge/internal/lib/faultinjection"
 )
@@ -154,7 +155,7 @@
 	s.finishedKeys.load(s.store.Load())
 	s.predecessor = ""
 	s.mu.Lock()
-	s.registry.Begin(registryEpoch(v.Epoch, s.ctx.RunID), s.ledSince, time.Now(), s.storedRunners())
+	s.registry.StartEpoch(runnerregistry.Epoch(v.Epoch, s.ctx.RunID), s.ledSince, time.Now(), s.runnerStorage.LoadAll())
 	s.ready, s.config, s.readySince = true, config, time.Now()
 	s.routersBefore = s.rememberedRouters()
 	s.mu.Unlock()
--- /dev/null
+++ b/internal/controlplane/core/runnerheartbeat.go
@@ -0,0 +1,41 @@
+package core
+
+import (
+	"context"
+	"time"
+
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/model/routing"
+	"yarrowridge/internal/transport/wire"
+)
+
+// takeRunner takes a runner's heartbeat. A change of its state is pushed to the first routers of every zone before it is
+// acknowledged, so that it outlives this process.
+func (s *Server) takeRunner(ctx context.Context, request *coreapi.RunnerHeartbeat) (*coreapi.Empty, error) {
+	if err := s.requirePrimary(); err != nil {
+		return nil, err
+	}
+	if !isValidHeartbeat(request.Runner) {
+		return nil, wire.StatusError{Code: coreapi.CodeInvalidRunner}
+	}
+	notified := s.registry.RecordHeartbeat(request.Runner, time.Now())
+	// What is stored is the registry's newest: this heartbeat may have been overtaken by a later one.
+	newest, _ := s.registry.Lookup(request.Runner.ID)
+	if err := s.runnerStorage.Save(ctx, newest); err != nil {
+		return nil, err
+	}
+	if notified != nil {
+		<-notified
+	}
+	return &coreapi.Empty{}, nil
+}
+
+// isValidHeartbeat reports whether a runner has a name and is in a state that runners say of themselves.
+func isValidHeartbeat(runner routing.Runner) bool {
+	switch runner.State {
+	case routing.RunnerReady, routing.RunnerDraining, routing.RunnerGone:
+		return runner.ID != ""
+	default:
+		return false
+	}
+}
--- a/internal/controlplane/core/server.go
+++ b/internal/controlplane/core/server.go
@@ -14,6 +14,7 @@
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/lease"
 	"yarrowridge/internal/controlplane/paxos"
+	"yarrowridge/internal/controlplane/runnerregistry"
 	"yarrowridge/internal/controlplane/store"
 	"yarrowridge/internal/controlplane/view"
 	"yarrowridge/internal/lib/daemon"
@@ -77,11 +78,11 @@
 	incoming      *incomingSnapshot    // under way; nil: none
 	lastSnapshot  snapshotNumber       // the newest one begun
 
-	registry   *RunnerRegistry
-	runnerNews runnerNews
-	health     runnerHealth
-	pauses     runnerPauses
-	replaced   replacedRuns
+	registry       *runnerregistry.Registry
+	runnerStorage  runnerregistry.Storage
+	runnerOutliers runnerregistry.OutlierDetector
+	runnerLatency  runnerregistry.LatencyTracker
+	replaced       replacedRuns
 }
 
 // runLoopState is what only the run loop touches.
@@ -174,7 +175,8 @@
 		candidates:   map[string]candidate{},
 	}
 	s.endedEpoch = voter.View().Epoch
-	s.registry = NewRunnerRegistry(settings.RunnerSilentAfter, s.announce)
+	s.registry = runnerregistry.New(settings.RunnerSilentAfter, runnerregistry.NewNotifier(s.pushRunners).Notify)
+	s.runnerStorage = runnerregistry.Storage{Committed: s.store.Load, Submit: s.Submit, SubmitLater: s.submitLater}
 	s.store.Store(opened)
 	s.seeds.Store(&settings.Seeds)
 	s.handlers = wire.Handlers{"view": s.handleView, "core": s.handleCore}
--- a/internal/controlplane/core/sweep.go
+++ b/internal/controlplane/core/sweep.go
@@ -40,7 +40,7 @@
 	if time.Since(s.announcedAt) > announceEvery {
 		s.announcedAt = time.Now()
 		s.announceView(live.addrs)
-		s.storeSilent(s.registry.List(time.Now()))
+		s.runnerStorage.SaveTimedOut(s.registry.List(time.Now()))
 	}
 	if document == nil {
 		return
@@ -48,7 +48,7 @@
 	if time.Since(s.claimsSweptAt) > claimsSweepEvery {
 		s.claimsSweptAt = time.Now()
 		s.sweepClaims(document.Claims)
-		s.sweepRunners(s.registry.List(time.Now()))
+		s.runnerStorage.DeleteUnknown(s.registry.List(time.Now()))
 		s.submitLater(s.dropUnusedHolders)
 	}
 	s.sweepQuotas(document, live)
--- /dev/null
+++ b/internal/controlplane/runnerregistry/registry_test.go
@@ -0,0 +1,317 @@
+package runnerregistry
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/model/routing"
+	"yarrowridge/internal/transport/wire"
+)
+
+// testRegistry is a registry whose time the test sets.
+type testRegistry struct {
+	*Registry
+	now           time.Time
+	notifications int
+	push          chan struct{} // of the last change; the test closes it
+}
+
+// newTestRegistry makes a registry in its epoch 1, whose runners time out after four seconds.
+func newTestRegistry() *testRegistry {
+	r := &testRegistry{now: time.Unix(1000, 0)}
+	r.Registry = New(4*time.Second, func(routing.Runner) <-chan struct{} {
+		r.notifications++
+		r.push = make(chan struct{})
+		return r.push
+	})
+	r.StartEpoch(1, r.now, r.now, nil)
+	return r
+}
+
+// heartbeat records a heartbeat and reports whether routers are notified of it at once.
+func (r *testRegistry) heartbeat(id string, version uint64, state routing.RunnerState) bool {
+	before := r.notifications
+	r.RecordHeartbeat(routing.Runner{ID: id, Address: id + ":1", State: state, Sequence: version, Slots: 4}, r.now)
+	return r.notifications > before
+}
+
+// response answers a router that has a version of an epoch.
+func (r *testRegistry) response(epoch, version uint64) *coreapi.HeartbeatResponse {
+	var response coreapi.HeartbeatResponse
+	r.FillResponse(&coreapi.HeartbeatRequest{RunnersWanted: true, RunnersEpoch: epoch, RunnersVersion: version}, &response, r.now)
+	return &response
+}
+
+// state gives a runner's state, "" where it is not known.
+func (r *testRegistry) state(id string) routing.RunnerState {
+	for _, runner := range r.List(r.now) {
+		if runner.ID == id {
+			return runner.State
+		}
+	}
+	return ""
+}
+
+// A heartbeat that overtook another is not undone by it, and a repeated one changes nothing.
+func TestLateHeartbeatChangesNothing(t *testing.T) {
+	r := newTestRegistry()
+	if !r.heartbeat("a", 5, routing.RunnerReady) {
+		t.Error("got no notification of a new runner, want one")
+	}
+	if !r.heartbeat("a", 9, routing.RunnerDraining) {
+		t.Error("got no notification of draining, want one")
+	}
+	before := r.response(1, 1).RunnersVersion
+	if r.heartbeat("a", 8, routing.RunnerReady) || r.heartbeat("a", 9, routing.RunnerReady) {
+		t.Error("got a notification of a late heartbeat, want none")
+	}
+	if got := r.state("a"); got != routing.RunnerDraining {
+		t.Errorf("got state %q after a late heartbeat, want %q", got, routing.RunnerDraining)
+	}
+	if after := r.response(1, 1).RunnersVersion; after != before {
+		t.Errorf("got version %d after late heartbeats, want %d", after, before)
+	}
+}
+
+// A heartbeat that repeats a change is not acknowledged before routers were notified of the change.
+func TestRepeatedHeartbeatWaitsForNotification(t *testing.T) {
+	r := newTestRegistry()
+	r.heartbeat("a", 1, routing.RunnerReady)
+	close(r.push)
+	r.heartbeat("a", 2, routing.RunnerDraining)
+	runner := routing.Runner{ID: "a", Address: "a:1", State: routing.RunnerDraining, Sequence: 3, Slots: 4}
+	later, again := r.RecordHeartbeat(runner, r.now), r.RecordHeartbeat(runner, r.now)
+	for _, notified := range []<-chan struct{}{later, again} {
+		select {
+		case <-notified:
+			t.Error("got an acknowledgement before the change was pushed, want none")
+		default:
+		}
+	}
+	close(r.push)
+	<-later
+	<-again
+}
+
+// The version goes up with what routers must know, and not with every heartbeat.
+func TestVersionCountsChanges(t *testing.T) {
+	r := newTestRegistry()
+	runner := routing.Runner{ID: "a", State: routing.RunnerReady, WarmupLeftMs: 900, Slots: 4, Sequence: 1}
+	for _, step := range []struct {
+		name   string
+		change func()
+		want   bool
+	}{
+		{"a new runner", func() {}, true},
+		{"nothing", func() {}, false},
+		{"less warm-up left", func() { runner.WarmupLeftMs = 400 }, false},
+		{"warm-up ended", func() { runner.WarmupLeftMs = 0 }, true},
+		{"slots", func() { runner.Slots = 8 }, true},
+		{"address", func() { runner.Address = "10.0.0.9:1" }, true},
+		{"service", func() { runner.Service = "s" }, true},
+		{"models", func() { runner.Models = []routing.RunnerModel{{Name: "m", Revision: 1}} }, true},
+		{"state", func() { runner.State = routing.RunnerDraining }, true},
+		{"nothing again", func() {}, false},
+	} {
+		before := r.version
+		step.change()
+		runner.Sequence++
+		r.RecordHeartbeat(runner, r.now)
+		if got := r.version > before; got != step.want {
+			t.Errorf("%s: got a higher version %t, want %t", step.name, got, step.want)
+		}
+	}
+}
+
+// A runner without a heartbeat for the timeout is timed out, is back with its next heartbeat, and is forgotten after a
+// minute.
+func TestTimeoutAndReturn(t *testing.T) {
+	r := newTestRegistry()
+	r.heartbeat("a", 1, routing.RunnerReady)
+	r.heartbeat("b", 1, routing.RunnerDraining)
+	known := r.response(1, 0).RunnersVersion
+	r.now = r.now.Add(4 * time.Second)
+	if got := r.state("a"); got != routing.RunnerReady {
+		t.Errorf("got state %q after just the timeout, want %q", got, routing.RunnerReady)
+	}
+	r.now = r.now.Add(200 * time.Millisecond)
+	response := r.response(1, known)
+	if len(response.Runners) != 2 || response.Runners[0].State != routing.RunnerSilent || response.Runners[1].State != routing.RunnerSilent {
+		t.Errorf("got runners %+v after the timeout, want both timed out", response.Runners)
+	}
+	if r.heartbeat("a", 1, routing.RunnerReady); r.state("a") != routing.RunnerSilent {
+		t.Errorf("got state %q after a repeated heartbeat, want %q", r.state("a"), routing.RunnerSilent)
+	}
+	if !r.heartbeat("a", 2, routing.RunnerReady) {
+		t.Error("got no notification of a return, want one")
+	}
+	if got := r.state("a"); got != routing.RunnerReady {
+		t.Errorf("got state %q after the return, want %q", got, routing.RunnerReady)
+	}
+	r.now = r.now.Add(56 * time.Second)
+	if got := r.state("b"); got != "" {
+		t.Errorf("got state %q a minute after the last heartbeat, want the runner forgotten", got)
+	}
+	if got := r.state("a"); got != routing.RunnerSilent {
+		t.Errorf("got state %q 56 s after the last heartbeat, want %q", got, routing.RunnerSilent)
+	}
+}
+
+// A runner that has left stays gone, whatever heartbeat of its incarnation comes later.
+func TestGoneIsFinal(t *testing.T) {
+	r := newTestRegistry()
+	r.heartbeat("a", 1, routing.RunnerReady)
+	if !r.heartbeat("a", 2, routing.RunnerGone) {
+		t.Error("got no notification of leaving, want one")
+	}
+	if r.heartbeat("a", 3, routing.RunnerReady); r.state("a") != routing.RunnerGone {
+		t.Errorf("got state %q after a heartbeat of a gone runner, want %q", r.state("a"), routing.RunnerGone)
+	}
+	r.now = r.now.Add(30 * time.Second)
+	if got := r.state("a"); got != routing.RunnerGone {
+		t.Errorf("got state %q half a minute later, want %q", got, routing.RunnerGone)
+	}
+	if !r.heartbeat("b", 1, routing.RunnerGone) || r.state("b") != routing.RunnerGone {
+		t.Error("got an unknown runner that leaves not recorded, want it gone")
+	}
+}
+
+// Another epoch starts an empty registry and sends all of it; within one, what changed is sent.
+func TestNewEpochStartsEmpty(t *testing.T) {
+	r := newTestRegistry()
+	r.now = r.now.Add(warmupDuration)
+	for i := range 5 {
+		r.heartbeat(fmt.Sprint("r", i), 1, routing.RunnerReady)
+	}
+	response := r.response(0, 0)
+	if len(response.Runners) != 5 || !response.RunnersComplete {
+		t.Errorf("got %d runners, complete %t for a router without any, want 5, complete", len(response.Runners), response.RunnersComplete)
+	}
+	r.heartbeat("r3", 2, routing.RunnerDraining)
+	response = r.response(response.RunnersEpoch, response.RunnersVersion)
+	if len(response.Runners) != 1 || response.Runners[0].ID != "r3" || response.RunnersComplete {
+		t.Errorf("got runners %+v, complete %t after one change, want r3, not complete", response.Runners, response.RunnersComplete)
+	}
+	r.StartEpoch(2, r.now, r.now, nil)
+	r.heartbeat("r1", 7, routing.RunnerReady)
+	// The router's version is above the new epoch's: the epoch counts.
+	next := r.response(response.RunnersEpoch, response.RunnersVersion)
+	if next.RunnersEpoch == response.RunnersEpoch || len(next.Runners) != 1 || next.RunnersComplete {
+		t.Errorf("got %+v from a new primary, want another epoch and one runner, not complete", next)
+	}
+	var none coreapi.HeartbeatResponse
+	r.FillResponse(&coreapi.HeartbeatRequest{}, &none, r.now)
+	if none.RunnersEpoch != 0 || none.Runners != nil {
+		t.Errorf("got %+v for a router that keeps no registry, want nothing", none)
+	}
+	if Epoch(7, 1) == Epoch(7, 2) {
+		t.Error("got one epoch for two runs of a primary, want two")
+	}
+}
+
+// Only a list sent once the primary's warm-up is over is complete, and a router that had one before gets it.
+func TestListIsCompleteAfterWarmup(t *testing.T) {
+	r := newTestRegistry()
+	r.heartbeat("a", 1, routing.RunnerReady)
+	early := r.response(0, 0)
+	if early.RunnersComplete || len(early.Runners) != 1 {
+		t.Errorf("got %d runners, complete %t during warm-up, want 1, not complete", len(early.Runners), early.RunnersComplete)
+	}
+	r.now = r.now.Add(warmupDuration - time.Millisecond)
+	r.heartbeat("a", 2, routing.RunnerReady)
+	if response := r.response(early.RunnersEpoch, early.RunnersVersion); response.RunnersComplete || len(response.Runners) > 0 {
+		t.Errorf("got %+v just before the end of warm-up, want no runners", response)
+	}
+	r.now = r.now.Add(time.Millisecond)
+	complete := r.response(early.RunnersEpoch, early.RunnersVersion)
+	if !complete.RunnersComplete || len(complete.Runners) != 1 {
+		t.Errorf("got %d runners, complete %t after warm-up, want 1, complete", len(complete.Runners), complete.RunnersComplete)
+	}
+	if response := r.response(complete.RunnersEpoch, complete.RunnersVersion); response.RunnersComplete || len(response.Runners) > 0 {
+		t.Errorf("got the complete list twice: %+v", response)
+	}
+}
+
+// A primary whose view changed, but which led all the time, goes on with what it knows. Nobody times out for a heartbeat
+// that was not taken meanwhile, and one that had timed out before stays so.
+func TestPrimaryResumesItsEpoch(t *testing.T) {
+	r := newTestRegistry()
+	leadingSince := r.now
+	r.heartbeat("timed-out", 1, routing.RunnerReady)
+	r.now = r.now.Add(warmupDuration)
+	r.heartbeat("a", 1, routing.RunnerReady)
+	complete := r.response(0, 0)
+	r.now = r.now.Add(20 * time.Second)
+	r.StartEpoch(3, leadingSince, r.now, nil)
+	if response := r.response(complete.RunnersEpoch, complete.RunnersVersion); response.RunnersEpoch != complete.RunnersEpoch || response.RunnersComplete || len(response.Runners) > 0 {
+		t.Errorf("got %+v right after a pause, want the same epoch and no runners", response)
+	}
+	if a, timedOut := r.state("a"), r.state("timed-out"); a != routing.RunnerReady || timedOut != routing.RunnerSilent {
+		t.Errorf("got states %q and %q right after a pause, want %q and %q", a, timedOut, routing.RunnerReady, routing.RunnerSilent)
+	}
+	r.now = r.now.Add(resumeGrace + 200*time.Millisecond)
+	if got := r.state("a"); got != routing.RunnerSilent {
+		t.Errorf("got state %q without a heartbeat after the pause, want %q", got, routing.RunnerSilent)
+	}
+}
+
+// A frame has room for the registry of ten thousand runners.
+func TestRegistryFitsAFrame(t *testing.T) {
+	r := newTestRegistry()
+	for i := range 10_000 {
+		r.RecordHeartbeat(routing.Runner{ID: fmt.Sprintf("runner-%032d", i), Address: "10.100.100.100:10000", Zone: "zone", Service: "service-name", State: routing.RunnerReady, Sequence: 1}, r.now)
+	}
+	response := r.response(0, 0)
+	if size := response.Msgsize(); size > wire.MaxFrameBytes {
+		t.Errorf("got %d bytes for ten thousand runners, want %d at most", size, wire.MaxFrameBytes)
+	}
+}
+
+// A router that asks for a complete list gets none where it has exactly that, and all once anything differs.
+func TestEqualListIsNotSent(t *testing.T) {
+	r := newTestRegistry()
+	r.heartbeat("a", 1, routing.RunnerReady)
+	r.heartbeat("b", 1, routing.RunnerReady)
+	r.now = r.now.Add(warmupDuration)
+	r.heartbeat("a", 2, routing.RunnerReady)
+	r.heartbeat("b", 2, routing.RunnerReady)
+	ask := func(epoch uint64, runners []routing.Runner) *coreapi.HeartbeatResponse {
+		var response coreapi.HeartbeatResponse
+		request := coreapi.HeartbeatRequest{RunnersWanted: true, RunnersEpoch: epoch}
+		for _, runner := range runners {
+			request.RunnersDigest ^= runner.Digest()
+		}
+		r.FillResponse(&request, &response, r.now)
+		return &response
+	}
+	current := r.response(0, 0).Runners
+	if response := ask(1, current); len(response.Runners) > 0 || response.RunnersComplete || response.RunnersEpoch != 1 || response.RunnersVersion == 0 {
+		t.Errorf("got %+v for an equal list, want no runners", response)
+	}
+	r.heartbeat("a", 3, routing.RunnerReady) // a heartbeat alone is nothing that routers must know
+	if response := ask(1, current); len(response.Runners) > 0 {
+		t.Errorf("got %+v after a heartbeat without a change, want no runners", response)
+	}
+	for name, response := range map[string]*coreapi.HeartbeatResponse{
+		"another primary's list": ask(7, current),
+		"one runner less":        ask(1, current[:1]),
+		"none":                   ask(1, nil),
+	} {
+		if len(response.Runners) != 2 || !response.RunnersComplete {
+			t.Errorf("%s: got %+v, want both runners, complete", name, response)
+		}
+	}
+	r.heartbeat("a", 4, routing.RunnerDraining)
+	if response := ask(1, current); len(response.Runners) != 2 || !response.RunnersComplete {
+		t.Errorf("got %+v after a change of state, want both runners, complete", response)
+	}
+	current = r.response(0, 0).Runners
+	r.heartbeat("a", 5, routing.RunnerDraining)
+	r.now = r.now.Add(runnerTTL + time.Second)
+	r.heartbeat("a", 6, routing.RunnerDraining)
+	if response := ask(1, current); len(response.Runners) != 1 || !response.RunnersComplete {
+		t.Errorf("got %+v after a runner was forgotten, want one runner, complete", response)
+	}
+}
--- /dev/null
+++ b/internal/controlplane/runnerregistry/storage_test.go
@@ -0,0 +1,230 @@
+package runnerregistry
+
+import (
+	"context"
+	"log/slog"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/transaction"
+	"yarrowridge/internal/model/routing"
+)
+
+// operation is a submitted change of the state.
+type operation struct {
+	apply func(tx *transaction.Tx) error
+	done  chan error
+}
+
+// storedRegistry is a registry with its storage, whose operations are committed by the test.
+type storedRegistry struct {
+	*Registry
+	Storage
+	committed *store.Store
+	submitted chan *operation
+}
+
+func newStoredRegistry(t *testing.T) *storedRegistry {
+	t.Helper()
+	disk, err := store.OpenFolder(t.TempDir())
+	if err != nil {
+		t.Fatal(err)
+	}
+	committed, err := store.Open(disk, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &storedRegistry{Registry: newQuietRegistry(), committed: committed, submitted: make(chan *operation, 16)}
+	r.StartEpoch(1, time.Now(), time.Now(), nil)
+	r.Storage = Storage{
+		Committed: func() *store.Store { return committed },
+		Submit: func(ctx context.Context, apply func(tx *transaction.Tx) error) error {
+			submitted := &operation{apply: apply, done: make(chan error, 1)}
+			r.submitted <- submitted
+			select {
+			case err := <-submitted.done:
+				return err
+			case <-ctx.Done():
+				return ctx.Err()
+			}
+		},
+		SubmitLater: func(apply func(tx *transaction.Tx) error) {
+			r.submitted <- &operation{apply: apply, done: make(chan error, 1)}
+		},
+	}
+	return r
+}
+
+// newQuietRegistry makes a registry that notifies nobody, whose runners time out after four seconds.
+func newQuietRegistry() *Registry {
+	return New(4*time.Second, func(routing.Runner) <-chan struct{} { return nil })
+}
+
+// commit commits all submitted operations as one batch.
+func (r *storedRegistry) commit(t *testing.T) {
+	t.Helper()
+	tx := transaction.New(r.committed)
+	var applied []*operation
+	for len(r.submitted) > 0 {
+		next := <-r.submitted
+		if err := next.apply(tx); err != nil {
+			t.Fatal(err)
+		}
+		applied = append(applied, next)
+	}
+	r.append(t, tx)
+	for _, one := range applied {
+		one.done <- nil
+	}
+}
+
+// append commits what a transaction changes, if it does.
+func (r *storedRegistry) append(t *testing.T, tx *transaction.Tx) {
+	t.Helper()
+	if len(tx.Mutations()) == 0 {
+		return
+	}
+	if err := r.committed.Append(store.Batch{Version: r.committed.Version() + 1, Mutations: tx.LastMutations()}); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// heartbeat records and saves a heartbeat of the runner a as the primary does, and commits what that submits.
+func (r *storedRegistry) heartbeat(t *testing.T, state routing.RunnerState, sequence uint64) {
+	t.Helper()
+	r.RecordHeartbeat(routing.Runner{ID: "a", Service: "s", Address: "10.0.0.9:80", State: state, Sequence: sequence}, time.Now())
+	saved := make(chan error, 1)
+	runner, _ := r.Lookup("a")
+	go func() { saved <- r.Save(t.Context(), runner) }()
+	synctest.Wait()
+	for len(r.submitted) > 0 {
+		r.commit(t)
+		synctest.Wait()
+	}
+	if err := <-saved; err != nil {
+		t.Fatal(err)
+	}
+}
+
+// What the disk has of a runner follows its newest heartbeat: a late one does not bring back one that is draining or gone,
+// and a heartbeat without a change writes nothing.
+func TestStorageFollowsHeartbeats(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		r := newStoredRegistry(t)
+		steps := []struct {
+			state       routing.RunnerState
+			sequence    uint64
+			wantState   routing.RunnerState
+			wantVersion uint64 // of the store: the number of writes
+		}{
+			{routing.RunnerReady, 1, routing.RunnerReady, 1},
+			{routing.RunnerReady, 2, routing.RunnerReady, 1},
+			{routing.RunnerDraining, 4, routing.RunnerDraining, 2},
+			{routing.RunnerReady, 3, routing.RunnerDraining, 2},
+			{routing.RunnerGone, 9, "", 3},
+			{routing.RunnerReady, 5, "", 3},
+		}
+		for i, step := range steps {
+			r.heartbeat(t, step.state, step.sequence)
+			stored, _ := r.Load("a")
+			if version := r.committed.Version(); stored.State != step.wantState || version != step.wantVersion {
+				t.Errorf("step %d: got stored state %q after %d writes, want %q after %d", i, stored.State, version, step.wantState, step.wantVersion)
+			}
+		}
+		if stored := r.LoadAll(); len(stored) != 0 {
+			t.Errorf("got stored runners %v, want none", stored)
+		}
+	})
+}
+
+// A runner that has crashed is not ready again for a primary that starts from the disk, and is once it sends a heartbeat.
+func TestTimedOutRunnerIsStored(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		r := newStoredRegistry(t)
+		stateAfterRestart := func() routing.RunnerState {
+			restarted := newQuietRegistry()
+			restarted.StartEpoch(2, time.Now(), time.Now(), r.LoadAll())
+			runner, _ := restarted.Lookup("a")
+			return runner.State
+		}
+		sweep := func() {
+			r.SaveTimedOut(r.List(time.Now()))
+			r.commit(t)
+		}
+		r.heartbeat(t, routing.RunnerReady, 1)
+		time.Sleep(3 * time.Second)
+		sweep()
+		if got := stateAfterRestart(); got != routing.RunnerReady {
+			t.Errorf("got state %q from the disk 3 s after a heartbeat, want %q", got, routing.RunnerReady)
+		}
+		time.Sleep(2 * time.Second)
+		sweep()
+		if got := stateAfterRestart(); got != routing.RunnerSilent {
+			t.Errorf("got state %q from the disk after the timeout, want %q", got, routing.RunnerSilent)
+		}
+		before := r.committed.Version()
+		sweep()
+		if got := r.committed.Version(); got != before {
+			t.Errorf("got version %d after a sweep without a change, want %d", got, before)
+		}
+		r.heartbeat(t, routing.RunnerReady, 2)
+		if got := stateAfterRestart(); got != routing.RunnerReady {
+			t.Errorf("got state %q from the disk after the next heartbeat, want %q", got, routing.RunnerReady)
+		}
+	})
+}
+
+// A runner that was draining and then timed out is still known to drain.
+func TestTimedOutRunnerStaysDraining(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		r := newStoredRegistry(t)
+		r.heartbeat(t, routing.RunnerReady, 1)
+		r.heartbeat(t, routing.RunnerDraining, 2)
+		time.Sleep(5 * time.Second)
+		r.SaveTimedOut(r.List(time.Now()))
+		r.commit(t)
+		if stored, _ := r.Load("a"); stored.State != routing.RunnerDraining {
+			t.Errorf("got stored state %q, want %q", stored.State, routing.RunnerDraining)
+		}
+	})
+}
+
+// A runner whose draining is committed between the submission of its timeout and the commit of that is still known to drain.
+func TestDrainingCommittedBeforeTimeout(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		r := newStoredRegistry(t)
+		r.heartbeat(t, routing.RunnerReady, 1)
+		time.Sleep(5 * time.Second)
+		r.SaveTimedOut(r.List(time.Now()))
+		tx := transaction.New(r.committed)
+		if err := tx.Put(runnerPrefix+"a", &routing.Runner{ID: "a", State: routing.RunnerDraining}); err != nil {
+			t.Fatal(err)
+		}
+		r.append(t, tx)
+		r.commit(t)
+		if stored, _ := r.Load("a"); stored.State != routing.RunnerDraining {
+			t.Errorf("got stored state %q, want %q", stored.State, routing.RunnerDraining)
+		}
+	})
+}
+
+// The stored runners that the registry has forgotten are deleted, the others stay.
+func TestForgottenRunnersAreDeleted(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		r := newStoredRegistry(t)
+		r.heartbeat(t, routing.RunnerReady, 1)
+		r.DeleteUnknown(r.List(time.Now()))
+		r.commit(t)
+		if stored := r.LoadAll(); len(stored) != 1 {
+			t.Errorf("got %d stored runners while the registry knows one, want 1", len(stored))
+		}
+		time.Sleep(runnerTTL + time.Second)
+		r.DeleteUnknown(r.List(time.Now()))
+		r.commit(t)
+		if stored := r.LoadAll(); len(stored) != 0 {
+			t.Errorf("got stored runners %v after the registry forgot them, want none", stored)
+		}
+	})
+}
