--- a/internal/controlplane/core/fleetcodec.go
+++ b/internal/controlplane/configuration/fleetcodec.go
@@ -1,4 +1,4 @@
-package core
+package configuration
 
 import (
 	"time"
@@ -7,14 +7,14 @@
 	"yarrowridge/internal/model/fleetconfig"
 )
 
-// defaultMaxFinishedKeys is how many keys that ran are kept where the configuration does not say.
+// defaultMaxFinishedKeys is how many finished keys are kept at most where the configuration does not say.
 const defaultMaxFinishedKeys = fleetconfig.RanMost
 
-// fleetConfigCodec reads fleet configurations. Such a configuration does not number itself: the core counts.
-type fleetConfigCodec struct{}
+// FleetCodec reads fleet configurations (package fleetconfig). Such a configuration does not number itself: the core counts.
+type FleetCodec struct{}
 
-// Check reads a whole configuration.
-func (fleetConfigCodec) Check(raw []byte) (Document, []coreapi.ConfigError) {
+// Check decodes a whole configuration.
+func (FleetCodec) Check(raw []byte) (Document, []coreapi.ConfigError) {
 	config, errors := fleetconfig.Parse(raw)
 	if len(errors) > 0 {
 		configErrors := make([]coreapi.ConfigError, len(errors))
@@ -26,7 +26,7 @@
 	document := Document{
 		Quotas:  map[string]int{},
 		Windows: map[string]time.Duration{},
-		Claims:  ClaimLimits{Keep: config.Limits.Keep, FinishedKeep: config.Limits.RanKeep, MaxFinished: config.Limits.RanMost},
+		Claims:  ClaimLimits{Retention: config.Limits.Keep, FinishedRetention: config.Limits.RanKeep, MaxFinishedKeys: config.Limits.RanMost},
 	}
 	for _, tenant := range config.Tenants {
 		document.Quotas[tenant.Name] = tenant.Quota.Units
@@ -36,9 +36,9 @@
 }
 
 // Merge applies a JSON merge patch.
-func (fleetConfigCodec) Merge(current, change []byte) ([]byte, error) {
+func (FleetCodec) Merge(current, change []byte) ([]byte, error) {
 	return fleetconfig.Merge(current, change)
 }
 
-// MaxBytes is the size of the largest configuration.
-func (fleetConfigCodec) MaxBytes() int { return fleetconfig.MaxBytes }
+// MaxBytes is the size of the largest configuration, in bytes.
+func (FleetCodec) MaxBytes() int { return fleetconfig.MaxBytes }
--- a/internal/controlplane/core/history.go
+++ b/internal/controlplane/configuration/history.go
@@ -1,4 +1,4 @@
-package core
+package configuration
 
 import (
 	"strconv"
@@ -8,19 +8,21 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// What is kept of older configurations and of write ids is bounded by counting writes, not by
+// What is kept of older configurations and of write IDs is bounded by counting writes, not by
 // arithmetic on versions, where documents number themselves.
 
 const (
 	historyKey       = "history"
+	maxVersions      = 16       // older configurations kept for reading back
+	maxWriteIDs      = 1000     // write IDs remembered
 	maxLargeVersions = 3        // copies kept of large documents
 	largeDocument    = 64 << 10 // documents above this size are large
 	maxKeptDocument  = 1 << 20  // of documents above this size no copy is kept: a batch has to fit one frame
 )
 
-// readHistory reads what is kept of earlier writes. known is false where the core has counted all along, and
-// a write's count is its version.
-func readHistory(tx *transaction.Tx, current uint64) (history ConfigHistory, known bool, err error) {
+// readHistory reads what is kept of earlier writes. known is false where no document has numbered itself so
+// far, and a write's count is its version.
+func readHistory(tx *transaction.Tx, current uint64) (history History, known bool, err error) {
 	raw, known := tx.Get(historyKey)
 	if known {
 		_, err = history.UnmarshalMsg(raw)
@@ -36,7 +38,7 @@
 }
 
 // keepVersion keeps a copy of the new configuration for reading back, and drops the oldest copies beyond the bound.
-func keepVersion(tx *transaction.Tx, history *ConfigHistory, config *coreapi.StoredConfig, numbered bool) error {
+func keepVersion(tx *transaction.Tx, history *History, config *coreapi.StoredConfig, numbered bool) error {
 	if len(config.Raw) <= maxKeptDocument {
 		if err := tx.Put(versionKey(config.Version), config); err != nil {
 			return err
@@ -54,7 +56,7 @@
 	return nil
 }
 
-// keepWriteID remembers the id of the write with this count, and forgets the id of one long ago.
+// keepWriteID remembers the ID of the write with this count, and forgets the ID of one long ago.
 func keepWriteID(tx *transaction.Tx, count uint64, id string, record WriteResult) error {
 	if id != "" && !faultinjection.Disabled("write-id") {
 		if err := tx.Put("mark/"+id, &record); err != nil {
@@ -69,7 +71,7 @@
 	}
 	key := "marked/" + strconv.FormatUint(count-maxWriteIDs, 10)
 	if raw, ok := tx.Get(key); ok {
-		var written coreapi.Claim // of a claim only the id is used here
+		var written coreapi.Claim // of a claim only the ID is used here
 		if _, err := written.UnmarshalMsg(raw); err == nil {
 			tx.Delete("mark/" + written.Claimant)
 		}
--- a/internal/controlplane/control/node.go
+++ b/internal/controlplane/control/node.go
@@ -7,6 +7,7 @@
 
 	"github.com/rotisserie/eris"
 
+	"yarrowridge/internal/controlplane/configuration"
 	"yarrowridge/internal/controlplane/core"
 	"yarrowridge/internal/controlplane/coreclient"
 	"yarrowridge/internal/controlplane/store"
@@ -30,7 +31,7 @@
 	Lost        time.Duration   // silence after which a member may be replaced by a newcomer
 	Term        time.Duration   // lease of the primacy; 0: the default
 	MemoryLimit int64           // bytes; 0: none
-	Codec       core.Codec
+	Codec       configuration.Codec
 	Metrics     metrics.Endpoint                                          // where the core's own figures are served
 	Handler     func(primary *coreclient.Forwarder) (http.Handler, error) // serves Control
 }
--- a/internal/controlplane/core/claimsweep.go
+++ b/internal/controlplane/core/claimsweep.go
@@ -3,6 +3,7 @@
 import (
 	"strings"
 	"time"
+	"yarrowridge/internal/controlplane/configuration"
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/transaction"
 )
@@ -15,7 +16,7 @@
 // sweepClaims ends claims that have had their time. Of each whose request may have run the hash stays.
 // Age is counted from when this run of this process first saw a claim or a part: a hand-over only
 // makes them last longer.
-func (s *Server) sweepClaims(limits ClaimLimits) {
+func (s *Server) sweepClaims(limits configuration.ClaimLimits) {
 	now := s.claimsSweptAt
 	seen := make(map[string]time.Time, len(s.claimsSeen))
 	isOver := func(key string, keep time.Duration) bool {
@@ -28,7 +29,7 @@
 	}
 	var ended []string
 	s.store.Load().ForEachWithPrefix(claimPrefix, func(key string, _ []byte) {
-		keep := limits.Keep
+		keep := limits.Retention
 		if isStreamClaim(key) {
 			keep = max(keep, streamClaimKeep)
 		}
@@ -38,7 +39,7 @@
 	})
 	var oldParts []string
 	for _, part := range s.finishedKeys.parts {
-		if isOver(part.Key, limits.FinishedKeep) {
+		if isOver(part.Key, limits.FinishedRetention) {
 			oldParts = append(oldParts, part.Key)
 		}
 	}
--- a/internal/controlplane/core/commit.go
+++ b/internal/controlplane/core/commit.go
@@ -8,6 +8,7 @@
 
 	"github.com/rotisserie/eris"
 
+	"yarrowridge/internal/controlplane/configuration"
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/store"
 	"yarrowridge/internal/controlplane/transaction"
@@ -205,12 +206,9 @@
 			s.finishedKeys.apply(put)
 		}
 	}
-	if put, ok := tx.LastMutation(configKey); ok {
-		var storedConfig coreapi.StoredConfig
-		if _, err := storedConfig.UnmarshalMsg(put.Value); err == nil {
-			s.mu.Lock()
-			s.config = storedConfig
-			s.mu.Unlock()
-		}
+	if config, ok := configuration.Written(tx); ok {
+		s.mu.Lock()
+		s.config = config
+		s.mu.Unlock()
 	}
 }
--- a/internal/controlplane/core/finishedkeys.go
+++ b/internal/controlplane/core/finishedkeys.go
@@ -92,13 +92,7 @@
 // maxFinishedKeys is how many keys that ran are kept at most, by the configuration in force. It is asked for every
 // claim, so the configuration is not read anew for it.
 func (s *Server) maxFinishedKeys() int {
-	s.mu.Lock()
-	config := s.config
-	s.mu.Unlock()
-	if document := s.parsedConfig(config); document != nil {
-		return document.Claims.MaxFinished
-	}
-	return defaultMaxFinishedKeys
+	return s.documents.MaxFinishedKeys(s.committedConfig())
 }
 
 // mergeFinishedKeys makes one part of the smallest ones, once there are many small ones.
--- a/internal/controlplane/core/msgs.go
+++ b/internal/controlplane/core/msgs.go
@@ -39,18 +39,6 @@
 	Member view.Member `msg:"w"`
 }
 
-// WriteResult remembers what was written under a write id.
-type WriteResult struct {
-	Version uint64 `msg:"s"`
-	Hash    string `msg:"h"`
-}
-
-// ConfigHistory counts the writes of documents that number themselves, and names the older ones still kept.
-type ConfigHistory struct {
-	Writes       uint64   `msg:"c"`
-	KeptVersions []uint64 `msg:"p"`
-}
-
 // storedPool is a tenant's quota pool as it is on disk. It has an entry for every router and is written with every
 // move, so holders go by the numbers of their storedHolder records.
 type storedPool struct {
--- a/internal/controlplane/core/primary.go
+++ b/internal/controlplane/core/primary.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/configuration"
 	"yarrowridge/internal/controlplane/paxos"
 	"yarrowridge/internal/controlplane/runnerregistry"
 	"yarrowridge/internal/controlplane/view"
@@ -145,12 +145,10 @@
 
 // becomeReady opens for writes: the backups hold all we hold, and the lease stands.
 func (s *Server) becomeReady(v view.View) {
-	var config coreapi.StoredConfig
-	if raw, ok := s.store.Load().Get(configKey); ok {
-		if _, err := config.UnmarshalMsg(raw); err != nil {
-			s.ctx.Log.Error("Stored configuration can't be read.", "error", err.Error())
-			return
-		}
+	config, err := configuration.Current(s.store.Load())
+	if err != nil {
+		s.ctx.Log.Error("Stored configuration can't be read.", "error", err.Error())
+		return
 	}
 	s.finishedKeys.load(s.store.Load())
 	s.predecessor = ""
--- a/internal/controlplane/core/quota.go
+++ b/internal/controlplane/core/quota.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"time"
 
+	"yarrowridge/internal/controlplane/configuration"
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/model/quota"
@@ -24,12 +25,12 @@
 	response := &coreapi.QuotaMovesResponse{}
 	err := s.Submit(ctx, func(tx *transaction.Tx) error {
 		response.Results = make([]coreapi.QuotaMoveResult, len(request.Moves))
-		document, err := s.documentIn(tx)
+		document, err := s.documents.InBatch(tx)
 		if err != nil {
 			return err
 		}
 		if document == nil {
-			document = &Document{}
+			document = &configuration.Document{}
 		}
 		for i := range request.Moves {
 			if response.Results[i], err = s.moveIn(tx, request.Holder, &request.Moves[i], document); err != nil {
@@ -45,7 +46,7 @@
 }
 
 // moveIn makes one move. Only the run loop calls it.
-func (s *Server) moveIn(tx *transaction.Tx, holder string, move *coreapi.QuotaMove, document *Document) (result coreapi.QuotaMoveResult, err error) {
+func (s *Server) moveIn(tx *transaction.Tx, holder string, move *coreapi.QuotaMove, document *configuration.Document) (result coreapi.QuotaMoveResult, err error) {
 	pool, err := s.poolCache.get(tx, move.Tenant)
 	if err != nil {
 		return result, err
--- a/internal/controlplane/core/quota_test.go
+++ b/internal/controlplane/core/quota_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"yarrowridge/internal/controlplane/configuration"
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/store"
 	"yarrowridge/internal/controlplane/transaction"
@@ -33,7 +34,7 @@
 	s, opened := quotaServer(t)
 	begin := func() *transaction.Tx { return transaction.New(opened) }
 	draw := func(tx *transaction.Tx, turn uint64) int {
-		out, err := s.moveIn(tx, "a", &coreapi.QuotaMove{Tenant: "t", Sequence: turn, Units: 1}, &Document{Quotas: map[string]int{"t": 100}})
+		out, err := s.moveIn(tx, "a", &coreapi.QuotaMove{Tenant: "t", Sequence: turn, Units: 1}, &configuration.Document{Quotas: map[string]int{"t": 100}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -81,7 +82,7 @@
 	if err := s.poolCache.put(tx, "t", &quota.Pool{Cooling: map[string]int{"dead/1": 10}}); err != nil {
 		t.Fatal(err)
 	}
-	document := &Document{Quotas: map[string]int{"t": 10}, Tolerances: map[string]int{"t": 4}}
+	document := &configuration.Document{Quotas: map[string]int{"t": 10}, Tolerances: map[string]int{"t": 4}}
 	held, spent := 0, 0
 	for _, holder := range []string{"a", "b", "c", "d"} {
 		out, err := s.moveIn(tx, holder, &coreapi.QuotaMove{Tenant: "t", Sequence: 1, Units: 1}, document)
--- a/internal/controlplane/core/quotaholders.go
+++ b/internal/controlplane/core/quotaholders.go
@@ -33,7 +33,7 @@
 // number gives a holder's number. One that has none gets it within the batch.
 func (h holderNumbers) number(tx *transaction.Tx, name string) (uint64, error) {
 	if known, ok := h[name]; ok {
-		if raw, ok := tx.Get(known.key); ok && sameBytes(raw, known.raw) {
+		if raw, ok := tx.Get(known.key); ok && transaction.SameRecord(raw, known.raw) {
 			return known.number, nil
 		}
 	}
--- a/internal/controlplane/core/quotapools.go
+++ b/internal/controlplane/core/quotapools.go
@@ -32,7 +32,7 @@
 	if !ok {
 		return &quota.Pool{}, nil
 	}
-	if known := c.pools[tenant]; known != nil && (sameBytes(raw, known.raw) || faultinjection.Disabled("pool-cache")) {
+	if known := c.pools[tenant]; known != nil && (transaction.SameRecord(raw, known.raw) || faultinjection.Disabled("pool-cache")) {
 		return &known.pool, nil
 	}
 	pool, err := decodePool(raw, func(number uint64) (string, error) { return c.holders.name(tx, number) })
--- a/internal/controlplane/core/quotasweep.go
+++ b/internal/controlplane/core/quotasweep.go
@@ -5,6 +5,7 @@
 	"strings"
 	"time"
 
+	"yarrowridge/internal/controlplane/configuration"
 	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/model/quota"
 )
@@ -63,7 +64,7 @@
 }
 
 // sweepQuotas frees units that have cooled, and sets those of holders that are gone cooling.
-func (s *Server) sweepQuotas(document *Document, live liveHolders) {
+func (s *Server) sweepQuotas(document *configuration.Document, live liveHolders) {
 	ages := &ageTable{firstSeen: s.firstSeen, now: time.Now(), seen: map[string]bool{}}
 	var due quotaSweep
 	s.hasCoolingUnits = false
@@ -81,7 +82,7 @@
 }
 
 // add adds what is due in one tenant's pool.
-func (q *quotaSweep) add(tenant string, pool *quota.Pool, document *Document, live liveHolders, ages *ageTable) {
+func (q *quotaSweep) add(tenant string, pool *quota.Pool, document *configuration.Document, live liveHolders, ages *ageTable) {
 	window := document.Windows[tenant]
 	for holder := range pool.Cooling {
 		if ages.isOver(coolKey(tenant, holder), window+quota.Margin) {
--- a/internal/controlplane/core/server.go
+++ b/internal/controlplane/core/server.go
@@ -11,6 +11,7 @@
 
 	"github.com/tinylib/msgp/msgp"
 
+	"yarrowridge/internal/controlplane/configuration"
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/lease"
 	"yarrowridge/internal/controlplane/paxos"
@@ -55,6 +56,7 @@
 	storeGate runloop.Mutex // held while a batch or a snapshot is taken as backup
 
 	runLoopState
+	documents *configuration.Documents // only the run loop calls its methods
 
 	mu            sync.Mutex
 	epoch         uint64       // the one that we lead; 0: none
@@ -69,7 +71,7 @@
 	readySince    time.Time
 	diskFailed    bool
 
-	config        coreapi.StoredConfig // the newest one committed
+	config        coreapi.StoredConfig // the newest one committed; here, since it is set and read together with ready
 	nodes         map[string]*liveNode
 	nodesVersion  uint64               // goes up with every change of the nodes
 	routersBefore int                  // routers that the disk had when we became ready
@@ -110,7 +112,6 @@
 	hasCoolingUnits bool                     // units of some quota cool
 	finishedKeys    finishedKeys
 	finishedParts   int // parts put by this run
-	decoded         decodedConfig
 }
 
 // liveNode is a node whose lease runs.
@@ -169,6 +170,7 @@
 		runID:        rand.Uint64() | 1,
 		storeGate:    runloop.NewMutex(),
 		runLoopState: newRunLoopState(),
+		documents:    configuration.New(settings.Codec),
 		lease:        lease.New(settings.LeaseTerm),
 		nodes:        map[string]*liveNode{},
 		scarceSince:  map[string]time.Time{},
--- a/internal/controlplane/core/settings.go
+++ b/internal/controlplane/core/settings.go
@@ -2,6 +2,7 @@
 
 import (
 	"time"
+	"yarrowridge/internal/controlplane/configuration"
 )
 
 // Settings is what a core is told about its place.
@@ -9,13 +10,13 @@
 	Addr          string
 	Founders      []string
 	Seeds         []string
-	Bootstrap     bool          // without founders, the seeds found the fleet
-	Losses        int           // disks that may be lost at once: so many backups hold a write before it is acknowledged
-	AllowNoBackup bool          // no loss is to be borne: a fleet's only member needs no backup
-	MaxMembers    int           // the most cores that vote; more wait until one is lost
-	LeaseTerm     time.Duration // lease of the primacy
-	LostAfter     time.Duration // silence after which a member may be replaced by a newcomer
-	Codec         Codec         // reads the configuration; nil: fleet configurations
+	Bootstrap     bool                // without founders, the seeds found the fleet
+	Losses        int                 // disks that may be lost at once: so many backups hold a write before it is acknowledged
+	AllowNoBackup bool                // no loss is to be borne: a fleet's only member needs no backup
+	MaxMembers    int                 // the most cores that vote; more wait until one is lost
+	LeaseTerm     time.Duration       // lease of the primacy
+	LostAfter     time.Duration       // silence after which a member may be replaced by a newcomer
+	Codec         configuration.Codec // reads the configuration; nil: fleet configurations
 
 	RunnerSilentAfter time.Duration // a runner without a heartbeat for so long is silent
 }
@@ -35,7 +36,7 @@
 		s.MaxMembers = 9
 	}
 	if s.Codec == nil {
-		s.Codec = fleetConfigCodec{}
+		s.Codec = configuration.FleetCodec{}
 	}
 	if s.RunnerSilentAfter == 0 {
 		s.RunnerSilentAfter = 4 * time.Second
--- a/internal/controlplane/core/sweep.go
+++ b/internal/controlplane/core/sweep.go
@@ -36,7 +36,7 @@
 	if !ready {
 		return
 	}
-	document := s.parsedConfig(config)
+	document := s.documents.Decode(config)
 	if time.Since(s.announcedAt) > announceEvery {
 		s.announcedAt = time.Now()
 		s.announceView(live.addrs)
--- a/internal/controlplane/transaction/transaction.go
+++ b/internal/controlplane/transaction/transaction.go
@@ -116,3 +116,9 @@
 	t.size += len(mutation.Key) + len(mutation.Value)
 	t.last[mutation.Key] = &mutation
 }
+
+// SameRecord reports whether two values read from a state are the same memory: what was decoded from one is good for the
+// other. Values don't change once they are put, so one that was written anew is never the same.
+func SameRecord(a, b []byte) bool {
+	return len(a) > 0 && len(a) == len(b) && &a[0] == &b[0]
+}
--- a/internal/controlplane/transaction/transaction_test.go
+++ b/internal/controlplane/transaction/transaction_test.go
@@ -69,3 +69,24 @@
 		t.Errorf("got %v, want b, then a with its last value", got)
 	}
 }
+
+func TestSameRecord(t *testing.T) {
+	record := []byte("abc")
+	for _, c := range []struct {
+		name string
+		a, b []byte
+		want bool
+	}{
+		{"one value read twice", record, record, true},
+		{"a value written anew", record, []byte("abc"), false},
+		{"a part of a value", record, record[:2], false},
+		{"no values", nil, nil, false},
+		{"a value and none", record, nil, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := SameRecord(c.a, c.b); got != c.want {
+				t.Errorf("got %t, want %t", got, c.want)
+			}
+		})
+	}
+}
--- a/internal/testing/compat/messages_test.go
+++ b/internal/testing/compat/messages_test.go
@@ -11,6 +11,7 @@
 
 	"github.com/tinylib/msgp/msgp"
 
+	"yarrowridge/internal/controlplane/configuration"
 	"yarrowridge/internal/controlplane/core"
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/paxos"
@@ -54,7 +55,7 @@
 	"core.SnapshotRequest":    new(core.SnapshotRequest),
 	"core.State":              new(coreapi.State),
 	"core.StoredConfig":       new(coreapi.StoredConfig),
-	"core.WriteHistory":       new(core.ConfigHistory),
+	"core.WriteHistory":       new(configuration.History),
 	"core.WriteRequest":       new(coreapi.WriteRequest),
 	"core.WriteResponse":      new(coreapi.WriteResponse),
 	"core.ConfigError":        new(coreapi.ConfigError),
@@ -64,7 +65,7 @@
 	"core.QuotaMoveResult":    new(coreapi.QuotaMoveResult),
 	"core.ReplicateResponse":  new(core.ReplicateResponse),
 	"core.StateRequest":       new(coreapi.StateRequest),
-	"core.WriteRecord":        new(core.WriteResult),
+	"core.WriteRecord":        new(configuration.WriteResult),
 	"node.NodeList":           new(cluster.NodeList),
 	"node.StreamCopy":         new(streamstore.ReplicateRequest),
 	"node.StreamReadRequest":  new(streamstore.ReadRequest),
--- a/internal/testing/sim/document_test.go
+++ b/internal/testing/sim/document_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"yarrowridge/internal/controlplane/core"
+	"yarrowridge/internal/controlplane/configuration"
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/dataplane/cluster"
 	"yarrowridge/internal/transport/wire"
@@ -20,7 +20,7 @@
 // units of tenants, one a line. A line "bad" is a flaw.
 type lines struct{}
 
-func (lines) Check(raw []byte) (doc core.Document, flaws []coreapi.ConfigError) {
+func (lines) Check(raw []byte) (doc configuration.Document, flaws []coreapi.ConfigError) {
 	doc.Quotas, doc.Windows = map[string]int{}, map[string]time.Duration{}
 	for i, line := range strings.Split(string(raw), "\n") {
 		var name string
--- a/internal/testing/sim/fleet_test.go
+++ b/internal/testing/sim/fleet_test.go
@@ -15,6 +15,7 @@
 	"testing/synctest"
 	"time"
 
+	"yarrowridge/internal/controlplane/configuration"
 	"yarrowridge/internal/controlplane/core"
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/coreclient"
@@ -57,7 +58,7 @@
 	end     context.CancelFunc
 	lost    time.Duration
 	founder []string
-	codec   core.Codec                         // of the cores; nil: layouts
+	codec   configuration.Codec                // of the cores; nil: layouts
 	options func(*routerProc) []cluster.Option // of the routers' hubs
 	place   func(c *coreProc) core.Settings    // in place of the usual settings of a core
 	more    []string                           // addresses that a fault may cut off from a core, besides cores and routers
