--- /dev/null
+++ b/internal/model/quota/idleunits_test.go
@@ -0,0 +1,63 @@
+package quota
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// A share keeps a few requests' worth of uneven units at hand while the limit is not scarce, so that small requests need no
+// core; it takes no more than a fraction of an equal share, and keeps nothing that nobody waits for once units are scarce.
+func TestIdleUnitsOfUnevenCosts(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		const limit, nodes, cost = 640_000, 40, 400
+		share := NewShare()
+		share.SetLimit(limit, 8*time.Second)
+		acquire := func() int {
+			sequence, units, ok := share.NextAcquire(nodes)
+			if !ok {
+				return 0
+			}
+			held, _, _ := share.Stats()
+			share.Apply(sequence, held+units, limit)
+			return units
+		}
+		acquire()
+		for range 60 { // one request now and then: little is spent in any window
+			time.Sleep(2 * time.Second)
+			reserveAndCommit(t, share, cost)
+			acquire()
+			if sequence, _, ok := share.NextReturn(false, nodes); ok {
+				held, _, _ := share.Stats()
+				share.Apply(sequence, held, limit)
+			}
+		}
+		if _, free, _ := share.Stats(); free < cost || free > limit/nodes {
+			t.Errorf("units at hand: got %d, want %d to %d", free, cost, limit/nodes)
+		}
+		sequence, _, ok := share.NextReturn(true, nodes)
+		if !ok {
+			t.Fatal("NextReturn though units are scarce: got no transfer, want one")
+		}
+		held, free, _ := share.Stats()
+		share.Apply(sequence, held, limit)
+		if free != 0 {
+			t.Errorf("units kept though they are scarce: got %d, want 0", free)
+		}
+		if got := acquire(); got >= cost { // what is spent in 0.3 s may be
+			t.Errorf("units acquired though they are scarce: got %d, want less than %d", got, cost)
+		}
+	})
+}
+
+func TestIsSmall(t *testing.T) {
+	tests := []struct {
+		limit, nodes int
+		want         bool
+	}{{100, 0, true}, {0, 1, true}, {1, 1, true}, {2, 1, false}, {79, 40, true}, {80, 40, false}}
+	for _, test := range tests {
+		if got := IsSmall(test.limit, test.nodes); got != test.want {
+			t.Errorf("IsSmall(%d, %d): got %v, want %v", test.limit, test.nodes, got, test.want)
+		}
+	}
+}
--- a/internal/model/quota/share_test.go
+++ b/internal/model/quota/share_test.go
@@ -1,198 +1,206 @@
 package quota
 
 import (
-	"context"
-	"errors"
-	"sync"
-	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"pgregory.net/rapid"
-
-	"yarrowridge/internal/lib/daemon"
 )
 
-// whole is the quota system of some holders and one core, with answers that get lost.
-type whole struct {
-	pool  Pool
-	quota int
+// spend is units that were committed at one time.
+type spend struct {
+	units int
+	at    time.Time
+}
+
+// maxInWindow is the most units that any window holds.
+func maxInWindow(spends []spend, window time.Duration) int {
+	most := 0
+	for i := range spends {
+		sum := 0
+		for _, later := range spends[i:] {
+			if later.at.Sub(spends[i].at) < window {
+				sum += later.units
+			}
+		}
+		most = max(most, sum)
+	}
+	return most
+}
+
+// sharedPool is one tenant's pool and the shares of some holders, whose answers get lost, which crash, and whose units cool.
+type sharedPool struct {
+	pool         Pool
+	limit        int
+	window       time.Duration
+	shares       map[string]*Share
+	coolingSince map[string]time.Time
+	spends       []spend
+}
+
+var sharedPoolHolders = []string{"a", "b", "c", "d"}
+
+func newSharedPool(limit int, window time.Duration) *sharedPool {
+	p := &sharedPool{limit: limit, window: window, shares: map[string]*Share{}, coolingSince: map[string]time.Time{}}
+	for _, holder := range sharedPoolHolders {
+		p.shares[holder] = NewShare()
+	}
+	return p
 }
 
-// Any order of draws, gives, spends, lost answers, deaths and changed quotas: the rolling window
-// over all holders never holds more units than the largest quota in force within it.
+// step has one holder do one thing at random.
+func (p *sharedPool) step(rt *rapid.T) {
+	holder := rapid.SampledFrom(sharedPoolHolders).Draw(rt, "holder")
+	share := p.shares[holder]
+	switch rapid.IntRange(0, 9).Draw(rt, "step") {
+	case 0, 1, 2:
+		p.acquire(rt, holder, share)
+	case 3:
+		if sequence, units, ok := share.NextReturn(rapid.Bool().Draw(rt, "scarce"), 4); ok {
+			p.pool.Return(holder, sequence, units)
+			held, _ := p.pool.Return(holder, sequence, units)
+			share.Apply(sequence, held, max(p.limit, p.pool.AllocatedUnits()))
+		}
+	case 4, 5, 6:
+		units := rapid.IntRange(1, 4).Draw(rt, "units")
+		for range rapid.SampledFrom([]int{1, 100}).Draw(rt, "times") {
+			if ok, _ := share.Reserve(units); !ok {
+				break
+			}
+			share.Commit(units)
+			p.spends = append(p.spends, spend{units, time.Now()})
+		}
+	case 7:
+		time.Sleep(time.Duration(rapid.IntRange(1, 4000).Draw(rt, "ms")) * time.Millisecond)
+	case 8: // the holder crashes and comes back as another run under the same name
+		p.pool.StartCooling(holder)
+		p.coolingSince[holder] = time.Now()
+		p.shares[holder] = NewShare()
+	case 9:
+		for gone, since := range p.coolingSince {
+			if time.Since(since) > p.window+2*Margin && p.pool.EndCooling(gone) {
+				delete(p.coolingSince, gone)
+			}
+		}
+	}
+}
+
+// acquire makes an acquire if one is called for. Its answer may be lost; then it is repeated.
+func (p *sharedPool) acquire(rt *rapid.T, holder string, share *Share) {
+	share.SetLimit(p.limit, p.window)
+	sequence, units, ok := share.NextAcquire(4)
+	if !ok {
+		return
+	}
+	held, _ := p.pool.Acquire(holder, sequence, units, p.limit)
+	limitBase := max(p.limit, p.pool.AllocatedUnits())
+	if rapid.Bool().Draw(rt, "lost") {
+		held, _ = p.pool.Acquire(holder, sequence, units, p.limit)
+		limitBase = max(p.limit, p.pool.AllocatedUnits())
+	}
+	share.Apply(sequence, held, limitBase)
+}
+
+// In any order of acquires, returns, spends, lost answers and crashes no rolling window over all holders holds more units
+// than the limit, nor is more than the limit ever allocated.
 func TestQuotaOverAllHolders(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(*testing.T) {
 			const window = 10 * time.Second
-			w := whole{quota: rapid.IntRange(1, 60).Draw(rt, "quota")}
-			names := []string{"a", "b", "c", "d"}
-			quotaShares := map[string]*Share{}
-			cool := map[string]time.Time{}
-			for _, n := range names {
-				quotaShares[n] = NewShare()
-			}
-			type hit struct {
-				n  int
-				at time.Time
-			}
-			var hits []hit
-			type quotaAt struct {
-				n  int
-				at time.Time
-			}
-			quotas := []quotaAt{{w.quota, time.Now()}}
-			lives := 0
-			steps := rapid.IntRange(20, 120).Draw(rt, "steps")
-			for range steps {
-				n := names[rapid.IntRange(0, 3).Draw(rt, "who")]
-				p := quotaShares[n]
-				switch rapid.IntRange(0, 9).Draw(rt, "step") {
-				case 0, 1, 2: // draw; the answer may be lost, and the turn asked again
-					p.SetLimit(w.quota, window)
-					if turn, k, ok := p.NextAcquire(4); ok {
-						have, _ := w.pool.Acquire(n, turn, k, w.quota)
-						under := max(w.quota, w.pool.AllocatedUnits())
-						if rapid.Bool().Draw(rt, "lost") {
-							have, _ = w.pool.Acquire(n, turn, k, w.quota)
-							under = max(w.quota, w.pool.AllocatedUnits())
-						}
-						p.Apply(turn, have, under)
-					}
-				case 3: // give
-					if turn, k, ok := p.NextReturn(rapid.Bool().Draw(rt, "short"), 4); ok {
-						w.pool.Return(n, turn, k)
-						have, _ := w.pool.Return(n, turn, k)
-						p.Apply(turn, have, max(w.quota, w.pool.AllocatedUnits()))
-					}
-				case 4, 5, 6:
-					k := rapid.IntRange(1, 4).Draw(rt, "units")
-					for range rapid.SampledFrom([]int{1, 100}).Draw(rt, "times") {
-						if ok, _ := p.Reserve(k); !ok {
-							break
-						}
-						p.Commit(k)
-						hits = append(hits, hit{k, time.Now()})
-					}
-				case 7:
-					time.Sleep(time.Duration(rapid.IntRange(1, 4000).Draw(rt, "ms")) * time.Millisecond)
-				case 8: // the holder dies and comes back as another run under the same name
-					lives++
-					w.pool.StartCooling(n)
-					cool[n] = time.Now()
-					quotaShares[n] = NewShare()
-				case 9:
-					for who, at := range cool {
-						if time.Since(at) > window+2*Margin && w.pool.EndCooling(who) {
-							delete(cool, who)
-						}
-					}
-				}
-				if out := w.pool.AllocatedUnits(); out > w.quota {
-					rt.Fatalf("%d units out of a quota of %d", out, w.quota)
+			p := newSharedPool(rapid.IntRange(1, 60).Draw(rt, "limit"), window)
+			for range rapid.IntRange(20, 120).Draw(rt, "steps") {
+				p.step(rt)
+				if got := p.pool.AllocatedUnits(); got > p.limit {
+					rt.Fatalf("units allocated: got %d, want at most %d", got, p.limit)
 				}
 			}
-			for i := range hits {
-				sum := 0
-				for _, h := range hits[i:] {
-					if h.at.Sub(hits[i].at) < window {
-						sum += h.n
-					}
-				}
-				most := 0
-				for _, q := range quotas {
-					most = max(most, q.n)
-				}
-				if sum > most {
-					rt.Fatalf("%d units within a window of a quota of %d", sum, most)
-				}
+			if got := maxInWindow(p.spends, window); got > p.limit {
+				rt.Fatalf("units within a window: got %d, want at most %d", got, p.limit)
 			}
 		})
 	})
 }
 
-// A lowered quota binds each holder at once, in proportion, before any unit was given back.
-func TestLoweredQuota(t *testing.T) {
-	rapid.Check(t, func(rt *rapid.T) {
-		high := rapid.IntRange(10, 200).Draw(rt, "high")
-		low := rapid.IntRange(1, high).Draw(rt, "low")
-		var pool Pool
-		var all []*Share
-		for i := range 5 {
-			p := NewShare()
-			p.SetLimit(high, time.Minute)
-			if turn, _, ok := p.NextAcquire(1); ok {
-				have, _ := pool.Acquire(string(rune('a'+i)), turn, rapid.IntRange(0, high).Draw(rt, "units"), high)
-				p.Apply(turn, have, max(high, pool.AllocatedUnits()))
-			}
-			all = append(all, p)
-		}
-		sum := 0
-		for _, p := range all {
-			p.SetLimit(low, time.Minute)
-			for {
-				if ok, _ := p.Reserve(1); !ok {
-					break
+// A rejected request is told to come back when units spent here are released, or others may have returned some.
+func TestRetryAfter(t *testing.T) {
+	tests := []struct {
+		name   string
+		held   int
+		spent  int // at the start
+		wait   time.Duration
+		window time.Duration
+		cost   int
+		want   time.Duration
+	}{
+		{"nothing held", 0, 0, 0, time.Second, 1, minRetryAfter},
+		{"nothing spent here", 2, 0, 0, time.Second, 3, minRetryAfter},
+		{"costs more than all units held", 2, 2, 0, time.Second, 3, minRetryAfter},
+		{"units come back after the longest wait", 2, 2, 0, time.Minute, 1, maxRetryAfter},
+		{"units come back soon", 2, 2, 500 * time.Millisecond, time.Second, 1, 500*time.Millisecond + Margin},
+		{"units come back at once", 2, 2, 1200 * time.Millisecond, time.Second, 1, minRetryAfter},
+		{"no contact with the core", 2, 0, ContactTTL + time.Second, time.Second, 1, lostContactRetry},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				share := shareWith(t, test.held, 10, test.window)
+				if test.spent > 0 {
+					reserveAndCommit(t, share, test.spent)
 				}
-				p.Commit(1)
-				sum++
-			}
-		}
-		if sum > low {
-			rt.Fatalf("%d units spent under a quota of %d", sum, low)
-		}
-	})
+				time.Sleep(test.wait)
+				if ok, got := share.Reserve(test.cost); ok || got != test.want {
+					t.Errorf("Reserve(%d): got %v, %s, want false, %s", test.cost, ok, got, test.want)
+				}
+			})
+		})
+	}
 }
 
-// A holder that hears the core spends on for as long as it likes, also without a move; one that
-// does not stops once the term is over.
-func TestContactTTL(t *testing.T) {
+// Units are held, reserved, spent and come back when the window and its margin are over.
+func TestReserveCommitCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, end := context.WithCancel(t.Context())
-		defer end()
-		var live atomic.Bool
-		live.Store(true)
-		var mu sync.Mutex
-		var pool Pool
-		ps := NewShares(daemon.Context{Context: ctx}, Config{
-			Transfer: func(_ context.Context, move Transfer) (int, int, error) {
-				turn, n := move.Sequence, move.Units
-				mu.Lock()
-				defer mu.Unlock()
-				if !live.Load() {
-					return 0, 0, errors.New("cut off")
-				}
-				have, _ := pool.Acquire("a", turn, n, 100)
-				return have, max(100, pool.AllocatedUnits()), nil
-			},
-			Nodes: func() int { return 1 }, ScarceTenants: func() []string { return nil },
-			Rules:     func() []Rule { return []Rule{{"t", 100, 10 * time.Second}} },
-			InContact: live.Load})
-		go ps.Run()
-		spend := func() bool {
-			ok, _ := ps.Reserve(ctx, "t", 1)
-			if ok {
-				ps.For("t").Commit(1)
+		share := shareWith(t, 5, 5, time.Second)
+		check := func(step string, wantFree, wantSpent int) {
+			t.Helper()
+			if held, free, spent := share.Stats(); held != 5 || free != wantFree || spent != wantSpent {
+				t.Errorf("%s: got %d held, %d free, %d spent, want 5, %d, %d", step, held, free, spent, wantFree, wantSpent)
 			}
-			return ok
-		}
-		time.Sleep(time.Second)
-		if !spend() {
-			t.Error("nothing to spend at first")
-		}
-		time.Sleep(ContactTTL + time.Hour)
-		if !spend() {
-			t.Error("a holder that hears the core stopped spending after the term")
 		}
-		live.Store(false)
-		time.Sleep(ContactTTL - time.Hour)
-		if !spend() {
-			t.Error("a cut-off holder stopped spending within the term")
-		}
-		time.Sleep(2 * time.Hour)
-		if spend() {
-			t.Error("a cut-off holder spends on after the term")
+		check("at first", 5, 0)
+		if ok, _ := share.Reserve(3); !ok {
+			t.Fatal("Reserve(3): got false, want true")
 		}
+		check("reserved", 2, 0)
+		share.Cancel(1)
+		check("a unit cancelled", 3, 0)
+		share.Commit(2)
+		check("two committed", 3, 2)
+		time.Sleep(time.Second + Margin)
+		check("at the end of the window", 3, 2)
+		time.Sleep(time.Millisecond)
+		check("after the window", 5, 0)
 	})
 }
+
+// shareWith returns a share that holds so many units of a limit.
+func shareWith(t *testing.T, units, limit int, window time.Duration) *Share {
+	t.Helper()
+	share := NewShare()
+	share.SetLimit(limit, window)
+	sequence, _, ok := share.NextAcquire(1)
+	if !ok {
+		t.Fatal("NextAcquire of an empty share: got no transfer, want one")
+	}
+	share.Apply(sequence, units, limit)
+	return share
+}
+
+// reserveAndCommit spends units that must be there.
+func reserveAndCommit(t *testing.T, share *Share, units int) {
+	t.Helper()
+	if ok, _ := share.Reserve(units); !ok {
+		t.Fatalf("Reserve(%d): got false, want true", units)
+	}
+	share.Commit(units)
+}
--- a/internal/model/quota/shares_test.go
+++ b/internal/model/quota/shares_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"math/rand/v2"
 	"sync"
 	"sync/atomic"
@@ -10,283 +9,190 @@
 	"testing/synctest"
 	"time"
 
-	"pgregory.net/rapid"
-
 	"yarrowridge/internal/lib/daemon"
 )
 
-// crowd is a large fleet of holders that share one tenant's small quota.
-type crowd struct {
-	quotaShares []*Shares
-	moves       atomic.Int64
-	short       atomic.Bool
+// holderFleet is a large fleet of holders that share one tenant's small limit.
+type holderFleet struct {
+	shares    []*Shares
+	transfers atomic.Int64
+	scarce    atomic.Bool
+
+	mu    sync.Mutex
+	pool  Pool // guarded by mu
+	limit int
 }
 
-// newCrowd starts so many holders. A move takes five milliseconds.
-func newCrowd(ctx context.Context, holders, quota int, window time.Duration) *crowd {
-	c := &crowd{}
-	var mu sync.Mutex
-	var pool Pool
+// newHolderFleet starts so many holders.
+func newHolderFleet(ctx context.Context, holders, limit int, window time.Duration) *holderFleet {
+	fleet := &holderFleet{limit: limit}
 	for i := range holders {
-		name := string(rune('A' + i))
-		ps := NewShares(daemon.Context{Context: ctx}, Config{
-			Transfer: func(_ context.Context, move Transfer) (int, int, error) {
-				turn, n, give := move.Sequence, move.Units, move.Return
-				c.moves.Add(1)
-				time.Sleep(5 * time.Millisecond)
-				mu.Lock()
-				defer mu.Unlock()
-				if give {
-					have, _ := pool.Return(name, turn, n)
-					return have, max(quota, pool.AllocatedUnits()), nil
-				}
-				was := pool.Allocations[name].Units
-				have, _ := pool.Acquire(name, turn, n, quota)
-				if have-was < n {
-					c.short.Store(true)
-				}
-				return have, max(quota, pool.AllocatedUnits()), nil
-			},
-			Nodes: func() int { return holders },
+		holder := string(rune('A' + i))
+		shares := NewShares(daemon.Context{Context: ctx}, Config{
+			Transfer: func(_ context.Context, transfer Transfer) (int, int, error) { return fleet.apply(holder, transfer) },
+			Nodes:    func() int { return holders },
 			ScarceTenants: func() []string {
-				if c.short.Load() {
+				if fleet.scarce.Load() {
 					return []string{"t"}
 				}
 				return nil
 			},
-			Rules:     func() []Rule { return []Rule{{"t", quota, window}} },
+			Rules:     func() []Rule { return []Rule{{"t", limit, window}} },
 			InContact: func() bool { return true }})
-		c.quotaShares = append(c.quotaShares, ps)
-		go ps.Run()
+		fleet.shares = append(fleet.shares, shares)
+		go shares.Run()
 	}
-	return c
+	return fleet
 }
 
-// A fleet with more holders than a tenant has units serves the tenant's requests all the same, wherever
-// they come, while they keep within the quota.
+// apply applies a transfer to the pool, which takes five milliseconds.
+func (f *holderFleet) apply(holder string, transfer Transfer) (held, limitBase int, err error) {
+	f.transfers.Add(1)
+	time.Sleep(5 * time.Millisecond)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if transfer.Return {
+		held, _ = f.pool.Return(holder, transfer.Sequence, transfer.Units)
+		return held, max(f.limit, f.pool.AllocatedUnits()), nil
+	}
+	before := f.pool.Allocations[holder].Units
+	held, _ = f.pool.Acquire(holder, transfer.Sequence, transfer.Units, f.limit)
+	if held-before < transfer.Units {
+		f.scarce.Store(true)
+	}
+	return held, max(f.limit, f.pool.AllocatedUnits()), nil
+}
+
+// A fleet with more holders than a tenant has units serves the tenant's requests all the same, wherever they come, while
+// they keep within the limit.
 func TestFewerUnitsThanHolders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, end := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		defer synctest.Wait()
-		defer time.Sleep(time.Second) // for the moves under way
-		defer end()
-		const holders, quota, window = 60, 40, 5 * time.Second
-		c := newCrowd(ctx, holders, quota, window)
+		defer time.Sleep(time.Second) // for the transfers in flight
+		defer cancel()
+		const holders, limit, window = 60, 40, 5 * time.Second
+		fleet := newHolderFleet(ctx, holders, limit, window)
 		time.Sleep(2 * time.Second)
-		if n := c.moves.Load(); n != 0 {
-			t.Errorf("%d moves before any request", n)
+		if got := fleet.transfers.Load(); got != 0 {
+			t.Errorf("transfers before any request: got %d, want 0", got)
 		}
 		random := rand.New(rand.NewPCG(1, 2))
-		asked := 0
-		var refused atomic.Int64
-		var all sync.WaitGroup
-		for range 400 { // four a second: half of the quota
-			asked++
-			ps := c.quotaShares[random.IntN(holders)]
-			all.Go(func() {
-				if ok, _ := ps.Reserve(ctx, "t", 1); ok {
-					ps.For("t").Commit(1)
+		const requests = 400
+		var rejected atomic.Int64
+		var running sync.WaitGroup
+		for range requests { // four a second: half of the limit
+			shares := fleet.shares[random.IntN(holders)]
+			running.Go(func() {
+				if ok, _ := shares.Reserve(ctx, "t", 1); ok {
+					shares.For("t").Commit(1)
 				} else {
-					refused.Add(1)
+					rejected.Add(1)
 				}
 			})
 			time.Sleep(250 * time.Millisecond)
 		}
-		all.Wait()
-		t.Logf("%d of %d requests refused within the quota, %d moves", refused.Load(), asked, c.moves.Load())
-		if refused.Load() > int64(asked/50) {
-			t.Errorf("%d of %d requests refused within the quota", refused.Load(), asked)
+		running.Wait()
+		t.Logf("%d of %d requests rejected within the limit, %d transfers", rejected.Load(), requests, fleet.transfers.Load())
+		if got := rejected.Load(); got > requests/50 {
+			t.Errorf("requests rejected within the limit: got %d of %d, want at most %d", got, requests, requests/50)
 		}
 	})
 }
 
-// Requests that come at one moment to a holder without units wait for one draw that asks for all of them.
-func TestOneDrawForAllThatWait(t *testing.T) {
+// Requests that come at one moment to a holder without units wait for one acquire that asks for all of them.
+func TestOneAcquireForAllWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, end := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		defer synctest.Wait()
-		defer time.Sleep(time.Second) // for the moves under way
-		defer end()
-		c := newCrowd(ctx, 60, 40, 5*time.Second)
+		defer time.Sleep(time.Second) // for the transfers in flight
+		defer cancel()
+		fleet := newHolderFleet(ctx, 60, 40, 5*time.Second)
 		time.Sleep(time.Second)
-		var refused atomic.Int64
-		var all sync.WaitGroup
+		var rejected atomic.Int64
+		var running sync.WaitGroup
 		for range 20 {
-			all.Go(func() {
-				if ok, _ := c.quotaShares[0].Reserve(ctx, "t", 1); !ok {
-					refused.Add(1)
+			running.Go(func() {
+				if ok, _ := fleet.shares[0].Reserve(ctx, "t", 1); !ok {
+					rejected.Add(1)
 				}
 			})
 		}
-		all.Wait()
-		if refused.Load() > 0 {
-			t.Errorf("%d of 20 refused", refused.Load())
+		running.Wait()
+		if got := rejected.Load(); got > 0 {
+			t.Errorf("requests rejected: got %d of 20, want 0", got)
 		}
-		if n := c.moves.Load(); n > 3 {
-			t.Errorf("%d moves for requests of one moment", n)
+		if got := fleet.transfers.Load(); got > 3 {
+			t.Errorf("transfers for requests of one moment: got %d, want at most 3", got)
 		}
 	})
 }
 
-// While the core does not answer, a request with a deadline waits for it; one without is refused soon.
-func TestWaitForACoreThatChangesHands(t *testing.T) {
+// While the core does not answer, a request with a deadline waits for it; one without is rejected soon.
+func TestReserveWaitsForPrimaryChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, end := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		defer synctest.Wait()
 		defer time.Sleep(time.Second)
-		defer end()
-		ps := NewShares(daemon.Context{Context: ctx}, Config{
-			Transfer: func(_ context.Context, move Transfer) (int, int, error) {
-				n := move.Units
+		defer cancel()
+		shares := NewShares(daemon.Context{Context: ctx}, Config{
+			Transfer: func(_ context.Context, transfer Transfer) (int, int, error) {
 				time.Sleep(600 * time.Millisecond)
-				return n, 40, nil
+				return transfer.Units, 40, nil
 			},
 			Nodes: func() int { return 60 }, ScarceTenants: func() []string { return nil },
 			Rules:     func() []Rule { return []Rule{{"t", 40, 5 * time.Second}} },
 			InContact: func() bool { return true }})
-		go ps.Run()
+		go shares.Run()
 		time.Sleep(time.Second)
-		begun := time.Now()
-		if ok, _ := ps.Reserve(ctx, "t", 1); ok || time.Since(begun) > 400*time.Millisecond {
-			t.Errorf("without a deadline: %v after %s, a refusal within 400ms expected", ok, time.Since(begun))
+		start := time.Now()
+		if ok, _ := shares.Reserve(ctx, "t", 1); ok || time.Since(start) > 400*time.Millisecond {
+			t.Errorf("without a deadline: got %v after %s, want false within 400ms", ok, time.Since(start))
 		}
-		bounded, cancel := context.WithTimeout(ctx, 800*time.Millisecond)
-		defer cancel()
-		if ok, _ := ps.Reserve(bounded, "t", 1); !ok {
-			t.Errorf("with a deadline: refused after %s", time.Since(begun))
+		bounded, cancelBounded := context.WithTimeout(ctx, 800*time.Millisecond)
+		defer cancelBounded()
+		if ok, _ := shares.Reserve(bounded, "t", 1); !ok {
+			t.Errorf("with a deadline: got false after %s, want true", time.Since(start))
 		}
 	})
 }
 
-// With a tolerance, no rolling window over all holders holds more than the quota and the tolerance, and no span
-// of three windows more than three quotas and one tolerance, whoever dies and whenever, in each window too.
-func TestToleranceOverAllHolders(t *testing.T) {
-	rapid.Check(t, func(rt *rapid.T) {
-		synctest.Test(t, func(*testing.T) {
-			const window = time.Second
-			type spending struct {
-				units int
-				at    time.Time
-			}
-			quota := rapid.IntRange(1, 60).Draw(rt, "quota")
-			tolerance := rapid.IntRange(0, 20).Draw(rt, "tolerance")
-			var pool Pool
-			var spendings []spending
-			names := []string{"a", "b", "c", "d"}
-			quotaShares, runs, cools := map[string]*Share{}, map[string]int{}, map[string]time.Time{}
-			charge, charged := uint64(0), map[uint64]time.Time{}
-			const spans = 3
-			for _, name := range names {
-				quotaShares[name] = NewShare()
-			}
-			for range rapid.IntRange(20, 150).Draw(rt, "steps") {
-				name := names[rapid.IntRange(0, 3).Draw(rt, "who")]
-				quotaShare, who := quotaShares[name], fmt.Sprintf("%s/%d", name, runs[name])
-				switch rapid.IntRange(0, 10).Draw(rt, "step") {
-				case 0, 1, 2, 3:
-					quotaShare.SetLimit(quota, window)
-					if turn, units, ok := quotaShare.NextAcquire(4); ok {
-						charge++
-						charged[charge] = time.Now()
-						have, _ := pool.AcquireWithTolerance(who, turn, units, quota, tolerance, charge)
-						if rapid.Bool().Draw(rt, "lost") {
-							have, _ = pool.AcquireWithTolerance(who, turn, units, quota, tolerance, charge)
-						}
-						quotaShare.Apply(turn, have, pool.LimitBase(quota))
-					}
-				case 4, 5, 6:
-					for {
-						if ok, _ := quotaShare.Reserve(1); !ok {
-							break
-						}
-						quotaShare.Commit(1)
-						spendings = append(spendings, spending{1, time.Now()})
-					}
-				case 7:
-					time.Sleep(time.Duration(rapid.IntRange(1, 1500).Draw(rt, "ms")) * time.Millisecond)
-				case 8: // the holder dies and comes back as another run
-					pool.StartCooling(who)
-					cools[who] = time.Now()
-					runs[name]++
-					quotaShares[name] = NewShare()
-				case 10:
-					if turn, units, ok := quotaShare.NextReturn(rapid.Bool().Draw(rt, "short"), 4); ok {
-						have, _ := pool.Return(who, turn, units)
-						quotaShare.Apply(turn, have, pool.LimitBase(quota))
-					}
-				case 9:
-					for dead, at := range cools {
-						if time.Since(at) > window+Margin {
-							pool.EndCooling(dead)
-							delete(cools, dead)
-						}
-					}
-					for id, at := range charged {
-						if time.Since(at) > (spans+1)*window+Margin {
-							pool.RemoveCharge(id)
-							delete(charged, id)
-						}
-					}
-				}
-			}
-			for i := range spendings {
-				sum, long := 0, 0
-				for _, later := range spendings[i:] {
-					if later.at.Sub(spendings[i].at) < window {
-						sum += later.units
-					}
-					if later.at.Sub(spendings[i].at) < spans*window {
-						long += later.units
-					}
-				}
-				if sum > quota+tolerance {
-					rt.Fatalf("%d units within a window, under a quota of %d and a tolerance of %d", sum, quota, tolerance)
-				}
-				if long > spans*quota+tolerance {
-					rt.Fatalf("%d units within %d windows, under a quota of %d and a tolerance of %d", long, spans, quota, tolerance)
-				}
-			}
-		})
-	})
-}
-
-// Without a core no idle units are given back: they go on serving here, and a request that finds none is
-// refused soon once the core has been silent for long.
-func TestUnitsStayWithoutACore(t *testing.T) {
+// Without a core no idle units are returned: they go on serving here, and a request that finds none is rejected soon once
+// the core has been silent for long.
+func TestUnitsKeptWithoutCore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, end := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		defer synctest.Wait()
 		defer time.Sleep(10 * time.Second)
-		defer end()
-		var gone atomic.Bool
-		ps := NewShares(daemon.Context{Context: ctx}, Config{
-			Transfer: func(ctx context.Context, move Transfer) (int, int, error) {
-				n := move.Units
-				if gone.Load() {
+		defer cancel()
+		var silent atomic.Bool
+		shares := NewShares(daemon.Context{Context: ctx}, Config{
+			Transfer: func(ctx context.Context, transfer Transfer) (int, int, error) {
+				if silent.Load() {
 					<-ctx.Done()
 					return 0, 0, ctx.Err()
 				}
-				return n, 40, nil
+				return transfer.Units, 40, nil
 			},
 			Nodes: func() int { return 60 }, ScarceTenants: func() []string { return []string{"t"} },
 			Rules:     func() []Rule { return []Rule{{"t", 40, time.Second}} },
-			InContact: func() bool { return !gone.Load() }})
-		go ps.Run()
+			InContact: func() bool { return !silent.Load() }})
+		go shares.Run()
 		time.Sleep(time.Second)
-		if ok, _ := ps.Reserve(ctx, "t", 1); !ok {
-			t.Fatal("no unit drawn from a core that answers")
+		if ok, _ := shares.Reserve(ctx, "t", 1); !ok {
+			t.Fatal("Reserve with a core that answers: got false, want true")
 		}
-		ps.For("t").Commit(1)
-		gone.Store(true)
+		shares.For("t").Commit(1)
+		silent.Store(true)
 		time.Sleep(20 * time.Second)
-		bounded, cancel := context.WithTimeout(ctx, 800*time.Millisecond)
-		defer cancel()
-		if ok, _ := ps.Reserve(bounded, "t", 1); !ok {
-			t.Error("the unit held here was given up while there was no core")
+		bounded, cancelBounded := context.WithTimeout(ctx, 800*time.Millisecond)
+		defer cancelBounded()
+		if ok, _ := shares.Reserve(bounded, "t", 1); !ok {
+			t.Error("Reserve of the unit held here without a core: got false, want true")
 		}
-		begun := time.Now()
-		if ok, _ := ps.Reserve(bounded, "t", 1); ok || time.Since(begun) > 100*time.Millisecond {
-			t.Errorf("%v after %s, a refusal within 100ms expected", ok, time.Since(begun))
+		start := time.Now()
+		if ok, _ := shares.Reserve(bounded, "t", 1); ok || time.Since(start) > 100*time.Millisecond {
+			t.Errorf("Reserve of a unit more: got %v after %s, want false within 100ms", ok, time.Since(start))
 		}
 	})
 }
--- a/internal/model/quota/tolerance_test.go
+++ b/internal/model/quota/tolerance_test.go
@@ -3,23 +3,134 @@
 import (
 	"fmt"
 	"testing"
+	"testing/synctest"
+	"time"
 
 	"pgregory.net/rapid"
 )
 
-// greedyFleet is a fleet of holders that draw and spend all they can, and die, in steps of time. It has no clock
+// tolerantPool is one tenant's pool with a tolerance, and the shares of some holders, whose answers get lost, which crash,
+// and whose units cool.
+type tolerantPool struct {
+	pool             Pool
+	limit, tolerance int
+	window           time.Duration
+	chargeTTL        time.Duration
+	shares           map[string]*Share
+	runs             map[string]int       // by name; each run is another holder
+	coolingSince     map[string]time.Time // by holder
+	lastCharge       uint64
+	chargedAt        map[uint64]time.Time
+	spends           []spend
+}
+
+func newTolerantPool(limit, tolerance int, window, chargeTTL time.Duration) *tolerantPool {
+	p := &tolerantPool{limit: limit, tolerance: tolerance, window: window, chargeTTL: chargeTTL, shares: map[string]*Share{},
+		runs: map[string]int{}, coolingSince: map[string]time.Time{}, chargedAt: map[uint64]time.Time{}}
+	for _, name := range sharedPoolHolders {
+		p.shares[name] = NewShare()
+	}
+	return p
+}
+
+// step has one holder do one thing at random.
+func (p *tolerantPool) step(rt *rapid.T) {
+	name := rapid.SampledFrom(sharedPoolHolders).Draw(rt, "holder")
+	share, holder := p.shares[name], fmt.Sprintf("%s/%d", name, p.runs[name])
+	switch rapid.IntRange(0, 10).Draw(rt, "step") {
+	case 0, 1, 2, 3:
+		p.acquire(rt, holder, share)
+	case 4, 5, 6:
+		for {
+			if ok, _ := share.Reserve(1); !ok {
+				break
+			}
+			share.Commit(1)
+			p.spends = append(p.spends, spend{1, time.Now()})
+		}
+	case 7:
+		time.Sleep(time.Duration(rapid.IntRange(1, 1500).Draw(rt, "ms")) * time.Millisecond)
+	case 8: // the holder crashes and comes back as another run
+		p.pool.StartCooling(holder)
+		p.coolingSince[holder] = time.Now()
+		p.runs[name]++
+		p.shares[name] = NewShare()
+	case 9:
+		p.endWhatIsOver()
+	case 10:
+		if sequence, units, ok := share.NextReturn(rapid.Bool().Draw(rt, "scarce"), 4); ok {
+			held, _ := p.pool.Return(holder, sequence, units)
+			share.Apply(sequence, held, p.pool.LimitBase(p.limit))
+		}
+	}
+}
+
+// acquire makes an acquire if one is called for. Its answer may be lost; then it is repeated.
+func (p *tolerantPool) acquire(rt *rapid.T, holder string, share *Share) {
+	share.SetLimit(p.limit, p.window)
+	sequence, units, ok := share.NextAcquire(4)
+	if !ok {
+		return
+	}
+	p.lastCharge++
+	p.chargedAt[p.lastCharge] = time.Now()
+	held, _ := p.pool.AcquireWithTolerance(holder, sequence, units, p.limit, p.tolerance, p.lastCharge)
+	if rapid.Bool().Draw(rt, "lost") {
+		held, _ = p.pool.AcquireWithTolerance(holder, sequence, units, p.limit, p.tolerance, p.lastCharge)
+	}
+	share.Apply(sequence, held, p.pool.LimitBase(p.limit))
+}
+
+// endWhatIsOver ends the cooling and the charges that have had their time.
+func (p *tolerantPool) endWhatIsOver() {
+	for holder, since := range p.coolingSince {
+		if time.Since(since) > p.window+Margin {
+			p.pool.EndCooling(holder)
+			delete(p.coolingSince, holder)
+		}
+	}
+	for id, at := range p.chargedAt {
+		if time.Since(at) > p.chargeTTL {
+			p.pool.RemoveCharge(id)
+			delete(p.chargedAt, id)
+		}
+	}
+}
+
+// With a tolerance, no rolling window over all holders holds more than the limit and the tolerance, and no span of three
+// windows more than three limits and one tolerance, whoever crashes and whenever, in each window too.
+func TestToleranceOverAllHolders(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		synctest.Test(t, func(*testing.T) {
+			const window, windows = time.Second, 3
+			limit, tolerance := rapid.IntRange(1, 60).Draw(rt, "limit"), rapid.IntRange(0, 20).Draw(rt, "tolerance")
+			p := newTolerantPool(limit, tolerance, window, (windows+1)*window+Margin)
+			for range rapid.IntRange(20, 150).Draw(rt, "steps") {
+				p.step(rt)
+			}
+			if got, want := maxInWindow(p.spends, window), limit+tolerance; got > want {
+				rt.Fatalf("units within a window: got %d, want at most %d", got, want)
+			}
+			if got, want := maxInWindow(p.spends, windows*window), windows*limit+tolerance; got > want {
+				rt.Fatalf("units within %d windows: got %d, want at most %d", windows, got, want)
+			}
+		})
+	})
+}
+
+// greedyFleet is a fleet of holders that acquire and spend all they can, and crash, in steps of time. It has no clock
 // but its own, and its spends take no time, so that it comes as near to the limit as can be.
 type greedyFleet struct {
 	pool             Pool
-	quota, tolerance int
+	limit, tolerance int
 	period, window   int // in steps
-	keep             int // how long a charge counts
+	chargeTTL        int // how long a charge counts, in steps
 	now              int
 	holders          map[string]*greedyHolder
-	turn             uint64
-	died             map[string]int
-	charged          map[uint64]int
-	spent            []int // units, by step
+	sequence         uint64
+	crashedAt        map[string]int // by holder that is gone
+	chargedAt        map[uint64]int // by charge
+	spent            []int          // units, by step
 }
 
 // greedyHolder is what a holder has, and when it spent which units.
@@ -28,60 +139,62 @@
 	spent      map[int]int
 }
 
-func newGreedyFleet(quota, tolerance, period, spans int) *greedyFleet {
-	f := &greedyFleet{quota: quota, tolerance: tolerance, period: period, window: spans * period, holders: map[string]*greedyHolder{},
-		died: map[string]int{}, charged: map[uint64]int{}}
-	f.keep = f.window + f.period
+func newGreedyFleet(limit, tolerance, period, periods int) *greedyFleet {
+	f := &greedyFleet{limit: limit, tolerance: tolerance, period: period, window: periods * period, holders: map[string]*greedyHolder{},
+		crashedAt: map[string]int{}, chargedAt: map[uint64]int{}}
+	f.chargeTTL = f.window + f.period
 	for _, name := range []string{"a", "b", "c"} {
 		f.holders[name] = &greedyHolder{spent: map[int]int{}}
 	}
 	return f
 }
 
-func (f *greedyFleet) who(name string) string { return fmt.Sprintf("%s/%d", name, f.holders[name].run) }
+func (f *greedyFleet) holder(name string) string {
+	return fmt.Sprintf("%s/%d", name, f.holders[name].run)
+}
 
-// draw has a holder draw all that there is.
-func (f *greedyFleet) draw(name string) {
-	f.turn++
-	f.charged[f.turn] = f.now
-	f.holders[name].units, _ = f.pool.AcquireWithTolerance(f.who(name), f.turn, 1000, f.quota, f.tolerance, f.turn)
+// acquire has a holder acquire all that there is.
+func (f *greedyFleet) acquire(name string) {
+	f.sequence++
+	f.chargedAt[f.sequence] = f.now
+	f.holders[name].units, _ = f.pool.AcquireWithTolerance(f.holder(name), f.sequence, 1000, f.limit, f.tolerance, f.sequence)
 }
 
 // spend has a holder spend all units that it has not spent within the period.
 func (f *greedyFleet) spend(name string) {
-	h := f.holders[name]
-	usable := h.units
-	if under := f.pool.LimitBase(f.quota); under > f.quota {
-		usable = usable * f.quota / under
+	holder := f.holders[name]
+	usable := holder.units
+	if limitBase := f.pool.LimitBase(f.limit); limitBase > f.limit {
+		usable = usable * f.limit / limitBase
 	}
-	for at, units := range h.spent {
+	for at, units := range holder.spent {
 		if f.now-at < f.period {
 			usable -= units
 		}
 	}
 	if usable > 0 {
-		h.spent[f.now] += usable
+		holder.spent[f.now] += usable
 		f.spent[f.now] += usable
 	}
 }
 
-// give has a holder give back what it has not spent.
-func (f *greedyFleet) give(name string) {
-	h := f.holders[name]
-	idle := h.units
-	for at, units := range h.spent {
+// giveBack has a holder return what it has not spent.
+func (f *greedyFleet) giveBack(name string) {
+	holder := f.holders[name]
+	idle := holder.units
+	for at, units := range holder.spent {
 		if f.now-at < f.period {
 			idle -= units
 		}
 	}
-	f.turn++
-	h.units, _ = f.pool.Return(f.who(name), f.turn, max(idle, 0))
+	f.sequence++
+	holder.units, _ = f.pool.Return(f.holder(name), f.sequence, max(idle, 0))
 }
 
-// die has a holder die and come back as another run.
-func (f *greedyFleet) die(name string) {
-	f.pool.StartCooling(f.who(name))
-	f.died[f.who(name)] = f.now
+// crash has a holder crash and come back as another run.
+func (f *greedyFleet) crash(name string) {
+	f.pool.StartCooling(f.holder(name))
+	f.crashedAt[f.holder(name)] = f.now
 	f.holders[name] = &greedyHolder{run: f.holders[name].run + 1, spent: map[int]int{}}
 }
 
@@ -89,16 +202,16 @@
 func (f *greedyFleet) step() {
 	f.now++
 	f.spent = append(f.spent, 0)
-	for who, at := range f.died {
+	for gone, at := range f.crashedAt {
 		if f.now-at >= f.period {
-			f.pool.EndCooling(who)
-			delete(f.died, who)
+			f.pool.EndCooling(gone)
+			delete(f.crashedAt, gone)
 		}
 	}
-	for id, at := range f.charged {
-		if f.now-at >= f.keep {
+	for id, at := range f.chargedAt {
+		if f.now-at >= f.chargeTTL {
 			f.pool.RemoveCharge(id)
-			delete(f.charged, id)
+			delete(f.chargedAt, id)
 		}
 	}
 }
@@ -116,60 +229,61 @@
 	return most
 }
 
-// play has the fleet act at random, but each holder that draws spends often and dies often.
+// play has the fleet act at random, but each holder that acquires spends often and crashes often.
 func (f *greedyFleet) play(rt *rapid.T) {
 	f.spent = []int{0}
 	for range rapid.IntRange(20, 120).Draw(rt, "acts") {
-		name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "who")
+		name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "holder")
 		switch act := rapid.IntRange(0, 11).Draw(rt, "act"); {
 		case act < 3:
-			f.draw(name)
+			f.acquire(name)
 		case act < 6:
 			f.spend(name)
 		case act < 7:
-			f.give(name)
+			f.giveBack(name)
 		case act < 9:
-			f.die(name)
+			f.crash(name)
 		default:
 			f.step()
 		}
 	}
 }
 
-// In any window the fleet spends no more than its periods' quotas and one tolerance, whoever draws, spends, gives
-// and dies, several times in each period and in all periods.
-func TestToleranceIsSpentOnceInAWindow(t *testing.T) {
+// In any window the fleet spends no more than its periods' limits and one tolerance, whoever acquires, spends, returns
+// and crashes, several times in each period and in all periods.
+func TestToleranceSpentOnceInWindow(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		const spans = 3
-		f := newGreedyFleet(rapid.IntRange(1, 30).Draw(rt, "quota"), rapid.IntRange(0, 40).Draw(rt, "tolerance"),
-			rapid.IntRange(1, 4).Draw(rt, "period"), spans)
+		const periods = 3
+		f := newGreedyFleet(rapid.IntRange(1, 30).Draw(rt, "limit"), rapid.IntRange(0, 40).Draw(rt, "tolerance"),
+			rapid.IntRange(1, 4).Draw(rt, "period"), periods)
 		f.play(rt)
-		if got := f.most(f.window); got > spans*f.quota+f.tolerance {
-			rt.Fatalf("%d units within a window, under %d quotas of %d and a tolerance of %d", got, spans, f.quota, f.tolerance)
+		if got, want := f.most(f.window), periods*f.limit+f.tolerance; got > want {
+			rt.Fatalf("units within a window: got %d, want at most %d", got, want)
 		}
 	})
 }
 
-// Holders that spend and die at once, all the time, get each tolerance once in a window. Were it charged for a
+// Holders that spend and crash at once, all the time, get each tolerance once in a window. Were it charged for a
 // shorter time, the window would be overspent.
-func TestToleranceUnderDeathsAllTheTime(t *testing.T) {
-	const quota, tolerance, period, spans = 10, 10, 4, 3
+func TestToleranceUnderConstantCrashes(t *testing.T) {
+	const limit, tolerance, period, periods = 10, 10, 4, 3
+	const want = periods*limit + tolerance
 	for _, tooShort := range []bool{false, true} {
-		f := newGreedyFleet(quota, tolerance, period, spans)
+		f := newGreedyFleet(limit, tolerance, period, periods)
 		if tooShort {
-			f.keep = f.window - period
+			f.chargeTTL = f.window - period
 		}
 		f.spent = []int{0}
 		for range 4 * f.window {
 			for _, name := range []string{"a", "b"} {
-				f.draw(name)
+				f.acquire(name)
 				f.spend(name)
-				f.die(name)
+				f.crash(name)
 			}
 			f.step()
 		}
-		if got := f.most(f.window); (got > spans*quota+tolerance) != tooShort || got < spans*quota+tolerance {
-			t.Errorf("%d units at most within a window, charged too short: %v", got, tooShort)
+		if got := f.most(f.window); (got > want) != tooShort || got < want {
+			t.Errorf("most units within a window, charged too short %v: got %d, want %d, or more if too short", tooShort, got, want)
 		}
 	}
 }
--- /dev/null
+++ b/internal/model/quota/unevencosts_test.go
@@ -0,0 +1,165 @@
+package quota
+
+import (
+	"context"
+	"math/rand/v2"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"yarrowridge/internal/lib/daemon"
+)
+
+// unevenFleet is routers that acquire units of one pool as the core lets them.
+type unevenFleet struct {
+	mu     sync.Mutex
+	pool   Pool   // guarded by mu
+	saving Saving // guarded by mu
+	limit  atomic.Int64
+	scarce atomic.Bool
+	shares []*Shares
+}
+
+func newUnevenFleet(ctx context.Context, routers, limit int, window time.Duration) *unevenFleet {
+	fleet := &unevenFleet{}
+	fleet.limit.Store(int64(limit))
+	for i := range routers {
+		holder := string(rune('a' + i))
+		shares := NewShares(daemon.Context{Context: ctx}, Config{
+			Transfer: func(_ context.Context, transfer Transfer) (int, int, error) {
+				time.Sleep(time.Duration(rand.IntN(10)) * time.Millisecond)
+				return fleet.apply(holder, transfer)
+			},
+			Nodes: func() int { return routers },
+			ScarceTenants: func() []string {
+				if fleet.scarce.Load() {
+					return []string{"t"}
+				}
+				return nil
+			},
+			Rules:     func() []Rule { return []Rule{{"t", int(fleet.limit.Load()), window}} },
+			InContact: func() bool { return true }, Margin: 50 * time.Millisecond})
+		go shares.Run()
+		fleet.shares = append(fleet.shares, shares)
+	}
+	return fleet
+}
+
+// apply applies a transfer to the pool as the core does.
+func (f *unevenFleet) apply(holder string, transfer Transfer) (held, limitBase int, err error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	limit := int(f.limit.Load())
+	if transfer.Return {
+		held, _ = f.pool.Return(holder, transfer.Sequence, transfer.Units)
+		return held, f.pool.LimitBase(limit), nil
+	}
+	free := max(0, limit-f.pool.AllocatedUnits())
+	units, unmet := min(transfer.Units, (free+AcquireDivisor-1)/AcquireDivisor), false
+	if len(transfer.Costs) > 0 {
+		units, unmet = f.saving.Allocate(time.Now(), free, limit, transfer.Costs, transfer.Units)
+	}
+	held, _ = f.pool.Acquire(holder, transfer.Sequence, units, limit)
+	f.scarce.Store(unmet || free-units < limit/8)
+	return held, f.pool.LimitBase(limit), nil
+}
+
+// play sends requests of unequal costs to random routers, and returns those that were admitted and rejected.
+func (f *unevenFleet) play(ctx context.Context, requests int, interval time.Duration, cost func() int) (admitted, rejected []spend) {
+	var mu sync.Mutex
+	var running sync.WaitGroup
+	for range requests {
+		time.Sleep(interval)
+		running.Go(func() {
+			units := cost()
+			shares := f.shares[rand.IntN(len(f.shares))]
+			ok, _ := shares.Reserve(ctx, "t", units)
+			if ok {
+				shares.For("t").Commit(units)
+			}
+			mu.Lock()
+			defer mu.Unlock()
+			request := spend{units, time.Now()}
+			if ok {
+				admitted = append(admitted, request)
+			} else {
+				rejected = append(rejected, request)
+			}
+		})
+	}
+	running.Wait()
+	return admitted, rejected
+}
+
+// unevenCost is that of short questions beside long summaries.
+func unevenCost() int {
+	if rand.IntN(7) == 0 {
+		return 10_000 + rand.IntN(20_000)
+	}
+	return 100 + rand.IntN(600)
+}
+
+// A tenant that stays under its limit, by seven tenths of it in the mean, is rejected next to nothing, whatever its requests
+// cost, and however many routers they come to.
+func TestUnevenCostsUnderLimit(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		defer synctest.Wait()
+		defer time.Sleep(time.Second)
+		defer cancel()
+		const window = 8 * time.Second
+		perWindow := 80 * (20_000/7 + 350) // a request each 100 ms
+		limit := perWindow * 10 / 7
+		fleet := newUnevenFleet(ctx, 20, limit, window)
+		time.Sleep(time.Second)
+		admitted, rejected := fleet.play(ctx, 900, 100*time.Millisecond, unevenCost)
+		if got := maxInWindow(admitted, window); got > limit {
+			t.Errorf("units in a window: got %d, want at most %d", got, limit)
+		}
+		if len(rejected) > 45 {
+			t.Errorf("requests rejected: got %d of 900, want at most 45", len(rejected))
+		}
+	})
+}
+
+// A tenant asks for ten times its limit, which then is lowered: no window holds more than its limit, and what is admitted
+// comes to most of it.
+func TestUnevenCostsFarAboveLimit(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		defer synctest.Wait()
+		defer time.Sleep(time.Second)
+		defer cancel()
+		const window, limit = 8 * time.Second, 250_000
+		fleet := newUnevenFleet(ctx, 20, limit, window)
+		time.Sleep(time.Second)
+		admitted, rejected := fleet.play(ctx, 3000, 10*time.Millisecond, unevenCost)
+		if got := maxInWindow(admitted, window); got > limit {
+			t.Errorf("units in a window: got %d, want at most %d", got, limit)
+		}
+		large, small := 0, 0
+		for _, request := range admitted {
+			if request.units >= 10_000 {
+				large += request.units
+			} else {
+				small += request.units
+			}
+		}
+		if got, want := large+small, limit*30/8*7/10; got < want {
+			t.Errorf("units admitted over 30s: got %d, want at least %d", got, want)
+		}
+		if small == 0 || large == 0 {
+			t.Errorf("units admitted: got %d of large requests and %d of small ones, want some of both", large, small)
+		}
+		t.Logf("%d admitted, %d rejected, %d units of large requests, %d of small ones", len(admitted), len(rejected), large, small)
+		fleet.limit.Store(limit / 4)
+		time.Sleep(time.Second) // the routers take up the lower limit within half a second
+		time.Sleep(window)
+		admitted, _ = fleet.play(ctx, 1500, 10*time.Millisecond, unevenCost)
+		if got := maxInWindow(admitted, window); got > limit/4 {
+			t.Errorf("units in a window of the lowered limit: got %d, want at most %d", got, limit/4)
+		}
+	})
+}
