--- a/internal/dataplane/cluster/antientropy.go
+++ b/internal/dataplane/cluster/antientropy.go
@@ -48,7 +48,7 @@
 		return false
 	}
 	repair := m.Records.Repair(m.ctx.Name, difference)
-	if len(repair.Records)+len(repair.Wanted) > 0 {
+	if len(repair.Records)+len(repair.WantedKeys) > 0 {
 		var update dissemination.Update
 		if m.caller.Call(ctx, addr, "node.fix", &repair, &update) != nil {
 			return false
--- a/internal/dataplane/cluster/serve.go
+++ b/internal/dataplane/cluster/serve.go
@@ -33,7 +33,7 @@
 	case "node.fix":
 		return wire.HandleTyped(body, func(repair *dissemination.Repair) (*dissemination.Update, error) {
 			m.Broadcast(dissemination.Update{From: repair.From, Records: repair.Records})
-			return &dissemination.Update{From: m.ctx.Name, Records: m.Records.Select(repair.Wanted)}, nil
+			return &dissemination.Update{From: m.ctx.Name, Records: m.Records.Select(repair.WantedKeys)}, nil
 		})
 	case "node.view":
 		return wire.HandleTyped(body, func(request *view.LearnRequest) (*coreapi.Empty, error) {
--- a/internal/transport/dissemination/msgs_gen.go
+++ b/internal/transport/dissemination/msgs_gen.go
@@ -38,24 +38,24 @@
 	if zb0001Len != 0 {
 		// string "r"
 		o = append(o, 0xa1, 0x72)
-		o = msgp.AppendArrayHeader(o, uint32(len(z.Ranges)))
-		for za0001 := range z.Ranges {
-			o = msgp.AppendInt(o, z.Ranges[za0001])
+		o = msgp.AppendArrayHeader(o, uint32(len(z.Shards)))
+		for za0001 := range z.Shards {
+			o = msgp.AppendInt(o, z.Shards[za0001])
 		}
 		// string "n"
 		o = append(o, 0xa1, 0x6e)
-		o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
-		for za0002 := range z.Records {
+		o = msgp.AppendArrayHeader(o, uint32(len(z.Versions)))
+		for za0002 := range z.Versions {
 			// map header, size 3
 			// string "k"
 			o = append(o, 0x83, 0xa1, 0x6b)
-			o = msgp.AppendString(o, z.Records[za0002].Key)
+			o = msgp.AppendString(o, z.Versions[za0002].Key)
 			// string "g"
 			o = append(o, 0xa1, 0x67)
-			o = msgp.AppendUint64(o, z.Records[za0002].Generation)
+			o = msgp.AppendUint64(o, z.Versions[za0002].Generation)
 			// string "t"
 			o = append(o, 0xa1, 0x74)
-			o = msgp.AppendUint64(o, z.Records[za0002].Version)
+			o = msgp.AppendUint64(o, z.Versions[za0002].Version)
 		}
 		if (zb0001Mask & 0x4) == 0 { // if not omitted
 			// string "c"
@@ -102,22 +102,22 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Ranges")
+				err = msgp.WrapError(err, "Shards")
 				return
 			}
 			if zb0002 > z78411aa4limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Ranges) >= int(zb0002) {
-				z.Ranges = (z.Ranges)[:zb0002]
+			if cap(z.Shards) >= int(zb0002) {
+				z.Shards = (z.Shards)[:zb0002]
 			} else {
-				z.Ranges = make([]int, zb0002)
+				z.Shards = make([]int, zb0002)
 			}
-			for za0001 := range z.Ranges {
-				z.Ranges[za0001], bts, err = msgp.ReadIntBytes(bts)
+			for za0001 := range z.Shards {
+				z.Shards[za0001], bts, err = msgp.ReadIntBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Ranges", za0001)
+					err = msgp.WrapError(err, "Shards", za0001)
 					return
 				}
 			}
@@ -125,23 +125,23 @@
 			var zb0003 uint32
 			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Records")
+				err = msgp.WrapError(err, "Versions")
 				return
 			}
 			if zb0003 > z78411aa4limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Records) >= int(zb0003) {
-				z.Records = (z.Records)[:zb0003]
+			if cap(z.Versions) >= int(zb0003) {
+				z.Versions = (z.Versions)[:zb0003]
 			} else {
-				z.Records = make([]RecordVersion, zb0003)
+				z.Versions = make([]RecordVersion, zb0003)
 			}
-			for za0002 := range z.Records {
+			for za0002 := range z.Versions {
 				var zb0004 uint32
 				zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Records", za0002)
+					err = msgp.WrapError(err, "Versions", za0002)
 					return
 				}
 				if zb0004 > z78411aa4limitMaps {
@@ -152,32 +152,32 @@
 					zb0004--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Records", za0002)
+						err = msgp.WrapError(err, "Versions", za0002)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "k":
-						z.Records[za0002].Key, bts, err = msgp.ReadStringBytes(bts)
+						z.Versions[za0002].Key, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Records", za0002, "Key")
+							err = msgp.WrapError(err, "Versions", za0002, "Key")
 							return
 						}
 					case "g":
-						z.Records[za0002].Generation, bts, err = msgp.ReadUint64Bytes(bts)
+						z.Versions[za0002].Generation, bts, err = msgp.ReadUint64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Records", za0002, "Generation")
+							err = msgp.WrapError(err, "Versions", za0002, "Generation")
 							return
 						}
 					case "t":
-						z.Records[za0002].Version, bts, err = msgp.ReadUint64Bytes(bts)
+						z.Versions[za0002].Version, bts, err = msgp.ReadUint64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Records", za0002, "Version")
+							err = msgp.WrapError(err, "Versions", za0002, "Version")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Records", za0002)
+							err = msgp.WrapError(err, "Versions", za0002)
 							return
 						}
 					}
@@ -215,9 +215,9 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Difference) Msgsize() (s int) {
-	s = 1 + 2 + msgp.ArrayHeaderSize + (len(z.Ranges) * (msgp.IntSize)) + 2 + msgp.ArrayHeaderSize
-	for za0002 := range z.Records {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Records[za0002].Key) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
+	s = 1 + 2 + msgp.ArrayHeaderSize + (len(z.Shards) * (msgp.IntSize)) + 2 + msgp.ArrayHeaderSize
+	for za0002 := range z.Versions {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.Versions[za0002].Key) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
 	}
 	s += 2 + msgp.BoolSize + 2 + msgp.Uint64Size + 2 + msgp.IntSize
 	return
@@ -232,9 +232,9 @@
 	o = msgp.AppendString(o, z.From)
 	// string "d"
 	o = append(o, 0xa1, 0x64)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Ranges)))
-	for za0001 := range z.Ranges {
-		o = msgp.AppendUint64(o, z.Ranges[za0001])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Shards)))
+	for za0001 := range z.Shards {
+		o = msgp.AppendUint64(o, z.Shards[za0001])
 	}
 	return
 }
@@ -271,22 +271,22 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Ranges")
+				err = msgp.WrapError(err, "Shards")
 				return
 			}
 			if zb0002 > z78411aa4limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Ranges) >= int(zb0002) {
-				z.Ranges = (z.Ranges)[:zb0002]
+			if cap(z.Shards) >= int(zb0002) {
+				z.Shards = (z.Shards)[:zb0002]
 			} else {
-				z.Ranges = make([]uint64, zb0002)
+				z.Shards = make([]uint64, zb0002)
 			}
-			for za0001 := range z.Ranges {
-				z.Ranges[za0001], bts, err = msgp.ReadUint64Bytes(bts)
+			for za0001 := range z.Shards {
+				z.Shards[za0001], bts, err = msgp.ReadUint64Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Ranges", za0001)
+					err = msgp.WrapError(err, "Shards", za0001)
 					return
 				}
 			}
@@ -304,99 +304,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Digests) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.ArrayHeaderSize + (len(z.Ranges) * (msgp.Uint64Size))
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Update) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "f"
-	o = append(o, 0x82, 0xa1, 0x66)
-	o = msgp.AppendString(o, z.From)
-	// string "r"
-	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
-	for za0001 := range z.Records {
-		o, err = z.Records[za0001].MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Records", za0001)
-			return
-		}
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Update) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 > z78411aa4limitMaps {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "f":
-			z.From, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "From")
-				return
-			}
-		case "r":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Records")
-				return
-			}
-			if zb0002 > z78411aa4limitArrays {
-				err = msgp.ErrLimitExceeded
-				return
-			}
-			if cap(z.Records) >= int(zb0002) {
-				z.Records = (z.Records)[:zb0002]
-			} else {
-				z.Records = make([]Record, zb0002)
-			}
-			for za0001 := range z.Records {
-				bts, err = z.Records[za0001].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Records", za0001)
-					return
-				}
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Update) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Records {
-		s += z.Records[za0001].Msgsize()
-	}
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.ArrayHeaderSize + (len(z.Shards) * (msgp.Uint64Size))
 	return
 }
 
@@ -592,9 +500,9 @@
 	}
 	// string "w"
 	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Wanted)))
-	for za0002 := range z.Wanted {
-		o = msgp.AppendString(o, z.Wanted[za0002])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.WantedKeys)))
+	for za0002 := range z.WantedKeys {
+		o = msgp.AppendString(o, z.WantedKeys[za0002])
 	}
 	return
 }
@@ -654,22 +562,22 @@
 			var zb0003 uint32
 			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Wanted")
+				err = msgp.WrapError(err, "WantedKeys")
 				return
 			}
 			if zb0003 > z78411aa4limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Wanted) >= int(zb0003) {
-				z.Wanted = (z.Wanted)[:zb0003]
+			if cap(z.WantedKeys) >= int(zb0003) {
+				z.WantedKeys = (z.WantedKeys)[:zb0003]
 			} else {
-				z.Wanted = make([]string, zb0003)
+				z.WantedKeys = make([]string, zb0003)
 			}
-			for za0002 := range z.Wanted {
-				z.Wanted[za0002], bts, err = msgp.ReadStringBytes(bts)
+			for za0002 := range z.WantedKeys {
+				z.WantedKeys[za0002], bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Wanted", za0002)
+					err = msgp.WrapError(err, "WantedKeys", za0002)
 					return
 				}
 			}
@@ -692,8 +600,100 @@
 		s += z.Records[za0001].Msgsize()
 	}
 	s += 2 + msgp.ArrayHeaderSize
-	for za0002 := range z.Wanted {
-		s += msgp.StringPrefixSize + len(z.Wanted[za0002])
+	for za0002 := range z.WantedKeys {
+		s += msgp.StringPrefixSize + len(z.WantedKeys[za0002])
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *Update) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 2
+	// string "f"
+	o = append(o, 0x82, 0xa1, 0x66)
+	o = msgp.AppendString(o, z.From)
+	// string "r"
+	o = append(o, 0xa1, 0x72)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
+	for za0001 := range z.Records {
+		o, err = z.Records[za0001].MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Records", za0001)
+			return
+		}
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Update) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > z78411aa4limitMaps {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "f":
+			z.From, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "From")
+				return
+			}
+		case "r":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Records")
+				return
+			}
+			if zb0002 > z78411aa4limitArrays {
+				err = msgp.ErrLimitExceeded
+				return
+			}
+			if cap(z.Records) >= int(zb0002) {
+				z.Records = (z.Records)[:zb0002]
+			} else {
+				z.Records = make([]Record, zb0002)
+			}
+			for za0001 := range z.Records {
+				bts, err = z.Records[za0001].UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Records", za0001)
+					return
+				}
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *Update) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Records {
+		s += z.Records[za0001].Msgsize()
 	}
 	return
 }
--- a/internal/transport/dissemination/store.go
+++ b/internal/transport/dissemination/store.go
@@ -1,227 +1,152 @@
-// Package dissemination brings news to every node: a store of records on each, a tree over which new ones
-// flow, and a repair by digests over ranges that mends copies from the newer.
 package dissemination
 
 import (
-	"hash/fnv"
-	"sort"
 	"strings"
 	"sync"
 	"time"
 )
 
-// RangeCount is how many ranges of keys have a digest of their own.
-const RangeCount = 64
+// ShardCount is how many shards a store has. Nodes compare their stores shard by shard, so it is the same on all of them
+// and never changes.
+const ShardCount = 64
 
-// ConfigKey is the key of the layout's record.
-const ConfigKey = "layout"
-
-// ConfigRecord makes the record of a layout.
-func ConfigRecord(seq uint64, raw []byte) Record {
-	return Record{Key: ConfigKey, Version: seq, Body: raw}
+// Store is one node's replica of the records. Its methods may be called concurrently.
+//
+// Each shard has a lock of its own, and no method holds two of them at a time: what spans shards (ForEachWithPrefix,
+// Digests, Compare) is no snapshot. Anti-entropy tolerates that, since a repair only ever replaces older records.
+type Store struct {
+	shards   [ShardCount]shard
+	onRecord func(Record)
 }
 
-// RunnerPrefix begins the key of a registered runner's record; its ID follows.
-const RunnerPrefix = "runners/"
-
-// Newer reports whether a is newer than b.
-func Newer(a, b Record) bool {
-	if a.Generation != b.Generation {
-		return a.Generation > b.Generation
-	}
-	if a.Version != b.Version {
-		return a.Version > b.Version
-	}
-	return string(a.Body) > string(b.Body)
+// shard holds the records whose keys hash to its index. A key has a record or a tombstone, or for a newer record both.
+type shard struct {
+	mu         sync.RWMutex // guards what follows
+	records    map[string]storedRecord
+	tombstones map[string]tombstone
 }
 
-type heldRecord struct {
-	record Record
-	at     time.Time
+// storedRecord is a record and when it came.
+type storedRecord struct {
+	record     Record
+	receivedAt time.Time
 }
 
-// forgotten is a record that was forgotten. A neighbour that still has it must not bring it back.
-type forgotten struct {
+// tombstone stands for a record that has expired here. A node that still has that version must not bring it back.
+type tombstone struct {
 	generation, version uint64
-	at                  time.Time
-}
-
-// Store is one node's copy of the news, in shards with a lock each.
-type Store struct {
-	shards [RangeCount]struct {
-		mu  sync.RWMutex
-		all map[string]heldRecord
-		old map[string]forgotten
-	}
-	onRecord func(Record)
+	createdAt           time.Time
 }
 
-// NewStore makes an empty store. onRecord is called for every record that is taken, in no fixed order
-// between keys, and for one key from the older to the newer.
+// NewStore returns an empty store. onRecord, which may be nil, is called for every record that Merge takes: for one key
+// from the older to the newer, between keys in no order and concurrently. It runs under a shard's lock, so it must not
+// block nor call the store.
 func NewStore(onRecord func(Record)) *Store {
-	b := &Store{onRecord: onRecord}
-	for i := range b.shards {
-		b.shards[i].all = map[string]heldRecord{}
-		b.shards[i].old = map[string]forgotten{}
-	}
-	return b
-}
-
-func hash(parts ...string) uint64 {
-	h := fnv.New64a()
-	for _, p := range parts {
-		h.Write([]byte(p))
-		h.Write([]byte{0})
+	s := &Store{onRecord: onRecord}
+	for i := range s.shards {
+		s.shards[i].records = map[string]storedRecord{}
+		s.shards[i].tombstones = map[string]tombstone{}
 	}
-	return h.Sum64()
+	return s
 }
 
-func rangeOf(key string) int { return int(hash(key) % RangeCount) }
+// shardOf returns the shard of a key.
+func (s *Store) shardOf(key string) *shard { return &s.shards[shardIndex(key)] }
 
-// Merge takes the records that are newer than what stands here, and returns those.
+// Merge takes the records that are newer than those in the store, and returns them. A version that has expired here is
+// not taken.
 func (s *Store) Merge(records []Record) []Record {
-	var fresh []Record
-	for _, r := range records {
-		shard := &s.shards[rangeOf(r.Key)]
-		shard.mu.Lock()
-		old, ok := shard.all[r.Key]
-		gone, was := shard.old[r.Key]
-		if was && gone.generation == r.Generation && gone.version == r.Version {
-			shard.mu.Unlock()
-			continue
-		}
-		if !ok || Newer(r, old.record) {
-			shard.all[r.Key] = heldRecord{r, time.Now()}
-			fresh = append(fresh, r)
-			if s.onRecord != nil {
-				s.onRecord(r)
-			}
+	var merged []Record
+	for _, record := range records {
+		if s.merge(record) {
+			merged = append(merged, record)
 		}
-		shard.mu.Unlock()
 	}
-	return fresh
+	return merged
+}
+
+// merge takes a record if it is newer, and reports whether it was.
+func (s *Store) merge(record Record) bool {
+	shard := s.shardOf(record.Key)
+	shard.mu.Lock()
+	defer shard.mu.Unlock()
+	expired, ok := shard.tombstones[record.Key]
+	if ok && expired.generation == record.Generation && expired.version == record.Version {
+		return false
+	}
+	if current, ok := shard.records[record.Key]; ok && !record.newerThan(&current.record) {
+		return false
+	}
+	shard.records[record.Key] = storedRecord{record, time.Now()}
+	if s.onRecord != nil {
+		s.onRecord(record)
+	}
+	return true
 }
 
-// Get reads one record and how long ago it came.
-func (s *Store) Get(key string) (Record, time.Duration, bool) {
-	shard := &s.shards[rangeOf(key)]
+// Get returns the record of a key and its age, which is the time since it came here. It reports false where there is
+// none.
+func (s *Store) Get(key string) (record Record, age time.Duration, ok bool) {
+	shard := s.shardOf(key)
 	shard.mu.RLock()
 	defer shard.mu.RUnlock()
-	h, ok := shard.all[key]
-	return h.record, time.Since(h.at), ok
+	stored, ok := shard.records[key]
+	return stored.record, time.Since(stored.receivedAt), ok
 }
 
-// ForEachWithPrefix visits the records whose key begins with a prefix.
-func (s *Store) ForEachWithPrefix(prefix string, do func(Record, time.Duration)) {
-	for i := range s.shards {
-		shard := &s.shards[i]
-		shard.mu.RLock()
-		for k, h := range shard.all {
-			if strings.HasPrefix(k, prefix) {
-				do(h.record, time.Since(h.at))
-			}
+// Select returns the records of keys, without those that the store does not have.
+func (s *Store) Select(keys []string) []Record {
+	var records []Record
+	for _, key := range keys {
+		if record, _, ok := s.Get(key); ok {
+			records = append(records, record)
 		}
-		shard.mu.RUnlock()
 	}
+	return records
 }
 
-// Expire forgets records untouched for longer than d: their owner is long gone. The layout stays.
-func (s *Store) Expire(d time.Duration) {
+// ForEachWithPrefix visits the records whose key begins with a prefix, with their age, in no order. visit runs under a
+// shard's lock, so it must not block nor call the store.
+func (s *Store) ForEachWithPrefix(prefix string, visit func(record Record, age time.Duration)) {
 	for i := range s.shards {
-		shard := &s.shards[i]
-		shard.mu.Lock()
-		for k, h := range shard.all {
-			if k != ConfigKey && time.Since(h.at) > d {
-				delete(shard.all, k)
-				shard.old[k] = forgotten{h.record.Generation, h.record.Version, time.Now()}
-			}
-		}
-		for k, gone := range shard.old {
-			if time.Since(gone.at) > d {
-				delete(shard.old, k)
+		s.shards[i].forEach(func(key string, stored storedRecord) {
+			if strings.HasPrefix(key, prefix) {
+				visit(stored.record, time.Since(stored.receivedAt))
 			}
-		}
-		shard.mu.Unlock()
+		})
 	}
 }
 
-func littleEndian(n uint64) string {
-	var b [8]byte
-	for i := range b {
-		b[i] = byte(n >> (8 * i))
+// forEach visits the records of a shard in no order, under its lock.
+func (s *shard) forEach(visit func(key string, stored storedRecord)) {
+	s.mu.RLock()
+	defer s.mu.RUnlock()
+	for key, stored := range s.records {
+		visit(key, stored)
 	}
-	return string(b[:])
 }
 
-// Digests digests every range.
-func (s *Store) Digests(from string) Digests {
-	out := Digests{From: from, Ranges: make([]uint64, RangeCount)}
+// Expire replaces records that are older than maxAge by tombstones, and drops tombstones that are: their writer is long
+// gone. The fleet configuration's record stays.
+func (s *Store) Expire(maxAge time.Duration) {
 	for i := range s.shards {
-		shard := &s.shards[i]
-		shard.mu.RLock()
-		for k, h := range shard.all {
-			out.Ranges[i] ^= hash(k, littleEndian(h.record.Generation), littleEndian(h.record.Version))
-		}
-		shard.mu.RUnlock()
+		s.shards[i].expire(maxAge)
 	}
-	return out
 }
 
-// Compare names what stands in the ranges whose digest differs from the far side's.
-func (s *Store) Compare(far Digests) Difference {
-	var out Difference
-	mine := s.Digests("")
-	for i := range s.shards {
-		if i < len(far.Ranges) && far.Ranges[i] == mine.Ranges[i] {
-			continue
+// expire does the work of Expire for one shard.
+func (s *shard) expire(maxAge time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for key, stored := range s.records {
+		if key != ConfigKey && time.Since(stored.receivedAt) > maxAge {
+			delete(s.records, key)
+			s.tombstones[key] = tombstone{stored.record.Generation, stored.record.Version, time.Now()}
 		}
-		out.Ranges = append(out.Ranges, i)
-		shard := &s.shards[i]
-		shard.mu.RLock()
-		for _, h := range shard.all {
-			out.Records = append(out.Records, RecordVersion{h.record.Key, h.record.Generation, h.record.Version})
-		}
-		shard.mu.RUnlock()
 	}
-	return out
-}
-
-// Repair works out, from the far side's names, what to hand over and what to ask for.
-func (s *Store) Repair(from string, diff Difference) Repair {
-	out := Repair{From: from}
-	far := map[string]RecordVersion{}
-	for _, n := range diff.Records {
-		far[n.Key] = n
-		mine, _, ok := s.Get(n.Key)
-		if !ok || n.Generation > mine.Generation || n.Generation == mine.Generation && n.Version > mine.Version {
-			out.Wanted = append(out.Wanted, n.Key)
-		}
-	}
-	for _, i := range diff.Ranges {
-		if i < 0 || i >= RangeCount {
-			continue
-		}
-		shard := &s.shards[i]
-		shard.mu.RLock()
-		for k, h := range shard.all {
-			n, ok := far[k]
-			if !ok || h.record.Generation > n.Generation || h.record.Generation == n.Generation && h.record.Version > n.Version {
-				out.Records = append(out.Records, h.record)
-			}
-		}
-		shard.mu.RUnlock()
-	}
-	sort.Slice(out.Records, func(i, j int) bool { return out.Records[i].Key < out.Records[j].Key })
-	return out
-}
-
-// Select gives the records asked for.
-func (s *Store) Select(keys []string) []Record {
-	var out []Record
-	for _, k := range keys {
-		if r, _, ok := s.Get(k); ok {
-			out = append(out, r)
+	for key, expired := range s.tombstones {
+		if time.Since(expired.createdAt) > maxAge {
+			delete(s.tombstones, key)
 		}
 	}
-	return out
 }
