--- a/internal/dataplane/balance/session.go
+++ b/internal/dataplane/balance/session.go
@@ -39,7 +39,7 @@
 	}
 	ref := sessionRef{id: sessionID(request.Service, request.Model, key), service: request.Service, model: request.Model, key: key}
 	if entry, known := b.Sessions.Lookup(ref.id); known {
-		ref.holders = entry.Holders
+		ref.holders = entry.Runners
 	} else if remembered, known := b.recent.get(ref.id); known {
 		ref.holders = []string{remembered.holder}
 	}
@@ -70,7 +70,7 @@
 func (b *Balancer) noteHolder(ref *sessionRef, id string) {
 	entry, known := b.Sessions.Lookup(ref.id)
 	switch {
-	case known && slices.Contains(entry.Holders, id):
+	case known && slices.Contains(entry.Runners, id):
 		return
 	case known:
 		b.takePlace(id, entry)
@@ -86,8 +86,8 @@
 
 // takePlace puts a runner into a session's entry that names others.
 func (b *Balancer) takePlace(id string, entry session.Entry) {
-	ready := b.readyOf(entry.Holders)
-	if len(ready) == session.MaxHolders && b.Sessions.Age(entry.Session) < settle {
+	ready := b.readyOf(entry.Runners)
+	if len(ready) == session.MaxRunners && b.Sessions.Age(entry.Session) < settle {
 		return
 	}
 	b.Sessions.Record(entry.Session, append([]string{id}, ready...)...)
--- a/internal/dataplane/balance/session_test.go
+++ b/internal/dataplane/balance/session_test.go
@@ -200,8 +200,8 @@
 	}
 	f.spread()
 	entry, _ := f.routers[2].Sessions.Lookup(f.routers[2].session(ptr(sessionRequest(1)), sessionRequest(1).Parts[0].ID, 3000).id)
-	if len(entry.Holders) != 2 || entry.Holders[0] != second || entry.Holders[1] != home {
-		t.Errorf("held by %v, by %s and %s expected", entry.Holders, second, home)
+	if len(entry.Runners) != 2 || entry.Runners[0] != second || entry.Runners[1] != home {
+		t.Errorf("held by %v, by %s and %s expected", entry.Runners, second, home)
 	}
 	for i := range 20 {
 		if id := ask(f.routers[i%3], sessionRequest(1)); id != second && id != home {
--- a/internal/dataplane/router/sessions.go
+++ b/internal/dataplane/router/sessions.go
@@ -80,8 +80,8 @@
 	if kind != "session.fetch" {
 		return nil, fmt.Errorf("router: no call %q", kind)
 	}
-	return wire.HandleTyped(body, func(in *session.Fetch) (*session.Batch, error) {
-		batch := session.Pack(s.directory.Newest(min(in.Most, sessionFetchMost)))
+	return wire.HandleTyped(body, func(in *session.FetchRequest) (*session.Batch, error) {
+		batch := session.Pack(s.directory.Newest(min(in.Limit, sessionFetchMost)))
 		batch.Partial = !s.fetched.Load()
 		return batch, nil
 	})
@@ -187,7 +187,7 @@
 		return false
 	}
 	var batch session.Batch
-	if err := s.call(ctx, node.Addr, "session.fetch", &session.Fetch{Most: sessionFetchMost}, &batch); err != nil {
+	if err := s.call(ctx, node.Addr, "session.fetch", &session.FetchRequest{Limit: sessionFetchMost}, &batch); err != nil {
 		s.ctx.Log.Debug("The session directory was not fetched.", "peer", node.Name, "error", err.Error())
 		return false
 	}
--- a/internal/dataplane/router/sessions_test.go
+++ b/internal/dataplane/router/sessions_test.go
@@ -131,7 +131,7 @@
 	f.routers[1].directory.Record(7, "runner")
 	f.round()
 	for _, router := range f.routers {
-		if entry, known := router.directory.Lookup(7); !known || entry.Holders[0] != "runner" {
+		if entry, known := router.directory.Lookup(7); !known || entry.Runners[0] != "runner" {
 			t.Errorf("%s has %v", router.ctx.Name, entry)
 		}
 	}
@@ -225,7 +225,7 @@
 
 func TestOtherRecordsArePassedOver(t *testing.T) {
 	f := newNewsFleet(t, "a")
-	body, _ := session.Pack([]session.Entry{{Session: 7, Version: 1, Holders: []string{"runner"}}}).MarshalMsg(nil)
+	body, _ := session.Pack([]session.Entry{{Session: 7, Version: 1, Runners: []string{"runner"}}}).MarshalMsg(nil)
 	f.deliver([]dissemination.Record{{Key: "other/a", Version: 1, Body: body}, {Key: sessionHead + "x/1/1", Version: 1, Body: []byte("no batch")}})
 	if f.routers[0].directory.Len() != 0 {
 		t.Error("a record that is none of the session directory's was taken")
@@ -237,7 +237,7 @@
 	f := newNewsFleet(t, "a")
 	keys := map[string]bool{}
 	for i := range 3 * sessionSlots {
-		record, ok := f.routers[0].record([]session.Entry{{Session: 1, Version: 1, Holders: []string{"runner"}}})
+		record, ok := f.routers[0].record([]session.Entry{{Session: 1, Version: 1, Runners: []string{"runner"}}})
 		if !ok || record.Version != uint64(i+1) {
 			t.Fatal(record, ok)
 		}
--- a/internal/dataplane/session/memory_bench_test.go
+++ b/internal/dataplane/session/directory_bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// BenchmarkMemory tells how many bytes a router keeps for each entry with two holders, and how many an entry
+// BenchmarkMemory tells how many bytes a router keeps for each entry with two runners, and how many an entry
 // takes on the wire.
 //
 //	go test ./internal/dataplane/session -run XXX -bench Memory -benchtime 1x
--- a/internal/dataplane/session/directory_test.go
+++ b/internal/dataplane/session/directory_test.go
@@ -10,14 +10,15 @@
 	"pgregory.net/rapid"
 )
 
-func lookup(t *testing.T, d *Directory, session uint64, want ...string) {
+// checkRunners checks which runners a directory names for a session.
+func checkRunners(t *testing.T, d *Directory, session uint64, want ...string) {
 	t.Helper()
-	if entry, _ := d.Lookup(session); !slices.Equal(entry.Holders, want) {
-		t.Errorf("session %d is held by %v, %v expected", session, entry.Holders, want)
+	if entry, _ := d.Lookup(session); !slices.Equal(entry.Runners, want) {
+		t.Errorf("session %d: got runners %v, want %v", session, entry.Runners, want)
 	}
 }
 
-// contents are all entries of a directory, in the order of their sessions.
+// contents returns all entries of a directory, in the order of their sessions.
 func contents(d *Directory) []Entry {
 	entries := d.Newest(1 << 20)
 	slices.SortFunc(entries, func(a, b Entry) int {
@@ -29,7 +30,8 @@
 	return entries
 }
 
-func TestTheNewestWordStands(t *testing.T) {
+// Of two entries of one session the later one stands, and neither is sent twice.
+func TestNewestEntryStands(t *testing.T) {
 	one, two := New(10), New(10)
 	one.Record(1, "a")
 	first := one.DrainUpdates()
@@ -38,60 +40,62 @@
 	second := two.DrainUpdates()
 	one.Merge(second)
 	one.Merge(first) // once more, late
-	lookup(t, one, 1, "b", "a")
-	lookup(t, two, 1, "b", "a")
+	checkRunners(t, one, 1, "b", "a")
+	checkRunners(t, two, 1, "b", "a")
 	if again := append(one.DrainUpdates(), two.DrainUpdates()...); len(again) != 0 {
-		t.Errorf("told again: %v", again)
+		t.Errorf("got updates %v after all were drained, want none", again)
 	}
 	one.Record(1, "b", "a")
 	if again := one.DrainUpdates(); len(again) != 0 {
-		t.Errorf("told though nothing moved: %v", again)
+		t.Errorf("got updates %v though nothing changed, want none", again)
 	}
 }
 
-// A clock that lags does not make a later word older.
-func TestClockThatLags(t *testing.T) {
+// A clock that lags does not make a later entry older.
+func TestLaggingClock(t *testing.T) {
 	ahead, behind := New(10), New(10)
 	ahead.now = func() time.Time { return time.Now().Add(time.Hour) }
 	ahead.Record(1, "a")
 	behind.Merge(ahead.DrainUpdates())
 	behind.Record(1, "b")
 	ahead.Merge(behind.DrainUpdates())
-	lookup(t, ahead, 1, "b")
-	lookup(t, behind, 1, "b")
+	checkRunners(t, ahead, 1, "b")
+	checkRunners(t, behind, 1, "b")
 }
 
-// Of several routers that find the same at once, one tells.
-func TestTheSameWordIsToldOnce(t *testing.T) {
+// Of several routers that find the same at once, one sends it.
+func TestSameEntryIsSentOnce(t *testing.T) {
 	one, two := New(10), New(10)
 	one.Record(1, "a")
 	two.Record(1, "a")
 	two.Merge(one.DrainUpdates())
-	if told := two.DrainUpdates(); len(told) != 0 {
-		t.Errorf("told again: %v", told)
+	if updates := two.DrainUpdates(); len(updates) != 0 {
+		t.Errorf("got updates %v, want none: the other router has sent the same", updates)
 	}
-	if !reflect.DeepEqual(contents(one), contents(two)) {
-		t.Error(contents(one), contents(two))
+	if got, want := contents(two), contents(one); !reflect.DeepEqual(got, want) {
+		t.Errorf("got entries %v, want those of the other router, %v", got, want)
 	}
 }
 
-func TestRunnersThatAreGone(t *testing.T) {
+// A departed runner is taken out of all entries, and late ones do not bring it back.
+func TestDepartedRunners(t *testing.T) {
 	d := New(10)
 	d.Record(1, "a", "b")
 	d.Record(2, "a")
-	told := d.DrainUpdates()
+	late := d.DrainUpdates()
 	d.RemoveRunners("a")
-	lookup(t, d, 1, "b")
-	lookup(t, d, 2)
-	d.Merge(told) // late word of a runner that is gone
+	checkRunners(t, d, 1, "b")
+	checkRunners(t, d, 2)
+	d.Merge(late)
 	d.Record(3, "a")
-	lookup(t, d, 1, "b")
-	lookup(t, d, 2)
+	checkRunners(t, d, 1, "b")
+	checkRunners(t, d, 2)
 	if d.Len() != 1 {
-		t.Errorf("%d entries, 1 expected", d.Len())
+		t.Errorf("got %d entries, want 1", d.Len())
 	}
 }
 
+// The directory keeps the entries used last, and of departed runners the last ones.
 func TestBounds(t *testing.T) {
 	d := New(100)
 	for session := range uint64(1000) {
@@ -99,24 +103,24 @@
 		d.Lookup(0) // in use all the time
 	}
 	if d.Len() != 100 {
-		t.Errorf("%d entries, 100 expected", d.Len())
+		t.Errorf("got %d entries, want 100", d.Len())
 	}
-	lookup(t, d, 0, "a", "b")
-	lookup(t, d, 1)
-	lookup(t, d, 999, "a", "b")
-	if told := d.DrainUpdates(); len(told) != 100 {
-		t.Errorf("%d entries are told, those that are kept expected", len(told))
+	checkRunners(t, d, 0, "a", "b")
+	checkRunners(t, d, 1)
+	checkRunners(t, d, 999, "a", "b")
+	if updates := d.DrainUpdates(); len(updates) != 100 {
+		t.Errorf("got %d updates, want 100: those of the entries that are kept", len(updates))
 	}
-	for i := range 3 * goneMost {
+	for i := range 3 * maxDeparted {
 		d.RemoveRunners(fmt.Sprint("runner ", i))
 	}
-	if len(d.gone) != goneMost || len(d.goneIDs) != goneMost {
-		t.Errorf("%d runners remembered as gone", len(d.gone))
+	if len(d.departed.ids) != maxDeparted || len(d.departed.order) != maxDeparted {
+		t.Errorf("got %d departed runners, %d in order, want %d", len(d.departed.ids), len(d.departed.order), maxDeparted)
 	}
 }
 
 // A router that fetches another one's entries has the same, and drops the same first.
-func TestFetched(t *testing.T) {
+func TestFetchedEntries(t *testing.T) {
 	old := New(10)
 	for session := range uint64(10) {
 		old.Record(session, "a")
@@ -133,33 +137,33 @@
 		t.Fatal(err)
 	}
 	fresh.Merge(read.Unpack())
-	if !reflect.DeepEqual(fresh.Newest(4), old.Newest(4)) {
-		t.Error(fresh.Newest(4), old.Newest(4))
+	if got, want := fresh.Newest(4), old.Newest(4); !reflect.DeepEqual(got, want) {
+		t.Errorf("got entries %v, want %v", got, want)
 	}
 	if size := len(raw) / 4; size > 40 {
-		t.Errorf("%d bytes an entry", size)
+		t.Errorf("got %d bytes an entry, want 40 at most", size)
 	}
-	lookup(t, fresh, 0, "a")
+	checkRunners(t, fresh, 0, "a")
 }
 
-// Places that a batch does not name are passed over.
+// Indexes that are out of a batch's range are left out.
 func TestDamagedBatch(t *testing.T) {
-	batch := Batch{Runners: []string{"a"}, Entries: []PackedEntry{{Session: 1, Version: 1, Holders: []int{7, 0, -1}}, {Session: 2, Version: 1, Holders: []int{1}}}}
+	batch := Batch{Runners: []string{"a"}, Entries: []PackedEntry{{Session: 1, Version: 1, Runners: []int{7, 0, -1}}, {Session: 2, Version: 1, Runners: []int{1}}}}
 	d := New(10)
-	if taken := d.Merge(batch.Unpack()); taken != 1 {
-		t.Errorf("%d entries taken", taken)
+	if merged := d.Merge(batch.Unpack()); merged != 1 {
+		t.Errorf("got %d entries merged, want 1", merged)
 	}
-	lookup(t, d, 1, "a")
+	checkRunners(t, d, 1, "a")
 }
 
-// announcement is what one router told, and which routers have heard it.
+// announcement is what one router sent, and which routers have received it.
 type announcement struct {
-	entries []Entry
-	heard   map[int]bool
+	entries  []Entry
+	received map[int]bool
 }
 
-// Whatever routers find, and in whatever order and however often they hear of one another, once all have
-// heard everything all have the same: for each session the word that was told with the highest version.
+// Whatever routers find, and in whatever order and however often they receive it from one another, once all have received
+// everything all have the same: for each session the entry that was sent with the highest version.
 func TestRoutersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := make([]*Directory, rapid.IntRange(2, 5).Draw(t, "routers"))
@@ -169,60 +173,61 @@
 			routers[i] = New(1000)
 			routers[i].now = func() time.Time { return clock.Add(skew) }
 		}
-		var told []announcement
-		tell := func(i int) { told = append(told, announcement{routers[i].DrainUpdates(), map[int]bool{i: true}}) }
-		hear := func(i int, what announcement) {
-			what.heard[i] = true
-			routers[i].Merge(what.entries)
+		var sent []announcement
+		send := func(i int) { sent = append(sent, announcement{routers[i].DrainUpdates(), map[int]bool{i: true}}) }
+		receive := func(i int, sent announcement) {
+			sent.received[i] = true
+			routers[i].Merge(sent.entries)
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, len(routers)-1).Draw(t, "router")
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				holders := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 2, rapid.ID[string]).Draw(t, "holders")
-				routers[i].Record(rapid.Uint64Range(0, 1).Draw(t, "session"), holders...)
+				runners := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 2, rapid.ID[string]).Draw(t, "runners")
+				routers[i].Record(rapid.Uint64Range(0, 1).Draw(t, "session"), runners...)
 			case 1:
-				tell(i)
+				send(i)
 			case 2:
-				if len(told) > 0 {
-					hear(i, rapid.SampledFrom(told).Draw(t, "news or old word"))
+				if len(sent) > 0 {
+					receive(i, rapid.SampledFrom(sent).Draw(t, "new or old announcement"))
 				}
 			case 3:
 				clock = clock.Add(time.Millisecond)
 			}
 		}
 		for i := range routers {
-			tell(i)
+			send(i)
 		}
 		for i := range routers {
-			for _, at := range rapid.Permutation(places(len(told))).Draw(t, "order") {
-				if !told[at].heard[i] {
-					hear(i, told[at])
+			for _, index := range rapid.Permutation(indexes(len(sent))).Draw(t, "order") {
+				if !sent[index].received[i] {
+					receive(i, sent[index])
 				}
 			}
 		}
-		newest := newestOf(told)
+		want := newestOf(sent)
 		for i, router := range routers {
-			if got := contents(router); !reflect.DeepEqual(got, newest) {
-				t.Fatalf("router %d has %v, %v expected", i, got, newest)
+			if got := contents(router); !reflect.DeepEqual(got, want) {
+				t.Fatalf("router %d: got entries %v, want %v", i, got, want)
 			}
 			if again := router.DrainUpdates(); len(again) != 0 {
-				t.Fatalf("router %d tells again: %v", i, again)
+				t.Fatalf("router %d: got updates %v after all were drained, want none", i, again)
 			}
 		}
 	})
 }
 
-// newestOf is what all should have once they have heard everything.
-func newestOf(told []announcement) []Entry {
+// newestOf returns what all should have once they have received everything.
+func newestOf(sent []announcement) []Entry {
 	all := New(1000)
-	for _, what := range told {
-		all.Merge(what.entries)
+	for _, one := range sent {
+		all.Merge(one.entries)
 	}
 	return contents(all)
 }
 
-func places(count int) []int {
+// indexes returns the numbers from 0 to count-1.
+func indexes(count int) []int {
 	out := make([]int, count)
 	for i := range out {
 		out[i] = i
--- a/internal/dataplane/session/msgs_gen.go
+++ b/internal/dataplane/session/messages_gen.go
@@ -8,8 +8,8 @@
 
 // Size limits for msgp deserialization
 const (
-	z78411aa4limitArrays = 100000
-	z78411aa4limitMaps   = 1000
+	z2c18a699limitArrays = 100000
+	z2c18a699limitMaps   = 1000
 )
 
 // MarshalMsg implements msgp.Marshaler
@@ -63,7 +63,7 @@
 		err = msgp.WrapError(err)
 		return
 	}
-	if zb0001 > z78411aa4limitMaps {
+	if zb0001 > z2c18a699limitMaps {
 		err = msgp.ErrLimitExceeded
 		return
 	}
@@ -82,7 +82,7 @@
 				err = msgp.WrapError(err, "Runners")
 				return
 			}
-			if zb0002 > z78411aa4limitArrays {
+			if zb0002 > z2c18a699limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
@@ -105,7 +105,7 @@
 				err = msgp.WrapError(err, "Entries")
 				return
 			}
-			if zb0003 > z78411aa4limitArrays {
+			if zb0003 > z2c18a699limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
@@ -154,17 +154,17 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Fetch) MarshalMsg(b []byte) (o []byte, err error) {
+func (z FetchRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 1
 	// string "m"
 	o = append(o, 0x81, 0xa1, 0x6d)
-	o = msgp.AppendInt(o, z.Most)
+	o = msgp.AppendInt(o, z.Limit)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Fetch) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *FetchRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -173,7 +173,7 @@
 		err = msgp.WrapError(err)
 		return
 	}
-	if zb0001 > z78411aa4limitMaps {
+	if zb0001 > z2c18a699limitMaps {
 		err = msgp.ErrLimitExceeded
 		return
 	}
@@ -186,9 +186,9 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "m":
-			z.Most, bts, err = msgp.ReadIntBytes(bts)
+			z.Limit, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Most")
+				err = msgp.WrapError(err, "Limit")
 				return
 			}
 		default:
@@ -204,7 +204,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Fetch) Msgsize() (s int) {
+func (z FetchRequest) Msgsize() (s int) {
 	s = 1 + 2 + msgp.IntSize
 	return
 }
@@ -216,9 +216,9 @@
 	o = append(o, 0x93)
 	o = msgp.AppendUint64(o, z.Session)
 	o = msgp.AppendUint64(o, z.Version)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Holders)))
-	for za0001 := range z.Holders {
-		o = msgp.AppendInt(o, z.Holders[za0001])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Runners)))
+	for za0001 := range z.Runners {
+		o = msgp.AppendInt(o, z.Runners[za0001])
 	}
 	return
 }
@@ -248,22 +248,22 @@
 	var zb0002 uint32
 	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Holders")
+		err = msgp.WrapError(err, "Runners")
 		return
 	}
-	if zb0002 > z78411aa4limitArrays {
+	if zb0002 > z2c18a699limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Holders) >= int(zb0002) {
-		z.Holders = (z.Holders)[:zb0002]
+	if cap(z.Runners) >= int(zb0002) {
+		z.Runners = (z.Runners)[:zb0002]
 	} else {
-		z.Holders = make([]int, zb0002)
+		z.Runners = make([]int, zb0002)
 	}
-	for za0001 := range z.Holders {
-		z.Holders[za0001], bts, err = msgp.ReadIntBytes(bts)
+	for za0001 := range z.Runners {
+		z.Runners[za0001], bts, err = msgp.ReadIntBytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Holders", za0001)
+			err = msgp.WrapError(err, "Runners", za0001)
 			return
 		}
 	}
@@ -273,6 +273,6 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *PackedEntry) Msgsize() (s int) {
-	s = 1 + msgp.Uint64Size + msgp.Uint64Size + msgp.ArrayHeaderSize + (len(z.Holders) * (msgp.IntSize))
+	s = 1 + msgp.Uint64Size + msgp.Uint64Size + msgp.ArrayHeaderSize + (len(z.Runners) * (msgp.IntSize))
 	return
 }
--- a/internal/testing/compat/messages_test.go
+++ b/internal/testing/compat/messages_test.go
@@ -86,7 +86,7 @@
 	"runner.Report":           new(runner.Report),
 	"session.Batch":           new(session.Batch),
 	"session.PackedEntry":     new(session.PackedEntry),
-	"session.Fetch":           new(session.Fetch),
+	"session.Fetch":           new(session.FetchRequest),
 	"share.Charge":            new(quota.Charge),
 	"share.Hold":              new(quota.Allocation),
 	"store.Batch":             new(store.Batch),
