--- a/internal/dataplane/router/gateway.go
+++ b/internal/dataplane/router/gateway.go
@@ -87,7 +87,7 @@
 		cluster.WithDocument(g.take), cluster.WithRegistry(g.Registry), cluster.WithRunnerStats(g.tally, g.takeFindings))
 	g.sessions = newSessionNews(g)
 	g.Cluster.RegisterHandler("session", g.sessions.hand)
-	g.QuotaShares = quota.NewShares(ctx.WithComponent("share"), quota.Config{Transfer: newMoveQueue(ctx, g.Cluster).move, Nodes: func() int { return len(g.Cluster.Nodes()) },
+	g.QuotaShares = quota.NewShares(ctx.WithComponent("share"), quota.Config{Transfer: newTransferQueue(ctx, g.Cluster).transfer, Nodes: func() int { return len(g.Cluster.Nodes()) },
 		ScarceTenants: g.Cluster.ScarceTenants, Rules: g.rules, RecentContact: g.Cluster.CoreResponsive, InContact: func() bool { return !g.Cluster.CoreSilent() }, Margin: quotaMargin})
 	g.Front = gateway.New(gateway.Options{Dialect: settings.Dialect, Table: g.table.Load, Ready: g.canServe, Balancer: g.Balancer,
 		Pool: g.Pool, Quotas: quotas{g.QuotaShares}, Retries: settings.Retries, LocalShare: g.part,
--- a/internal/dataplane/router/main.go
+++ b/internal/dataplane/router/main.go
@@ -87,7 +87,7 @@
 		"yarrowridge_layout_sequence": func() float64 { return float64(r.Cluster.Self().ConfigVersion) },
 		"yarrowridge_stale":           func() float64 { return metrics.FlagValue(r.Cluster.CoreSilent()) },
 	})
-	r.QuotaShares = quota.NewShares(ctx.WithComponent("share"), quota.Config{Transfer: newMoveQueue(ctx, r.Cluster).move, Nodes: func() int { return len(r.Cluster.Nodes()) },
+	r.QuotaShares = quota.NewShares(ctx.WithComponent("share"), quota.Config{Transfer: newTransferQueue(ctx, r.Cluster).transfer, Nodes: func() int { return len(r.Cluster.Nodes()) },
 		ScarceTenants: r.Cluster.ScarceTenants, Rules: quotaRules(r.Cluster), RecentContact: r.Cluster.CoreResponsive, InContact: func() bool { return !r.Cluster.CoreSilent() }})
 	r.Claims = clientapi.NewClaims(ctx.WithComponent("claim"), r.Cluster)
 	r.Streams = streamstore.New(ctx.WithComponent("stream"), r.Cluster)
--- /dev/null
+++ b/internal/dataplane/router/transfers_test.go
@@ -0,0 +1,122 @@
+package router
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/lib/daemon"
+	"yarrowridge/internal/model/quota"
+)
+
+// fakeCore answers calls with transfers after a second each: units held are those asked for, the limit base is 100.
+type fakeCore struct {
+	mu    sync.Mutex
+	calls [][]coreapi.QuotaMove
+	err   error
+	drop  bool // the last result of each response
+}
+
+func (c *fakeCore) call(ctx context.Context, request *coreapi.QuotaMovesRequest, response *coreapi.QuotaMovesResponse) error {
+	if request.Holder != "holder" {
+		return fmt.Errorf("holder: got %q, want %q", request.Holder, "holder")
+	}
+	c.mu.Lock()
+	c.calls = append(c.calls, request.Moves)
+	c.mu.Unlock()
+	select {
+	case <-time.After(time.Second):
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+	for _, move := range request.Moves {
+		response.Results = append(response.Results, coreapi.QuotaMoveResult{Held: move.Units, Limit: 100})
+	}
+	if c.drop {
+		response.Results = response.Results[1:]
+	}
+	return c.err
+}
+
+func (c *fakeCore) queue(ctx context.Context) *transferQueue {
+	return &transferQueue{ctx: daemon.Context{Context: ctx}, holder: func() string { return "holder" }, call: c.call}
+}
+
+// One call is in flight at a time; what comes meanwhile goes with the next one, and each transfer gets its own result.
+func TestTransfersGatheredWhileCallInFlight(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		core := &fakeCore{}
+		queue := core.queue(t.Context())
+		var running sync.WaitGroup
+		for units := 1; units <= 4; units++ {
+			running.Go(func() {
+				held, limitBase, err := queue.transfer(t.Context(), quota.Transfer{Tenant: "t", Sequence: uint64(units), Units: units})
+				if held != units || limitBase != 100 || err != nil {
+					t.Errorf("transfer of %d units: got %d, %d, %v, want %d, 100, nil", units, held, limitBase, err, units)
+				}
+			})
+			synctest.Wait()
+		}
+		running.Wait()
+		if len(core.calls) != 2 || len(core.calls[0]) != 1 || len(core.calls[1]) != 3 {
+			t.Errorf("calls: got %v, want one with the first transfer and one with the other three", core.calls)
+		}
+	})
+}
+
+// All that a transfer says reaches the core.
+func TestTransferIsSentWhole(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		core := &fakeCore{}
+		transfer := quota.Transfer{Tenant: "t", Sequence: 7, Units: 5, Costs: []int{2, 3}, Return: true}
+		if _, _, err := core.queue(t.Context()).transfer(t.Context(), transfer); err != nil {
+			t.Fatal(err)
+		}
+		want := coreapi.QuotaMove{Tenant: "t", Sequence: 7, Units: 5, Costs: []int{2, 3}, Return: true}
+		if got := core.calls[0][0]; fmt.Sprint(got) != fmt.Sprint(want) {
+			t.Errorf("sent: got %+v, want %+v", got, want)
+		}
+	})
+}
+
+func TestTransferErrors(t *testing.T) {
+	failed := errors.New("failed")
+	tests := []struct {
+		name    string
+		core    fakeCore
+		timeout time.Duration // of the transfer
+		cancel  bool          // the queue's context has ended
+		want    error         // nil: any
+	}{
+		{"the call fails", fakeCore{err: failed}, time.Minute, false, failed},
+		{"too few results", fakeCore{drop: true}, time.Minute, false, nil},
+		{"the transfer's context ends first", fakeCore{}, time.Millisecond, false, context.DeadlineExceeded},
+		{"the queue's context has ended", fakeCore{}, time.Minute, true, context.Canceled},
+	}
+	for i := range tests {
+		test := &tests[i]
+		t.Run(test.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				queueCtx, cancelQueue := context.WithCancel(t.Context())
+				defer cancelQueue()
+				if test.cancel {
+					cancelQueue()
+				}
+				ctx, cancel := context.WithTimeout(t.Context(), test.timeout)
+				defer cancel()
+				held, limitBase, err := test.core.queue(queueCtx).transfer(ctx, quota.Transfer{Tenant: "t", Sequence: 1, Units: 1})
+				if err == nil || test.want != nil && !errors.Is(err, test.want) {
+					t.Errorf("transfer: got error %v, want %v", err, test.want)
+				}
+				if held != 0 || limitBase != 0 {
+					t.Errorf("transfer: got %d, %d with an error, want 0, 0", held, limitBase)
+				}
+			})
+		})
+	}
+}
