--- a/internal/dataplane/registry/registry_test.go
+++ b/internal/dataplane/registry/registry_test.go
@@ -15,7 +15,9 @@
 	return routing.Runner{ID: id, Sequence: sequence, State: state}
 }
 
+// record makes the record by which routers pass a runner's report on.
 func record(t *testing.T, r routing.Runner) dissemination.Record {
+	t.Helper()
 	body, err := r.MarshalMsg(nil)
 	if err != nil {
 		t.Fatal(err)
@@ -23,6 +25,7 @@
 	return dissemination.Record{Key: dissemination.RunnerPrefix + r.ID, Version: r.Sequence, Body: body}
 }
 
+// states lists all runners with their states.
 func states(r *Registry) string {
 	out := ""
 	for _, one := range r.List() {
@@ -31,12 +34,12 @@
 	return out
 }
 
-// The newest word counts, whichever way it came; silence ends with a later word, leaving never.
-func TestNewestWordCounts(t *testing.T) {
+// The newest report counts, whichever way it came; silence ends with a later report, departure never.
+func TestNewestReportCounts(t *testing.T) {
 	reg := New(nil)
 	for _, step := range []struct {
-		word routing.Runner
-		want string
+		report routing.Runner
+		want   string
 	}{
 		{runner("a", 2, routing.RunnerReady), "a:ready "},
 		{runner("a", 1, routing.RunnerDraining), "a:ready "},
@@ -49,9 +52,9 @@
 		{runner("a", 5, routing.RunnerSilent), "a:gone "},
 		{runner("a", 9, routing.RunnerReady), "a:gone "},
 	} {
-		reg.ApplyRecord(record(t, step.word))
+		reg.ApplyRecord(record(t, step.report))
 		if got := states(reg); got != step.want {
-			t.Errorf("after %s %d: %q, %q expected", step.word.State, step.word.Sequence, got, step.want)
+			t.Errorf("after %s %d: got %q, want %q", step.report.State, step.report.Sequence, got, step.want)
 		}
 	}
 	reg.ApplyRecord(dissemination.Record{Key: dissemination.RunnerPrefix + "b", Body: []byte("no record")})
@@ -59,160 +62,163 @@
 	wrong.Key = dissemination.RunnerPrefix + "d"
 	reg.ApplyRecord(wrong)
 	if got := states(reg); got != "a:gone " {
-		t.Errorf("after broken records: %q", got)
+		t.Errorf("after records that cannot be decoded: got %q, want %q", got, "a:gone ")
 	}
 }
 
-// The hook gets every change, sorted, and nothing where nothing changed.
-func TestHook(t *testing.T) {
+// onChange gets the list after every change, sorted, and nothing where nothing changed.
+func TestOnChange(t *testing.T) {
 	var lists [][]routing.Runner
 	reg := New(func(list []routing.Runner) { lists = append(lists, list) })
-	told := &coreapi.HeartbeatResponse{RunnersEpoch: 1, RunnersVersion: 3, Runners: []routing.Runner{runner("b", 1, routing.RunnerReady), runner("a", 1, routing.RunnerReady)}}
-	reg.Apply(told)
-	reg.Apply(told)
+	response := &coreapi.HeartbeatResponse{RunnersEpoch: 1, RunnersVersion: 3, Runners: []routing.Runner{runner("b", 1, routing.RunnerReady), runner("a", 1, routing.RunnerReady)}}
+	reg.Apply(response)
+	reg.Apply(response)
 	reg.ApplyRecord(record(t, runner("b", 2, routing.RunnerDraining)))
 	if len(lists) != 2 || len(lists[0]) != 2 || lists[0][0].ID != "a" || lists[1][1].State != routing.RunnerDraining {
-		t.Errorf("the hook got %+v", lists)
+		t.Errorf("got lists %+v, want one with a and b and one with b draining", lists)
 	}
 	if lists[0][1].State != routing.RunnerReady {
-		t.Error("an older list was changed")
+		t.Errorf("got state %s in the older list, want it unchanged", lists[0][1].State)
 	}
 }
 
-// Only a whole list drops a runner, and not one that relays brought while the list was under way.
-func TestOnlyAWholeListDrops(t *testing.T) {
+// Only the whole registry drops a runner, and not one that dissemination brought while the answer was under way.
+func TestOnlyFullSyncDrops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reg := New(nil)
 		reg.ApplyRecord(record(t, runner("old", 1, routing.RunnerReady)))
 		reg.Apply(&coreapi.HeartbeatResponse{RunnersEpoch: 1, RunnersVersion: 3, Runners: []routing.Runner{runner("a", 1, routing.RunnerReady)}})
-		time.Sleep(pushedKeep + time.Second)
+		time.Sleep(pushGracePeriod + time.Second)
 		reg.Apply(&coreapi.HeartbeatResponse{RunnersEpoch: 2, RunnersVersion: 2, Runners: []routing.Runner{runner("b", 1, routing.RunnerReady)}})
-		reg.Apply(&coreapi.HeartbeatResponse{}) // a core that keeps none
+		reg.Apply(&coreapi.HeartbeatResponse{}) // a core without a registry
 		if got := states(reg); got != "a:ready b:ready old:ready " {
-			t.Errorf("without a whole list: %q", got)
+			t.Errorf("without a full sync: got %q, want all three runners", got)
 		}
 		reg.ApplyRecord(record(t, runner("new", 1, routing.RunnerReady)))
 		reg.Apply(&coreapi.HeartbeatResponse{RunnersEpoch: 2, RunnersVersion: 9, RunnersComplete: true, Runners: []routing.Runner{runner("b", 1, routing.RunnerReady)}})
 		if got := states(reg); got != "b:ready new:ready " {
-			t.Errorf("after a whole list: %q", got)
+			t.Errorf("after a full sync: got %q, want b and new", got)
 		}
 		if epoch, version := reg.Position(); epoch != 2 || version != 0 {
-			t.Errorf("the first position is %d %d, a whole list expected to be asked for", epoch, version)
+			t.Errorf("got first position %d %d, want 2 0: a full sync", epoch, version)
 		}
 		if epoch, version := reg.Position(); epoch != 2 || version != 9 {
-			t.Errorf("the second position is %d %d", epoch, version)
+			t.Errorf("got second position %d %d, want 2 9", epoch, version)
 		}
-		time.Sleep(refreshEvery + time.Second)
+		time.Sleep(fullSyncInterval + time.Second)
 		if _, version := reg.Position(); version != 0 {
-			t.Errorf("no whole list is asked for after %s", refreshEvery)
+			t.Errorf("got version %d after %s, want 0: a full sync", version, fullSyncInterval)
 		}
 	})
 }
 
-// The digest of a copy is that of the runners it lists, whatever their order and their heartbeats' numbers.
-func TestDigestOfACopy(t *testing.T) {
+// A replica's digest is that of the runners it lists, whatever their order and their heartbeats' numbers.
+func TestDigest(t *testing.T) {
 	one, other := New(nil), New(nil)
-	if one.Digest() != 0 {
-		t.Error("an empty copy has a digest")
+	if got := one.Digest(); got != 0 {
+		t.Errorf("got digest %x of an empty replica, want 0", got)
 	}
 	one.ApplyRecord(record(t, runner("a", 1, routing.RunnerReady)))
 	one.ApplyRecord(record(t, runner("b", 1, routing.RunnerDraining)))
 	other.ApplyRecord(record(t, runner("b", 4, routing.RunnerDraining)))
 	if one.Digest() == other.Digest() {
-		t.Error("a copy that lacks a runner has the same digest")
+		t.Errorf("got digest %x for a replica that lacks a runner as well, want another", one.Digest())
 	}
 	other.ApplyRecord(record(t, runner("a", 9, routing.RunnerReady)))
-	if one.Digest() != other.Digest() {
-		t.Error("equal copies have different digests")
+	if got, want := other.Digest(), one.Digest(); got != want {
+		t.Errorf("got digest %x of an equal replica, want %x", got, want)
 	}
 }
 
-// A word that says the same again, as a new primary tells of every runner, is kept but is no news.
-func TestSameWordIsNoNews(t *testing.T) {
-	news := 0
-	reg := New(func([]routing.Runner) { news++ })
+// A report that says the same again, as a new primary sends of every runner, is accepted but is no change.
+func TestSameReportIsNoChange(t *testing.T) {
+	changes := 0
+	reg := New(func([]routing.Runner) { changes++ })
 	for i := range 600 {
 		reg.ApplyRecord(record(t, runner(fmt.Sprintf("r%03d", i), 1, routing.RunnerReady)))
 	}
-	if news != 600 || len(reg.List()) != 600 {
-		t.Fatalf("%d runners, told %d times", len(reg.List()), news)
+	if changes != 600 || len(reg.List()) != 600 {
+		t.Fatalf("got %d runners and %d changes, want 600 of each", len(reg.List()), changes)
 	}
-	news = 0
-	told := &coreapi.HeartbeatResponse{RunnersEpoch: 2, RunnersVersion: 601}
+	changes = 0
+	response := &coreapi.HeartbeatResponse{RunnersEpoch: 2, RunnersVersion: 601}
 	for i := range 600 {
 		again := runner(fmt.Sprintf("r%03d", i), 2, routing.RunnerReady)
-		told.Runners = append(told.Runners, again)
+		response.Runners = append(response.Runners, again)
 		reg.ApplyRecord(record(t, again))
 	}
-	reg.Apply(told)
-	if news > 0 {
-		t.Errorf("600 words that say the same were told as news %d times", news)
+	reg.Apply(response)
+	if changes > 0 {
+		t.Errorf("got %d changes of 600 reports that say the same, want none", changes)
 	}
 	reg.ApplyRecord(record(t, runner("r007", 1, routing.RunnerDraining)))
-	if news > 0 || reg.List()[7].State != routing.RunnerReady {
-		t.Error("a word older than one that was kept was taken")
+	if got := reg.List()[7].State; changes > 0 || got != routing.RunnerReady {
+		t.Errorf("after a report older than an accepted one: got state %s and %d changes, want ready and none", got, changes)
 	}
 	reg.ApplyRecord(record(t, runner("r007", 3, routing.RunnerDraining)))
-	if news != 1 || reg.List()[7].State != routing.RunnerDraining {
-		t.Errorf("a new state: told %d times, %s", news, reg.List()[7].State)
+	if got := reg.List()[7].State; changes != 1 || got != routing.RunnerDraining {
+		t.Errorf("after a new state: got state %s and %d changes, want draining and 1", got, changes)
 	}
 }
 
-// The list stays sorted, whole and without doubles, in whatever order runners come.
+// The list stays sorted, complete and without duplicates, in whatever order runners come.
 func TestListAfterSingleChanges(t *testing.T) {
 	reg := New(nil)
 	for i := range 500 {
 		reg.ApplyRecord(record(t, runner(fmt.Sprintf("r%02d", i*37%50), uint64(i+1), []routing.RunnerState{routing.RunnerReady, routing.RunnerDraining}[i/50%2])))
 		list := reg.List()
 		if want := min(i+1, 50); len(list) != want {
-			t.Fatalf("%d runners after %d words, %d expected", len(list), i+1, want)
+			t.Fatalf("after %d reports: got %d runners, want %d", i+1, len(list), want)
 		}
 		for j := 1; j < len(list); j++ {
 			if list[j-1].ID >= list[j].ID {
-				t.Fatalf("%s stands before %s", list[j-1].ID, list[j].ID)
+				t.Fatalf("got %s before %s, want the list sorted without duplicates", list[j-1].ID, list[j].ID)
 			}
 		}
 	}
 	for _, one := range reg.List() {
 		if one.State != routing.RunnerDraining {
-			t.Errorf("%s is %s by its last word", one.ID, one.State)
+			t.Errorf("%s: got state %s, want draining by its last report", one.ID, one.State)
 		}
 	}
 }
 
-// BenchmarkManyNew is what it takes to hear of 600 runners one by one.
+// BenchmarkManyNew is what it takes to learn of 600 runners one by one.
 func BenchmarkManyNew(b *testing.B) {
 	for b.Loop() {
 		reg := New(nil)
 		for i := range 600 {
-			word := runner(fmt.Sprintf("r%03d", i), 1, routing.RunnerReady)
-			body, _ := word.MarshalMsg(nil)
-			reg.ApplyRecord(dissemination.Record{Key: dissemination.RunnerPrefix + word.ID, Version: 1, Body: body})
+			report := runner(fmt.Sprintf("r%03d", i), 1, routing.RunnerReady)
+			body, err := report.MarshalMsg(nil)
+			if err != nil {
+				b.Fatal(err)
+			}
+			reg.ApplyRecord(dissemination.Record{Key: dissemination.RunnerPrefix + report.ID, Version: 1, Body: body})
 		}
 	}
 }
 
 // A new primary finds a runner silent by the heartbeat that it has on disk, which is an older one than routers
-// know. The runner counts as silent, until it is heard again; a word that was just pushed is not undone.
-func TestSilentByAnOlderHeartbeat(t *testing.T) {
+// know. The runner counts as silent until its next heartbeat; a report that was just pushed is not undone.
+func TestSilentByOlderHeartbeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reg := New(nil)
-		word := func(state routing.RunnerState, sequence uint64) routing.Runner {
+		report := func(state routing.RunnerState, sequence uint64) routing.Runner {
 			return routing.Runner{ID: "a", Service: "s", State: state, Sequence: sequence}
 		}
-		tell := func(runner routing.Runner) {
+		apply := func(runner routing.Runner) {
 			reg.Apply(&coreapi.HeartbeatResponse{RunnersEpoch: 1, RunnersVersion: 2, Runners: []routing.Runner{runner}})
 		}
 		state := func() routing.RunnerState { return reg.List()[0].State }
-		tell(word(routing.RunnerReady, 9))
-		tell(word(routing.RunnerSilent, 3))
+		apply(report(routing.RunnerReady, 9))
+		apply(report(routing.RunnerSilent, 3))
 		if state() != routing.RunnerSilent {
-			t.Errorf("state %s, silent expected", state())
+			t.Errorf("got state %s, want silent", state())
 		}
-		reg.ApplyRecord(record(t, word(routing.RunnerReady, 10)))
-		tell(word(routing.RunnerSilent, 9))
+		reg.ApplyRecord(record(t, report(routing.RunnerReady, 10)))
+		apply(report(routing.RunnerSilent, 9))
 		if state() != routing.RunnerReady {
-			t.Errorf("state %s after a heartbeat that was just pushed, ready expected", state())
+			t.Errorf("after a heartbeat that was just pushed: got state %s, want ready", state())
 		}
 	})
 }
--- a/internal/dataplane/session/directory_bench_test.go
+++ b/internal/dataplane/session/directory_bench_test.go
@@ -18,11 +18,15 @@
 	}
 	for b.Loop() {
 		before := heap()
-		d := New(entries)
+		d, sent := New(entries), 0
 		for i := range uint64(entries) {
 			d.Record(i*0x9e3779b97f4a7c15, runners[i%20], runners[(i+1)%20])
 		}
-		for len(d.DrainUpdates()) > 0 {
+		for updates := d.DrainUpdates(); len(updates) > 0; updates = d.DrainUpdates() {
+			sent += len(updates)
+		}
+		if sent != entries {
+			b.Fatalf("got %d updates, want %d", sent, entries)
 		}
 		b.ReportMetric(float64(heap()-before)/entries, "B/entry")
 		raw, err := Pack(d.Newest(1000)).MarshalMsg(nil)
