--- a/internal/dataplane/gateway/allowance.go
+++ b/internal/dataplane/gateway/allowance.go
@@ -6,18 +6,18 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// The free output allowance on the gateway. Its clients know no funds: a tenant counts as unfunded while its
-// quota is nearly spent over all routers. The figures follow the route: up to a wait of its own aim the
-// ceiling holds, which is the most that was asked for on it; from five times the aim the floor does, an eighth
-// of the ceiling. Both ratios are the source's.
+// The free output allowance on the gateway (docs/allowance.md). Its clients know no funds: a tenant counts as unfunded
+// while its quota is nearly spent over all routers. The figures follow the route: up to a wait of its target latency the
+// ceiling holds, which is the most output that was asked for on it; from allowanceFloorTargets times the target on the
+// floor does, the ceiling over allowanceFloorDivisor. Both ratios are the source's.
 const (
-	allowanceFloorDivisor  = 8
-	allowanceFloorTargets  = 5
-	assumedTokensPerSecond = 10 // tokens a second of a runner that has completed no stream
+	allowanceFloorDivisor  = 8  // ceiling over floor: 4096 tokens over 512
+	allowanceFloorTargets  = 5  // target latencies of wait: 300 s over 60 s
+	assumedTokensPerSecond = 10 // of a runner that has completed no stream
 )
 
-// judgeAllowance decides once, when the request arrives, whether an unfunded tenant may ask for so much.
-func (r *request) judgeAllowance() error {
+// applyAllowance decides once, when the request arrives, whether an unfunded tenant may ask for so much output.
+func (r *request) applyAllowance() error {
 	if r.meta.OutputTokens == 0 || r.service.Engine == nil {
 		return nil
 	}
@@ -25,18 +25,18 @@
 	if r.funded() {
 		return nil
 	}
-	feeds := r.gateway.Balancer.Feeds(r.service.Name, r.meta.Model)
-	verdict := allow.Decide(allowanceRule(&r.route.RouteSpec, ceiling), allow.Demand{Tokens: r.meta.OutputTokens}, feeds, 0)
+	estimates := r.gateway.Balancer.Feeds(r.service.Name, r.meta.Model)
+	verdict := allow.Decide(allowanceRule(&r.route.RouteSpec, ceiling), allow.Demand{Tokens: r.meta.OutputTokens}, estimates, 0)
 	switch verdict.Outcome {
 	case allow.NoFunds:
-		return rejectAllowance
+		return reject(CodeAllowance)
 	case allow.NoRunner:
-		return rejectNoRunner
+		return reject(CodeNoRunner)
 	}
 	return nil
 }
 
-// allowanceRule gives the allowance's figures of a route, of which ceiling tokens at most were asked for.
+// allowanceRule gives the allowance's figures of a route on which ceiling tokens at most were asked for.
 func allowanceRule(route *routing.RouteSpec, ceiling int) fleetconfig.Allowance {
 	return fleetconfig.Allowance{Ceiling: ceiling, Floor: ceiling / allowanceFloorDivisor, Full: route.TargetLatency,
 		Low: allowanceFloorTargets * route.TargetLatency, Rate: assumedTokensPerSecond}
--- a/internal/dataplane/gateway/bounds_test.go
+++ b/internal/dataplane/gateway/bounds_test.go
@@ -1,7 +1,6 @@
 package gateway
 
 import (
-	"io"
 	"net"
 	"net/http"
 	"strconv"
@@ -13,15 +12,15 @@
 )
 
 // slack is how much later than its bound an answer may come here.
-const slack = 500 * time.Millisecond
+const timingTolerance = 500 * time.Millisecond
 
 // A request that nobody has answered by its route's time is answered then, whatever its client would wait.
-func TestRouteTimeEndsARequest(t *testing.T) {
+func TestRouteTimeout(t *testing.T) {
 	bounded := route(routing.Unsafe, 1, false)
 	bounded.Timeout = 150 * time.Millisecond
 	f := newFleet(t, bounded)
-	f.runner("silent", func(_ http.ResponseWriter, r *http.Request) {
-		io.Copy(io.Discard, r.Body)
+	f.addRunner("silent", func(_ http.ResponseWriter, r *http.Request) {
+		drainBody(r.Body)
 		<-r.Context().Done()
 	})
 	begun := time.Now()
@@ -29,15 +28,15 @@
 	if err != nil || answer.StatusCode != http.StatusGatewayTimeout {
 		t.Fatal(answer, err)
 	}
-	if took := time.Since(begun); took < bounded.Timeout || took > bounded.Timeout+slack {
+	if took := time.Since(begun); took < bounded.Timeout || took > bounded.Timeout+timingTolerance {
 		t.Errorf("answered after %s, its route's time is %s", took, bounded.Timeout)
 	}
 }
 
 // However many runners fail, a request is sent to no more of them than its route allows.
-func TestAttemptsAreBounded(t *testing.T) {
+func TestMaxAttempts(t *testing.T) {
 	f := newFleet(t, route(routing.Safe, 2, false))
-	f.runner("good", good("text"))
+	f.addRunner("good", respondWith("text"))
 	for range 8 { // earn further tries
 		if answer, _, err := f.send("1", "/a/x", "k1", ""); err != nil || answer.StatusCode != http.StatusOK {
 			t.Fatal(answer, err)
@@ -46,9 +45,9 @@
 	f.runners = nil
 	var sent atomic.Int64
 	for _, id := range []string{"one", "two", "three", "four"} {
-		f.raw(id, func(con net.Conn, _ *http.Request) {
+		f.addRawRunner(id, func(con net.Conn, _ *http.Request) {
 			sent.Add(1)
-			con.Close()
+			closeQuietly(con)
 		})
 	}
 	answer, _, err := f.send("1", "/a/x", "k1", "")
@@ -58,16 +57,16 @@
 }
 
 // A runner is handed the time that is left, also on a further attempt.
-func TestTimeLeftIsHandedOn(t *testing.T) {
+func TestRemainingTimeIsForwarded(t *testing.T) {
 	f := newFleet(t, route(routing.Safe, 2, false))
 	const pause = 120 * time.Millisecond
 	handed := make(chan time.Duration, 2)
 	for _, id := range []string{"one", "two"} {
-		f.raw(id, func(con net.Conn, request *http.Request) {
+		f.addRawRunner(id, func(con net.Conn, request *http.Request) {
 			left, _ := strconv.Atoi(request.Header.Get("Test-Left"))
 			handed <- time.Duration(left) * time.Millisecond
 			time.Sleep(pause)
-			con.Close()
+			closeQuietly(con)
 		})
 	}
 	if _, _, err := f.send("1", "/a/x", "k1", "", "Test-Deadline", "2000"); err != nil {
--- a/internal/dataplane/gateway/counters.go
+++ b/internal/dataplane/gateway/counters.go
@@ -9,23 +9,25 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// counters count how requests ended, by route and outcome, since the start.
+// counters count how requests ended, by route and code, since the start. mu guards both maps.
 type counters struct {
 	mu       *sync.Mutex
 	ended    map[endKey]int
 	reported map[endKey]int // of these, in the log by now
 }
 
-type endKey struct{ Route, Code string }
-
-// codeDone is the outcome of a request that was answered with its runner's whole answer.
-const codeDone = "done"
+// endKey is one way in which requests of a route end.
+type endKey struct {
+	route string // "none": no route was found
+	code  Code
+}
 
 func newCounters() counters {
 	return counters{mu: &sync.Mutex{}, ended: map[endKey]int{}, reported: map[endKey]int{}}
 }
 
-func (c counters) add(r *request, code string) {
+// add counts a request that ended.
+func (c counters) add(r *request, code Code) {
 	name := "none"
 	if r.route != nil {
 		name = r.route.Name
@@ -35,41 +37,41 @@
 	c.ended[endKey{name, code}]++
 }
 
-// unreported gives what has been counted since it was last asked, in the order of routes and codes.
+// unreported gives what has been counted since the last call, in the order of routes and codes.
 func (c counters) unreported() []slog.Attr {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var news []slog.Attr
+	var counts []slog.Attr
 	for key, count := range c.ended {
-		if fresh := count - c.reported[key]; fresh > 0 {
-			news = append(news, slog.Int(key.Route+"/"+key.Code, fresh))
+		if added := count - c.reported[key]; added > 0 {
+			counts = append(counts, slog.Int(key.route+"/"+string(key.code), added))
 			c.reported[key] = count
 		}
 	}
-	sort.Slice(news, func(i, j int) bool { return news[i].Key < news[j].Key })
-	return news
+	sort.Slice(counts, func(i, j int) bool { return counts[i].Key < counts[j].Key })
+	return counts
 }
 
 var requestsEnded = prometheus.NewDesc("yarrowridge_requests_total", "Requests ended, by route and code.", []string{"route", "code"}, nil)
 
-// Describe names the metric, as prometheus asks for.
+// Describe implements prometheus.Collector.
 func (c counters) Describe(out chan<- *prometheus.Desc) { out <- requestsEnded }
 
-// Collect reads the counts, as prometheus asks for.
+// Collect implements prometheus.Collector. It may run concurrently with requests.
 func (c counters) Collect(out chan<- prometheus.Metric) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for key, count := range c.ended {
-		out <- prometheus.MustNewConstMetric(requestsEnded, prometheus.CounterValue, float64(count), key.Route, key.Code)
+		out <- prometheus.MustNewConstMetric(requestsEnded, prometheus.CounterValue, float64(count), key.route, string(key.code))
 	}
 }
 
-// Counts tells how requests ended since the start, for metrics.
+// Counts is the metric of how requests ended since the start.
 func (g *Gateway) Counts() prometheus.Collector { return g.counts }
 
 // Report logs how many requests ended how since the last report, if any did.
 func (g *Gateway) Report() {
-	if news := g.counts.unreported(); len(news) > 0 {
-		g.Log.LogAttrs(context.Background(), slog.LevelInfo, "Requests ended.", news...)
+	if counts := g.counts.unreported(); len(counts) > 0 {
+		g.Log.LogAttrs(context.Background(), slog.LevelInfo, "Requests ended.", counts...)
 	}
 }
--- a/internal/dataplane/gateway/handover_test.go
+++ b/internal/dataplane/gateway/forwarding_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"net/http"
 	"testing"
 	"time"
@@ -11,15 +10,15 @@
 )
 
 // An answer that is not a success goes to the client as the runner gave it: status, seal, other headers and body.
-func TestFailureKeepsStatusAndSeal(t *testing.T) {
+func TestFailureIsForwardedUnchanged(t *testing.T) {
 	for _, status := range []int{400, 404, 409, 422, 429, 499, 500, 501, 507} {
 		f := newFleet(t, route(routing.Unsafe, 3, false))
-		f.runner("one", func(w http.ResponseWriter, r *http.Request) {
+		f.addRunner("one", func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Test-Id", r.Header.Get("Test-Id"))
 			w.Header().Set("Test-Seal", "s")
 			w.Header().Set("X-Reason", "as told")
 			w.WriteHeader(status)
-			io.WriteString(w, "why it failed")
+			writeText(w, "why it failed")
 		})
 		answer, text, err := f.send("1", "/a/x", "k1", "asked")
 		if err != nil {
@@ -35,9 +34,9 @@
 func TestUrgencyByTenantAndRoute(t *testing.T) {
 	f := newFleet(t, route(routing.Unsafe, 1, false))
 	var seen string
-	f.runner("one", func(w http.ResponseWriter, r *http.Request) {
+	f.addRunner("one", func(w http.ResponseWriter, r *http.Request) {
 		seen = r.Header.Get("Test-Urgency")
-		good("text")(w, r)
+		respondWith("text")(w, r)
 	})
 	for _, c := range []struct{ tenant, route, want int }{{0, 0, 0}, {0, 2, 2}, {1, 0, 3}, {1, 2, 5}, {2, 2, 8}, {3, 3, 9}, {0, -1, 0}} {
 		asked := route(routing.Unsafe, 1, false)
@@ -86,12 +85,14 @@
 			aimed.TargetLatency = c.aim
 			f := newFleet(t, aimed)
 			var seen string
-			f.runner("one", func(w http.ResponseWriter, r *http.Request) {
+			f.addRunner("one", func(w http.ResponseWriter, r *http.Request) {
 				seen = r.Header.Get("Test-Urgency")
-				good("text")(w, r)
+				respondWith("text")(w, r)
 			})
 			if c.longest != "" {
-				f.send("1", "/a/x", "k1", "", "Test-Deadline", c.longest)
+				if _, _, err := f.send("1", "/a/x", "k1", "", "Test-Deadline", c.longest); err != nil {
+					t.Fatal(err)
+				}
 			}
 			begun := time.Now()
 			f.gateway.Ready = func() string {
--- a/internal/dataplane/gateway/fuzz_test.go
+++ b/internal/dataplane/gateway/fuzz_test.go
@@ -20,16 +20,16 @@
 )
 
 // gatewayBefore is a gateway with one runner, which answers every request with these bytes and closes.
-func gatewayBefore(t *testing.T, answer []byte) *Gateway {
+func gatewayWithRunner(t *testing.T, answer []byte) *Gateway {
 	balancer := balance.New("north")
 	balancer.Update([]routing.Runner{{ID: "one", Service: "desk", Address: "10.0.0.1:1", Zone: "north", State: routing.RunnerReady}})
 	pool := upstream.New(upstream.Options{Dial: func(context.Context, string) (net.Conn, error) {
 		near, far := net.Pipe()
 		go func() {
-			defer far.Close()
+			defer closeQuietly(far)
 			if request, err := http.ReadRequest(bufio.NewReader(far)); err == nil {
-				io.Copy(io.Discard, request.Body)
-				far.Write(answer)
+				drainBody(request.Body)
+				writeText(far, string(answer))
 			}
 		}()
 		return near, nil
@@ -41,12 +41,12 @@
 		t.Fatal(flaws)
 	}
 	return New(Options{Dialect: testDialect{}, Table: func() *routing.Table { return table }, Ready: func() string { return "" }, Balancer: balancer,
-		Pool: pool, Quotas: &freeQuotas{}, LocalShare: func(n int) int { return n }, Log: slog.New(slog.DiscardHandler)})
+		Pool: pool, Quotas: &fakeQuotas{}, LocalShare: func(n int) int { return n }, Log: slog.New(slog.DiscardHandler)})
 }
 
 // sealedAnswer tells, by another reader of HTTP, which body a runner's bytes hold as a whole sealed success
 // for the request with this id. known is false where they hold none.
-func sealedAnswer(raw []byte, id string) (body string, known bool) {
+func sealedResponse(raw []byte, id string) (body string, known bool) {
 	reader := bufio.NewReader(bytes.NewReader(raw))
 	for {
 		answer, err := http.ReadResponse(reader, &http.Request{Method: http.MethodPost})
@@ -82,7 +82,7 @@
 
 // Whatever bytes a runner answers with, a client gets a success only where they hold the runner's whole sealed
 // answer to its request, and then with the body unchanged.
-func FuzzRunnerAnswer(f *testing.F) {
+func FuzzRunnerResponse(f *testing.F) {
 	for _, seed := range []string{
 		"HTTP/1.1 200 OK\r\nTest-Id: 1\r\nTest-Seal: s\r\nContent-Length: 2\r\n\r\nok",
 		"HTTP/1.1 200 OK\r\nTest-Id: 1\r\nContent-Length: 2\r\n\r\nok",
@@ -94,17 +94,17 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		gateway := gatewayBefore(t, raw)
+		gateway := gatewayWithRunner(t, raw)
 		request := httptest.NewRequest(http.MethodPost, "/a/x", strings.NewReader("asked"))
 		request.Host = testHost
 		request.Header.Set("Test-Id", "1")
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
 		got := httptest.NewRecorder()
-		if !servedWhole(gateway, got, request.WithContext(ctx)) || got.Code/100 != 2 {
+		if !servedComplete(gateway, got, request.WithContext(ctx)) || got.Code/100 != 2 {
 			return
 		}
-		body, known := sealedAnswer(raw, "1")
+		body, known := sealedResponse(raw, "1")
 		if !known || body != got.Body.String() {
 			t.Fatalf("the client got %d with %q, the runner's answer is %q (sealed and whole: %v)", got.Code, got.Body, body, known)
 		}
@@ -112,7 +112,7 @@
 }
 
 // servedWhole reports whether the answer was not cut off.
-func servedWhole(gateway *Gateway, w http.ResponseWriter, request *http.Request) (whole bool) {
+func servedComplete(gateway *Gateway, w http.ResponseWriter, request *http.Request) (whole bool) {
 	defer func() {
 		if failure := recover(); failure != nil && failure != http.ErrAbortHandler {
 			panic(failure)
--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"log/slog"
 	"net/http"
 	"sync/atomic"
@@ -13,42 +14,26 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// Quotas keeps tenants within their limits.
+// Quotas keeps tenants within their limits. Requests call it concurrently.
 type Quotas interface {
-	// Reserve holds so many units of a quota. False: too few are left for now; when to ask again.
-	Reserve(ctx context.Context, quota string, units int) (bool, time.Duration)
-	// Spend turns a reservation into spent units: the request leaves for a runner now.
+	// Reserve reserves units of a quota. It may block until ctx ends, while it asks for more. False: too few are left for
+	// now; retryAfter is when to ask again.
+	Reserve(ctx context.Context, quota string, units int) (ok bool, retryAfter time.Duration)
+	// Spend turns a reservation into spent units: the request has been sent to a runner. It does not block.
 	Spend(quota string, units int)
-	// Release ends a reservation unspent.
+	// Release ends a reservation unspent. It does not block.
 	Release(quota string, units int)
 	// Scarce reports whether the quota is nearly spent over all routers.
 	Scarce(quota string) bool
 }
 
-// RetryBounds bound the second attempts of the whole fleet at one service.
+// RetryBounds bound the retries of the whole fleet at one service.
 type RetryBounds struct {
-	Ratio     float64
-	Allowance int
+	Ratio     float64 // retries that each request earns
+	Allowance int     // retries on top, over all routers
 }
 
-// KeyBounds tell for how long tenants' keys hold at a router that cannot ask whether they still do.
-type KeyBounds struct {
-	// Term is within which a key that a configuration took away is of no use anywhere, from that configuration's
-	// acknowledgement. 0: a router goes by the configuration that it has.
-	Term time.Duration
-	// ConfirmedAt is the latest moment of which all configurations acknowledged before it are known to be obeyed.
-	ConfirmedAt func() time.Time
-}
-
-// clockDriftDivisor is the part of the term by which two machines' monotonic clocks may differ over it.
-const clockDriftDivisor = 10
-
-// Stale reports whether keys may have been taken away for longer than the term at a moment, without our knowing.
-func (k KeyBounds) Stale(at time.Time) bool {
-	return k.Term > 0 && at.Sub(k.ConfirmedAt()) > k.Term-k.Term/clockDriftDivisor
-}
-
-// Options are what a gateway is made of.
+// Options are what a gateway is made of. All functions are called concurrently and must not block.
 type Options struct {
 	Dialect    Dialect
 	Table      func() *routing.Table // the routing table in force; nil: none yet
@@ -58,19 +43,19 @@
 	Quotas     Quotas
 	Retries    RetryBounds
 	Keys       KeyBounds
-	LocalShare func(whole int) int // this router's part of a whole that all routers share
+	LocalShare func(total int) int // this router's share of a total that all routers divide among them
 	Log        *slog.Logger
 }
 
-// Gateway answers clients.
+// Gateway serves clients' requests. It is an http.Handler.
 type Gateway struct {
 	Options
 	budget          *retry.Budget
 	draining        atomic.Bool
 	open            atomic.Int64
 	counts          counters
-	maxOutputTokens routeMaxima[int]           // the most output that was asked for, in tokens
-	maxDeadlines    routeMaxima[time.Duration] // the longest time that a client has told
+	maxOutputTokens routeMaxima[int]           // the most output that a client asked for
+	maxDeadlines    routeMaxima[time.Duration] // the longest time that a client said it would wait
 }
 
 // New makes a gateway.
@@ -78,13 +63,13 @@
 	return &Gateway{Options: options, budget: retry.New(), counts: newCounters()}
 }
 
-// Drain begins to leave: each answer from now on asks the client to close the connection.
+// Drain begins the graceful shutdown: each response from now on asks the client to close its connection.
 func (g *Gateway) Drain() { g.draining.Store(true) }
 
-// Open counts the requests under way.
+// Open returns how many requests are in flight.
 func (g *Gateway) Open() int { return int(g.open.Load()) }
 
-// ServeHTTP carries one request.
+// ServeHTTP serves one request.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.open.Add(1)
 	defer g.open.Add(-1)
@@ -97,15 +82,15 @@
 		g.counts.add(request, codeDone)
 		return
 	}
-	refusal, known := err.(*Rejection)
-	if !known {
-		g.Log.Error("A request failed by a fault of ours.", "error", err.Error())
-		refusal = failRunnerLost
+	var rejection *Rejection
+	if !errors.As(err, &rejection) {
+		g.Log.Error("Request failed by an internal fault.", "error", err.Error())
+		rejection = reject(CodeRunnerLost)
 	}
-	g.counts.add(request, refusal.Code)
-	if refusal.Status == 0 || request.responseStarted {
-		// The client must not take a cut answer for a whole one.
+	g.counts.add(request, rejection.Code)
+	if rejection.Status == 0 || request.responseStarted {
+		// The client must not take a truncated response for a complete one.
 		panic(http.ErrAbortHandler)
 	}
-	refusal.write(w)
+	rejection.write(w)
 }
--- a/internal/dataplane/gateway/gateway_test.go
+++ b/internal/dataplane/gateway/gateway_test.go
@@ -51,32 +51,32 @@
 }
 
 // freeQuotas lets everything through but what is listed as spent.
-type freeQuotas struct {
-	empty                     map[string]bool
+type fakeQuotas struct {
+	exhausted                 map[string]bool
 	reserved, spent, released atomic.Int64
 	onReserve                 func() // called by each reservation; nil: nothing
 }
 
-func (q *freeQuotas) Reserve(_ context.Context, tenant string, _ int) (bool, time.Duration) {
+func (q *fakeQuotas) Reserve(_ context.Context, tenant string, _ int) (bool, time.Duration) {
 	if q.onReserve != nil {
 		q.onReserve()
 	}
-	if q.empty[tenant] {
+	if q.exhausted[tenant] {
 		return false, time.Second
 	}
 	q.reserved.Add(1)
 	return true, 0
 }
-func (q *freeQuotas) Release(string, int) { q.released.Add(1) }
-func (q *freeQuotas) Scarce(string) bool  { return false }
-func (q *freeQuotas) Spend(string, int)   { q.spent.Add(1) }
+func (q *fakeQuotas) Release(string, int) { q.released.Add(1) }
+func (q *fakeQuotas) Scarce(string) bool  { return false }
+func (q *fakeQuotas) Spend(string, int)   { q.spent.Add(1) }
 
 // fleet is a gateway before runners of the test's making.
 type fleet struct {
 	*testing.T
 	gateway  *Gateway
 	balancer *balance.Balancer
-	quotas   *freeQuotas
+	quotas   *fakeQuotas
 	url      string
 	table    atomic.Pointer[routing.Table]
 	mu       sync.Mutex
@@ -86,8 +86,8 @@
 const testHost = "desk.example"
 
 func newFleet(t *testing.T, routes ...routing.RouteSpec) *fleet {
-	f := &fleet{T: t, balancer: balance.New("north"), quotas: &freeQuotas{empty: map[string]bool{}}}
-	f.put(1, routes...)
+	f := &fleet{T: t, balancer: balance.New("north"), quotas: &fakeQuotas{exhausted: map[string]bool{}}}
+	f.setTable(1, routes...)
 	pool := upstream.New(upstream.Options{})
 	t.Cleanup(pool.Close)
 	f.gateway = New(Options{Dialect: testDialect{}, Table: f.table.Load, Ready: func() string { return "" }, Balancer: f.balancer, Pool: pool,
@@ -98,7 +98,7 @@
 	return f
 }
 
-func (f *fleet) put(revision uint64, routes ...routing.RouteSpec) {
+func (f *fleet) setTable(revision uint64, routes ...routing.RouteSpec) {
 	spec := routing.Spec{Revision: revision, Routes: routes, Services: []routing.Service{{Name: "desk"}},
 		Tenants: []routing.TenantSpec{{Name: "yard", Keys: []string{"k1"}, Rate: 100}},
 		Limits:  routing.Limits{BodyBytes: 1000}}
@@ -115,19 +115,19 @@
 }
 
 // runner adds a runner that answers with handler.
-func (f *fleet) runner(id string, handler http.HandlerFunc) {
+func (f *fleet) addRunner(id string, handler http.HandlerFunc) {
 	server := httptest.NewServer(handler)
 	f.Cleanup(server.Close)
-	f.at(id, server.Listener.Addr().String())
+	f.addRunnerAt(id, server.Listener.Addr().String())
 }
 
 // raw adds a runner that does with each connection's requests what answer says.
-func (f *fleet) raw(id string, answer func(con net.Conn, request *http.Request)) {
+func (f *fleet) addRawRunner(id string, answer func(con net.Conn, request *http.Request)) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Cleanup(func() { listener.Close() })
+	f.Cleanup(func() { closeQuietly(listener) })
 	go func() {
 		for {
 			con, err := listener.Accept()
@@ -135,23 +135,23 @@
 				return
 			}
 			go func() {
-				defer con.Close()
+				defer closeQuietly(con)
 				reader := bufio.NewReader(con)
 				for {
 					request, err := http.ReadRequest(reader)
 					if err != nil {
 						return
 					}
-					io.Copy(io.Discard, request.Body)
+					drainBody(request.Body)
 					answer(con, request)
 				}
 			}()
 		}
 	}()
-	f.at(id, listener.Addr().String())
+	f.addRunnerAt(id, listener.Addr().String())
 }
 
-func (f *fleet) at(id, address string) {
+func (f *fleet) addRunnerAt(id, address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.runners = append(f.runners, routing.Runner{ID: id, Service: "desk", Address: address, Zone: "north", State: routing.RunnerReady, Slots: 8})
@@ -172,28 +172,28 @@
 	if err != nil {
 		return nil, "", err
 	}
-	defer answer.Body.Close()
+	defer closeQuietly(answer.Body)
 	raw, err := io.ReadAll(answer.Body)
 	return answer, string(raw), err
 }
 
 // good answers in full, with seal and id.
-func good(text string) http.HandlerFunc {
+func respondWith(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Test-Id", r.Header.Get("Test-Id"))
 		w.Header().Set("Test-Seal", "s")
-		io.WriteString(w, text)
+		writeText(w, text)
 	}
 }
 
-func TestWholeAnswer(t *testing.T) {
+func TestBufferedResponse(t *testing.T) {
 	f := newFleet(t, route(routing.Unsafe, 1, false))
 	var seen http.Header
 	var path, body string
-	f.runner("one", func(w http.ResponseWriter, r *http.Request) {
+	f.addRunner("one", func(w http.ResponseWriter, r *http.Request) {
 		raw, _ := io.ReadAll(r.Body)
 		seen, path, body = r.Header.Clone(), r.RequestURI, string(raw)
-		good("text")(w, r)
+		respondWith("text")(w, r)
 	})
 	answer, text, err := f.send("7", "/a/b%20c?x=1&y", "k1", "asked", "Test-Tenant", "other", "X-More", "kept")
 	if err != nil || answer.StatusCode != 200 || text != "text" || answer.Header.Get("Test-Seal") != "s" {
@@ -210,10 +210,10 @@
 	}
 }
 
-func TestOwnAnswers(t *testing.T) {
+func TestRejections(t *testing.T) {
 	f := newFleet(t, route(routing.Unsafe, 1, false))
-	f.runner("one", good("text"))
-	f.quotas.empty["yard"] = true
+	f.addRunner("one", respondWith("text"))
+	f.quotas.exhausted["yard"] = true
 	for _, c := range []struct {
 		path, key, body string
 		want            int
@@ -227,7 +227,7 @@
 			t.Error(c, answer, err)
 		}
 	}
-	f.quotas.empty["yard"] = false
+	f.quotas.exhausted["yard"] = false
 	if answer, _, err := f.send("1", "/a/x", "k1", strings.Repeat("x", 1001)); err != nil || answer.StatusCode != 413 {
 		t.Error(answer, err)
 	}
@@ -237,21 +237,21 @@
 }
 
 // A runner that promises that it did not run a request leaves room for another one, as far as attempts go.
-func TestTurnedAway(t *testing.T) {
-	full := func(w http.ResponseWriter, r *http.Request) {
+func TestRejectedByRunnerIsRetried(t *testing.T) {
+	full := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Test-Not-Run", "1")
 		w.WriteHeader(503)
 	}
 	f := newFleet(t, route(routing.Unsafe, 1, false))
-	f.runner("full", full)
+	f.addRunner("full", full)
 	answer, _, err := f.send("1", "/a/x", "k1", "")
 	if err != nil || answer.StatusCode != 503 || answer.Header.Get("Retry-After") == "" {
 		t.Fatal(answer, err)
 	}
 	f = newFleet(t, route(routing.Unsafe, 3, false))
-	f.runner("full", full)
-	f.runner("moved", func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(421) })
-	f.runner("free", good("text"))
+	f.addRunner("full", full)
+	f.addRunner("moved", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(421) })
+	f.addRunner("free", respondWith("text"))
 	for i := range 5 {
 		if answer, text, err := f.send(fmt.Sprint(i), "/a/x", "k1", ""); err != nil || text != "text" {
 			t.Fatal(i, answer, err)
@@ -260,7 +260,7 @@
 }
 
 // Once a byte may have left, only what may be repeated goes to another runner.
-func TestLostAfterSending(t *testing.T) {
+func TestOnlyIdempotentIsRetriedAfterSending(t *testing.T) {
 	for _, c := range []struct {
 		kind     routing.Kind
 		attempts int
@@ -268,13 +268,13 @@
 	}{{routing.Unsafe, 3, 502}, {routing.Safe, 1, 502}, {routing.Safe, 2, 200}} {
 		f := newFleet(t, route(c.kind, c.attempts, false))
 		var ran atomic.Int64
-		f.raw("cuts", func(con net.Conn, _ *http.Request) { ran.Add(1); con.Close() })
-		f.raw("cuts too", func(con net.Conn, _ *http.Request) { ran.Add(1); con.Close() })
+		f.addRawRunner("cuts", func(con net.Conn, _ *http.Request) { ran.Add(1); closeQuietly(con) })
+		f.addRawRunner("cuts too", func(con net.Conn, _ *http.Request) { ran.Add(1); closeQuietly(con) })
 		if c.want == 200 {
 			f.mu.Lock()
 			f.runners = f.runners[:1]
 			f.mu.Unlock()
-			f.runner("good", good("text"))
+			f.addRunner("good", respondWith("text"))
 		}
 		answer, _, err := f.send("1", "/a/x", "k1", "")
 		if err != nil || answer.StatusCode != c.want {
@@ -287,15 +287,15 @@
 }
 
 // A runner that cannot be reached got nothing: another one is tried, whatever the attempts.
-func TestNotReached(t *testing.T) {
+func TestUnreachableRunnerIsPassedOver(t *testing.T) {
 	f := newFleet(t, route(routing.Unsafe, 1, false))
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.at("down", closed.Addr().String())
-	closed.Close()
-	f.runner("good", good("text"))
+	f.addRunnerAt("down", closed.Addr().String())
+	closeQuietly(closed)
+	f.addRunner("good", respondWith("text"))
 	for i := range 4 {
 		if answer, text, err := f.send(fmt.Sprint(i), "/a/x", "k1", ""); err != nil || text != "text" {
 			t.Fatal(i, answer, text, err)
@@ -304,7 +304,7 @@
 }
 
 // What is not the runner's whole sealed answer to this request is never shown as a success.
-func TestSpoiltAnswers(t *testing.T) {
+func TestDamagedResponsesAreNoSuccess(t *testing.T) {
 	for name, bytes := range map[string]string{
 		"unsealed":   "HTTP/1.1 200 OK\r\nTest-Id: 1\r\nContent-Length: 2\r\n\r\nok",
 		"cut":        "HTTP/1.1 200 OK\r\nTest-Id: 1\r\nTest-Seal: s\r\nContent-Length: 9\r\n\r\nok",
@@ -314,7 +314,7 @@
 		"other's":    "HTTP/1.1 200 OK\r\nTest-Id: 9\r\nTest-Seal: s\r\nContent-Length: 2\r\n\r\nok",
 	} {
 		f := newFleet(t, route(routing.Unsafe, 1, false))
-		f.raw("bad", func(con net.Conn, _ *http.Request) { io.WriteString(con, bytes); con.Close() })
+		f.addRawRunner("bad", func(con net.Conn, _ *http.Request) { writeText(con, bytes); closeQuietly(con) })
 		if answer, text, err := f.send("1", "/a/x", "k1", ""); err == nil && answer.StatusCode < 500 {
 			t.Error(name, answer, text)
 		}
@@ -322,11 +322,11 @@
 }
 
 // An extra answer to an earlier request, in the place where ours is due, is passed over.
-func TestLateExtraAnswer(t *testing.T) {
+func TestLateResponseIsSkipped(t *testing.T) {
 	f := newFleet(t, route(routing.Unsafe, 1, false))
-	f.raw("late", func(con net.Conn, r *http.Request) {
+	f.addRawRunner("late", func(con net.Conn, r *http.Request) {
 		own := "HTTP/1.1 200 OK\r\nTest-Seal: s\r\nContent-Length: 4\r\nTest-Id: " + r.Header.Get("Test-Id") + "\r\n\r\nmine"
-		io.WriteString(con, "HTTP/1.1 200 OK\r\nTest-Seal: s\r\nContent-Length: 5\r\nTest-Id: 0\r\n\r\nother"+own)
+		writeText(con, "HTTP/1.1 200 OK\r\nTest-Seal: s\r\nContent-Length: 5\r\nTest-Id: 0\r\n\r\nother"+own)
 	})
 	for i := 1; i < 4; i++ {
 		if answer, text, err := f.send(fmt.Sprint(i), "/a/x", "k1", ""); err != nil || text != "mine" {
@@ -344,34 +344,34 @@
 }
 
 // streamer sends the events after Last-Event-Id up to its own end, and closes there if that is not the last.
-func streamer(end, last int, askedFor *[]string) func(net.Conn, *http.Request) {
+func streamUpTo(end, last int, askedFor *[]string) func(net.Conn, *http.Request) {
 	return func(con net.Conn, r *http.Request) {
 		from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 		*askedFor = append(*askedFor, r.Header.Get("Last-Event-Id"))
 		text := events(from+1, end)
-		fmt.Fprintf(con, "HTTP/1.1 200 OK\r\nTest-Seal: s%d\r\nTest-Id: %s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n",
-			end, r.Header.Get("Test-Id"), len(text), text)
+		writeText(con, fmt.Sprintf("HTTP/1.1 200 OK\r\nTest-Seal: s%d\r\nTest-Id: %s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n",
+			end, r.Header.Get("Test-Id"), len(text), text))
 		if end == last {
-			io.WriteString(con, "0\r\n\r\n")
+			writeText(con, "0\r\n\r\n")
 			return
 		}
-		io.WriteString(con, "20\r\nid: 99\nda")
-		con.Close()
+		writeText(con, "20\r\nid: 99\nda")
+		closeQuietly(con)
 	}
 }
 
 // A stream that its runner breaks off goes on at another one inside one answer where the route allows it,
 // with no piece missing or doubled; elsewhere it never ends as if it were complete.
-func TestStreams(t *testing.T) {
+func TestStreamIsResumed(t *testing.T) {
 	for _, resume := range []bool{true, false} {
 		f := newFleet(t, route(routing.Streaming, 3, resume))
 		var asked []string
-		f.raw("cuts", streamer(3, 9, &asked))
+		f.addRawRunner("cuts", streamUpTo(3, 9, &asked))
 		answer, text, err := f.send("1", "/a/x", "k1", "")
 		if answer == nil || answer.Header.Get("Test-Seal") != "s3" || text != events(1, 3) || err == nil {
 			t.Fatal(resume, answer, text, err)
 		}
-		f.raw("whole", streamer(9, 9, &asked))
+		f.addRawRunner("whole", streamUpTo(9, 9, &asked))
 		for range 6 { // whichever runner comes first
 			asked = nil
 			_, text, err = f.send("2", "/a/x", "k1", "")
@@ -390,12 +390,12 @@
 }
 
 // Where a client goes away its runner is told.
-func TestClientLeaves(t *testing.T) {
+func TestClientDisconnects(t *testing.T) {
 	f := newFleet(t, route(routing.Unsafe, 1, false))
 	began, left := make(chan bool, 1), make(chan bool, 1)
 	var closed time.Time
-	f.runner("slow", func(w http.ResponseWriter, r *http.Request) {
-		io.Copy(io.Discard, r.Body)
+	f.addRunner("slow", func(_ http.ResponseWriter, r *http.Request) {
+		drainBody(r.Body)
 		began <- true
 		<-r.Context().Done()
 		left <- true
@@ -413,7 +413,7 @@
 		t.Fatal(err)
 	}
 	<-left
-	if took := time.Since(closed); took > slack {
+	if took := time.Since(closed); took > timingTolerance {
 		t.Errorf("the runner learnt of it %s after the client had left", took)
 	}
 }
@@ -421,8 +421,8 @@
 // The deadline ends a request whose runner says nothing, as one that may have run.
 func TestDeadline(t *testing.T) {
 	f := newFleet(t, route(routing.Unsafe, 1, false))
-	f.runner("silent", func(w http.ResponseWriter, r *http.Request) {
-		io.Copy(io.Discard, r.Body)
+	f.addRunner("silent", func(_ http.ResponseWriter, r *http.Request) {
+		drainBody(r.Body)
 		<-r.Context().Done()
 	})
 	answer, _, err := f.send("1", "/a/x", "k1", "", "Test-Deadline", "80")
@@ -432,13 +432,13 @@
 }
 
 // Before a further attempt the newest table is obeyed.
-func TestWithdrawnBetweenAttempts(t *testing.T) {
+func TestRevokedBetweenAttempts(t *testing.T) {
 	f := newFleet(t, route(routing.Safe, 3, false))
-	f.raw("cuts", func(con net.Conn, _ *http.Request) {
+	f.addRawRunner("cuts", func(con net.Conn, _ *http.Request) {
 		moved := route(routing.Safe, 3, false)
 		moved.Prefix = "/elsewhere/"
-		f.put(2, moved)
-		con.Close()
+		f.setTable(2, moved)
+		closeQuietly(con)
 	})
 	answer, _, err := f.send("1", "/a/x", "k1", "")
 	if err != nil || answer.StatusCode != 502 {
@@ -446,7 +446,7 @@
 	}
 }
 
-func TestJourney(t *testing.T) {
+func TestStateChart(t *testing.T) {
 	way := func(j stateChart, states ...State) error {
 		for _, s := range states {
 			if err := j.advance(s); err != nil {
--- a/internal/dataplane/gateway/keys_test.go
+++ b/internal/dataplane/gateway/keys_test.go
@@ -11,7 +11,7 @@
 
 // staleKeys gives a fleet a term for withdrawn keys, and the moment up to which its configuration is known to be the
 // newest.
-func staleKeys(f *fleet, term time.Duration) *atomic.Pointer[time.Time] {
+func setKeyTerm(f *fleet, term time.Duration) *atomic.Pointer[time.Time] {
 	confirmed := &atomic.Pointer[time.Time]{}
 	confirmed.Store(&time.Time{})
 	f.gateway.Keys = KeyBounds{Term: term, ConfirmedAt: func() time.Time { return *confirmed.Load() }}
@@ -28,12 +28,12 @@
 
 // A router that cannot tell whether keys still hold refuses what needs one, whether it knows the key or not, and says when
 // to come back. Public routes go on.
-func TestStaleKeys(t *testing.T) {
+func TestStaleKeysAreRejected(t *testing.T) {
 	public := routing.RouteSpec{Name: "p", Host: testHost, Prefix: "/public/", Kind: routing.Safe, Public: true, MaxAttempts: 1,
 		Timeout: 5 * time.Second, Split: []routing.SplitSpec{{Service: "desk", Weight: 1}}}
 	f := newFleet(t, route(routing.Safe, 1, false), public)
-	f.runner("one", good("text"))
-	confirmed := staleKeys(f, 2*time.Second)
+	f.addRunner("one", respondWith("text"))
+	confirmed := setKeyTerm(f, 2*time.Second)
 	for _, key := range []string{"k1", "unknown"} {
 		if status, header := f.status("/a/", key); status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" {
 			t.Errorf("key %s: %d, Retry-After %q", key, status, header.Get("Retry-After"))
@@ -59,10 +59,10 @@
 }
 
 // A request waits a moment for the word that keys hold, and then goes by what came with it.
-func TestKeysAreAwaited(t *testing.T) {
+func TestRequestWaitsForConfirmedKeys(t *testing.T) {
 	f := newFleet(t, route(routing.Safe, 1, false))
-	f.runner("one", good("text"))
-	confirmed := staleKeys(f, 2*time.Second)
+	f.addRunner("one", respondWith("text"))
+	confirmed := setKeyTerm(f, 2*time.Second)
 	confirm := func(withdrawn bool) {
 		time.Sleep(100 * time.Millisecond)
 		if withdrawn {
@@ -89,8 +89,8 @@
 func TestStaleKeyBeforeTheFirstByte(t *testing.T) {
 	f := newFleet(t, route(routing.Safe, 1, false))
 	var ran atomic.Int64
-	f.runner("one", func(w http.ResponseWriter, r *http.Request) { ran.Add(1); good("text")(w, r) })
-	confirmed := staleKeys(f, 2*time.Second)
+	f.addRunner("one", func(w http.ResponseWriter, r *http.Request) { ran.Add(1); respondWith("text")(w, r) })
+	confirmed := setKeyTerm(f, 2*time.Second)
 	now := time.Now()
 	confirmed.Store(&now)
 	f.quotas.onReserve = func() { confirmed.Store(&time.Time{}) } // as if much time had passed here
--- a/internal/dataplane/gateway/promise_test.go
+++ b/internal/dataplane/gateway/outcome_test.go
@@ -10,20 +10,20 @@
 )
 
 // turnsAway answers that it has no room.
-func turnsAway(w http.ResponseWriter, _ *http.Request) {
+func rejectNotExecuted(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Test-Not-Run", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
 // A request that one runner may have run is not called unrun since the next one turned it away.
-func TestLostThenTurnedAway(t *testing.T) {
+func TestLostThenRejectedByRunner(t *testing.T) {
 	f := newFleet(t, route(routing.Safe, 2, false))
 	cut := make(chan bool, 1)
-	f.raw("cuts", func(con net.Conn, _ *http.Request) {
+	f.addRawRunner("cuts", func(con net.Conn, _ *http.Request) {
 		cut <- true
-		con.Close()
+		closeQuietly(con)
 	})
-	f.runner("full", turnsAway)
+	f.addRunner("full", rejectNotExecuted)
 	for i := range 20 {
 		answer, _, err := f.send(fmt.Sprint(i), "/a/x", "k1", "")
 		if err != nil {
--- a/internal/dataplane/gateway/state.go
+++ b/internal/dataplane/gateway/state.go
@@ -2,30 +2,30 @@
 
 import "github.com/rotisserie/eris"
 
-// State is where a request stands on its way.
+// State is where a request stands on its way from its client to a runner and back.
 type State int
 
-// The states of a request's way.
+// The states of a request.
 const (
 	Received      State = iota // its headers have been read
 	Routed                     // route and service are known
 	Authenticated              // the tenant is known, or none is needed
-	Admitted                   // quota and allowance let it in, its body has been read
+	Admitted                   // quota and allowance admit it, its body has been read
 	Selected                   // a runner has been chosen; no byte has left
 	Sent                       // a byte may have left
-	Responding                 // the runner has begun to answer
-	Completed                  // answered with the runner's whole answer
-	Rejected                   // answered by us; it has not run and never will
-	Failed                     // it may have run, and its answer is lost
+	Responding                 // the runner has begun to respond
+	Completed                  // the client has the runner's complete response
+	Rejected                   // the gateway rejected it; it has not run and never will
+	Failed                     // it may have run, and its response is lost
 )
 
-var stateNames = [...]string{"received", "routed", "authenticated", "admitted", "selected", "sent", "answering", "done", "refused", "failed"}
+var stateNames = [...]string{"received", "routed", "authenticated", "admitted", "selected", "sent", "responding", "completed", "rejected", "failed"}
 
 // String names the state.
 func (s State) String() string { return stateNames[s] }
 
-// follows lists where each state may lead. From Sent and Answering a request gets back to Admitted only
-// where it may be repeated, or where the runner has promised that it did not run.
+// transitions lists where each state may lead. From Sent and Responding a request gets back to Admitted only where it is
+// idempotent, or where the runner promised that it did not run it.
 var transitions = map[State][]State{
 	Received:      {Routed, Rejected},
 	Routed:        {Authenticated, Rejected},
@@ -36,28 +36,31 @@
 	Responding:    {Completed, Admitted, Failed, Rejected},
 }
 
-// journey is the state chart of one request.
+// stateChart is the state of one request. Its goroutine owns it.
 type stateChart struct {
 	state       State
 	idempotent  bool
 	notExecuted bool // the last runner promised that it did not run it
 }
 
-// advance takes a step, or refuses one that the chart does not have.
-func (j *stateChart) advance(to State) error {
-	if j.state == Sent || j.state == Responding {
-		if (to == Admitted && !j.idempotent || to == Rejected) && !j.notExecuted {
-			return eris.Errorf("gateway: step from %s to %s of a request that may have run", j.state, to)
+// advance makes a transition. It fails on one that the chart does not have.
+//
+// Invariant: after a byte may have left, a request that is not idempotent gets back to Admitted, and any request to
+// Rejected, only by the runner's promise that it did not run it. Selected clears that promise: it is the last runner's.
+func (s *stateChart) advance(to State) error {
+	if s.state == Sent || s.state == Responding {
+		if (to == Admitted && !s.idempotent || to == Rejected) && !s.notExecuted {
+			return eris.Errorf("gateway: transition from %s to %s of a request that may have run", s.state, to)
 		}
 	}
-	for _, next := range transitions[j.state] {
+	for _, next := range transitions[s.state] {
 		if next == to {
-			j.state = to
+			s.state = to
 			if to == Selected {
-				j.notExecuted = false
+				s.notExecuted = false
 			}
 			return nil
 		}
 	}
-	return eris.Errorf("gateway: no step leads from %s to %s", j.state, to)
+	return eris.Errorf("gateway: no transition leads from %s to %s", s.state, to)
 }
--- a/internal/dataplane/gateway/stream.go
+++ b/internal/dataplane/gateway/stream.go
@@ -1,7 +1,6 @@
 package gateway
 
 import (
-	"context"
 	"errors"
 	"io"
 	"net/http"
@@ -12,32 +11,34 @@
 	"yarrowridge/internal/dataplane/upstream"
 )
 
-// streamAnswer is the answer of one stream, whichever runners it comes from.
+// streamResponse is the response of one stream, whichever runners it comes from. The request's goroutine owns it.
 type streamResponse struct {
 	request *request
-	lastID  string // of the last event that was handed over
-	events  int
-	control *http.ResponseController
-	guard   *stallGuard
+	lastID  string                   // of the last event that was forwarded
+	control *http.ResponseController // nil: the response's head is not out yet
+	guard   *stallGuard              // of the attempt under way; nil: none
 }
 
-// begun reports whether the answer's head is out.
+// writeGrace is how much longer than the request's deadline a client may take to accept the response's bytes.
+const writeGrace = time.Second
+
+// started reports whether the response's head is out.
 func (s *streamResponse) started() bool { return s.control != nil }
 
-// begin writes the answer's head: that of the first runner, which it keeps.
+// start writes the response's head: that of the first runner, which it keeps.
 func (s *streamResponse) start(head upstream.Head) {
 	if s.started() {
 		return
 	}
 	r := s.request
 	s.control = http.NewResponseController(r.writer)
-	s.control.SetWriteDeadline(r.deadline.Add(time.Second))
+	_ = s.control.SetWriteDeadline(r.deadline.Add(writeGrace)) // a writer without deadlines has none to exceed
 	copyHeader(r.writer.Header(), head.Header)
 	r.responseStarted = true
 	r.writer.WriteHeader(head.Status)
 }
 
-// carry passes a runner's events on as they come.
+// forward forwards a runner's events as they come.
 func (s *streamResponse) forward(chosen *balance.Attempt, exchange *upstream.Exchange, head upstream.Head) (attemptOutcome, error) {
 	r := s.request
 	reader := upstream.NewEventReader(exchange.Body)
@@ -54,20 +55,19 @@
 			if !s.writeEvent(event) {
 				exchange.Abort()
 				chosen.Cancel()
-				return outcomeFinal, failClientLeft
+				return outcomeFinal, reject(CodeClientLeft)
 			}
-			s.events++
 			if id != "" {
 				s.lastID = id
 			}
 		case errors.Is(err, upstream.ErrLeftover) && head.Framed:
 			s.start(head)
-			s.writeEvent(event)
+			s.writeEvent(event) // where the client is gone, the next read ends the attempt
 		case errors.Is(err, io.EOF) && head.Framed:
 			exchange.Finish()
 			chosen.Done()
 			s.start(head)
-			return outcomeEnded, r.progress.advance(Completed)
+			return outcomeEnded, r.chart.advance(Completed)
 		default:
 			exchange.Abort()
 			return s.brokenOff(chosen, err)
@@ -75,7 +75,7 @@
 	}
 }
 
-// isOld reports whether an event of a second run was handed over already.
+// isDuplicate reports whether an event of a second run was forwarded already: IDs that are numbers only go up.
 func (s *streamResponse) isDuplicate(id string) bool {
 	if s.lastID == "" || id == "" {
 		return false
@@ -88,6 +88,7 @@
 	return err == nil && next <= last
 }
 
+// writeEvent forwards an event at once and reports whether the client took it.
 func (s *streamResponse) writeEvent(event []byte) bool {
 	if _, err := s.request.writer.Write(event); err != nil {
 		return false
@@ -95,45 +96,11 @@
 	return s.control.Flush() == nil
 }
 
-// cut judges a stream that its runner broke off.
+// brokenOff classifies a stream that its runner broke off.
 func (s *streamResponse) brokenOff(chosen *balance.Attempt, err error) (attemptOutcome, error) {
 	outcome, failure := s.request.responseLost(chosen, err)
 	if s.started() && outcome == outcomeUnknown {
-		return outcome, failResponseCut
+		return outcome, reject(CodeResponseCut)
 	}
 	return outcome, failure
 }
-
-// silenceGuard ends an attempt whose runner says nothing for far longer than it should, so that the stream
-// can be taken up at another one.
-type stallGuard struct {
-	runner *balance.Runner
-	cancel context.CancelFunc
-	timer  *time.Timer
-}
-
-// silenceCheck is how often a stream without events looks at its runner.
-const stallCheckInterval = 200 * time.Millisecond
-
-func newStallGuard(runner *balance.Runner, cancel context.CancelFunc) *stallGuard {
-	g := &stallGuard{runner: runner, cancel: cancel}
-	g.timer = time.AfterFunc(stallCheckInterval, g.check)
-	return g
-}
-
-func (g *stallGuard) check() {
-	if g.runner.Stalled() {
-		g.cancel()
-		return
-	}
-	g.timer.Reset(stallCheckInterval)
-}
-
-// progress notes an event. A nil guard does nothing.
-func (g *stallGuard) progress() {
-	if g != nil {
-		g.timer.Reset(stallCheckInterval)
-	}
-}
-
-func (g *stallGuard) stop() { g.timer.Stop() }
--- a/internal/dataplane/gateway/start_test.go
+++ b/internal/dataplane/gateway/wait_test.go
@@ -10,9 +10,9 @@
 )
 
 // A request waits for a router that has just started; it is refused as unrun where that takes too long.
-func TestStartWait(t *testing.T) {
+func TestRequestWaitsForConfiguration(t *testing.T) {
 	f := newFleet(t, route(routing.Unsafe, 1, false))
-	f.runner("one", good("text"))
+	f.addRunner("one", respondWith("text"))
 	var ready atomic.Bool
 	f.gateway.Ready = func() string {
 		if ready.Load() {
@@ -37,7 +37,7 @@
 // A router that leaves keeps nobody waiting for a configuration, and asks for each connection to be closed.
 func TestDrainAsksToClose(t *testing.T) {
 	f := newFleet(t, route(routing.Unsafe, 1, false))
-	f.runner("one", good("text"))
+	f.addRunner("one", respondWith("text"))
 	f.gateway.Drain()
 	if answer, text, err := f.send("1", "/a/x", "k1", ""); err != nil || text != "text" || !answer.Close {
 		t.Error(answer, text, err)
