--- a/internal/transport/operator/api.go
+++ b/internal/transport/operator/api.go
@@ -1,5 +1,8 @@
-// Package operator is the operators' HTTP API: reading and changing the fleet's config, and seeing how the
-// fleet is.
+// Package operator is the operators' HTTP API: to read and write the fleet's configuration and to see the fleet's state.
+// A core and every router serve it; what only the core knows is asked of it.
+//
+// Each request is served in three steps: it is parsed, the core is called, and the outcome is written as a response. An
+// error response has one of the codes of this package.
 package operator
 
 import (
@@ -14,60 +17,53 @@
 	"yarrowridge/internal/model/fleetconfig"
 )
 
-// WriteIDHeader is the header with the operator's own id for a write, so that a repeat does not apply twice.
+// WriteIDHeader is the header with an operator's own ID for a write, so that a repeated one is not applied twice.
 const WriteIDHeader = "X-Write-Id"
 
-// API serves the operators of a router or a core.
+// API serves the operators of a router or a core. Its functions are called concurrently.
 type API struct {
 	Ctx     daemon.Context
 	Core    *coreclient.Client
-	KeyHash func() string         // hex SHA-256 of the operators' key
-	Ready   func() string         // why not, or ""
-	Views   map[string]func() any // further things to read, by path
-	Metrics http.Handler
+	KeyHash func() string         // the SHA-256 of the operators' key, in hex
+	Ready   func() string         // why the process is not ready, or ""
+	Views   map[string]func() any // what else operators can read, by path; answered as JSON
+	Metrics http.Handler          // GET /metrics; nil: not served
 }
 
-// Handler makes the API's routes.
+// Handler returns the handler of the API's routes. /alive, /ready and /metrics need no key.
 func (api *API) Handler() (http.Handler, error) {
 	var routes []rest.Route
 	add := func(method, path string, handler http.HandlerFunc) {
 		routes = append(routes, rest.Route{Method: method, Path: path, Handler: handler})
 	}
-	add("GET", "/alive", func(w http.ResponseWriter, _ *http.Request) { web.WriteJSON(w, http.StatusOK, Alive{Alive: true}) })
-	add("GET", "/ready", Ready(api.Ready))
+	add(http.MethodGet, "/alive", alive)
+	add(http.MethodGet, "/ready", Ready(api.Ready))
 	if api.Metrics != nil {
-		add("GET", "/metrics", api.Metrics.ServeHTTP)
+		add(http.MethodGet, "/metrics", api.Metrics.ServeHTTP)
 	}
-	add("GET", "/v1/layout", api.keyed(api.getConfig))
-	add("PUT", "/v1/layout", api.keyed(api.putConfig))
-	add("PATCH", "/v1/layout", api.keyed(api.putConfig))
-	add("GET", "/v1/fleet", api.keyed(api.getFleet))
+	add(http.MethodGet, "/v1/layout", api.authenticated(api.getConfig))
+	add(http.MethodPut, "/v1/layout", api.authenticated(api.putConfig))
+	add(http.MethodPatch, "/v1/layout", api.authenticated(api.putConfig))
+	add(http.MethodGet, "/v1/fleet", api.authenticated(api.getFleet))
 	for path, view := range api.Views {
-		add("GET", path, api.keyed(func(w http.ResponseWriter, _ *http.Request) { web.WriteJSON(w, 200, view()) }))
+		add(http.MethodGet, path, api.authenticated(func(w http.ResponseWriter, _ *http.Request) {
+			web.WriteJSON(w, http.StatusOK, view())
+		}))
 	}
-	return web.Handler(routes, api.keyed(func(w http.ResponseWriter, r *http.Request) {
-		web.WriteError(w, http.StatusNotFound, "unknown-path", "Nothing is served at "+r.Method+" "+r.URL.Path+".")
-	}))
+	return web.Handler(routes, api.authenticated(notFound))
 }
 
-// Ready answers 200 where why gives "", else 503 with the reason.
-func Ready(why func() string) http.HandlerFunc {
-	return func(w http.ResponseWriter, _ *http.Request) {
-		if reason := why(); reason != "" {
-			w.Header().Set("Retry-After", "1")
-			web.WriteJSON(w, http.StatusServiceUnavailable, ReadyState{Why: reason})
-			return
-		}
-		web.WriteJSON(w, http.StatusOK, ReadyState{Ready: true})
-	}
+// notFound answers requests of all other paths and methods.
+func notFound(w http.ResponseWriter, r *http.Request) {
+	web.WriteError(w, http.StatusNotFound, CodeUnknownPath, "Nothing is served at "+r.Method+" "+r.URL.Path+".")
 }
 
-// keyed lets a request through that comes with the operators' key.
-func (api *API) keyed(handler http.HandlerFunc) http.HandlerFunc {
+// authenticated passes on the requests that come with the operators' key.
+func (api *API) authenticated(handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		if !ok || fleetconfig.HashKey(key) != api.KeyHash() {
-			web.WriteError(w, http.StatusUnauthorized, "unknown-key", "The operators' key is expected, as Authorization: Bearer KEY.")
+			web.WriteError(w, http.StatusUnauthorized, CodeUnknownKey, "The operators' key is expected, as Authorization: Bearer KEY.")
 			return
 		}
 		handler(w, r)
--- a/internal/transport/operator/fleet.go
+++ b/internal/transport/operator/fleet.go
@@ -10,25 +10,36 @@
 	"yarrowridge/internal/transport/dissemination"
 )
 
-// getFleet answers with what the core knows of the fleet.
+// readFleetTimeout bounds the core's answer to a read of the fleet's state.
+const readFleetTimeout = 2 * time.Second
+
+// getFleet answers with what the core knows of the fleet, and with the dissemination tree that follows from it.
 func (api *API) getFleet(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), 2*time.Second)
+	ctx, cancel := context.WithTimeout(r.Context(), readFleetTimeout)
 	defer cancel()
 	var state coreapi.State
 	if err := api.Core.Call(ctx, "core.peek", &coreapi.StateRequest{}, &state, true); err != nil {
-		writeRetryable(w, http.StatusServiceUnavailable, "no-core", "The core did not answer in time. GET /v1/standing tells what this process knows.")
+		rejection := errorResponse{status: http.StatusServiceUnavailable, code: CodeNoCore, retryable: true,
+			message: "The core did not answer in time. GET /v1/standing tells what this process knows."}
+		rejection.write(w)
 		return
 	}
-	routers := make([]dissemination.Node, len(state.Nodes))
-	for i, node := range state.Nodes {
+	web.WriteJSON(w, http.StatusOK, FleetResponse{State: state, Neighbours: neighboursByName(state.Nodes)})
+}
+
+// neighboursByName returns the names of each router's neighbours in the dissemination tree.
+func neighboursByName(nodes []coreapi.Node) map[string][]string {
+	routers := make([]dissemination.Node, len(nodes))
+	for i, node := range nodes {
 		routers[i] = dissemination.Node{Name: node.Name, Zone: node.Zone, Addr: node.Addr}
 	}
 	neighbours := map[string][]string{}
 	for _, router := range routers {
-		neighbours[router.Name] = []string{}
+		names := []string{} // none is [] in JSON, not null
 		for _, neighbour := range dissemination.Neighbours(router.Name, routers) {
-			neighbours[router.Name] = append(neighbours[router.Name], neighbour.Name)
+			names = append(names, neighbour.Name)
 		}
+		neighbours[router.Name] = names
 	}
-	web.WriteJSON(w, http.StatusOK, Fleet{State: state, Relays: neighbours})
+	return neighbours
 }
