--- a/internal/controlplane/core/backups.go
+++ b/internal/controlplane/core/backups.go
@@ -11,7 +11,6 @@
 
 // How long backups are kept or left out.
 const (
-	snapshotTimeout  = 2 * time.Second        // one part of a snapshot
 	failedFor        = 5 * time.Second        // a backup that failed is not chosen again for so long where there are others
 	retryFailedAfter = 500 * time.Millisecond // and for so long where there are none
 	calmFor          = 5 * time.Second        // a primary ready for so long may look for better placed backups
@@ -50,10 +49,8 @@
 	if len(chosen) < missing {
 		return false
 	}
-	for _, id := range chosen {
-		delete(s.copiedTo, id)
-	}
-	backups := s.copyAll(v, slices.Concat(keep, chosen))
+	s.replicator.MarkOutOfSync(chosen)
+	backups := s.replicator.SendSnapshots(v, slices.Concat(keep, chosen), s.store.Load())
 	if len(backups) < s.settings.backupCount(v) {
 		s.wake() // those that failed are not chosen again: the next attempt need not wait
 		return false
@@ -80,9 +77,9 @@
 	for _, m := range v.Members {
 		switch {
 		case m.ID == me || slices.Contains(keep, m.ID) || primacy.TimeSinceContact(m.ID, time.Time{}) > aliveWithin:
-		case m.ID != s.predecessor && !s.hasFailedWithin(m.ID, failedFor):
+		case m.ID != s.predecessor && !s.replicator.HasFailedWithin(m.ID, failedFor):
 			free = append(free, m)
-		case !s.hasFailedWithin(m.ID, retryFailedAfter):
+		case !s.replicator.HasFailedWithin(m.ID, retryFailedAfter):
 			lastResort = append(lastResort, m)
 		}
 	}
@@ -90,11 +87,6 @@
 	return append(chosen, spread(lastResort, used, count-len(chosen))...)
 }
 
-// hasFailedWithin reports whether a member failed as backup within the span.
-func (s *Server) hasFailedWithin(id string, span time.Duration) bool {
-	return time.Since(s.failedAt[id]) < span
-}
-
 // spread picks members, those of zones not used yet first.
 func spread(from []view.Member, used map[string]bool, count int) []string {
 	free := slices.SortedFunc(slices.Values(from), func(a, b view.Member) int { return strings.Compare(a.ID, b.ID) })
@@ -125,7 +117,7 @@
 		used[v.ZoneOf(id)] = true
 	}
 	for _, m := range v.Members {
-		if worst != "" && !used[m.Zone] && primacy.TimeSinceContact(m.ID, time.Time{}) < aliveWithin && !s.hasFailedWithin(m.ID, steadyFor) {
+		if worst != "" && !used[m.Zone] && primacy.TimeSinceContact(m.ID, time.Time{}) < aliveWithin && !s.replicator.HasFailedWithin(m.ID, steadyFor) {
 			return worst
 		}
 	}
--- a/internal/controlplane/core/commit.go
+++ b/internal/controlplane/core/commit.go
@@ -149,7 +149,7 @@
 	batch := store.Batch{Version: tx.Committed().Version() + 1, Mutations: tx.LastMutations()}
 	stored, replicated := make(chan error, 1), make(chan []string, 1)
 	go func() { stored <- tx.Committed().Append(batch) }()
-	go func() { replicated <- s.replicate(v, batch) }()
+	go func() { replicated <- s.replicator.Replicate(v, batch) }()
 	tooSlow := time.NewTimer(diskTimeout)
 	defer tooSlow.Stop()
 	select {
@@ -163,7 +163,7 @@
 		return inDoubt
 	}
 	if failed := <-replicated; len(failed) > 0 && !faultinjection.Disabled("backup-copy") {
-		s.noteFailed(failed)
+		s.replicator.RecordFailures(failed)
 		if !s.replaceBackups() {
 			return inDoubt
 		}
--- a/internal/controlplane/core/disk.go
+++ b/internal/controlplane/core/disk.go
@@ -80,10 +80,21 @@
 	}
 }
 
-// reopenStore reads the state from disk anew, and reports whether it could.
-func (s *Server) reopenStore() bool {
-	s.storeGate.Lock()
-	defer s.storeGate.Unlock()
+// host is this process as the host of its replication.Backup.
+type host struct{ s *Server }
+
+func (h host) Store() *store.Store { return h.s.store.Load() }
+func (h host) HasDiskFailed() bool { return h.s.hasDiskFailed() }
+func (h host) FailDisk(err error)  { h.s.failDisk(err) }
+
+// reopenStore recovers the state from disk, and reports whether it could. Nothing is stored as backup meanwhile.
+func (s *Server) reopenStore() (recovered bool) {
+	s.backup.Exclusively(func() { recovered = s.reopenStoreLocked() })
+	return recovered
+}
+
+// reopenStoreLocked is reopenStore while nothing is stored as backup.
+func (s *Server) reopenStoreLocked() bool {
 	s.store.Load().Close() // a write that got stuck must end before the disk is read anew
 	opened, err := store.Open(s.disk, s.ctx.Log)
 	if err != nil {
--- a/internal/controlplane/core/handlers.go
+++ b/internal/controlplane/core/handlers.go
@@ -62,9 +62,9 @@
 	defer cancel()
 	switch kind {
 	case "core.hold":
-		return wire.HandleTyped(body, s.takeBatch)
+		return wire.HandleTyped(body, s.backup.HandleReplicate)
 	case "core.copy":
-		return wire.HandleTyped(body, s.takeSnapshot)
+		return wire.HandleTyped(body, s.backup.HandleSnapshot)
 	case "core.join":
 		return wire.HandleTyped(body, func(request *JoinRequest) (*coreapi.Empty, error) { return s.takeJoin(ctx, request) })
 	case "core.beat":
--- a/internal/controlplane/core/lead.go
+++ b/internal/controlplane/core/lead.go
@@ -135,7 +135,7 @@
 // the former one only where there is nobody else: it has just been lost, or is about to stop.
 func (s *Server) backupsToKeep(v view.View, primacy *lease.Lease, ready bool, ledSince time.Time) []string {
 	keep := slices.DeleteFunc(s.respondingBackups(v, primacy, ledSince), func(id string) bool {
-		return !ready && id == s.predecessor || !s.copiedTo[id] && s.hasFailedWithin(id, failedFor)
+		return !ready && id == s.predecessor || !s.replicator.IsInSync(id) && s.replicator.HasFailedWithin(id, failedFor)
 	})
 	worst := s.misplaced(v, primacy)
 	if len(keep) == len(v.Backups()) && worst != "" && s.attemptDue(replacePause) {
@@ -150,23 +150,17 @@
 	if s.epoch != v.Epoch {
 		if s.epoch == 0 || s.epoch+1 != v.Epoch {
 			s.ledSince, s.lease = time.Now(), lease.New(s.settings.LeaseTerm)
-			clear(s.copiedTo)
+			s.replicator.Reset()
 		} else {
 			s.lease = s.lease.ForNextEpoch() // we led the epoch before: who was silent then still is
 		}
 		s.epoch, s.ready, s.otherPromised = v.Epoch, false, false
 		s.mu.Unlock()
 		// What came in as backup is wholly in or wholly out before we lead on.
-		s.finishStores()
+		s.backup.Exclusively(func() {})
 		s.renew()
 		s.mu.Lock()
 	}
 	defer s.mu.Unlock()
 	return s.lease, s.ready, s.otherPromised, s.ledSince
 }
-
-// finishStores waits for a batch or a snapshot that is being stored.
-func (s *Server) finishStores() {
-	s.storeGate.Lock()
-	defer s.storeGate.Unlock()
-}
--- a/internal/controlplane/core/lease.go
+++ b/internal/controlplane/core/lease.go
@@ -82,8 +82,7 @@
 
 // statusOf asks the process at an address who it is and which view it knows. It needs no disk for its answer.
 func (s *Server) statusOf(ctx context.Context, addr string) (status view.StatusResponse, err error) {
-	err = s.call(ctx, addr, "view.ask", &view.StatusRequest{}, &status)
-	return status, err
+	return paxos.QueryStatus(ctx, s.call, addr)
 }
 
 // probe asks one voter for a sign of life.
--- a/internal/controlplane/core/msgs.go
+++ b/internal/controlplane/core/msgs.go
@@ -1,7 +1,6 @@
 package core
 
 import (
-	"yarrowridge/internal/controlplane/store"
 	"yarrowridge/internal/controlplane/view"
 	"yarrowridge/internal/model/quota"
 )
@@ -11,29 +10,6 @@
 // A length read from the wire is believed up to this only.
 //msgp:limit arrays:10000000 maps:200000
 
-// ReplicateRequest asks a backup to store a batch.
-type ReplicateRequest struct {
-	View    view.View   `msg:"v"`
-	Primary string      `msg:"f"`
-	Batch   store.Batch `msg:"b"`
-}
-
-// SnapshotRequest carries a part of the whole state to a backup that is to be.
-type SnapshotRequest struct {
-	View      view.View        `msg:"v"`
-	Primary   string           `msg:"f"`
-	Snapshot  uint64           `msg:"t"`
-	Chunk     int              `msg:"p"`
-	Last      bool             `msg:"l"`
-	Version   uint64           `msg:"s"`
-	Mutations []store.Mutation `msg:"b"`
-}
-
-// ReplicateResponse answers ReplicateRequest and SnapshotRequest with the backup's identity.
-type ReplicateResponse struct {
-	ID string `msg:"i"`
-}
-
 // JoinRequest is a process that is no member asking to become one.
 type JoinRequest struct {
 	Member view.Member `msg:"w"`
--- a/internal/controlplane/core/server.go
+++ b/internal/controlplane/core/server.go
@@ -15,6 +15,7 @@
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/lease"
 	"yarrowridge/internal/controlplane/paxos"
+	"yarrowridge/internal/controlplane/replication"
 	"yarrowridge/internal/controlplane/runnerregistry"
 	"yarrowridge/internal/controlplane/store"
 	"yarrowridge/internal/controlplane/view"
@@ -28,11 +29,8 @@
 const (
 	tickEvery         = 50 * time.Millisecond
 	stepTimeout       = 500 * time.Millisecond  // one step of a decision
-	backupSilentAfter = 1500 * time.Millisecond // a backup silent so long is let go
+	backupSilentAfter = 1500 * time.Millisecond // a backup silent so long is removed
 	diskTimeout       = 1500 * time.Millisecond // a disk slower than this is in trouble
-	replicateTimeout  = 600 * time.Millisecond  // a backup that holds a write no sooner is let go: all writes wait for it
-	suspectAfter      = 100 * time.Millisecond  // one that has not stored a write by then is asked for a sign of life
-	signOfLifeTimeout = 150 * time.Millisecond  // and let go if it gives none within this
 	replaceTimeout    = 3 * time.Second         // a write waits so long for a new backup
 	replaceStepPause  = 5 * time.Millisecond    // between two looks whether the lease of the new epoch stands: all writes wait
 	nodeLeaseTerm     = 2 * time.Second         // a node's lease
@@ -53,7 +51,7 @@
 	jobs     chan *job
 	runID    uint64 // of this process, at random; not zero
 
-	storeGate runloop.Mutex // held while a batch or a snapshot is taken as backup
+	backup *replication.Backup
 
 	runLoopState
 	documents *configuration.Documents // only the run loop calls its methods
@@ -77,8 +75,6 @@
 	routersBefore int                  // routers that the disk had when we became ready
 	scarceSince   map[string]time.Time // tenants whose idle units are wanted back
 	candidates    map[string]candidate // by identity
-	incoming      *incomingSnapshot    // under way; nil: none
-	lastSnapshot  snapshotNumber       // the newest one begun
 
 	registry       *runnerregistry.Registry
 	runnerStorage  runnerregistry.Storage
@@ -89,15 +85,14 @@
 
 // runLoopState is what only the run loop touches.
 type runLoopState struct {
-	highestBallot    uint64               // highest ballot number seen
-	copiedTo         map[string]bool      // the backups that hold all we hold, in this run
-	deposed          string               // the primary that we took over from
-	predecessor      string               // the primary that we last followed as backup; "" once we are ready
-	nextMemberChange time.Time            // earliest next change of the members
-	nextViewSearch   time.Time            // earliest next look for a newer view
-	nextAttempt      time.Time            // earliest next attempt at what attemptDue guards
-	snapshots        uint64               // sent to backups
-	failedAt         map[string]time.Time // members that lately failed as backup
+	replicator *replication.Replicator
+
+	highestBallot    uint64    // highest ballot number seen
+	deposed          string    // the primary that we took over from
+	predecessor      string    // the primary that we last followed as backup; "" once we are ready
+	nextMemberChange time.Time // earliest next change of the members
+	nextViewSearch   time.Time // earliest next look for a newer view
+	nextAttempt      time.Time // earliest next attempt at what attemptDue guards
 
 	sweptAt       time.Time
 	claimsSweptAt time.Time
@@ -127,24 +122,6 @@
 	lastAsked  time.Time
 }
 
-// incomingSnapshot is what we have, as backup to be, of a snapshot under way.
-type incomingSnapshot struct {
-	number snapshotNumber
-	part   int // the next one expected
-	puts   []store.Mutation
-}
-
-// snapshotNumber orders the snapshots that a backup is sent: an epoch is led by one run of one process, which counts them.
-type snapshotNumber struct {
-	epoch    uint64
-	snapshot uint64
-}
-
-// before reports whether a snapshot was begun before another.
-func (n snapshotNumber) before(other snapshotNumber) bool {
-	return n.epoch < other.epoch || n.epoch == other.epoch && n.snapshot < other.snapshot
-}
-
 // Open reads the disk and makes a core. A disk whose state is damaged counts as blank: its
 // identity is given up, so that it neither votes nor leads on what it no longer has.
 func Open(ctx daemon.Context, settings Settings, disk store.Disk) (*Server, error) {
@@ -168,7 +145,6 @@
 		caller:       wire.NewCaller(ctx.Net),
 		jobs:         make(chan *job, 4*maxBatchJobs),
 		runID:        rand.Uint64() | 1,
-		storeGate:    runloop.NewMutex(),
 		runLoopState: newRunLoopState(),
 		documents:    configuration.New(settings.Codec),
 		lease:        lease.New(settings.LeaseTerm),
@@ -176,6 +152,8 @@
 		scarceSince:  map[string]time.Time{},
 		candidates:   map[string]candidate{},
 	}
+	s.backup = replication.NewBackup(host{s}, voter)
+	s.replicator = replication.NewReplicator(ctx, voter.ID, s.call)
 	s.endedEpoch = voter.View().Epoch
 	s.registry = runnerregistry.New(settings.RunnerSilentAfter, runnerregistry.NewNotifier(s.pushRunners).Notify)
 	s.runnerStorage = runnerregistry.Storage{Committed: s.store.Load, Submit: s.Submit, SubmitLater: s.submitLater}
@@ -188,8 +166,6 @@
 // newRunLoopState makes the run loop's state at the start of the process.
 func newRunLoopState() runLoopState {
 	return runLoopState{
-		copiedTo:    map[string]bool{},
-		failedAt:    map[string]time.Time{},
 		silentSince: map[string]time.Time{},
 		firstSeen:   map[string]time.Time{},
 		poolCache:   newPoolCache(),
--- a/internal/controlplane/paxos/proposer.go
+++ b/internal/controlplane/paxos/proposer.go
@@ -22,6 +22,12 @@
 // CallFunc sends a request to the acceptor at an address and waits for its response. It is called concurrently.
 type CallFunc func(ctx context.Context, addr, kind string, request msgp.Marshaler, response msgp.Unmarshaler) error
 
+// QueryStatus asks the process at an address who it is and which view it knows. The answer does not wait for its disk.
+func QueryStatus(ctx context.Context, call CallFunc, addr string) (status view.StatusResponse, err error) {
+	err = call(ctx, addr, "view.ask", &view.StatusRequest{}, &status)
+	return status, err
+}
+
 // ErrNotChosen means that the proposal is not known to have been chosen: too few acceptors answered, a proposal with a
 // higher number went ahead, or the primary's lease still runs.
 var ErrNotChosen = errors.New("paxos: no view chosen")
--- a/internal/testing/compat/messages_test.go
+++ b/internal/testing/compat/messages_test.go
@@ -15,6 +15,7 @@
 	"yarrowridge/internal/controlplane/core"
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/paxos"
+	"yarrowridge/internal/controlplane/replication"
 	"yarrowridge/internal/controlplane/store"
 	"yarrowridge/internal/controlplane/view"
 	"yarrowridge/internal/dataplane/cluster"
@@ -47,12 +48,12 @@
 	"core.QuotaMovesRequest":  new(coreapi.QuotaMovesRequest),
 	"core.QuotaMovesResponse": new(coreapi.QuotaMovesResponse),
 	"core.QuotaShare":         new(coreapi.QuotaShare),
-	"core.ReplicateRequest":   new(core.ReplicateRequest),
+	"core.ReplicateRequest":   new(replication.ReplicateRequest),
 	"core.RunnerHeartbeat":    new(coreapi.RunnerHeartbeat),
 	"core.RunnerTally":        new(coreapi.RunnerStats),
 	"core.SessionDirectory":   new(coreapi.SessionDirectory),
 	"core.SettleRequest":      new(coreapi.CompleteClaimRequest),
-	"core.SnapshotRequest":    new(core.SnapshotRequest),
+	"core.SnapshotRequest":    new(replication.SnapshotRequest),
 	"core.State":              new(coreapi.State),
 	"core.StoredConfig":       new(coreapi.StoredConfig),
 	"core.WriteHistory":       new(configuration.History),
@@ -63,7 +64,7 @@
 	"core.Empty":              new(coreapi.Empty),
 	"core.FailingRunner":      new(coreapi.FailingRunner),
 	"core.QuotaMoveResult":    new(coreapi.QuotaMoveResult),
-	"core.ReplicateResponse":  new(core.ReplicateResponse),
+	"core.ReplicateResponse":  new(replication.ReplicateResponse),
 	"core.StateRequest":       new(coreapi.StateRequest),
 	"core.WriteRecord":        new(configuration.WriteResult),
 	"node.NodeList":           new(cluster.NodeList),
--- a/internal/testing/modelcheck/replication_test.go
+++ b/internal/testing/modelcheck/replication_test.go
@@ -14,6 +14,7 @@
 	"github.com/tinylib/msgp/msgp"
 
 	"yarrowridge/internal/controlplane/core"
+	"yarrowridge/internal/controlplane/replication"
 	"yarrowridge/internal/controlplane/store"
 	"yarrowridge/internal/controlplane/view"
 	"yarrowridge/internal/lib/daemon"
@@ -47,8 +48,8 @@
 	last bool // of a snapshot
 }
 
-// replication is one course: a primary that copies its state and replicates writes, a backup, and a scheduler in between.
-type replication struct {
+// replicationCourse is one course: a primary that copies its state and replicates writes, a backup, and a scheduler in between.
+type replicationCourse struct {
 	bounds replicationBounds
 	disk   *sim.Disk
 	backup *core.Server
@@ -68,8 +69,8 @@
 }
 
 // newReplication begins a course: the primary holds one write, the backup nothing.
-func newReplication(ctx context.Context, t *testing.T, bounds replicationBounds) *replication {
-	r := &replication{bounds: bounds, ctx: ctx, disk: diskOf(t, backupID), values: []string{"first"}, acknowledged: []string{"first"}}
+func newReplication(ctx context.Context, t *testing.T, bounds replicationBounds) *replicationCourse {
+	r := &replicationCourse{bounds: bounds, ctx: ctx, disk: diskOf(t, backupID), values: []string{"first"}, acknowledged: []string{"first"}}
 	members := []view.Member{{ID: primaryID, Addr: "10.0.0.1:1"}, {ID: backupID, Addr: "10.0.0.2:1"}}
 	r.view = view.View{Epoch: 1, Primary: primaryID, Members: members}.WithBackups([]string{backupID})
 	r.startBackup(t)
@@ -77,7 +78,7 @@
 }
 
 // startBackup opens the backup from its disk. Its run loop rests: it only answers calls.
-func (r *replication) startBackup(t *testing.T) {
+func (r *replicationCourse) startBackup(t *testing.T) {
 	where := daemon.Context{Context: r.ctx, Name: backupID, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Net: wire.TCP{}}
 	backup, err := core.Open(where, core.Settings{Addr: "10.0.0.2:1"}, r.disk.Use())
 	if err != nil {
@@ -99,7 +100,7 @@
 )
 
 // moves lists what may happen next, in a fixed order.
-func (r *replication) moves() []string {
+func (r *replicationCourse) moves() []string {
 	var moves []string
 	switch {
 	case r.outstanding != nil:
@@ -129,7 +130,7 @@
 }
 
 // take makes one move.
-func (r *replication) take(t *testing.T, move string) {
+func (r *replicationCourse) take(t *testing.T, move string) {
 	switch move {
 	case sendNext:
 		r.send()
@@ -153,20 +154,20 @@
 }
 
 // send has the primary make its next call: a part of a snapshot until the backup holds all, then a write.
-func (r *replication) send() {
+func (r *replicationCourse) send() {
 	if r.holds {
 		r.bounds.writes--
 		r.written++
 		r.values = append(r.values, fmt.Sprint("write ", r.written))
 		batch := store.Batch{Version: uint64(len(r.values)), Mutations: r.puts(len(r.values)-1, len(r.values))}
 		r.outstanding = &replicationCall{name: r.values[len(r.values)-1], kind: "core.hold",
-			body: &core.ReplicateRequest{View: r.view, Primary: primaryID, Batch: batch}}
+			body: &replication.ReplicateRequest{View: r.view, Primary: primaryID, Batch: batch}}
 		return
 	}
 	if r.nextPart == 0 {
 		r.snapshots++
 	}
-	request := &core.SnapshotRequest{View: r.view, Primary: primaryID, Snapshot: r.snapshots, Version: uint64(len(r.values)), Chunk: r.nextPart}
+	request := &replication.SnapshotRequest{View: r.view, Primary: primaryID, Snapshot: r.snapshots, Version: uint64(len(r.values)), Chunk: r.nextPart}
 	switch {
 	case r.bounds.parts == 1:
 		request.Last, request.Mutations = true, r.puts(0, len(r.values))
@@ -181,7 +182,7 @@
 }
 
 // puts are the primary's writes from one index to another, as its store holds them.
-func (r *replication) puts(from, to int) []store.Mutation {
+func (r *replicationCourse) puts(from, to int) []store.Mutation {
 	var puts []store.Mutation
 	for i := from; i < to; i++ {
 		puts = append(puts, store.Mutation{Key: writeKey(i), Value: []byte(r.values[i])})
@@ -192,7 +193,7 @@
 func writeKey(index int) string { return fmt.Sprint("write/", index) }
 
 // deliver has the backup take a call, and reports whether it did.
-func (r *replication) deliver(t *testing.T, call *replicationCall) bool {
+func (r *replicationCourse) deliver(t *testing.T, call *replicationCall) bool {
 	raw, err := call.body.MarshalMsg(nil)
 	if err != nil {
 		t.Fatal(err)
@@ -204,7 +205,7 @@
 }
 
 // hear has the primary take the answer to its call.
-func (r *replication) hear(call *replicationCall, taken bool) {
+func (r *replicationCourse) hear(call *replicationCall, taken bool) {
 	if !taken {
 		r.holds, r.nextPart = false, 0
 		return
@@ -218,7 +219,7 @@
 }
 
 // giveUp has the primary wait for its call no longer. The call stays on its way.
-func (r *replication) giveUp() {
+func (r *replicationCourse) giveUp() {
 	if r.outstanding != nil {
 		r.strays = append(r.strays, r.outstanding)
 	}
@@ -226,7 +227,7 @@
 }
 
 // restartPrimary ends the primary's run; the next one begins an epoch. Its last write may be missing on its disk.
-func (r *replication) restartPrimary(withoutLast bool) {
+func (r *replicationCourse) restartPrimary(withoutLast bool) {
 	r.giveUp()
 	if withoutLast {
 		r.values = r.values[:len(r.values)-1]
@@ -238,7 +239,7 @@
 }
 
 // deliverLate has a call arrive that the primary waits for no longer, and perhaps stay on its way once more.
-func (r *replication) deliverLate(t *testing.T, move string) {
+func (r *replicationCourse) deliverLate(t *testing.T, move string) {
 	name, twice := strings.CutPrefix(move, deliverStrayTwice)
 	if !twice {
 		name = strings.TrimPrefix(move, deliverStray)
@@ -254,7 +255,7 @@
 }
 
 // held reads the writes that the backup's disk holds. The course ends with it.
-func (r *replication) held(t *testing.T) (sequence uint64, values map[string]string) {
+func (r *replicationCourse) held(t *testing.T) (sequence uint64, values map[string]string) {
 	replica, err := store.Open(r.disk.Use(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -265,7 +266,7 @@
 }
 
 // ownWrites are the primary's writes by their keys.
-func (r *replication) ownWrites() map[string]string {
+func (r *replicationCourse) ownWrites() map[string]string {
 	writes := map[string]string{}
 	for i, value := range r.values {
 		writes[writeKey(i)] = value
@@ -275,7 +276,7 @@
 
 // flaw tells which acknowledged write the backup, once it has held everything, holds no longer; or where its copy differs
 // from the primary's state although the primary counts it as whole.
-func (r *replication) flaw(sequence uint64, values map[string]string) string {
+func (r *replicationCourse) flaw(sequence uint64, values map[string]string) string {
 	if r.holds && r.outstanding == nil && (int(sequence) != len(r.values) || !maps.Equal(values, r.ownWrites())) {
 		return fmt.Sprintf("the primary counts the copy as whole and is at %q, the backup is at %d with %v", r.values, sequence, values)
 	}
@@ -288,7 +289,7 @@
 }
 
 // state describes all that what follows depends on.
-func (r *replication) state(sequence uint64, values map[string]string) string {
+func (r *replicationCourse) state(sequence uint64, values map[string]string) string {
 	var state strings.Builder
 	fmt.Fprint(&state, r.bounds, r.view.Epoch, r.values, r.acknowledged, r.written, r.holds, r.everHeld, r.snapshots, r.nextPart, sequence)
 	for _, key := range slices.Sorted(maps.Keys(values)) {
--- a/internal/testing/sim/core_test.go
+++ b/internal/testing/sim/core_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/tinylib/msgp/msgp"
 
-	"yarrowridge/internal/controlplane/core"
 	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/replication"
 	"yarrowridge/internal/controlplane/store"
 	"yarrowridge/internal/testing/sim"
 )
@@ -546,7 +546,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		in := core.ReplicateRequest{View: v, Primary: v.Primary, Batch: store.Batch{Version: heir.srv.State().StoreVersion + 1, Mutations: []store.Mutation{{Key: "layout", Value: late}}}}
+		in := replication.ReplicateRequest{View: v, Primary: v.Primary, Batch: store.Batch{Version: heir.srv.State().StoreVersion + 1, Mutations: []store.Mutation{{Key: "layout", Value: late}}}}
 		raw, err := in.MarshalMsg(nil)
 		if err != nil {
 			t.Fatal(err)
