--- a/internal/dataplane/router/gateway.go
+++ b/internal/dataplane/router/gateway.go
@@ -68,7 +68,7 @@
 
 	ctx      daemon.Context
 	settings GatewaySettings
-	sessions *sessionNews
+	sessions *sessionSync
 	table    atomic.Pointer[routing.Table]
 }
 
@@ -85,8 +85,8 @@
 	g.Registry = registry.New(g.Balancer.Update)
 	g.Cluster = cluster.NewMember(ctx.WithComponent("node"), settings.Internal, settings.Data, settings.Seeds, g.seeRecord,
 		cluster.WithDocument(g.take), cluster.WithRegistry(g.Registry), cluster.WithRunnerStats(g.tally, g.takeFindings))
-	g.sessions = newSessionNews(g)
-	g.Cluster.RegisterHandler("session", g.sessions.hand)
+	g.sessions = newSessionSync(g)
+	g.Cluster.RegisterHandler("session", g.sessions.handle)
 	g.QuotaShares = quota.NewShares(ctx.WithComponent("share"), quota.Config{Transfer: newTransferQueue(ctx, g.Cluster).transfer, Nodes: func() int { return len(g.Cluster.Nodes()) },
 		ScarceTenants: g.Cluster.ScarceTenants, Rules: g.rules, RecentContact: g.Cluster.CoreResponsive, InContact: func() bool { return !g.Cluster.CoreSilent() }, Margin: quotaMargin})
 	g.Front = gateway.New(gateway.Options{Dialect: settings.Dialect, Table: g.table.Load, Ready: g.canServe, Balancer: g.Balancer,
@@ -116,7 +116,7 @@
 }
 
 // seeRecord takes news that is neither a configuration nor a runner.
-func (g *Gateway) seeRecord(record dissemination.Record) { g.sessions.see(record) }
+func (g *Gateway) seeRecord(record dissemination.Record) { g.sessions.applyRecord(record) }
 
 // take puts a newer configuration in force.
 func (g *Gateway) take(sequence uint64, raw []byte) error {
@@ -137,7 +137,7 @@
 	if why := g.Cluster.UnavailableReason(); why != "" {
 		return why
 	}
-	if g.sessions.awaited() {
+	if g.sessions.isAwaited() {
 		return "the session directory is being fetched"
 	}
 	return ""
@@ -277,7 +277,7 @@
 	if err := server.Drain(left); err != nil {
 		ctx.Log.Warn("The grace ended before the requests did.", slog.Int("open", g.Front.Open()))
 	}
-	leave(ctx, begun.Add(g.settings.Grace-exitReserve), g.sessions.leave, g.Cluster.Leave)
+	leave(ctx, begun.Add(g.settings.Grace-exitReserve), g.sessions.handOver, g.Cluster.Leave)
 	g.Pool.Close()
 }
 
