--- a/internal/dataplane/router/sessionsync.go
+++ b/internal/dataplane/router/sessionsync.go
@@ -42,9 +42,9 @@
 
 	fetched       atomic.Bool               // from the core, or from a router that has fetched it
 	servableSince atomic.Pointer[time.Time] // when requests could be served first but for the directory; nil: not yet
+	sequence      atomic.Uint64             // of the last record
 
-	// Only the goroutine of run touches these, but for sequence, which handOver counts up as well.
-	sequence         uint64    // of the last record
+	// Only the goroutine of run touches these.
 	fetchAttempts    int       // at other routers
 	persistedChanges uint64    // changes of the directory that the core has
 	persistedAt      time.Time // when it was last sent to the core
@@ -112,9 +112,9 @@
 		s.ctx.Log.Error("Session entries could not be encoded.", "error", err.Error())
 		return dissemination.Record{}, false
 	}
-	s.sequence++
-	key := fmt.Sprintf("%s%s/%x/%d", sessionKeyPrefix, s.ctx.Name, s.ctx.RunID, s.sequence%sessionSlots)
-	return dissemination.Record{Key: key, Version: s.sequence, Body: body}, true
+	sequence := s.sequence.Add(1)
+	key := fmt.Sprintf("%s%s/%x/%d", sessionKeyPrefix, s.ctx.Name, s.ctx.RunID, sequence%sessionSlots)
+	return dissemination.Record{Key: key, Version: sequence, Body: body}, true
 }
 
 // applyRecord merges a record that dissemination brought. Records of other kinds are ignored.
--- a/internal/dataplane/router/sessionsync_test.go
+++ b/internal/dataplane/router/sessionsync_test.go
@@ -4,6 +4,8 @@
 	"context"
 	"errors"
 	"log/slog"
+	"slices"
+	"sync"
 	"testing"
 	"time"
 
@@ -259,6 +261,27 @@
 	}
 }
 
+// The hand-over of a router that shuts down goes on beside its rounds: no two records get one version.
+func TestRecordsHaveDistinctVersions(t *testing.T) {
+	const count = 200
+	s := newSyncFleet(t, "a").routers[0]
+	versions := make([]uint64, 2*count)
+	var group sync.WaitGroup
+	for half := range 2 {
+		group.Go(func() {
+			for i := range count {
+				record, _ := s.nextRecord(nil)
+				versions[half*count+i] = record.Version
+			}
+		})
+	}
+	group.Wait()
+	slices.Sort(versions)
+	if got := len(slices.Compact(versions)); got != 2*count {
+		t.Errorf("got %d versions of %d records, want one each", got, 2*count)
+	}
+}
+
 // A runner that is added starts a round at once.
 func TestAddedRunnerStartsRound(t *testing.T) {
 	f := newSyncFleet(t, "a")
