--- a/internal/testing/drill/drill_test.go
+++ b/internal/testing/drill/drill_test.go
@@ -112,7 +112,7 @@
 // The shipped examples are the mixes' configs, and hold.
 func TestExamples(t *testing.T) {
 	for _, mix := range []Mix{Trentvale(), Tokachi()} {
-		raw, err := os.ReadFile(filepath.Join("..", "..", "examples", mix.Name+".json"))
+		raw, err := os.ReadFile(filepath.Join("..", "..", "..", "examples", mix.Name+".json"))
 		if err != nil {
 			t.Fatal(err)
 		}
