--- a/internal/controlplane/configuration/fleetcodec.go
+++ b/internal/controlplane/configuration/fleetcodec.go
@@ -26,7 +26,7 @@
 	document := Document{
 		Quotas:  map[string]int{},
 		Windows: map[string]time.Duration{},
-		Claims:  ClaimLimits{Retention: config.Limits.Keep, FinishedRetention: config.Limits.RanKeep, MaxFinishedKeys: config.Limits.RanMost},
+		Claims:  ClaimLimits{Retention: config.Limits.ClaimRetention, FinishedRetention: config.Limits.FinishedKeyRetention, MaxFinishedKeys: config.Limits.MaxFinishedKeys},
 	}
 	for _, tenant := range config.Tenants {
 		document.Quotas[tenant.Name] = tenant.Quota.Units
--- a/internal/dataplane/allow/allow.go
+++ b/internal/dataplane/allow/allow.go
@@ -24,7 +24,7 @@
 		if estimate.Rate > 0 {
 			rate += estimate.Rate
 		} else {
-			rate += rule.Rate
+			rate += rule.AssumedTokensPerSecond
 		}
 	}
 	if rate <= 0 || queued <= 0 {
@@ -40,12 +40,12 @@
 // Size is the allowance in tokens for a wait: the ceiling, then a straight line, then the floor.
 func Size(rule fleetconfig.Allowance, wait time.Duration) int {
 	switch {
-	case wait <= rule.Full:
+	case wait <= rule.FullUntil:
 		return rule.Ceiling
-	case wait >= rule.Low:
+	case wait >= rule.FloorFrom:
 		return rule.Floor
 	}
-	part := float64(wait-rule.Full) / float64(rule.Low-rule.Full)
+	part := float64(wait-rule.FullUntil) / float64(rule.FloorFrom-rule.FullUntil)
 	return rule.Ceiling - int(part*float64(rule.Ceiling-rule.Floor))
 }
 
--- a/internal/dataplane/allow/allow_test.go
+++ b/internal/dataplane/allow/allow_test.go
@@ -10,7 +10,7 @@
 	"yarrowridge/internal/model/fleetconfig"
 )
 
-var rule = fleetconfig.Allowance{Ceiling: 4096, Floor: 512, Full: 60 * time.Second, Low: 300 * time.Second, Rate: 10}
+var rule = fleetconfig.Allowance{Ceiling: 4096, Floor: 512, FullUntil: 60 * time.Second, FloorFrom: 300 * time.Second, AssumedTokensPerSecond: 10}
 
 // The curve at its thresholds, between them and past them.
 func TestCurve(t *testing.T) {
@@ -29,12 +29,12 @@
 		for _, estimate := range estimates {
 			sum += estimate.Queued
 			if estimate.Rate == 0 {
-				estimate.Rate = r.Rate
+				estimate.Rate = r.AssumedTokensPerSecond
 			}
 			rate += estimate.Rate
 		}
 		wait := sum / rate
-		full, low := r.Full.Seconds(), r.Low.Seconds()
+		full, low := r.FullUntil.Seconds(), r.FloorFrom.Seconds()
 		size = int(math.Ceil(float64(r.Ceiling) - (wait-full)/(low-full)*float64(r.Ceiling-r.Floor)))
 		size = min(max(size, r.Floor), r.Ceiling)
 	}
@@ -56,8 +56,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		floor := rapid.IntRange(1, 2000).Draw(t, "floor")
 		r := fleetconfig.Allowance{Floor: floor, Ceiling: floor + rapid.IntRange(0, 8000).Draw(t, "above"),
-			Full: time.Duration(rapid.IntRange(0, 200).Draw(t, "full")) * time.Second, Rate: 10}
-		r.Low = r.Full + time.Duration(rapid.IntRange(1, 500).Draw(t, "low"))*time.Second
+			FullUntil: time.Duration(rapid.IntRange(0, 200).Draw(t, "full")) * time.Second, AssumedTokensPerSecond: 10}
+		r.FloorFrom = r.FullUntil + time.Duration(rapid.IntRange(1, 500).Draw(t, "low"))*time.Second
 		estimates := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Estimate {
 			estimate := Estimate{Queued: float64(rapid.IntRange(0, 50000).Draw(t, "queued"))}
 			if rapid.Bool().Draw(t, "measured") {
--- a/internal/dataplane/clientapi/admission.go
+++ b/internal/dataplane/clientapi/admission.go
@@ -33,7 +33,7 @@
 // admit judges the free output allowance once, and reserves the tenant's quota.
 func (x *exchange) admit() error {
 	note := ""
-	if !x.lane.Plain {
+	if !x.lane.WithoutPrompt {
 		verdict, err := x.judgeAllowance()
 		if err != nil {
 			return err
@@ -74,7 +74,7 @@
 func (x *exchange) workAhead() (waiting float64, estimates []allow.Estimate) {
 	// Routers that queue for the same runners drain alike, so beside each token ahead here
 	// others go ahead elsewhere, as far as there are any.
-	ahead := x.server.Scheduler.TokensAhead(x.queueKind, x.lane.Rank, x.tenantIndex)
+	ahead := x.server.Scheduler.TokensAhead(x.queueKind, x.lane.Priority, x.tenantIndex)
 	elsewhere, routers := x.server.Runners.Waiting(x.queueKind)
 	waiting = float64(ahead + min(elsewhere, ahead*routers))
 	for _, instance := range x.eligibleRunners() {
--- a/internal/dataplane/clientapi/claims.go
+++ b/internal/dataplane/clientapi/claims.go
@@ -89,7 +89,7 @@
 // the earlier one. Without the core it doesn't run.
 func (x *exchange) takeClaim() error {
 	key := x.incoming.Header.Get(KeyHeader)
-	if !x.lane.Once || key == "" || faultinjection.Disabled("claim") {
+	if !x.lane.OnceOnly || key == "" || faultinjection.Disabled("claim") {
 		return nil
 	}
 	if len(key) > 200 {
@@ -102,7 +102,7 @@
 	claim := &claim{claims: claims, key: x.tenant.Name + "/" + key, record: coreapi.Claim{RequestHash: hex.EncodeToString(hash.Sum(nil)),
 		Claimant: fmt.Sprintf("%s/%x/%d", claims.ctx.Name, claims.ctx.RunID, claims.next.Add(1)),
 		Node:     claims.ctx.Name, NodeRun: claims.ctx.RunID}}
-	ctx, cancel := context.WithTimeout(x.incoming.Context(), min(x.lane.Patience, 3*time.Second))
+	ctx, cancel := context.WithTimeout(x.incoming.Context(), min(x.lane.QueueTimeout, 3*time.Second))
 	defer cancel()
 	var taken coreapi.ClaimResponse
 	err := x.server.Cluster.Core.Call(ctx, "core.take", &coreapi.ClaimRequest{Key: claim.key, Claim: claim.record}, &taken, true)
--- a/internal/dataplane/clientapi/dispatch.go
+++ b/internal/dataplane/clientapi/dispatch.go
@@ -16,7 +16,7 @@
 	if x.wantsStream && x.carrier == nil {
 		x.carrier = x.newCarrier()
 	}
-	until := time.Now().Add(x.lane.Patience)
+	until := time.Now().Add(x.lane.QueueTimeout)
 	service := x.config.Services[x.pool.Service]
 	ctx := x.incoming.Context()
 	if x.secondRun {
@@ -27,25 +27,25 @@
 		if err := x.request.Advance(request.Queued, x.queueKind); err != nil {
 			return err
 		}
-		wait := &place.Waiter{Kind: x.queueKind, Rank: x.lane.Rank, Tenant: x.tenantIndex, Tokens: x.maxTokens, Lane: x.lane.Name, SilentFor: x.silentFor(), PrefixHashes: keys, Eligible: x.eligibleRunners, Excluded: x.triedRunners, Check: x.checkConfig}
+		wait := &place.Waiter{Kind: x.queueKind, Priority: x.lane.Priority, Tenant: x.tenantIndex, Tokens: x.maxTokens, Lane: x.lane.Name, UntilFirstByte: x.silentFor(), PrefixHashes: keys, Eligible: x.eligibleRunners, Excluded: x.triedRunners, Recheck: x.checkConfig}
 		slot, err := x.server.Scheduler.Acquire(ctx, wait, time.Until(until), x.config.Limits.Queue)
 		var rejection *Rejection
 		switch {
 		case errors.As(err, &rejection):
 			return rejection
-		case errors.Is(err, place.ErrPatience):
+		case errors.Is(err, place.ErrWaitTimeout):
 			return &Rejection{Status: 503, Code: "patience-out", RetryAfter: x.retryAfter(), Message: "No runner had room within the lane's patience."}
-		case errors.Is(err, place.ErrFull):
+		case errors.Is(err, place.ErrQueueFull):
 			return &Rejection{Status: 503, Code: "queue-full", RetryAfter: x.retryAfter(), Message: "Too many queries wait."}
 		case err != nil:
 			return &Rejection{Code: "origin-left"}
 		}
-		if err := x.request.Advance(request.Chosen, slot.Addr); err != nil {
+		if err := x.request.Advance(request.Chosen, slot.Address); err != nil {
 			return err
 		}
 		if try == 0 && !x.secondRun {
 			x.server.Metrics.Dispatch.WithLabelValues(x.tenantKind()).Observe(x.request.Age().Seconds())
-			x.server.Retries.CountFirst(service, x.server.Cluster.Share(service.Spare))
+			x.server.Retries.CountFirst(service, x.server.Cluster.Share(service.MinRetries))
 		}
 		left, err := x.send(slot)
 		if err == nil || left || errors.As(err, &rejection) {
--- a/internal/dataplane/clientapi/response.go
+++ b/internal/dataplane/clientapi/response.go
@@ -32,9 +32,9 @@
 	if x.claim == nil {
 		go x.watchKey(ctx, cancel)
 	}
-	watchdog := time.AfterFunc(x.lane.Silence+x.silentFor(), func() { cancel(errRunnerSilent) })
+	watchdog := time.AfterFunc(x.lane.StallTimeout+x.silentFor(), func() { cancel(errRunnerSilent) })
 	defer watchdog.Stop()
-	response, left, err := x.server.Sender.Send(ctx, slot.Addr, runner.Request{Method: x.incoming.Method, Path: x.incoming.URL.RequestURI(), Header: x.incoming.Header, Body: x.body, Tenant: x.tenant.Name, ID: x.request.ID})
+	response, left, err := x.server.Sender.Send(ctx, slot.Address, runner.Request{Method: x.incoming.Method, Path: x.incoming.URL.RequestURI(), Header: x.incoming.Header, Body: x.body, Tenant: x.tenant.Name, ID: x.request.ID})
 	if err != nil && !left {
 		return false, x.unsent(ctx, slot, err)
 	}
@@ -43,7 +43,7 @@
 		x.server.QuotaShares.For(x.tenant.Name).Commit(x.reservedUnits)
 		x.reservedUnits = 0
 	}
-	if advanced := x.request.Advance(request.Sent, slot.Addr); advanced != nil {
+	if advanced := x.request.Advance(request.Sent, slot.Address); advanced != nil {
 		return true, advanced
 	}
 	if err != nil {
@@ -73,7 +73,7 @@
 		return &Rejection{Status: 401, Code: "unknown-key", Message: "The key was withdrawn before the query was sent."}
 	}
 	if ctx.Err() == nil {
-		slot.MarkFailed()
+		slot.RecordFailure()
 	}
 	return err
 }
@@ -84,7 +84,7 @@
 		return err
 	}
 	if response.ContentLength < 0 && !slices.Contains(response.TransferEncoding, "chunked") {
-		slot.MarkFailed()
+		slot.RecordFailure()
 		return &Rejection{Status: 502, Code: "answer-unframed", OutcomeUnknown: true,
 			Message: "The runner's answer has neither a length nor chunks, so a whole one can't be told from a cut one."}
 	}
@@ -107,7 +107,7 @@
 	if x.wantsStream {
 		return 0
 	}
-	return min(maxSilence, time.Duration(float64(x.maxTokens)/x.config.Allowance.Rate*float64(time.Second)))
+	return min(maxSilence, time.Duration(float64(x.maxTokens)/x.config.Allowance.AssumedTokensPerSecond*float64(time.Second)))
 }
 
 var (
@@ -148,9 +148,9 @@
 	if x.incoming.Context().Err() != nil && x.claim == nil && ctx.Err() != nil {
 		return &Rejection{Code: "origin-left", OutcomeUnknown: true}
 	}
-	slot.MarkFailed()
+	slot.RecordFailure()
 	x.triedRunners[slot.Index] = true
-	x.server.Ctx.Log.Warn("Runner lost a query.", "query", x.request.ID, "peer", slot.Addr, "error", err.Error())
+	x.server.Ctx.Log.Warn("Runner lost a query.", "query", x.request.ID, "peer", slot.Address, "error", err.Error())
 	if context.Cause(ctx) == errRunnerSilent {
 		return &Rejection{Status: 504, Code: "runner-silent", OutcomeUnknown: true, Message: "The runner sent nothing for too long."}
 	}
@@ -176,7 +176,7 @@
 		var n int
 		n, err = response.Body.Read(buf)
 		raw = append(raw, buf[:n]...)
-		watchdog.Reset(x.lane.Silence)
+		watchdog.Reset(x.lane.StallTimeout)
 		if n > 0 {
 			slot.AddTokens(0)
 		}
@@ -187,7 +187,7 @@
 	if err != io.EOF && !faultinjection.Disabled("frame") {
 		return x.runnerLost(slot, ctx, err)
 	}
-	if !x.lane.Plain {
+	if !x.lane.WithoutPrompt {
 		n := int(gjson.GetBytes(raw, "usage.completion_tokens").Int())
 		if n <= 0 || n > x.maxTokens {
 			n = min(x.maxTokens, len(raw)/4) // the runner does not say: about four bytes a token
@@ -195,7 +195,7 @@
 		slot.AddTokens(n)
 	}
 	if response.StatusCode >= 500 {
-		slot.MarkFailed()
+		slot.RecordFailure()
 	}
 	if x.claim != nil {
 		x.claim.complete(response.StatusCode, response.Header.Get("Content-Type"), raw)
--- a/internal/dataplane/clientapi/retries.go
+++ b/internal/dataplane/clientapi/retries.go
@@ -57,7 +57,7 @@
 	counts := b.countsOf(service.Name)
 	counts.first = append(counts.first, time.Now())
 	b.metrics.FirstTries.WithLabelValues(service.Name).Inc()
-	counts.allowed = min(float64(part), counts.allowed+service.Share)
+	counts.allowed = min(float64(part), counts.allowed+service.RetryRatio)
 }
 
 // Counts is how many first and second tries the last ten seconds saw.
--- a/internal/dataplane/clientapi/route.go
+++ b/internal/dataplane/clientapi/route.go
@@ -36,7 +36,7 @@
 	case route == nil:
 		return &Rejection{Status: 404, Code: "unknown-path", Message: "Nothing is mapped to this path."}
 	}
-	x.lane, x.pool = &x.config.Lanes[route.Lane], &x.config.Pools[route.Pool]
+	x.lane, x.pool = &x.config.TrafficClasses[route.TrafficClass], &x.config.Pools[route.Pool]
 	x.request.Lane = x.lane.Name
 	if !x.lane.Admits(x.tenantIndex) {
 		return &Rejection{Status: 403, Code: "lane-closed", Message: "The lane " + x.lane.Name + " is not open to this tenant."}
@@ -47,7 +47,7 @@
 		}
 	}
 	x.queueKind = x.pool.Name
-	if !x.lane.Plain {
+	if !x.lane.WithoutPrompt {
 		if err := x.parseBody(); err != nil {
 			return err
 		}
@@ -85,11 +85,11 @@
 		return rejectKey
 	}
 	route, _ := config.FindRoute(x.incoming.Method, x.incoming.URL.Path, x.incoming.Header.Get)
-	if route == nil || !config.Lanes[route.Lane].Admits(tenant) || x.lane != nil && config.Lanes[route.Lane].Name != x.lane.Name {
+	if route == nil || !config.TrafficClasses[route.TrafficClass].Admits(tenant) || x.lane != nil && config.TrafficClasses[route.TrafficClass].Name != x.lane.Name {
 		return rejectConfigChanged
 	}
 	x.config, x.tenantIndex, x.tenant = config, tenant, &config.Tenants[tenant]
-	x.lane, x.pool = &config.Lanes[route.Lane], &config.Pools[route.Pool]
+	x.lane, x.pool = &config.TrafficClasses[route.TrafficClass], &config.Pools[route.Pool]
 	return nil
 }
 
--- a/internal/dataplane/clientapi/secondrun.go
+++ b/internal/dataplane/clientapi/secondrun.go
@@ -32,7 +32,7 @@
 // open begins the stream with its first run's headers.
 func (c *carrier) open(x *exchange, response *http.Response) {
 	var saved *streamstore.SavedRequest
-	if x.lane.Repeat {
+	if x.lane.RepeatLostStreams {
 		header := runner.ForwardedHeader(x.incoming.Header)
 		header.Del("Authorization")
 		saved = &streamstore.SavedRequest{Method: x.incoming.Method, Path: x.incoming.URL.RequestURI(), Header: header, Body: x.body, KeyHash: x.keyHash}
@@ -108,7 +108,7 @@
 // config in force. made is false where none may be made.
 func (x *exchange) runAgain() (err error, made bool) {
 	again := *x
-	if again.applyConfig(x.server.Cluster.Config()) != nil || !again.lane.Repeat {
+	if again.applyConfig(x.server.Cluster.Config()) != nil || !again.lane.RepeatLostStreams {
 		return nil, false
 	}
 	if carrier := again.carrier; carrier.stream != nil {
@@ -128,7 +128,7 @@
 // awaitRetryBudget waits until a second try may be made, for as long as the lane would wait for a runner:
 // where a router fails, many streams want one at once, and first tries earn more every moment.
 func (x *exchange) awaitRetryBudget() bool {
-	for until := time.Now().Add(x.lane.Patience); ; {
+	for until := time.Now().Add(x.lane.QueueTimeout); ; {
 		if !slices.ContainsFunc(x.eligibleRunners(), func(instance *runner.Instance) bool { return !x.triedRunners[instance.Index] }) {
 			return false // nowhere else to run
 		}
--- a/internal/dataplane/clientapi/server.go
+++ b/internal/dataplane/clientapi/server.go
@@ -86,7 +86,7 @@
 	config       *fleetconfig.Config
 	tenantIndex  int
 	tenant       *fleetconfig.Tenant
-	lane         *fleetconfig.Lane
+	lane         *fleetconfig.TrafficClass
 	pool         *fleetconfig.Pool
 	body         []byte
 	bodyRead     bool         // the body was read whole
@@ -134,7 +134,7 @@
 	// Strangers were rejected by their headers and hold no place; known tenants' bodies are read only
 	// where there is one, so that a crowd costs no memory.
 	defer x.server.open.Add(-1)
-	if int(x.server.open.Add(1)) > x.config.Limits.Open {
+	if int(x.server.open.Add(1)) > x.config.Limits.OpenRequests {
 		return &Rejection{Status: 503, Code: "too-many", Message: "Too many queries are under way.", RetryAfter: time.Second}
 	}
 	if strings.HasPrefix(x.incoming.URL.Path, StreamPath) {
--- a/internal/dataplane/clientapi/stream.go
+++ b/internal/dataplane/clientapi/stream.go
@@ -115,7 +115,7 @@
 		if err == errDiffers {
 			return err
 		}
-		watchdog.Reset(x.lane.Silence)
+		watchdog.Reset(x.lane.StallTimeout)
 		if count > 0 {
 			slot.AddTokens(count)
 		}
--- a/internal/dataplane/gateway/allowance.go
+++ b/internal/dataplane/gateway/allowance.go
@@ -38,8 +38,8 @@
 
 // allowanceRule gives the allowance's figures of a route on which ceiling tokens at most were asked for.
 func allowanceRule(route *routing.RouteSpec, ceiling int) fleetconfig.Allowance {
-	return fleetconfig.Allowance{Ceiling: ceiling, Floor: ceiling / allowanceFloorDivisor, Full: route.TargetLatency,
-		Low: allowanceFloorTargets * route.TargetLatency, Rate: assumedTokensPerSecond}
+	return fleetconfig.Allowance{Ceiling: ceiling, Floor: ceiling / allowanceFloorDivisor, FullUntil: route.TargetLatency,
+		FloorFrom: allowanceFloorTargets * route.TargetLatency, AssumedTokensPerSecond: assumedTokensPerSecond}
 }
 
 // funded reports whether the tenant's quota is not nearly spent.
--- a/internal/dataplane/place/place_test.go
+++ b/internal/dataplane/place/place_test.go
@@ -19,9 +19,9 @@
 // one is a pool with a runner of the given room.
 func one(room int, wake func()) (*runner.Pool, *runner.Instance) {
 	y := runner.NewPool("r1", wake)
-	n := runner.Report{Name: "m", Addr: "10.0.0.1:1", Born: "1", State: "ready", Room: room, Labels: map[string]string{}}
+	n := runner.Report{Name: "m", Address: "10.0.0.1:1", RunID: "1", State: "ready", Capacity: room, Labels: map[string]string{}}
 	raw, _ := n.MarshalMsg(nil)
-	y.Apply(dissemination.Record{Key: runner.KeyPrefix + n.Addr, Generation: 1, Version: 1, Body: raw})
+	y.Apply(dissemination.Record{Key: runner.KeyPrefix + n.Address, Generation: 1, Version: 1, Body: raw})
 	return y, y.List()[0]
 }
 
@@ -32,7 +32,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, end := context.WithCancel(t.Context())
 			defer end()
-			s := NewScheduler("east", NewPrefixMemory(100))
+			s := NewScheduler("east", NewPrefixIndex(100))
 			y, instance := one(1, s.Wake)
 			seat := instance.Acquire(1, 0)
 			if seat == nil {
@@ -45,7 +45,7 @@
 				a := ask{i, rapid.IntRange(0, 2).Draw(rt, "rank"), rapid.IntRange(0, 2).Draw(rt, "tenant")}
 				asks = append(asks, a)
 				go func() {
-					waiter := &Waiter{Kind: "k", Rank: a.rank, Tenant: a.ten, Tokens: 1, Eligible: y.List}
+					waiter := &Waiter{Kind: "k", Priority: a.rank, Tenant: a.ten, Tokens: 1, Eligible: y.List}
 					got, err := s.Acquire(ctx, waiter, time.Hour, 100)
 					if err != nil {
 						return
@@ -99,7 +99,7 @@
 	n := y.List()[0].Report()
 	raw, _ := n.MarshalMsg(nil)
 	turn++
-	return dissemination.Record{Key: runner.KeyPrefix + n.Addr, Generation: 1, Version: turn, Body: raw}
+	return dissemination.Record{Key: runner.KeyPrefix + n.Address, Generation: 1, Version: turn, Body: raw}
 }
 
 // Patience ends a wait at its time, a full queue rejects the newest of the lowest rank, a client
@@ -108,17 +108,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, end := context.WithCancel(t.Context())
 		defer end()
-		s := NewScheduler("east", NewPrefixMemory(100))
+		s := NewScheduler("east", NewPrefixIndex(100))
 		y, instance := one(1, s.Wake)
 		go s.Run(ctx)
 		seat := instance.Acquire(1, 0)
 		if seat == nil {
 			t.Fatal("the runner takes no query")
 		}
-		enter := func(ctx context.Context, rank int, patience time.Duration) chan error {
+		enter := func(ctx context.Context, priority int, timeout time.Duration) chan error {
 			ch := make(chan error, 1)
 			go func() {
-				_, err := s.Acquire(ctx, &Waiter{Kind: "k", Rank: rank, Tokens: 5, Eligible: y.List}, patience, 2)
+				_, err := s.Acquire(ctx, &Waiter{Kind: "k", Priority: priority, Tokens: 5, Eligible: y.List}, timeout, 2)
 				ch <- err
 			}()
 			synctest.Wait()
@@ -127,19 +127,19 @@
 		begun := time.Now()
 		a, b := enter(ctx, 1, 2*time.Second), enter(ctx, 3, time.Hour)
 		high := enter(ctx, 0, time.Hour)
-		if err := <-b; !errors.Is(err, ErrFull) {
+		if err := <-b; !errors.Is(err, ErrQueueFull) {
 			t.Errorf("the lowest rank: %v", err)
 		}
-		if err := <-enter(ctx, 3, time.Hour); !errors.Is(err, ErrFull) {
+		if err := <-enter(ctx, 3, time.Hour); !errors.Is(err, ErrQueueFull) {
 			t.Errorf("a newcomer of the lowest rank: %v", err)
 		}
-		if err := <-a; !errors.Is(err, ErrPatience) || time.Since(begun) != 2*time.Second {
-			t.Errorf("patience of 2 s: %v after %s", err, time.Since(begun))
+		if err := <-a; !errors.Is(err, ErrWaitTimeout) || time.Since(begun) != 2*time.Second {
+			t.Errorf("got %v after %s, want the queue time-out after 2 s", err, time.Since(begun))
 		}
 		left, leave := context.WithCancel(ctx)
 		gone := enter(left, 1, time.Hour)
 		leave()
-		if err := <-gone; !errors.Is(err, ErrGone) {
+		if err := <-gone; !errors.Is(err, ErrClientGone) {
 			t.Errorf("an origin that left: %v", err)
 		}
 		seat.Release(true)
@@ -158,21 +158,21 @@
 
 // A known prefix wins within the load bound, and loses beyond it; tenants' prefixes don't meet.
 func TestNominate(t *testing.T) {
-	m := NewPrefixMemory(1000)
+	m := NewPrefixIndex(1000)
 	text := string(make([]byte, 4*BlockSize))
 	keys := PrefixHashes(1, text)
 	if len(keys) != 4 {
 		t.Fatalf("%d blocks", len(keys))
 	}
-	m.Note(keys[:2], 0)
-	m.Note(keys, 1)
+	m.Record(keys[:2], 0)
+	m.Record(keys, 1)
 	if d := m.Match(keys); d[0] != 2 || d[1] != 4 {
 		t.Errorf("matched %v", d)
 	}
 	if d := m.Match(PrefixHashes(2, text)); len(d) != 0 {
 		t.Errorf("another tenant matched %v", d)
 	}
-	candidates := []Candidate{{Index: 0, Addr: "a", Room: 100}, {Index: 1, Addr: "b", Room: 100}, {Index: 2, Addr: "c", SameZone: true, Room: 100}}
+	candidates := []Candidate{{Index: 0, Address: "a", Capacity: 100}, {Index: 1, Address: "b", Capacity: 100}, {Index: 2, Address: "c", SameZone: true, Capacity: 100}}
 	if i := Choose(keys, candidates, m.Match(keys)); i != 1 {
 		t.Errorf("nominated %d, the longest prefix is at 1", i)
 	}
@@ -267,17 +267,17 @@
 		}
 		return best
 	}
-	prefixes := NewPrefixMemory(1 << 14)
+	prefixes := NewPrefixIndex(1 << 14)
 	ours := func(keys []uint64, load []int) int {
 		var candidates []Candidate
 		for i := range load {
-			candidates = append(candidates, Candidate{Index: i, Addr: addr(i), Load: load[i], Room: 1000})
+			candidates = append(candidates, Candidate{Index: i, Address: addr(i), Load: load[i], Capacity: 1000})
 		}
 		return Choose(keys, candidates, prefixes.Match(keys))
 	}
 	hl, tl := play(least, none, n)
 	hr, tr := play(plain, none, n)
-	ho, to := play(ours, prefixes.Note, n)
+	ho, to := play(ours, prefixes.Record, n)
 	t.Logf("blocks found in a cache, busiest over mean: least-loaded %.3f %.2f, rendezvous %.3f %.2f, prefix bounded by load %.3f %.2f", hl, tl, hr, tr, ho, to)
 	if ho < hl || to > tr {
 		t.Errorf("prefix placement hits %.3f where least-loaded hits %.3f, and tilts %.2f where rendezvous tilts %.2f", ho, hl, to, tr)
--- a/internal/dataplane/place/prefix.go
+++ b/internal/dataplane/place/prefix.go
@@ -1,4 +1,5 @@
-// Package place chooses the runner that gets a prompt, and the order in which waiting prompts go.
+// Package place schedules prompts: the queue of those that wait, by priority and in turns between tenants, and the choice of
+// the runner that most likely has a prompt's prefix in its cache.
 package place
 
 import (
@@ -6,8 +7,6 @@
 	"encoding/binary"
 	"hash/fnv"
 	"sync"
-
-	"yarrowridge/internal/lib/hashing"
 )
 
 // BlockSize is how many bytes of a prompt share one hash.
@@ -21,84 +20,89 @@
 	var salt [8]byte
 	binary.LittleEndian.PutUint64(salt[:], uint64(tenant)+1)
 	hash.Write(salt[:])
-	for from := 0; from < len(prompt) && len(out) < 256; from += BlockSize {
+	for from := 0; from < len(prompt) && len(out) < maxBlocks; from += BlockSize {
 		hash.Write([]byte(prompt[from:min(from+BlockSize, len(prompt))]))
 		if from+BlockSize > len(prompt) {
-			break // a part of a block is in no cache
+			break // a part of a block is in no prefix cache
 		}
 		out = append(out, hash.Sum64())
 	}
 	return out
 }
 
-const shardCount = 16
+const (
+	shardCount          = 16
+	maxBlocks           = 256 // hashed of one prompt
+	maxRunnersPerPrefix = 4
+)
 
-// PrefixMemory remembers which runs of runners lately got which prefixes.
-type PrefixMemory struct {
-	limit int
-	shard [shardCount]struct {
+// PrefixIndex records which runs of runners lately got which prefixes, in shards with a mutex each. It may be used
+// concurrently; the least recently used prefixes of a shard are dropped.
+type PrefixIndex struct {
+	maxPerShard int
+	shards      [shardCount]struct {
 		mu  sync.Mutex
 		by  map[uint64]*list.Element
 		old *list.List
 	}
 }
 
-type holders struct {
-	key uint64
-	who []int // dense runner indices, newest last
+type prefixEntry struct {
+	key     uint64
+	runners []int // dense runner indices, newest last
 }
 
-// NewPrefixMemory makes a memory of at most n prefixes.
-func NewPrefixMemory(n int) *PrefixMemory {
-	m := &PrefixMemory{limit: max(1, n/shardCount)}
-	for i := range m.shard {
-		m.shard[i].by = map[uint64]*list.Element{}
-		m.shard[i].old = list.New()
+// NewPrefixIndex makes an index of at most n prefixes.
+func NewPrefixIndex(n int) *PrefixIndex {
+	m := &PrefixIndex{maxPerShard: max(1, n/shardCount)}
+	for i := range m.shards {
+		m.shards[i].by = map[uint64]*list.Element{}
+		m.shards[i].old = list.New()
 	}
 	return m
 }
 
-// Note remembers that a runner got a prompt with these blocks.
-func (m *PrefixMemory) Note(keys []uint64, runner int) {
+// Record records that a runner got a prompt with these blocks.
+func (m *PrefixIndex) Record(keys []uint64, runner int) {
 	for _, key := range keys {
-		s := &m.shard[key%shardCount]
+		s := &m.shards[key%shardCount]
 		s.mu.Lock()
 		element := s.by[key]
 		if element == nil {
-			if s.old.Len() >= m.limit {
+			if s.old.Len() >= m.maxPerShard {
 				last := s.old.Back()
-				delete(s.by, last.Value.(*holders).key)
+				delete(s.by, last.Value.(*prefixEntry).key)
 				s.old.Remove(last)
 			}
-			element = s.old.PushFront(&holders{key: key})
+			element = s.old.PushFront(&prefixEntry{key: key})
 			s.by[key] = element
 		} else {
 			s.old.MoveToFront(element)
 		}
-		v := element.Value.(*holders)
-		next := make([]int, 0, 4)
-		for _, w := range v.who {
+		v := element.Value.(*prefixEntry)
+		next := make([]int, 0, maxRunnersPerPrefix)
+		for _, w := range v.runners {
 			if w != runner {
 				next = append(next, w)
 			}
 		}
-		if len(next) >= 4 {
+		if len(next) >= maxRunnersPerPrefix {
 			next = next[1:]
 		}
-		v.who = append(next, runner)
+		v.runners = append(next, runner)
 		s.mu.Unlock()
 	}
 }
 
 // Match counts, for each runner, how many leading blocks it lately got.
-func (m *PrefixMemory) Match(keys []uint64) map[int]int {
+func (m *PrefixIndex) Match(keys []uint64) map[int]int {
 	out := map[int]int{}
 	for i, key := range keys {
-		s := &m.shard[key%shardCount]
+		s := &m.shards[key%shardCount]
 		s.mu.Lock()
 		var runners []int
 		if element := s.by[key]; element != nil {
-			runners = element.Value.(*holders).who
+			runners = element.Value.(*prefixEntry).runners
 		}
 		s.mu.Unlock()
 		hit := false
@@ -114,13 +118,3 @@
 	}
 	return out
 }
-
-// RendezvousWeight is the rendezvous weight of a runner for a key: every router works out the same order.
-func RendezvousWeight(key uint64, addr string) uint64 {
-	hash := fnv.New64a()
-	var b [8]byte
-	binary.LittleEndian.PutUint64(b[:], key)
-	hash.Write(b[:])
-	hash.Write([]byte(addr))
-	return hashing.Mix(hash.Sum64())
-}
--- a/internal/dataplane/router/main.go
+++ b/internal/dataplane/router/main.go
@@ -79,7 +79,7 @@
 
 // New puts a router together. clientAddr is where clients reach it, dial how it reaches runners (nil: TCP).
 func New(ctx daemon.Context, addr, clientAddr string, seeds []string, dial runner.Dial) *Router {
-	r := &Router{ctx: ctx, Scheduler: place.NewScheduler(ctx.Zone, place.NewPrefixMemory(1<<18)), Log: request.NewLog(256), sender: runner.NewSender(dial)}
+	r := &Router{ctx: ctx, Scheduler: place.NewScheduler(ctx.Zone, place.NewPrefixIndex(1<<18)), Log: request.NewLog(256), sender: runner.NewSender(dial)}
 	r.Runners = runner.NewPool(ctx.Name, r.Scheduler.Wake)
 	r.Cluster = cluster.NewMember(ctx.WithComponent("node"), addr, clientAddr, seeds, r.Runners.Apply)
 	r.Metrics = metrics.New(metrics.Gauges{
@@ -215,8 +215,8 @@
 	gen, turn, last, still := uint64(1), uint64(0), "", 0
 	key := runner.WorkPrefix + r.ctx.Name
 	return func() {
-		r.Runners.SumRemoteWork()
-		r.Runners.Forget(time.Minute)
+		r.Runners.AggregateRemoteWork()
+		r.Runners.RemoveExpired(time.Minute)
 		w := r.Runners.OwnWork()
 		_, w.Queued = r.Scheduler.Waiting()
 		raw, err := w.MarshalMsg(nil)
--- a/internal/dataplane/runner/api_test.go
+++ b/internal/dataplane/runner/api_test.go
@@ -14,7 +14,7 @@
 	store := dissemination.NewStore(func(record dissemination.Record) { yard.Apply(record) })
 	yard = NewPool("r1", func() {})
 	word := func(born, state string, turn uint64) {
-		record, _ := NextRecord(store, Report{Name: "a", Addr: "10.0.0.1:1", Born: born, State: state}, turn)
+		record, _ := NextRecord(store, Report{Name: "a", Address: "10.0.0.1:1", RunID: born, State: state}, turn)
 		store.Merge([]dissemination.Record{record})
 	}
 	state := func() string { return yard.List()[0].Health() }
@@ -41,7 +41,7 @@
 	f.Add([]byte(`{"name":1,"addr":"nowhere","labels":[],"fill":7}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		report, _, bad := ParseHeartbeat(raw)
-		if len(bad) == 0 && (report.Name == "" || report.Addr == "" || report.Room < 0 || !strings.Contains("starting ready leaving", report.State)) {
+		if len(bad) == 0 && (report.Name == "" || report.Address == "" || report.Capacity < 0 || !strings.Contains("starting ready leaving", report.State)) {
 			t.Errorf("%s was taken as %+v", raw, report)
 		}
 	})
@@ -49,18 +49,18 @@
 
 // A failing runner is barred for longer each time, and tried with one request before it counts again.
 func TestFailingRunner(t *testing.T) {
-	instance := &Instance{Addr: "10.0.0.1:1", report: Report{State: "ready", Room: 9}, heardAt: time.Now()}
+	instance := &Instance{Address: "10.0.0.1:1", report: Report{State: "ready", Capacity: 9}, heardAt: time.Now()}
 	seat := func() bool { return instance.Acquire(1, 0) != nil }
 	leave := func(ok bool) { instance.slots[0].Release(ok) }
 	if !seat() {
 		t.Fatal("a ready runner takes no query")
 	}
-	instance.MarkFailed()
+	instance.RecordFailure()
 	leave(false)
 	if seat() {
 		t.Error("a runner that has just failed takes a query")
 	}
-	instance.excludedUntil = time.Time{} // its time is over
+	instance.ejectedUntil = time.Time{} // its time is over
 	if !seat() {
 		t.Error("after its time no trial is made")
 	}
--- a/internal/dataplane/runner/msgs.go
+++ b/internal/dataplane/runner/msgs.go
@@ -8,11 +8,11 @@
 // Report is a runner as it told of itself, handed on between routers.
 type Report struct {
 	Name      string            `msg:"n" json:"name"`
-	Addr      string            `msg:"a" json:"addr"`
-	Born      string            `msg:"b" json:"born"` // any word that differs between runs at one address
+	Address   string            `msg:"a" json:"addr"`
+	RunID     string            `msg:"b" json:"born"` // any word that differs between runs at one address
 	Labels    map[string]string `msg:"l" json:"labels"`
 	State     string            `msg:"s" json:"state"` // starting, ready or leaving
-	Room      int               `msg:"r" json:"room"`  // streams it takes at once
+	Capacity  int               `msg:"r" json:"room"`  // streams it takes at once
 	MaxTokens int               `msg:"m" json:"max_length"`
 	Fill      float64           `msg:"f" json:"fill"`
 	Queued    int               `msg:"q" json:"queued_tokens"` // its own late count of output still to come
--- a/internal/dataplane/runner/msgs_gen.go
+++ b/internal/dataplane/runner/msgs_gen.go
@@ -95,10 +95,10 @@
 	o = msgp.AppendString(o, z.Name)
 	// string "a"
 	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendString(o, z.Addr)
+	o = msgp.AppendString(o, z.Address)
 	// string "b"
 	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendString(o, z.Born)
+	o = msgp.AppendString(o, z.RunID)
 	// string "l"
 	o = append(o, 0xa1, 0x6c)
 	o = msgp.AppendMapHeader(o, uint32(len(z.Labels)))
@@ -111,7 +111,7 @@
 	o = msgp.AppendString(o, z.State)
 	// string "r"
 	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendInt(o, z.Room)
+	o = msgp.AppendInt(o, z.Capacity)
 	// string "m"
 	o = append(o, 0xa1, 0x6d)
 	o = msgp.AppendInt(o, z.MaxTokens)
@@ -156,15 +156,15 @@
 				return
 			}
 		case "a":
-			z.Addr, bts, err = msgp.ReadStringBytes(bts)
+			z.Address, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Addr")
+				err = msgp.WrapError(err, "Address")
 				return
 			}
 		case "b":
-			z.Born, bts, err = msgp.ReadStringBytes(bts)
+			z.RunID, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Born")
+				err = msgp.WrapError(err, "RunID")
 				return
 			}
 		case "l":
@@ -206,9 +206,9 @@
 				return
 			}
 		case "r":
-			z.Room, bts, err = msgp.ReadIntBytes(bts)
+			z.Capacity, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Room")
+				err = msgp.WrapError(err, "Capacity")
 				return
 			}
 		case "m":
@@ -249,7 +249,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Report) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.Born) + 2 + msgp.MapHeaderSize
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.StringPrefixSize + len(z.Address) + 2 + msgp.StringPrefixSize + len(z.RunID) + 2 + msgp.MapHeaderSize
 	if z.Labels != nil {
 		for za0001, za0002 := range z.Labels {
 			_ = za0002
--- a/internal/dataplane/runner/send_test.go
+++ b/internal/dataplane/runner/send_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	r := &raw{l, make(chan string, 64)}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { _ = l.Close() })
 	n := 0
 	go func() {
 		for {
@@ -42,16 +42,16 @@
 				if err != nil {
 					break
 				}
-				io.Copy(io.Discard, req.Body)
+				_, _ = io.Copy(io.Discard, req.Body)
 				r.seen <- b.String()
 				n++
 				ans := say(n)
 				if ans == "" {
 					break
 				}
-				io.WriteString(con, ans)
+				_, _ = io.WriteString(con, ans)
 			}
-			con.Close()
+			_ = con.Close()
 		}
 	}()
 	return r
@@ -79,8 +79,8 @@
 			if err != nil || !left {
 				t.Fatalf("first: %v", err)
 			}
-			io.Copy(io.Discard, ans.Body)
-			ans.Body.Close()
+			_, _ = io.Copy(io.Discard, ans.Body)
+			_ = ans.Body.Close()
 			if _, left, err := s.Send(t.Context(), r.l.Addr().String(), c); err == nil || !left {
 				t.Errorf("second: left %v, error %v; a break after leaving expected", left, err)
 			}
@@ -103,7 +103,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ans.Body.Close()
+	_ = ans.Body.Close()
 	got := <-r.seen
 	want := "POST /v1/a%2Fb?x=1;y=%20 HTTP/1.1\r\nHost: " + r.l.Addr().String() + "\r\n" +
 		fmt.Sprintf("Content-Length: %d\r\nContent-Type: application/json\r\nX-Own: a\r\nX-Own: b\r\nX-Yarrowridge-Query: q1\r\nX-Yarrowridge-Tenant: desk\r\n\r\n", len(body)) + string(body)
@@ -118,8 +118,8 @@
 	t.Setenv("http_proxy", "http://127.0.0.1:1")
 	var zip bytes.Buffer
 	z := gzip.NewWriter(&zip)
-	z.Write([]byte("hello"))
-	z.Close()
+	_, _ = z.Write([]byte("hello"))
+	_ = z.Close()
 	r := listen(t, func(n int) string {
 		if n == 1 {
 			return "HTTP/1.1 302 Found\r\nLocation: /elsewhere\r\nContent-Length: 0\r\n\r\n"
@@ -153,7 +153,7 @@
 		t.Fatal(err)
 	}
 	addr := l.Addr().String()
-	l.Close()
+	_ = l.Close()
 	s := NewSender(nil)
 	if _, left, err := s.Send(t.Context(), addr, Request{Method: "GET", Path: "/", Header: http.Header{}}); err == nil || left {
 		t.Errorf("nobody listens: left %v, error %v", left, err)
--- a/internal/dataplane/runner/slot_test.go
+++ b/internal/dataplane/runner/slot_test.go
@@ -10,7 +10,7 @@
 // seated is a runner of so many places, on which requests of 100 tokens have run, n at a time, for a
 // second each.
 func seated(room, n int, token func(i int) int) *Instance {
-	instance := &Instance{report: Report{State: "ready", Room: room, MaxTokens: 4096}, heardAt: time.Now(), reportedAt: time.Now()}
+	instance := &Instance{report: Report{State: "ready", Capacity: room, MaxTokens: 4096}, heardAt: time.Now(), reportedAt: time.Now()}
 	var all []*Slot
 	for range n {
 		all = append(all, instance.Acquire(100, 0))
--- a/internal/model/fleetconfig/config.go
+++ b/internal/model/fleetconfig/config.go
@@ -37,17 +37,17 @@
 	Quota  Quota // Units 0: no quota
 }
 
-// Lane is a kind of traffic.
-type Lane struct {
-	Name     string
-	Rank     int // lower goes first
-	Patience time.Duration
-	Silence  time.Duration // a runner that sends nothing for so long has lost the request
-	Once     bool          // may run only once
-	Repeat   bool          // the run behind a lost stream may be made a second time
-	Plain    bool          // ordinary application: no prompt, no allowance
-	Tenants  map[int]bool
-	All      bool // every tenant
+// TrafficClass is a class of requests that are treated alike. Documents call it a lane.
+type TrafficClass struct {
+	Name              string
+	Priority          int // lower goes first
+	QueueTimeout      time.Duration
+	StallTimeout      time.Duration // a runner that sends nothing for so long has lost the request
+	OnceOnly          bool          // may run only once
+	RepeatLostStreams bool          // the run behind a lost stream may be made a second time
+	WithoutPrompt     bool          // ordinary application: no prompt, no allowance
+	AllowedTenants    map[int]bool
+	AllTenants        bool // every tenant
 }
 
 // Pool is a group of runners gathered by label.
@@ -59,50 +59,50 @@
 
 // Service bounds second tries to one service of the fleet.
 type Service struct {
-	Name  string
-	Share float64 // second tries over first tries in ten seconds
-	Spare int     // and this many besides, for the whole fleet
+	Name       string
+	RetryRatio float64 // second tries over first tries in ten seconds
+	MinRetries int     // and this many besides, for the whole fleet
 }
 
 // Route leads a request to its lane and pool.
 type Route struct {
-	Method  string
-	Path    string
-	Prefix  bool // Path ended in *
-	Headers map[string]string
-	Lane    int
-	Pool    int
+	Method       string
+	Path         string
+	Prefix       bool // Path ended in *
+	Headers      map[string]string
+	TrafficClass int
+	Pool         int
 }
 
 // Allowance holds the free output allowance's figures.
 type Allowance struct {
-	Ceiling, Floor int
-	Full, Low      time.Duration // wait up to which the ceiling holds; from which the floor does
-	Rate           float64       // tokens a second assumed of a runner with no completed stream
+	Ceiling, Floor         int
+	FullUntil, FloorFrom   time.Duration // wait up to which the ceiling holds; from which the floor does
+	AssumedTokensPerSecond float64       // tokens a second assumed of a runner with no completed stream
 }
 
 // Limits bound what one request or the queues may take.
 type Limits struct {
-	Body, Tokens, Queue int
-	BodyTime            time.Duration // within which a body has to come
-	Open                int           // requests under way on one router, in whatever state
-	Keep                time.Duration // how long once-only keys are kept with what became of them
-	RanKeep             time.Duration // how long it is kept that a key ran
-	RanMost             int           // how many such keys are kept at the most
+	BodyBytes, Tokens, Queue int
+	BodyTimeout              time.Duration // within which a body has to come
+	OpenRequests             int           // requests under way on one router, in whatever state
+	ClaimRetention           time.Duration // how long once-only keys are kept with what became of them
+	FinishedKeyRetention     time.Duration // how long it is kept that a key ran
+	MaxFinishedKeys          int           // how many such keys are kept at the most
 }
 
 // Config is a checked config, its names mapped to dense indices.
 type Config struct {
-	Version      uint64
-	Raw          []byte
-	Tenants      []Tenant
-	Lanes        []Lane
-	Pools        []Pool
-	Services     []Service
-	Routes       []Route
-	Allowance    Allowance
-	Limits       Limits
-	tenantByHash map[string]int
+	Version        uint64
+	Raw            []byte
+	Tenants        []Tenant
+	TrafficClasses []TrafficClass
+	Pools          []Pool
+	Services       []Service
+	Routes         []Route
+	Allowance      Allowance
+	Limits         Limits
+	tenantByHash   map[string]int
 }
 
 // HashKey is how a key is written in a config: the hex SHA-256 of its text.
@@ -146,4 +146,4 @@
 }
 
 // Admits reports whether a lane is open to a tenant.
-func (l *Lane) Admits(tenant int) bool { return l.All || l.Tenants[tenant] }
+func (l *TrafficClass) Admits(tenant int) bool { return l.AllTenants || l.AllowedTenants[tenant] }
--- a/internal/model/fleetconfig/parse.go
+++ b/internal/model/fleetconfig/parse.go
@@ -54,8 +54,8 @@
 	p.object(path, value, []string{"second_share", "second_spare"}, nil)
 	p.services[name] = len(p.config.Services)
 	p.config.Services = append(p.config.Services, Service{Name: name,
-		Share: p.fraction(path+".second_share", value.Get("second_share"), 0, 0.19, 0.1),
-		Spare: p.integer(path+".second_spare", value.Get("second_spare"), 0, 100, 20)})
+		RetryRatio: p.fraction(path+".second_share", value.Get("second_share"), 0, 0.19, 0.1),
+		MinRetries: p.integer(path+".second_spare", value.Get("second_spare"), 0, 100, 20)})
 }
 
 func (p *parser) pool(name, path string, value gjson.Result) {
@@ -122,11 +122,11 @@
 func (p *parser) lane(name, path string, value gjson.Result) {
 	p.checkName(path, name)
 	p.object(path, value, []string{"once", "patience_ms", "plain", "rank", "repeat", "silence_ms", "tenants"}, nil)
-	lane := Lane{Name: name, Tenants: map[int]bool{}, Rank: p.integer(path+".rank", value.Get("rank"), 0, 9, 5),
-		Patience: p.milliseconds(path+".patience_ms", value.Get("patience_ms"), 1, 3_600_000, 10_000),
-		Silence:  p.milliseconds(path+".silence_ms", value.Get("silence_ms"), 1000, 3_600_000, 60_000),
-		Once:     p.boolean(path+".once", value.Get("once")), Plain: p.boolean(path+".plain", value.Get("plain"))}
-	if lane.Repeat = p.boolean(path+".repeat", value.Get("repeat")); lane.Repeat && (lane.Once || lane.Plain) {
+	lane := TrafficClass{Name: name, AllowedTenants: map[int]bool{}, Priority: p.integer(path+".rank", value.Get("rank"), 0, 9, 5),
+		QueueTimeout: p.milliseconds(path+".patience_ms", value.Get("patience_ms"), 1, 3_600_000, 10_000),
+		StallTimeout: p.milliseconds(path+".silence_ms", value.Get("silence_ms"), 1000, 3_600_000, 60_000),
+		OnceOnly:     p.boolean(path+".once", value.Get("once")), WithoutPrompt: p.boolean(path+".plain", value.Get("plain"))}
+	if lane.RepeatLostStreams = p.boolean(path+".repeat", value.Get("repeat")); lane.RepeatLostStreams && (lane.OnceOnly || lane.WithoutPrompt) {
 		p.report(path+".repeat", "false expected on a lane that is once or plain")
 	}
 	tenants := value.Get("tenants")
@@ -135,17 +135,17 @@
 	}
 	for i, tenantName := range tenants.Array() {
 		if tenantName.String() == "*" {
-			lane.All = true
+			lane.AllTenants = true
 			continue
 		}
 		tenant, ok := p.tenants[tenantName.String()]
 		if !ok {
 			p.report(fmt.Sprintf("%s.tenants.%d", path, i), "the name of a tenant expected, got %s", abbreviate(tenantName))
 		}
-		lane.Tenants[tenant] = true
+		lane.AllowedTenants[tenant] = true
 	}
-	p.lanes[name] = len(p.config.Lanes)
-	p.config.Lanes = append(p.config.Lanes, lane)
+	p.lanes[name] = len(p.config.TrafficClasses)
+	p.config.TrafficClasses = append(p.config.TrafficClasses, lane)
 }
 
 func (p *parser) routes(routes gjson.Result) {
@@ -177,7 +177,7 @@
 		route.Headers[name] = p.text(headerPath, header, "")
 	})
 	var ok bool
-	if route.Lane, ok = p.lanes[value.Get("lane").String()]; !ok {
+	if route.TrafficClass, ok = p.lanes[value.Get("lane").String()]; !ok {
 		p.report(path+".lane", "the name of a lane expected, got %q", value.Get("lane").String())
 	}
 	if route.Pool, ok = p.pools[value.Get("pool").String()]; !ok {
@@ -189,15 +189,15 @@
 func (p *parser) allowance(value gjson.Result) {
 	p.object("allowance", value, []string{"assumed_rate", "ceiling", "floor", "floor_s", "full_s"}, nil)
 	allowance := Allowance{
-		Ceiling: p.integer("allowance.ceiling", value.Get("ceiling"), 1, 1_000_000, 4096),
-		Floor:   p.integer("allowance.floor", value.Get("floor"), 0, 1_000_000, 512),
-		Full:    time.Duration(p.fraction("allowance.full_s", value.Get("full_s"), 0, 86400, 60) * float64(time.Second)),
-		Low:     time.Duration(p.fraction("allowance.floor_s", value.Get("floor_s"), 0, 86400, 300) * float64(time.Second)),
-		Rate:    p.fraction("allowance.assumed_rate", value.Get("assumed_rate"), 0.001, 1_000_000, 10)}
+		Ceiling:                p.integer("allowance.ceiling", value.Get("ceiling"), 1, 1_000_000, 4096),
+		Floor:                  p.integer("allowance.floor", value.Get("floor"), 0, 1_000_000, 512),
+		FullUntil:              time.Duration(p.fraction("allowance.full_s", value.Get("full_s"), 0, 86400, 60) * float64(time.Second)),
+		FloorFrom:              time.Duration(p.fraction("allowance.floor_s", value.Get("floor_s"), 0, 86400, 300) * float64(time.Second)),
+		AssumedTokensPerSecond: p.fraction("allowance.assumed_rate", value.Get("assumed_rate"), 0.001, 1_000_000, 10)}
 	if allowance.Floor > allowance.Ceiling {
 		p.report("allowance.floor", "at most the ceiling, %d, expected, got %d", allowance.Ceiling, allowance.Floor)
 	}
-	if allowance.Low <= allowance.Full {
+	if allowance.FloorFrom <= allowance.FullUntil {
 		p.report("allowance.floor_s", "more than full_s expected")
 	}
 	p.config.Allowance = allowance
@@ -206,12 +206,12 @@
 func (p *parser) limits(value gjson.Result) {
 	p.object("limits", value, []string{"body_bytes", "body_ms", "claim_keep_s", "max_tokens", "open", "queue", "ran_keep_s", "ran_most"}, nil)
 	p.config.Limits = Limits{
-		Body:     p.integer("limits.body_bytes", value.Get("body_bytes"), 1, 16<<20, 1<<20),
-		BodyTime: p.milliseconds("limits.body_ms", value.Get("body_ms"), 100, 600_000, 10_000),
-		Tokens:   p.integer("limits.max_tokens", value.Get("max_tokens"), 1, 1_000_000, 16384),
-		Queue:    p.integer("limits.queue", value.Get("queue"), 1, 100_000, 1000),
-		Open:     p.integer("limits.open", value.Get("open"), 1, 1_000_000, 4000),
-		Keep:     time.Duration(p.integer("limits.claim_keep_s", value.Get("claim_keep_s"), 10, 86400, 3600)) * time.Second,
-		RanKeep:  time.Duration(p.integer("limits.ran_keep_s", value.Get("ran_keep_s"), 10, 90*86400, 2*86400)) * time.Second,
-		RanMost:  p.integer("limits.ran_most", value.Get("ran_most"), 1, 100_000_000, RanMost)}
+		BodyBytes:            p.integer("limits.body_bytes", value.Get("body_bytes"), 1, 16<<20, 1<<20),
+		BodyTimeout:          p.milliseconds("limits.body_ms", value.Get("body_ms"), 100, 600_000, 10_000),
+		Tokens:               p.integer("limits.max_tokens", value.Get("max_tokens"), 1, 1_000_000, 16384),
+		Queue:                p.integer("limits.queue", value.Get("queue"), 1, 100_000, 1000),
+		OpenRequests:         p.integer("limits.open", value.Get("open"), 1, 1_000_000, 4000),
+		ClaimRetention:       time.Duration(p.integer("limits.claim_keep_s", value.Get("claim_keep_s"), 10, 86400, 3600)) * time.Second,
+		FinishedKeyRetention: time.Duration(p.integer("limits.ran_keep_s", value.Get("ran_keep_s"), 10, 90*86400, 2*86400)) * time.Second,
+		MaxFinishedKeys:      p.integer("limits.ran_most", value.Get("ran_most"), 1, 100_000_000, RanMost)}
 }
--- a/internal/testing/sim/promise_test.go
+++ b/internal/testing/sim/promise_test.go
@@ -348,10 +348,10 @@
 			go w.send(w.ctx, w.full[i%2], ask{n: uint64(i + 1), tenant: "rich", path: "/ask", body: map[string]any{"model": "m", "max_tokens": 2, "prompt": fmt.Sprint(i)}})
 			time.Sleep(100 * time.Millisecond)
 			for _, e := range w.full[0].r.Runners.List() {
-				if e.Addr == a.addr && i == 300 && e.Health() == "" {
+				if e.Address == a.addr && i == 300 && e.Health() == "" {
 					t.Error("after 30 s of silence the runner is in good standing")
 				}
-				if e.Addr == a.addr {
+				if e.Address == a.addr {
 					if why := e.Health(); why != was {
 						was = why
 						flips++
@@ -661,10 +661,10 @@
 			time.Sleep(20 * time.Millisecond)
 			for _, r := range w.full {
 				for _, e := range r.r.Runners.List() {
-					key := r.name + " " + e.Addr
+					key := r.name + " " + e.Address
 					now := e.Health()
 					if old, ok := was[key]; ok && old != now && now != "on trial" {
-						turns[e.Addr]++
+						turns[e.Address]++
 					}
 					was[key] = now
 				}
--- a/internal/testing/sim/stream_test.go
+++ b/internal/testing/sim/stream_test.go
@@ -249,7 +249,7 @@
 			if _, s := w.holders(id); s == nil || ended(s, id) {
 				return // it was over before its router fell
 			}
-			if lay := w.full[0].r.Cluster.Config(); !slices.ContainsFunc(lay.Lanes, func(l fleetconfig.Lane) bool { return l.Repeat }) {
+			if lay := w.full[0].r.Cluster.Config(); !slices.ContainsFunc(lay.TrafficClasses, func(l fleetconfig.TrafficClass) bool { return l.RepeatLostStreams }) {
 				return
 			}
 			w.within(9*time.Second, "taken over and guarded again", func() bool {
