--- a/internal/dataplane/gateway/bounds_test.go
+++ b/internal/dataplane/gateway/bounds_test.go
@@ -11,10 +11,10 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// slack is how much later than its bound an answer may come here.
+// timingTolerance is how much later than its bound an answer may come here.
 const timingTolerance = 500 * time.Millisecond
 
-// A request that nobody has answered by its route's time is answered then, whatever its client would wait.
+// A request without a response by its route's time-out gets 504 then, however long its client would wait.
 func TestRouteTimeout(t *testing.T) {
 	bounded := route(routing.Unsafe, 1, false)
 	bounded.Timeout = 150 * time.Millisecond
@@ -26,10 +26,10 @@
 	begun := time.Now()
 	answer, _, err := f.send("1", "/a/x", "k1", "", "Test-Deadline", "30000")
 	if err != nil || answer.StatusCode != http.StatusGatewayTimeout {
-		t.Fatal(answer, err)
+		t.Fatalf("got %v, error %v, want status 504", answer, err)
 	}
 	if took := time.Since(begun); took < bounded.Timeout || took > bounded.Timeout+timingTolerance {
-		t.Errorf("answered after %s, its route's time is %s", took, bounded.Timeout)
+		t.Errorf("got a response after %s, want one after the route's time-out of %s", took, bounded.Timeout)
 	}
 }
 
@@ -37,9 +37,9 @@
 func TestMaxAttempts(t *testing.T) {
 	f := newFleet(t, route(routing.Safe, 2, false))
 	f.addRunner("good", respondWith("text"))
-	for range 8 { // earn further tries
+	for range 8 { // earn retries
 		if answer, _, err := f.send("1", "/a/x", "k1", ""); err != nil || answer.StatusCode != http.StatusOK {
-			t.Fatal(answer, err)
+			t.Fatalf("got %v, error %v, want status 200", answer, err)
 		}
 	}
 	f.runners = nil
@@ -52,11 +52,11 @@
 	}
 	answer, _, err := f.send("1", "/a/x", "k1", "")
 	if err != nil || answer.StatusCode != http.StatusBadGateway || sent.Load() != 2 {
-		t.Errorf("sent to %d runners, answer %v, %v", sent.Load(), answer, err)
+		t.Errorf("sent to %d runners, got %v, error %v, want status 502 after 2 runners", sent.Load(), answer, err)
 	}
 }
 
-// A runner is handed the time that is left, also on a further attempt.
+// A runner is sent the time that is left, also on a further attempt.
 func TestRemainingTimeIsForwarded(t *testing.T) {
 	f := newFleet(t, route(routing.Safe, 2, false))
 	const pause = 120 * time.Millisecond
@@ -74,6 +74,6 @@
 	}
 	first, second := <-handed, <-handed
 	if first <= 0 || first > 2*time.Second || second <= 0 || second > first-pause {
-		t.Errorf("handed %s first and %s %s later", first, second, pause)
+		t.Errorf("remaining time forwarded: got %s first and %s a pause of %s later, want at most 2s and that less the pause", first, second, pause)
 	}
 }
--- a/internal/dataplane/gateway/forwarding_test.go
+++ b/internal/dataplane/gateway/forwarding_test.go
@@ -9,14 +9,14 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// An answer that is not a success goes to the client as the runner gave it: status, seal, other headers and body.
+// A response that is not a success is forwarded unchanged: status, seal, other headers and body.
 func TestFailureIsForwardedUnchanged(t *testing.T) {
 	for _, status := range []int{400, 404, 409, 422, 429, 499, 500, 501, 507} {
 		f := newFleet(t, route(routing.Unsafe, 3, false))
 		f.addRunner("one", func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Test-Id", r.Header.Get("Test-Id"))
 			w.Header().Set("Test-Seal", "s")
-			w.Header().Set("X-Reason", "as told")
+			w.Header().Set("X-Reason", "as given")
 			w.WriteHeader(status)
 			writeText(w, "why it failed")
 		})
@@ -24,13 +24,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if answer.StatusCode != status || answer.Header.Get("Test-Seal") != "s" || answer.Header.Get("X-Reason") != "as told" || text != "why it failed" {
-			t.Errorf("status %d, headers %v and %q in place of the runner's %d", answer.StatusCode, answer.Header, text, status)
+		if answer.StatusCode != status || answer.Header.Get("Test-Seal") != "s" || answer.Header.Get("X-Reason") != "as given" || text != "why it failed" {
+			t.Errorf("got status %d, headers %v and %q, want the runner's %d unchanged", answer.StatusCode, answer.Header, text, status)
 		}
 	}
 }
 
-// Runners are told how urgent a request is: by its tenant's priority first, then by its route's, 0 the most urgent.
+// Runners are sent how urgent a request is: by its tenant's priority first, then by its route's, 0 the most urgent.
 func TestUrgencyByTenantAndRoute(t *testing.T) {
 	f := newFleet(t, route(routing.Unsafe, 1, false))
 	var seen string
@@ -48,42 +48,42 @@
 		}
 		f.table.Store(table)
 		if answer, _, err := f.send("1", "/a/x", "k1", ""); err != nil || answer.StatusCode != http.StatusOK {
-			t.Fatal(answer, err)
+			t.Fatalf("got %v, error %v, want status 200", answer, err)
 		}
 		if seen != fmt.Sprint(c.want) {
-			t.Errorf("tenant of priority %d, route of %d: the runner was told %q, %d expected", c.tenant, c.route, seen, c.want)
+			t.Errorf("tenant of priority %d, route of %d: urgency got %q, want %d", c.tenant, c.route, seen, c.want)
 		}
 	}
 }
 
-// A request whose client has waited for longer than the route aims at is the least urgent, unless its time is short or it
-// carries a stream on.
+// A request whose client has waited for longer than the route's target latency is the least urgent, unless its time is
+// short or it resumes a stream.
 func TestUrgencyOfLateRequests(t *testing.T) {
-	aimed := route(routing.Safe, 1, true)
-	aimed.Priority, aimed.Timeout, aimed.TargetLatency = 2, 5*time.Second, 500*time.Millisecond
+	timed := route(routing.Safe, 1, true)
+	timed.Priority, timed.Timeout, timed.TargetLatency = 2, 5*time.Second, 500*time.Millisecond
 	for _, c := range []struct {
 		name     string
-		longest  string // time in milliseconds that another client has told before; "": none
+		longest  string // milliseconds that another client said before; "": none
 		deadline string
 		lastID   string
-		aim      time.Duration
+		target   time.Duration
 		startsIn time.Duration // the router is not ready for so long
 		want     string
 	}{
-		{"first try", "3000", "3000", "", aimed.TargetLatency, 0, "2"},
-		{"nobody else is known", "", "1000", "", aimed.TargetLatency, 0, "2"},
-		{"soon after the first", "3000", "2600", "", aimed.TargetLatency, 0, "2"},
-		{"late", "3000", "2400", "", aimed.TargetLatency, 0, "9"},
-		{"late, with little time left", "3000", "1400", "", aimed.TargetLatency, 0, "2"},
-		{"a longer time than the route's is not the measure", "5600", "4800", "", aimed.TargetLatency, 0, "2"},
-		{"no time told", "3000", "", "", aimed.TargetLatency, 0, "2"},
-		{"a stream carried on", "3000", "2400", "7", aimed.TargetLatency, 0, "2"},
-		{"no aim", "3000", "2400", "", 0, 0, "2"},
+		{"first attempt", "3000", "3000", "", timed.TargetLatency, 0, "2"},
+		{"nobody else is known", "", "1000", "", timed.TargetLatency, 0, "2"},
+		{"soon after the first", "3000", "2600", "", timed.TargetLatency, 0, "2"},
+		{"late", "3000", "2400", "", timed.TargetLatency, 0, "9"},
+		{"late, with little time left", "3000", "1400", "", timed.TargetLatency, 0, "2"},
+		{"a longer time than the route's is not the measure", "5600", "4800", "", timed.TargetLatency, 0, "2"},
+		{"no deadline given", "3000", "", "", timed.TargetLatency, 0, "2"},
+		{"a resumed stream", "3000", "2400", "7", timed.TargetLatency, 0, "2"},
+		{"no target latency", "3000", "2400", "", 0, 0, "2"},
 		{"waited for the router's start", "3000", "3000", "", 100 * time.Millisecond, 200 * time.Millisecond, "9"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			aimed.TargetLatency = c.aim
-			f := newFleet(t, aimed)
+			timed.TargetLatency = c.target
+			f := newFleet(t, timed)
 			var seen string
 			f.addRunner("one", func(w http.ResponseWriter, r *http.Request) {
 				seen = r.Header.Get("Test-Urgency")
@@ -103,10 +103,10 @@
 			}
 			answer, _, err := f.send("2", "/a/x", "k1", "", "Test-Deadline", c.deadline, "Last-Event-Id", c.lastID)
 			if err != nil || answer.StatusCode != http.StatusOK {
-				t.Fatal(answer, err)
+				t.Fatalf("got %v, error %v, want status 200", answer, err)
 			}
 			if seen != c.want {
-				t.Errorf("the runner was told %q, %s expected", seen, c.want)
+				t.Errorf("urgency: got %q, want %s", seen, c.want)
 			}
 		})
 	}
--- a/internal/dataplane/gateway/fuzz_test.go
+++ b/internal/dataplane/gateway/fuzz_test.go
@@ -19,7 +19,7 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// gatewayBefore is a gateway with one runner, which answers every request with these bytes and closes.
+// gatewayWithRunner is a gateway with one runner, which answers every request with these bytes and closes.
 func gatewayWithRunner(t *testing.T, answer []byte) *Gateway {
 	balancer := balance.New("north")
 	balancer.Update([]routing.Runner{{ID: "one", Service: "desk", Address: "10.0.0.1:1", Zone: "north", State: routing.RunnerReady}})
@@ -44,7 +44,7 @@
 		Pool: pool, Quotas: &fakeQuotas{}, LocalShare: func(n int) int { return n }, Log: slog.New(slog.DiscardHandler)})
 }
 
-// sealedAnswer tells, by another reader of HTTP, which body a runner's bytes hold as a whole sealed success
+// sealedResponse tells, by another reader of HTTP, which body a runner's bytes hold as a complete sealed success
 // for the request with this id. known is false where they hold none.
 func sealedResponse(raw []byte, id string) (body string, known bool) {
 	reader := bufio.NewReader(bytes.NewReader(raw))
@@ -59,7 +59,7 @@
 		}
 		other := answer.Header.Get("Test-Id")
 		if other != "" && other != id && err == nil {
-			continue // an answer that is late
+			continue // a late response to an earlier request
 		}
 		return string(text), err == nil && answer.StatusCode/100 == 2 && answer.Header.Get("Test-Seal") != ""
 	}
@@ -80,8 +80,8 @@
 	return body, err
 }
 
-// Whatever bytes a runner answers with, a client gets a success only where they hold the runner's whole sealed
-// answer to its request, and then with the body unchanged.
+// Whatever bytes a runner responds with, a client gets a success only where they hold the runner's complete sealed
+// response to its request, and then with the body unchanged.
 func FuzzRunnerResponse(f *testing.F) {
 	for _, seed := range []string{
 		"HTTP/1.1 200 OK\r\nTest-Id: 1\r\nTest-Seal: s\r\nContent-Length: 2\r\n\r\nok",
@@ -106,13 +106,13 @@
 		}
 		body, known := sealedResponse(raw, "1")
 		if !known || body != got.Body.String() {
-			t.Fatalf("the client got %d with %q, the runner's answer is %q (sealed and whole: %v)", got.Code, got.Body, body, known)
+			t.Fatalf("got %d with %q, want the runner's %q (sealed and complete: %v)", got.Code, got.Body, body, known)
 		}
 	})
 }
 
-// servedWhole reports whether the answer was not cut off.
-func servedComplete(gateway *Gateway, w http.ResponseWriter, request *http.Request) (whole bool) {
+// servedComplete reports whether the answer was not cut off.
+func servedComplete(gateway *Gateway, w http.ResponseWriter, request *http.Request) (complete bool) {
 	defer func() {
 		if failure := recover(); failure != nil && failure != http.ErrAbortHandler {
 			panic(failure)
--- a/internal/dataplane/gateway/gateway_test.go
+++ b/internal/dataplane/gateway/gateway_test.go
@@ -22,7 +22,7 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// testDialect is a dialect of the tests' own.
+// testDialect is a dialect with headers of the tests' own.
 type testDialect struct{}
 
 func (testDialect) ReadRequest(h http.Header) (RequestMeta, error) {
@@ -50,7 +50,7 @@
 		OtherRunner: status == http.StatusMisdirectedRequest}
 }
 
-// freeQuotas lets everything through but what is listed as spent.
+// fakeQuotas lets everything through but what is listed as spent.
 type fakeQuotas struct {
 	exhausted                 map[string]bool
 	reserved, spent, released atomic.Int64
@@ -71,7 +71,7 @@
 func (q *fakeQuotas) Scarce(string) bool  { return false }
 func (q *fakeQuotas) Spend(string, int)   { q.spent.Add(1) }
 
-// fleet is a gateway before runners of the test's making.
+// fleet is a gateway with runners of the test's making.
 type fleet struct {
 	*testing.T
 	gateway  *Gateway
@@ -114,14 +114,14 @@
 		Timeout: 5 * time.Second, TargetLatency: time.Second, Split: []routing.SplitSpec{{Service: "desk", Weight: 1}}}
 }
 
-// runner adds a runner that answers with handler.
+// addRunner adds a runner that answers with handler.
 func (f *fleet) addRunner(id string, handler http.HandlerFunc) {
 	server := httptest.NewServer(handler)
 	f.Cleanup(server.Close)
 	f.addRunnerAt(id, server.Listener.Addr().String())
 }
 
-// raw adds a runner that does with each connection's requests what answer says.
+// addRawRunner adds a runner that does with each connection's requests what answer says.
 func (f *fleet) addRawRunner(id string, answer func(con net.Conn, request *http.Request)) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -177,7 +177,7 @@
 	return answer, string(raw), err
 }
 
-// good answers in full, with seal and id.
+// respondWith answers in full, with seal and id.
 func respondWith(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Test-Id", r.Header.Get("Test-Id"))
@@ -197,16 +197,16 @@
 	})
 	answer, text, err := f.send("7", "/a/b%20c?x=1&y", "k1", "asked", "Test-Tenant", "other", "X-More", "kept")
 	if err != nil || answer.StatusCode != 200 || text != "text" || answer.Header.Get("Test-Seal") != "s" {
-		t.Fatal(answer, text, err)
+		t.Fatalf("got %v %q, error %v, want the runner's sealed response", answer, text, err)
 	}
 	if path != "/a/b%20c?x=1&y" || body != "asked" {
-		t.Errorf("the runner got %q with %q", path, body)
+		t.Errorf("the runner got %q with %q, want the client's path and body", path, body)
 	}
 	if seen.Get("Test-Tenant") != "yard" || seen.Get("Test-Key") != "" || seen.Get("X-More") != "kept" || seen.Get("Test-Runner") != "one" {
-		t.Errorf("the runner got headers %v", seen)
+		t.Errorf("the runner got headers %v, want tenant yard, no key, X-More and its own ID", seen)
 	}
 	if f.quotas.spent.Load() != 1 || f.quotas.released.Load() != 0 {
-		t.Error("one request of the quota is spent, none released")
+		t.Errorf("quota: got %d spent and %d released, want 1 and 0", f.quotas.spent.Load(), f.quotas.released.Load())
 	}
 }
 
@@ -224,19 +224,19 @@
 		{"/b/x", "k1", "asked", 404},
 	} {
 		if answer, _, err := f.send("1", c.path, c.key, c.body); err != nil || answer.StatusCode != c.want {
-			t.Error(c, answer, err)
+			t.Errorf("%s with key %q: got %v, error %v, want status %d", c.path, c.key, answer, err, c.want)
 		}
 	}
 	f.quotas.exhausted["yard"] = false
 	if answer, _, err := f.send("1", "/a/x", "k1", strings.Repeat("x", 1001)); err != nil || answer.StatusCode != 413 {
-		t.Error(answer, err)
+		t.Errorf("body over the limit: got %v, error %v, want status 413", answer, err)
 	}
 	if f.quotas.reserved.Load() != f.quotas.released.Load() {
-		t.Error("what was reserved for requests that did not leave is released")
+		t.Errorf("quota: got %d reserved and %d released, want all released", f.quotas.reserved.Load(), f.quotas.released.Load())
 	}
 }
 
-// A runner that promises that it did not run a request leaves room for another one, as far as attempts go.
+// A request that a runner promises not to have run is retried at another one, within its attempts.
 func TestRejectedByRunnerIsRetried(t *testing.T) {
 	full := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Test-Not-Run", "1")
@@ -246,7 +246,7 @@
 	f.addRunner("full", full)
 	answer, _, err := f.send("1", "/a/x", "k1", "")
 	if err != nil || answer.StatusCode != 503 || answer.Header.Get("Retry-After") == "" {
-		t.Fatal(answer, err)
+		t.Fatalf("got %v, error %v, want 503 with Retry-After", answer, err)
 	}
 	f = newFleet(t, route(routing.Unsafe, 3, false))
 	f.addRunner("full", full)
@@ -254,12 +254,12 @@
 	f.addRunner("free", respondWith("text"))
 	for i := range 5 {
 		if answer, text, err := f.send(fmt.Sprint(i), "/a/x", "k1", ""); err != nil || text != "text" {
-			t.Fatal(i, answer, err)
+			t.Fatalf("request %d: got %v, error %v, want the free runner's response", i, answer, err)
 		}
 	}
 }
 
-// Once a byte may have left, only what may be repeated goes to another runner.
+// Once a byte may have left, only an idempotent request is sent to another runner.
 func TestOnlyIdempotentIsRetriedAfterSending(t *testing.T) {
 	for _, c := range []struct {
 		kind     routing.Kind
@@ -278,15 +278,15 @@
 		}
 		answer, _, err := f.send("1", "/a/x", "k1", "")
 		if err != nil || answer.StatusCode != c.want {
-			t.Error(c, answer, err)
+			t.Errorf("%+v: got %v, error %v", c, answer, err)
 		}
 		if c.want == 502 && ran.Load() != 1 {
-			t.Errorf("%v: it ran %d times", c, ran.Load())
+			t.Errorf("%+v: it ran %d times, want 1", c, ran.Load())
 		}
 	}
 }
 
-// A runner that cannot be reached got nothing: another one is tried, whatever the attempts.
+// A runner that cannot be reached got no byte: another one is tried, whatever the attempts.
 func TestUnreachableRunnerIsPassedOver(t *testing.T) {
 	f := newFleet(t, route(routing.Unsafe, 1, false))
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
@@ -298,12 +298,12 @@
 	f.addRunner("good", respondWith("text"))
 	for i := range 4 {
 		if answer, text, err := f.send(fmt.Sprint(i), "/a/x", "k1", ""); err != nil || text != "text" {
-			t.Fatal(i, answer, text, err)
+			t.Fatalf("request %d: got %v %q, error %v, want the reachable runner's response", i, answer, text, err)
 		}
 	}
 }
 
-// What is not the runner's whole sealed answer to this request is never shown as a success.
+// What is not the runner's complete sealed response to this request is never forwarded as a success.
 func TestDamagedResponsesAreNoSuccess(t *testing.T) {
 	for name, bytes := range map[string]string{
 		"unsealed":   "HTTP/1.1 200 OK\r\nTest-Id: 1\r\nContent-Length: 2\r\n\r\nok",
@@ -316,12 +316,12 @@
 		f := newFleet(t, route(routing.Unsafe, 1, false))
 		f.addRawRunner("bad", func(con net.Conn, _ *http.Request) { writeText(con, bytes); closeQuietly(con) })
 		if answer, text, err := f.send("1", "/a/x", "k1", ""); err == nil && answer.StatusCode < 500 {
-			t.Error(name, answer, text)
+			t.Errorf("%s: got %v %q, want no success", name, answer, text)
 		}
 	}
 }
 
-// An extra answer to an earlier request, in the place where ours is due, is passed over.
+// A late response to an earlier request, where ours is due, is skipped.
 func TestLateResponseIsSkipped(t *testing.T) {
 	f := newFleet(t, route(routing.Unsafe, 1, false))
 	f.addRawRunner("late", func(con net.Conn, r *http.Request) {
@@ -330,7 +330,7 @@
 	})
 	for i := 1; i < 4; i++ {
 		if answer, text, err := f.send(fmt.Sprint(i), "/a/x", "k1", ""); err != nil || text != "mine" {
-			t.Fatal(answer, text, err)
+			t.Fatalf("request %d: got %v %q, error %v, want its own response", i, answer, text, err)
 		}
 	}
 }
@@ -343,7 +343,7 @@
 	return b.String()
 }
 
-// streamer sends the events after Last-Event-Id up to its own end, and closes there if that is not the last.
+// streamUpTo sends the events after Last-Event-Id up to its own end, and closes there if that is not the last.
 func streamUpTo(end, last int, askedFor *[]string) func(net.Conn, *http.Request) {
 	return func(con net.Conn, r *http.Request) {
 		from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
@@ -360,8 +360,8 @@
 	}
 }
 
-// A stream that its runner breaks off goes on at another one inside one answer where the route allows it,
-// with no piece missing or doubled; elsewhere it never ends as if it were complete.
+// A stream that its runner breaks off is resumed at another one within one response where the route permits it, with no
+// event missing or doubled; elsewhere it never ends as if it were complete.
 func TestStreamIsResumed(t *testing.T) {
 	for _, resume := range []bool{true, false} {
 		f := newFleet(t, route(routing.Streaming, 3, resume))
@@ -369,27 +369,27 @@
 		f.addRawRunner("cuts", streamUpTo(3, 9, &asked))
 		answer, text, err := f.send("1", "/a/x", "k1", "")
 		if answer == nil || answer.Header.Get("Test-Seal") != "s3" || text != events(1, 3) || err == nil {
-			t.Fatal(resume, answer, text, err)
+			t.Fatalf("resume %v: got %v %q, error %v, want three events and a cut connection", resume, answer, text, err)
 		}
 		f.addRawRunner("whole", streamUpTo(9, 9, &asked))
 		for range 6 { // whichever runner comes first
 			asked = nil
 			_, text, err = f.send("2", "/a/x", "k1", "")
 			if resume && (err != nil || text != events(1, 9)) {
-				t.Fatal(text, err, asked)
+				t.Fatalf("got %q, error %v, want all nine events (runs from %v)", text, err, asked)
 			}
 			if err == nil && text != events(1, 9) {
-				t.Fatal("a cut stream ends as if complete", text)
+				t.Fatalf("a stream that was cut ends as if complete: got %q", text)
 			}
 			if len(asked) > 1 && (!resume || asked[1] != "3") {
-				t.Fatal("second run asked for", asked)
+				t.Fatalf("second run: got Last-Event-Id of both runs %q, want 3 in the second", asked)
 			}
-			time.Sleep(400 * time.Millisecond) // until the bar on the runner that failed has passed
+			time.Sleep(400 * time.Millisecond) // until the ejection of the runner that failed has ended
 		}
 	}
 }
 
-// Where a client goes away its runner is told.
+// Where a client disconnects, its runner's request is cancelled.
 func TestClientDisconnects(t *testing.T) {
 	f := newFleet(t, route(routing.Unsafe, 1, false))
 	began, left := make(chan bool, 1), make(chan bool, 1)
@@ -414,11 +414,11 @@
 	}
 	<-left
 	if took := time.Since(closed); took > timingTolerance {
-		t.Errorf("the runner learnt of it %s after the client had left", took)
+		t.Errorf("the runner learnt of it %s after the client had disconnected, want %s at most", took, timingTolerance)
 	}
 }
 
-// The deadline ends a request whose runner says nothing, as one that may have run.
+// The deadline ends a request whose runner stalls, as one that may have run.
 func TestDeadline(t *testing.T) {
 	f := newFleet(t, route(routing.Unsafe, 1, false))
 	f.addRunner("silent", func(_ http.ResponseWriter, r *http.Request) {
@@ -427,11 +427,11 @@
 	})
 	answer, _, err := f.send("1", "/a/x", "k1", "", "Test-Deadline", "80")
 	if err != nil || answer.StatusCode != 504 {
-		t.Fatal(answer, err)
+		t.Fatalf("got %v, error %v, want status 504", answer, err)
 	}
 }
 
-// Before a further attempt the newest table is obeyed.
+// Before a retry the newest table is obeyed.
 func TestRevokedBetweenAttempts(t *testing.T) {
 	f := newFleet(t, route(routing.Safe, 3, false))
 	f.addRawRunner("cuts", func(con net.Conn, _ *http.Request) {
@@ -442,12 +442,12 @@
 	})
 	answer, _, err := f.send("1", "/a/x", "k1", "")
 	if err != nil || answer.StatusCode != 502 {
-		t.Fatal(answer, err)
+		t.Fatalf("got %v, error %v, want status 502", answer, err)
 	}
 }
 
 func TestStateChart(t *testing.T) {
-	way := func(j stateChart, states ...State) error {
+	follow := func(j stateChart, states ...State) error {
 		for _, s := range states {
 			if err := j.advance(s); err != nil {
 				return err
@@ -456,16 +456,16 @@
 		return nil
 	}
 	begin := []State{Routed, Authenticated, Admitted, Selected, Sent}
-	if err := way(stateChart{}, append(begin, Admitted)...); err == nil {
-		t.Error("a request that may have run once only goes back")
+	if err := follow(stateChart{}, append(begin, Admitted)...); err == nil {
+		t.Error("a request that may have run, and must run once only, gets back to admitted")
 	}
-	if err := way(stateChart{}, append(begin, Rejected)...); err == nil {
-		t.Error("a request that may have run is refused as not run")
+	if err := follow(stateChart{}, append(begin, Rejected)...); err == nil {
+		t.Error("a request that may have run is rejected as not executed")
 	}
-	if err := way(stateChart{idempotent: true}, append(begin, Admitted, Selected, Sent, Responding, Completed)...); err != nil {
+	if err := follow(stateChart{idempotent: true}, append(begin, Admitted, Selected, Sent, Responding, Completed)...); err != nil {
 		t.Error(err)
 	}
-	if err := way(stateChart{}, Selected); err == nil {
-		t.Error("a step that the chart lacks")
+	if err := follow(stateChart{}, Selected); err == nil {
+		t.Error("got no error for a transition that the chart lacks")
 	}
 }
--- a/internal/dataplane/gateway/keys_test.go
+++ b/internal/dataplane/gateway/keys_test.go
@@ -9,7 +9,7 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// staleKeys gives a fleet a term for withdrawn keys, and the moment up to which its configuration is known to be the
+// setKeyTerm gives a fleet a term for revoked keys, and the moment up to which its configuration is known to be the
 // newest.
 func setKeyTerm(f *fleet, term time.Duration) *atomic.Pointer[time.Time] {
 	confirmed := &atomic.Pointer[time.Time]{}
@@ -26,8 +26,8 @@
 	return answer.StatusCode, answer.Header
 }
 
-// A router that cannot tell whether keys still hold refuses what needs one, whether it knows the key or not, and says when
-// to come back. Public routes go on.
+// A router that cannot tell whether keys are still valid rejects what needs one, whether it knows the key or not, with
+// Retry-After. Public routes go on.
 func TestStaleKeysAreRejected(t *testing.T) {
 	public := routing.RouteSpec{Name: "p", Host: testHost, Prefix: "/public/", Kind: routing.Safe, Public: true, MaxAttempts: 1,
 		Timeout: 5 * time.Second, Split: []routing.SplitSpec{{Service: "desk", Weight: 1}}}
@@ -36,36 +36,36 @@
 	confirmed := setKeyTerm(f, 2*time.Second)
 	for _, key := range []string{"k1", "unknown"} {
 		if status, header := f.status("/a/", key); status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" {
-			t.Errorf("key %s: %d, Retry-After %q", key, status, header.Get("Retry-After"))
+			t.Errorf("key %s: got %d, Retry-After %q, want 503 with Retry-After", key, status, header.Get("Retry-After"))
 		}
 	}
 	if status, _ := f.status("/public/", ""); status != http.StatusOK {
-		t.Errorf("public route: %d", status)
+		t.Errorf("public route: got %d, want 200", status)
 	}
 	almost := time.Now().Add(-1500 * time.Millisecond)
 	confirmed.Store(&almost)
 	if status, _ := f.status("/a/", "k1"); status != http.StatusOK {
-		t.Errorf("confirmed within the term: %d", status)
+		t.Errorf("confirmed within the term: got %d, want 200", status)
 	}
 	over := time.Now().Add(-1900 * time.Millisecond) // within the term, but for what clocks may differ by
 	confirmed.Store(&over)
 	if status, _ := f.status("/a/", "k1"); status != http.StatusServiceUnavailable {
-		t.Errorf("confirmed too long ago: %d", status)
+		t.Errorf("confirmed too long ago: got %d, want 503", status)
 	}
 	f.gateway.Keys.Term = 0
 	if status, _ := f.status("/a/", "k1"); status != http.StatusOK {
-		t.Errorf("without a term: %d", status)
+		t.Errorf("without a term: got %d, want 200", status)
 	}
 }
 
-// A request waits a moment for the word that keys hold, and then goes by what came with it.
+// A request waits for the confirmation that keys are valid, and then goes by the table that came with it.
 func TestRequestWaitsForConfirmedKeys(t *testing.T) {
 	f := newFleet(t, route(routing.Safe, 1, false))
 	f.addRunner("one", respondWith("text"))
 	confirmed := setKeyTerm(f, 2*time.Second)
-	confirm := func(withdrawn bool) {
+	confirm := func(revoked bool) {
 		time.Sleep(100 * time.Millisecond)
-		if withdrawn {
+		if revoked {
 			spec := routing.Spec{Revision: 2, Routes: []routing.RouteSpec{route(routing.Safe, 1, false)}, Services: []routing.Service{{Name: "desk"}},
 				Tenants: []routing.TenantSpec{{Name: "yard", Keys: []string{"k2"}}}}
 			table, _ := routing.Build(spec)
@@ -76,16 +76,16 @@
 	}
 	go confirm(false)
 	if status, _ := f.status("/a/", "k1"); status != http.StatusOK {
-		t.Errorf("a key that still holds: %d", status)
+		t.Errorf("a key that is still valid: got %d, want 200", status)
 	}
 	confirmed.Store(&time.Time{})
 	go confirm(true)
 	if status, _ := f.status("/a/", "k1"); status != http.StatusUnauthorized {
-		t.Errorf("a key that was taken away meanwhile: %d", status)
+		t.Errorf("a key that was revoked meanwhile: got %d, want 401", status)
 	}
 }
 
-// A request that was let in, and then stood still with its process, does not run once its key may have been taken away.
+// A request that was admitted, and then suspended with its process, does not run once its key may have been revoked.
 func TestStaleKeyBeforeTheFirstByte(t *testing.T) {
 	f := newFleet(t, route(routing.Safe, 1, false))
 	var ran atomic.Int64
@@ -95,6 +95,6 @@
 	confirmed.Store(&now)
 	f.quotas.onReserve = func() { confirmed.Store(&time.Time{}) } // as if much time had passed here
 	if status, _ := f.status("/a/", "k1"); status != http.StatusServiceUnavailable || ran.Load() > 0 {
-		t.Errorf("%d, run %d times", status, ran.Load())
+		t.Errorf("got %d after %d runs, want 503 after none", status, ran.Load())
 	}
 }
--- a/internal/dataplane/gateway/maxima_test.go
+++ b/internal/dataplane/gateway/maxima_test.go
@@ -7,10 +7,10 @@
 	var largest routeMaxima[int]
 	for _, c := range []struct {
 		route       string
-		value, most int
+		value, want int
 	}{{"a", 10, 10}, {"b", 500, 500}, {"a", 4, 10}, {"a", 30, 30}, {"b", 1, 500}} {
-		if got := largest.observe(c.route, c.value); got != c.most {
-			t.Errorf("route %s: %d after %d, %d expected", c.route, got, c.value, c.most)
+		if got := largest.observe(c.route, c.value); got != c.want {
+			t.Errorf("route %s after %d: got %d, want %d", c.route, c.value, got, c.want)
 		}
 	}
 }
--- a/internal/dataplane/gateway/outcome.go
+++ b/internal/dataplane/gateway/outcome.go
@@ -21,7 +21,7 @@
 	return r.responseLost(chosen, err)
 }
 
-// notSent ends an attempt of which no byte left.
+// outcomeNotSent ends an attempt of which no byte left.
 func (r *request) notSent(chosen *balance.Attempt, err error) (attemptOutcome, error) {
 	r.tried[chosen.Runner().Index] = true
 	switch {
--- a/internal/dataplane/gateway/outcome_test.go
+++ b/internal/dataplane/gateway/outcome_test.go
@@ -9,13 +9,13 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// turnsAway answers that it has no room.
+// rejectNotExecuted answers that it has no room.
 func rejectNotExecuted(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Test-Not-Run", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// A request that one runner may have run is not called unrun since the next one turned it away.
+// A request that one runner may have run is not reported as not executed since the next one rejected it.
 func TestLostThenRejectedByRunner(t *testing.T) {
 	f := newFleet(t, route(routing.Safe, 2, false))
 	cut := make(chan bool, 1)
@@ -32,11 +32,11 @@
 		select {
 		case <-cut:
 			if answer.StatusCode != http.StatusBadGateway {
-				t.Fatalf("status %d for a request that may have run", answer.StatusCode)
+				t.Fatalf("request that may have run: got status %d, want 502", answer.StatusCode)
 			}
 			return
 		default:
 		}
 	}
-	t.Error("the runner that cuts was never asked")
+	t.Error("the runner that breaks off got no request, want one")
 }
--- a/internal/dataplane/gateway/stall_test.go
+++ b/internal/dataplane/gateway/stall_test.go
@@ -12,11 +12,11 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// longSilence is more than a runner with a short prompt is usually given.
+// longStall is more than a runner with a short prompt is usually given.
 const longStall = 1200 * time.Millisecond
 
-// A stream whose first runner broke off has one attempt left. However long its second runner says nothing, before the first
-// event or between two, it is not ended: there is nothing else that could be done for it.
+// A stream whose first runner broke off has one attempt left. However long its second runner stalls, before the first event
+// or between two, the attempt is not ended: no other could follow.
 func TestLastAttemptHasNoStallTimeout(t *testing.T) {
 	f := newFleet(t, route(routing.Streaming, 2, true))
 	var sent atomic.Int64
@@ -42,6 +42,6 @@
 	f.addRawRunner("slow too", slow)
 	answer, text, err := f.send("1", "/a/x", "k1", "")
 	if err != nil || answer.StatusCode != http.StatusOK || strings.Count(text, "id:") != 2 {
-		t.Fatalf("%v %q after %d sends: %v", answer, text, sent.Load(), err)
+		t.Fatalf("got %v %q, error %v after %d attempts, want 200 with two events", answer, text, err, sent.Load())
 	}
 }
