--- a/internal/lib/daemon/context.go
+++ b/internal/lib/daemon/context.go
@@ -1,5 +1,3 @@
-// Package daemon is what each of the programs starts with: its settings, its logger, its signals, and a context that says
-// which run of which process this is.
 package daemon
 
 import (
@@ -12,10 +10,10 @@
 // Context is the context of one run of one process. It adds to a context.Context what is fixed for that run.
 type Context struct {
 	context.Context
-	Name  string       // this process's name
+	Name  string       // the process's name
 	Zone  string       // the zone it stands in
 	RunID uint64       // this run of the process; a restart has another, drawn at random
-	Log   *slog.Logger // already prefixed for the part
+	Log   *slog.Logger // already prefixed for the component
 	Net   wire.Network // how to dial and listen
 }
 
--- a/internal/lib/logging/log.go
+++ b/internal/lib/logging/log.go
@@ -1,4 +1,6 @@
 // Package logging writes the programs' log: log/slog records as short lines for people.
+//
+//	2026-01-02T03:04:05.678Z WARN core: Backup did not hold a write. backup=10.0.0.2:7360
 package logging
 
 import (
@@ -9,57 +11,68 @@
 	"sync"
 )
 
-// lineHandler writes short log lines: time, level, a prefix for the part, the sentence, then pairs.
+// componentKey is the attribute whose value is the line's component. It is not written as a pair.
+const componentKey = "part"
+
+// lineHandler is a slog.Handler that writes lines: time, level, component, message, then the attributes as key=value.
 type lineHandler struct {
-	mu   *sync.Mutex
-	out  io.Writer
-	low  slog.Leveler
-	part string
-	rest string
+	mu         *sync.Mutex // held while writing to out; shared by all handlers made from one
+	out        io.Writer
+	level      slog.Leveler // the least that is written
+	component  string
+	attributes string // of the logger, already formatted
 }
 
-// New makes the logger of a process. Every part's lines start with the part's name.
+// New makes the logger of a process. Its component is "main" until With("part", NAME) sets another. Each record is one Write
+// to out; one at a time is under way. The level may change at any time.
 func New(out io.Writer, level slog.Leveler) *slog.Logger {
-	return slog.New(&lineHandler{mu: &sync.Mutex{}, out: out, low: level, part: "main"})
+	return slog.New(&lineHandler{mu: &sync.Mutex{}, out: out, level: level, component: "main"})
 }
 
-func (l *lineHandler) Enabled(_ context.Context, lev slog.Level) bool { return lev >= l.low.Level() }
+// Enabled reports whether records of a level are written.
+func (h *lineHandler) Enabled(_ context.Context, level slog.Level) bool {
+	return level >= h.level.Level()
+}
 
-func (l *lineHandler) Handle(_ context.Context, r slog.Record) error {
-	var b strings.Builder
-	b.WriteString(r.Time.UTC().Format("2006-01-02T15:04:05.000Z "))
-	b.WriteString(r.Level.String())
-	b.WriteString(" " + l.part + ": " + r.Message + l.rest)
-	r.Attrs(func(a slog.Attr) bool {
-		b.WriteString(formatAttr(a))
+// Handle writes a record as one line.
+func (h *lineHandler) Handle(_ context.Context, record slog.Record) error {
+	var line strings.Builder
+	line.WriteString(record.Time.UTC().Format("2006-01-02T15:04:05.000Z "))
+	line.WriteString(record.Level.String())
+	line.WriteString(" " + h.component + ": " + record.Message + h.attributes)
+	record.Attrs(func(attribute slog.Attr) bool {
+		line.WriteString(formatAttribute(attribute))
 		return true
 	})
-	b.WriteByte('\n')
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	_, err := io.WriteString(l.out, b.String())
+	line.WriteByte('\n')
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	_, err := io.WriteString(h.out, line.String())
 	return err
 }
 
-func formatAttr(a slog.Attr) string {
-	value := a.Value.String()
+// formatAttribute is " key=value". A value with spaces, line ends or quotes is quoted, and made to fit into one line.
+func formatAttribute(attribute slog.Attr) string {
+	value := attribute.Value.String()
 	if strings.ContainsAny(value, " \n\"") {
 		value = strings.ReplaceAll(value, "\n", " | ")
 		value = "\"" + strings.ReplaceAll(value, "\"", "'") + "\""
 	}
-	return " " + a.Key + "=" + value
+	return " " + attribute.Key + "=" + value
 }
 
-func (l *lineHandler) WithAttrs(all []slog.Attr) slog.Handler {
-	c := *l
-	for _, a := range all {
-		if a.Key == "part" {
-			c.part = a.Value.String()
+// WithAttrs returns a handler whose lines have these attributes as well, or another component.
+func (h *lineHandler) WithAttrs(attributes []slog.Attr) slog.Handler {
+	derived := *h
+	for _, attribute := range attributes {
+		if attribute.Key == componentKey {
+			derived.component = attribute.Value.String()
 		} else {
-			c.rest += formatAttr(a)
+			derived.attributes += formatAttribute(attribute)
 		}
 	}
-	return &c
+	return &derived
 }
 
-func (l *lineHandler) WithGroup(string) slog.Handler { return l }
+// WithGroup returns the handler itself: keys are written without their groups.
+func (h *lineHandler) WithGroup(string) slog.Handler { return h }
