--- a/internal/controlplane/core/claims.go
+++ b/internal/controlplane/core/claims.go
@@ -73,11 +73,7 @@
 func (s *Server) mayRun(node string, run uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Since(s.readySince) < nodeLeaseTerm {
-		return true
-	}
-	known := s.nodes[node]
-	return known != nil && known.node.Run == run && time.Since(known.heardAt) < nodeLeaseTerm
+	return s.routers.MayBeAlive(node, run, time.Now())
 }
 
 // settleClaim records what became of a claimed key, or lets it go.
--- a/internal/controlplane/core/figures.go
+++ b/internal/controlplane/core/figures.go
@@ -22,8 +22,8 @@
 		Runners: len(s.registry.List(time.Now()))}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dropExpiredNodes()
+	s.routers.Expire(time.Now())
 	figures.Ready = s.ready && figures.Primary
-	figures.DiskFailed, figures.ConfigVersion, figures.Nodes = s.diskFailed, s.config.Version, len(s.nodes)
+	figures.DiskFailed, figures.ConfigVersion, figures.Nodes = s.diskFailed, s.config.Version, s.routers.Len()
 	return figures
 }
--- a/internal/controlplane/core/primary.go
+++ b/internal/controlplane/core/primary.go
@@ -155,7 +155,7 @@
 	s.mu.Lock()
 	s.registry.StartEpoch(runnerregistry.Epoch(v.Epoch, s.ctx.RunID), s.ledSince, time.Now(), s.runnerStorage.LoadAll())
 	s.ready, s.config, s.readySince = true, config, time.Now()
-	s.routersBefore = s.rememberedRouters()
+	s.routers.Start(s.rememberedRouters(), s.readySince)
 	s.mu.Unlock()
 	s.ctx.Log.Info("Primary is ready.", "epoch", v.Epoch, "backups", addrsOf(v, v.Backups()), "sequence", config.Version)
 }
--- a/internal/controlplane/core/quotascarce.go
+++ b/internal/controlplane/core/quotascarce.go
@@ -20,7 +20,7 @@
 func (s *Server) noteScarce(move *coreapi.QuotaMove, short bool, total, free int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	low := quota.IsSmall(total, len(s.nodes)) && free < total/smallQuotaDivisor || len(move.Costs) > 0 && free < total/unevenQuotaDivisor
+	low := quota.IsSmall(total, s.routers.Len()) && free < total/smallQuotaDivisor || len(move.Costs) > 0 && free < total/unevenQuotaDivisor
 	if short || low {
 		s.scarceSince[move.Tenant] = time.Now()
 	}
--- /dev/null
+++ b/internal/controlplane/core/routerheartbeat.go
@@ -0,0 +1,80 @@
+package core
+
+import (
+	"context"
+	"time"
+
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/transport/wire"
+)
+
+// runQueryTimeout is how long a router may take to say which run of it there is.
+const runQueryTimeout = 250 * time.Millisecond
+
+// takeHeartbeat renews a router's lease, or ends it, and responds with what has changed.
+func (s *Server) takeHeartbeat(ctx context.Context, request *coreapi.HeartbeatRequest) (*coreapi.HeartbeatResponse, error) {
+	if err := s.requirePrimary(); err != nil {
+		return nil, err
+	}
+	router := request.Node
+	if !request.Leaving && s.hasRunEnded(ctx, router) {
+		return nil, wire.StatusError{Code: coreapi.CodeRunEnded}
+	}
+	response, newRun, err := s.recordHeartbeat(request)
+	if err != nil {
+		return nil, err
+	}
+	if request.Leaving {
+		if err := s.coolHolder(ctx, coreapi.Holder(router)); err != nil {
+			return nil, err
+		}
+		return response, nil
+	}
+	if newRun {
+		s.replaceHolder(router, time.Duration(request.AgeMs)*time.Millisecond)
+	}
+	s.rememberAddress(router)
+	return response, nil
+}
+
+// hasRunEnded reports whether a heartbeat is of a run that another one at the same address has replaced: it was delayed in
+// the network. Taken, it would set the units of the living run cooling. Whoever listens there says which run it is; where
+// nobody answers, the heartbeat is taken.
+func (s *Server) hasRunEnded(ctx context.Context, router coreapi.Node) bool {
+	s.mu.Lock()
+	hasOtherRun := s.routers.HasOtherRun(router)
+	s.mu.Unlock()
+	if !hasOtherRun {
+		return false
+	}
+	ctx, cancel := context.WithTimeout(ctx, runQueryTimeout)
+	defer cancel()
+	var listening coreapi.Node
+	err := s.call(ctx, router.Addr, "node.run", &coreapi.Empty{}, &listening)
+	return err == nil && listening.Run != router.Run
+}
+
+// recordHeartbeat records a router's heartbeat and makes the response, one consistent picture under the server's lock. The
+// locks of the registry and of the runners' statistics are taken within it. newRun reports whether the router's run was not
+// known. The only error is routerleases.ErrNameTaken.
+func (s *Server) recordHeartbeat(request *coreapi.HeartbeatRequest) (response *coreapi.HeartbeatResponse, newRun bool, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := time.Now()
+	newRun, err = s.routers.RecordHeartbeat(request, now)
+	if err != nil {
+		return nil, false, err
+	}
+	response = &coreapi.HeartbeatResponse{ConfigVersion: s.config.Version}
+	if v := s.acceptor.View(); v.Epoch != request.ViewEpoch {
+		response.View = v
+	}
+	s.routers.FillResponse(request, response, now)
+	s.registry.FillResponse(request, response, now)
+	s.runnerOutliers.Record(request.RunnerStats, now)
+	response.Failing = s.runnerOutliers.Failing(now)
+	s.runnerLatency.Record(request.RunnerStats, now)
+	response.LowLatencyRunners = s.runnerLatency.LowLatencyRunners(s.registry.List, now)
+	response.ScarceTenants = s.scarceTenants()
+	return response, newRun, nil
+}
--- /dev/null
+++ b/internal/controlplane/core/routerheartbeat_test.go
@@ -0,0 +1,45 @@
+package core
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/routerleases"
+	"yarrowridge/internal/controlplane/store"
+)
+
+// A primary that has just started names no routers, but says how many its disk knows: without that, each router of a fleet
+// that lost all power takes itself for one of many.
+func TestNewPrimarySaysHowManyRoutersThereWere(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s, opened := quotaServer(t)
+		var puts []store.Mutation
+		for _, addr := range []string{"10.0.0.1:70", "10.0.0.2:70", "10.0.0.3:70"} {
+			raw, err := (&coreapi.Node{Name: addr, Addr: addr}).MarshalMsg(nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			puts = append(puts, store.Mutation{Key: placePrefix + addr, Value: raw})
+		}
+		if err := opened.Append(store.Batch{Version: opened.Version() + 1, Mutations: puts}); err != nil {
+			t.Fatal(err)
+		}
+		s.routers.Start(s.rememberedRouters(), time.Now())
+		heartbeat := &coreapi.HeartbeatRequest{Node: coreapi.Node{Name: "a"}}
+		if _, err := s.routers.RecordHeartbeat(heartbeat, time.Now()); err != nil {
+			t.Fatal(err)
+		}
+		var early, late coreapi.HeartbeatResponse
+		s.routers.FillResponse(&coreapi.HeartbeatRequest{}, &early, time.Now())
+		if early.PreviousRouters != 3 || early.NodesChanged {
+			t.Errorf("got %d previous routers, list of routers %t from a new primary, want 3, no list", early.PreviousRouters, early.NodesChanged)
+		}
+		time.Sleep(routerleases.LeaseTerm + time.Millisecond)
+		s.routers.FillResponse(&coreapi.HeartbeatRequest{}, &late, time.Now())
+		if late.PreviousRouters != 0 || !late.NodesChanged || len(late.Nodes) != 1 {
+			t.Errorf("got %+v from a primary that knows its routers, want a list of one", late)
+		}
+	})
+}
--- a/internal/controlplane/core/server.go
+++ b/internal/controlplane/core/server.go
@@ -16,6 +16,7 @@
 	"yarrowridge/internal/controlplane/lease"
 	"yarrowridge/internal/controlplane/paxos"
 	"yarrowridge/internal/controlplane/replication"
+	"yarrowridge/internal/controlplane/routerleases"
 	"yarrowridge/internal/controlplane/runnerregistry"
 	"yarrowridge/internal/controlplane/store"
 	"yarrowridge/internal/controlplane/view"
@@ -33,7 +34,6 @@
 	diskTimeout       = 1500 * time.Millisecond // a disk slower than this is in trouble
 	replaceTimeout    = 3 * time.Second         // a write waits so long for a new backup
 	replaceStepPause  = 5 * time.Millisecond    // between two looks whether the lease of the new epoch stands: all writes wait
-	nodeLeaseTerm     = 2 * time.Second         // a node's lease
 	maxBatchBytes     = 1 << 20                 // bytes of state in one SnapshotRequest
 	maxBatchJobs      = 256                     // writes synced together
 )
@@ -69,12 +69,10 @@
 	readySince    time.Time
 	diskFailed    bool
 
-	config        coreapi.StoredConfig // the newest one committed; here, since it is set and read together with ready
-	nodes         map[string]*liveNode
-	nodesVersion  uint64               // goes up with every change of the nodes
-	routersBefore int                  // routers that the disk had when we became ready
-	scarceSince   map[string]time.Time // tenants whose idle units are wanted back
-	candidates    map[string]candidate // by identity
+	config      coreapi.StoredConfig // the newest one committed; here, since it is set and read together with ready
+	routers     routerleases.Table   // the routers whose lease runs
+	scarceSince map[string]time.Time // tenants whose idle units are wanted back
+	candidates  map[string]candidate // by identity
 
 	registry       *runnerregistry.Registry
 	runnerStorage  runnerregistry.Storage
@@ -109,12 +107,6 @@
 	finishedParts   int // parts put by this run
 }
 
-// liveNode is a node whose lease runs.
-type liveNode struct {
-	node    coreapi.Node
-	heardAt time.Time
-}
-
 // candidate is a process that wants to become a member.
 type candidate struct {
 	member     view.Member
@@ -148,7 +140,6 @@
 		runLoopState: newRunLoopState(),
 		documents:    configuration.New(settings.Codec),
 		lease:        lease.New(settings.LeaseTerm),
-		nodes:        map[string]*liveNode{},
 		scarceSince:  map[string]time.Time{},
 		candidates:   map[string]candidate{},
 	}
--- a/internal/controlplane/core/state.go
+++ b/internal/controlplane/core/state.go
@@ -3,6 +3,7 @@
 import (
 	"sort"
 	"strings"
+	"time"
 
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/store"
@@ -15,9 +16,9 @@
 	committed := s.store.Load()
 	state := &coreapi.State{View: s.acceptor.View(), ID: s.acceptor.ID(), StoreVersion: committed.Version()}
 	s.mu.Lock()
-	s.dropExpiredNodes()
+	s.routers.Expire(time.Now())
 	state.Ready, state.ConfigVersion, state.DiskFailed = s.ready, s.config.Version, s.diskFailed
-	state.Nodes = s.liveNodes()
+	state.Nodes = s.routers.List()
 	for _, known := range s.candidates {
 		state.Candidates = append(state.Candidates, known.member)
 	}
--- a/internal/controlplane/core/sweep.go
+++ b/internal/controlplane/core/sweep.go
@@ -56,12 +56,12 @@
 
 // liveHolders names the nodes whose lease runs; the caller holds the lock.
 func (s *Server) liveHolders() liveHolders {
-	s.dropExpiredNodes()
+	s.routers.Expire(time.Now())
 	live := liveHolders{holders: map[string]bool{}, places: map[string]bool{}, addrs: map[string]bool{}}
-	for _, known := range s.nodes {
-		live.holders[coreapi.Holder(known.node)] = true
-		live.places[holderPlace(known.node)] = true
-		live.addrs[known.node.Addr] = true
+	for _, router := range s.routers.List() {
+		live.holders[coreapi.Holder(router)] = true
+		live.places[holderPlace(router)] = true
+		live.addrs[router.Addr] = true
 	}
 	return live
 }
--- /dev/null
+++ b/internal/controlplane/routerleases/table_test.go
@@ -0,0 +1,178 @@
+package routerleases
+
+import (
+	"errors"
+	"testing"
+	"time"
+
+	"yarrowridge/internal/controlplane/coreapi"
+)
+
+// testTable is a table whose time the test sets, of a primary that started long ago.
+type testTable struct {
+	Table
+	now time.Time
+}
+
+func newTestTable() *testTable {
+	table := &testTable{now: time.Unix(1000, 0)}
+	table.Start(3, table.now.Add(-time.Hour))
+	return table
+}
+
+// heartbeat records a heartbeat of a router that must be taken, and reports whether its run was not known.
+func (t *testTable) heartbeat(test *testing.T, router coreapi.Node) bool {
+	test.Helper()
+	newRun, err := t.RecordHeartbeat(&coreapi.HeartbeatRequest{Node: router}, t.now)
+	if err != nil {
+		test.Fatal(err)
+	}
+	return newRun
+}
+
+// response answers a router that has a version of the list.
+func (t *testTable) response(version uint64) *coreapi.HeartbeatResponse {
+	var response coreapi.HeartbeatResponse
+	t.FillResponse(&coreapi.HeartbeatRequest{NodesVersion: version}, &response, t.now)
+	return &response
+}
+
+// The version goes up with what a router's peers must know, and not with every heartbeat.
+func TestVersionCountsChanges(t *testing.T) {
+	table := newTestTable()
+	router := coreapi.Node{Name: "a", Addr: "10.0.0.1:70", Run: 1}
+	for _, step := range []struct {
+		name       string
+		change     func()
+		wantNewRun bool
+		wantChange bool
+	}{
+		{"first heartbeat", func() {}, true, true},
+		{"nothing", func() {}, false, false},
+		{"configuration", func() { router.ConfigVersion = 7 }, false, false},
+		{"ready", func() { router.Ready = true }, false, true},
+		{"restart", func() { router.Run = 2 }, true, true},
+	} {
+		before := table.version
+		step.change()
+		if got := table.heartbeat(t, router); got != step.wantNewRun {
+			t.Errorf("%s: got a new run %t, want %t", step.name, got, step.wantNewRun)
+		}
+		if got := table.version > before; got != step.wantChange {
+			t.Errorf("%s: got a higher version %t, want %t", step.name, got, step.wantChange)
+		}
+		if got := table.response(before).NodesChanged; got != step.wantChange {
+			t.Errorf("%s: got a list %t, want %t", step.name, got, step.wantChange)
+		}
+	}
+}
+
+// A lease ends one LeaseTerm after the last heartbeat, and not at that very moment.
+func TestLeaseRunsOut(t *testing.T) {
+	table := newTestTable()
+	table.heartbeat(t, coreapi.Node{Name: "b"})
+	table.heartbeat(t, coreapi.Node{Name: "a"})
+	if got := table.List(); len(got) != 2 || got[0].Name != "a" || got[1].Name != "b" {
+		t.Errorf("got routers %+v, want a and b", got)
+	}
+	table.now = table.now.Add(LeaseTerm)
+	table.heartbeat(t, coreapi.Node{Name: "a"})
+	if got := table.Len(); got != 2 {
+		t.Errorf("got %d routers at the end of the term, want 2", got)
+	}
+	before := table.version
+	table.now = table.now.Add(time.Millisecond)
+	table.Expire(table.now)
+	if got := table.List(); len(got) != 1 || got[0].Name != "a" || table.version == before {
+		t.Errorf("got routers %+v at version %d after the term, want a alone at a version above %d", got, table.version, before)
+	}
+}
+
+// A router that moved gets its name once the lease at its former address has run out, and not sooner.
+func TestNameIsTakenWhileLeaseRuns(t *testing.T) {
+	table := newTestTable()
+	table.heartbeat(t, coreapi.Node{Name: "a", Addr: "10.0.0.1:70", Run: 1})
+	moved := coreapi.Node{Name: "a", Addr: "10.0.0.2:70", Run: 2}
+	table.now = table.now.Add(LeaseTerm)
+	before := table.version
+	if _, err := table.RecordHeartbeat(&coreapi.HeartbeatRequest{Node: moved}, table.now); !errors.Is(err, ErrNameTaken) {
+		t.Errorf("got error %v while the lease runs, want %v", err, ErrNameTaken)
+	}
+	if got := table.List(); len(got) != 1 || got[0].Run != 1 || table.version != before {
+		t.Errorf("got routers %+v at version %d after a rejected heartbeat, want the first run at version %d", got, table.version, before)
+	}
+	table.now = table.now.Add(time.Millisecond)
+	if !table.heartbeat(t, moved) {
+		t.Error("got a known run after the lease, want a new one")
+	}
+}
+
+// A router that leaves is gone at once; a late word of an earlier run that it leaves does not end the lease of a later one.
+func TestLeavingEndsLease(t *testing.T) {
+	table := newTestTable()
+	table.heartbeat(t, coreapi.Node{Name: "a", Run: 2})
+	for _, step := range []struct {
+		name string
+		run  uint64
+		want int
+	}{{"an earlier run leaves", 1, 1}, {"the run of the lease leaves", 2, 0}, {"it leaves again", 2, 0}} {
+		request := &coreapi.HeartbeatRequest{Node: coreapi.Node{Name: "a", Run: step.run}, Leaving: true}
+		if _, err := table.RecordHeartbeat(request, table.now); err != nil {
+			t.Fatal(err)
+		}
+		if got := table.Len(); got != step.want {
+			t.Errorf("%s: got %d routers, want %d", step.name, got, step.want)
+		}
+	}
+}
+
+// Just after its start a primary takes every run for alive, names no routers and says how many there were.
+func TestNewPrimaryWaitsForHeartbeats(t *testing.T) {
+	table := newTestTable()
+	table.Start(3, table.now)
+	table.heartbeat(t, coreapi.Node{Name: "a", Run: 1})
+	if !table.MayBeAlive("unknown", 1, table.now) {
+		t.Error("got an unknown run lost just after the start, want it alive")
+	}
+	if got := table.response(0); got.PreviousRouters != 3 || got.NodesChanged {
+		t.Errorf("got %+v just after the start, want 3 previous routers, no list", got)
+	}
+	table.now = table.now.Add(LeaseTerm)
+	table.heartbeat(t, coreapi.Node{Name: "a", Run: 1})
+	if table.MayBeAlive("unknown", 1, table.now) || table.MayBeAlive("a", 2, table.now) || !table.MayBeAlive("a", 1, table.now) {
+		t.Error("got another run than that of the lease alive after the term, want it alone")
+	}
+	table.now = table.now.Add(time.Millisecond)
+	if got := table.response(0); got.PreviousRouters != 0 || !got.NodesChanged || len(got.Nodes) != 1 {
+		t.Errorf("got %+v after the term, want a list of one", got)
+	}
+	if table.HavePeerLists(table.now) {
+		t.Error("got peers' lists known just after the term, want unknown")
+	}
+	table.now = table.now.Add(peerListDelay)
+	if !table.HavePeerLists(table.now) {
+		t.Error("got peers' lists unknown after the delay, want known")
+	}
+}
+
+// Only another run at the same name and address shows that one of both has ended.
+func TestHasOtherRun(t *testing.T) {
+	table := newTestTable()
+	table.heartbeat(t, coreapi.Node{Name: "a", Addr: "10.0.0.1:70", Run: 1})
+	for _, c := range []struct {
+		name   string
+		router coreapi.Node
+		want   bool
+	}{
+		{"unknown router", coreapi.Node{Name: "b", Addr: "10.0.0.1:70", Run: 2}, false},
+		{"same run", coreapi.Node{Name: "a", Addr: "10.0.0.1:70", Run: 1}, false},
+		{"other run", coreapi.Node{Name: "a", Addr: "10.0.0.1:70", Run: 2}, true},
+		{"other address", coreapi.Node{Name: "a", Addr: "10.0.0.2:70", Run: 2}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := table.HasOtherRun(c.router); got != c.want {
+				t.Errorf("got %t, want %t", got, c.want)
+			}
+		})
+	}
+}
