--- a/internal/dataplane/clientapi/admission.go
+++ b/internal/dataplane/clientapi/admission.go
@@ -53,8 +53,8 @@
 	demand := allow.Demand{Funded: x.tenant.Funded, Tokens: x.maxTokens, MayLower: gjson.GetBytes(x.body, "allow_downgrade").Bool()}
 	verdict := allow.Decide(x.config.Allowance, demand, estimates, waiting)
 	x.estimatedWait = verdict.Wait
-	x.server.Metrics.Allowance.WithLabelValues(x.tenantKind(), string(verdict.Outcome), allow.Bucket(x.maxTokens), allow.Bucket(verdict.Size)).Inc()
-	x.server.Metrics.Wait.WithLabelValues(x.tenantKind()).Observe(verdict.Wait.Seconds())
+	x.server.Metrics.AllowanceDecisions.WithLabelValues(x.tenantKind(), string(verdict.Outcome), allow.Bucket(x.maxTokens), allow.Bucket(verdict.Size)).Inc()
+	x.server.Metrics.AllowanceWait.WithLabelValues(x.tenantKind()).Observe(verdict.Wait.Seconds())
 	switch verdict.Outcome {
 	case allow.NoFunds:
 		return verdict, &Rejection{Status: 402, Code: "no-funds", RetryAfter: x.retryAfter(),
--- a/internal/dataplane/clientapi/body.go
+++ b/internal/dataplane/clientapi/body.go
@@ -18,7 +18,7 @@
 // readBody takes the body in, within its bounds of size and time.
 func (x *exchange) readBody() error {
 	limit, wait := x.config.Limits.BodyBytes, x.config.Limits.BodyTimeout
-	control := web.Control(x.writer, x.incoming)
+	control := web.ResponseController(x.writer, x.incoming)
 	control.SetReadDeadline(time.Now().Add(wait))
 	raw, err := io.ReadAll(io.LimitReader(x.incoming.Body, int64(limit)+1))
 	switch {
--- a/internal/dataplane/clientapi/clientwriter.go
+++ b/internal/dataplane/clientapi/clientwriter.go
@@ -19,7 +19,7 @@
 }
 
 func (x *exchange) newClientWriter() *clientWriter {
-	return &clientWriter{writer: x.writer, control: web.Control(x.writer, x.incoming)}
+	return &clientWriter{writer: x.writer, control: web.ResponseController(x.writer, x.incoming)}
 }
 
 // write hands bytes over, and reports whether the client is still there.
--- a/internal/dataplane/clientapi/dispatch.go
+++ b/internal/dataplane/clientapi/dispatch.go
@@ -44,7 +44,7 @@
 			return err
 		}
 		if try == 0 && !x.secondRun {
-			x.server.Metrics.Dispatch.WithLabelValues(x.tenantKind()).Observe(x.request.Age().Seconds())
+			x.server.Metrics.DispatchWait.WithLabelValues(x.tenantKind()).Observe(x.request.Age().Seconds())
 			x.server.Retries.CountFirst(service, x.server.Cluster.Share(service.MinRetries))
 		}
 		left, err := x.send(slot)
--- a/internal/dataplane/clientapi/retries.go
+++ b/internal/dataplane/clientapi/retries.go
@@ -56,7 +56,7 @@
 	defer b.mu.Unlock()
 	counts := b.countsOf(service.Name)
 	counts.first = append(counts.first, time.Now())
-	b.metrics.FirstTries.WithLabelValues(service.Name).Inc()
+	b.metrics.FirstAttempts.WithLabelValues(service.Name).Inc()
 	counts.allowed = min(float64(part), counts.allowed+service.RetryRatio)
 }
 
@@ -79,6 +79,6 @@
 		counts.again = append(counts.again, time.Now())
 		let = "yes"
 	}
-	b.metrics.SecondTries.WithLabelValues(service.Name, let).Inc()
+	b.metrics.RetryDecisions.WithLabelValues(service.Name, let).Inc()
 	return let == "yes"
 }
--- a/internal/dataplane/clientapi/secondrun.go
+++ b/internal/dataplane/clientapi/secondrun.go
@@ -167,7 +167,7 @@
 		x.server.Log.Add(x.request, code)
 	}
 	x.server.Tracer.Export(x.request, code)
-	x.server.Metrics.SecondRuns.WithLabelValues(x.request.Lane, code).Inc()
+	x.server.Metrics.StreamReruns.WithLabelValues(x.request.Lane, code).Inc()
 	return err
 }
 
--- a/internal/dataplane/clientapi/server.go
+++ b/internal/dataplane/clientapi/server.go
@@ -170,7 +170,7 @@
 	}
 	if !x.bodyRead {
 		// What is left of a body that nobody wants holds up neither the response nor a planned stop.
-		web.Control(x.writer, x.incoming).SetReadDeadline(time.Now().Add(restOfBodyWait))
+		web.ResponseController(x.writer, x.incoming).SetReadDeadline(time.Now().Add(restOfBodyWait))
 	}
 	header := x.writer.Header()
 	for name := range header {
--- a/internal/dataplane/tracing/tracing_test.go
+++ b/internal/dataplane/tracing/tracing_test.go
@@ -11,7 +11,7 @@
 )
 
 // A request's states stand in the file as events of one span, in order.
-func TestTracer(t *testing.T) {
+func TestExport(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "traces.json")
 	tr, err := Open(path, "north1")
 	if err != nil {
--- a/internal/lib/metrics/endpoint.go
+++ b/internal/lib/metrics/endpoint.go
@@ -13,14 +13,14 @@
 	"yarrowridge/internal/lib/web"
 )
 
-// Endpoint is where a process serves its metrics. The zero value: nowhere.
+// Endpoint is where a process serves its metrics. The zero Endpoint serves none.
 type Endpoint struct {
 	Address string // ip:port
 	Path    string // with its leading slash
 }
 
-// ParseEndpoint reads "PORT/PATH", such as "9464/metrics", for a process with that IP number. The error tells what is
-// wrong with the text.
+// ParseEndpoint parses "PORT/PATH", such as "9464/metrics", for a process with an IP address. The error names the form
+// that is expected.
 func ParseEndpoint(ip, text string) (Endpoint, error) {
 	port, path, hasPath := strings.Cut(text, "/")
 	number, err := strconv.ParseUint(port, 10, 16)
@@ -30,8 +30,8 @@
 	return Endpoint{Address: net.JoinHostPort(ip, port), Path: "/" + path}, nil
 }
 
-// Start serves the metrics until the context ends. A process does its work without them: where the address cannot be
-// bound, the log says so and nothing else happens.
+// Start serves the metrics in the background until ctx ends. A process does its work without them: where the address
+// cannot be bound, it logs that and nothing else happens.
 func (e Endpoint) Start(ctx daemon.Context, handler http.Handler) {
 	if e.Address == "" {
 		return
@@ -41,6 +41,7 @@
 	}
 }
 
+// start binds the address and serves the metrics in the background until ctx ends.
 func (e Endpoint) start(ctx daemon.Context, handler http.Handler) error {
 	routes, err := web.Handler([]rest.Route{{Method: http.MethodGet, Path: e.Path, Handler: handler.ServeHTTP}}, nil)
 	if err != nil {
@@ -48,7 +49,7 @@
 	}
 	listener, err := net.Listen("tcp", e.Address)
 	if err != nil {
-		return eris.Wrap(err, "metrics: listener")
+		return eris.Wrapf(err, "metrics: listen on %s", e.Address)
 	}
 	server := web.NewServer(listener, routes)
 	go func() { _ = server.Run() }() // it ends with the listener, below
--- a/internal/lib/metrics/endpoint_test.go
+++ b/internal/lib/metrics/endpoint_test.go
@@ -32,15 +32,15 @@
 	} {
 		got, err := ParseEndpoint("192.0.2.7", text)
 		if got != want || (err == nil) != (want != Endpoint{}) {
-			t.Errorf("%q: %v and error %v, %v expected", text, got, err, want)
+			t.Errorf("ParseEndpoint(%q): got %v and error %v, want %v", text, got, err, want)
 		}
 		if err != nil && !strings.Contains(err.Error(), "PORT/PATH") {
-			t.Errorf("%q: the error %q does not tell what is expected", text, err)
+			t.Errorf("ParseEndpoint(%q): got error %q, want it to name the form PORT/PATH", text, err)
 		}
 	}
 }
 
-// Metrics are served at their address and nowhere else; a port that is taken is told and stops nothing.
+// Metrics are served at their address and path only; a port in use is logged and stops nothing.
 func TestEndpointServes(t *testing.T) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,20 +53,21 @@
 
 	endpoint.Start(ctx, handler)
 	if !strings.Contains(logged.String(), "Metrics are not served.") {
-		t.Errorf("a taken port is logged as %q", logged.String())
+		t.Errorf("port in use: got log %q, want \"Metrics are not served.\"", logged.String())
 	}
 	if err := free.Close(); err != nil {
 		t.Fatal(err)
 	}
 	endpoint.Start(ctx, handler)
 	if status, text := get(t, "http://"+endpoint.Address+"/metrics"); status != http.StatusOK || !strings.Contains(text, "yarrowridge_ready 1\n") {
-		t.Errorf("status %d, %q", status, text)
+		t.Errorf("got status %d and %q, want 200 with yarrowridge_ready 1", status, text)
 	}
 	if status, _ := get(t, "http://"+endpoint.Address+"/other"); status != http.StatusNotFound {
-		t.Errorf("another path: status %d", status)
+		t.Errorf("another path: got status %d, want 404", status)
 	}
 }
 
+// get returns the status and the body of the response to a GET.
 func get(t *testing.T, url string) (status int, text string) {
 	t.Helper()
 	response, err := http.Get(url)
--- a/internal/lib/metrics/traffic.go
+++ b/internal/lib/metrics/traffic.go
@@ -6,21 +6,22 @@
 	"yarrowridge/internal/transport/wire"
 )
 
+// What the metrics of wire are called.
 var (
 	wireFrames = prometheus.NewDesc("yarrowridge_wire_frames_total", "Messages between our own processes, by kind and direction.", []string{"kind", "direction"}, nil)
 	wireBytes  = prometheus.NewDesc("yarrowridge_wire_bytes_total", "Bytes of messages between our own processes, by kind and direction.", []string{"kind", "direction"}, nil)
 )
 
-// wireTraffic shows the counters that package wire keeps.
+// wireTraffic is a prometheus.Collector of the counters that package wire keeps.
 type wireTraffic struct{}
 
-// Describe names the metrics, as prometheus asks for.
+// Describe implements prometheus.Collector.
 func (wireTraffic) Describe(out chan<- *prometheus.Desc) {
 	out <- wireFrames
 	out <- wireBytes
 }
 
-// Collect reads the counters, as prometheus asks for.
+// Collect implements prometheus.Collector.
 func (wireTraffic) Collect(out chan<- prometheus.Metric) {
 	for kind, traffic := range wire.TrafficByKind() {
 		for direction, count := range map[string]wire.Count{"sent": traffic.Sent(), "received": traffic.Received()} {
--- a/internal/lib/metrics/traffic_test.go
+++ b/internal/lib/metrics/traffic_test.go
@@ -12,8 +12,8 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// Messages between processes stand in the metrics, by kind and direction.
-func TestWireTraffic(t *testing.T) {
+// Frames between processes are in the metrics, by kind and direction.
+func TestWireTrafficIsExported(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 	New(nil).Handler().ServeHTTP(page, httptest.NewRequest("GET", "/metrics", nil))
 	for _, want := range []string{`yarrowridge_wire_frames_total{direction="received",kind="meter.test"}`, `yarrowridge_wire_bytes_total{direction="sent",kind="meter.test"}`} {
 		if !strings.Contains(page.Body.String(), want) {
-			t.Errorf("%s is not in the metrics", want)
+			t.Errorf("got no %s in the metrics, want it", want)
 		}
 	}
 }
--- a/internal/lib/web/web.go
+++ b/internal/lib/web/handler.go
@@ -17,13 +17,13 @@
 	"github.com/zeromicro/go-zero/rest"
 )
 
-var silenceLogs sync.Once
+var disableLogs sync.Once
 
 // Handler makes a rest router over fixed routes; all else goes to rest's not-found hook.
 // Every middleware of rest is off: its time-out and recover buffer streams or turn an abort into
 // a response, its gunzip changes bodies, its breaker, shedding and limits reject on their own.
 func Handler(routes []rest.Route, other http.Handler) (http.Handler, error) {
-	silenceLogs.Do(func() {
+	disableLogs.Do(func() {
 		logx.Disable()
 		logx.DisableStat()
 	})
@@ -45,12 +45,12 @@
 	return http.HandlerFunc(less.Serve), nil
 }
 
-type controllerKey struct{}
+type responseControllerKey struct{}
 
 // Control gives the controls of a request's connection. rest wraps the writer without a way back to it,
 // so a deadline set through rest's would do nothing.
-func Control(w http.ResponseWriter, r *http.Request) *http.ResponseController {
-	if controller, ok := r.Context().Value(controllerKey{}).(*http.ResponseController); ok {
+func ResponseController(w http.ResponseWriter, r *http.Request) *http.ResponseController {
+	if controller, ok := r.Context().Value(responseControllerKey{}).(*http.ResponseController); ok {
 		return controller
 	}
 	return http.NewResponseController(w)
@@ -77,7 +77,7 @@
 	fresh := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		controller := http.NewResponseController(w)
 		_ = controller.SetWriteDeadline(time.Time{}) // a writer without deadlines has none to take away
-		handler.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), controllerKey{}, controller)))
+		handler.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), responseControllerKey{}, controller)))
 	})
 	return &Server{listener, &http.Server{Handler: fresh, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 60 * time.Second,
 		MaxHeaderBytes: 64 << 10, ErrorLog: log.New(io.Discard, "", 0)}}
--- a/internal/lib/web/web_test.go
+++ b/internal/lib/web/handler_test.go
@@ -15,7 +15,7 @@
 
 // rest as we set it up touches nothing: no time-out, no body limit, no gunzip, no buffering, and a
 // handler's abort breaks the connection.
-func TestRestTouchesNothing(t *testing.T) {
+func TestRestLeavesRequestsAlone(t *testing.T) {
 	var zip bytes.Buffer
 	z := gzip.NewWriter(&zip)
 	if _, err := z.Write(bytes.Repeat([]byte("order "), 1000)); err != nil {
--- a/internal/testing/sim/load_test.go
+++ b/internal/testing/sim/load_test.go
@@ -54,8 +54,8 @@
 		}
 		denied := 0.0
 		for _, r := range w.full {
-			second += testutil.ToFloat64(r.r.Metrics.SecondTries.WithLabelValues("model", "yes"))
-			denied += testutil.ToFloat64(r.r.Metrics.SecondTries.WithLabelValues("model", "no"))
+			second += testutil.ToFloat64(r.r.Metrics.RetryDecisions.WithLabelValues("model", "yes"))
+			denied += testutil.ToFloat64(r.r.Metrics.RetryDecisions.WithLabelValues("model", "no"))
 		}
 		t.Logf("%g second tries made, %g wanted and not made; at worst %.2f of the first ones in ten seconds", second, denied, worst)
 		if second == 0 || denied == 0 {
@@ -394,7 +394,7 @@
 	sum := func() (all float64) {
 		for _, kind := range []string{"funded", "unfunded"} {
 			var m dto.Metric
-			if err := r.r.Metrics.Wait.WithLabelValues(kind).(prometheus.Metric).Write(&m); err != nil {
+			if err := r.r.Metrics.AllowanceWait.WithLabelValues(kind).(prometheus.Metric).Write(&m); err != nil {
 				w.t.Error(err)
 			}
 			all += m.Histogram.GetSampleSum()
