--- a/internal/dataplane/balance/balancer.go
+++ b/internal/dataplane/balance/balancer.go
@@ -14,7 +14,7 @@
 )
 
 // Part is one part of a prompt: parts with one id are the same text.
-type Part struct {
+type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
@@ -23,9 +23,9 @@
 type Request struct {
 	Service string
 	Model   string
-	Parts   []Part // of the prompt, in order
-	Input   int    // tokens of the whole prompt
-	Output  int    // the most tokens that may come out
+	Parts   []PromptPart // of the prompt, in order
+	Input   int          // tokens of the whole prompt
+	Output  int          // the most tokens that may come out
 	Tried   map[int]bool
 }
 
@@ -40,25 +40,25 @@
 	added    []*Runner     // that have become ready since the last Rehome; guarded by mu
 	wake     chan struct{} // has one where one was added
 
-	mu        sync.Mutex // over changes of the set
-	next      int
-	byID      map[string]*Runner
-	services  map[string]*serviceHabits
-	byService atomic.Pointer[map[string][]*Runner]
-	turn      atomic.Uint64
-	calm      atomic.Pointer[calmRunners]
+	mu         sync.Mutex // over changes of the set
+	next       int
+	byID       map[string]*Runner
+	services   map[string]*serviceStats
+	byService  atomic.Pointer[map[string][]*Runner]
+	turn       atomic.Uint64
+	lowLatency atomic.Pointer[lowLatencyRunners]
 }
 
 // New makes a balancer of a router in a zone.
 func New(zone string) *Balancer {
-	b := &Balancer{zone: zone, cache: NewPrefixCache(prefixEntries), byID: map[string]*Runner{}, services: map[string]*serviceHabits{},
-		Sessions: session.New(directoryMost), recent: newRecentSessions(recentMost), wake: make(chan struct{}, 1)}
+	b := &Balancer{zone: zone, cache: NewPrefixCache(maxPrefixEntries), byID: map[string]*Runner{}, services: map[string]*serviceStats{},
+		Sessions: session.New(maxDirectorySessions), recent: newRecentSessions(maxRecentSessions), wake: make(chan struct{}, 1)}
 	b.byService.Store(&map[string][]*Runner{})
 	return b
 }
 
 // prefixEntries bounds how many prompt parts a router remembers.
-const prefixEntries = 1 << 16
+const maxPrefixEntries = 1 << 16
 
 // Update takes the list of all known runners.
 func (b *Balancer) Update(list []routing.Runner) {
@@ -72,14 +72,14 @@
 		known[info.ID] = true
 		runner := b.byID[info.ID]
 		if runner == nil {
-			runner = newRunner(b.next, info, b.habitsOf(info.Service), now)
+			runner = newRunner(b.next, info, b.statsOf(info.Service), now)
 			b.next++
 			b.byID[info.ID] = runner
 		}
 		runner.mu.Lock()
 		if info.State == routing.RunnerReady && (runner.since == now || runner.info.State != routing.RunnerReady ||
 			len(info.Models) > len(runner.info.Models)) {
-			b.noteAdded(runner)
+			b.recordAdded(runner)
 		}
 		runner.info = info
 		runner.mu.Unlock()
@@ -102,7 +102,7 @@
 func (b *Balancer) Runners(service string) []*Runner { return (*b.byService.Load())[service] }
 
 // Misplaced notes that another runner has the address of this one: it is gone.
-func (b *Balancer) Misplaced(runner *Runner) {
+func (b *Balancer) AddressReused(runner *Runner) {
 	runner.mu.Lock()
 	defer runner.mu.Unlock()
 	runner.info.State = routing.RunnerGone
@@ -110,12 +110,12 @@
 
 // candidate is a runner that could be sent a request, as one choice sees it.
 type candidate struct {
-	runner *Runner
-	id     string
-	ready  bool    // as its heartbeats say
-	barred bool    // only as a last resort
-	wait   float64 // cost without what has to be read, in milliseconds
-	rate   float64 // prompt tokens read in a millisecond
+	runner  *Runner
+	id      string
+	ready   bool    // as its heartbeats say
+	ejected bool    // only as a last resort
+	wait    float64 // cost without what has to be read, in milliseconds
+	rate    float64 // prompt tokens read in a millisecond
 }
 
 // Choose picks the runner that is expected to answer first and counts the request as sent to it. Nil:
@@ -129,9 +129,9 @@
 	context := b.session(&request, key, shared)
 	expected := first
 	if context.id != 0 {
-		expected = context.expected(candidates, first)
-		if context.home = home; len(request.Tried) > 0 {
-			context.home = b.home(request.Service, request.Model, key)
+		expected = context.presumedHolder(candidates, first)
+		if context.affinityTarget = home; len(request.Tried) > 0 {
+			context.affinityTarget = b.affinityTarget(request.Service, request.Model, key)
 		}
 	}
 	var best *Runner
@@ -139,13 +139,13 @@
 	for i := range candidates {
 		c := &candidates[i]
 		kept := held[c.runner.Index]
-		if c.runner == expected || context.holds(c.id) {
+		if c.runner == expected || context.isHeldBy(c.id) {
 			kept = max(kept, shared)
 		}
 		read := max(0, request.Input-kept)
-		cost := c.wait + float64(read)/c.rate + readAgainMs*float64(max(0, shared-kept))
-		if c.barred {
-			cost += lastResortMs
+		cost := c.wait + float64(read)/c.rate + rereadCostMsPerToken*float64(max(0, shared-kept))
+		if c.ejected {
+			cost += ejectedCostMs
 		}
 		switch {
 		case cost < bestCost:
@@ -163,7 +163,7 @@
 	if best == nil {
 		return nil
 	}
-	b.cache.Note(request.Parts, best.Index)
+	b.cache.Record(request.Parts, best.Index)
 	attempt := best.begin(bestRead, now)
 	attempt.balancer, attempt.context = b, context
 	return attempt
@@ -173,16 +173,16 @@
 func (b *Balancer) candidates(request Request, now time.Time) []candidate {
 	runners := b.Runners(request.Service)
 	out := make([]candidate, 0, len(runners))
-	calm := b.calmNow(now)
+	calm := b.lowLatencyNow(now)
 	for _, runner := range runners {
 		if request.Tried[runner.Index] {
 			continue
 		}
 		runner.mu.Lock()
 		if usable, barred := runner.usable(request.Model, now); usable {
-			wait := runner.waitCost(request, b.zone, now) + runner.pauseCost(request, calm)
+			wait := runner.waitCost(request, b.zone, now) + runner.eventGapCost(request, calm)
 			out = append(out, candidate{runner: runner, id: runner.info.ID, ready: runner.info.State == routing.RunnerReady,
-				barred: barred, wait: wait, rate: runner.rate()})
+				ejected: barred, wait: wait, rate: runner.prefillRate()})
 		}
 		runner.mu.Unlock()
 	}
--- a/internal/dataplane/balance/choose_test.go
+++ b/internal/dataplane/balance/choose_test.go
@@ -27,7 +27,7 @@
 
 // sessionOf is a request of a session whose shared prompt has 5000 tokens.
 func sessionOf(key uint64) Request {
-	return Request{Service: "s", Parts: []Part{{ID: key, Tokens: 5000}, {ID: key + 1<<40, Tokens: 100}}, Input: 5100, Output: 50}
+	return Request{Service: "s", Parts: []PromptPart{{ID: key, Tokens: 5000}, {ID: key + 1<<40, Tokens: 100}}, Input: 5100, Output: 50}
 }
 
 // chosen gives the ID of the runner that a request would go to.
@@ -145,7 +145,7 @@
 			}
 		}
 		first, second := pause(), pause()
-		if first < barShortest || second < 2*barShortest {
+		if first < minEjection || second < 2*minEjection {
 			t.Errorf("barred for %s after the first failure, for %s after the second", first, second)
 		}
 		sendTo(b, "life-1", Request{Service: "s", Input: 1_000_000})
@@ -182,7 +182,7 @@
 			t.Fatalf("%q is chosen", id)
 		}
 	}
-	b.Misplaced(b.Runners("s")[2])
+	b.AddressReused(b.Runners("s")[2])
 	if id := chosen(b, Request{Service: "s"}); id != "" {
 		t.Errorf("%q is chosen though none may be", id)
 	}
@@ -204,7 +204,7 @@
 		}
 		b = balancerOf(readyRunners(2))
 		stuck := sendTo(b, "life-0", Request{Service: "s"})
-		time.Sleep(silenceFactor*firstSilence + time.Millisecond)
+		time.Sleep(stallTimeoutFactor*initialLongestGap + time.Millisecond)
 		if !stuck.Runner().Stalled() {
 			t.Error("a runner that says nothing is not called silent")
 		}
@@ -226,13 +226,13 @@
 func TestFullRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balancerOf(readyRunners(2))
-		sendTo(b, "life-0", Request{Service: "s"}).Refused()
+		sendTo(b, "life-0", Request{Service: "s"}).Rejected()
 		for range 10 {
 			if id := chosen(b, Request{Service: "s"}); id != "life-1" {
 				t.Fatal("a full runner gets more at once")
 			}
 		}
-		time.Sleep(2 * fullSpan)
+		time.Sleep(2 * rejectionTTL)
 		sendTo(b, "life-1", Request{Service: "s"})
 		if id := chosen(b, Request{Service: "s"}); id != "life-0" {
 			t.Error("a runner that was full is never asked again")
@@ -307,7 +307,7 @@
 				case 0:
 					attempt.Failed()
 				case 1:
-					attempt.Refused()
+					attempt.Rejected()
 				case 2:
 					attempt.Abandon()
 				default:
@@ -319,15 +319,15 @@
 	all.Go(func() {
 		for i := range 200 {
 			b.Update(readyRunners(3 + i%4))
-			b.Feeds("s", "")
+			b.Estimates("s", "")
 			b.Tally()
-			b.Failing(map[string]float64{"life-1": float64(i%2) / 2})
+			b.SetFailureShares(map[string]float64{"life-1": float64(i%2) / 2})
 		}
 	})
 	all.Wait()
 	for _, runner := range b.Runners("s") {
-		if len(runner.open) != 0 || runner.promptOpen != 0 {
-			t.Errorf("%s: %d requests and %d tokens stay counted", runner.info.ID, len(runner.open), runner.promptOpen)
+		if len(runner.inFlight) != 0 || runner.pendingPromptTokens != 0 {
+			t.Errorf("%s: %d requests and %d tokens stay counted", runner.info.ID, len(runner.inFlight), runner.pendingPromptTokens)
 		}
 	}
 }
--- a/internal/dataplane/balance/condition.go
+++ b/internal/dataplane/balance/condition.go
@@ -8,7 +8,7 @@
 )
 
 // fleetBarred is the share of failures of all routers from which on a runner is a last resort.
-const fleetBarred = 0.5
+const fleetEjectionShare = 0.5
 
 // usable reports whether the runner may be sent a request at all, and whether only as a last resort. The
 // caller holds the lock.
@@ -19,8 +19,8 @@
 	if !servesModel(&r.info, model) {
 		return false, false
 	}
-	barred = r.info.State == routing.RunnerSilent || now.Before(r.barredUntil) || r.silent(now) || r.failingElsewhere(now) >= fleetBarred ||
-		r.failures > 0 && len(r.open) > 0 // after its failure one request tries whether it serves again
+	barred = r.info.State == routing.RunnerSilent || now.Before(r.ejectedUntil) || r.stalled(now) || r.fleetFailureShareNow(now) >= fleetEjectionShare ||
+		r.failuresInRow > 0 && len(r.inFlight) > 0 // after its failure one request tries whether it serves again
 	return true, barred
 }
 
@@ -31,23 +31,23 @@
 
 // fleetFresh is how long the word on failing runners holds: without a core there is no newer one, and a runner
 // must not be left alone for as long as that lasts.
-const fleetFresh = 2 * time.Second
+const fleetReportTTL = 2 * time.Second
 
 // failingElsewhere is the share of attempts that failed lately for all routers. The caller holds the lock.
-func (r *Runner) failingElsewhere(now time.Time) float64 {
-	if now.After(r.fleetUntil) {
+func (r *Runner) fleetFailureShareNow(now time.Time) float64 {
+	if now.After(r.fleetFailureUntil) {
 		return 0
 	}
-	return r.fleetFails
+	return r.fleetFailureShare
 }
 
 // Failing takes the runners that fail for all routers together, with the share of attempts that fail.
-func (b *Balancer) Failing(shares map[string]float64) {
-	until := time.Now().Add(fleetFresh)
+func (b *Balancer) SetFailureShares(shares map[string]float64) {
+	until := time.Now().Add(fleetReportTTL)
 	for _, runners := range *b.byService.Load() {
 		for _, runner := range runners {
 			runner.mu.Lock()
-			runner.fleetFails, runner.fleetUntil = shares[runner.info.ID], until
+			runner.fleetFailureShare, runner.fleetFailureUntil = shares[runner.info.ID], until
 			runner.mu.Unlock()
 		}
 	}
--- a/internal/dataplane/balance/feeds.go
+++ b/internal/dataplane/balance/feeds.go
@@ -10,7 +10,7 @@
 // Feeds tells, for each runner that could serve the model, the output ahead of a newcomer and the measured
 // rate of its output. A runner that batches gives what it owes beside a newcomer, not before it: ahead is
 // only what the measured wait for a first token is worth at its rate.
-func (b *Balancer) Feeds(service, model string) []allow.Estimate {
+func (b *Balancer) Estimates(service, model string) []allow.Estimate {
 	now := time.Now()
 	var feeds []allow.Estimate
 	for _, runner := range b.Runners(service) {
@@ -18,7 +18,7 @@
 		usable, barred := runner.usable(model, now)
 		if usable && !barred && runner.info.State == routing.RunnerReady {
 			rate := runner.outputRate()
-			wait := runner.fadedWait(now) / 1000
+			wait := runner.decayedWait(now) / 1000
 			feeds = append(feeds, allow.Estimate{Queued: wait * max(rate, 1), Rate: rate})
 		}
 		runner.mu.Unlock()
@@ -29,8 +29,8 @@
 // outputRate is the measured output of the runner in events a second over all streams of this router; 0
 // where no stream has given two events yet. The caller holds the lock.
 func (r *Runner) outputRate() float64 {
-	if r.gapMs <= 0 {
+	if r.eventGapMs <= 0 {
 		return 0
 	}
-	return 1000 / r.gapMs * float64(max(1, len(r.open)))
+	return 1000 / r.eventGapMs * float64(max(1, len(r.inFlight)))
 }
--- a/internal/dataplane/balance/fleet_test.go
+++ b/internal/dataplane/balance/fleet_test.go
@@ -18,7 +18,7 @@
 // used again once it is no longer named.
 func TestRunnerThatFailsElsewhere(t *testing.T) {
 	b := twoRunners()
-	b.Failing(map[string]float64{"a": 1})
+	b.SetFailureShares(map[string]float64{"a": 1})
 	for range 20 {
 		attempt := b.Choose(Request{Service: "s"})
 		if id := attempt.Runner().Info().ID; id != "b" {
@@ -26,13 +26,13 @@
 		}
 		attempt.Done()
 	}
-	b.Failing(map[string]float64{"a": 1, "b": 1})
+	b.SetFailureShares(map[string]float64{"a": 1, "b": 1})
 	last := b.Choose(Request{Service: "s"})
 	if last == nil {
 		t.Fatal("no runner is chosen where all fail: one is to be tried")
 	}
 	last.Cancel()
-	b.Failing(nil)
+	b.SetFailureShares(nil)
 	attempt := b.Choose(Request{Service: "s"})
 	if id := attempt.Runner().Info().ID; id != "a" {
 		t.Errorf("%s chosen, the runner of the own zone serves again", id)
@@ -43,8 +43,8 @@
 func TestOldWordOnFailingRunners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := twoRunners()
-		b.Failing(map[string]float64{"a": 1})
-		time.Sleep(fleetFresh + time.Millisecond)
+		b.SetFailureShares(map[string]float64{"a": 1})
+		time.Sleep(fleetReportTTL + time.Millisecond)
 		attempt := b.Choose(Request{Service: "s"})
 		if id := attempt.Runner().Info().ID; id != "a" {
 			t.Errorf("%s chosen, a was to be tried again", id)
@@ -60,7 +60,7 @@
 	b.Choose(Request{Service: "s"}).Cancel()
 	tries, fails := 0, 0
 	for _, tally := range b.Tally() {
-		tries, fails = tries+tally.Tries, fails+tally.Fails
+		tries, fails = tries+tally.Attempts, fails+tally.Failures
 	}
 	if tries != 2 || fails != 1 {
 		t.Errorf("%d tries and %d failures, 2 and 1 expected", tries, fails)
@@ -118,8 +118,8 @@
 		if spread := choosesOf(b, short, times); len(spread) != len(runners) {
 			t.Errorf("other answers went to %v", spread)
 		}
-		time.Sleep(fleetFresh + time.Millisecond)
-		if b.calmNow(time.Now()) != nil {
+		time.Sleep(fleetReportTTL + time.Millisecond)
+		if b.lowLatencyNow(time.Now()) != nil {
 			t.Error("the core's word on calm runners holds though it was heard of no longer")
 		}
 	})
@@ -135,8 +135,8 @@
 			attempt.Progress()
 		}
 		id := attempt.Runner().Info().ID
-		if tally := b.Tally()[id]; tally.Pauses != 3 || tally.Paused != 150*time.Millisecond {
-			t.Errorf("%d pauses of %s, 3 of 150 ms expected", tally.Pauses, tally.Paused)
+		if tally := b.Tally()[id]; tally.Gaps != 3 || tally.GapTotal != 150*time.Millisecond {
+			t.Errorf("%d pauses of %s, 3 of 150 ms expected", tally.Gaps, tally.GapTotal)
 		}
 		if tallies := b.Tally(); len(tallies) != 0 {
 			t.Errorf("told again: %v", tallies)
--- a/internal/dataplane/balance/memory_test.go
+++ b/internal/dataplane/balance/memory_test.go
@@ -14,13 +14,13 @@
 func BenchmarkPrefixMemory(b *testing.B) {
 	for b.Loop() {
 		before := heap()
-		cache := NewPrefixCache(prefixEntries)
-		for id := range prefixEntries {
+		cache := NewPrefixCache(maxPrefixEntries)
+		for id := range maxPrefixEntries {
 			for runner := range 3 {
-				cache.Note([]Part{{ID: uint64(id) * 0x9e3779b97f4a7c15}}, runner)
+				cache.Record([]PromptPart{{ID: uint64(id) * 0x9e3779b97f4a7c15}}, runner)
 			}
 		}
-		b.ReportMetric(float64(heap()-before)/prefixEntries, "B/part")
+		b.ReportMetric(float64(heap()-before)/maxPrefixEntries, "B/part")
 		runtime.KeepAlive(cache)
 	}
 }
@@ -44,7 +44,7 @@
 			Address: fmt.Sprintf("10.%d.%d.9:8000", i%11, i/11), State: routing.RunnerReady, Slots: 64, Sequence: 1})
 	}
 	balancer.Update(list)
-	parts := []Part{{1, 900}, {2, 200}, {3, 200}, {4, 50}}
+	parts := []PromptPart{{1, 900}, {2, 200}, {3, 200}, {4, 50}}
 	for b.Loop() {
 		if balancer.Choose(Request{Service: "models", Parts: parts, Input: 1350, Output: 300}) == nil {
 			b.Fatal("no runner was chosen")
--- a/internal/dataplane/balance/prefix.go
+++ b/internal/dataplane/balance/prefix.go
@@ -6,15 +6,15 @@
 )
 
 // holdersMost is how many runners are remembered for one part of a prompt.
-const holdersMost = 4
+const maxPrefixRunners = 4
 
 // PrefixCache remembers which runners were lately sent which parts of prompts. It is this router's own
 // guess at what the runners keep: they tell nobody.
 type PrefixCache struct {
-	mu      sync.Mutex
-	most    int
-	entries map[uint64]*list.Element
-	recent  *list.List
+	mu         sync.Mutex
+	maxEntries int
+	entries    map[uint64]*list.Element
+	recent     *list.List
 }
 
 type prefixEntry struct {
@@ -24,11 +24,11 @@
 
 // NewPrefixCache makes a cache of at most so many parts.
 func NewPrefixCache(most int) *PrefixCache {
-	return &PrefixCache{most: most, entries: map[uint64]*list.Element{}, recent: list.New()}
+	return &PrefixCache{maxEntries: most, entries: map[uint64]*list.Element{}, recent: list.New()}
 }
 
 // Match gives for each runner how many leading tokens of the prompt it was lately sent.
-func (c *PrefixCache) Match(parts []Part) map[int]int {
+func (c *PrefixCache) Match(parts []PromptPart) map[int]int {
 	if len(parts) == 0 {
 		return nil
 	}
@@ -57,18 +57,18 @@
 }
 
 // Note remembers that a runner was sent these parts.
-func (c *PrefixCache) Note(parts []Part, runner int) {
+func (c *PrefixCache) Record(parts []PromptPart, runner int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, part := range parts {
-		c.note(part.ID, runner)
+		c.record(part.ID, runner)
 	}
 }
 
-func (c *PrefixCache) note(id uint64, runner int) {
+func (c *PrefixCache) record(id uint64, runner int) {
 	element := c.entries[id]
 	if element == nil {
-		if c.recent.Len() >= c.most {
+		if c.recent.Len() >= c.maxEntries {
 			oldest := c.recent.Back()
 			delete(c.entries, oldest.Value.(*prefixEntry).id)
 			c.recent.Remove(oldest)
@@ -85,7 +85,7 @@
 			kept = append(kept, known)
 		}
 	}
-	if len(kept) >= holdersMost {
+	if len(kept) >= maxPrefixRunners {
 		kept = kept[1:]
 	}
 	entry.runners = append(kept, runner)
--- a/internal/dataplane/balance/rendezvous.go
+++ b/internal/dataplane/balance/rendezvous.go
@@ -8,7 +8,7 @@
 
 // affinity gives the key by which all routers pick the same runner for a session, and how many tokens of
 // the prompt that runner is expected to keep.
-func affinity(parts []Part) (key uint64, shared int) {
+func affinity(parts []PromptPart) (key uint64, shared int) {
 	if len(parts) == 0 {
 		return 0, 0
 	}
@@ -30,18 +30,18 @@
 	var firstWeight, homeWeight uint64
 	for i := range candidates {
 		c := &candidates[i]
-		weight := weightOf(key, c.id)
+		weight := rendezvousWeight(key, c.id)
 		if c.ready && (home == "" || weight > homeWeight) {
 			home, homeWeight = c.id, weight
 		}
-		if !c.barred && (first == nil || weight > firstWeight) {
+		if !c.ejected && (first == nil || weight > firstWeight) {
 			first, firstWeight = c.runner, weight
 		}
 	}
 	return first, home
 }
 
-func weightOf(key uint64, id string) uint64 {
+func rendezvousWeight(key uint64, id string) uint64 {
 	hash := fnv.New64a()
 	var word [8]byte
 	for i := range word {
--- a/internal/dataplane/balance/runner.go
+++ b/internal/dataplane/balance/runner.go
@@ -9,44 +9,44 @@
 
 // How a runner's condition is judged.
 const (
-	barShortest  = 300 * time.Millisecond // a runner that failed gets nothing new for so long at first
-	barLongest   = 5 * time.Second        // and never for longer than this
-	failureFade  = 5 * time.Second        // the weight of a failure halves in this time
-	waitFade     = 400 * time.Millisecond // the measured wait halves in this time without new samples
-	sampleWeight = 0.3                    // weight of a new sample in a moving average
-	firstRate    = 100.0                  // prompt tokens a millisecond, until it was measured
+	minEjection        = 300 * time.Millisecond // a runner that failed gets nothing new for so long at first
+	maxEjection        = 5 * time.Second        // and never for longer than this
+	failureHalfLife    = 5 * time.Second        // the weight of a failure halves in this time
+	waitHalfLife       = 400 * time.Millisecond // the measured wait halves in this time without new samples
+	sampleWeight       = 0.3                    // weight of a new sample in a moving average
+	initialTokensPerMs = 100.0                  // prompt tokens a millisecond, until it was measured
 )
 
 // Runner is one life of one runner with what this router has seen of it.
 type Runner struct {
 	Index int // dense, never used again
 
-	mu          sync.Mutex
-	info        routing.Runner
-	since       time.Time // when this router came to know it
-	open        map[*Attempt]struct{}
-	promptOpen  int       // prompt tokens sent whose first event has not come
-	lastByte    time.Time // when it last sent anything, or began to work after it had none
-	failures    int       // in a row
-	barredUntil time.Time
-	failRate    float64 // share of lately failed attempts
-	failAt      time.Time
-	waitMs      float64 // moving average of the wait that the prompt's own work does not explain
-	waitAt      time.Time
-	service     *serviceHabits
-	serviceMs   float64 // moving average of whole answers of ordinary services
-	gapMs       float64 // moving average of the pause between events
-	full        time.Time
-	tally       Tally
-	fleetFails  float64 // share of attempts that failed lately for all routers, as far as it is large
-	fleetUntil  time.Time
+	mu                  sync.Mutex
+	info                routing.Runner
+	since               time.Time // when this router came to know it
+	inFlight            map[*Attempt]struct{}
+	pendingPromptTokens int       // prompt tokens sent whose first event has not come
+	lastActivity        time.Time // when it last sent anything, or began to work after it had none
+	failuresInRow       int       // in a row
+	ejectedUntil        time.Time
+	failureShare        float64 // share of lately failed attempts
+	failureShareAt      time.Time
+	waitMs              float64 // moving average of the wait that the prompt's own work does not explain
+	waitAt              time.Time
+	stats               *serviceStats
+	responseMs          float64 // moving average of whole answers of ordinary services
+	eventGapMs          float64 // moving average of the pause between events
+	rejectedAt          time.Time
+	tally               Tally
+	fleetFailureShare   float64 // share of attempts that failed lately for all routers, as far as it is large
+	fleetFailureUntil   time.Time
 }
 
 // Tally counts how attempts at a runner ended, and the pauses between the events of its streams.
 type Tally struct {
-	Tries, Fails int
-	Pauses       int
-	Paused       time.Duration // all pauses together
+	Attempts, Failures int
+	Gaps               int
+	GapTotal           time.Duration // all pauses together
 }
 
 // Tally gives for each runner used since the last call how its attempts ended. Those under way at a runner
@@ -56,7 +56,7 @@
 	out := map[string]Tally{}
 	for _, runners := range *b.byService.Load() {
 		for _, runner := range runners {
-			if tally := runner.takeTally(now); tally.Tries > 0 || tally.Pauses > 0 {
+			if tally := runner.takeTally(now); tally.Attempts > 0 || tally.Gaps > 0 {
 				out[runner.Info().ID] = tally
 			}
 		}
@@ -69,9 +69,9 @@
 	defer r.mu.Unlock()
 	tally := r.tally
 	r.tally = Tally{}
-	if r.silent(now) {
-		tally.Tries += len(r.open)
-		tally.Fails += len(r.open)
+	if r.stalled(now) {
+		tally.Attempts += len(r.inFlight)
+		tally.Failures += len(r.inFlight)
 	}
 	return tally
 }
@@ -89,8 +89,8 @@
 	context  sessionRef // of the session that the request belongs to
 }
 
-func newRunner(index int, info routing.Runner, service *serviceHabits, now time.Time) *Runner {
-	return &Runner{Index: index, service: service, info: info, since: now, lastByte: now, open: map[*Attempt]struct{}{}}
+func newRunner(index int, info routing.Runner, service *serviceStats, now time.Time) *Runner {
+	return &Runner{Index: index, stats: service, info: info, since: now, lastActivity: now, inFlight: map[*Attempt]struct{}{}}
 }
 
 // Info is what the runner last said of itself.
@@ -104,12 +104,12 @@
 func (r *Runner) begin(prompt int, now time.Time) *Attempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.open) == 0 {
-		r.lastByte = now
+	if len(r.inFlight) == 0 {
+		r.lastActivity = now
 	}
 	attempt := &Attempt{runner: r, prompt: prompt, started: now}
-	r.open[attempt] = struct{}{}
-	r.promptOpen += prompt
+	r.inFlight[attempt] = struct{}{}
+	r.pendingPromptTokens += prompt
 	return attempt
 }
 
@@ -119,7 +119,7 @@
 // Progress notes that bytes of the answer's body came.
 func (a *Attempt) Progress() {
 	if first := a.progress(time.Now()); first && a.context.id != 0 {
-		a.balancer.noteHolder(&a.context, a.runner.Info().ID)
+		a.balancer.recordHolder(&a.context, a.runner.Info().ID)
 	}
 }
 
@@ -129,16 +129,16 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	first := a.first.IsZero()
-	r.heard(now)
+	r.recordActivity(now)
 	if first {
 		a.first = now
-		r.promptOpen -= a.prompt
-		r.sampleFirst(float64(now.Sub(a.started))/float64(time.Millisecond), a.prompt, now)
+		r.pendingPromptTokens -= a.prompt
+		r.recordFirstByte(float64(now.Sub(a.started))/float64(time.Millisecond), a.prompt, now)
 	} else {
 		pause := now.Sub(a.last)
-		r.gapMs = average(r.gapMs, float64(pause)/float64(time.Millisecond))
-		r.tally.Pauses++
-		r.tally.Paused += pause
+		r.eventGapMs = average(r.eventGapMs, float64(pause)/float64(time.Millisecond))
+		r.tally.Gaps++
+		r.tally.GapTotal += pause
 	}
 	a.last = now
 	return first
@@ -149,24 +149,24 @@
 	r, now := a.runner, time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.heard(now)
+	r.recordActivity(now)
 	if !r.end(a) {
 		return
 	}
-	r.failures = 0
-	r.barredUntil = time.Time{}
-	r.noteFailure(0, now)
-	r.serviceMs = average(r.serviceMs, float64(now.Sub(a.started))/float64(time.Millisecond))
+	r.failuresInRow = 0
+	r.ejectedUntil = time.Time{}
+	r.recordOutcome(0, now)
+	r.responseMs = average(r.responseMs, float64(now.Sub(a.started))/float64(time.Millisecond))
 }
 
 // Refused ends an attempt that the runner did not run since it had no room.
-func (a *Attempt) Refused() {
+func (a *Attempt) Rejected() {
 	r, now := a.runner, time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.heard(now)
+	r.recordActivity(now)
 	if r.end(a) {
-		r.full = now
+		r.rejectedAt = now
 	}
 }
 
@@ -195,11 +195,11 @@
 	if !r.end(a) {
 		return
 	}
-	r.noteFailure(1, now)
-	r.failures++
-	pause := min(barLongest, barShortest<<min(r.failures-1, 8))
-	if until := now.Add(pause); until.After(r.barredUntil) {
-		r.barredUntil = until
+	r.recordOutcome(1, now)
+	r.failuresInRow++
+	pause := min(maxEjection, minEjection<<min(r.failuresInRow-1, 8))
+	if until := now.Add(pause); until.After(r.ejectedUntil) {
+		r.ejectedUntil = until
 	}
 }
 
@@ -208,9 +208,9 @@
 		return false
 	}
 	a.finished = true
-	delete(r.open, a)
+	delete(r.inFlight, a)
 	if a.first.IsZero() {
-		r.promptOpen -= a.prompt
+		r.pendingPromptTokens -= a.prompt
 	}
 	return true
 }
@@ -223,28 +223,28 @@
 }
 
 // noteFailure moves the share of failed attempts towards the newest outcome. The caller holds the lock.
-func (r *Runner) noteFailure(outcome float64, now time.Time) {
-	r.tally.Tries++
-	r.tally.Fails += int(outcome)
-	r.failRate = r.fadedFailures(now) + 0.2*(outcome-r.fadedFailures(now))
-	r.failAt = now
+func (r *Runner) recordOutcome(outcome float64, now time.Time) {
+	r.tally.Attempts++
+	r.tally.Failures += int(outcome)
+	r.failureShare = r.decayedFailureShare(now) + 0.2*(outcome-r.decayedFailureShare(now))
+	r.failureShareAt = now
 }
 
-func (r *Runner) fadedFailures(now time.Time) float64 {
-	return fade(r.failRate, now.Sub(r.failAt), failureFade)
+func (r *Runner) decayedFailureShare(now time.Time) float64 {
+	return decay(r.failureShare, now.Sub(r.failureShareAt), failureHalfLife)
 }
 
 // sampleFirst learns from the time to the first byte: what the prompt's own reading does not explain is
 // wait. The caller holds the lock.
-func (r *Runner) sampleFirst(ms float64, prompt int, now time.Time) {
-	if prompt >= rateSample && ms > 0 {
-		r.service.speed.sample(float64(prompt) / ms)
+func (r *Runner) recordFirstByte(ms float64, prompt int, now time.Time) {
+	if prompt >= minRateSampleTokens && ms > 0 {
+		r.stats.prefill.sample(float64(prompt) / ms)
 	}
-	wait := max(0, ms-float64(prompt)/r.rate())
-	r.waitMs = average(r.fadedWait(now), wait)
+	wait := max(0, ms-float64(prompt)/r.prefillRate())
+	r.waitMs = average(r.decayedWait(now), wait)
 	r.waitAt = now
 }
 
-func (r *Runner) fadedWait(now time.Time) float64 {
-	return fade(r.waitMs, now.Sub(r.waitAt), waitFade)
+func (r *Runner) decayedWait(now time.Time) float64 {
+	return decay(r.waitMs, now.Sub(r.waitAt), waitHalfLife)
 }
--- a/internal/dataplane/balance/session.go
+++ b/internal/dataplane/balance/session.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	directoryMost = 1 << 15 // sessions in the directory
-	recentMost    = 1 << 14 // sessions that this router remembers as served at their home
+	maxDirectorySessions = 1 << 15 // sessions in the directory
+	maxRecentSessions    = 1 << 14 // sessions that this router remembers as served at their home
 	// sessionLeast is how many shared tokens make a session worth an entry: below it reading them again costs
 	// less than telling all routers.
-	sessionLeast = 128
+	minSessionTokens = 128
 	// settle is how long an entry whose holders are all ready stands before another runner takes a place in it:
 	// a session in use at many runners at once does not become news all the time.
-	settle = 2 * time.Second
+	minEntryAge = 2 * time.Second
 )
 
 // sessionRef is a session as all routers name it, and where its context is expected.
 type sessionRef struct {
-	id      uint64 // 0: the request belongs to no session that is worth an entry
-	service string
-	model   string
-	key     uint64
-	home    string   // the runner that every router works out; "": none is ready
-	holders []string // those announced, or the one that this router remembers
+	id             uint64 // 0: the request belongs to no session that is worth an entry
+	service        string
+	model          string
+	key            uint64
+	affinityTarget string   // the runner that every router works out; "": none is ready
+	holders        []string // those announced, or the one that this router remembers
 }
 
 // session names the session that a request belongs to and looks up its holders.
 func (b *Balancer) session(request *Request, key uint64, shared int) sessionRef {
-	if len(request.Parts) < 2 || shared < sessionLeast {
+	if len(request.Parts) < 2 || shared < minSessionTokens {
 		return sessionRef{}
 	}
 	ref := sessionRef{id: sessionID(request.Service, request.Model, key), service: request.Service, model: request.Model, key: key}
@@ -48,17 +48,17 @@
 
 // sessionID is a session's id in the directory: one text at two services or models is two contexts.
 func sessionID(service, model string, key uint64) uint64 {
-	return weightOf(key, service+"\x00"+model) | 1 // 0 is no session
+	return rendezvousWeight(key, service+"\x00"+model) | 1 // 0 is no session
 }
 
 // holds reports whether the runner is an announced holder of the session.
-func (s *sessionRef) holds(id string) bool { return slices.Contains(s.holders, id) }
+func (s *sessionRef) isHeldBy(id string) bool { return slices.Contains(s.holders, id) }
 
 // expected gives the runner that is taken for the session's holder although nobody is known to have sent it
 // there: the first choice, unless a known holder can be used.
-func (s *sessionRef) expected(candidates []candidate, first *Runner) *Runner {
+func (s *sessionRef) presumedHolder(candidates []candidate, first *Runner) *Runner {
 	for i := range candidates {
-		if !candidates[i].barred && s.holds(candidates[i].id) {
+		if !candidates[i].ejected && s.isHeldBy(candidates[i].id) {
 			return nil
 		}
 	}
@@ -67,15 +67,15 @@
 
 // noteHolder takes note that a runner holds the session's context now: it has answered. The other routers are
 // told where they would not look for it there.
-func (b *Balancer) noteHolder(ref *sessionRef, id string) {
+func (b *Balancer) recordHolder(ref *sessionRef, id string) {
 	entry, known := b.Sessions.Lookup(ref.id)
 	switch {
 	case known && slices.Contains(entry.Runners, id):
 		return
 	case known:
-		b.takePlace(id, entry)
-	case id == ref.home:
-		b.recent.note(ref.id, recentSession{service: ref.service, model: ref.model, key: ref.key, holder: id})
+		b.replaceHolder(id, entry)
+	case id == ref.affinityTarget:
+		b.recent.record(ref.id, recentSession{service: ref.service, model: ref.model, key: ref.key, holder: id})
 		return
 	default:
 		// The one before keeps it too, as far as this router knows of one.
@@ -85,9 +85,9 @@
 }
 
 // takePlace puts a runner into a session's entry that names others.
-func (b *Balancer) takePlace(id string, entry session.Entry) {
+func (b *Balancer) replaceHolder(id string, entry session.Entry) {
 	ready := b.readyOf(entry.Runners)
-	if len(ready) == session.MaxRunners && b.Sessions.Age(entry.Session) < settle {
+	if len(ready) == session.MaxRunners && b.Sessions.Age(entry.Session) < minEntryAge {
 		return
 	}
 	b.Sessions.Record(entry.Session, append([]string{id}, ready...)...)
@@ -110,7 +110,7 @@
 func (b *Balancer) Added() <-chan struct{} { return b.wake }
 
 // noteAdded notes a runner that has become ready. The caller holds the lock.
-func (b *Balancer) noteAdded(runner *Runner) {
+func (b *Balancer) recordAdded(runner *Runner) {
 	b.added = append(b.added, runner)
 	select {
 	case b.wake <- struct{}{}:
@@ -121,13 +121,13 @@
 // Rehome looks, after runners were added, for sessions that this router served at their home and whose home
 // is one of those now: their old runner becomes an announced holder. It is called now and then; where no runner
 // was added it does nothing.
-func (b *Balancer) Rehome() {
+func (b *Balancer) RefreshAffinity() {
 	added := b.takeAdded()
 	if len(added) == 0 {
 		return
 	}
 	for _, remembered := range b.recent.all() {
-		if !remembered.moves(added) {
+		if !remembered.changesTarget(added) {
 			continue
 		}
 		if _, known := b.Sessions.Lookup(remembered.id); !known && len(b.readyOf([]string{remembered.holder})) > 0 {
@@ -152,11 +152,11 @@
 }
 
 // moves reports whether one of the added runners is the session's home rather than its holder.
-func (s *recentSession) moves(added []routing.Runner) bool {
-	weight := weightOf(s.key, s.holder)
+func (s *recentSession) changesTarget(added []routing.Runner) bool {
+	weight := rendezvousWeight(s.key, s.holder)
 	for i := range added {
 		runner := &added[i]
-		if runner.ID != s.holder && runner.Service == s.service && servesModel(runner, s.model) && weightOf(s.key, runner.ID) > weight {
+		if runner.ID != s.holder && runner.Service == s.service && servesModel(runner, s.model) && rendezvousWeight(s.key, runner.ID) > weight {
 			return true
 		}
 	}
@@ -165,7 +165,7 @@
 
 // home is the ready runner with the highest weight for a key, whatever this router thinks of its condition:
 // all routers with the same list of runners work out the same one.
-func (b *Balancer) home(service, model string, key uint64) string {
+func (b *Balancer) affinityTarget(service, model string, key uint64) string {
 	var best string
 	var bestWeight uint64
 	for _, runner := range b.Runners(service) {
@@ -175,7 +175,7 @@
 		if !fits {
 			continue
 		}
-		if weight := weightOf(key, id); best == "" || weight > bestWeight {
+		if weight := rendezvousWeight(key, id); best == "" || weight > bestWeight {
 			best, bestWeight = id, weight
 		}
 	}
@@ -194,17 +194,17 @@
 // recentSessions remembers the sessions that this router served at their home, in case that it becomes
 // another one. Nobody needs to be told of them until then.
 type recentSessions struct {
-	mu      sync.Mutex
-	most    int
-	entries map[uint64]*list.Element
-	order   *list.List // of recentSession, the one served last in front
+	mu         sync.Mutex
+	maxEntries int
+	entries    map[uint64]*list.Element
+	order      *list.List // of recentSession, the one served last in front
 }
 
 func newRecentSessions(most int) *recentSessions {
-	return &recentSessions{most: most, entries: map[uint64]*list.Element{}, order: list.New()}
+	return &recentSessions{maxEntries: most, entries: map[uint64]*list.Element{}, order: list.New()}
 }
 
-func (r *recentSessions) note(id uint64, served recentSession) {
+func (r *recentSessions) record(id uint64, served recentSession) {
 	served.id = id
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -216,7 +216,7 @@
 		r.order.MoveToFront(element)
 		return
 	}
-	if r.order.Len() >= r.most {
+	if r.order.Len() >= r.maxEntries {
 		oldest := r.order.Back()
 		delete(r.entries, oldest.Value.(recentSession).id)
 		r.order.Remove(oldest)
--- a/internal/dataplane/balance/session_bench_test.go
+++ b/internal/dataplane/balance/session_bench_test.go
@@ -16,12 +16,12 @@
 			runners = append(runners, routing.Runner{ID: fmt.Sprint("runner ", i), Service: "s", State: routing.RunnerReady})
 		}
 		balancer.Update(runners[:99])
-		balancer.Rehome()
-		for number := range recentMost {
+		balancer.RefreshAffinity()
+		for number := range maxRecentSessions {
 			ask(balancer, sessionRequest(number))
 		}
 		balancer.Update(runners)
 		b.StartTimer()
-		balancer.Rehome()
+		balancer.RefreshAffinity()
 	}
 }
--- a/internal/dataplane/balance/session_test.go
+++ b/internal/dataplane/balance/session_test.go
@@ -53,7 +53,7 @@
 // spread has all routers tell each other what is new.
 func (f *sessionFleet) spread() {
 	for _, from := range f.routers {
-		from.Rehome()
+		from.RefreshAffinity()
 		told := from.Sessions.DrainUpdates()
 		for _, to := range f.routers {
 			to.Sessions.Merge(told)
@@ -62,7 +62,7 @@
 }
 
 func sessionRequest(number int) Request {
-	return Request{Service: "s", Parts: []Part{{ID: uint64(number)*7919 + 1, Tokens: 3000}, {ID: uint64(number)<<32 + 5, Tokens: 100}}, Input: 3100}
+	return Request{Service: "s", Parts: []PromptPart{{ID: uint64(number)*7919 + 1, Tokens: 3000}, {ID: uint64(number)<<32 + 5, Tokens: 100}}, Input: 3100}
 }
 
 // ask sends one request of a session through a router and tells which runner served it.
@@ -225,7 +225,7 @@
 	f.add("e")
 	fresh := New("east")
 	fresh.Update(f.runners)
-	fresh.Sessions.Merge(f.routers[0].Sessions.Newest(directoryMost))
+	fresh.Sessions.Merge(f.routers[0].Sessions.Newest(maxDirectorySessions))
 	f.routers = append(f.routers, fresh)
 	if moved := f.moved(1, served); moved > 0 {
 		t.Errorf("%d sessions moved", moved)
@@ -244,7 +244,7 @@
 			t.Fatal("chosen again")
 		}
 		request.Tried[attempt.Runner().Index] = true
-		attempt.Refused()
+		attempt.Rejected()
 	}
 	if attempt := b.Choose(request); attempt != nil {
 		t.Errorf("%s was chosen a second time", attempt.Runner().Info().ID)
@@ -257,7 +257,7 @@
 	told := 0
 	for i := range 100 {
 		ref := f.routers[i%2].session(ptr(sessionRequest(1)), sessionRequest(1).Parts[0].ID, 3000)
-		f.routers[i%2].noteHolder(&ref, []string{"a", "b", "c", "d"}[i%4])
+		f.routers[i%2].recordHolder(&ref, []string{"a", "b", "c", "d"}[i%4])
 		for from := range f.routers {
 			entries := f.routers[from].Sessions.DrainUpdates()
 			told += len(entries)
@@ -271,7 +271,7 @@
 
 func TestSmallContextsAreNoSessions(t *testing.T) {
 	b := New("east")
-	for _, request := range []Request{{}, {Parts: []Part{{ID: 1, Tokens: 5000}}}, {Parts: []Part{{ID: 1, Tokens: 20}, {ID: 2, Tokens: 5000}}}} {
+	for _, request := range []Request{{}, {Parts: []PromptPart{{ID: 1, Tokens: 5000}}}, {Parts: []PromptPart{{ID: 1, Tokens: 20}, {ID: 2, Tokens: 5000}}}} {
 		key, shared := affinity(request.Parts)
 		if ref := b.session(&request, key, shared); ref.id != 0 {
 			t.Errorf("%v is taken for a session", request)
@@ -282,8 +282,8 @@
 func TestRecentSessionsAreBounded(t *testing.T) {
 	r := newRecentSessions(10)
 	for id := range uint64(100) {
-		r.note(id, recentSession{holder: "a"})
-		r.note(0, recentSession{holder: fmt.Sprint(id)})
+		r.record(id, recentSession{holder: "a"})
+		r.record(0, recentSession{holder: fmt.Sprint(id)})
 	}
 	if len(r.all()) != 10 || len(r.entries) != 10 {
 		t.Errorf("%d sessions", len(r.all()))
--- a/internal/dataplane/balance/silence_test.go
+++ b/internal/dataplane/balance/silence_test.go
@@ -50,7 +50,7 @@
 		time.Sleep(2 * time.Second)
 		given.Failed()
 		late.Progress()
-		if most := late.Runner().service.silences.most(time.Now()); most != 2*time.Second {
+		if most := late.Runner().stats.stalls.longestGap(time.Now()); most != 2*time.Second {
 			t.Errorf("the longest silence seen is %s, 2s expected", most)
 		}
 	})
--- a/internal/dataplane/balance/speed.go
+++ b/internal/dataplane/balance/speed.go
@@ -3,16 +3,16 @@
 import "sync"
 
 // serviceHabits is what this router has seen of all runners of one service together.
-type serviceHabits struct {
-	speed    speed
-	silences silences
+type serviceStats struct {
+	prefill prefillRate
+	stalls  stallHistory
 }
 
 // habitsOf gives what was seen of a service's runners. The caller holds the lock.
-func (b *Balancer) habitsOf(service string) *serviceHabits {
+func (b *Balancer) statsOf(service string) *serviceStats {
 	known := b.services[service]
 	if known == nil {
-		known = &serviceHabits{}
+		known = &serviceStats{}
 		b.services[service] = known
 	}
 	return known
@@ -21,39 +21,39 @@
 // rate is how many prompt tokens the runner reads in a millisecond. It is measured over all runners of the
 // service: a single slow answer must not keep a router from a runner for good, and what a runner is slower
 // than the others shows in its measured wait.
-func (r *Runner) rate() float64 { return r.service.speed.rate() }
+func (r *Runner) prefillRate() float64 { return r.stats.prefill.rate() }
 
 // How the speed of a service's runners is learnt: nearly the fastest readings count, since the others waited.
 const (
-	rateSample = 500  // tokens of a prompt that tells something
-	rateRise   = 0.10 // weight of a faster reading
-	rateFall   = 0.02 // weight of a slower one
+	minRateSampleTokens = 500  // tokens of a prompt that tells something
+	fasterSampleWeight  = 0.10 // weight of a faster reading
+	slowerSampleWeight  = 0.02 // weight of a slower one
 )
 
 // speed is how fast the runners of one service read prompts.
-type speed struct {
+type prefillRate struct {
 	mu       sync.Mutex
 	measured float64 // prompt tokens in a millisecond; 0: not yet
 }
 
-func (s *speed) rate() float64 {
+func (s *prefillRate) rate() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.measured == 0 {
-		return firstRate
+		return initialTokensPerMs
 	}
 	return s.measured
 }
 
-func (s *speed) sample(rate float64) {
+func (s *prefillRate) sample(rate float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.measured == 0:
-		s.measured = max(rate, firstRate)
+		s.measured = max(rate, initialTokensPerMs)
 	case rate > s.measured:
-		s.measured += rateRise * (rate - s.measured)
+		s.measured += fasterSampleWeight * (rate - s.measured)
 	default:
-		s.measured += rateFall * (rate - s.measured)
+		s.measured += slowerSampleWeight * (rate - s.measured)
 	}
 }
--- a/internal/dataplane/gateway/allowance.go
+++ b/internal/dataplane/gateway/allowance.go
@@ -25,7 +25,7 @@
 	if r.funded() {
 		return nil
 	}
-	estimates := r.gateway.Balancer.Feeds(r.service.Name, r.meta.Model)
+	estimates := r.gateway.Balancer.Estimates(r.service.Name, r.meta.Model)
 	verdict := allow.Decide(allowanceRule(&r.route.RouteSpec, ceiling), allow.Demand{Tokens: r.meta.OutputTokens}, estimates, 0)
 	switch verdict.Outcome {
 	case allow.NoFunds:
--- a/internal/dataplane/gateway/attempt.go
+++ b/internal/dataplane/gateway/attempt.go
@@ -87,13 +87,13 @@
 }
 
 // promptParts converts a prompt's parts for the balancer.
-func promptParts(prefix []PromptPart) []balance.Part {
+func promptParts(prefix []PromptPart) []balance.PromptPart {
 	if len(prefix) == 0 {
 		return nil
 	}
-	parts := make([]balance.Part, len(prefix))
+	parts := make([]balance.PromptPart, len(prefix))
 	for i, part := range prefix {
-		parts[i] = balance.Part{ID: part.ID, Tokens: part.Tokens}
+		parts[i] = balance.PromptPart{ID: part.ID, Tokens: part.Tokens}
 	}
 	return parts
 }
--- a/internal/dataplane/gateway/outcome.go
+++ b/internal/dataplane/gateway/outcome.go
@@ -21,7 +21,7 @@
 	return r.responseLost(chosen, err)
 }
 
-// outcomeNotSent ends an attempt of which no byte left.
+// notSent ends an attempt of which no byte left.
 func (r *request) notSent(chosen *balance.Attempt, err error) (attemptOutcome, error) {
 	r.tried[chosen.Runner().Index] = true
 	switch {
@@ -29,7 +29,7 @@
 		chosen.Cancel()
 		return outcomeFinal, reject(CodeClientLeft)
 	case errors.Is(err, upstream.ErrNoConnection):
-		chosen.Refused()
+		chosen.Rejected()
 	default:
 		chosen.Failed()
 	}
@@ -60,10 +60,10 @@
 func (r *request) rejectedByRunner(chosen *balance.Attempt, exchange *upstream.Exchange, meta ResponseMeta) (attemptOutcome, error) {
 	r.tried[chosen.Runner().Index] = true
 	if meta.OtherRunner {
-		r.gateway.Balancer.Misplaced(chosen.Runner())
+		r.gateway.Balancer.AddressReused(chosen.Runner())
 		chosen.Cancel()
 	} else {
-		chosen.Refused()
+		chosen.Rejected()
 	}
 	r.chart.notExecuted = true
 	discard(exchange)
--- a/internal/dataplane/gateway/rejection.go
+++ b/internal/dataplane/gateway/rejection.go
@@ -104,7 +104,7 @@
 	return false
 }
 
-// writeEvent sends the rejection to the client.
+// write sends the rejection to the client.
 func (r *Rejection) write(w http.ResponseWriter) {
 	header := w.Header()
 	header.Set("Content-Type", "text/plain; charset=utf-8")
--- a/internal/dataplane/router/gateway.go
+++ b/internal/dataplane/router/gateway.go
@@ -99,8 +99,8 @@
 func (g *Gateway) tally() []coreapi.RunnerStats {
 	var out []coreapi.RunnerStats
 	for id, tally := range g.Balancer.Tally() {
-		out = append(out, coreapi.RunnerStats{ID: id, Attempts: tally.Tries, Failures: tally.Fails,
-			TokenGaps: tally.Pauses, TokenGapsMs: int(tally.Paused.Milliseconds())})
+		out = append(out, coreapi.RunnerStats{ID: id, Attempts: tally.Attempts, Failures: tally.Failures,
+			TokenGaps: tally.Gaps, TokenGapsMs: int(tally.GapTotal.Milliseconds())})
 	}
 	return out
 }
@@ -111,7 +111,7 @@
 	for _, runner := range findings.Failing {
 		shares[runner.ID] = runner.Share
 	}
-	g.Balancer.Failing(shares)
+	g.Balancer.SetFailureShares(shares)
 	g.Balancer.SetLowLatency(findings.LowLatency)
 }
 
--- a/internal/dataplane/router/sessionsync.go
+++ b/internal/dataplane/router/sessionsync.go
@@ -61,7 +61,7 @@
 		if !s.fetched.Load() || s.fetchAttempts < maxFetchAttempts {
 			s.fetch()
 		}
-		s.balancer.Rehome()
+		s.balancer.RefreshAffinity()
 		s.sendUpdates()
 		s.persist()
 	}
