--- a/internal/controlplane/core/bench_test.go
+++ b/internal/controlplane/core/bench_test.go
@@ -13,6 +13,7 @@
 
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/coreclient"
+	"yarrowridge/internal/controlplane/idempotency"
 	"yarrowridge/internal/controlplane/store"
 	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/lib/daemon"
@@ -105,18 +106,18 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	s := &Server{}
+	claims := idempotency.New(nil)
 	tx := transaction.New(opened)
 	for i := 0; i < n; {
 		size := min(n-i, 110_000)
 		if n-i < 120_000 {
 			size = min(n-i, 6000)
 		}
-		sums := make([]uint64, size)
-		for j := range sums {
-			sums[j] = keyHash(fmt.Sprint("t/", i+j))
+		keys := make([]string, size)
+		for j := range keys {
+			keys[j] = fmt.Sprint("t/", i+j)
 		}
-		s.putFinishedKeys(tx, sums)
+		claims.RecordFinished(tx, keys)
 		i += size
 	}
 	if err := opened.Append(store.Batch{Version: 1, IsSnapshot: true, Mutations: tx.Mutations()}); err != nil {
--- a/internal/controlplane/core/commit.go
+++ b/internal/controlplane/core/commit.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"strings"
 	"sync/atomic"
 	"time"
 
@@ -199,13 +198,9 @@
 	return false
 }
 
-// applyCommitted takes up what a committed batch says: the configuration that nodes are told of, and the keys that ran.
+// applyCommitted takes up what a committed batch says: the configuration that nodes are told of, and the finished keys.
 func (s *Server) applyCommitted(tx *transaction.Tx) {
-	for _, put := range tx.Mutations() {
-		if strings.HasPrefix(put.Key, finishedPrefix) {
-			s.finishedKeys.apply(put)
-		}
-	}
+	s.claims.ApplyCommitted(tx)
 	if config, ok := configuration.Written(tx); ok {
 		s.mu.Lock()
 		s.config = config
--- a/internal/controlplane/core/handlers.go
+++ b/internal/controlplane/core/handlers.go
@@ -80,10 +80,10 @@
 			return s.writeConfig(ctx, request)
 		})
 	case "core.take":
-		return wire.HandleTyped(body, func(request *coreapi.ClaimRequest) (*coreapi.ClaimResponse, error) { return s.takeClaim(ctx, request) })
+		return wire.HandleTyped(body, func(request *coreapi.ClaimRequest) (*coreapi.ClaimResponse, error) { return s.claimKey(ctx, request) })
 	case "core.settle":
 		return wire.HandleTyped(body, func(request *coreapi.CompleteClaimRequest) (*coreapi.Empty, error) {
-			return s.settleClaim(ctx, request)
+			return s.completeClaim(ctx, request)
 		})
 	case "core.move":
 		return wire.HandleTyped(body, func(move *coreapi.QuotaMove) (*coreapi.QuotaMoveResult, error) { return s.move(ctx, move) })
--- a/internal/controlplane/core/primary.go
+++ b/internal/controlplane/core/primary.go
@@ -150,7 +150,7 @@
 		s.ctx.Log.Error("Stored configuration can't be read.", "error", err.Error())
 		return
 	}
-	s.finishedKeys.load(s.store.Load())
+	s.claims.Load(s.store.Load())
 	s.predecessor = ""
 	s.mu.Lock()
 	s.registry.StartEpoch(runnerregistry.Epoch(v.Epoch, s.ctx.RunID), s.ledSince, time.Now(), s.runnerStorage.LoadAll())
--- a/internal/controlplane/core/server.go
+++ b/internal/controlplane/core/server.go
@@ -13,6 +13,7 @@
 
 	"yarrowridge/internal/controlplane/configuration"
 	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/idempotency"
 	"yarrowridge/internal/controlplane/lease"
 	"yarrowridge/internal/controlplane/paxos"
 	"yarrowridge/internal/controlplane/replication"
@@ -54,7 +55,10 @@
 	backup *replication.Backup
 
 	runLoopState
-	documents *configuration.Documents // only the run loop calls its methods
+
+	// State machines of what is stored. Only the run loop calls their methods.
+	documents *configuration.Documents
+	claims    *idempotency.Claims
 
 	mu            sync.Mutex
 	epoch         uint64       // the one that we lead; 0: none
@@ -97,14 +101,11 @@
 	announcedAt   time.Time            // when silent places were last told the view
 	silentSince   map[string]time.Time // places that send no heartbeats
 	firstSeen     map[string]time.Time // cooling and silent holders, and charges
-	claimsSeen    map[string]time.Time // since when this run knows each claim, and each part of the finished keys
 
 	poolCache       poolCache
 	charges         map[string]openCharge    // of tenants' tolerances
 	savings         map[string]*quota.Saving // of quotas whose requests cost unequal numbers of units
 	hasCoolingUnits bool                     // units of some quota cool
-	finishedKeys    finishedKeys
-	finishedParts   int // parts put by this run
 }
 
 // candidate is a process that wants to become a member.
@@ -145,6 +146,7 @@
 	}
 	s.backup = replication.NewBackup(host{s}, voter)
 	s.replicator = replication.NewReplicator(ctx, voter.ID, s.call)
+	s.claims = idempotency.New(func() int { return s.documents.MaxFinishedKeys(s.committedConfig()) })
 	s.endedEpoch = voter.View().Epoch
 	s.registry = runnerregistry.New(settings.RunnerSilentAfter, runnerregistry.NewNotifier(s.pushRunners).Notify)
 	s.runnerStorage = runnerregistry.Storage{Committed: s.store.Load, Submit: s.Submit, SubmitLater: s.submitLater}
--- a/internal/controlplane/core/state.go
+++ b/internal/controlplane/core/state.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/idempotency"
 	"yarrowridge/internal/controlplane/store"
 	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/controlplane/view"
@@ -23,11 +24,8 @@
 		state.Candidates = append(state.Candidates, known.member)
 	}
 	s.mu.Unlock()
-	committed.ForEachWithPrefix(claimPrefix, func(string, []byte) { state.Claims++ })
-	committed.ForEachWithPrefix(finishedPrefix, func(_ string, raw []byte) {
-		state.FinishedKeyParts++
-		state.FinishedKeys += len(raw) / hashBytes
-	})
+	counts := idempotency.Count(committed)
+	state.Claims, state.FinishedKeys, state.FinishedKeyParts = counts.Claims, counts.FinishedKeys, counts.FinishedKeyParts
 	state.Shares = quotaShares(committed)
 	return state
 }
--- a/internal/controlplane/core/sweep.go
+++ b/internal/controlplane/core/sweep.go
@@ -47,7 +47,7 @@
 	}
 	if time.Since(s.claimsSweptAt) > claimsSweepEvery {
 		s.claimsSweptAt = time.Now()
-		s.sweepClaims(document.Claims)
+		s.sweepClaims(s.claimsSweptAt, document.Claims)
 		s.runnerStorage.DeleteUnknown(s.registry.List(time.Now()))
 		s.submitLater(s.dropUnusedHolders)
 	}
--- /dev/null
+++ b/internal/controlplane/idempotency/expiry.go
@@ -0,0 +1,99 @@
+package idempotency
+
+import (
+	"strings"
+	"time"
+
+	"yarrowridge/internal/controlplane/configuration"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/transaction"
+)
+
+const (
+	maxExpiredKeyBytes   = 1 << 19   // bytes of the keys of claims that expire in one batch
+	streamClaimRetention = time.Hour // of a claim on a stream, at least: a router that was frozen may ask late
+)
+
+// Sweep finds what has expired and returns the operations that remove it, for the core to submit in their order; each
+// applies to the state as its batch finds it. Age is counted from when this run of this process first saw a claim or a
+// part of the finished keys: a hand-over only makes them last longer.
+func (c *Claims) Sweep(committed *store.Store, now time.Time, limits configuration.ClaimLimits) []func(*transaction.Tx) error {
+	firstSeen := make(map[string]time.Time, len(c.firstSeen))
+	isExpired := func(key string, retention time.Duration) bool {
+		since, ok := c.firstSeen[key]
+		if !ok {
+			since = now
+		}
+		firstSeen[key] = since
+		return now.Sub(since) > retention
+	}
+	var expired []string
+	committed.ForEachWithPrefix(claimPrefix, func(key string, _ []byte) {
+		retention := limits.Retention
+		if isStreamClaim(key) {
+			retention = max(retention, streamClaimRetention)
+		}
+		if isExpired(key, retention) {
+			expired = append(expired, key)
+		}
+	})
+	var expiredParts []string
+	for _, part := range c.finished.parts {
+		if isExpired(part.Key, limits.FinishedRetention) {
+			expiredParts = append(expiredParts, part.Key)
+		}
+	}
+	c.firstSeen = firstSeen
+	operations := c.expireInBatches(expired)
+	if len(expiredParts) > 0 {
+		operations = append(operations, func(tx *transaction.Tx) error {
+			for _, key := range expiredParts {
+				tx.Delete(key)
+			}
+			return nil
+		})
+	}
+	return append(operations, c.mergeFinishedKeys)
+}
+
+// isStreamClaim reports whether a claim is on the right to resume a stream.
+func isStreamClaim(key string) bool { return strings.HasPrefix(key, claimPrefix+coreapi.StreamPrefix) }
+
+// expireInBatches expires claims in several operations: after a hand-over an hour's claims may expire at once, and a batch
+// has to fit a frame.
+func (c *Claims) expireInBatches(keys []string) []func(*transaction.Tx) error {
+	var operations []func(*transaction.Tx) error
+	for from, i, size := 0, 0, 0; i < len(keys); i++ {
+		size += len(keys[i])
+		if size >= maxExpiredKeyBytes || i == len(keys)-1 {
+			batch := keys[from : i+1]
+			operations = append(operations, func(tx *transaction.Tx) error { return c.expire(tx, batch) })
+			from, size = i+1, 0
+		}
+	}
+	return operations
+}
+
+// expire removes claims, and keeps the hashes of the keys whose requests may have run.
+func (c *Claims) expire(tx *transaction.Tx, keys []string) error {
+	var hashes []uint64
+	for _, key := range keys {
+		name := strings.TrimPrefix(key, claimPrefix)
+		claim, known, err := readClaim(tx, name)
+		if err != nil {
+			return err
+		}
+		if !known {
+			continue
+		}
+		if claim.State != coreapi.ClaimReleased && !isStreamClaim(key) {
+			hashes = append(hashes, keyHash(name))
+		}
+		tx.Delete(key)
+	}
+	if len(hashes) > 0 {
+		c.putFinishedKeys(tx, hashes)
+	}
+	return nil
+}
--- a/internal/controlplane/core/finishedkeys.go
+++ b/internal/controlplane/idempotency/finishedkeys.go
@@ -1,4 +1,4 @@
-package core
+package idempotency
 
 import (
 	"bytes"
@@ -13,28 +13,28 @@
 	"yarrowridge/internal/controlplane/transaction"
 )
 
-// A claim with its response is kept for claim_keep_s. That its key ran is kept far longer, as eight
-// bytes of the key's hash: in parts, each the sorted hashes of one sweep, merged as they become many.
+// A claim with its response is kept for the configuration's claim retention (claim_keep_s). That its key was used is kept
+// far longer, as eight bytes of the key's hash: in parts, each the sorted hashes of one sweep, merged as they become many.
 const (
 	finishedPrefix   = "ran/"
 	finishedPartSize = 1 << 17 // hashes in one part, so that a part fits into a frame many times over
-	finishedMergeAt  = 16      // parts of less than half that before they are merged
+	finishedMergeAt  = 16      // parts of less than half that size before they are merged
 	hashBytes        = 8
 )
 
-// keyHash is what is kept of a key that ran.
+// keyHash is what is kept of a finished key.
 func keyHash(key string) uint64 {
 	sum := sha256.Sum256([]byte(key))
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// finishedKeys is the parts, as committed. Only the run loop touches it.
+// finishedKeys is the parts, as committed.
 type finishedKeys struct {
 	parts []store.Mutation
 	count int // hashes
 }
 
-// countHashes tells how many hashes a part has.
+// countHashes is how many hashes a part has.
 func countHashes(part store.Mutation) int { return len(part.Value) / hashBytes }
 
 // load reads all parts anew.
@@ -43,17 +43,26 @@
 	committed.ForEachWithPrefix(finishedPrefix, func(key string, raw []byte) { f.apply(store.Mutation{Key: key, Value: raw}) })
 }
 
-// apply follows a committed put.
-func (f *finishedKeys) apply(put store.Mutation) {
+// applyAll follows the mutations of a committed batch.
+func (f *finishedKeys) applyAll(mutations []store.Mutation) {
+	for _, mutation := range mutations {
+		if strings.HasPrefix(mutation.Key, finishedPrefix) {
+			f.apply(mutation)
+		}
+	}
+}
+
+// apply follows a committed mutation of a part.
+func (f *finishedKeys) apply(mutation store.Mutation) {
 	f.parts = slices.DeleteFunc(f.parts, func(known store.Mutation) bool {
-		if known.Key == put.Key {
+		if known.Key == mutation.Key {
 			f.count -= countHashes(known)
 		}
-		return known.Key == put.Key
+		return known.Key == mutation.Key
 	})
-	if !put.Deleted {
-		f.parts = append(f.parts, put)
-		f.count += countHashes(put)
+	if !mutation.Deleted {
+		f.parts = append(f.parts, mutation)
+		f.count += countHashes(mutation)
 	}
 }
 
@@ -70,37 +79,40 @@
 	if slices.ContainsFunc(f.parts, isIn) {
 		return true
 	}
-	return tx.HasTag(finishedPrefix) && slices.ContainsFunc(tx.Mutations(), func(put store.Mutation) bool {
-		return strings.HasPrefix(put.Key, finishedPrefix) && isIn(put)
+	return tx.HasTag(finishedPrefix) && slices.ContainsFunc(tx.Mutations(), func(mutation store.Mutation) bool {
+		return strings.HasPrefix(mutation.Key, finishedPrefix) && isIn(mutation)
 	})
 }
 
+// RecordFinished records that keys were used, in one part.
+func (c *Claims) RecordFinished(tx *transaction.Tx, keys []string) {
+	hashes := make([]uint64, len(keys))
+	for i, key := range keys {
+		hashes[i] = keyHash(key)
+	}
+	c.putFinishedKeys(tx, hashes)
+}
+
 // putFinishedKeys adds a part to a batch.
-func (s *Server) putFinishedKeys(tx *transaction.Tx, hashes []uint64) {
+func (c *Claims) putFinishedKeys(tx *transaction.Tx, hashes []uint64) {
 	slices.Sort(hashes)
 	hashes = slices.Compact(hashes)
 	raw := make([]byte, 0, hashBytes*len(hashes))
 	for _, hash := range hashes {
 		raw = binary.BigEndian.AppendUint64(raw, hash)
 	}
-	s.finishedParts++
+	c.writtenParts++
 	tx.Tag(finishedPrefix)
-	key := fmt.Sprintf("%s%016x-%x", finishedPrefix, tx.Committed().Version()+1, s.finishedParts)
+	key := fmt.Sprintf("%s%016x-%x", finishedPrefix, tx.Committed().Version()+1, c.writtenParts)
 	tx.PutRaw(key, raw)
 }
 
-// maxFinishedKeys is how many keys that ran are kept at most, by the configuration in force. It is asked for every
-// claim, so the configuration is not read anew for it.
-func (s *Server) maxFinishedKeys() int {
-	return s.documents.MaxFinishedKeys(s.committedConfig())
-}
-
 // mergeFinishedKeys makes one part of the smallest ones, once there are many small ones.
-func (s *Server) mergeFinishedKeys(tx *transaction.Tx) error {
+func (c *Claims) mergeFinishedKeys(tx *transaction.Tx) error {
 	var small []store.Mutation
-	for _, put := range s.finishedKeys.parts {
-		if countHashes(put) < finishedPartSize/2 {
-			small = append(small, put)
+	for _, part := range c.finished.parts {
+		if countHashes(part) < finishedPartSize/2 {
+			small = append(small, part)
 		}
 	}
 	if len(small) < finishedMergeAt {
@@ -108,15 +120,15 @@
 	}
 	slices.SortFunc(small, func(a, b store.Mutation) int { return len(a.Value) - len(b.Value) })
 	var hashes []uint64
-	for _, put := range small[:finishedMergeAt] {
-		if len(hashes)+countHashes(put) > finishedPartSize {
+	for _, part := range small[:finishedMergeAt] {
+		if len(hashes)+countHashes(part) > finishedPartSize {
 			break
 		}
-		for i := 0; i < len(put.Value); i += hashBytes {
-			hashes = append(hashes, binary.BigEndian.Uint64(put.Value[i:]))
+		for i := 0; i < len(part.Value); i += hashBytes {
+			hashes = append(hashes, binary.BigEndian.Uint64(part.Value[i:]))
 		}
-		tx.Delete(put.Key)
+		tx.Delete(part.Key)
 	}
-	s.putFinishedKeys(tx, hashes)
+	c.putFinishedKeys(tx, hashes)
 	return nil
 }
