--- /dev/null
+++ b/internal/controlplane/core/emptyserver_test.go
@@ -0,0 +1,24 @@
+package core
+
+import (
+	"log/slog"
+	"testing"
+
+	"yarrowridge/internal/controlplane/store"
+)
+
+// quotaServer is a core with an empty store, as far as tests of its state need one.
+func quotaServer(t *testing.T) (*Server, *store.Store) {
+	t.Helper()
+	disk, err := store.OpenFolder(t.TempDir())
+	if err != nil {
+		t.Fatal(err)
+	}
+	opened, err := store.Open(disk, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &Server{runLoopState: newRunLoopState()}
+	s.store.Store(opened)
+	return s, opened
+}
--- a/internal/controlplane/core/handlers.go
+++ b/internal/controlplane/core/handlers.go
@@ -86,10 +86,10 @@
 			return s.completeClaim(ctx, request)
 		})
 	case "core.move":
-		return wire.HandleTyped(body, func(move *coreapi.QuotaMove) (*coreapi.QuotaMoveResult, error) { return s.move(ctx, move) })
+		return wire.HandleTyped(body, func(move *coreapi.QuotaMove) (*coreapi.QuotaMoveResult, error) { return s.transfer(ctx, move) })
 	case "core.moves":
 		return wire.HandleTyped(body, func(request *coreapi.QuotaMovesRequest) (*coreapi.QuotaMovesResponse, error) {
-			return s.moveAll(ctx, request)
+			return s.transferAll(ctx, request)
 		})
 	case "core.sessions":
 		return wire.HandleTyped(body, func(*coreapi.ConfigRequest) (*coreapi.SessionDirectory, error) { return s.readSessions() })
--- a/internal/controlplane/core/routerheartbeat.go
+++ b/internal/controlplane/core/routerheartbeat.go
@@ -75,6 +75,6 @@
 	response.Failing = s.runnerOutliers.Failing(now)
 	s.runnerLatency.Record(request.RunnerStats, now)
 	response.LowLatencyRunners = s.runnerLatency.LowLatencyRunners(s.registry.List, now)
-	response.ScarceTenants = s.scarceTenants()
+	response.ScarceTenants = s.scarcity.Tenants()
 	return response, newRun, nil
 }
--- a/internal/controlplane/core/server.go
+++ b/internal/controlplane/core/server.go
@@ -16,6 +16,7 @@
 	"yarrowridge/internal/controlplane/idempotency"
 	"yarrowridge/internal/controlplane/lease"
 	"yarrowridge/internal/controlplane/paxos"
+	"yarrowridge/internal/controlplane/quotapool"
 	"yarrowridge/internal/controlplane/replication"
 	"yarrowridge/internal/controlplane/routerleases"
 	"yarrowridge/internal/controlplane/runnerregistry"
@@ -23,7 +24,6 @@
 	"yarrowridge/internal/controlplane/view"
 	"yarrowridge/internal/lib/daemon"
 	"yarrowridge/internal/lib/runloop"
-	"yarrowridge/internal/model/quota"
 	"yarrowridge/internal/transport/wire"
 )
 
@@ -59,6 +59,7 @@
 	// State machines of what is stored. Only the run loop calls their methods.
 	documents *configuration.Documents
 	claims    *idempotency.Claims
+	pools     *quotapool.Pools
 
 	mu            sync.Mutex
 	epoch         uint64       // the one that we lead; 0: none
@@ -73,16 +74,16 @@
 	readySince    time.Time
 	diskFailed    bool
 
-	config      coreapi.StoredConfig // the newest one committed; here, since it is set and read together with ready
-	routers     routerleases.Table   // the routers whose lease runs
-	scarceSince map[string]time.Time // tenants whose idle units are wanted back
-	candidates  map[string]candidate // by identity
+	config     coreapi.StoredConfig // the newest one committed; here, since it is set and read together with ready
+	routers    routerleases.Table   // the routers whose lease runs
+	scarcity   quotapool.Scarcity   // tenants whose idle units are wanted back
+	candidates map[string]candidate // by identity
 
 	registry       *runnerregistry.Registry
 	runnerStorage  runnerregistry.Storage
 	runnerOutliers runnerregistry.OutlierDetector
 	runnerLatency  runnerregistry.LatencyTracker
-	replaced       replacedRuns
+	replaced       quotapool.ReplacedRuns
 }
 
 // runLoopState is what only the run loop touches.
@@ -100,12 +101,7 @@
 	claimsSweptAt time.Time
 	announcedAt   time.Time            // when silent places were last told the view
 	silentSince   map[string]time.Time // places that send no heartbeats
-	firstSeen     map[string]time.Time // cooling and silent holders, and charges
 
-	poolCache       poolCache
-	charges         map[string]openCharge    // of tenants' tolerances
-	savings         map[string]*quota.Saving // of quotas whose requests cost unequal numbers of units
-	hasCoolingUnits bool                     // units of some quota cool
 }
 
 // candidate is a process that wants to become a member.
@@ -140,8 +136,8 @@
 		runID:        rand.Uint64() | 1,
 		runLoopState: newRunLoopState(),
 		documents:    configuration.New(settings.Codec),
+		pools:        quotapool.New(),
 		lease:        lease.New(settings.LeaseTerm),
-		scarceSince:  map[string]time.Time{},
 		candidates:   map[string]candidate{},
 	}
 	s.backup = replication.NewBackup(host{s}, voter)
@@ -160,8 +156,6 @@
 func newRunLoopState() runLoopState {
 	return runLoopState{
 		silentSince: map[string]time.Time{},
-		firstSeen:   map[string]time.Time{},
-		poolCache:   newPoolCache(),
 	}
 }
 
--- a/internal/controlplane/core/sweep.go
+++ b/internal/controlplane/core/sweep.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/quotapool"
 	"yarrowridge/internal/controlplane/transaction"
 )
 
@@ -14,24 +15,17 @@
 	claimsSweepEvery  = 10 * time.Second // there may be very many claims, and none is kept by the second
 )
 
-// liveHolders are the nodes whose lease runs, by the names that others use for them.
-type liveHolders struct {
-	holders map[string]bool // runs of nodes, as Holder names them
-	places  map[string]bool // nodes at their addresses, whatever their run
-	addrs   map[string]bool
-}
-
 // sweep ends what has had its time: cooled units and old claims. Time is counted from when this
 // run of this process first saw them, so a restart only makes them last longer.
 func (s *Server) sweep() {
 	since := time.Since(s.sweptAt)
-	if since < sweepEvery && !(s.hasCoolingUnits && since >= sweepCoolingEvery) {
+	if since < sweepEvery && !(s.pools.HasCooling() && since >= sweepCoolingEvery) {
 		return
 	}
 	s.sweptAt = time.Now()
 	s.mu.Lock()
 	ready, config := s.ready, s.config
-	live := s.liveHolders()
+	live, addrs := s.liveHolders()
 	s.mu.Unlock()
 	if !ready {
 		return
@@ -39,7 +33,7 @@
 	document := s.documents.Decode(config)
 	if time.Since(s.announcedAt) > announceEvery {
 		s.announcedAt = time.Now()
-		s.announceView(live.addrs)
+		s.announceView(addrs)
 		s.runnerStorage.SaveTimedOut(s.registry.List(time.Now()))
 	}
 	if document == nil {
@@ -49,21 +43,22 @@
 		s.claimsSweptAt = time.Now()
 		s.sweepClaims(s.claimsSweptAt, document.Claims)
 		s.runnerStorage.DeleteUnknown(s.registry.List(time.Now()))
-		s.submitLater(s.dropUnusedHolders)
+		s.submitLater(s.pools.DropUnusedHolders)
 	}
 	s.sweepQuotas(document, live)
 }
 
-// liveHolders names the nodes whose lease runs; the caller holds the lock.
-func (s *Server) liveHolders() liveHolders {
+// liveHolders gives the nodes whose lease runs, as holders of quota units and by their addresses. The caller holds s.mu.
+func (s *Server) liveHolders() (live quotapool.LiveHolders, addrs map[string]bool) {
 	s.routers.Expire(time.Now())
-	live := liveHolders{holders: map[string]bool{}, places: map[string]bool{}, addrs: map[string]bool{}}
+	live = quotapool.LiveHolders{Holders: map[string]bool{}, Addresses: map[string]bool{}}
+	addrs = map[string]bool{}
 	for _, router := range s.routers.List() {
-		live.holders[coreapi.Holder(router)] = true
-		live.places[holderPlace(router)] = true
-		live.addrs[router.Addr] = true
+		live.Holders[coreapi.Holder(router)] = true
+		live.Addresses[quotapool.NodeAddress(router)] = true
+		addrs[router.Addr] = true
 	}
-	return live
+	return live, addrs
 }
 
 // dropLater has the run loop remove keys.
--- a/internal/controlplane/core/quotapools.go
+++ b/internal/controlplane/quotapool/cache.go
@@ -1,4 +1,4 @@
-package core
+package quotapool
 
 import (
 	"strings"
@@ -9,7 +9,7 @@
 )
 
 // poolCache keeps the decoded pools of tenants: each has an entry for every router, and is read and written with
-// every move. Only the run loop touches it.
+// every transfer.
 type poolCache struct {
 	pools   map[string]*cachedPool // by tenant
 	holders holderNumbers
@@ -46,13 +46,13 @@
 // put puts a changed pool.
 func (c poolCache) put(tx *transaction.Tx, tenant string, pool *quota.Pool) error {
 	delete(c.pools, tenant)
-	stored := storedPool{Cool: pool.Cooling, Above: pool.AboveLimit, Charges: pool.Charges, Holds: make([]numberedHold, 0, len(pool.Allocations))}
-	for holder, held := range pool.Allocations {
+	stored := storedPool{Cooling: pool.Cooling, AboveLimit: pool.AboveLimit, Charges: pool.Charges, Allocations: make([]numberedAllocation, 0, len(pool.Allocations))}
+	for holder, allocation := range pool.Allocations {
 		number, err := c.holders.number(tx, holder)
 		if err != nil {
 			return err
 		}
-		stored.Holds = append(stored.Holds, numberedHold{Holder: number, Units: held.Units, Turn: held.Sequence})
+		stored.Allocations = append(stored.Allocations, numberedAllocation{Holder: number, Units: allocation.Units, Sequence: allocation.Sequence})
 	}
 	raw, err := stored.MarshalMsg(nil)
 	if err != nil {
@@ -69,16 +69,16 @@
 	if _, err := stored.UnmarshalMsg(raw); err != nil {
 		return quota.Pool{}, err
 	}
-	pool := quota.Pool{Allocations: stored.Held, Cooling: stored.Cool, AboveLimit: stored.Above, Charges: stored.Charges}
+	pool := quota.Pool{Allocations: stored.NamedAllocations, Cooling: stored.Cooling, AboveLimit: stored.AboveLimit, Charges: stored.Charges}
 	if pool.Allocations == nil {
-		pool.Allocations = make(map[string]quota.Allocation, len(stored.Holds))
+		pool.Allocations = make(map[string]quota.Allocation, len(stored.Allocations))
 	}
-	for _, hold := range stored.Holds {
-		name, err := holderName(hold.Holder)
+	for _, allocation := range stored.Allocations {
+		name, err := holderName(allocation.Holder)
 		if err != nil {
 			return quota.Pool{}, err
 		}
-		pool.Allocations[name] = quota.Allocation{Units: hold.Units, Sequence: hold.Turn}
+		pool.Allocations[name] = quota.Allocation{Units: allocation.Units, Sequence: allocation.Sequence}
 	}
 	return pool, nil
 }
@@ -95,19 +95,3 @@
 	tx.Committed().ForEachWithPrefix(poolPrefix, func(key string, _ []byte) { tenants = append(tenants, strings.TrimPrefix(key, poolPrefix)) })
 	return tenants
 }
-
-// updatePools calls update for each pool, and puts those for which it was true.
-func (s *Server) updatePools(tx *transaction.Tx, update func(tenant string, pool *quota.Pool) bool) error {
-	for _, tenant := range poolTenants(tx) {
-		pool, err := s.poolCache.get(tx, tenant)
-		if err != nil {
-			return err
-		}
-		if update(tenant, pool) {
-			if err := s.poolCache.put(tx, tenant, pool); err != nil {
-				return err
-			}
-		}
-	}
-	return nil
-}
--- a/internal/controlplane/core/quotapools_test.go
+++ b/internal/controlplane/quotapool/cache_test.go
@@ -1,4 +1,4 @@
-package core
+package quotapool
 
 import (
 	"fmt"
@@ -70,36 +70,36 @@
 	return maps.Equal(a.Allocations, b.Allocations) && maps.Equal(a.Cooling, b.Cooling) && a.AboveLimit == b.AboveLimit && len(a.Charges) == len(b.Charges)
 }
 
-// A pool with an entry for each of many routers is small, and another process reads it as it was.
-func TestPoolsAreSmall(t *testing.T) {
-	s, committed := quotaServer(t)
+// A pool with an entry for each of many routers is small, and another process decodes it as it was.
+func TestStoredPoolsAreSmall(t *testing.T) {
+	pools, committed := New(), openStore(t)
 	const holders = 74
 	pool := poolOf(holders)
 	tx := beginTx(committed)
-	if err := s.poolCache.put(tx, "t", pool); err != nil {
+	if err := pools.cache.put(tx, "t", pool); err != nil {
 		t.Fatal(err)
 	}
 	commitTx(t, committed, tx)
 	if raw, _ := committed.Get(poolKey("t")); len(raw) > 10*holders+100 {
-		t.Errorf("%d bytes for %d holders", len(raw), holders)
+		t.Errorf("got %d bytes for %d holders, want at most %d", len(raw), holders, 10*holders+100)
 	}
 	other := newPoolCache()
 	got, err := other.get(beginTx(committed), "t")
 	if err != nil || !samePool(got, pool) {
-		t.Errorf("read %+v, %v", got, err)
+		t.Errorf("got %+v, %v", got, err)
 	}
 	tx = beginTx(committed)
 	if err := other.put(tx, "t", got); err != nil || len(tx.Mutations()) != 1 {
-		t.Errorf("%d records for one change of a pool by another process, %v", len(tx.Mutations()), err)
+		t.Errorf("got %d mutations, %v for one change of a pool by another process, want 1", len(tx.Mutations()), err)
 	}
-	if shares := quotaShares(committed); len(shares) != holders+1 {
-		t.Errorf("%d shares told, %d expected", len(shares), holders+1)
+	if shares := Shares(committed); len(shares) != holders+1 {
+		t.Errorf("got %d shares, want %d", len(shares), holders+1)
 	}
 }
 
-// A pool that an older version wrote is read as it is.
-func TestPoolsWithNamesAreRead(t *testing.T) {
-	s, committed := quotaServer(t)
+// A pool that an older version wrote, with its holders by name, is decoded as it is.
+func TestPoolsOfOlderVersionsAreDecoded(t *testing.T) {
+	pools, committed := New(), openStore(t)
 	pool := poolOf(3)
 	raw, err := poolByNames(pool)
 	if err != nil {
@@ -109,26 +109,26 @@
 		t.Fatal(err)
 	}
 	tx := beginTx(committed)
-	got, err := s.poolCache.get(tx, "t")
+	got, err := pools.cache.get(tx, "t")
 	if err != nil || !samePool(got, pool) {
-		t.Fatalf("read %+v, %v", got, err)
+		t.Fatalf("got %+v, %v", got, err)
 	}
-	if err := s.poolCache.put(tx, "t", got); err != nil {
+	if err := pools.cache.put(tx, "t", got); err != nil {
 		t.Fatal(err)
 	}
 	commitTx(t, committed, tx)
 	fresh := newPoolCache()
 	if got, err = fresh.get(beginTx(committed), "t"); err != nil || !samePool(got, pool) {
-		t.Errorf("read %+v after it was written anew, %v", got, err)
+		t.Errorf("got %+v, %v after it was written anew", got, err)
 	}
 }
 
-// A number that was given in a batch that came to nothing may go to another holder: nobody is taken for it.
-func TestNumbersOfLostBatches(t *testing.T) {
-	s, committed := quotaServer(t)
+// A number that was given in a batch that was never committed may go to another holder: neither is taken for the other.
+func TestHolderNumbersOfLostBatches(t *testing.T) {
+	pools, committed := New(), openStore(t)
 	put := func(tx *transaction.Tx, tenant, holder string, units int) {
 		t.Helper()
-		pool, err := s.poolCache.get(tx, tenant)
+		pool, err := pools.cache.get(tx, tenant)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -136,7 +136,7 @@
 			pool.Allocations = map[string]quota.Allocation{}
 		}
 		pool.Allocations[holder] = quota.Allocation{Units: units, Sequence: 1}
-		if err := s.poolCache.put(tx, tenant, pool); err != nil {
+		if err := pools.cache.put(tx, tenant, pool); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -150,28 +150,28 @@
 	put(tx, "u", "lost", 2)
 	put(tx, "u", "undone", 1)
 	commitTx(t, committed, tx)
-	for name, cache := range map[string]poolCache{"own": s.poolCache, "fresh": newPoolCache()} {
+	for name, cache := range map[string]poolCache{"own": pools.cache, "fresh": newPoolCache()} {
 		got, err := cache.get(beginTx(committed), "u")
 		want := map[string]quota.Allocation{"kept": {Units: 3, Sequence: 1}, "lost": {Units: 2, Sequence: 1}, "undone": {Units: 1, Sequence: 1}}
 		if err != nil || !maps.Equal(got.Allocations, want) {
-			t.Errorf("%s: %+v, %v", name, got, err)
+			t.Errorf("%s: got %+v, %v, want %v", name, got, err, want)
 		}
 		if got, err := cache.get(beginTx(committed), "t"); err != nil || len(got.Allocations) != 0 {
-			t.Errorf("%s: a pool that was never written has %+v, %v", name, got.Allocations, err)
+			t.Errorf("%s: got %+v, %v of a pool that was never committed, want none", name, got.Allocations, err)
 		}
 	}
 }
 
 // Records of holders that have nothing are dropped once there are many, never one that a pool names.
 func TestUnusedHoldersAreDropped(t *testing.T) {
-	s, committed := quotaServer(t)
+	pools, committed := New(), openStore(t)
 	for run := range 3 * maxUnusedHolders {
 		tx := beginTx(committed)
 		pool := &quota.Pool{Allocations: map[string]quota.Allocation{"stays": {Units: 1}, fmt.Sprint("run", run): {Units: 2}}}
-		if err := s.poolCache.put(tx, "t", pool); err != nil {
+		if err := pools.cache.put(tx, "t", pool); err != nil {
 			t.Fatal(err)
 		}
-		if err := s.dropUnusedHolders(tx); err != nil {
+		if err := pools.DropUnusedHolders(tx); err != nil {
 			t.Fatal(err)
 		}
 		commitTx(t, committed, tx)
@@ -179,19 +179,19 @@
 	records := 0
 	committed.ForEachWithPrefix(holderPrefix, func(string, []byte) { records++ })
 	if records > maxUnusedHolders+3 {
-		t.Errorf("%d records of holders", records)
+		t.Errorf("got %d records of holders, want at most %d", records, maxUnusedHolders+3)
 	}
 	fresh := newPoolCache()
 	got, err := fresh.get(beginTx(committed), "t")
 	if err != nil || got.Allocations["stays"].Units != 1 || len(got.Allocations) != 2 {
-		t.Errorf("read %+v, %v", got, err)
+		t.Errorf("got %+v, %v", got, err)
 	}
 }
 
 // BenchmarkPoolSize tells how large a pool's record is at 360 routers, as it is kept and compressed, beside the records of
 // BenchmarkSizes in package scale.
 //
-//	go test ./internal/controlplane/core -run XXX -bench PoolSize -benchtime 1x
+//	go test ./internal/controlplane/quotapool -run XXX -bench PoolSize -benchtime 1x
 func BenchmarkPoolSize(b *testing.B) {
 	pool := poolOf(360)
 	for b.Loop() {
--- a/internal/controlplane/core/quotaholders.go
+++ b/internal/controlplane/quotapool/holders.go
@@ -1,4 +1,4 @@
-package core
+package quotapool
 
 import (
 	"fmt"
@@ -17,7 +17,7 @@
 	maxUnusedHolders = 64
 )
 
-// holderNumbers knows the numbers under which holders of quota units are stored. Only the run loop touches it.
+// holderNumbers knows the numbers under which holders of quota units are stored, by their names.
 type holderNumbers map[string]numberedHolder
 
 // numberedHolder is a holder's number, with the stored bytes of its record: it is good for as long as the store, or
@@ -62,7 +62,7 @@
 	key := holderKey(number)
 	raw, ok := tx.Get(key)
 	if !ok {
-		return "", eris.Errorf("core: no holder of quota units has the number %d", number)
+		return "", eris.Errorf("quotapool: no holder of quota units has the number %d", number)
 	}
 	var holder storedHolder
 	if _, err := holder.UnmarshalMsg(raw); err != nil {
@@ -72,9 +72,8 @@
 	return holder.Name, nil
 }
 
-// dropUnusedHolders drops the records of holders that no pool names any longer, once there are many. Only the run
-// loop calls it.
-func (s *Server) dropUnusedHolders(tx *transaction.Tx) error {
+// DropUnusedHolders drops the records of holders that no pool names any longer, once there are many.
+func (p *Pools) DropUnusedHolders(tx *transaction.Tx) error {
 	names := map[string]string{} // by key
 	var holder storedHolder
 	tx.Committed().ForEachWithPrefix(holderPrefix, func(key string, raw []byte) {
@@ -86,7 +85,7 @@
 		return nil
 	}
 	used := map[string]bool{}
-	err := s.updatePools(tx, func(_ string, pool *quota.Pool) bool {
+	err := p.update(tx, func(_ string, pool *quota.Pool) bool {
 		for holder := range pool.Allocations {
 			used[holder] = true
 		}
--- /dev/null
+++ b/internal/controlplane/quotapool/pools_test.go
@@ -0,0 +1,145 @@
+package quotapool
+
+import (
+	"log/slog"
+	"slices"
+	"testing"
+	"time"
+
+	"yarrowridge/internal/controlplane/configuration"
+	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/store"
+	"yarrowridge/internal/controlplane/transaction"
+	"yarrowridge/internal/model/quota"
+)
+
+// openStore makes an empty committed state.
+func openStore(t *testing.T) *store.Store {
+	t.Helper()
+	disk, err := store.OpenFolder(t.TempDir())
+	if err != nil {
+		t.Fatal(err)
+	}
+	opened, err := store.Open(disk, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return opened
+}
+
+// A pool is decoded once, and one that a failed operation or a failed batch changed is decoded anew.
+func TestPoolsAreDecodedAnewAfterAFailure(t *testing.T) {
+	pools, committed := New(), openStore(t)
+	begin := func() *transaction.Tx { return transaction.New(committed) }
+	acquire := func(tx *transaction.Tx, sequence uint64) int {
+		out, _, err := pools.Transfer(tx, "a", &coreapi.QuotaMove{Tenant: "t", Sequence: sequence, Units: 1}, &configuration.Document{Quotas: map[string]int{"t": 100}})
+		if err != nil {
+			t.Fatal(err)
+		}
+		return out.Held
+	}
+	commit := func(tx *transaction.Tx) {
+		if err := committed.Append(store.Batch{Version: committed.Version() + 1, Mutations: tx.LastMutations()}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	tx := begin()
+	acquire(tx, 1)
+	acquire(tx, 2)
+	ofPool := slices.DeleteFunc(slices.Clone(tx.LastMutations()), func(mutation store.Mutation) bool { return mutation.Key != poolKey("t") })
+	if len(ofPool) != 1 {
+		t.Fatalf("got %d mutations of one pool, want 1", len(ofPool))
+	}
+	commit(tx)
+
+	lost := begin() // never committed
+	if got := acquire(lost, 3); got != 3 {
+		t.Fatalf("got %d units in the batch, want 3", got)
+	}
+	undone := begin()
+	savepoint := undone.Savepoint()
+	acquire(undone, 4)
+	undone.Rollback(savepoint)
+
+	tx = begin()
+	if got := acquire(tx, 3); got != 3 {
+		t.Errorf("got %d units after a lost batch and a rollback, want 3", got)
+	}
+	commit(tx)
+	pool, err := pools.cache.get(begin(), "t")
+	if err != nil || pool.Allocations["a"] != (quota.Allocation{Sequence: 3, Units: 3}) {
+		t.Errorf("got pool %+v, %v", pool, err)
+	}
+}
+
+// What is acquired of the tolerance, on top of the quota while units cool, may be spent to the last unit: it does not
+// count against those who hold it.
+func TestToleranceMayBeSpent(t *testing.T) {
+	pools, committed := New(), openStore(t)
+	tx := transaction.New(committed)
+	if err := pools.cache.put(tx, "t", &quota.Pool{Cooling: map[string]int{"dead/1": 10}}); err != nil {
+		t.Fatal(err)
+	}
+	document := &configuration.Document{Quotas: map[string]int{"t": 10}, Tolerances: map[string]int{"t": 4}}
+	held, spent := 0, 0
+	for _, holder := range []string{"a", "b", "c", "d"} {
+		out, _, err := pools.Transfer(tx, holder, &coreapi.QuotaMove{Tenant: "t", Sequence: 1, Units: 1}, document)
+		if err != nil {
+			t.Fatal(err)
+		}
+		held += out.Held
+		quotaShare := quota.NewShare()
+		quotaShare.SetLimit(10, time.Minute)
+		quotaShare.Enqueue(1)
+		turn, _, ok := quotaShare.NextAcquire(4)
+		if !ok {
+			t.Fatal("got no acquire, want one")
+		}
+		quotaShare.Apply(turn, out.Held, out.Limit)
+		for {
+			if ok, _ := quotaShare.Reserve(1); !ok {
+				break
+			}
+			quotaShare.Commit(1)
+			spent++
+		}
+	}
+	if held != 4 || spent != 4 {
+		t.Errorf("got %d units held and %d spent, want 4 and 4", held, spent)
+	}
+}
+
+// After a restart of a whole fleet the units of all earlier runs cool in one write of each pool.
+func TestReplacedRunsCoolInOneWrite(t *testing.T) {
+	pools, committed := New(), openStore(t)
+	tx := transaction.New(committed)
+	pool := &quota.Pool{Allocations: map[string]quota.Allocation{"a@1/1": {Units: 2, Sequence: 1}, "b@2/1": {Units: 3, Sequence: 1}, "c@3/1": {Units: 4, Sequence: 1}}}
+	if err := pools.cache.put(tx, "t", pool); err != nil {
+		t.Fatal(err)
+	}
+	if err := committed.Append(store.Batch{Version: 1, Mutations: tx.LastMutations()}); err != nil {
+		t.Fatal(err)
+	}
+	tx = transaction.New(committed)
+	ended := time.Now().Add(-time.Second)
+	var replaced ReplacedRuns
+	if !replaced.add("a@1", replacedRun{"a@1/2", ended}) || replaced.add("b@2", replacedRun{"b@2/2", ended}) {
+		t.Error("got the gathering started by another than the first node")
+	}
+	if err := pools.CoolReplaced(tx, &replaced); err != nil {
+		t.Fatal(err)
+	}
+	if n := len(tx.Mutations()); n != 1 {
+		t.Errorf("got %d mutations, want 1", n)
+	}
+	got, err := pools.cache.get(tx, "t")
+	if err != nil || got.CoolingUnits() != 5 || got.Allocations["c@3/1"].Units != 4 {
+		t.Errorf("got pool %+v, %v, want 5 units cooling and 4 held by c", got, err)
+	}
+	if at := pools.firstSeen[coolingKey("t", "a@1/1")]; !at.Equal(ended) {
+		t.Errorf("got units of a cooling since %s, want %s", at, ended)
+	}
+	if runs := replaced.take(); len(runs) != 0 {
+		t.Errorf("got %d nodes left after they were taken, want none", len(runs))
+	}
+}
