--- a/internal/controlplane/core/announce.go
+++ b/internal/controlplane/core/announce.go
@@ -67,7 +67,7 @@
 			delete(s.silentSince, key)
 		}
 	}
-	s.dropLater(expired)
+	s.deleteLater(expired)
 }
 
 // announceTo tells the view to one place.
--- a/internal/controlplane/core/emptyserver_test.go
+++ b/internal/controlplane/core/idleserver_test.go
@@ -8,7 +8,7 @@
 )
 
 // quotaServer is a core with an empty store, as far as tests of its state need one.
-func quotaServer(t *testing.T) (*Server, *store.Store) {
+func newIdleServer(t *testing.T) (*Server, *store.Store) {
 	t.Helper()
 	disk, err := store.OpenFolder(t.TempDir())
 	if err != nil {
--- a/internal/controlplane/core/routerheartbeat_test.go
+++ b/internal/controlplane/core/routerheartbeat_test.go
@@ -14,7 +14,7 @@
 // that lost all power takes itself for one of many.
 func TestNewPrimarySaysHowManyRoutersThereWere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, opened := quotaServer(t)
+		s, opened := newIdleServer(t)
 		var puts []store.Mutation
 		for _, addr := range []string{"10.0.0.1:70", "10.0.0.2:70", "10.0.0.3:70"} {
 			raw, err := (&coreapi.Node{Name: addr, Addr: addr}).MarshalMsg(nil)
--- a/internal/controlplane/core/server.go
+++ b/internal/controlplane/core/server.go
@@ -101,7 +101,6 @@
 	claimsSweptAt time.Time
 	announcedAt   time.Time            // when silent places were last told the view
 	silentSince   map[string]time.Time // places that send no heartbeats
-
 }
 
 // candidate is a process that wants to become a member.
--- a/internal/controlplane/core/sessions.go
+++ b/internal/controlplane/core/sessions.go
@@ -8,14 +8,14 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// sessionsKey is the key of the routers' session directory. It is on disk so that sessions go on where they are
-// held after the loss of all routers; the core does not look into it.
+// sessionsKey is the key of the routers' session directory. It is on disk so that sessions keep their runners
+// after the loss of all routers; the core does not decode it.
 const sessionsKey = "sessions"
 
-// maxSessionsBytes bounds the directory that is kept, in bytes.
+// maxSessionsBytes is the size of the largest directory that is stored, in bytes.
 const maxSessionsBytes = 1 << 20
 
-// storeSessions keeps the directory in place of the one before.
+// storeSessions stores the directory in place of the one before.
 func (s *Server) storeSessions(ctx context.Context, directory *coreapi.SessionDirectory) (*coreapi.Empty, error) {
 	if len(directory.Batch) > maxSessionsBytes {
 		return nil, wire.StatusError{Code: coreapi.CodeTooLarge}
@@ -27,7 +27,7 @@
 	return &coreapi.Empty{}, nil
 }
 
-// readSessions gives the directory that was kept last.
+// readSessions gives the directory that was stored last.
 func (s *Server) readSessions() (*coreapi.SessionDirectory, error) {
 	if err := s.requirePrimary(); err != nil {
 		return nil, err
--- a/internal/controlplane/core/settings.go
+++ b/internal/controlplane/core/settings.go
@@ -2,6 +2,7 @@
 
 import (
 	"time"
+
 	"yarrowridge/internal/controlplane/configuration"
 )
 
--- a/internal/controlplane/core/sweep.go
+++ b/internal/controlplane/core/sweep.go
@@ -2,24 +2,25 @@
 
 import (
 	"time"
+
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/quotapool"
 	"yarrowridge/internal/controlplane/transaction"
 )
 
-// How often the run loop looks for what has had its time.
+// How often the run loop looks for what has expired.
 const (
-	sweepEvery        = 500 * time.Millisecond
-	sweepCoolingEvery = 100 * time.Millisecond // while units of quotas cool
-	announceEvery     = time.Second
-	claimsSweepEvery  = 10 * time.Second // there may be very many claims, and none is kept by the second
+	sweepInterval        = 500 * time.Millisecond
+	coolingSweepInterval = 100 * time.Millisecond // while units of quota pools cool
+	announceInterval     = time.Second
+	claimsSweepInterval  = 10 * time.Second // there may be very many claims, and their retention is not kept to the second
 )
 
-// sweep ends what has had its time: cooled units and old claims. Time is counted from when this
-// run of this process first saw them, so a restart only makes them last longer.
+// sweep removes what has expired: cooled units, claims, silent nodes and runners. Time is counted from when this
+// run of this process first saw them, so a restart only makes them last longer. Only the run loop calls it.
 func (s *Server) sweep() {
 	since := time.Since(s.sweptAt)
-	if since < sweepEvery && !(s.pools.HasCooling() && since >= sweepCoolingEvery) {
+	if since < sweepInterval && !(s.pools.HasCooling() && since >= coolingSweepInterval) {
 		return
 	}
 	s.sweptAt = time.Now()
@@ -31,7 +32,7 @@
 		return
 	}
 	document := s.documents.Decode(config)
-	if time.Since(s.announcedAt) > announceEvery {
+	if time.Since(s.announcedAt) > announceInterval {
 		s.announcedAt = time.Now()
 		s.announceView(addrs)
 		s.runnerStorage.SaveTimedOut(s.registry.List(time.Now()))
@@ -39,7 +40,7 @@
 	if document == nil {
 		return
 	}
-	if time.Since(s.claimsSweptAt) > claimsSweepEvery {
+	if time.Since(s.claimsSweptAt) > claimsSweepInterval {
 		s.claimsSweptAt = time.Now()
 		s.sweepClaims(s.claimsSweptAt, document.Claims)
 		s.runnerStorage.DeleteUnknown(s.registry.List(time.Now()))
@@ -62,7 +63,7 @@
 }
 
 // dropLater has the run loop remove keys.
-func (s *Server) dropLater(keys []string) {
+func (s *Server) deleteLater(keys []string) {
 	if len(keys) == 0 {
 		return
 	}
@@ -74,7 +75,8 @@
 	})
 }
 
-// submitLater puts an operation of our own into the run loop, if there is room.
+// submitLater submits an operation of the core's own and does not wait for it. Where the queue is full it is dropped: a
+// later sweep finds again what is due.
 func (s *Server) submitLater(do func(tx *transaction.Tx) error) {
 	select {
 	case s.jobs <- &job{done: make(chan error, 1), do: do}:
