--- a/internal/controlplane/core/handlers.go
+++ b/internal/controlplane/core/handlers.go
@@ -86,9 +86,9 @@
 			return s.completeClaim(ctx, request)
 		})
 	case "core.move":
-		return wire.HandleTyped(body, func(move *coreapi.QuotaMove) (*coreapi.QuotaMoveResult, error) { return s.transfer(ctx, move) })
+		return wire.HandleTyped(body, func(move *coreapi.QuotaTransfer) (*coreapi.QuotaTransferResult, error) { return s.transfer(ctx, move) })
 	case "core.moves":
-		return wire.HandleTyped(body, func(request *coreapi.QuotaMovesRequest) (*coreapi.QuotaMovesResponse, error) {
+		return wire.HandleTyped(body, func(request *coreapi.QuotaTransfersRequest) (*coreapi.QuotaTransfersResponse, error) {
 			return s.transferAll(ctx, request)
 		})
 	case "core.sessions":
--- a/internal/controlplane/core/quota.go
+++ b/internal/controlplane/core/quota.go
@@ -14,8 +14,8 @@
 const replacedGatherInterval = 20 * time.Millisecond
 
 // transfer acquires or returns units of one tenant.
-func (s *Server) transfer(ctx context.Context, move *coreapi.QuotaMove) (*coreapi.QuotaMoveResult, error) {
-	all, err := s.transferAll(ctx, &coreapi.QuotaMovesRequest{Holder: move.Holder, Moves: []coreapi.QuotaMove{*move}})
+func (s *Server) transfer(ctx context.Context, move *coreapi.QuotaTransfer) (*coreapi.QuotaTransferResult, error) {
+	all, err := s.transferAll(ctx, &coreapi.QuotaTransfersRequest{Holder: move.Holder, Transfers: []coreapi.QuotaTransfer{*move}})
 	if err != nil {
 		return nil, err
 	}
@@ -23,10 +23,10 @@
 }
 
 // transferAll makes all transfers of one holder in one write.
-func (s *Server) transferAll(ctx context.Context, request *coreapi.QuotaMovesRequest) (*coreapi.QuotaMovesResponse, error) {
-	response := &coreapi.QuotaMovesResponse{}
+func (s *Server) transferAll(ctx context.Context, request *coreapi.QuotaTransfersRequest) (*coreapi.QuotaTransfersResponse, error) {
+	response := &coreapi.QuotaTransfersResponse{}
 	err := s.Submit(ctx, func(tx *transaction.Tx) error {
-		response.Results = make([]coreapi.QuotaMoveResult, len(request.Moves))
+		response.Results = make([]coreapi.QuotaTransferResult, len(request.Transfers))
 		document, err := s.documents.InBatch(tx)
 		if err != nil {
 			return err
@@ -34,9 +34,9 @@
 		if document == nil {
 			document = &configuration.Document{}
 		}
-		for i := range request.Moves {
+		for i := range request.Transfers {
 			var demand quotapool.Demand
-			response.Results[i], demand, err = s.pools.Transfer(tx, request.Holder, &request.Moves[i], document)
+			response.Results[i], demand, err = s.pools.Transfer(tx, request.Holder, &request.Transfers[i], document)
 			s.markScarcity(demand)
 			if err != nil {
 				return err
--- a/internal/controlplane/coreapi/codes.go
+++ b/internal/controlplane/coreapi/codes.go
@@ -1,6 +1,10 @@
 package coreapi
 
-import "yarrowridge/internal/transport/wire"
+import (
+	"errors"
+
+	"yarrowridge/internal/transport/wire"
+)
 
 // The codes with which a core rejects calls of nodes and operators.
 const (
@@ -24,3 +28,8 @@
 	CodeOwnAddress       wire.Code = "own-address"      // a core that joins gave the primary's own address
 	CodeNotReached       wire.Code = "not-reached"      // a core that joins was not reached at the address it gave
 )
+
+// IsOutcomeUnknown reports whether a call that ended in err may yet take effect.
+func IsOutcomeUnknown(err error) bool {
+	return wire.HasCode(err, CodeOutcomeUnknown) || errors.Is(err, wire.ErrOutcomeUnknown)
+}
--- a/internal/controlplane/coreapi/messages.go
+++ b/internal/controlplane/coreapi/messages.go
@@ -4,11 +4,10 @@
 package coreapi
 
 import (
-	"errors"
 	"strconv"
+
 	"yarrowridge/internal/controlplane/view"
 	"yarrowridge/internal/model/routing"
-	"yarrowridge/internal/transport/wire"
 )
 
 //go:generate go tool msgp -tests=false -io=false
@@ -16,23 +15,21 @@
 // A length read from the wire is believed up to this only.
 //msgp:limit arrays:10000000 maps:200000
 
-// States of a claim.
+// ClaimState is how far a claimed request got.
+type ClaimState int
+
+// The states of a claim, as they are on the wire and on disk.
 const (
-	ClaimRunning  = 0
-	ClaimDone     = 1
-	ClaimUnknown  = 2
-	ClaimReleased = 3 // let go: anybody but its own late taking may claim the key
+	ClaimRunning  ClaimState = 0
+	ClaimDone     ClaimState = 1 // completed; the response may be kept
+	ClaimUnknown  ClaimState = 2 // the claimant does not know the outcome
+	ClaimReleased ClaimState = 3 // the request surely did not run: any other claimant may claim the key
 )
 
-// StreamPrefix begins the keys under which the right to carry a stream on is claimed. No tenant's key
+// StreamPrefix begins the keys under which the right to resume a stream is claimed. No tenant's key
 // begins so: a tenant's name is not empty.
 const StreamPrefix = "/stream/"
 
-// IsOutcomeUnknown reports whether a call that ended in err may yet take effect.
-func IsOutcomeUnknown(err error) bool {
-	return wire.HasCode(err, CodeOutcomeUnknown) || errors.Is(err, wire.ErrOutcomeUnknown)
-}
-
 // Holder names one run of a node as the holder of units. The address is part of it: a newer run
 // at the same address proves the older one gone, since only one process can listen there.
 func Holder(n Node) string {
@@ -53,9 +50,9 @@
 // HeartbeatRequest renews a node's lease.
 type HeartbeatRequest struct {
 	Node         Node   `msg:"n"`
-	NodesVersion uint64 `msg:"r"` // of the list of nodes that it has
+	NodesVersion uint64 `msg:"r"` // of the node list that it has
 	AgeMs        int    `msg:"g"` // since this run of the node's process began
-	Leaving      bool   `msg:"l"` // it stops now: no lease, and its unspent units are free after a window
+	Leaving      bool   `msg:"l"` // graceful shutdown: no lease, and its unspent units are free after a window
 
 	RunnersWanted  bool   `msg:"w"` // it keeps a copy of the registry of runners
 	RunnersEpoch   uint64 `msg:"e"` // what it has of it; zeros: nothing
@@ -67,7 +64,7 @@
 	RunnerStats []RunnerStats `msg:"t"` // of the runners used since the last heartbeat
 }
 
-// RunnerStats counts how attempts at a runner ended, and how long it let streams wait for their next event.
+// RunnerStats counts how attempts at a runner ended, and how long it had streams wait for their next event.
 type RunnerStats struct {
 	ID          string `msg:"i"`
 	Attempts    int    `msg:"t"`
@@ -100,7 +97,7 @@
 	Runners           []routing.Runner `msg:"rr"` // those changed since the version it had
 	RunnersComplete   bool             `msg:"rw"` // Runners are all: one that is not named is to be dropped
 	Failing           []FailingRunner  `msg:"rf"` // all that fail now
-	LowLatencyRunners []string         `msg:"rc"` // IDs of the runners whose streams have the shortest pauses
+	LowLatencyRunners []string         `msg:"rc"` // IDs of the runners whose streams have the shortest gaps between tokens
 }
 
 // RunnerHeartbeat is a runner's heartbeat.
@@ -124,9 +121,9 @@
 	Batch []byte `msg:"b"`
 }
 
-// WriteRequest is an operator's change.
+// WriteRequest is an operator's change of the configuration.
 type WriteRequest struct {
-	ID          string `msg:"i"` // the operator's write id, may be empty
+	ID          string `msg:"i"` // the operator's write ID; may be empty
 	BaseVersion uint64 `msg:"m"` // the version it was made against; ignored with AnyVersion
 	AnyVersion  bool   `msg:"a"`
 	Patch       bool   `msg:"p"`
@@ -144,20 +141,20 @@
 	Code     int           `msg:"c"`
 	Version  uint64        `msg:"s"`
 	Errors   []ConfigError `msg:"f"`
-	Repeated bool          `msg:"a"` // the write id was known: applied before
+	Repeated bool          `msg:"a"` // the write ID was known: it was applied before
 }
 
-// Claim is the durable record of a once-only key.
+// Claim is the stored record of an idempotency key.
 type Claim struct {
-	RequestHash string `msg:"h"` // hash of what was asked
-	Claimant    string `msg:"i"` // who claimed it, and in which attempt
-	Node        string `msg:"n"`
-	NodeRun     uint64 `msg:"b"`
-	State       int    `msg:"s"`
-	Status      int    `msg:"c"`
-	ContentType string `msg:"k"`
-	Response    []byte `msg:"a"`
-	HasResponse bool   `msg:"w"` // Response is the whole response
+	RequestHash string     `msg:"h"` // hash of the request
+	Claimant    string     `msg:"i"` // who claimed it, and in which attempt; the same one may ask again
+	Node        string     `msg:"n"`
+	NodeRun     uint64     `msg:"b"`
+	State       ClaimState `msg:"s"`
+	Status      int        `msg:"c"` // of the response, as in HTTP
+	ContentType string     `msg:"k"`
+	Response    []byte     `msg:"a"`
+	HasResponse bool       `msg:"w"` // Response is the whole response
 }
 
 // ClaimRequest asks for a claim.
@@ -170,57 +167,57 @@
 type ClaimResponse struct {
 	Granted     bool  `msg:"g"`
 	Conflict    bool  `msg:"x"` // same key, another body
-	Running     bool  `msg:"l"` // still running at a live node
-	AlreadyRan  bool  `msg:"r"` // it ran; no more is known of it by now
+	Running     bool  `msg:"l"` // its node may still be at work on it
+	AlreadyRan  bool  `msg:"r"` // the key was used; its claim has expired
 	TooManyKeys bool  `msg:"f"` // no more keys can be kept for now
 	Claim       Claim `msg:"c"` // the claim in force
 }
 
-// CompleteClaimRequest ends a claim.
+// CompleteClaimRequest records the outcome of a claimed request, or releases its key.
 type CompleteClaimRequest struct {
 	Key     string `msg:"k"`
-	Release bool   `msg:"f"` // surely not run: the key may be claimed anew
+	Release bool   `msg:"f"` // it surely did not run: the key may be claimed anew
 	Claim   Claim  `msg:"c"`
 }
 
-// Empty is the response where there is nothing to say.
+// Empty is the response of a call that only succeeds or fails.
 type Empty struct{}
 
-// QuotaMove draws or gives units of a tenant's quota.
-type QuotaMove struct {
+// QuotaTransfer acquires or returns units of a tenant's quota.
+type QuotaTransfer struct {
 	Tenant   string `msg:"t"`
 	Holder   string `msg:"n"`
 	Sequence uint64 `msg:"k"`
 	Units    int    `msg:"u"`
 	Return   bool   `msg:"g"`
 
-	// Costs are those of the requests that wait for a draw, where they differ: each gets all of its units or none. The
-	// rest of Units is to be kept at hand.
+	// Costs, in units, are those of the requests that wait for an acquire, where they differ: each gets all of its units or none. The
+	// rest of Units is kept in reserve.
 	Costs []int `msg:"c,omitempty"`
 }
 
-// QuotaMoveResult says what the holder has now.
-type QuotaMoveResult struct {
+// QuotaTransferResult says what the holder has after the transfer.
+type QuotaTransferResult struct {
 	Held  int `msg:"h"`
-	Limit int `msg:"u"` // what all have, or the quota if larger
+	Limit int `msg:"u"` // the units of all holders, or the quota if larger
 }
 
-// QuotaMovesRequest are draws and gives of one holder, of as many tenants as it has moves to make: one call and one
+// QuotaTransfersRequest is transfers of one holder, of as many tenants as it has some for: one call and one
 // write carry them all.
-type QuotaMovesRequest struct {
-	Holder string      `msg:"n"`
-	Moves  []QuotaMove `msg:"l"` // their Holder is empty
+type QuotaTransfersRequest struct {
+	Holder    string          `msg:"n"`
+	Transfers []QuotaTransfer `msg:"l"` // their Holder is empty
 }
 
-// QuotaMovesResponse answers QuotaMovesRequest, in the order of its moves.
-type QuotaMovesResponse struct {
-	Results []QuotaMoveResult `msg:"l"`
+// QuotaTransfersResponse answers QuotaTransfersRequest, in the order of its transfers.
+type QuotaTransfersResponse struct {
+	Results []QuotaTransferResult `msg:"l"`
 }
 
 // StateRequest asks for the fleet's state.
 type StateRequest struct{}
 
-// QuotaShare is one holder's part of a tenant's quota.
+// QuotaShare is one holder's share of a tenant's quota.
 type QuotaShare struct {
 	Tenant  string `msg:"t" json:"tenant"`
 	Holder  string `msg:"h" json:"holder"`
@@ -228,7 +225,7 @@
 	Cooling bool   `msg:"c" json:"cooling"`
 }
 
-// State is what the primary tells of itself.
+// State is what a core reports of itself and, where it is primary, of its fleet.
 type State struct {
 	View             view.View     `msg:"v" json:"view"`
 	ID               string        `msg:"m" json:"id"`
--- a/internal/controlplane/coreapi/messages_gen.go
+++ b/internal/controlplane/coreapi/messages_gen.go
@@ -33,7 +33,7 @@
 	o = msgp.AppendUint64(o, z.NodeRun)
 	// string "s"
 	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendInt(o, z.State)
+	o = msgp.AppendInt(o, int(z.State))
 	// string "c"
 	o = append(o, 0xa1, 0x63)
 	o = msgp.AppendInt(o, z.Status)
@@ -96,10 +96,14 @@
 				return
 			}
 		case "s":
-			z.State, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "State")
-				return
+			{
+				var zb0002 int
+				zb0002, bts, err = msgp.ReadIntBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "State")
+					return
+				}
+				z.State = ClaimState(zb0002)
 			}
 		case "c":
 			z.Status, bts, err = msgp.ReadIntBytes(bts)
@@ -114,27 +118,27 @@
 				return
 			}
 		case "a":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadBytesHeader(bts)
+			var zb0003 uint32
+			zb0003, bts, err = msgp.ReadBytesHeader(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Response")
 				return
 			}
-			if zb0002 > z2c18a699limitArrays {
+			if zb0003 > z2c18a699limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if z.Response == nil || uint32(cap(z.Response)) < zb0002 {
-				z.Response = make([]byte, zb0002)
+			if z.Response == nil || uint32(cap(z.Response)) < zb0003 {
+				z.Response = make([]byte, zb0003)
 			} else {
-				z.Response = z.Response[:zb0002]
+				z.Response = z.Response[:zb0003]
 			}
-			if uint32(len(bts)) < zb0002 {
+			if uint32(len(bts)) < zb0003 {
 				err = msgp.ErrShortBytes
 				return
 			}
-			copy(z.Response, bts[:zb0002])
-			bts = bts[zb0002:]
+			copy(z.Response, bts[:zb0003])
+			bts = bts[zb0003:]
 		case "w":
 			z.HasResponse, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
@@ -333,6 +337,34 @@
 	return
 }
 
+// MarshalMsg implements msgp.Marshaler
+func (z ClaimState) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	o = msgp.AppendInt(o, int(z))
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *ClaimState) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	{
+		var zb0001 int
+		zb0001, bts, err = msgp.ReadIntBytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		(*z) = ClaimState(zb0001)
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z ClaimState) Msgsize() (s int) {
+	s = msgp.IntSize
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z *CompleteClaimRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -1259,7 +1291,90 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *QuotaMove) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *QuotaShare) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 4
+	// string "t"
+	o = append(o, 0x84, 0xa1, 0x74)
+	o = msgp.AppendString(o, z.Tenant)
+	// string "h"
+	o = append(o, 0xa1, 0x68)
+	o = msgp.AppendString(o, z.Holder)
+	// string "u"
+	o = append(o, 0xa1, 0x75)
+	o = msgp.AppendInt(o, z.Units)
+	// string "c"
+	o = append(o, 0xa1, 0x63)
+	o = msgp.AppendBool(o, z.Cooling)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *QuotaShare) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > z2c18a699limitMaps {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "t":
+			z.Tenant, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Tenant")
+				return
+			}
+		case "h":
+			z.Holder, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Holder")
+				return
+			}
+		case "u":
+			z.Units, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Units")
+				return
+			}
+		case "c":
+			z.Cooling, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Cooling")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *QuotaShare) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Tenant) + 2 + msgp.StringPrefixSize + len(z.Holder) + 2 + msgp.IntSize + 2 + msgp.BoolSize
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *QuotaTransfer) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// check for omitted fields
 	zb0001Len := uint32(6)
@@ -1302,7 +1417,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *QuotaMove) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *QuotaTransfer) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1389,13 +1504,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *QuotaMove) Msgsize() (s int) {
+func (z *QuotaTransfer) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.Tenant) + 2 + msgp.StringPrefixSize + len(z.Holder) + 2 + msgp.Uint64Size + 2 + msgp.IntSize + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize + (len(z.Costs) * (msgp.IntSize))
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z QuotaMoveResult) MarshalMsg(b []byte) (o []byte, err error) {
+func (z QuotaTransferResult) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "h"
@@ -1408,7 +1523,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *QuotaMoveResult) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *QuotaTransferResult) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1454,13 +1569,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z QuotaMoveResult) Msgsize() (s int) {
+func (z QuotaTransferResult) Msgsize() (s int) {
 	s = 1 + 2 + msgp.IntSize + 2 + msgp.IntSize
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *QuotaMovesRequest) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *QuotaTransfersRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "n"
@@ -1468,11 +1583,11 @@
 	o = msgp.AppendString(o, z.Holder)
 	// string "l"
 	o = append(o, 0xa1, 0x6c)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Moves)))
-	for za0001 := range z.Moves {
-		o, err = z.Moves[za0001].MarshalMsg(o)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Transfers)))
+	for za0001 := range z.Transfers {
+		o, err = z.Transfers[za0001].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Moves", za0001)
+			err = msgp.WrapError(err, "Transfers", za0001)
 			return
 		}
 	}
@@ -1480,7 +1595,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *QuotaMovesRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *QuotaTransfersRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1511,22 +1626,22 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Moves")
+				err = msgp.WrapError(err, "Transfers")
 				return
 			}
 			if zb0002 > z2c18a699limitArrays {
 				err = msgp.ErrLimitExceeded
 				return
 			}
-			if cap(z.Moves) >= int(zb0002) {
-				z.Moves = (z.Moves)[:zb0002]
+			if cap(z.Transfers) >= int(zb0002) {
+				z.Transfers = (z.Transfers)[:zb0002]
 			} else {
-				z.Moves = make([]QuotaMove, zb0002)
+				z.Transfers = make([]QuotaTransfer, zb0002)
 			}
-			for za0001 := range z.Moves {
-				bts, err = z.Moves[za0001].UnmarshalMsg(bts)
+			for za0001 := range z.Transfers {
+				bts, err = z.Transfers[za0001].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Moves", za0001)
+					err = msgp.WrapError(err, "Transfers", za0001)
 					return
 				}
 			}
@@ -1543,16 +1658,16 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *QuotaMovesRequest) Msgsize() (s int) {
+func (z *QuotaTransfersRequest) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.Holder) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Moves {
-		s += z.Moves[za0001].Msgsize()
+	for za0001 := range z.Transfers {
+		s += z.Transfers[za0001].Msgsize()
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *QuotaMovesResponse) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *QuotaTransfersResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 1
 	// string "l"
@@ -1571,7 +1686,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *QuotaMovesResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *QuotaTransfersResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1606,7 +1721,7 @@
 			if cap(z.Results) >= int(zb0002) {
 				z.Results = (z.Results)[:zb0002]
 			} else {
-				z.Results = make([]QuotaMoveResult, zb0002)
+				z.Results = make([]QuotaTransferResult, zb0002)
 			}
 			for za0001 := range z.Results {
 				var zb0003 uint32
@@ -1661,94 +1776,11 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *QuotaMovesResponse) Msgsize() (s int) {
+func (z *QuotaTransfersResponse) Msgsize() (s int) {
 	s = 1 + 2 + msgp.ArrayHeaderSize + (len(z.Results) * (5 + msgp.IntSize + msgp.IntSize))
 	return
 }
 
-// MarshalMsg implements msgp.Marshaler
-func (z *QuotaShare) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 4
-	// string "t"
-	o = append(o, 0x84, 0xa1, 0x74)
-	o = msgp.AppendString(o, z.Tenant)
-	// string "h"
-	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendString(o, z.Holder)
-	// string "u"
-	o = append(o, 0xa1, 0x75)
-	o = msgp.AppendInt(o, z.Units)
-	// string "c"
-	o = append(o, 0xa1, 0x63)
-	o = msgp.AppendBool(o, z.Cooling)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *QuotaShare) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 > z2c18a699limitMaps {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "t":
-			z.Tenant, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Tenant")
-				return
-			}
-		case "h":
-			z.Holder, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Holder")
-				return
-			}
-		case "u":
-			z.Units, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Units")
-				return
-			}
-		case "c":
-			z.Cooling, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Cooling")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *QuotaShare) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Tenant) + 2 + msgp.StringPrefixSize + len(z.Holder) + 2 + msgp.IntSize + 2 + msgp.BoolSize
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z *RunnerHeartbeat) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
--- a/internal/controlplane/quotapool/pools.go
+++ b/internal/controlplane/quotapool/pools.go
@@ -34,7 +34,7 @@
 
 // Transfer acquires or returns units of one tenant. The demand tells how far an acquire was met, also where the transfer
 // then failed; that of a return has no units.
-func (p *Pools) Transfer(tx *transaction.Tx, holder string, move *coreapi.QuotaMove, document *configuration.Document) (result coreapi.QuotaMoveResult, demand Demand, err error) {
+func (p *Pools) Transfer(tx *transaction.Tx, holder string, move *coreapi.QuotaTransfer, document *configuration.Document) (result coreapi.QuotaTransferResult, demand Demand, err error) {
 	pool, err := p.cache.get(tx, move.Tenant)
 	if err != nil {
 		return result, demand, err
@@ -59,7 +59,7 @@
 }
 
 // allocate is how many of the free units an acquire gets. It reports whether a request that waits for them gets none.
-func (p *Pools) allocate(move *coreapi.QuotaMove, free, limit int) (units int, unmet bool) {
+func (p *Pools) allocate(move *coreapi.QuotaTransfer, free, limit int) (units int, unmet bool) {
 	if len(move.Costs) == 0 {
 		return min(move.Units, maxAcquire(free)), false
 	}
--- a/internal/controlplane/quotapool/pools_test.go
+++ b/internal/controlplane/quotapool/pools_test.go
@@ -32,7 +32,7 @@
 	pools, committed := New(), openStore(t)
 	begin := func() *transaction.Tx { return transaction.New(committed) }
 	acquire := func(tx *transaction.Tx, sequence uint64) int {
-		out, _, err := pools.Transfer(tx, "a", &coreapi.QuotaMove{Tenant: "t", Sequence: sequence, Units: 1}, &configuration.Document{Quotas: map[string]int{"t": 100}})
+		out, _, err := pools.Transfer(tx, "a", &coreapi.QuotaTransfer{Tenant: "t", Sequence: sequence, Units: 1}, &configuration.Document{Quotas: map[string]int{"t": 100}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -83,7 +83,7 @@
 	document := &configuration.Document{Quotas: map[string]int{"t": 10}, Tolerances: map[string]int{"t": 4}}
 	held, spent := 0, 0
 	for _, holder := range []string{"a", "b", "c", "d"} {
-		out, _, err := pools.Transfer(tx, holder, &coreapi.QuotaMove{Tenant: "t", Sequence: 1, Units: 1}, document)
+		out, _, err := pools.Transfer(tx, holder, &coreapi.QuotaTransfer{Tenant: "t", Sequence: 1, Units: 1}, document)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/dataplane/router/transfers.go
+++ b/internal/dataplane/router/transfers.go
@@ -20,7 +20,7 @@
 // meanwhile go with the next one, so that a busy core is asked in fewer and larger calls.
 type transferQueue struct {
 	ctx    daemon.Context // ends the calls
-	call   func(ctx context.Context, request *coreapi.QuotaMovesRequest, response *coreapi.QuotaMovesResponse) error
+	call   func(ctx context.Context, request *coreapi.QuotaTransfersRequest, response *coreapi.QuotaTransfersResponse) error
 	holder func() string // the name under which this run holds units
 
 	mu      sync.Mutex        // guards the fields below
@@ -30,19 +30,19 @@
 
 // queuedTransfer is a transfer that waits for the core's answer.
 type queuedTransfer struct {
-	request coreapi.QuotaMove
+	request coreapi.QuotaTransfer
 	done    chan transferResult // takes the one result without a receiver
 }
 
 type transferResult struct {
-	response coreapi.QuotaMoveResult
+	response coreapi.QuotaTransferResult
 	err      error
 }
 
 // newTransferQueue makes a queue to the core that the member finds.
 func newTransferQueue(ctx daemon.Context, member *cluster.Member) *transferQueue {
 	return &transferQueue{ctx: ctx, holder: func() string { return coreapi.Holder(member.Self()) },
-		call: func(ctx context.Context, request *coreapi.QuotaMovesRequest, response *coreapi.QuotaMovesResponse) error {
+		call: func(ctx context.Context, request *coreapi.QuotaTransfersRequest, response *coreapi.QuotaTransfersResponse) error {
 			return member.Core.Call(ctx, "core.moves", request, response, true)
 		}}
 }
@@ -52,7 +52,7 @@
 // core may have applied the transfer; repeated with its sequence number it counts once.
 func (q *transferQueue) transfer(ctx context.Context, transfer quota.Transfer) (held, limitBase int, err error) {
 	queued := &queuedTransfer{
-		request: coreapi.QuotaMove{Tenant: transfer.Tenant, Sequence: transfer.Sequence, Units: transfer.Units,
+		request: coreapi.QuotaTransfer{Tenant: transfer.Tenant, Sequence: transfer.Sequence, Units: transfer.Units,
 			Costs: transfer.Costs, Return: transfer.Return},
 		done: make(chan transferResult, 1),
 	}
@@ -96,11 +96,11 @@
 func (q *transferQueue) sendBatch(batch []*queuedTransfer) {
 	ctx, cancel := context.WithTimeout(q.ctx, transferCallTimeout)
 	defer cancel()
-	request := coreapi.QuotaMovesRequest{Holder: q.holder(), Moves: make([]coreapi.QuotaMove, len(batch))}
+	request := coreapi.QuotaTransfersRequest{Holder: q.holder(), Transfers: make([]coreapi.QuotaTransfer, len(batch))}
 	for i, queued := range batch {
-		request.Moves[i] = queued.request
+		request.Transfers[i] = queued.request
 	}
-	var response coreapi.QuotaMovesResponse
+	var response coreapi.QuotaTransfersResponse
 	err := q.call(ctx, &request, &response)
 	if err == nil && len(response.Results) != len(batch) {
 		err = eris.Errorf("router: %d answers to %d transfers of quota units", len(response.Results), len(batch))
--- a/internal/dataplane/router/transfers_test.go
+++ b/internal/dataplane/router/transfers_test.go
@@ -17,25 +17,25 @@
 // fakeCore answers calls with transfers after a second each: units held are those asked for, the limit base is 100.
 type fakeCore struct {
 	mu    sync.Mutex
-	calls [][]coreapi.QuotaMove
+	calls [][]coreapi.QuotaTransfer
 	err   error
 	drop  bool // the last result of each response
 }
 
-func (c *fakeCore) call(ctx context.Context, request *coreapi.QuotaMovesRequest, response *coreapi.QuotaMovesResponse) error {
+func (c *fakeCore) call(ctx context.Context, request *coreapi.QuotaTransfersRequest, response *coreapi.QuotaTransfersResponse) error {
 	if request.Holder != "holder" {
 		return fmt.Errorf("holder: got %q, want %q", request.Holder, "holder")
 	}
 	c.mu.Lock()
-	c.calls = append(c.calls, request.Moves)
+	c.calls = append(c.calls, request.Transfers)
 	c.mu.Unlock()
 	select {
 	case <-time.After(time.Second):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	for _, move := range request.Moves {
-		response.Results = append(response.Results, coreapi.QuotaMoveResult{Held: move.Units, Limit: 100})
+	for _, move := range request.Transfers {
+		response.Results = append(response.Results, coreapi.QuotaTransferResult{Held: move.Units, Limit: 100})
 	}
 	if c.drop {
 		response.Results = response.Results[1:]
@@ -77,7 +77,7 @@
 		if _, _, err := core.queue(t.Context()).transfer(t.Context(), transfer); err != nil {
 			t.Fatal(err)
 		}
-		want := coreapi.QuotaMove{Tenant: "t", Sequence: 7, Units: 5, Costs: []int{2, 3}, Return: true}
+		want := coreapi.QuotaTransfer{Tenant: "t", Sequence: 7, Units: 5, Costs: []int{2, 3}, Return: true}
 		if got := core.calls[0][0]; fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Errorf("sent: got %+v, want %+v", got, want)
 		}
--- a/internal/testing/modelcheck/draws_test.go
+++ b/internal/testing/modelcheck/draws_test.go
@@ -107,8 +107,8 @@
 // move sends one move until it is answered or the time is up, and reports whether it was.
 func (h *holder) move(asked move, until time.Time) bool {
 	h.turn++
-	request := coreapi.QuotaMovesRequest{Holder: fmt.Sprint("holder-", h.number),
-		Moves: []coreapi.QuotaMove{{Tenant: quotaTenant, Sequence: h.turn, Units: asked.units, Return: asked.give}}}
+	request := coreapi.QuotaTransfersRequest{Holder: fmt.Sprint("holder-", h.number),
+		Transfers: []coreapi.QuotaTransfer{{Tenant: quotaTenant, Sequence: h.turn, Units: asked.units, Return: asked.give}}}
 	begun := h.fleet.history.begin()
 	var told moved
 	for !told.known && time.Now().Before(until) {
@@ -121,10 +121,10 @@
 }
 
 // try sends a move once.
-func (h *holder) try(request *coreapi.QuotaMovesRequest) moved {
+func (h *holder) try(request *coreapi.QuotaTransfersRequest) moved {
 	ctx, cancel := context.WithTimeout(h.fleet.ctx, callTimeout)
 	defer cancel()
-	var response coreapi.QuotaMovesResponse
+	var response coreapi.QuotaTransfersResponse
 	if h.client.Call(ctx, "core.moves", request, &response, true) != nil || len(response.Results) != 1 {
 		return moved{}
 	}
--- a/internal/testing/sim/document_test.go
+++ b/internal/testing/sim/document_test.go
@@ -128,9 +128,9 @@
 
 		// The quota is the document's.
 		// A draw gets a part of what is free; all draws together get the quota and no more.
-		var moved coreapi.QuotaMoveResult
+		var moved coreapi.QuotaTransferResult
 		for turn := range uint64(30) {
-			if err := o.cli.Call(f.ctx, "core.move", &coreapi.QuotaMove{Tenant: "a", Holder: "h", Sequence: turn + 1, Units: 25}, &moved, true); err != nil {
+			if err := o.cli.Call(f.ctx, "core.move", &coreapi.QuotaTransfer{Tenant: "a", Holder: "h", Sequence: turn + 1, Units: 25}, &moved, true); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/testing/sim/quota_test.go
+++ b/internal/testing/sim/quota_test.go
@@ -26,8 +26,8 @@
 		f.within(5*time.Second, "the new run is there", f.everyRouterAt(5))
 
 		draw := func(holder string, turn uint64) int {
-			var moved coreapi.QuotaMoveResult
-			if err := o.cli.Call(f.ctx, "core.move", &coreapi.QuotaMove{Tenant: "a", Holder: holder, Sequence: turn, Units: 25}, &moved, true); err != nil {
+			var moved coreapi.QuotaTransferResult
+			if err := o.cli.Call(f.ctx, "core.move", &coreapi.QuotaTransfer{Tenant: "a", Holder: holder, Sequence: turn, Units: 25}, &moved, true); err != nil {
 				t.Fatal(err)
 			}
 			return moved.Held
--- a/internal/testing/sim/worstdays_test.go
+++ b/internal/testing/sim/worstdays_test.go
@@ -79,7 +79,7 @@
 		"core.write":  &coreapi.WriteRequest{ID: fmt.Sprint("near-", number), AnyVersion: true, Raw: sheet(100000 + number)},
 		"core.beat":   &coreapi.HeartbeatRequest{Node: coreapi.Node{Name: "r99", Addr: "10.0.1.99:1", Run: 1}},
 		"core.runner": &coreapi.RunnerHeartbeat{Runner: runner},
-		"core.move":   &coreapi.QuotaMove{},
+		"core.move":   &coreapi.QuotaTransfer{},
 		"core.take":   &coreapi.ClaimRequest{Key: fmt.Sprint("t/", number), Claim: coreapi.Claim{Claimant: "c"}},
 	} {
 		ctx, cancel := context.WithTimeout(d.ctx, 900*time.Millisecond)
