--- a/internal/controlplane/core/idleserver_test.go
+++ b/internal/controlplane/core/idleserver_test.go
@@ -7,7 +7,7 @@
 	"yarrowridge/internal/controlplane/store"
 )
 
-// quotaServer is a core with an empty store, as far as tests of its state need one.
+// newIdleServer makes a core with an empty store and no run loop, as far as tests of its state need one.
 func newIdleServer(t *testing.T) (*Server, *store.Store) {
 	t.Helper()
 	disk, err := store.OpenFolder(t.TempDir())
