--- a/internal/dataplane/router/gateway.go
+++ b/internal/dataplane/router/gateway.go
@@ -29,21 +29,21 @@
 
 // GatewaySettings are what a router that carries opaque requests is told about its place.
 type GatewaySettings struct {
-	Internal    string            // ip:port where other processes reach it
-	Data        string            // ip:port of the clients' listener
-	Readiness   string            // ip:port of the readiness listener; "": none
-	Seeds       []string          // ip:port of some cores
-	NewSeeds    <-chan []string   // seeds as the settings have them later
-	Quota       routing.QuotaRule // how tenants' rates are judged
-	Retries     gateway.RetryBounds
-	KeysTerm    time.Duration // within which a withdrawn key is of no use at any router; 0: at those that hear of it
-	Notice      time.Duration // how long a stop goes on serving all after readiness has turned
-	Grace       time.Duration // from the stop signal to the kill
-	MemoryLimit int64         // bytes; 0: none
-	Dialect     gateway.Dialect
-	Parse       func(raw []byte) (*routing.Table, []routing.Flaw)
-	Ready       func(why func() string) (http.Handler, error) // answers readiness probes
-	Metrics     metrics.Endpoint                              // where the router's own figures are served
+	InternalAddr     string            // ip:port where other processes reach it
+	ClientAddr       string            // ip:port of the clients' listener
+	ReadinessAddr    string            // ip:port of the readiness listener; "": none
+	Seeds            []string          // ip:port of some cores
+	SeedUpdates      <-chan []string   // seeds as the settings have them later
+	Quota            routing.QuotaRule // how tenants' rates are judged
+	Retries          gateway.RetryBounds
+	RevocationTerm   time.Duration // within which a withdrawn key is of no use at any router; 0: at those that hear of it
+	DrainNotice      time.Duration // how long a stop goes on serving all after readiness has turned
+	GracePeriod      time.Duration // from the stop signal to the kill
+	MemoryLimit      int64         // bytes; 0: none
+	Dialect          gateway.Dialect
+	ParseTable       func(raw []byte) (*routing.Table, []routing.Flaw)
+	ReadinessHandler func(why func() string) (http.Handler, error) // answers readiness probes
+	Metrics          metrics.Endpoint                              // where the router's own figures are served
 
 	Dial   func(ctx context.Context, address string) (net.Conn, error) // reaches runners; nil: TCP
 	Listen func(address string) (net.Listener, error)                  // for clients and probes; nil: TCP
@@ -83,7 +83,7 @@
 	g := &Gateway{ctx: ctx, settings: settings, Balancer: balance.New(ctx.Zone)}
 	g.Pool = upstream.New(upstream.Options{Dial: settings.Dial})
 	g.Registry = registry.New(g.Balancer.Update)
-	g.Cluster = cluster.NewMember(ctx.WithComponent("node"), settings.Internal, settings.Data, settings.Seeds, g.seeRecord,
+	g.Cluster = cluster.NewMember(ctx.WithComponent("node"), settings.InternalAddr, settings.ClientAddr, settings.Seeds, g.seeRecord,
 		cluster.WithDocument(g.take), cluster.WithRegistry(g.Registry), cluster.WithRunnerStats(g.tally, g.takeFindings))
 	g.sessions = newSessionSync(g)
 	g.Cluster.RegisterHandler("session", g.sessions.handle)
@@ -91,7 +91,7 @@
 		ScarceTenants: g.Cluster.ScarceTenants, Rules: g.rules, RecentContact: g.Cluster.CoreResponsive, InContact: func() bool { return !g.Cluster.CoreSilent() }, Margin: quotaMargin})
 	g.Front = gateway.New(gateway.Options{Dialect: settings.Dialect, Table: g.table.Load, Ready: g.canServe, Balancer: g.Balancer,
 		Pool: g.Pool, Quotas: quotas{g.QuotaShares}, Retries: settings.Retries, LocalShare: g.part,
-		Keys: gateway.KeyBounds{Term: settings.KeysTerm, ConfirmedAt: g.Cluster.ConfirmedAt}, Log: ctx.WithComponent("gateway").Log})
+		Keys: gateway.KeyBounds{Term: settings.RevocationTerm, ConfirmedAt: g.Cluster.ConfirmedAt}, Log: ctx.WithComponent("gateway").Log})
 	return g
 }
 
@@ -120,7 +120,7 @@
 
 // take puts a newer configuration in force.
 func (g *Gateway) take(sequence uint64, raw []byte) error {
-	table, flaws := g.settings.Parse(raw)
+	table, flaws := g.settings.ParseTable(raw)
 	if len(flaws) > 0 {
 		return eris.Wrapf(flaws[0], "router: configuration %d", sequence)
 	}
@@ -215,7 +215,7 @@
 	go g.QuotaShares.Run()
 	go g.sessions.run()
 	go g.Cluster.Run()
-	go runloop.Run(g.ctx, g.settings.NewSeeds, 0, g.Cluster.SetSeeds, nil)
+	go runloop.Run(g.ctx, g.settings.SeedUpdates, 0, g.Cluster.SetSeeds, nil)
 	go runloop.Run(g.ctx, nil, reportEvery, func(struct{}) {}, g.Front.Report)
 }
 
@@ -229,16 +229,16 @@
 	}
 	ctx := p.Ctx
 	g := NewGateway(ctx, settings)
-	internal, err := ctx.Net.Listen(settings.Internal)
+	internal, err := ctx.Net.Listen(settings.InternalAddr)
 	if err != nil {
 		return eris.Wrap(err, "router: internal listener")
 	}
-	if settings.Readiness != "" {
-		handler, err := settings.Ready(g.ready)
+	if settings.ReadinessAddr != "" {
+		handler, err := settings.ReadinessHandler(g.ready)
 		if err != nil {
 			return err
 		}
-		listener, err := settings.listen(settings.Readiness)
+		listener, err := settings.listen(settings.ReadinessAddr)
 		if err != nil {
 			return eris.Wrap(err, "router: readiness listener")
 		}
@@ -246,8 +246,8 @@
 	}
 	go wire.Serve(ctx, internal, g.Cluster.Serve)
 	g.Start()
-	ctx.Log.Info("Router is up.", "internal", settings.Internal, "data", settings.Data, "zone", ctx.Zone)
-	data, err := settings.listen(settings.Data)
+	ctx.Log.Info("Router is up.", "internal", settings.InternalAddr, "data", settings.ClientAddr, "zone", ctx.Zone)
+	data, err := settings.listen(settings.ClientAddr)
 	if err != nil {
 		return eris.Wrap(err, "router: clients' listener")
 	}
@@ -271,13 +271,13 @@
 	begun := time.Now()
 	g.Cluster.StartDraining()
 	g.Front.Drain()
-	runloop.Sleep(ctx, g.settings.Notice)
-	left, end := context.WithTimeout(ctx, g.settings.Grace-time.Since(begun)-leaveReserve)
+	runloop.Sleep(ctx, g.settings.DrainNotice)
+	left, end := context.WithTimeout(ctx, g.settings.GracePeriod-time.Since(begun)-leaveReserve)
 	defer end()
 	if err := server.Drain(left); err != nil {
 		ctx.Log.Warn("The grace ended before the requests did.", slog.Int("open", g.Front.Open()))
 	}
-	leave(ctx, begun.Add(g.settings.Grace-exitReserve), g.sessions.handOver, g.Cluster.Leave)
+	leave(ctx, begun.Add(g.settings.GracePeriod-exitReserve), g.sessions.handOver, g.Cluster.Leave)
 	g.Pool.Close()
 }
 
--- a/internal/dataplane/router/main.go
+++ b/internal/dataplane/router/main.go
@@ -70,7 +70,7 @@
 	QuotaShares *quota.Shares
 	Claims      *clientapi.Claims
 	Streams     *streamstore.Store
-	Log         *request.Log
+	RequestLog  *request.Log
 	Metrics     *metrics.Metrics
 	Clients     *clientapi.Server
 	ctx         daemon.Context
@@ -79,7 +79,7 @@
 
 // New puts a router together. clientAddr is where clients reach it, dial how it reaches runners (nil: TCP).
 func New(ctx daemon.Context, addr, clientAddr string, seeds []string, dial runner.Dial) *Router {
-	r := &Router{ctx: ctx, Scheduler: place.NewScheduler(ctx.Zone, place.NewPrefixIndex(1<<18)), Log: request.NewLog(256), sender: runner.NewSender(dial)}
+	r := &Router{ctx: ctx, Scheduler: place.NewScheduler(ctx.Zone, place.NewPrefixIndex(1<<18)), RequestLog: request.NewLog(256), sender: runner.NewSender(dial)}
 	r.Runners = runner.NewPool(ctx.Name, r.Scheduler.Wake)
 	r.Cluster = cluster.NewMember(ctx.WithComponent("node"), addr, clientAddr, seeds, r.Runners.Apply)
 	r.Metrics = metrics.New(metrics.Gauges{
@@ -92,7 +92,7 @@
 	r.Claims = clientapi.NewClaims(ctx.WithComponent("claim"), r.Cluster)
 	r.Streams = streamstore.New(ctx.WithComponent("stream"), r.Cluster)
 	r.Clients = &clientapi.Server{Ctx: ctx.WithComponent("origin"), Cluster: r.Cluster, Runners: r.Runners, Scheduler: r.Scheduler, Sender: r.sender,
-		Metrics: r.Metrics, Log: r.Log, QuotaShares: r.QuotaShares, Retries: clientapi.NewRetryBudget(r.Metrics), Claims: r.Claims, Streams: r.Streams}
+		Metrics: r.Metrics, Log: r.RequestLog, QuotaShares: r.QuotaShares, Retries: clientapi.NewRetryBudget(r.Metrics), Claims: r.Claims, Streams: r.Streams}
 	r.Streams.OnTakeover = r.Clients.TakeOver
 	return r
 }
--- a/internal/dataplane/router/views.go
+++ b/internal/dataplane/router/views.go
@@ -46,7 +46,7 @@
 		"/v1/relays":   func() any { return relaysView{Near: r.Cluster.Neighbours(), Nodes: r.Cluster.Nodes()} },
 		"/v1/runners":  func() any { return r.runnerViews() },
 		"/v1/shares":   func() any { return r.shareViews() },
-		"/v1/queries":  func() any { return r.Log.All() },
+		"/v1/queries":  func() any { return r.RequestLog.All() },
 		"/v1/streams":  func() any { return r.Streams.List() },
 	}
 }
--- a/internal/testing/sim/moment_test.go
+++ b/internal/testing/sim/moment_test.go
@@ -35,7 +35,7 @@
 						at := time.Duration(int(seed)%4*5+i*20) * time.Millisecond
 						n := uint64(i*100 + 1)
 						r := w.full[i%4]
-						before := len(r.now().Log.All())
+						before := len(r.now().RequestLog.All())
 						// Both runners are busy for a while, so that the query waits.
 						path := kind
 						if kind == "stream" {
@@ -105,7 +105,7 @@
 								t.Errorf("%s fell after %s: the stream ended %q with %d pieces: %s", victim, at, o.end, len(o.pieces), bad)
 							}
 						}
-						for _, rec := range run.Log.All()[before:] {
+						for _, rec := range run.RequestLog.All()[before:] {
 							state := ""
 							for _, st := range rec.Steps {
 								if fell.Add(-at).Add(st.After).Before(fell) {
