--- a/internal/dataplane/clientapi/body.go
+++ b/internal/dataplane/clientapi/body.go
@@ -16,38 +16,38 @@
 )
 
 // readBody takes the body in, within its bounds of size and time.
-func (x *exchange) readBody() error {
-	limit, wait := x.config.Limits.BodyBytes, x.config.Limits.BodyTimeout
-	control := web.ResponseController(x.writer, x.incoming)
-	control.SetReadDeadline(time.Now().Add(wait))
-	raw, err := io.ReadAll(io.LimitReader(x.incoming.Body, int64(limit)+1))
+func (e *exchange) readBody() error {
+	limit, wait := e.config.Limits.BodyBytes, e.config.Limits.BodyTimeout
+	control := web.ResponseController(e.writer, e.incoming)
+	_ = control.SetReadDeadline(time.Now().Add(wait))
+	raw, err := io.ReadAll(io.LimitReader(e.incoming.Body, int64(limit)+1))
 	switch {
 	case len(raw) > limit:
-		return &Rejection{Status: 413, Code: "body-too-large", Message: fmt.Sprintf("A body of at most %d bytes is taken.", limit)}
+		return &Rejection{Status: 413, Code: CodeBodyTooLarge, Message: fmt.Sprintf("A body of at most %d bytes is taken.", limit)}
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return &Rejection{Status: 408, Code: "body-slow", Message: fmt.Sprintf("The body is expected whole within %s.", wait)}
+		return &Rejection{Status: 408, Code: CodeBodySlow, Message: fmt.Sprintf("The body is expected whole within %s.", wait)}
 	case err != nil:
-		return &Rejection{Status: 400, Code: "body-unread", Message: "The body broke off before its end."}
+		return &Rejection{Status: 400, Code: CodeBodyIncomplete, Message: "The body broke off before its end."}
 	}
-	control.SetReadDeadline(time.Time{})
-	x.body, x.bodyRead = raw, true
+	_ = control.SetReadDeadline(time.Time{})
+	e.body, e.bodyRead = raw, true
 	return nil
 }
 
 // parseBody reads what a prompt asks for.
-func (x *exchange) parseBody() error {
-	if mediaType, _, err := mime.ParseMediaType(x.incoming.Header.Get("Content-Type")); err != nil || mediaType != "application/json" {
-		return &Rejection{Status: 415, Code: "bad-type", Message: "Content-Type application/json is expected."}
+func (e *exchange) parseBody() error {
+	if mediaType, _, err := mime.ParseMediaType(e.incoming.Header.Get("Content-Type")); err != nil || mediaType != "application/json" {
+		return &Rejection{Status: 415, Code: CodeBadType, Message: "Content-Type application/json is expected."}
 	}
-	if encoding := x.incoming.Header.Get("Content-Encoding"); encoding != "" && encoding != "identity" {
-		return &Rejection{Status: 415, Code: "bad-encoding", Message: "A prompt without Content-Encoding is expected."}
+	if encoding := e.incoming.Header.Get("Content-Encoding"); encoding != "" && encoding != "identity" {
+		return &Rejection{Status: 415, Code: CodeBadEncoding, Message: "A prompt without Content-Encoding is expected."}
 	}
-	doc := gjson.ParseBytes(x.body)
-	if !gjson.ValidBytes(x.body) || !doc.IsObject() {
-		return &Rejection{Status: 400, Code: "bad-json", Message: "A JSON object is expected."}
+	doc := gjson.ParseBytes(e.body)
+	if !gjson.ValidBytes(e.body) || !doc.IsObject() {
+		return &Rejection{Status: 400, Code: CodeBadJSON, Message: "A JSON object is expected."}
 	}
 	bad := func(what string) error {
-		return &Rejection{Status: 400, Code: "bad-prompt", Message: what}
+		return &Rejection{Status: 400, Code: CodeBadPrompt, Message: what}
 	}
 	if twice := repeatedField(doc); twice != "" {
 		return bad("The field " + strconv.Quote(twice) + " stands there twice.")
@@ -56,28 +56,28 @@
 	if model.Type != gjson.String || model.Str == "" {
 		return bad("model: a string is expected.")
 	}
-	x.model = model.Str
+	e.model = model.Str
 	messages, prompt := doc.Get("messages"), doc.Get("prompt")
 	switch {
 	case messages.IsArray() && len(messages.Array()) > 0 && !prompt.Exists():
-		x.prompt = messages.Raw
+		e.prompt = messages.Raw
 	case prompt.Type == gjson.String && !messages.Exists():
-		x.prompt = prompt.Str
+		e.prompt = prompt.Str
 	default:
 		return bad("Either prompt, a string, or messages, a list, is expected.")
 	}
 	if flag := doc.Get("stream"); flag.Exists() && !flag.IsBool() {
 		return bad("stream: true or false is expected.")
 	}
-	x.wantsStream = doc.Get("stream").Bool()
+	e.wantsStream = doc.Get("stream").Bool()
 	if flag := doc.Get("allow_downgrade"); flag.Exists() && !flag.IsBool() {
 		return bad("allow_downgrade: true or false is expected.")
 	}
 	tokens := doc.Get("max_tokens")
-	if tokens.Type != gjson.Number || tokens.Num != math.Trunc(tokens.Num) || tokens.Num < 1 || tokens.Num > float64(x.config.Limits.Tokens) {
-		return &Rejection{Status: 400, Code: "bad-max-tokens", Message: fmt.Sprintf("max_tokens: a whole number from 1 to %d is expected.", x.config.Limits.Tokens)}
+	if tokens.Type != gjson.Number || tokens.Num != math.Trunc(tokens.Num) || tokens.Num < 1 || tokens.Num > float64(e.config.Limits.Tokens) {
+		return &Rejection{Status: 400, Code: CodeBadMaxTokens, Message: fmt.Sprintf("max_tokens: a whole number from 1 to %d is expected.", e.config.Limits.Tokens)}
 	}
-	x.maxTokens = int(tokens.Num)
+	e.maxTokens = int(tokens.Num)
 	return nil
 }
 
@@ -96,11 +96,11 @@
 }
 
 // lowerMaxTokens changes max_tokens in the body, and not a byte besides.
-func (x *exchange) lowerMaxTokens() {
-	tokens := gjson.GetBytes(x.body, "max_tokens")
-	next := make([]byte, 0, len(x.body))
-	next = append(next, x.body[:tokens.Index]...)
-	next = strconv.AppendInt(next, int64(x.loweredTo), 10)
-	x.body = append(next, x.body[tokens.Index+len(tokens.Raw):]...)
-	x.maxTokens = x.loweredTo
+func (e *exchange) lowerMaxTokens() {
+	tokens := gjson.GetBytes(e.body, "max_tokens")
+	next := make([]byte, 0, len(e.body))
+	next = append(next, e.body[:tokens.Index]...)
+	next = strconv.AppendInt(next, int64(e.loweredTo), 10)
+	e.body = append(next, e.body[tokens.Index+len(tokens.Raw):]...)
+	e.maxTokens = e.loweredTo
 }
--- a/internal/dataplane/clientapi/response.go
+++ b/internal/dataplane/clientapi/response.go
@@ -18,59 +18,59 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// send sends the request to one runner and carries its response. left says a byte may have left us.
-func (x *exchange) send(slot *runner.Slot) (left bool, err error) {
+// send sends the request to one runner and forwards its response. left reports whether a byte may have left: only where it has not may the request be sent again.
+func (e *exchange) send(slot *runner.Slot) (left bool, err error) {
 	answered := false
-	ctx, cancel := x.runContext()
+	ctx, cancel := e.runContext()
 	defer func() {
 		cancel(nil)
 		if received := slot.Release(answered); answered && received > 0 {
-			x.server.Scheduler.Lengths.Add(x.lane.Name, x.maxTokens, received)
+			e.server.Scheduler.Lengths.Add(e.class.Name, e.maxTokens, received)
 		}
-		x.server.Scheduler.Wake()
+		e.server.Scheduler.Wake()
 	}()
-	if x.claim == nil {
-		go x.watchKey(ctx, cancel)
+	if e.claim == nil {
+		go e.watchKey(ctx, cancel)
 	}
-	watchdog := time.AfterFunc(x.lane.StallTimeout+x.silentFor(), func() { cancel(errRunnerSilent) })
+	watchdog := time.AfterFunc(e.class.StallTimeout+e.untilFirstByte(), func() { cancel(errRunnerStalled) })
 	defer watchdog.Stop()
-	response, left, err := x.server.Sender.Send(ctx, slot.Address, runner.Request{Method: x.incoming.Method, Path: x.incoming.URL.RequestURI(), Header: x.incoming.Header, Body: x.body, Tenant: x.tenant.Name, ID: x.request.ID})
+	response, left, err := e.server.Sender.Send(ctx, slot.Address, runner.Request{Method: e.incoming.Method, Path: e.incoming.URL.RequestURI(), Header: e.incoming.Header, Body: e.body, Tenant: e.tenant.Name, ID: e.request.ID})
 	if err != nil && !left {
-		return false, x.unsent(ctx, slot, err)
+		return false, e.notSent(ctx, slot, err)
 	}
 	// The units were reserved until now, so counting their window from here only makes it longer.
-	if x.reservedUnits > 0 {
-		x.server.QuotaShares.For(x.tenant.Name).Commit(x.reservedUnits)
-		x.reservedUnits = 0
+	if e.reservedUnits > 0 {
+		e.server.QuotaShares.For(e.tenant.Name).Commit(e.reservedUnits)
+		e.reservedUnits = 0
 	}
-	if advanced := x.request.Advance(request.Sent, slot.Address); advanced != nil {
+	if advanced := e.request.Advance(request.Sent, slot.Address); advanced != nil {
 		return true, advanced
 	}
 	if err != nil {
-		return true, x.runnerLost(slot, ctx, err)
+		return true, e.runnerFailed(ctx, slot, err)
 	}
-	defer response.Body.Close()
-	err = x.sendResponse(ctx, slot, response, watchdog)
+	defer func() { _ = response.Body.Close() }()
+	err = e.forwardResponse(ctx, slot, response, watchdog)
 	answered = err == nil
 	return true, err
 }
 
 // runContext is the context of one run. A request that may run only once, or whose stream may be resumed,
 // runs on without its client.
-func (x *exchange) runContext() (context.Context, context.CancelCauseFunc) {
+func (e *exchange) runContext() (context.Context, context.CancelCauseFunc) {
 	switch {
-	case x.carrier != nil:
-		return context.WithCancelCause(x.carrier.ctx)
-	case x.claim != nil:
-		return context.WithCancelCause(context.WithoutCancel(x.incoming.Context()))
+	case e.resumable != nil:
+		return context.WithCancelCause(e.resumable.ctx)
+	case e.claim != nil:
+		return context.WithCancelCause(context.WithoutCancel(e.incoming.Context()))
 	}
-	return context.WithCancelCause(x.incoming.Context())
+	return context.WithCancelCause(e.incoming.Context())
 }
 
-// unsent says why a request did not leave us.
-func (x *exchange) unsent(ctx context.Context, slot *runner.Slot, err error) error {
+// notSent says why a request did not leave us.
+func (e *exchange) notSent(ctx context.Context, slot *runner.Slot, err error) error {
 	if context.Cause(ctx) == errKeyWithdrawn {
-		return &Rejection{Status: 401, Code: "unknown-key", Message: "The key was withdrawn before the query was sent."}
+		return &Rejection{Status: 401, Code: CodeUnknownKey, Message: "The key was withdrawn before the query was sent."}
 	}
 	if ctx.Err() == nil {
 		slot.RecordFailure()
@@ -78,49 +78,49 @@
 	return err
 }
 
-// sendResponse carries a runner's response to the client, as a stream or whole.
-func (x *exchange) sendResponse(ctx context.Context, slot *runner.Slot, response *http.Response, watchdog *time.Timer) error {
-	if err := x.request.Advance(request.Responding, strconv.Itoa(response.StatusCode)); err != nil {
+// forwardResponse forwards a runner's response to the client, as a stream or buffered.
+func (e *exchange) forwardResponse(ctx context.Context, slot *runner.Slot, response *http.Response, watchdog *time.Timer) error {
+	if err := e.request.Advance(request.Responding, strconv.Itoa(response.StatusCode)); err != nil {
 		return err
 	}
 	if response.ContentLength < 0 && !slices.Contains(response.TransferEncoding, "chunked") {
 		slot.RecordFailure()
-		return &Rejection{Status: 502, Code: "answer-unframed", OutcomeUnknown: true,
+		return &Rejection{Status: 502, Code: CodeResponseUnframed, OutcomeUnknown: true,
 			Message: "The runner's answer has neither a length nor chunks, so a whole one can't be told from a cut one."}
 	}
 	mediaType, _, _ := mime.ParseMediaType(response.Header.Get("Content-Type"))
 	switch {
 	case mediaType == "text/event-stream" && response.StatusCode == http.StatusOK:
-		if x.carrier == nil {
-			x.carrier = x.newCarrier()
+		if e.resumable == nil {
+			e.resumable = e.newResumableStream()
 		}
-		return x.sendStream(ctx, slot, response, watchdog)
-	case x.carrier != nil && x.carrier.stream != nil:
-		return x.runnerLost(slot, ctx, errNoStream) // a second run that is no stream carries nothing on
+		return e.forwardStream(ctx, slot, response, watchdog)
+	case e.resumable != nil && e.resumable.stored != nil:
+		return e.runnerFailed(ctx, slot, errNoStream) // a retry that is no stream continues nothing
 	}
-	return x.sendWhole(ctx, slot, response, watchdog)
+	return e.forwardBuffered(ctx, slot, response, watchdog)
 }
 
-// silentFor is how long the response may take before anything of it is sent. A whole response is made before
+// untilFirstByte is how long the response may take before anything of it is sent. A buffered response is generated before
 // it is sent, at the pace that the allowance assumes of a runner it knows nothing about.
-func (x *exchange) silentFor() time.Duration {
-	if x.wantsStream {
+func (e *exchange) untilFirstByte() time.Duration {
+	if e.wantsStream {
 		return 0
 	}
-	return min(maxSilence, time.Duration(float64(x.maxTokens)/x.config.Allowance.AssumedTokensPerSecond*float64(time.Second)))
+	return min(maxFirstByteTimeout, time.Duration(float64(e.maxTokens)/e.config.Allowance.AssumedTokensPerSecond*float64(time.Second)))
 }
 
 var (
-	errRunnerSilent = errors.New("silent")
-	errKeyWithdrawn = errors.New("key withdrawn")
-	errNoStream     = errors.New("the answer is no stream")
+	errRunnerStalled = errors.New("silent")
+	errKeyWithdrawn  = errors.New("key withdrawn")
+	errNoStream      = errors.New("the answer is no stream")
 )
 
 // watchKey ends what runs under a key that a new config no longer knows.
-func (x *exchange) watchKey(ctx context.Context, cancel context.CancelCauseFunc) {
+func (e *exchange) watchKey(ctx context.Context, cancel context.CancelCauseFunc) {
 	for {
-		changed := x.server.Cluster.ConfigChanged()
-		if x.keyWithdrawn() {
+		changed := e.server.Cluster.ConfigChanged()
+		if e.keyWithdrawn() {
 			cancel(errKeyWithdrawn)
 			return
 		}
@@ -133,82 +133,82 @@
 }
 
 // keyWithdrawn reports whether the config in force no longer knows the key that this request came with.
-func (x *exchange) keyWithdrawn() bool {
-	_, ok := x.findTenant(x.server.Cluster.Config())
+func (e *exchange) keyWithdrawn() bool {
+	_, ok := e.findTenant(e.server.Cluster.Config())
 	return !ok
 }
 
-var rejectKey = &Rejection{Status: 401, Code: "key-withdrawn", OutcomeUnknown: true, Message: "The key was withdrawn while the query ran."}
+var errKeyWithdrawnRejection = &Rejection{Status: 401, Code: CodeKeyWithdrawn, OutcomeUnknown: true, Message: "The key was withdrawn while the query ran."}
 
-// runnerLost says what became of a request whose runner broke off.
-func (x *exchange) runnerLost(slot *runner.Slot, ctx context.Context, err error) error {
+// runnerFailed says what became of a request whose runner broke off.
+func (e *exchange) runnerFailed(ctx context.Context, slot *runner.Slot, err error) error {
 	if context.Cause(ctx) == errKeyWithdrawn {
-		return rejectKey
+		return errKeyWithdrawnRejection
 	}
-	if x.incoming.Context().Err() != nil && x.claim == nil && ctx.Err() != nil {
-		return &Rejection{Code: "origin-left", OutcomeUnknown: true}
+	if e.incoming.Context().Err() != nil && e.claim == nil && ctx.Err() != nil {
+		return &Rejection{Code: CodeClientLeft, OutcomeUnknown: true}
 	}
 	slot.RecordFailure()
-	x.triedRunners[slot.Index] = true
-	x.server.Ctx.Log.Warn("Runner lost a query.", "query", x.request.ID, "peer", slot.Address, "error", err.Error())
-	if context.Cause(ctx) == errRunnerSilent {
-		return &Rejection{Status: 504, Code: "runner-silent", OutcomeUnknown: true, Message: "The runner sent nothing for too long."}
+	e.attemptedRunners[slot.Index] = true
+	e.server.Ctx.Log.Warn("Runner failed during a request.", "request_id", e.request.ID, "peer", slot.Address, "error", err.Error())
+	if context.Cause(ctx) == errRunnerStalled {
+		return &Rejection{Status: 504, Code: CodeRunnerStalled, OutcomeUnknown: true, Message: "The runner sent nothing for too long."}
 	}
-	return &Rejection{Status: 502, Code: "runner-lost", OutcomeUnknown: !faultinjection.Disabled("unknown"), Message: "The runner broke off before its answer was whole."}
+	return &Rejection{Status: 502, Code: CodeRunnerLost, OutcomeUnknown: !faultinjection.Disabled("unknown"), Message: "The runner broke off before its answer was whole."}
 }
 
 // copyHeader copies the runner's headers for the client.
-func (x *exchange) copyHeader(response *http.Response) {
+func (e *exchange) copyHeader(response *http.Response) {
 	for name, values := range runner.ForwardedHeader(response.Header) {
-		x.writer.Header()[name] = values
+		e.writer.Header()[name] = values
 	}
-	x.writer.Header().Set(runner.RequestHeader, x.request.ID)
-	if x.loweredTo > 0 {
-		x.writer.Header().Set(runner.OwnHeaderPrefix+"Lowered-To", strconv.Itoa(x.loweredTo))
+	e.writer.Header().Set(runner.RequestHeader, e.request.ID)
+	if e.loweredTo > 0 {
+		e.writer.Header().Set(runner.OwnHeaderPrefix+"Lowered-To", strconv.Itoa(e.loweredTo))
 	}
 }
 
-// sendWhole reads the response to its framed end before a byte of it is handed over.
-func (x *exchange) sendWhole(ctx context.Context, slot *runner.Slot, response *http.Response, watchdog *time.Timer) (err error) {
+// forwardBuffered reads the response to its framed end before a byte of it is forwarded.
+func (e *exchange) forwardBuffered(ctx context.Context, slot *runner.Slot, response *http.Response, watchdog *time.Timer) (err error) {
 	var raw []byte
 	buf := make([]byte, 32<<10)
 	for err == nil {
 		var n int
 		n, err = response.Body.Read(buf)
 		raw = append(raw, buf[:n]...)
-		watchdog.Reset(x.lane.StallTimeout)
+		watchdog.Reset(e.class.StallTimeout)
 		if n > 0 {
 			slot.AddTokens(0)
 		}
-		if len(raw) > maxResponse {
-			return &Rejection{Status: 502, Code: "answer-too-large", OutcomeUnknown: true, Message: fmt.Sprintf("The runner's answer is over %d bytes.", maxResponse)}
+		if len(raw) > maxResponseBytes {
+			return &Rejection{Status: 502, Code: CodeResponseTooLarge, OutcomeUnknown: true, Message: fmt.Sprintf("The runner's answer is over %d bytes.", maxResponseBytes)}
 		}
 	}
 	if err != io.EOF && !faultinjection.Disabled("frame") {
-		return x.runnerLost(slot, ctx, err)
+		return e.runnerFailed(ctx, slot, err)
 	}
-	if !x.lane.WithoutPrompt {
+	if !e.class.WithoutPrompt {
 		n := int(gjson.GetBytes(raw, "usage.completion_tokens").Int())
-		if n <= 0 || n > x.maxTokens {
-			n = min(x.maxTokens, len(raw)/4) // the runner does not say: about four bytes a token
+		if n <= 0 || n > e.maxTokens {
+			n = min(e.maxTokens, len(raw)/4) // the runner does not say: about four bytes a token
 		}
 		slot.AddTokens(n)
 	}
 	if response.StatusCode >= 500 {
 		slot.RecordFailure()
 	}
-	if x.claim != nil {
-		x.claim.complete(response.StatusCode, response.Header.Get("Content-Type"), raw)
+	if e.claim != nil {
+		e.claim.complete(response.StatusCode, response.Header.Get("Content-Type"), raw)
 	}
-	if x.keyWithdrawn() {
-		return rejectKey // what became of it is known, but not for this client
+	if e.keyWithdrawn() {
+		return errKeyWithdrawnRejection // what became of it is known, but not for this client
 	}
-	if err := x.request.Advance(request.Done, ""); err != nil {
+	if err := e.request.Advance(request.Done, ""); err != nil {
 		return err
 	}
-	x.copyHeader(response)
-	x.writer.Header().Set("Content-Length", strconv.Itoa(len(raw)))
-	x.writer.WriteHeader(response.StatusCode)
-	x.newClientWriter().write(raw)
+	e.copyHeader(response)
+	e.writer.Header().Set("Content-Length", strconv.Itoa(len(raw)))
+	e.writer.WriteHeader(response.StatusCode)
+	e.newClientWriter().write(raw)
 	return nil
 }
--- a/internal/dataplane/router/main.go
+++ b/internal/dataplane/router/main.go
@@ -189,7 +189,7 @@
 			ctx.Log.Warn("Drain ended before its queries did.", "error", err.Error())
 		}
 	}
-	for r.Claims.Settling()+r.Clients.Open() > 0 && runloop.Sleep(within, 20*time.Millisecond) {
+	for r.Claims.PendingCompletions()+r.Clients.Open() > 0 && runloop.Sleep(within, 20*time.Millisecond) {
 	}
 	r.Cluster.Leave(ctx)
 	r.sender.Close()
