--- a/internal/dataplane/tracing/tracing.go
+++ b/internal/dataplane/tracing/tracing.go
@@ -1,5 +1,5 @@
-// Package tracing exports each request as a trace, in OpenTelemetry's JSON form, to a file. It is
-// off unless set, and nothing of it is sent to runners.
+// Package tracing exports each request of a router as a trace, in OpenTelemetry's JSON form, to a file. It is off unless
+// set, and no trace context is sent to runners.
 package tracing
 
 import (
@@ -17,32 +17,40 @@
 	"yarrowridge/internal/dataplane/request"
 )
 
-// Tracer writes traces; a nil one writes none.
+const (
+	serviceName  = "yarrowridge-router"
+	closeTimeout = time.Second // for traces that are not in the file yet
+)
+
+// Tracer exports traces. A nil Tracer exports none. Export may be called concurrently, and not after Close.
 type Tracer struct {
 	file     *os.File
 	provider *sdk.TracerProvider
 	tracer   trace.Tracer
 }
 
-// Open begins a tracer that appends to a file; "" gives nil, which traces nothing.
-func Open(path, name string) (*Tracer, error) {
+// Open returns a tracer of the router named instance that appends to the file at path. For an empty path it returns nil,
+// which exports nothing.
+func Open(path, instance string) (*Tracer, error) {
 	if path == "" {
 		return nil, nil
 	}
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return nil, eris.Wrap(err, "trail: open")
+		return nil, eris.Wrap(err, "tracing: open")
 	}
 	exporter, err := stdouttrace.New(stdouttrace.WithWriter(file))
 	if err != nil {
-		return nil, eris.Wrap(err, "trail: exporter")
+		_ = file.Close() // nothing was written
+		return nil, eris.Wrap(err, "tracing: exporter")
 	}
-	provider := sdk.NewTracerProvider(sdk.WithBatcher(exporter), sdk.WithResource(resource.NewSchemaless(attribute.String("service.name", "yarrowridge-router"), attribute.String("service.instance.id", name))))
+	service := resource.NewSchemaless(attribute.String("service.name", serviceName), attribute.String("service.instance.id", instance))
+	provider := sdk.NewTracerProvider(sdk.WithBatcher(exporter), sdk.WithResource(service))
 	return &Tracer{file, provider, provider.Tracer("yarrowridge")}, nil
 }
 
-// Export writes a request that has come to its end: one span, an event for each state. Neither key,
-// prompt nor response is in it.
+// Export exports a request that has ended with a code: one span, with an event for each of its states. Neither key, prompt
+// nor response is in it. It does not wait for the file.
 func (t *Tracer) Export(request *request.Request, code string) {
 	if t == nil {
 		return
@@ -59,13 +67,14 @@
 	span.End(trace.WithTimestamp(end))
 }
 
-// Close writes out what is left.
+// Close writes what was exported to the file, for a second at most, and closes it. It returns no error: traces that cannot
+// be written are lost rather than hold up the end of the process.
 func (t *Tracer) Close() {
 	if t == nil {
 		return
 	}
-	ctx, end := context.WithTimeout(context.Background(), time.Second)
-	defer end()
-	_ = t.provider.Shutdown(ctx) // traces are lost at the end rather than the end held up by them
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
+	defer cancel()
+	_ = t.provider.Shutdown(ctx)
 	_ = t.file.Close()
 }
--- a/internal/dataplane/tracing/tracing_test.go
+++ b/internal/dataplane/tracing/tracing_test.go
@@ -10,32 +10,32 @@
 	"yarrowridge/internal/dataplane/request"
 )
 
-// A request's states stand in the file as events of one span, in order.
+// A request's states are in the file as events of one span, in order; a nil Tracer exports nothing.
 func TestExport(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "traces.json")
-	tr, err := Open(path, "north1")
+	tracer, err := Open(path, "north1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	rejected := request.New()
 	rejected.Tenant, rejected.Lane = "casual", "checks"
-	for _, s := range []request.State{request.Known, request.Routed, request.Rejected} {
-		if err := rejected.Advance(s, "note"); err != nil {
+	for _, state := range []request.State{request.Known, request.Routed, request.Rejected} {
+		if err := rejected.Advance(state, "note"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	tr.Export(rejected, "lane-closed")
-	tr.Close()
+	tracer.Export(rejected, "lane-closed")
+	tracer.Close()
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	doc := gjson.ParseBytes(raw)
-	if got := doc.Get("Events.#.Name").String(); got != `["read","known","mapped","bounced"]` {
-		t.Errorf("events %s", got)
+	span := gjson.ParseBytes(raw)
+	if got, want := span.Get("Events.#.Name").String(), `["read","known","mapped","bounced"]`; got != want {
+		t.Errorf("got events %s, want %s", got, want)
 	}
-	if got := doc.Get(`Attributes.#(Key=="yarrowridge.code").Value.Value`).Str; got != "lane-closed" {
-		t.Errorf("code %q in %s", got, raw)
+	if got := span.Get(`Attributes.#(Key=="yarrowridge.code").Value.Value`).Str; got != "lane-closed" {
+		t.Errorf("got code %q in %s, want lane-closed", got, raw)
 	}
 	var off *Tracer
 	off.Export(rejected, "")
--- a/internal/lib/web/handler_test.go
+++ b/internal/lib/web/handler_test.go
@@ -13,96 +13,145 @@
 	"github.com/zeromicro/go-zero/rest"
 )
 
-// rest as we set it up touches nothing: no time-out, no body limit, no gunzip, no buffering, and a
-// handler's abort breaks the connection.
-func TestRestLeavesRequestsAlone(t *testing.T) {
-	var zip bytes.Buffer
-	z := gzip.NewWriter(&zip)
-	if _, err := z.Write(bytes.Repeat([]byte("order "), 1000)); err != nil {
-		t.Fatal(err)
+// probe is a handler that notes the bodies it got and checks what reaches a handler.
+type probe struct {
+	t      *testing.T
+	bodies chan []byte // the last body that nobody has taken
+}
+
+func (p *probe) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if _, ok := r.Context().Deadline(); ok {
+		p.t.Error("got a request with a deadline, want none")
 	}
-	if err := z.Close(); err != nil {
-		t.Fatal(err)
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		p.t.Errorf("read the body: %v", err)
 	}
-	big := bytes.Repeat([]byte("x"), 9<<20)
-	seen := make(chan []byte, 1)
-	probe := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if _, ok := r.Context().Deadline(); ok {
-			t.Error("a deadline was set on the query")
-		}
-		raw, err := io.ReadAll(r.Body)
-		if err != nil {
-			t.Errorf("body: %v", err)
-		}
-		select {
-		case seen <- raw:
-		default:
+	select {
+	case p.bodies <- body:
+	default:
+	}
+	switch r.URL.Path {
+	case "/body", "/other/body":
+		w.WriteHeader(http.StatusOK)
+	case "/abort", "/other/abort":
+		if _, err := w.Write([]byte("half")); err != nil {
+			p.t.Errorf("write: %v", err)
 		}
-		switch r.URL.Path {
-		case "/abort", "/other/abort":
-			if _, err := w.Write([]byte("half")); err != nil {
-				t.Errorf("write: %v", err)
-			}
-			if err := http.NewResponseController(w).Flush(); err != nil {
-				t.Errorf("flush: %v", err)
-			}
-			panic(http.ErrAbortHandler)
-		case "/flush", "/other/flush":
-			if err := http.NewResponseController(w).Flush(); err != nil {
-				t.Errorf("flush: %v", err)
-			}
-			<-r.Context().Done() // the client reads the head while we still stand here
+		p.flush(w)
+		panic(http.ErrAbortHandler)
+	case "/flush", "/other/flush":
+		p.flush(w)
+		<-r.Context().Done() // the client reads the header while the handler is still here
+	case "/unavailable", "/other/unavailable":
+		w.WriteHeader(http.StatusServiceUnavailable)
+		if _, err := w.Write([]byte("by the handler")); err != nil {
+			p.t.Errorf("write: %v", err)
 		}
-	})
-	handler, err := Handler([]rest.Route{
-		{Method: "POST", Path: "/body", Handler: probe},
-		{Method: "POST", Path: "/abort", Handler: probe},
-		{Method: "POST", Path: "/flush", Handler: probe}}, probe)
+	}
+}
+
+func (p *probe) flush(w http.ResponseWriter) {
+	if err := http.NewResponseController(w).Flush(); err != nil {
+		p.t.Errorf("flush: %v", err)
+	}
+}
+
+// serveProbe serves a probe under "" by routes and under "/other" by the handler of all else, and returns the URL.
+func serveProbe(t *testing.T) (url string, p *probe) {
+	t.Helper()
+	p = &probe{t, make(chan []byte, 1)}
+	var routes []rest.Route
+	for _, path := range []string{"/body", "/abort", "/flush", "/unavailable"} {
+		routes = append(routes, rest.Route{Method: http.MethodPost, Path: path, Handler: p.ServeHTTP})
+	}
+	handler, err := Handler(routes, p)
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := httptest.NewServer(handler)
-	defer srv.Close()
-	post := func(ctx context.Context, path string, body []byte, enc string) (*http.Response, error) {
-		req, _ := http.NewRequestWithContext(ctx, "POST", srv.URL+path, bytes.NewReader(body))
-		if enc != "" {
-			req.Header.Set("Content-Encoding", enc)
-		}
-		return http.DefaultTransport.RoundTrip(req)
+	server := httptest.NewServer(handler)
+	t.Cleanup(server.Close)
+	return server.URL, p
+}
+
+// post sends a body, without following or decoding anything.
+func post(ctx context.Context, t *testing.T, url string, body []byte, encoding string) *http.Response {
+	t.Helper()
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if encoding != "" {
+		request.Header.Set("Content-Encoding", encoding)
+	}
+	response, err := http.DefaultTransport.RoundTrip(request)
+	if err != nil {
+		t.Fatalf("POST %s: %v", url, err)
+	}
+	t.Cleanup(func() { _ = response.Body.Close() })
+	return response
+}
+
+func gzipped(t *testing.T, text []byte) []byte {
+	t.Helper()
+	var compressed bytes.Buffer
+	w := gzip.NewWriter(&compressed)
+	if _, err := w.Write(text); err != nil {
+		t.Fatal(err)
+	}
+	if err := w.Close(); err != nil {
+		t.Fatal(err)
 	}
+	return compressed.Bytes()
+}
+
+// rest as we set it up leaves requests and responses alone: no time-out, no body limit, no gunzip, no buffering, no breaker,
+// and a handler's abort breaks the connection.
+func TestRestLeavesRequestsAlone(t *testing.T) {
 	for _, root := range []string{"", "/other"} {
-		for _, c := range []struct {
-			body []byte
-			enc  string
-		}{{zip.Bytes(), "gzip"}, {big, ""}} {
-			ans, err := post(t.Context(), root+"/body", c.body, c.enc)
-			if err != nil {
-				t.Fatal(err)
+		t.Run("bodies"+root, func(t *testing.T) {
+			url, p := serveProbe(t)
+			for _, c := range []struct {
+				body     []byte
+				encoding string
+			}{
+				{gzipped(t, bytes.Repeat([]byte("order "), 1000)), "gzip"},
+				{bytes.Repeat([]byte("x"), 9<<20), ""},
+			} {
+				post(t.Context(), t, url+root+"/body", c.body, c.encoding)
+				if got := <-p.bodies; !bytes.Equal(got, c.body) {
+					t.Errorf("encoding %q: got another body of %d bytes, want that of %d as it was sent", c.encoding, len(got), len(c.body))
+				}
 			}
-			_ = ans.Body.Close()
-			if got := <-seen; !bytes.Equal(got, c.body) {
-				t.Errorf("%s: a body of %d bytes came as %d others", root, len(c.body), len(got))
+		})
+		t.Run("abort"+root, func(t *testing.T) {
+			url, _ := serveProbe(t)
+			response := post(t.Context(), t, url+root+"/abort", nil, "")
+			if _, err := io.ReadAll(response.Body); !errors.Is(err, io.ErrUnexpectedEOF) {
+				t.Errorf("aborted response: got error %v, want io.ErrUnexpectedEOF", err)
 			}
-		}
-		ans, err := post(t.Context(), root+"/abort", nil, "")
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, err := io.ReadAll(ans.Body); !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Errorf("%s: an aborted answer ended with %v", root, err)
-		}
-		<-seen
-		ctx, end := context.WithCancel(t.Context())
-		if _, err := post(ctx, root+"/flush", nil, ""); err != nil {
-			t.Errorf("%s: head not flushed: %v", root, err)
-		}
-		end()
-		<-seen
-	}
-	// A hundred answers of 503 open no breaker.
-	for range 100 {
-		if ans, err := http.Post(srv.URL+"/body", "text/plain", nil); err != nil || ans.StatusCode != 200 {
-			t.Fatalf("%v %v", ans, err)
-		}
+		})
+		t.Run("flush"+root, func(t *testing.T) {
+			url, _ := serveProbe(t)
+			ctx, cancel := context.WithCancel(t.Context())
+			defer cancel() // the handler waits for it: without a flush the header would not come
+			post(ctx, t, url+root+"/flush", nil, "")
+		})
+		// So many in a row would open rest's breaker, which then answers by itself.
+		t.Run("no breaker"+root, func(t *testing.T) {
+			url, _ := serveProbe(t)
+			for i := range 100 {
+				response := post(t.Context(), t, url+root+"/unavailable", nil, "")
+				body, err := io.ReadAll(response.Body)
+				if err != nil || response.StatusCode != http.StatusServiceUnavailable || string(body) != "by the handler" {
+					t.Fatalf("request %d: got status %d, body %q, error %v, want 503 by the handler", i, response.StatusCode, body, err)
+				}
+			}
+			for i := range 100 {
+				if response := post(t.Context(), t, url+root+"/body", nil, ""); response.StatusCode != http.StatusOK {
+					t.Fatalf("request %d after them: got status %d, want 200", i, response.StatusCode)
+				}
+			}
+		})
 	}
 }
