--- a/internal/controlplane/coreclient/forwarder_test.go
+++ b/internal/controlplane/coreclient/forwarder_test.go
@@ -13,10 +13,10 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// silentNet reaches nobody: a dial ends after some seconds.
-type silentNet struct{}
+// partitionedNetwork reaches nobody: a dial ends after some seconds.
+type partitionedNetwork struct{}
 
-func (silentNet) Dial(ctx context.Context, _ string) (net.Conn, error) {
+func (partitionedNetwork) Dial(ctx context.Context, _ string) (net.Conn, error) {
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -25,39 +25,39 @@
 	}
 }
 
-func (silentNet) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
+func (partitionedNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
-// A caller waits while a primary may be on its way, but is told soon once none was reached for long: it then tries
-// another core.
-func TestCutOffCoreAnswersSoon(t *testing.T) {
+// A caller waits while a primary may be being replaced, but its call soon fails once none was reached for long: it then
+// tries another core.
+func TestPartitionedCoreFailsCallsSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		network := silentNet{}
+		network := partitionedNetwork{}
 		caller := wire.NewCaller(network)
 		defer caller.Close()
 		client := NewClient(daemon.Context{Context: ctx, Net: network}, caller, []string{"10.0.0.1:1"})
-		asked := 0
-		forwarder := NewForwarder(client, func() view.View { asked++; return view.View{} })
-		const patience = 900 * time.Millisecond
+		viewsAsked := 0
+		forwarder := NewForwarder(client, func() view.View { viewsAsked++; return view.View{} })
+		const timeout = 900 * time.Millisecond
 		call := func() time.Duration {
-			ctx, cancel := context.WithTimeout(ctx, patience)
+			ctx, cancel := context.WithTimeout(ctx, timeout)
 			defer cancel()
-			begun := time.Now()
+			started := time.Now()
 			if err := forwarder.Call(ctx, "core.layout", &coreapi.ConfigRequest{}, &coreapi.StoredConfig{}, true); err == nil {
-				t.Error("a call got through to nobody")
+				t.Error("got no error from a call that reaches nobody, want one")
 			}
-			return time.Since(begun)
+			return time.Since(started)
 		}
-		if took := call(); took < patience {
-			t.Errorf("the first call was given up after %s: a primary may be on its way", took)
+		if took := call(); took < timeout {
+			t.Errorf("got the first call given up after %s, want %s at least: a primary may be being replaced", took, timeout)
 		}
-		time.Sleep(cutOffAfter)
-		if took := call(); took > cutOffTimeout+50*time.Millisecond {
-			t.Errorf("a core that has reached nobody for long answers after %s", took)
+		time.Sleep(partitionedAfter)
+		if took := call(); took > partitionedCallTimeout+50*time.Millisecond {
+			t.Errorf("got a call of a partitioned core failed after %s, want about %s", took, partitionedCallTimeout)
 		}
-		if asked != 2 {
-			t.Errorf("the own core's view was asked for %d times, twice expected", asked)
+		if viewsAsked != 2 {
+			t.Errorf("got the own core's view asked for %d times, want 2", viewsAsked)
 		}
 		caller.Close()
 		cancel()
