--- a/internal/controlplane/core/handlers.go
+++ b/internal/controlplane/core/handlers.go
@@ -69,10 +69,10 @@
 		return wire.HandleTyped(body, func(request *JoinRequest) (*coreapi.Empty, error) { return s.takeJoin(ctx, request) })
 	case "core.beat":
 		return wire.HandleTyped(body, func(request *coreapi.HeartbeatRequest) (*coreapi.HeartbeatResponse, error) {
-			return s.takeHeartbeat(ctx, request)
+			return s.handleRouterHeartbeat(ctx, request)
 		})
 	case "core.runner":
-		return wire.HandleTyped(body, func(request *coreapi.RunnerHeartbeat) (*coreapi.Empty, error) { return s.takeRunner(ctx, request) })
+		return wire.HandleTyped(body, func(request *coreapi.RunnerHeartbeat) (*coreapi.Empty, error) { return s.handleRunnerHeartbeat(ctx, request) })
 	case "core.layout":
 		return wire.HandleTyped(body, s.readConfig)
 	case "core.write":
--- a/internal/controlplane/core/routerheartbeat.go
+++ b/internal/controlplane/core/routerheartbeat.go
@@ -11,8 +11,8 @@
 // runQueryTimeout is how long a router may take to say which run of it there is.
 const runQueryTimeout = 250 * time.Millisecond
 
-// takeHeartbeat renews a router's lease, or ends it, and responds with what has changed.
-func (s *Server) takeHeartbeat(ctx context.Context, request *coreapi.HeartbeatRequest) (*coreapi.HeartbeatResponse, error) {
+// handleRouterHeartbeat renews a router's lease, or ends it, and responds with what has changed.
+func (s *Server) handleRouterHeartbeat(ctx context.Context, request *coreapi.HeartbeatRequest) (*coreapi.HeartbeatResponse, error) {
 	if err := s.requirePrimary(); err != nil {
 		return nil, err
 	}
--- a/internal/controlplane/core/runnerheartbeat.go
+++ b/internal/controlplane/core/runnerheartbeat.go
@@ -9,9 +9,9 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// takeRunner takes a runner's heartbeat. A change of its state is pushed to the first routers of every zone before it is
+// handleRunnerHeartbeat takes a runner's heartbeat. A change of its state is pushed to the first routers of every zone before it is
 // acknowledged, so that it outlives this process.
-func (s *Server) takeRunner(ctx context.Context, request *coreapi.RunnerHeartbeat) (*coreapi.Empty, error) {
+func (s *Server) handleRunnerHeartbeat(ctx context.Context, request *coreapi.RunnerHeartbeat) (*coreapi.Empty, error) {
 	if err := s.requirePrimary(); err != nil {
 		return nil, err
 	}
