--- a/internal/controlplane/core/handlers.go
+++ b/internal/controlplane/core/handlers.go
@@ -72,7 +72,9 @@
 			return s.handleRouterHeartbeat(ctx, request)
 		})
 	case "core.runner":
-		return wire.HandleTyped(body, func(request *coreapi.RunnerHeartbeat) (*coreapi.Empty, error) { return s.handleRunnerHeartbeat(ctx, request) })
+		return wire.HandleTyped(body, func(request *coreapi.RunnerHeartbeat) (*coreapi.Empty, error) {
+			return s.handleRunnerHeartbeat(ctx, request)
+		})
 	case "core.layout":
 		return wire.HandleTyped(body, s.readConfig)
 	case "core.write":
