--- a/internal/controlplane/core/bench_test.go
+++ b/internal/controlplane/core/bench_test.go
@@ -77,7 +77,7 @@
 	before := lead.State().StoreVersion
 	if p := lead.State(); p.FinishedKeys > 0 {
 		raw := lead.store.Load().Snapshot()
-		b.Logf("%d keys that ran in %d parts: %.1f MB on disk; founded, copied to the backup and ready in %s", p.FinishedKeys, p.FinishedKeyParts, float64(raw.Msgsize())/1e6, ready.Round(time.Millisecond))
+		b.Logf("%d keys that ran in %d parts: %.1f MB on disk; founded, copied to the backup and ready in %s", p.FinishedKeys, p.FinishedKeyChunks, float64(raw.Msgsize())/1e6, ready.Round(time.Millisecond))
 	}
 	b.SetParallelism(64)
 	b.ResetTimer()
--- a/internal/controlplane/core/state.go
+++ b/internal/controlplane/core/state.go
@@ -22,7 +22,7 @@
 	}
 	s.mu.Unlock()
 	counts := idempotency.Count(committed)
-	state.Claims, state.FinishedKeys, state.FinishedKeyParts = counts.Claims, counts.FinishedKeys, counts.FinishedKeyParts
+	state.Claims, state.FinishedKeys, state.FinishedKeyChunks = counts.Claims, counts.FinishedKeys, counts.FinishedKeyChunks
 	state.Shares = quotapool.Shares(committed)
 	return state
 }
--- a/internal/controlplane/idempotency/claims.go
+++ b/internal/controlplane/idempotency/claims.go
@@ -18,8 +18,8 @@
 type Claims struct {
 	maxFinishedKeys func() int // by the configuration in force
 	finished        finishedKeys
-	writtenParts    int                  // parts of finished keys written by this run of the process
-	firstSeen       map[string]time.Time // by this run of the process: claims, and parts of the finished keys
+	writtenChunks   int                  // chunks of finished keys written by this run of the process
+	firstSeen       map[string]time.Time // by this run of the process: claims, and chunks of the finished keys
 }
 
 // New makes the state machine. maxFinishedKeys gives the most finished keys that are kept; it is asked only for claims of
@@ -107,9 +107,9 @@
 
 // Counts is how much a committed state keeps of idempotency keys.
 type Counts struct {
-	Claims           int
-	FinishedKeys     int
-	FinishedKeyParts int // records that hold the finished keys
+	Claims            int
+	FinishedKeys      int
+	FinishedKeyChunks int // records that hold the finished keys
 }
 
 // Count counts what a committed state keeps. It is safe for concurrent use.
@@ -117,7 +117,7 @@
 	var counts Counts
 	committed.ForEachWithPrefix(claimPrefix, func(string, []byte) { counts.Claims++ })
 	committed.ForEachWithPrefix(finishedPrefix, func(_ string, raw []byte) {
-		counts.FinishedKeyParts++
+		counts.FinishedKeyChunks++
 		counts.FinishedKeys += len(raw) / hashBytes
 	})
 	return counts
--- a/internal/controlplane/idempotency/claims_test.go
+++ b/internal/controlplane/idempotency/claims_test.go
@@ -138,7 +138,7 @@
 	if !inBatch.AlreadyRan {
 		t.Errorf("got %+v in the batch that expires the claim, want AlreadyRan", inBatch)
 	}
-	if got := Count(m.committed); got != (Counts{Claims: 1, FinishedKeys: 1, FinishedKeyParts: 1}) {
+	if got := Count(m.committed); got != (Counts{Claims: 1, FinishedKeys: 1, FinishedKeyChunks: 1}) {
 		t.Errorf("got %+v, want the stream's claim and the key that was not released", got)
 	}
 	if got := m.claim("k", "b", "h"); !got.AlreadyRan {
@@ -168,7 +168,7 @@
 	}
 }
 
-func TestSmallPartsOfFinishedKeysAreMerged(t *testing.T) {
+func TestSmallChunksOfFinishedKeysAreMerged(t *testing.T) {
 	m := newMachine(t, 1000)
 	for i := range finishedMergeAt {
 		m.run(m.mergeFinishedKeys)
@@ -178,16 +178,16 @@
 		})
 	}
 	keys := 2*finishedMergeAt - 1
-	if got := Count(m.committed); got.FinishedKeyParts != finishedMergeAt || got.FinishedKeys != keys {
-		t.Fatalf("got %+v, want %d parts of %d keys", got, finishedMergeAt, keys)
+	if got := Count(m.committed); got.FinishedKeyChunks != finishedMergeAt || got.FinishedKeys != keys {
+		t.Fatalf("got %+v, want %d chunks of %d keys", got, finishedMergeAt, keys)
 	}
 	m.run(m.mergeFinishedKeys)
-	if got := Count(m.committed); got.FinishedKeyParts != 1 || got.FinishedKeys != keys || m.finished.count != keys {
-		t.Errorf("got %+v and %d in memory, want one part of %d keys", got, m.finished.count, keys)
+	if got := Count(m.committed); got.FinishedKeyChunks != 1 || got.FinishedKeys != keys || m.finished.count != keys {
+		t.Errorf("got %+v and %d in memory, want one chunk of %d keys", got, m.finished.count, keys)
 	}
 	for i := range finishedMergeAt {
 		if got := m.claim(fmt.Sprint(-i), "a", "h"); !got.AlreadyRan {
-			t.Errorf("got %+v for a key of a merged part, want AlreadyRan", got)
+			t.Errorf("got %+v for a key of a merged chunk, want AlreadyRan", got)
 		}
 	}
 }
--- a/internal/controlplane/idempotency/expiry.go
+++ b/internal/controlplane/idempotency/expiry.go
@@ -17,7 +17,7 @@
 
 // Sweep finds what has expired and returns the operations that remove it, for the core to submit in their order; each
 // applies to the state as its batch finds it. Age is counted from when this run of this process first saw a claim or a
-// part of the finished keys: a hand-over only makes them last longer.
+// chunk of the finished keys: a hand-over only makes them last longer.
 func (c *Claims) Sweep(committed *store.Store, now time.Time, limits configuration.ClaimLimits) []func(*transaction.Tx) error {
 	firstSeen := make(map[string]time.Time, len(c.firstSeen))
 	isExpired := func(key string, retention time.Duration) bool {
@@ -38,17 +38,17 @@
 			expired = append(expired, key)
 		}
 	})
-	var expiredParts []string
-	for _, part := range c.finished.parts {
-		if isExpired(part.Key, limits.FinishedRetention) {
-			expiredParts = append(expiredParts, part.Key)
+	var expiredChunks []string
+	for _, chunk := range c.finished.chunks {
+		if isExpired(chunk.Key, limits.FinishedRetention) {
+			expiredChunks = append(expiredChunks, chunk.Key)
 		}
 	}
 	c.firstSeen = firstSeen
 	operations := c.expireInBatches(expired)
-	if len(expiredParts) > 0 {
+	if len(expiredChunks) > 0 {
 		operations = append(operations, func(tx *transaction.Tx) error {
-			for _, key := range expiredParts {
+			for _, key := range expiredChunks {
 				tx.Delete(key)
 			}
 			return nil
--- a/internal/testing/sim/core_test.go
+++ b/internal/testing/sim/core_test.go
@@ -450,7 +450,7 @@
 		for _, k := range []string{"t/k", "t/done", "t/0-0", "t/17-29", "t/39-3"} {
 			expect(k, "much later", false, true)
 		}
-		if parts := f.primary().srv.State().FinishedKeyParts; parts > 20 {
+		if parts := f.primary().srv.State().FinishedKeyChunks; parts > 20 {
 			t.Errorf("%d parts after forty sweeps", parts)
 		}
 		time.Sleep(1600 * time.Second)
