--- a/internal/controlplane/core/backups.go
+++ b/internal/controlplane/core/backups.go
@@ -2,10 +2,10 @@
 
 import (
 	"slices"
-	"strings"
 	"time"
 
 	"yarrowridge/internal/controlplane/lease"
+	"yarrowridge/internal/controlplane/membership"
 	"yarrowridge/internal/controlplane/view"
 )
 
@@ -38,20 +38,20 @@
 	return out
 }
 
-// settleBackups sees to it that enough backups hold all that we hold, and reports whether the view names exactly those.
-// Members that are new as backups get a full copy first; one decision then puts them in the place of those that are let
-// go. Until then the latter may still lead: they hold all that was acknowledged, so that the loss of our own disk
-// meanwhile loses nothing. Nothing is acknowledged in between, so the copies are whole.
-func (s *Server) settleBackups(v view.View, me string, primacy *lease.Lease, keep []string) bool {
-	s.setReady(false)
-	missing := s.settings.backupCount(v) - len(keep)
+// reconcileReplicas sees to it that enough backups are in sync, and reports whether the view names exactly those.
+// Members that are new as backups get a snapshot first; one decision then replaces those that are removed by them. Until
+// then the latter may still lead: they have all that was acknowledged, so that the loss of our own disk meanwhile loses
+// nothing. Nothing is acknowledged in between, so the snapshots are complete.
+func (s *Server) reconcileReplicas(v view.View, me string, primacy *lease.Lease, keep []string) bool {
+	s.leadership.EndWrites()
+	missing := s.settings.membershipPolicy().BackupCount(v) - len(keep)
 	chosen := s.chooseBackups(v, me, primacy, keep, missing)
 	if len(chosen) < missing {
 		return false
 	}
 	s.replicator.MarkOutOfSync(chosen)
 	backups := s.replicator.SendSnapshots(v, slices.Concat(keep, chosen), s.store.Load())
-	if len(backups) < s.settings.backupCount(v) {
+	if len(backups) < s.settings.membershipPolicy().BackupCount(v) {
 		s.wake() // those that failed are not chosen again: the next attempt need not wait
 		return false
 	}
@@ -83,30 +83,14 @@
 			lastResort = append(lastResort, m)
 		}
 	}
-	chosen := spread(free, used, count)
-	return append(chosen, spread(lastResort, used, count-len(chosen))...)
+	chosen := membership.Spread(free, used, count)
+	return append(chosen, membership.Spread(lastResort, used, count-len(chosen))...)
 }
 
-// spread picks members, those of zones not used yet first.
-func spread(from []view.Member, used map[string]bool, count int) []string {
-	free := slices.SortedFunc(slices.Values(from), func(a, b view.Member) int { return strings.Compare(a.ID, b.ID) })
-	var out []string
-	for len(out) < count && len(free) > 0 {
-		best := max(0, slices.IndexFunc(free, func(m view.Member) bool { return !used[m.Zone] }))
-		out = append(out, free[best].ID)
-		used[free[best].Zone] = true
-		free = slices.Delete(free, best, best+1)
-	}
-	return out
-}
-
-// misplaced is a backup in a zone that holds another copy, while a member of a zone without one
-// has answered steadily: a backup there outlives the loss of a whole zone.
-func (s *Server) misplaced(v view.View, primacy *lease.Lease) string {
-	s.mu.Lock()
-	calm := s.ready && time.Since(s.readySince) > calmFor
-	s.mu.Unlock()
-	if !calm {
+// wronglyPlacedBackup is a backup in a zone that has another replica, while a member in a zone without one has answered
+// steadily: a backup there outlives the loss of a whole zone.
+func (s *Server) wronglyPlacedBackup(v view.View, primacy *lease.Lease) string {
+	if !s.leadership.IsReady() || time.Since(s.leadership.ReadySince()) <= calmFor {
 		return ""
 	}
 	used, worst := map[string]bool{s.ctx.Zone: true}, ""
--- a/internal/controlplane/core/commit.go
+++ b/internal/controlplane/core/commit.go
@@ -2,13 +2,14 @@
 
 import (
 	"context"
-	"sync/atomic"
+
 	"time"
 
 	"github.com/rotisserie/eris"
 
 	"yarrowridge/internal/controlplane/configuration"
 	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/pipeline"
 	"yarrowridge/internal/controlplane/store"
 	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/controlplane/view"
@@ -17,128 +18,44 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// job is one operation of the run loop; its state says who may still end it.
-type job struct {
-	do    func(*transaction.Tx) error
-	step  func() // in place of do: a step of the run loop's own
-	state atomic.Int32
-	done  chan error
-	err   error
-}
-
-// The states of a job.
-const (
-	jobWaiting int32 = iota
-	jobTaken
-	jobAbandoned // by its caller, before it was taken
-)
-
-// Submit passes an operation to the run loop and waits for its outcome. The error is NotReady
-// where the operation surely was not and will not be taken, InDoubt where it may be.
-func (s *Server) Submit(ctx context.Context, do func(*transaction.Tx) error) error {
-	if !s.isReady() {
+// Submit passes an operation to the run loop and waits for its outcome. The code of the error is CodeNotPrimary or
+// CodeNotReady where the operation surely was not and will not be committed, CodeOutcomeUnknown where it may be. Any
+// goroutine may call it but the run loop's.
+func (s *Server) Submit(ctx context.Context, apply func(*transaction.Tx) error) error {
+	if !s.leadership.IsReady() {
 		if v := s.acceptor.View(); v.Primary != s.acceptor.ID() {
 			return wire.StatusError{Code: coreapi.CodeNotPrimary}
 		}
 		return wire.StatusError{Code: coreapi.CodeNotReady}
 	}
-	operation := &job{do: do, done: make(chan error, 1)}
-	select {
-	case s.jobs <- operation:
-	default:
-		return wire.StatusError{Code: coreapi.CodeNotReady}
-	}
-	select {
-	case err := <-operation.done:
-		return err
-	case <-ctx.Done():
-		if operation.state.CompareAndSwap(jobWaiting, jobAbandoned) {
-			return wire.StatusError{Code: coreapi.CodeNotReady}
-		}
-		return wire.StatusError{Code: coreapi.CodeOutcomeUnknown}
-	}
+	return s.pipeline.Submit(ctx, apply)
 }
 
-// runBatch takes a job and all that wait behind it, and syncs them as one batch.
-func (s *Server) runBatch(first *job) {
-	if first.step != nil {
-		first.step()
-		close(first.done)
-		return
-	}
-	s.mu.Lock()
-	ready, epoch := s.ready, s.epoch
-	s.mu.Unlock()
-	v := s.acceptor.View()
-	tx := transaction.New(s.store.Load())
-	mayWrite := ready && v.Epoch == epoch && s.isPrimary(v)
-	var taken []*job
-	var step *job
-	for next, count := first, 0; next != nil; count++ {
-		if next.run(tx, mayWrite) {
-			taken = append(taken, next)
-		}
-		next = nil
-		if count < maxBatchJobs && tx.Size() < maxBatchBytes {
-			next, step = s.nextJob()
-		}
-	}
-	s.finishBatch(v, tx, taken)
-	if step != nil {
-		s.runBatch(step)
-	}
-}
+// committer is this process as the committer of its pipeline.
+type committer struct{ s *Server }
 
-// run puts what a job does into the batch, and reports whether it did. A job that was abandoned is passed over, and
-// where writes are not taken the job ends.
-func (j *job) run(tx *transaction.Tx, mayWrite bool) bool {
-	if !j.state.CompareAndSwap(jobWaiting, jobTaken) {
-		return false
-	}
-	if !mayWrite {
-		j.done <- wire.StatusError{Code: coreapi.CodeNotReady}
-		return false
-	}
-	savepoint := tx.Savepoint()
-	if j.err = j.do(tx); j.err != nil {
-		tx.Rollback(savepoint)
-	}
-	return true
+// Begin implements pipeline.Committer.
+func (c committer) Begin() pipeline.Batch {
+	epoch, ready := c.s.leadership.WritableEpoch()
+	v := c.s.acceptor.View()
+	tx := transaction.New(c.s.store.Load())
+	return pipeline.Batch{Tx: tx, View: v, Writable: ready && v.Epoch == epoch && c.s.isPrimary(v)}
 }
 
-// nextJob gives the job that waits, if one does. A step of the run loop's own belongs to no batch.
-func (s *Server) nextJob() (work, step *job) {
-	select {
-	case next := <-s.jobs:
-		if next.step != nil {
-			return nil, next
-		}
-		return next, nil
-	default:
-		return nil, nil
-	}
-}
+// Commit implements pipeline.Committer.
+func (c committer) Commit(batch pipeline.Batch) error { return c.s.commit(batch.View, batch.Tx) }
 
-// finishBatch commits a batch and tells its jobs what came of it.
-func (s *Server) finishBatch(v view.View, tx *transaction.Tx, taken []*job) {
-	err := s.commit(v, tx)
-	for _, one := range taken {
-		if err != nil {
-			one.done <- err
-		} else {
-			one.done <- one.err
-		}
-	}
-	if err == nil && len(tx.Mutations()) > 0 {
-		if err := tx.Committed().CompactIfNeeded(); err != nil {
-			s.failDisk(err)
-		}
+// AfterCommit implements pipeline.Committer: it compacts the store where that is due.
+func (c committer) AfterCommit(batch pipeline.Batch) {
+	if err := batch.Tx.Committed().CompactIfNeeded(); err != nil {
+		c.s.failDisk(err)
 	}
 }
 
-// commit stores the batch on our disk and the backups', and looks at the lease once more. Only then is it done.
+// commit stores the batch on our disk and the backups', and checks the lease once more. Only then is it
+// acknowledged.
 func (s *Server) commit(v view.View, tx *transaction.Tx) error {
-	inDoubt := wire.StatusError{Code: coreapi.CodeOutcomeUnknown}
+	outcomeUnknown := wire.StatusError{Code: coreapi.CodeOutcomeUnknown}
 	if len(tx.Mutations()) == 0 {
 		if !s.isPrimary(v) {
 			return wire.StatusError{Code: coreapi.CodeNotReady}
@@ -155,37 +72,37 @@
 	case err := <-stored:
 		if err != nil {
 			s.failDisk(err)
-			return inDoubt
+			return outcomeUnknown
 		}
 	case <-tooSlow.C:
 		s.failDisk(eris.New("sync takes too long"))
-		return inDoubt
+		return outcomeUnknown
 	}
 	if failed := <-replicated; len(failed) > 0 && !faultinjection.Disabled("backup-copy") {
 		s.replicator.RecordFailures(failed)
 		if !s.replaceBackups() {
-			return inDoubt
+			return outcomeUnknown
 		}
 	} else if !s.isPrimary(v) {
-		return inDoubt
+		return outcomeUnknown
 	}
 	s.applyCommitted(tx)
 	return nil
 }
 
-// replaceBackups leads on until backups hold all, the unanswered batch included. Those that failed are let go where
-// others can be had.
+// replaceBackups leads on until enough backups are in sync, the unanswered batch included. Those that failed are replaced
+// where there are others.
 func (s *Server) replaceBackups() bool {
-	s.setReady(false)
+	s.leadership.EndWrites()
 	me := s.acceptor.ID()
 	for deadline := time.Now().Add(replaceTimeout); time.Now().Before(deadline); {
 		current := s.acceptor.View()
-		if current.Primary != me || s.hasDiskFailed() {
+		if current.Primary != me || s.leadership.HasDiskFailed() {
 			return false
 		}
 		s.lead(current, me)
 		next := s.acceptor.View()
-		if s.isReady() && s.isPrimary(next) {
+		if s.leadership.IsReady() && s.isPrimary(next) {
 			return true
 		}
 		if next.Epoch != current.Epoch {
--- a/internal/controlplane/core/disk.go
+++ b/internal/controlplane/core/disk.go
@@ -11,11 +11,11 @@
 	"yarrowridge/internal/lib/runloop"
 )
 
-// probeEvery is between two attempts to write to a disk that has failed.
-const probeEvery = 2 * time.Second
+// recoveryCheckInterval is the time between two attempts to write to a disk that has failed.
+const recoveryCheckInterval = 2 * time.Second
 
-// openStore reads the stored state. Where it is damaged it is set aside, and the voter is blank.
-func openStore(ctx daemon.Context, disk store.Disk, voter *paxos.Acceptor) (*store.Store, error) {
+// openStore reads the stored state. Where it is damaged it is set aside, and the acceptor starts blank.
+func openStore(ctx daemon.Context, disk store.Disk, acceptor *paxos.Acceptor) (*store.Store, error) {
 	opened, err := store.Open(disk, ctx.WithComponent("store").Log)
 	if !errors.Is(err, store.ErrCorrupt) {
 		return opened, err
@@ -24,7 +24,7 @@
 	if err := setAside(disk); err != nil {
 		return nil, err
 	}
-	if err := voter.Reset(); err != nil {
+	if err := acceptor.Reset(); err != nil {
 		return nil, err
 	}
 	return store.Open(disk, ctx.Log)
@@ -47,23 +47,10 @@
 	return nil
 }
 
-// hasDiskFailed reports whether our disk can't be relied on now.
-func (s *Server) hasDiskFailed() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.diskFailed
-}
-
-// failDisk notes that our own disk can't be relied on: we stop leading, and hold nothing as backup,
-// until the disk has been proved again.
+// failDisk records that our own disk can't be relied on: we stop leading, and store nothing as backup, until the disk has
+// recovered.
 func (s *Server) failDisk(err error) {
-	s.mu.Lock()
-	alreadyFailed := s.diskFailed
-	s.diskFailed, s.ready = true, false
-	s.renewRounds++
-	round := s.renewRounds
-	s.mu.Unlock()
-	if !alreadyFailed {
+	if first, round := s.leadership.FailDisk(); first {
 		s.release(round)
 		s.ctx.Log.Error("Disk is in trouble. Leading stops.", "error", err.Error())
 		go s.recoverDisk()
@@ -72,7 +59,7 @@
 
 // recoverDisk waits until the disk takes a synced file again, then reads all anew from it.
 func (s *Server) recoverDisk() {
-	for runloop.Sleep(s.ctx, probeEvery) {
+	for runloop.Sleep(s.ctx, recoveryCheckInterval) {
 		if s.disk.Write("probe", []byte("probe")) == nil && s.reopenStore() {
 			s.ctx.Log.Info("Disk is sound again.")
 			return
@@ -83,9 +70,14 @@
 // host is this process as the host of its replication.Backup.
 type host struct{ s *Server }
 
+// Store implements replication.Host.
 func (h host) Store() *store.Store { return h.s.store.Load() }
-func (h host) HasDiskFailed() bool { return h.s.hasDiskFailed() }
-func (h host) FailDisk(err error)  { h.s.failDisk(err) }
+
+// HasDiskFailed implements replication.Host.
+func (h host) HasDiskFailed() bool { return h.s.leadership.HasDiskFailed() }
+
+// FailDisk implements replication.Host.
+func (h host) FailDisk(err error) { h.s.failDisk(err) }
 
 // reopenStore recovers the state from disk, and reports whether it could. Nothing is stored as backup meanwhile.
 func (s *Server) reopenStore() (recovered bool) {
@@ -101,10 +93,6 @@
 		return false
 	}
 	s.store.Store(opened)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.diskFailed = false
-	s.epoch = 0 // leading starts over, in a new epoch and with a fresh snapshot to the backups
-	s.endedEpoch = s.acceptor.View().Epoch
+	s.leadership.RecoverDisk(s.acceptor.View().Epoch)
 	return true
 }
--- a/internal/controlplane/core/doubt_test.go
+++ b/internal/controlplane/core/doubt_test.go
@@ -73,14 +73,14 @@
 	var lost sync.Map
 	cores, v := idleCores(t, 3, &lost)
 	primary := cores[0]
-	primary.setReady(true)
+	primary.leadership.BeginWrites()
 	asked := v.WithBackups([]string{v.Members[2].ID})
 	lost.Store("view.pick", true)
 	if primary.decide(v, asked, false) {
 		t.Fatal("a view was chosen by one acceptor of three")
 	}
-	if primary.isReady() || primary.mayLeadEpoch(v.Epoch) {
-		t.Errorf("the primary takes writes: %v; leads on in epoch %d: %v", primary.isReady(), v.Epoch, primary.mayLeadEpoch(v.Epoch))
+	if primary.leadership.IsReady() || primary.leadership.MayLead(v.Epoch) {
+		t.Errorf("the primary takes writes: %v; leads on in epoch %d: %v", primary.leadership.IsReady(), v.Epoch, primary.leadership.MayLead(v.Epoch))
 	}
 	lost.Delete("view.pick")
 	// Only the primary itself has accepted that view. A majority without its promise would not tell of it.
@@ -96,7 +96,7 @@
 	if decided.Epoch != v.Epoch+1 || !decided.IsBackup(v.Members[2].ID) {
 		t.Errorf("epoch %d was decided with backups %v, not the view that was accepted", decided.Epoch, decided.Backups())
 	}
-	if !primary.mayLeadEpoch(decided.Epoch) {
+	if !primary.leadership.MayLead(decided.Epoch) {
 		t.Error("the primary does not lead the epoch that it has decided")
 	}
 }
@@ -111,7 +111,7 @@
 	if primary.decide(alone, alone, false) {
 		t.Fatal("a view was decided by strangers")
 	}
-	if !primary.mayLeadEpoch(v.Epoch) {
+	if !primary.leadership.MayLead(v.Epoch) {
 		t.Error("the primary ended its epoch though nobody was asked to accept another view")
 	}
 }
--- a/internal/controlplane/core/figures.go
+++ b/internal/controlplane/core/figures.go
@@ -23,7 +23,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.routers.Expire(time.Now())
-	figures.Ready = s.ready && figures.Primary
-	figures.DiskFailed, figures.ConfigVersion, figures.Nodes = s.diskFailed, s.config.Version, s.routers.Len()
+	figures.Ready = s.leadership.IsReady() && figures.Primary
+	figures.DiskFailed, figures.ConfigVersion, figures.Nodes = s.leadership.HasDiskFailed(), s.config.Version, s.routers.Len()
 	return figures
 }
--- a/internal/controlplane/core/handlers.go
+++ b/internal/controlplane/core/handlers.go
@@ -16,24 +16,24 @@
 // handleTimeout bounds the work for one call.
 const handleTimeout = 4 * time.Second
 
-// handleView answers calls about the view. An error of the voter's is one of its disk.
+// handleView answers calls about the view. An error of the acceptor's is one of its disk.
 func (s *Server) handleView(_ context.Context, kind string, body []byte) (msgp.Marshaler, error) {
-	response, err := s.vote(kind, body)
-	if err != nil && !isFault(err) {
+	response, err := s.callAcceptor(kind, body)
+	if err != nil && !isRejection(err) {
 		s.failDisk(err)
 		return nil, wire.StatusError{Code: coreapi.CodeDiskFailed}
 	}
 	return response, err
 }
 
-// isFault reports whether an error is a response that says no.
-func isFault(err error) bool {
+// isRejection reports whether an error is a response that says no.
+func isRejection(err error) bool {
 	_, ok := err.(wire.StatusError)
 	return ok
 }
 
-// vote has the voter answer a call.
-func (s *Server) vote(kind string, body []byte) (msgp.Marshaler, error) {
+// callAcceptor has the acceptor answer a call.
+func (s *Server) callAcceptor(kind string, body []byte) (msgp.Marshaler, error) {
 	switch kind {
 	case "view.ask":
 		return s.acceptor.Status(s.settings.Addr, s.ctx.Zone), nil
@@ -66,7 +66,7 @@
 	case "core.copy":
 		return wire.HandleTyped(body, s.backup.HandleSnapshot)
 	case "core.join":
-		return wire.HandleTyped(body, func(request *JoinRequest) (*coreapi.Empty, error) { return s.takeJoin(ctx, request) })
+		return wire.HandleTyped(body, func(request *JoinRequest) (*coreapi.Empty, error) { return s.handleJoin(ctx, request) })
 	case "core.beat":
 		return wire.HandleTyped(body, func(request *coreapi.HeartbeatRequest) (*coreapi.HeartbeatResponse, error) {
 			return s.handleRouterHeartbeat(ctx, request)
@@ -111,7 +111,7 @@
 	if v.Primary != s.acceptor.ID() {
 		return wire.StatusError{Code: coreapi.CodeNotPrimary}
 	}
-	if (!s.isReady() || !s.isPrimary(v)) && !faultinjection.Disabled("read-lease") {
+	if (!s.leadership.IsReady() || !s.isPrimary(v)) && !faultinjection.Disabled("read-lease") {
 		return wire.StatusError{Code: coreapi.CodeNotReady}
 	}
 	return nil
--- a/internal/controlplane/core/idleserver_test.go
+++ b/internal/controlplane/core/idleserver_test.go
@@ -3,7 +3,9 @@
 import (
 	"log/slog"
 	"testing"
+	"time"
 
+	"yarrowridge/internal/controlplane/leadership"
 	"yarrowridge/internal/controlplane/store"
 )
 
@@ -18,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &Server{runLoopState: newRunLoopState()}
+	s := &Server{leadership: leadership.New(time.Second, 1, 0)}
 	s.store.Store(opened)
 	return s, opened
 }
--- a/internal/controlplane/core/primary.go
+++ b/internal/controlplane/core/primary.go
@@ -3,9 +3,7 @@
 import (
 	"context"
 	"errors"
-	"math/rand/v2"
 	"slices"
-	"sync"
 	"time"
 
 	"yarrowridge/internal/controlplane/configuration"
@@ -15,7 +13,7 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// learn takes a decided view, if it is newer.
+// learn stores a chosen view, if it is newer.
 func (s *Server) learn(v view.View) {
 	if err := s.acceptor.Learn(v); err != nil {
 		s.failDisk(err)
@@ -24,7 +22,7 @@
 
 // takeStep is the run loop's tick: it does what our place in the view asks for.
 func (s *Server) takeStep() {
-	if s.hasDiskFailed() {
+	if s.leadership.HasDiskFailed() {
 		return
 	}
 	v, me := s.acceptor.View(), s.acceptor.ID()
@@ -38,45 +36,10 @@
 	case v.Addr(me) != s.settings.Addr: // no member, or one that has moved
 		s.join(v)
 	default:
-		s.findNewerView(v)
+		s.finder.FindNewerView(v)
 	}
 }
 
-// attemptDue reports whether the next attempt may be made, and if so sets the earliest time of the one after it: a random
-// time around the pause from now, so that members that wait for the same don't hinder one another again and again.
-func (s *Server) attemptDue(pause time.Duration) bool {
-	if time.Now().Before(s.nextAttempt) {
-		return false
-	}
-	s.nextAttempt = time.Now().Add(pause/2 + rand.N(pause))
-	return true
-}
-
-// askStatus asks every address what it knows of the core.
-func (s *Server) askStatus(addrs []string) map[string]view.StatusResponse {
-	ctx, cancel := context.WithTimeout(s.ctx, stepTimeout)
-	defer cancel()
-	var mu sync.Mutex
-	statuses := map[string]view.StatusResponse{}
-	asked := map[string]bool{}
-	var all sync.WaitGroup
-	for _, addr := range addrs {
-		if asked[addr] {
-			continue
-		}
-		asked[addr] = true
-		all.Go(func() {
-			if status, err := s.statusOf(ctx, addr); err == nil {
-				mu.Lock()
-				defer mu.Unlock()
-				statuses[addr] = status
-			}
-		})
-	}
-	all.Wait()
-	return statuses
-}
-
 // decide proposes the next view, and learns what came of it. unanimous: every current member must promise.
 func (s *Server) decide(current, next view.View, unanimous bool) bool {
 	proposal := &paxos.Proposer{
@@ -93,13 +56,13 @@
 	if err != nil {
 		s.ctx.Log.Warn("View not decided.", "after", current.Epoch, "error", err.Error())
 		if errors.Is(err, paxos.ErrOutcomeUnknown) && !faultinjection.Disabled("decision-in-doubt") {
-			s.endEpoch(current.Epoch)
+			s.leadership.EndEpoch(current.Epoch)
 		}
 		return false
 	}
 	s.learn(decided)
 	if decided.Epoch == current.Epoch+1 {
-		s.tellMembers(slices.Concat(current.Members, decided.Members), decided)
+		s.notifyMembers(slices.Concat(current.Members, decided.Members), decided)
 	}
 	s.wake()
 	s.ctx.Log.Info("View decided.", "epoch", decided.Epoch, "primary", decided.Addr(decided.Primary),
@@ -107,8 +70,8 @@
 	return true
 }
 
-// tellMembers tells all others of a decided view, and waits for nobody.
-func (s *Server) tellMembers(members []view.Member, decided view.View) {
+// notifyMembers notifies all other members of a chosen view, and waits for nobody.
+func (s *Server) notifyMembers(members []view.Member, decided view.View) {
 	for _, m := range members {
 		if m.ID == s.acceptor.ID() {
 			continue
@@ -116,34 +79,19 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(s.ctx, stepTimeout)
 			defer cancel()
-			s.call(ctx, m.Addr, "view.learn", &view.LearnRequest{View: decided}, nil)
+			if err := s.call(ctx, m.Addr, "view.learn", &view.LearnRequest{View: decided}, nil); err != nil {
+				s.ctx.Log.Debug("Member was not notified of a view.", "peer", m.Addr, "epoch", decided.Epoch, "error", err.Error())
+			}
 		}()
 	}
 }
 
 // isPrimary reports whether we are primary of the epoch now, by a majority's lease.
 func (s *Server) isPrimary(v view.View) bool {
-	s.mu.Lock()
-	primacy, leads := s.lease, s.epoch == v.Epoch && !s.diskFailed
-	s.mu.Unlock()
-	return leads && primacy.IsHeld(v.IsMajority) && s.acceptor.View().Epoch == v.Epoch
-}
-
-// isReady reports whether we take writes, for as long as we are primary.
-func (s *Server) isReady() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.ready
+	return s.leadership.HoldsLease(v) && s.acceptor.View().Epoch == v.Epoch
 }
 
-// setReady begins or ends the taking of writes.
-func (s *Server) setReady(ready bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.ready = ready
-}
-
-// becomeReady opens for writes: the backups hold all we hold, and the lease stands.
+// becomeReady begins to take writes: the backups are in sync, and the lease is held.
 func (s *Server) becomeReady(v view.View) {
 	config, err := configuration.Current(s.store.Load())
 	if err != nil {
@@ -153,9 +101,10 @@
 	s.claims.Load(s.store.Load())
 	s.predecessor = ""
 	s.mu.Lock()
-	s.registry.StartEpoch(runnerregistry.Epoch(v.Epoch, s.ctx.RunID), s.ledSince, time.Now(), s.runnerStorage.LoadAll())
-	s.ready, s.config, s.readySince = true, config, time.Now()
-	s.routers.Start(s.rememberedRouters(), s.readySince)
+	s.registry.StartEpoch(runnerregistry.Epoch(v.Epoch, s.ctx.RunID), s.leadership.Standing().LedSince, time.Now(), s.runnerStorage.LoadAll())
+	s.config = config
+	s.routers.Start(s.routerAddresses.Count(), time.Now())
+	s.leadership.BeginWrites() // under s.mu: who sees it and then locks s.mu sees all of the above
 	s.mu.Unlock()
 	s.ctx.Log.Info("Primary is ready.", "epoch", v.Epoch, "backups", addrsOf(v, v.Backups()), "sequence", config.Version)
 }
@@ -165,38 +114,27 @@
 
 // StepDown hands the primacy to the backup, which holds all we hold, before a planned stop.
 func (s *Server) StepDown() {
-	operation := &job{done: make(chan error, 1), step: s.stepDown}
-	timeout := time.NewTimer(stepDownTimeout)
-	defer timeout.Stop()
-	select {
-	case s.jobs <- operation:
-	case <-timeout.C:
-		return
-	}
-	select {
-	case <-operation.done:
-	case <-timeout.C:
-	}
+	s.pipeline.Step(s.stepDown, stepDownTimeout)
 }
 
 // stepDown has the first backup lead. Only the run loop calls it.
 func (s *Server) stepDown() {
 	v := s.acceptor.View()
-	if v.Primary != s.acceptor.ID() || !s.isReady() {
+	if v.Primary != s.acceptor.ID() || !s.leadership.IsReady() {
 		return
 	}
-	next, ok := s.afterLeaving(v)
+	next, ok := s.settings.membershipPolicy().AfterLeaving(v)
 	if !ok {
 		return
 	}
-	s.setReady(false)
+	s.leadership.EndWrites()
 	if s.decide(v, next, false) {
-		s.tellSuccessor()
+		s.notifySuccessor()
 	}
 }
 
-// tellSuccessor waits until the primary of the newest view knows it: the process that decided it is about to end.
-func (s *Server) tellSuccessor() {
+// notifySuccessor waits until the primary of the newest view knows it: the process that decided it is about to end.
+func (s *Server) notifySuccessor() {
 	v := s.acceptor.View()
 	ctx, cancel := context.WithTimeout(s.ctx, stepTimeout)
 	defer cancel()
--- a/internal/controlplane/core/routerheartbeat.go
+++ b/internal/controlplane/core/routerheartbeat.go
@@ -33,7 +33,7 @@
 	if newRun {
 		s.replaceHolder(router, time.Duration(request.AgeMs)*time.Millisecond)
 	}
-	s.rememberAddress(router)
+	s.routerAddresses.Remember(router)
 	return response, nil
 }
 
--- a/internal/controlplane/core/routerheartbeat_test.go
+++ b/internal/controlplane/core/routerheartbeat_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/discovery"
 	"yarrowridge/internal/controlplane/routerleases"
 	"yarrowridge/internal/controlplane/store"
 )
@@ -21,12 +22,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			puts = append(puts, store.Mutation{Key: placePrefix + addr, Value: raw})
+			puts = append(puts, store.Mutation{Key: discovery.RouterKey(addr), Value: raw})
 		}
 		if err := opened.Append(store.Batch{Version: opened.Version() + 1, Mutations: puts}); err != nil {
 			t.Fatal(err)
 		}
-		s.routers.Start(s.rememberedRouters(), time.Now())
+		s.routerAddresses.Committed = s.store.Load
+		s.routers.Start(s.routerAddresses.Count(), time.Now())
 		heartbeat := &coreapi.HeartbeatRequest{Node: coreapi.Node{Name: "a"}}
 		if _, err := s.routers.RecordHeartbeat(heartbeat, time.Now()); err != nil {
 			t.Fatal(err)
--- a/internal/controlplane/core/server.go
+++ b/internal/controlplane/core/server.go
@@ -13,15 +13,17 @@
 
 	"yarrowridge/internal/controlplane/configuration"
 	"yarrowridge/internal/controlplane/coreapi"
+	"yarrowridge/internal/controlplane/discovery"
 	"yarrowridge/internal/controlplane/idempotency"
-	"yarrowridge/internal/controlplane/lease"
+	"yarrowridge/internal/controlplane/leadership"
+	"yarrowridge/internal/controlplane/membership"
 	"yarrowridge/internal/controlplane/paxos"
+	"yarrowridge/internal/controlplane/pipeline"
 	"yarrowridge/internal/controlplane/quotapool"
 	"yarrowridge/internal/controlplane/replication"
 	"yarrowridge/internal/controlplane/routerleases"
 	"yarrowridge/internal/controlplane/runnerregistry"
 	"yarrowridge/internal/controlplane/store"
-	"yarrowridge/internal/controlplane/view"
 	"yarrowridge/internal/lib/daemon"
 	"yarrowridge/internal/lib/runloop"
 	"yarrowridge/internal/transport/wire"
@@ -35,8 +37,6 @@
 	diskTimeout       = 1500 * time.Millisecond // a disk slower than this is in trouble
 	replaceTimeout    = 3 * time.Second         // a write waits so long for a new backup
 	replaceStepPause  = 5 * time.Millisecond    // between two looks whether the lease of the new epoch stands: all writes wait
-	maxBatchBytes     = 1 << 20                 // bytes of state in one SnapshotRequest
-	maxBatchJobs      = 256                     // writes synced together
 )
 
 // Server is one core process.
@@ -45,14 +45,16 @@
 	settings Settings
 	disk     store.Disk
 	store    atomic.Pointer[store.Store]
-	seeds    atomic.Pointer[[]string] // where the fleet is looked for
 	acceptor *paxos.Acceptor
 	caller   *wire.Caller
 	handlers wire.Handlers
-	jobs     chan *job
 	runID    uint64 // of this process, at random; not zero
 
-	backup *replication.Backup
+	backup          *replication.Backup
+	leadership      *leadership.Leadership
+	candidates      membership.Candidates
+	routerAddresses discovery.RouterDirectory
+	pipeline        pipeline.Pipeline
 
 	runLoopState
 
@@ -61,23 +63,10 @@
 	claims    *idempotency.Claims
 	pools     *quotapool.Pools
 
-	mu            sync.Mutex
-	epoch         uint64       // the one that we lead; 0: none
-	endedEpoch    uint64       // up to here no epoch is ours to lead on: see mayLeadEpoch
-	ledSince      time.Time    // without a break
-	lease         *lease.Lease // of the epoch that we lead
-	renewRounds   uint64       // rounds of requests for the lease
-	leaseStoodAt  time.Time    // when the lease last stood
-	renewPausedAt time.Time    // since when we ask for no lease, having failed to get one
-	otherPromised bool         // a voter refused to renew since it has promised the next epoch to another
-	ready         bool         // writes are taken
-	readySince    time.Time
-	diskFailed    bool
-
-	config     coreapi.StoredConfig // the newest one committed; here, since it is set and read together with ready
-	routers    routerleases.Table   // the routers whose lease runs
-	scarcity   quotapool.Scarcity   // tenants whose idle units are wanted back
-	candidates map[string]candidate // by identity
+	mu       sync.Mutex
+	config   coreapi.StoredConfig // the newest one committed; here, since it is set and read together with ready
+	routers  routerleases.Table   // the routers whose lease runs
+	scarcity quotapool.Scarcity   // tenants whose idle units are wanted back
 
 	registry       *runnerregistry.Registry
 	runnerStorage  runnerregistry.Storage
@@ -89,25 +78,17 @@
 // runLoopState is what only the run loop touches.
 type runLoopState struct {
 	replicator *replication.Replicator
+	finder     *discovery.Finder
 
 	highestBallot    uint64    // highest ballot number seen
-	deposed          string    // the primary that we took over from
+	formerPrimary    string    // the primary that we took over from
 	predecessor      string    // the primary that we last followed as backup; "" once we are ready
 	nextMemberChange time.Time // earliest next change of the members
-	nextViewSearch   time.Time // earliest next look for a newer view
 	nextAttempt      time.Time // earliest next attempt at what attemptDue guards
 
 	sweptAt       time.Time
 	claimsSweptAt time.Time
-	announcedAt   time.Time            // when silent places were last told the view
-	silentSince   map[string]time.Time // places that send no heartbeats
-}
-
-// candidate is a process that wants to become a member.
-type candidate struct {
-	member     view.Member
-	firstAsked time.Time // without a break since
-	lastAsked  time.Time
+	announcedAt   time.Time // when silent places were last told the view
 }
 
 // Open reads the disk and makes a core. A disk whose state is damaged counts as blank: its
@@ -117,47 +98,39 @@
 	if err := store.RemoveIncompleteWrites(disk, ctx.Log); err != nil {
 		return nil, err
 	}
-	voter, err := paxos.Open(disk, settings.LeaseTerm, ctx.WithComponent("view").Log)
+	acceptor, err := paxos.Open(disk, settings.LeaseTerm, ctx.WithComponent("view").Log)
 	if err != nil {
 		return nil, err
 	}
-	opened, err := openStore(ctx, disk, voter)
+	opened, err := openStore(ctx, disk, acceptor)
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{
-		ctx:          ctx,
-		settings:     settings,
-		disk:         disk,
-		acceptor:     voter,
-		caller:       wire.NewCaller(ctx.Net),
-		jobs:         make(chan *job, 4*maxBatchJobs),
-		runID:        rand.Uint64() | 1,
-		runLoopState: newRunLoopState(),
-		documents:    configuration.New(settings.Codec),
-		pools:        quotapool.New(),
-		lease:        lease.New(settings.LeaseTerm),
-		candidates:   map[string]candidate{},
+		ctx:       ctx,
+		settings:  settings,
+		disk:      disk,
+		acceptor:  acceptor,
+		caller:    wire.NewCaller(ctx.Net),
+		runID:     rand.Uint64() | 1,
+		documents: configuration.New(settings.Codec),
+		pools:     quotapool.New(),
 	}
-	s.backup = replication.NewBackup(host{s}, voter)
-	s.replicator = replication.NewReplicator(ctx, voter.ID, s.call)
+	s.backup = replication.NewBackup(host{s}, acceptor)
+	s.replicator = replication.NewReplicator(ctx, acceptor.ID, s.call)
+	s.leadership = leadership.New(settings.LeaseTerm, s.runID, acceptor.View().Epoch)
+	s.pipeline = pipeline.New(committer{s})
+	search := discovery.Config{Addr: settings.Addr, Founders: settings.Founders, Seeds: settings.Seeds, Bootstrap: settings.Bootstrap, LeaseTerm: settings.LeaseTerm}
+	s.finder = discovery.NewFinder(ctx, search, acceptor, s.call, s.learn)
+	s.routerAddresses = discovery.RouterDirectory{Committed: s.store.Load, SubmitLater: s.submitLater, Notify: s.announceTo}
 	s.claims = idempotency.New(func() int { return s.documents.MaxFinishedKeys(s.committedConfig()) })
-	s.endedEpoch = voter.View().Epoch
 	s.registry = runnerregistry.New(settings.RunnerSilentAfter, runnerregistry.NewNotifier(s.pushRunners).Notify)
 	s.runnerStorage = runnerregistry.Storage{Committed: s.store.Load, Submit: s.Submit, SubmitLater: s.submitLater}
 	s.store.Store(opened)
-	s.seeds.Store(&settings.Seeds)
 	s.handlers = wire.Handlers{"view": s.handleView, "core": s.handleCore}
 	return s, nil
 }
 
-// newRunLoopState makes the run loop's state at the start of the process.
-func newRunLoopState() runLoopState {
-	return runLoopState{
-		silentSince: map[string]time.Time{},
-	}
-}
-
 // Handle answers calls from other processes.
 func (s *Server) Handle(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 	return s.handlers.Dispatch(ctx, kind, body)
@@ -167,19 +140,15 @@
 func (s *Server) Run() {
 	go runloop.Run(s.ctx, nil, s.settings.LeaseTerm/6, func(struct{}) {}, s.renew)
 	s.takeStep()
-	runloop.Run(s.ctx, s.jobs, tickEvery, s.runBatch, s.takeStep)
+	s.pipeline.Run(s.ctx, tickEvery, s.takeStep)
 	s.caller.Close()
 }
 
-// wake has the run loop take its next step at once, not at the next tick: what that step waited for has come.
-func (s *Server) wake() {
-	select {
-	case s.jobs <- &job{done: make(chan error, 1), step: s.takeStep}:
-	default: // the tick will do it
-	}
-}
+// wake has the run loop take its next step at once, not at the next tick: what that step waited for has come. Where the
+// queue is full the tick will do.
+func (s *Server) wake() { s.pipeline.StepLater(s.takeStep) }
 
-// call reaches a voter; ourselves without the wire.
+// call reaches a process of the core by its address; this one without the network.
 func (s *Server) call(ctx context.Context, addr, kind string, request msgp.Marshaler, response msgp.Unmarshaler) error {
 	if addr != s.settings.Addr {
 		return s.caller.Call(ctx, addr, kind, request, response)
@@ -204,7 +173,7 @@
 func (s *Server) UnavailableReason() string {
 	v := s.acceptor.View()
 	switch {
-	case s.hasDiskFailed():
+	case s.leadership.HasDiskFailed():
 		return "the disk is in trouble"
 	case v.Epoch == 0:
 		return "no fleet yet"
--- a/internal/controlplane/core/settings.go
+++ b/internal/controlplane/core/settings.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"yarrowridge/internal/controlplane/configuration"
+	"yarrowridge/internal/controlplane/membership"
 )
 
 // Settings is what a core is told about its place.
@@ -44,3 +45,8 @@
 	}
 	return s
 }
+
+// membershipPolicy is the part of the settings that decides about members and backups.
+func (s Settings) membershipPolicy() membership.Policy {
+	return membership.Policy{Losses: s.Losses, AllowNoBackup: s.AllowNoBackup, MaxMembers: s.MaxMembers, LostAfter: s.LostAfter}
+}
--- a/internal/controlplane/core/state.go
+++ b/internal/controlplane/core/state.go
@@ -15,11 +15,9 @@
 	state := &coreapi.State{View: s.acceptor.View(), ID: s.acceptor.ID(), StoreVersion: committed.Version()}
 	s.mu.Lock()
 	s.routers.Expire(time.Now())
-	state.Ready, state.ConfigVersion, state.DiskFailed = s.ready, s.config.Version, s.diskFailed
+	state.Ready, state.ConfigVersion, state.DiskFailed = s.leadership.IsReady(), s.config.Version, s.leadership.HasDiskFailed()
 	state.Nodes = s.routers.List()
-	for _, known := range s.candidates {
-		state.Candidates = append(state.Candidates, known.member)
-	}
+	state.Candidates = s.candidates.Members()
 	s.mu.Unlock()
 	counts := idempotency.Count(committed)
 	state.Claims, state.FinishedKeys, state.FinishedKeyChunks = counts.Claims, counts.FinishedKeys, counts.FinishedKeyChunks
--- a/internal/controlplane/core/sweep.go
+++ b/internal/controlplane/core/sweep.go
@@ -25,7 +25,7 @@
 	}
 	s.sweptAt = time.Now()
 	s.mu.Lock()
-	ready, config := s.ready, s.config
+	ready, config := s.leadership.IsReady(), s.config
 	live, addrs := s.liveHolders()
 	s.mu.Unlock()
 	if !ready {
@@ -34,7 +34,7 @@
 	document := s.documents.Decode(config)
 	if time.Since(s.announcedAt) > announceInterval {
 		s.announcedAt = time.Now()
-		s.announceView(addrs)
+		s.routerAddresses.Announce(s.acceptor.View(), addrs)
 		s.runnerStorage.SaveTimedOut(s.registry.List(time.Now()))
 	}
 	if document == nil {
@@ -77,9 +77,4 @@
 
 // submitLater submits an operation of the core's own and does not wait for it. Where the queue is full it is dropped: a
 // later sweep finds again what is due.
-func (s *Server) submitLater(do func(tx *transaction.Tx) error) {
-	select {
-	case s.jobs <- &job{done: make(chan error, 1), do: do}:
-	default:
-	}
-}
+func (s *Server) submitLater(apply func(tx *transaction.Tx) error) { s.pipeline.SubmitLater(apply) }
--- /dev/null
+++ b/internal/controlplane/leadership/leadership_test.go
@@ -0,0 +1,121 @@
+package leadership
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"yarrowridge/internal/controlplane/view"
+)
+
+const testTerm = time.Second
+
+// viewOfThree is an epoch that a leads, with b and c.
+func viewOfThree(epoch uint64) view.View {
+	return view.View{Epoch: epoch, Primary: "a", Members: []view.Member{{ID: "a", Addr: "1"}, {ID: "b", Addr: "2"}, {ID: "c", Addr: "3"}}}
+}
+
+// No epoch is led again that began before this run, that was ended, or that was known when the disk was read anew.
+func TestMayLead(t *testing.T) {
+	l := New(testTerm, 1, 4)
+	for _, step := range []struct {
+		name      string
+		do        func()
+		lastEnded uint64
+	}{
+		{"at the start", func() {}, 4},
+		{"after an epoch was ended", func() { l.EndEpoch(6) }, 6},
+		{"after an older epoch was ended", func() { l.EndEpoch(5) }, 6},
+		{"after the disk recovered", func() { l.FailDisk(); l.RecoverDisk(8) }, 8},
+	} {
+		step.do()
+		if l.MayLead(step.lastEnded) || !l.MayLead(step.lastEnded+1) {
+			t.Errorf("%s: may lead epoch %d: %v, epoch %d: %v; want only the latter", step.name,
+				step.lastEnded, l.MayLead(step.lastEnded), step.lastEnded+1, l.MayLead(step.lastEnded+1))
+		}
+	}
+}
+
+// An epoch begins once, without writes and grants. Only one that follows on an epoch led by us continues our leadership.
+func TestBeginEpoch(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		l := New(testTerm, 1, 0)
+		start := time.Now()
+		for _, step := range []struct {
+			epoch            uint64
+			began, continued bool
+		}{{3, true, false}, {3, false, false}, {4, true, true}, {6, true, false}} {
+			time.Sleep(100 * time.Millisecond)
+			began, continued := l.BeginEpoch(step.epoch)
+			if began != step.began || continued != step.continued {
+				t.Errorf("epoch %d: got began %v, continued %v, want %v, %v", step.epoch, began, continued, step.began, step.continued)
+			}
+			if began && l.IsReady() {
+				t.Errorf("epoch %d begins with writes", step.epoch)
+			}
+			l.BeginWrites()
+		}
+		if got, want := l.Standing().LedSince.Sub(start), 400*time.Millisecond; got != want {
+			t.Errorf("got leadership since %s, want %s", got, want)
+		}
+	})
+}
+
+// The lease of a majority is held only for the epoch that is led, and on a sound disk.
+func TestHoldsLease(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		l := New(testTerm, 1, 0)
+		l.BeginEpoch(3)
+		standing := l.Standing()
+		standing.Lease.RecordGrant("a", time.Now())
+		if l.HoldsLease(viewOfThree(3)) {
+			t.Error("one grant of three: got the lease held, want not")
+		}
+		standing.Lease.RecordGrant("b", time.Now())
+		if !l.HoldsLease(viewOfThree(3)) || l.HoldsLease(viewOfThree(4)) {
+			t.Errorf("got epoch 3 held: %v, epoch 4: %v; want only the former", l.HoldsLease(viewOfThree(3)), l.HoldsLease(viewOfThree(4)))
+		}
+		if first, _ := l.FailDisk(); !first || l.HoldsLease(viewOfThree(3)) || !l.HasDiskFailed() {
+			t.Errorf("after the disk failed first (%v): got the lease held", first)
+		}
+		if first, _ := l.FailDisk(); first {
+			t.Error("the second failure of the disk counts as the first one")
+		}
+	})
+}
+
+// A primary out of contact with a majority only pings; one in contact that is refused for long pauses, and asks again.
+func TestNextRenewal(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		l, v := New(testTerm, 7, 0), viewOfThree(3)
+		if _, due := l.NextRenewal(v, "a"); due {
+			t.Error("a renewal is due before the epoch is led")
+		}
+		l.BeginEpoch(3)
+		first, due := l.NextRenewal(v, "a")
+		if !due || !first.InContact || first.Request.PrimaryRun != 7 {
+			t.Errorf("got %+v, due %v, want a request of run 7", first, due)
+		}
+		if _, due := l.NextRenewal(v, "b"); due {
+			t.Error("a renewal is due at a member that is not primary")
+		}
+		time.Sleep(testTerm)
+		second, due := l.NextRenewal(v, "a")
+		if !due || second.InContact || second.Request.Round <= first.Request.Round {
+			t.Errorf("out of contact: got %+v, due %v, want a ping in a later round than %d", second, due, first.Request.Round)
+		}
+		paused, resumed := false, false
+		for range 100 {
+			time.Sleep(testTerm / 10)
+			for _, id := range []string{"a", "b"} {
+				l.Standing().Lease.RecordContact(id)
+			}
+			_, due := l.NextRenewal(v, "a")
+			paused = paused || !due
+			resumed = resumed || paused && due
+		}
+		if !paused || !resumed {
+			t.Errorf("refused for ten terms: got paused %v, resumed %v, want both", paused, resumed)
+		}
+	})
+}
--- a/internal/controlplane/store/power_test.go
+++ b/internal/controlplane/store/power_test.go
@@ -162,17 +162,17 @@
 
 // The power goes at every single step of every write, sync, rename, removal and folder sync, and comes
 // back with every mixture of what was not synced: the state opens, holds all that was acknowledged and at
-// most the one batch that was under way, and the ballot is the last one written or the one before.
+// most the one batch that was under way, and the acceptor's state is the last one written or the one before.
 func TestPowerLoss(t *testing.T) {
 	if faultinjection.Disabled("") {
 		t.Fatal("built with a mechanism disabled")
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	cuts := 0
+	mixtures := 0
 	for last := 1; ; last++ {
 		v := &volatile{last: last, names: map[string]*inode{}, solid: map[string]*inode{}}
 		d := Folder{"d", v}
-		acked, vote, try := 0, 0, 0
+		acknowledged, lastBallot, attempt := 0, 0, 0
 		var lost []int
 		put := func(n int) []Mutation {
 			return []Mutation{{Key: fmt.Sprint("k", n), Value: []byte(strings.Repeat("v", n))}}
@@ -182,18 +182,18 @@
 			if err != nil {
 				return err
 			}
-			for try = 1; try <= 16; try++ {
-				if err := s.Append(Batch{Version: s.Version() + 1, Mutations: put(try)}); err != nil {
+			for attempt = 1; attempt <= 16; attempt++ {
+				if err := s.Append(Batch{Version: s.Version() + 1, Mutations: put(attempt)}); err != nil {
 					return err
 				}
-				acked = try
-				if try%3 == 0 {
-					if err := d.Write("ballot", AddChecksum([]byte(fmt.Sprint(try)))); err != nil {
+				acknowledged = attempt
+				if attempt%3 == 0 {
+					if err := d.Write("ballot", AddChecksum([]byte(fmt.Sprint(attempt)))); err != nil {
 						return err
 					}
-					vote = try
+					lastBallot = attempt
 				}
-				switch try {
+				switch attempt {
 				case 5, 12, 15:
 					err = s.Compact()
 				case 9:
@@ -213,7 +213,7 @@
 		}()
 		for _, names := range v.subsets() {
 			for bytes := range 3 {
-				cuts++
+				mixtures++
 				w := Folder{"d", v.after(names, bytes)}
 				if err := RemoveIncompleteWrites(w, log); err != nil {
 					t.Fatal(err)
@@ -222,18 +222,18 @@
 				if err != nil {
 					t.Fatalf("power lost after step %d, names %b and %d halves kept: %v", last, names, bytes, err)
 				}
-				for n := 1; n <= acked; n++ {
+				for n := 1; n <= acknowledged; n++ {
 					if raw, ok := s.Get(fmt.Sprint("k", n)); (!ok || len(raw) != n) && !slices.Contains(lost, n) {
 						t.Fatalf("power lost after step %d, names %b and %d halves kept: acknowledged put %d is lost", last, names, bytes, n)
 					}
 				}
-				if _, ok := s.Get(fmt.Sprint("k", try+1)); ok {
+				if _, ok := s.Get(fmt.Sprint("k", attempt+1)); ok {
 					t.Fatalf("power lost after step %d: a put that was never made", last)
 				}
 				raw, _ := w.Read("ballot")
-				vow, ok := VerifyChecksum(raw)
-				if (vote > 0 || raw != nil) && !(ok && (string(vow) == fmt.Sprint(vote) || string(vow) == fmt.Sprint(try))) {
-					t.Fatalf("power lost after step %d, names %b and %d halves kept: ballot %q, %d was the last", last, names, bytes, vow, vote)
+				ballot, ok := VerifyChecksum(raw)
+				if (lastBallot > 0 || raw != nil) && !(ok && (string(ballot) == fmt.Sprint(lastBallot) || string(ballot) == fmt.Sprint(attempt))) {
+					t.Fatalf("power lost after step %d, names %b and %d halves kept: ballot %q, %d was the last", last, names, bytes, ballot, lastBallot)
 				}
 				if err := s.Append(Batch{Version: s.Version() + 1, Mutations: put(99)}); err != nil {
 					t.Fatal(err)
@@ -241,7 +241,7 @@
 			}
 		}
 		if err == nil {
-			t.Logf("power lost at each of %d steps, %d mixtures", last-1, cuts)
+			t.Logf("power lost at each of %d steps, %d mixtures", last-1, mixtures)
 			return
 		}
 		if !errors.Is(err, errPower) {
--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -16,8 +16,8 @@
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// Batches, bases, full disks, crashes in the middle of a write and starts anew, against a plain map:
-// what was acknowledged is there, and nothing of a batch that was refused.
+// Batches, snapshots, compactions, full disks, crashes in the middle of a write and recoveries, against a plain map: what
+// was acknowledged is there, and nothing of a batch that was rejected.
 func TestStoreAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		disk := sim.NewDisk()
@@ -55,7 +55,7 @@
 				}
 				model, version = next, version+1
 			case 3:
-				if rapid.Bool().Draw(t, "foreign") { // a copy of another's state replaces all
+				if rapid.Bool().Draw(t, "foreign") { // a snapshot of another's state replaces all
 					version++
 					model = map[string]string{"c/1": "copied"}
 					if err := s.Append(store.Batch{Version: version, IsSnapshot: true, Mutations: []store.Mutation{{Key: "c/1", Value: []byte("copied")}}}); err != nil {
@@ -71,40 +71,42 @@
 			case 4:
 				disk.Full(true)
 				if s.Append(store.Batch{Version: version + 1, Mutations: []store.Mutation{{Key: "a", Value: []byte("lost")}}}) == nil {
-					t.Fatal("a full disk took a batch")
+					t.Fatal("a batch on a full disk: got no error")
 				}
 				disk.Full(false)
 				s = open() // after a refused write the disk is read anew, as core does
 			case 5:
 				if !errors.Is(s.Append(store.Batch{Version: version + 2}), store.ErrGap) {
-					t.Fatal("a gap was taken")
+					t.Fatal("a batch after a gap: want ErrGap")
 				}
 			case 6:
 				s = open()
 			case 7: // the process ends when the new file is there and the old ones still are
 				disk.Keep(true)
-				if rapid.Bool().Draw(t, "base") {
-					s.WriteSnapshot()
-				} else {
-					s.Compact()
+				replace := s.Compact
+				if rapid.Bool().Draw(t, "snapshot") {
+					replace = s.WriteSnapshot
+				}
+				if err := replace(); err != nil && !errors.Is(err, sim.ErrDead) {
+					t.Fatal(err)
 				}
 				disk.Keep(false)
 				s = open()
 			}
 			if s.Version() != version {
-				t.Fatalf("sequence %d, %d expected", s.Version(), version)
+				t.Fatalf("got version %d, want %d", s.Version(), version)
 			}
 			got := map[string]string{}
 			s.ForEachWithPrefix("", func(k string, v []byte) { got[k] = string(v) })
 			if !maps.Equal(got, model) {
-				t.Fatalf("holds %v, %v expected", got, model)
+				t.Fatalf("got %v, want %v", got, model)
 			}
 		}
 	})
 }
 
-// Every single damaged or missing version is found out; none is passed over in silence.
-func TestDamageIsFound(t *testing.T) {
+// Every single damaged or missing version is detected.
+func TestDamageIsDetected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		disk := sim.NewDisk()
 		s, err := store.Open(disk.Use(), quiet)
@@ -130,7 +132,7 @@
 			return
 		}
 		if _, err := store.Open(h, quiet); !errors.Is(err, store.ErrCorrupt) {
-			t.Fatalf("version %s damaged: %v", names[which], err)
+			t.Fatalf("version %s damaged: got error %v, want ErrCorrupt", names[which], err)
 		}
 	})
 }
@@ -145,9 +147,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer lock.Close()
+	t.Cleanup(func() {
+		if err := lock.Close(); err != nil {
+			t.Error(err)
+		}
+	})
 	if _, err := store.Lock(d.Path); err == nil {
-		t.Error("a folder was locked twice")
+		t.Error("a folder was locked twice: got no error")
 	}
 	s, err := store.Open(d, quiet)
 	if err != nil {
@@ -169,12 +175,12 @@
 		t.Fatal(err)
 	}
 	if v, ok := again.Get("k"); again.Version() != 4 || !ok || v[0] != 2 {
-		t.Errorf("read back sequence %d, k %v", again.Version(), v)
+		t.Errorf("got version %d with k %v, want version 4 with k 2", again.Version(), v)
 	}
 }
 
-// What keeping an hour of claims costs: bytes written for each byte put, and files that lie about.
-func TestWriteCost(t *testing.T) {
+// What storing an hour of claims costs: bytes written for each byte put, and files on disk.
+func TestWriteAmplification(t *testing.T) {
 	disk := sim.NewDisk()
 	s, err := store.Open(disk.Use(), quiet)
 	if err != nil {
@@ -198,7 +204,7 @@
 	cost := float64(disk.Bytes) / float64(put)
 	t.Logf("60,000 claims: %.1f bytes written for each put, %d files at the most", cost, files)
 	if cost > 5 || files > 2000 {
-		t.Errorf("%.1f bytes written for each put, %d files", cost, files)
+		t.Errorf("got %.1f bytes written for each put and %d files, want at most 5 and 2000", cost, files)
 	}
 	again, err := store.Open(disk.Use(), quiet)
 	if err != nil || again.Version() != 60000 {
@@ -207,12 +213,12 @@
 	n := 0
 	again.ForEachWithPrefix("claim/", func(string, []byte) { n++ })
 	if n != 60000 {
-		t.Errorf("%d claims read back", n)
+		t.Errorf("got %d claims, want 60000", n)
 	}
 }
 
-// Few files are left to read at a start, however many versions were written: each costs time there.
-func TestFewFilesAtTheStart(t *testing.T) {
+// Few files are left to read at a start, however many versions were written: each costs time then.
+func TestCompactionKeepsFilesFew(t *testing.T) {
 	disk := sim.NewDisk()
 	handle := disk.Use()
 	s, err := store.Open(handle, quiet)
@@ -235,13 +241,13 @@
 		most = max(most, len(names))
 	}
 	if most > 200 {
-		t.Errorf("%d files after at most 6000 versions, 200 at most expected", most)
+		t.Errorf("got %d files, want at most 200", most)
 	}
 	again, err := store.Open(disk.Use(), quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if raw, _ := again.Get("k0"); again.Version() != 6000 || string(raw) != "6000" {
-		t.Errorf("read anew: version %d, %q", again.Version(), raw)
+		t.Errorf("got version %d with %q after recovery, want version 6000 with it", again.Version(), raw)
 	}
 }
