--- a/internal/controlplane/control/main_test.go
+++ b/internal/controlplane/control/main_test.go
@@ -10,8 +10,8 @@
 	"yarrowridge/internal/lib/daemon"
 )
 
-// Settings that do not hold are told by name, value and what was expected, all at once, and end
-// the program with their own exit code.
+// Invalid settings are printed by name, value and what was expected, all at once, and end the program with their own exit
+// code.
 func TestSettings(t *testing.T) {
 	good := []string{"-name", "c1", "-hall", "east", "-addr", "127.0.0.1:7401", "-data", t.TempDir(), "-founders", "127.0.0.1:7401,127.0.0.1:7402,127.0.0.1:7403"}
 	file := func(raw string) string {
@@ -24,7 +24,7 @@
 	for _, c := range []struct {
 		args []string
 		code int
-		says []string
+		want []string // in what is printed
 	}{
 		{append(good, "-check"), daemon.ExitOK, []string{"settings hold"}},
 		{[]string{"-version"}, daemon.ExitOK, []string{daemon.Version}},
@@ -45,11 +45,11 @@
 	} {
 		var out bytes.Buffer
 		if code := Main(c.args, &out); code != c.code {
-			t.Errorf("%v: exit code %d, %d expected: %s", c.args, code, c.code, out.String())
+			t.Errorf("%v: got exit code %d, want %d: %s", c.args, code, c.code, out.String())
 		}
-		for _, s := range c.says {
+		for _, s := range c.want {
 			if !strings.Contains(out.String(), s) {
-				t.Errorf("%v: said %q, which lacks %q", c.args, out.String(), s)
+				t.Errorf("%v: got %q, want %q in it", c.args, out.String(), s)
 			}
 		}
 	}
--- a/internal/controlplane/control/metrics_test.go
+++ b/internal/controlplane/control/metrics_test.go
@@ -18,7 +18,7 @@
 	for _, want := range []string{"core_epoch 7", "core_members 5", "core_primary 1", "core_ready 1", "core_disk_failed 1",
 		"core_store_version 900", "config_version 41", "core_nodes 8", "runners 12"} {
 		if !strings.Contains(page.Body.String(), "\nyarrowridge_"+want+"\n") {
-			t.Errorf("%q is not in the metrics:\n%s", want, page.Body)
+			t.Errorf("got metrics\n%s\nwant %q among them", page.Body, want)
 		}
 	}
 }
--- a/internal/lib/web/server.go
+++ b/internal/lib/web/server.go
@@ -57,3 +57,9 @@
 // Drain shuts the server down gracefully: it accepts no new connections and waits for the requests under way. It returns
 // ctx's error where ctx ends first; those requests go on then.
 func (s *Server) Drain(ctx context.Context) error { return s.http.Shutdown(ctx) }
+
+// Start runs the server in a goroutine of its own until it is drained. If its listener fails, the process does the rest of
+// its work without it.
+func (s *Server) Start() {
+	go func() { _ = s.Run() }()
+}
