--- a/internal/controlplane/core/disk.go
+++ b/internal/controlplane/core/disk.go
@@ -52,7 +52,7 @@
 func (s *Server) failDisk(err error) {
 	if first, round := s.leadership.FailDisk(); first {
 		s.release(round)
-		s.ctx.Log.Error("Disk is in trouble. Leading stops.", "error", err.Error())
+		s.ctx.Log.Error("Disk failed. Leadership and replication stop.", "error", err.Error())
 		go s.recoverDisk()
 	}
 }
--- a/internal/controlplane/core/primary.go
+++ b/internal/controlplane/core/primary.go
@@ -139,6 +139,6 @@
 	ctx, cancel := context.WithTimeout(s.ctx, stepTimeout)
 	defer cancel()
 	if err := s.call(ctx, v.Addr(v.Primary), "view.learn", &view.LearnRequest{View: v}, nil); err != nil {
-		s.ctx.Log.Warn("The next primary was not told.", "peer", v.Addr(v.Primary), "error", err.Error())
+		s.ctx.Log.Warn("The next primary was not notified.", "peer", v.Addr(v.Primary), "error", err.Error())
 	}
 }
--- a/internal/dataplane/router/main.go
+++ b/internal/dataplane/router/main.go
@@ -186,7 +186,7 @@
 	defer cancel()
 	for _, server := range servers {
 		if err := server.Drain(within); err != nil {
-			ctx.Log.Warn("Drain ended before its queries did.", "error", err.Error())
+			ctx.Log.Warn("Drain ended before its requests did.", "error", err.Error())
 		}
 	}
 	for r.Claims.PendingCompletions()+r.Clients.Open() > 0 && runloop.Sleep(within, 20*time.Millisecond) {
