--- a/internal/lib/web/server_test.go
+++ b/internal/lib/web/server_test.go
@@ -23,7 +23,7 @@
 		}
 		close(started)
 		<-finish
-		_, _ = io.WriteString(w, "whole")
+		_, _ = io.WriteString(w, "complete")
 	}))
 	if err != nil {
 		t.Fatal(err)
@@ -57,8 +57,8 @@
 		t.Error("request to a draining server: got a response, want an error")
 	}
 	close(finish)
-	if got := <-answered; got != "whole" {
-		t.Errorf("request under way: got %q, want its whole response", got)
+	if got := <-answered; got != "complete" {
+		t.Errorf("request under way: got %q, want its complete response", got)
 	}
 	if err := server.Drain(t.Context()); err != nil {
 		t.Errorf("drain: got error %v, want none", err)
--- a/internal/transport/dissemination/antientropy_test.go
+++ b/internal/transport/dissemination/antientropy_test.go
@@ -63,24 +63,24 @@
 	})
 }
 
-// What an exchange costs against sending the whole store, for 200 records of 400 bytes.
+// What an exchange costs against sending the complete store, for 200 records of 400 bytes.
 func TestRepairCost(t *testing.T) {
 	const total = 200
 	for _, missing := range []int{0, 1, 5, 20, 200} {
 		a, b := NewStore(nil), NewStore(nil)
-		whole := Update{}
+		complete := Update{}
 		for i := range total {
 			record := Record{Key: fmt.Sprintf("runner/10.0.0.%d:1", i), Generation: 1, Version: 7, Body: make([]byte, 400)}
-			whole.Records = append(whole.Records, record)
+			complete.Records = append(complete.Records, record)
 			a.Merge([]Record{record})
 			if i >= missing {
 				b.Merge([]Record{record})
 			}
 		}
 		cost := synchronize(a, b)
-		t.Logf("%d of %d records missing: %d bytes, the whole store %d (%.2f)", missing, total, cost, whole.Msgsize(), float64(cost)/float64(whole.Msgsize()))
-		if missing <= 5 && cost > whole.Msgsize()/4 {
-			t.Errorf("repair of %d records: got %d bytes, want at most %d", missing, cost, whole.Msgsize()/4)
+		t.Logf("%d of %d records missing: %d bytes, the complete store %d (%.2f)", missing, total, cost, complete.Msgsize(), float64(cost)/float64(complete.Msgsize()))
+		if missing <= 5 && cost > complete.Msgsize()/4 {
+			t.Errorf("repair of %d records: got %d bytes, want at most %d", missing, cost, complete.Msgsize()/4)
 		}
 	}
 }
--- a/internal/transport/operator/config_read.go
+++ b/internal/transport/operator/config_read.go
@@ -10,7 +10,7 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// readConfigTimeout bounds the core's answer to a read of the configuration.
+// readConfigTimeout bounds the core's response to a read of the configuration.
 const readConfigTimeout = 3 * time.Second
 
 // getConfig answers with the configuration in force, or with an earlier version of it.
--- a/internal/transport/operator/config_test.go
+++ b/internal/transport/operator/config_test.go
@@ -48,7 +48,7 @@
 		want                               coreapi.WriteRequest
 		wantCode                           web.ErrorCode
 	}{
-		{name: "whole", method: http.MethodPut, body: "{}", want: coreapi.WriteRequest{AnyVersion: true}},
+		{name: "complete", method: http.MethodPut, body: "{}", want: coreapi.WriteRequest{AnyVersion: true}},
 		{name: "change", method: http.MethodPatch, writeID: "a", body: "{}", want: coreapi.WriteRequest{ID: "a", Patch: true, AnyVersion: true}},
 		{name: "any version", method: http.MethodPut, match: "*", body: "{}", want: coreapi.WriteRequest{AnyVersion: true}},
 		{name: "one version", method: http.MethodPut, match: `"7"`, body: "{}", want: coreapi.WriteRequest{BaseVersion: 7}},
@@ -106,7 +106,7 @@
 	}
 }
 
-// An operator learns of a write that the core did not answer whether it was surely not carried out.
+// The response to a write that the core did not answer says whether it may yet take effect.
 func TestConfigWriteError(t *testing.T) {
 	api := &API{Ctx: daemon.Context{Context: t.Context(), Log: slog.New(slog.DiscardHandler)}}
 	for _, c := range []struct {
--- a/internal/transport/operator/config_write.go
+++ b/internal/transport/operator/config_write.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// writeConfigTimeout bounds the core's answer to a write of the configuration.
+	// writeConfigTimeout bounds the core's response to a write of the configuration.
 	writeConfigTimeout = 6 * time.Second
 
 	// maxWriteIDBytes is the size of the longest write ID that is taken, in bytes.
 	maxWriteIDBytes = 200
 )
 
-// putConfig writes a whole configuration, or with PATCH a change of it.
+// putConfig writes a complete configuration, or with PATCH a change of it.
 func (api *API) putConfig(w http.ResponseWriter, r *http.Request) {
 	request, rejection := parseConfigWrite(r)
 	if rejection != nil {
--- a/internal/transport/operator/fleet.go
+++ b/internal/transport/operator/fleet.go
@@ -10,7 +10,7 @@
 	"yarrowridge/internal/transport/dissemination"
 )
 
-// readFleetTimeout bounds the core's answer to a read of the fleet's state.
+// readFleetTimeout bounds the core's response to a read of the fleet's state.
 const readFleetTimeout = 2 * time.Second
 
 // getFleet answers with what the core knows of the fleet, and with the dissemination tree that follows from it.
--- a/internal/transport/wire/dial.go
+++ b/internal/transport/wire/dial.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection, all attempts included. A machine that is down must not take up a
-	// caller's whole time: there may be another to ask.
+	// dialTimeout bounds the opening of a connection, all attempts included. A machine that is down must not use up a
+	// caller's time: there may be another to ask.
 	dialTimeout = 250 * time.Millisecond
 
 	// dialAttemptInterval is between the attempts of one dial, which run side by side. The opening packet to a machine
--- a/internal/transport/wire/handlers.go
+++ b/internal/transport/wire/handlers.go
@@ -21,7 +21,7 @@
 	return nil, StatusError{Code: CodeUnknownKind}
 }
 
-// HandleTyped decodes a call's body into a new request and returns what handle answers it with. It rejects a body that
+// HandleTyped decodes a call's body into a new request and returns the response of handle. It rejects a body that
 // is no such request with CodeInvalidBody.
 func HandleTyped[Request any, PointerToRequest interface {
 	*Request
--- a/internal/transport/wire/server.go
+++ b/internal/transport/wire/server.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// acceptRetryPause is between a failed accept, as of a process without free descriptors, and the next.
-	acceptRetryPause = 20 * time.Millisecond
+	// acceptRetryDelay is the delay after a failed accept, as of a process without free descriptors.
+	acceptRetryDelay = 20 * time.Millisecond
 
 	// maxIdleWorkers is how many goroutines of one connection wait for its next calls.
 	maxIdleWorkers = 8
@@ -41,7 +41,7 @@
 				return
 			}
 			select {
-			case <-time.After(acceptRetryPause):
+			case <-time.After(acceptRetryDelay):
 			case <-ctx.Done():
 			}
 			continue
