--- a/internal/controlplane/core/backups.go
+++ b/internal/controlplane/core/backups.go
@@ -11,15 +11,16 @@
 
 // How long backups are kept or left out.
 const (
-	failedFor        = 5 * time.Second        // a backup that failed is not chosen again for so long where there are others
-	retryFailedAfter = 500 * time.Millisecond // and for so long where there are none
-	calmFor          = 5 * time.Second        // a primary ready for so long may look for better placed backups
-	aliveWithin      = time.Second            // a member heard within this span can be chosen
-	steadyFor        = 10 * time.Second       // a better placed member must not have failed within this span
+	backupSilentAfter   = 1500 * time.Millisecond // a backup that has not answered for so long is removed
+	failedTTL           = 5 * time.Second         // a backup that failed is not chosen again for so long where there are others
+	retryFailedAfter    = 500 * time.Millisecond  // and for so long where there are none
+	minReadyTime        = 5 * time.Second         // a primary ready for so long may look for better placed backups
+	maxContactAge       = time.Second             // a member heard within this span can be chosen
+	minTimeSinceFailure = 10 * time.Second        // a better placed member must not have failed within this span
 )
 
-// addrsOf names where identities listen, for the log.
-func addrsOf(v view.View, ids []string) []string {
+// addresses are where identities listen, for the log.
+func addresses(v view.View, ids []string) []string {
 	var out []string
 	for _, id := range ids {
 		out = append(out, v.Addr(id))
@@ -52,7 +53,7 @@
 	s.replicator.MarkOutOfSync(chosen)
 	backups := s.replicator.SendSnapshots(v, slices.Concat(keep, chosen), s.store.Load())
 	if len(backups) < s.settings.membershipPolicy().BackupCount(v) {
-		s.wake() // those that failed are not chosen again: the next attempt need not wait
+		s.wakeRunLoop() // those that failed are not chosen again: the next attempt need not wait
 		return false
 	}
 	if sameMembers(backups, v.Backups()) {
@@ -76,8 +77,8 @@
 	var free, lastResort []view.Member
 	for _, m := range v.Members {
 		switch {
-		case m.ID == me || slices.Contains(keep, m.ID) || primacy.TimeSinceContact(m.ID, time.Time{}) > aliveWithin:
-		case m.ID != s.predecessor && !s.replicator.HasFailedWithin(m.ID, failedFor):
+		case m.ID == me || slices.Contains(keep, m.ID) || primacy.TimeSinceContact(m.ID, time.Time{}) > maxContactAge:
+		case m.ID != s.predecessor && !s.replicator.HasFailedWithin(m.ID, failedTTL):
 			free = append(free, m)
 		case !s.replicator.HasFailedWithin(m.ID, retryFailedAfter):
 			lastResort = append(lastResort, m)
@@ -90,7 +91,7 @@
 // wronglyPlacedBackup is a backup in a zone that has another replica, while a member in a zone without one has answered
 // steadily: a backup there outlives the loss of a whole zone.
 func (s *Server) wronglyPlacedBackup(v view.View, primacy *lease.Lease) string {
-	if !s.leadership.IsReady() || time.Since(s.leadership.ReadySince()) <= calmFor {
+	if !s.leadership.IsReady() || time.Since(s.leadership.ReadySince()) <= minReadyTime {
 		return ""
 	}
 	used, worst := map[string]bool{s.ctx.Zone: true}, ""
@@ -101,7 +102,7 @@
 		used[v.ZoneOf(id)] = true
 	}
 	for _, m := range v.Members {
-		if worst != "" && !used[m.Zone] && primacy.TimeSinceContact(m.ID, time.Time{}) < aliveWithin && !s.replicator.HasFailedWithin(m.ID, steadyFor) {
+		if worst != "" && !used[m.Zone] && primacy.TimeSinceContact(m.ID, time.Time{}) < maxContactAge && !s.replicator.HasFailedWithin(m.ID, minTimeSinceFailure) {
 			return worst
 		}
 	}
--- a/internal/controlplane/core/commit.go
+++ b/internal/controlplane/core/commit.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-
 	"time"
 
 	"github.com/rotisserie/eris"
@@ -18,6 +17,13 @@
 	"yarrowridge/internal/transport/wire"
 )
 
+// How long a write may wait.
+const (
+	diskTimeout         = 1500 * time.Millisecond // for our disk; a slower one counts as failed
+	replaceTimeout      = 3 * time.Second         // for other backups in place of those that failed
+	replaceStepInterval = 5 * time.Millisecond    // between two checks whether the lease of the new epoch is held
+)
+
 // Submit passes an operation to the run loop and waits for its outcome. The code of the error is CodeNotPrimary or
 // CodeNotReady where the operation surely was not and will not be committed, CodeOutcomeUnknown where it may be. Any
 // goroutine may call it but the run loop's.
@@ -108,7 +114,7 @@
 		if next.Epoch != current.Epoch {
 			continue // a step was made, and the next one need not wait
 		}
-		if !runloop.Sleep(s.ctx, replaceStepPause) {
+		if !runloop.Sleep(s.ctx, replaceStepInterval) {
 			return false
 		}
 	}
--- a/internal/controlplane/core/join.go
+++ b/internal/controlplane/core/join.go
@@ -11,9 +11,9 @@
 
 // About how long it is between two attempts to find the fleet or to join it.
 const (
-	findPause      = 200 * time.Millisecond // to find one
-	joinPause      = time.Second            // to join, after a request that was heard
-	joinRetryPause = 300 * time.Millisecond // to join, after one that was not
+	findInterval      = 200 * time.Millisecond // to find one
+	joinInterval      = time.Second            // to join, after a request that was heard
+	joinRetryInterval = 300 * time.Millisecond // to join, after one that was not
 )
 
 // attemptDue reports whether the next attempt may be made, and if so sets the earliest time of the one after it: a random
@@ -28,7 +28,7 @@
 
 // findFleet looks for the fleet that we may be part of, or founds one where the settings say so.
 func (s *Server) findFleet() {
-	if !s.attemptDue(findPause) {
+	if !s.attemptDue(findInterval) {
 		return
 	}
 	if founders := s.finder.FindFleet(); len(founders) > 0 {
@@ -50,10 +50,10 @@
 	err := s.call(ctx, v.Addr(v.Primary), "core.join", request, nil)
 	cancel()
 	if err == nil {
-		s.attemptDue(joinPause)
+		s.attemptDue(joinInterval)
 		return
 	}
 	s.ctx.Log.Debug("No answer to our request to join.", "error", err.Error())
-	s.attemptDue(joinRetryPause)
+	s.attemptDue(joinRetryInterval)
 	s.finder.Search(v)
 }
--- a/internal/controlplane/core/lead.go
+++ b/internal/controlplane/core/lead.go
@@ -14,8 +14,8 @@
 
 // About how long it is between two proposals of one member: the pauses are random, around these.
 const (
-	proposePause = 300 * time.Millisecond // to lead or to go on leading
-	replacePause = 2 * time.Second        // to replace a backup that would stand better elsewhere
+	proposeInterval = 300 * time.Millisecond // to lead or to go on leading
+	replaceInterval = 2 * time.Second        // to replace a backup that would stand better elsewhere
 )
 
 // watchPrimary takes over from a primary whose lease has run out.
@@ -29,7 +29,7 @@
 		return
 	}
 	s.finder.FindNewerView(v)
-	if !s.attemptDue(proposePause) {
+	if !s.attemptDue(proposeInterval) {
 		return
 	}
 	if s.decide(v, membership.WithPrimary(v, me), false) {
@@ -68,7 +68,7 @@
 // beginEpoch decides the next epoch, by our own view or by one that was accepted for it already.
 func (s *Server) beginEpoch(v view.View) {
 	s.leadership.EndWrites()
-	if s.attemptDue(proposePause) {
+	if s.attemptDue(proposeInterval) {
 		s.decide(v, v, false)
 	}
 }
@@ -78,7 +78,7 @@
 func (s *Server) leadWithoutLease(v view.View, promisedOther bool) {
 	s.leadership.EndWrites()
 	s.finder.FindNewerView(v)
-	if promisedOther && s.attemptDue(proposePause) {
+	if promisedOther && s.attemptDue(proposeInterval) {
 		s.decide(v, v, false)
 	}
 }
@@ -87,10 +87,10 @@
 // the former one only where there is nobody else: it has just been lost, or is about to stop.
 func (s *Server) backupsToKeep(v view.View, primacy *lease.Lease, ready bool, ledSince time.Time) []string {
 	keep := slices.DeleteFunc(s.respondingBackups(v, primacy, ledSince), func(id string) bool {
-		return !ready && id == s.predecessor || !s.replicator.IsInSync(id) && s.replicator.HasFailedWithin(id, failedFor)
+		return !ready && id == s.predecessor || !s.replicator.IsInSync(id) && s.replicator.HasFailedWithin(id, failedTTL)
 	})
 	worst := s.wronglyPlacedBackup(v, primacy)
-	if len(keep) == len(v.Backups()) && worst != "" && s.attemptDue(replacePause) {
+	if len(keep) == len(v.Backups()) && worst != "" && s.attemptDue(replaceInterval) {
 		keep = slices.DeleteFunc(keep, func(id string) bool { return id == worst })
 	}
 	return keep
--- a/internal/controlplane/core/primary.go
+++ b/internal/controlplane/core/primary.go
@@ -49,10 +49,10 @@
 		Value:         next,
 		Unanimous:     unanimous,
 		StepTimeout:   stepTimeout,
-		HighestNumber: s.highestBallot,
+		HighestNumber: s.highestNumber,
 	}
 	decided, err := proposal.Propose(s.ctx)
-	s.highestBallot = proposal.HighestNumber
+	s.highestNumber = proposal.HighestNumber
 	if err != nil {
 		s.ctx.Log.Warn("View not decided.", "after", current.Epoch, "error", err.Error())
 		if errors.Is(err, paxos.ErrOutcomeUnknown) && !faultinjection.Disabled("decision-in-doubt") {
@@ -64,9 +64,9 @@
 	if decided.Epoch == current.Epoch+1 {
 		s.notifyMembers(slices.Concat(current.Members, decided.Members), decided)
 	}
-	s.wake()
+	s.wakeRunLoop()
 	s.ctx.Log.Info("View decided.", "epoch", decided.Epoch, "primary", decided.Addr(decided.Primary),
-		"backups", addrsOf(decided, decided.Backups()), "members", len(decided.Members))
+		"backups", addresses(decided, decided.Backups()), "members", len(decided.Members))
 	return true
 }
 
@@ -106,7 +106,7 @@
 	s.routers.Start(s.routerAddresses.Count(), time.Now())
 	s.leadership.BeginWrites() // under s.mu: who sees it and then locks s.mu sees all of the above
 	s.mu.Unlock()
-	s.ctx.Log.Info("Primary is ready.", "epoch", v.Epoch, "backups", addrsOf(v, v.Backups()), "sequence", config.Version)
+	s.ctx.Log.Info("Primary is ready.", "epoch", v.Epoch, "backups", addresses(v, v.Backups()), "sequence", config.Version)
 }
 
 // stepDownTimeout is how long a planned stop waits for the backup to lead.
--- a/internal/controlplane/core/renewal.go
+++ b/internal/controlplane/core/renewal.go
@@ -41,7 +41,7 @@
 		wasHeld := primacy.IsHeld(request.View.IsMajority)
 		primacy.RecordGrant(m.ID, asked)
 		if !wasHeld && primacy.IsHeld(request.View.IsMajority) {
-			s.wake()
+			s.wakeRunLoop()
 		}
 	case response.View.Epoch > request.View.Epoch:
 		s.learn(response.View)
--- a/internal/controlplane/core/server.go
+++ b/internal/controlplane/core/server.go
@@ -1,5 +1,7 @@
-// Package core is the peer that knows the fleet: its server side is the control plane, its client
-// side is how routers and other cores speak to it.
+// Package core is one process of the control plane. A Server puts together what the packages beside it do: paxos chooses
+// views, leadership and lease tell whether this process may answer, pipeline and replication make writes durable, and
+// configuration, idempotency, quotapool, routerleases and runnerregistry hold what is written. Its run loop's goroutine
+// leads or follows, one step at a time, and applies all writes.
 package core
 
 import (
@@ -29,58 +31,55 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// How long the parts of a hand-over may take.
 const (
-	tickEvery         = 50 * time.Millisecond
-	stepTimeout       = 500 * time.Millisecond  // one step of a decision
-	backupSilentAfter = 1500 * time.Millisecond // a backup silent so long is removed
-	diskTimeout       = 1500 * time.Millisecond // a disk slower than this is in trouble
-	replaceTimeout    = 3 * time.Second         // a write waits so long for a new backup
-	replaceStepPause  = 5 * time.Millisecond    // between two looks whether the lease of the new epoch stands: all writes wait
+	tickInterval = 50 * time.Millisecond  // between two steps of the run loop, where nothing wakes it
+	stepTimeout  = 500 * time.Millisecond // for one phase of a proposal, and for calls that go with it
 )
 
 // Server is one core process.
 type Server struct {
 	ctx      daemon.Context
 	settings Settings
+	runID    uint64 // of this process, at random; not zero
+	handlers wire.Handlers
+	caller   *wire.Caller
+
+	// What is on disk. All methods may be called concurrently.
 	disk     store.Disk
-	store    atomic.Pointer[store.Store]
+	store    atomic.Pointer[store.Store] // replaced once the disk has recovered
 	acceptor *paxos.Acceptor
-	caller   *wire.Caller
-	handlers wire.Handlers
-	runID    uint64 // of this process, at random; not zero
+	backup   *replication.Backup
 
-	backup          *replication.Backup
+	// Primacy and what needs it. All methods may be called concurrently.
 	leadership      *leadership.Leadership
-	candidates      membership.Candidates
-	routerAddresses discovery.RouterDirectory
 	pipeline        pipeline.Pipeline
+	candidates      membership.Candidates
+	routerAddresses discovery.RouterDirectory // the run loop calls Announce
+	registry        *runnerregistry.Registry
+	runnerStorage   runnerregistry.Storage
+	runnerOutliers  runnerregistry.OutlierDetector
+	runnerLatency   runnerregistry.LatencyTracker
+	replaced        quotapool.ReplacedRuns
 
 	runLoopState
 
-	// State machines of what is stored. Only the run loop calls their methods.
-	documents *configuration.Documents
-	claims    *idempotency.Claims
-	pools     *quotapool.Pools
-
-	mu       sync.Mutex
+	mu       sync.Mutex           // guards the fields below; taken before any lock of leadership or registry
 	config   coreapi.StoredConfig // the newest one committed; here, since it is set and read together with ready
 	routers  routerleases.Table   // the routers whose lease runs
 	scarcity quotapool.Scarcity   // tenants whose idle units are wanted back
-
-	registry       *runnerregistry.Registry
-	runnerStorage  runnerregistry.Storage
-	runnerOutliers runnerregistry.OutlierDetector
-	runnerLatency  runnerregistry.LatencyTracker
-	replaced       quotapool.ReplacedRuns
 }
 
-// runLoopState is what only the run loop touches.
+// runLoopState is what only the run loop's goroutine touches.
 type runLoopState struct {
 	replicator *replication.Replicator
-	finder     *discovery.Finder
+	finder     *discovery.Finder // but SetSeeds
+
+	// State machines of what is stored.
+	documents *configuration.Documents
+	claims    *idempotency.Claims
+	pools     *quotapool.Pools
 
-	highestBallot    uint64    // highest ballot number seen
+	highestNumber    uint64    // of a proposal seen so far
 	formerPrimary    string    // the primary that we took over from
 	predecessor      string    // the primary that we last followed as backup; "" once we are ready
 	nextMemberChange time.Time // earliest next change of the members
@@ -88,11 +87,11 @@
 
 	sweptAt       time.Time
 	claimsSweptAt time.Time
-	announcedAt   time.Time // when silent places were last told the view
+	announcedAt   time.Time // when silent routers were last told the view
 }
 
-// Open reads the disk and makes a core. A disk whose state is damaged counts as blank: its
-// identity is given up, so that it neither votes nor leads on what it no longer has.
+// Open recovers a core's state from its disk. A disk whose state is damaged counts as blank: its identity is given up, so
+// that it neither accepts proposals nor leads on what it no longer has. An error is one of the disk.
 func Open(ctx daemon.Context, settings Settings, disk store.Disk) (*Server, error) {
 	settings = settings.WithDefaults()
 	if err := store.RemoveIncompleteWrites(disk, ctx.Log); err != nil {
@@ -107,15 +106,14 @@
 		return nil, err
 	}
 	s := &Server{
-		ctx:       ctx,
-		settings:  settings,
-		disk:      disk,
-		acceptor:  acceptor,
-		caller:    wire.NewCaller(ctx.Net),
-		runID:     rand.Uint64() | 1,
-		documents: configuration.New(settings.Codec),
-		pools:     quotapool.New(),
+		ctx:      ctx,
+		settings: settings,
+		disk:     disk,
+		acceptor: acceptor,
+		caller:   wire.NewCaller(ctx.Net),
+		runID:    rand.Uint64() | 1,
 	}
+	s.documents, s.pools = configuration.New(settings.Codec), quotapool.New()
 	s.backup = replication.NewBackup(host{s}, acceptor)
 	s.replicator = replication.NewReplicator(ctx, acceptor.ID, s.call)
 	s.leadership = leadership.New(settings.LeaseTerm, s.runID, acceptor.View().Epoch)
@@ -131,22 +129,22 @@
 	return s, nil
 }
 
-// Handle answers calls from other processes.
+// Handle answers calls from other processes. It may be called concurrently.
 func (s *Server) Handle(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 	return s.handlers.Dispatch(ctx, kind, body)
 }
 
-// Run leads, watches or waits, as the view says, until the context ends.
+// Run leads, follows or waits, as the view says, until the context ends.
 func (s *Server) Run() {
 	go runloop.Run(s.ctx, nil, s.settings.LeaseTerm/6, func(struct{}) {}, s.renew)
 	s.takeStep()
-	s.pipeline.Run(s.ctx, tickEvery, s.takeStep)
+	s.pipeline.Run(s.ctx, tickInterval, s.takeStep)
 	s.caller.Close()
 }
 
-// wake has the run loop take its next step at once, not at the next tick: what that step waited for has come. Where the
+// wakeRunLoop has the run loop take its next step at once, not at the next tick: what that step waited for has come. Where the
 // queue is full the tick will do.
-func (s *Server) wake() { s.pipeline.StepLater(s.takeStep) }
+func (s *Server) wakeRunLoop() { s.pipeline.StepLater(s.takeStep) }
 
 // call reaches a process of the core by its address; this one without the network.
 func (s *Server) call(ctx context.Context, addr, kind string, request msgp.Marshaler, response msgp.Unmarshaler) error {
--- a/internal/controlplane/core/sweep.go
+++ b/internal/controlplane/core/sweep.go
@@ -62,19 +62,6 @@
 	return live, addrs
 }
 
-// dropLater has the run loop remove keys.
-func (s *Server) deleteLater(keys []string) {
-	if len(keys) == 0 {
-		return
-	}
-	s.submitLater(func(tx *transaction.Tx) error {
-		for _, key := range keys {
-			tx.Delete(key)
-		}
-		return nil
-	})
-}
-
 // submitLater submits an operation of the core's own and does not wait for it. Where the queue is full it is dropped: a
 // later sweep finds again what is due.
 func (s *Server) submitLater(apply func(tx *transaction.Tx) error) { s.pipeline.SubmitLater(apply) }
