--- a/internal/controlplane/configuration/documents.go
+++ b/internal/controlplane/configuration/documents.go
@@ -8,6 +8,8 @@
 	"bytes"
 	"strconv"
 
+	"github.com/rotisserie/eris"
+
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/store"
 	"yarrowridge/internal/controlplane/transaction"
@@ -83,10 +85,14 @@
 
 // current reads the configuration in force; version 0 before the first.
 func current(tx *transaction.Tx) (config coreapi.StoredConfig, err error) {
-	if raw, ok := tx.Get(currentKey); ok {
-		_, err = config.UnmarshalMsg(raw)
+	raw, ok := tx.Get(currentKey)
+	if !ok {
+		return config, nil
 	}
-	return config, err
+	if _, err := config.UnmarshalMsg(raw); err != nil {
+		return coreapi.StoredConfig{}, eris.Wrap(err, "configuration: decode the configuration in force")
+	}
+	return config, nil
 }
 
 // Current reads the configuration in force from a committed state; version 0 before the first.
@@ -114,7 +120,7 @@
 	}
 	var old coreapi.StoredConfig
 	if _, err := old.UnmarshalMsg(raw); err != nil {
-		return nil, err
+		return nil, eris.Wrapf(err, "configuration: decode version %d", version)
 	}
 	return &old, nil
 }
--- a/internal/controlplane/configuration/history.go
+++ b/internal/controlplane/configuration/history.go
@@ -3,6 +3,8 @@
 import (
 	"strconv"
 
+	"github.com/rotisserie/eris"
+
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/lib/faultinjection"
@@ -13,11 +15,13 @@
 
 const (
 	historyKey       = "history"
-	maxVersions      = 16       // older configurations kept for reading back
-	maxWriteIDs      = 1000     // write IDs remembered
-	maxLargeVersions = 3        // copies kept of large documents
-	largeDocument    = 64 << 10 // documents above this size are large
-	maxKeptDocument  = 1 << 20  // of documents above this size no copy is kept: a batch has to fit one frame
+	writeIDPrefix    = "mark/"   // begins the keys of WriteResult records, by write ID
+	writeCountPrefix = "marked/" // begins the keys of write IDs, by the count of the write
+	maxVersions      = 16        // older configurations kept for reading back
+	maxWriteIDs      = 1000      // write IDs remembered
+	maxLargeVersions = 3         // copies kept of large documents
+	largeDocument    = 64 << 10  // documents above this size are large
+	maxKeptDocument  = 1 << 20   // of documents above this size no copy is kept: a batch has to fit one frame
 )
 
 // readHistory reads what is kept of earlier writes. known is false where no document has numbered itself so
@@ -25,8 +29,10 @@
 func readHistory(tx *transaction.Tx, current uint64) (history History, known bool, err error) {
 	raw, known := tx.Get(historyKey)
 	if known {
-		_, err = history.UnmarshalMsg(raw)
-		return history, known, err
+		if _, err := history.UnmarshalMsg(raw); err != nil {
+			return History{}, known, eris.Wrap(err, "configuration: decode the history")
+		}
+		return history, known, nil
 	}
 	history.Writes = current
 	for version := current - min(current, maxVersions-1); version <= current; version++ {
@@ -59,21 +65,21 @@
 // keepWriteID remembers the ID of the write with this count, and forgets the ID of one long ago.
 func keepWriteID(tx *transaction.Tx, count uint64, id string, record WriteResult) error {
 	if id != "" && !faultinjection.Disabled("write-id") {
-		if err := tx.Put("mark/"+id, &record); err != nil {
+		if err := tx.Put(writeIDPrefix+id, &record); err != nil {
 			return err
 		}
-		if err := tx.Put("marked/"+strconv.FormatUint(count, 10), &coreapi.Claim{Claimant: id}); err != nil {
+		if err := tx.Put(writeCountPrefix+strconv.FormatUint(count, 10), &coreapi.Claim{Claimant: id}); err != nil {
 			return err
 		}
 	}
 	if count <= maxWriteIDs {
 		return nil
 	}
-	key := "marked/" + strconv.FormatUint(count-maxWriteIDs, 10)
+	key := writeCountPrefix + strconv.FormatUint(count-maxWriteIDs, 10)
 	if raw, ok := tx.Get(key); ok {
-		var written coreapi.Claim // of a claim only the ID is used here
+		var written coreapi.Claim // the record of a write ID is a claim of which only the claimant is used
 		if _, err := written.UnmarshalMsg(raw); err == nil {
-			tx.Delete("mark/" + written.Claimant)
+			tx.Delete(writeIDPrefix + written.Claimant)
 		}
 		tx.Delete(key)
 	}
--- a/internal/controlplane/configuration/write.go
+++ b/internal/controlplane/configuration/write.go
@@ -6,6 +6,8 @@
 	"fmt"
 	"net/http"
 
+	"github.com/rotisserie/eris"
+
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/lib/faultinjection"
@@ -61,13 +63,13 @@
 	if request.ID == "" {
 		return false, nil
 	}
-	raw, ok := tx.Get("mark/" + request.ID)
+	raw, ok := tx.Get(writeIDPrefix + request.ID)
 	if !ok {
 		return false, nil
 	}
 	var record WriteResult
 	if _, err := record.UnmarshalMsg(raw); err != nil {
-		return true, err
+		return true, eris.Wrap(err, "configuration: decode the result of an earlier write")
 	}
 	response.Version, response.Repeated = record.Version, true
 	if record.Hash != hash {
--- a/internal/controlplane/core/quota.go
+++ b/internal/controlplane/core/quota.go
@@ -66,6 +66,7 @@
 }
 
 // replaceHolder has the units of earlier runs at a node's address cool, with those of others that start at the same time.
+// Where that is not done, as the queue is full or writes are not taken, the sweep has them cool from when it sees them.
 func (s *Server) replaceHolder(n coreapi.Node, age time.Duration) {
 	if s.replaced.Add(n, age) {
 		time.AfterFunc(replacedGatherInterval, func() {
--- a/internal/controlplane/idempotency/claims.go
+++ b/internal/controlplane/idempotency/claims.go
@@ -6,6 +6,8 @@
 import (
 	"time"
 
+	"github.com/rotisserie/eris"
+
 	"yarrowridge/internal/controlplane/coreapi"
 	"yarrowridge/internal/controlplane/store"
 	"yarrowridge/internal/controlplane/transaction"
@@ -99,10 +101,13 @@
 // readClaim reads the claim of a key. known is false where there is none.
 func readClaim(tx *transaction.Tx, key string) (claim coreapi.Claim, known bool, err error) {
 	raw, known := tx.Get(claimPrefix + key)
-	if known {
-		_, err = claim.UnmarshalMsg(raw)
+	if !known {
+		return claim, false, nil
+	}
+	if _, err := claim.UnmarshalMsg(raw); err != nil {
+		return claim, true, eris.Wrap(err, "idempotency: decode a claim")
 	}
-	return claim, known, err
+	return claim, true, nil
 }
 
 // Counts is how much a committed state keeps of idempotency keys.
--- a/internal/controlplane/quotapool/cache.go
+++ b/internal/controlplane/quotapool/cache.go
@@ -3,6 +3,8 @@
 import (
 	"strings"
 
+	"github.com/rotisserie/eris"
+
 	"yarrowridge/internal/controlplane/transaction"
 	"yarrowridge/internal/lib/faultinjection"
 	"yarrowridge/internal/model/quota"
@@ -67,7 +69,7 @@
 func decodePool(raw []byte, holderName func(number uint64) (string, error)) (quota.Pool, error) {
 	var stored storedPool
 	if _, err := stored.UnmarshalMsg(raw); err != nil {
-		return quota.Pool{}, err
+		return quota.Pool{}, eris.Wrap(err, "quotapool: decode a pool")
 	}
 	pool := quota.Pool{Allocations: stored.NamedAllocations, Cooling: stored.Cooling, AboveLimit: stored.AboveLimit, Charges: stored.Charges}
 	if pool.Allocations == nil {
--- a/internal/controlplane/quotapool/holders.go
+++ b/internal/controlplane/quotapool/holders.go
@@ -40,7 +40,7 @@
 	var count holderCount
 	if raw, ok := tx.Get(holderCountKey); ok {
 		if _, err := count.UnmarshalMsg(raw); err != nil {
-			return 0, err
+			return 0, eris.Wrap(err, "quotapool: decode the count of holders")
 		}
 	}
 	count.Last++
@@ -66,7 +66,7 @@
 	}
 	var holder storedHolder
 	if _, err := holder.UnmarshalMsg(raw); err != nil {
-		return "", err
+		return "", eris.Wrapf(err, "quotapool: decode the holder with number %d", number)
 	}
 	h[holder.Name] = numberedHolder{number: number, key: key, raw: raw}
 	return holder.Name, nil
