--- a/internal/dataplane/router/gatewaymetrics.go
+++ b/internal/dataplane/router/gatewaymetrics.go
@@ -14,6 +14,6 @@
 		"yarrowridge_runners":        func() float64 { return float64(len(g.Registry.List())) },
 		"yarrowridge_routers":        func() float64 { return float64(len(g.Cluster.Nodes())) },
 		"yarrowridge_stale":          func() float64 { return metrics.FlagValue(g.Cluster.CoreSilent()) },
-		"yarrowridge_ready":          func() float64 { return metrics.FlagValue(g.ready() == "") },
+		"yarrowridge_ready":          func() float64 { return metrics.FlagValue(g.notReadyReason() == "") },
 	}, g.Front.Counts())
 }
--- a/internal/dataplane/router/status_test.go
+++ b/internal/dataplane/router/status_test.go
@@ -28,7 +28,7 @@
 	for seen := uint64(0); seen < 3000; {
 		status := r.statusView()
 		if seen = status.Node.ConfigVersion; seen > 0 && status.ConfigHash != fleetconfig.HashKey(text(seen)) {
-			t.Fatalf("version %d is shown with the hash of another configuration", seen)
+			t.Fatalf("version %d: got the hash of another configuration", seen)
 		}
 	}
 	writing.Wait()
--- a/internal/dataplane/router/views.go
+++ b/internal/dataplane/router/views.go
@@ -32,7 +32,7 @@
 	Health       string        `json:"standing"`
 }
 
-// shareView is one tenant's part of its quota in the body of /v1/shares.
+// shareView is this router's share of one tenant's quota in the body of /v1/shares.
 type shareView struct {
 	Free          int `json:"free"`
 	Held          int `json:"held"`
@@ -51,7 +51,7 @@
 	}
 }
 
-// statusView tells one configuration's version and hash, also while configurations come in quick succession.
+// statusView has the version and the hash of one configuration, also while configurations come in quick succession.
 func (r *Router) statusView() statusView {
 	version, hash := r.Cluster.ConfigInForce()
 	own := r.Cluster.Self()
--- a/internal/dataplane/router/views_test.go
+++ b/internal/dataplane/router/views_test.go
@@ -32,7 +32,7 @@
 			t.Fatal(err)
 		}
 		if string(now) != string(then) {
-			t.Errorf("%T: %s, %s expected", c.now, now, then)
+			t.Errorf("%T: got %s, want %s", c.now, now, then)
 		}
 	}
 }
