--- a/internal/controlplane/core/bench_test.go
+++ b/internal/controlplane/core/bench_test.go
@@ -20,35 +20,35 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// BenchmarkClaims takes durable claims from five cores with real folders over TCP, by 64 at once.
-// The batches per claim tell what grouping the syncs saves.
-// The second case has a day of keys that ran behind it, at 60 a second: what they cost on disk, in
-// memory and in looking them through.
+// BenchmarkClaims claims idempotency keys from five cores with real folders over TCP, by 64 callers a processor at once. The
+// batches per claim tell what grouping the syncs saves. The second case has a day of finished keys behind it, at 60 a
+// second: what they cost on disk, in memory and in searching them.
 func BenchmarkClaims(b *testing.B) {
-	b.Run("fresh", func(b *testing.B) { claims(b, 0) })
-	b.Run("after a day at 60 a second", func(b *testing.B) { claims(b, 60*86400) })
+	b.Run("fresh", func(b *testing.B) { benchmarkClaims(b, 0) })
+	b.Run("after a day at 60 a second", func(b *testing.B) { benchmarkClaims(b, 60*86400) })
 }
 
-func claims(b *testing.B, ran int) {
+func benchmarkClaims(b *testing.B, finishedKeys int) {
+	b.Helper()
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
 	var addrs []string
-	var ears []net.Listener
+	var listeners []net.Listener
 	for range 5 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			b.Fatal(err)
 		}
-		ears, addrs = append(ears, l), append(addrs, l.Addr().String())
+		listeners, addrs = append(listeners, l), append(addrs, l.Addr().String())
 	}
 	var all []*Server
-	for i, l := range ears {
+	for i, l := range listeners {
 		disk, err := store.OpenFolder(fmt.Sprintf("%s/%d", b.TempDir(), i))
 		if err != nil {
 			b.Fatal(err)
 		}
-		if ran > 0 {
-			day(b, disk, ran)
+		if finishedKeys > 0 {
+			putFinishedKeys(b, disk, finishedKeys)
 		}
 		ec := daemon.Context{Context: ctx, Name: addrs[i], Zone: fmt.Sprint(i), RunID: rand.Uint64(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Net: wire.TCP{}}
 		s, err := Open(ec, Settings{Addr: addrs[i], Founders: addrs, Seeds: addrs}, disk)
@@ -77,7 +77,7 @@
 	before := lead.State().StoreVersion
 	if p := lead.State(); p.FinishedKeys > 0 {
 		raw := lead.store.Load().Snapshot()
-		b.Logf("%d keys that ran in %d parts: %.1f MB on disk; founded, copied to the backup and ready in %s", p.FinishedKeys, p.FinishedKeyChunks, float64(raw.Msgsize())/1e6, ready.Round(time.Millisecond))
+		b.Logf("%d finished keys in %d chunks: %.1f MB on disk; founded, copied to the backup and ready in %s", p.FinishedKeys, p.FinishedKeyChunks, float64(raw.Msgsize())/1e6, ready.Round(time.Millisecond))
 	}
 	b.SetParallelism(64)
 	b.ResetTimer()
@@ -100,8 +100,9 @@
 	b.ReportMetric(float64(lead.State().StoreVersion-before)/float64(b.N), "batches/claim")
 }
 
-// day puts onto a disk what sweeps and merges leave of n keys that ran: whole parts, and some small ones.
-func day(b *testing.B, disk store.Disk, n int) {
+// putFinishedKeys writes to a disk what sweeps and merges leave of n finished keys: full chunks, and some small ones.
+func putFinishedKeys(b *testing.B, disk store.Disk, n int) {
+	b.Helper()
 	opened, err := store.Open(disk, slog.New(slog.DiscardHandler))
 	if err != nil {
 		b.Fatal(err)
