--- a/internal/controlplane/core/backups.go
+++ b/internal/controlplane/core/backups.go
@@ -43,10 +43,10 @@
 // Members that are new as backups get a snapshot first; one decision then replaces those that are removed by them. Until
 // then the latter may still lead: they have all that was acknowledged, so that the loss of our own disk meanwhile loses
 // nothing. Nothing is acknowledged in between, so the snapshots are complete.
-func (s *Server) reconcileReplicas(v view.View, me string, primacy *lease.Lease, keep []string) bool {
+func (s *Server) reconcileReplicas(v view.View, self string, primacy *lease.Lease, keep []string) bool {
 	s.leadership.EndWrites()
 	missing := s.settings.membershipPolicy().BackupCount(v) - len(keep)
-	chosen := s.chooseBackups(v, me, primacy, keep, missing)
+	chosen := s.chooseBackups(v, self, primacy, keep, missing)
 	if len(chosen) < missing {
 		return false
 	}
@@ -69,7 +69,7 @@
 
 // chooseBackups picks members that answer as backups beside those that are kept, zones that hold no copy yet first. A
 // member that failed a while ago, and the former primary, are chosen only where there are not enough others.
-func (s *Server) chooseBackups(v view.View, me string, primacy *lease.Lease, keep []string, count int) []string {
+func (s *Server) chooseBackups(v view.View, self string, primacy *lease.Lease, keep []string, count int) []string {
 	used := map[string]bool{s.ctx.Zone: true}
 	for _, id := range keep {
 		used[v.ZoneOf(id)] = true
@@ -77,7 +77,7 @@
 	var free, lastResort []view.Member
 	for _, m := range v.Members {
 		switch {
-		case m.ID == me || slices.Contains(keep, m.ID) || primacy.TimeSinceContact(m.ID, time.Time{}) > maxContactAge:
+		case m.ID == self || slices.Contains(keep, m.ID) || primacy.TimeSinceContact(m.ID, time.Time{}) > maxContactAge:
 		case m.ID != s.predecessor && !s.replicator.HasFailedWithin(m.ID, failedTTL):
 			free = append(free, m)
 		case !s.replicator.HasFailedWithin(m.ID, retryFailedAfter):
--- a/internal/controlplane/core/commit.go
+++ b/internal/controlplane/core/commit.go
@@ -100,13 +100,13 @@
 // where there are others.
 func (s *Server) replaceBackups() bool {
 	s.leadership.EndWrites()
-	me := s.acceptor.ID()
+	self := s.acceptor.ID()
 	for deadline := time.Now().Add(replaceTimeout); time.Now().Before(deadline); {
 		current := s.acceptor.View()
-		if current.Primary != me || s.leadership.HasDiskFailed() {
+		if current.Primary != self || s.leadership.HasDiskFailed() {
 			return false
 		}
-		s.lead(current, me)
+		s.lead(current, self)
 		next := s.acceptor.View()
 		if s.leadership.IsReady() && s.isPrimary(next) {
 			return true
--- a/internal/controlplane/core/lead.go
+++ b/internal/controlplane/core/lead.go
@@ -19,11 +19,11 @@
 )
 
 // watchPrimary takes over from a primary whose lease has run out.
-func (s *Server) watchPrimary(v view.View, me string) {
+func (s *Server) watchPrimary(v view.View, self string) {
 	s.predecessor = v.Primary
 	if s.acceptor.HasActiveLease() || faultinjection.Disabled("takeover") {
 		// In turns, so that two backups hinder one another rarely.
-		turn := time.Duration(slices.Index(v.Backups(), me))
+		turn := time.Duration(slices.Index(v.Backups(), self))
 		s.nextAttempt = time.Now().Add(turn*100*time.Millisecond + rand.N(100*time.Millisecond))
 		s.finder.PostponeSearch()
 		return
@@ -32,13 +32,13 @@
 	if !s.attemptDue(proposeInterval) {
 		return
 	}
-	if s.decide(v, membership.WithPrimary(v, me), false) {
+	if s.decide(v, membership.WithPrimary(v, self), false) {
 		s.formerPrimary = v.Primary
 	}
 }
 
 // lead takes one step towards being a primary that may answer, or one step of its duties.
-func (s *Server) lead(v view.View, me string) {
+func (s *Server) lead(v view.View, self string) {
 	standing := s.beginLeading(v)
 	primacy, ready, ledSince := standing.Lease, standing.Ready, standing.LedSince
 	switch {
@@ -52,8 +52,8 @@
 	s.finder.PostponeSearch()
 	keep := s.backupsToKeep(v, primacy, ready, ledSince)
 	if !ready || len(keep) < len(v.Backups()) || len(keep) < s.settings.membershipPolicy().BackupCount(v) {
-		if !s.reconcileReplicas(v, me, primacy, keep) {
-			s.changeMembers(v, me, primacy, ledSince) // newcomers may be what is missing
+		if !s.reconcileReplicas(v, self, primacy, keep) {
+			s.changeMembers(v, self, primacy, ledSince) // newcomers may be what is missing
 			return
 		}
 		if s.acceptor.View().Epoch != v.Epoch {
@@ -61,7 +61,7 @@
 		}
 		s.becomeReady(v)
 	}
-	s.changeMembers(v, me, primacy, ledSince)
+	s.changeMembers(v, self, primacy, ledSince)
 	s.sweep()
 }
 
--- a/internal/controlplane/core/members.go
+++ b/internal/controlplane/core/members.go
@@ -33,14 +33,14 @@
 }
 
 // changeMembers changes the members by one step where that is due.
-func (s *Server) changeMembers(v view.View, me string, primacy *lease.Lease, ledSince time.Time) {
+func (s *Server) changeMembers(v view.View, self string, primacy *lease.Lease, ledSince time.Time) {
 	if time.Now().Before(s.nextMemberChange) {
 		return
 	}
 	newcomer := s.candidates.Next(v)
 	silence := func(id string) time.Duration {
 		switch id {
-		case me:
+		case self:
 			return 0
 		case s.formerPrimary:
 			return primacy.TimeSinceContact(id, ledSince.Add(-s.settings.LeaseTerm)) // its lease had run out when we took over
--- a/internal/controlplane/core/primary.go
+++ b/internal/controlplane/core/primary.go
@@ -14,15 +14,15 @@
 	if s.leadership.HasDiskFailed() {
 		return
 	}
-	v, me := s.acceptor.View(), s.acceptor.ID()
+	v, self := s.acceptor.View(), s.acceptor.ID()
 	switch {
 	case v.Epoch == 0:
 		s.findFleet()
-	case v.Primary == me:
-		s.lead(v, me)
-	case v.IsBackup(me) || v.HasMember(me) && faultinjection.Disabled("only-holders-lead"):
-		s.watchPrimary(v, me)
-	case v.Addr(me) != s.settings.Addr: // no member, or one that has moved
+	case v.Primary == self:
+		s.lead(v, self)
+	case v.IsBackup(self) || v.HasMember(self) && faultinjection.Disabled("only-holders-lead"):
+		s.watchPrimary(v, self)
+	case v.Addr(self) != s.settings.Addr: // no member, or one that has moved
 		s.join(v)
 	default:
 		s.finder.FindNewerView(v)
--- a/internal/controlplane/core/doubt_test.go
+++ b/internal/controlplane/core/propose_test.go
@@ -67,9 +67,9 @@
 	return cores, v
 }
 
-// A primary asks for a view with another backup and does not learn what came of it. That view may be decided later, and
-// its backup does not hold what the primary would acknowledge with the old one.
-func TestPrimaryEndsItsEpochInDoubt(t *testing.T) {
+// A primary proposes a view with another backup and does not learn the outcome. That view may be chosen later, and its
+// backup does not have what the primary would acknowledge with the old one.
+func TestUnknownOutcomeEndsTheEpoch(t *testing.T) {
 	var lost sync.Map
 	cores, v := idleCores(t, 3, &lost)
 	primary := cores[0]
@@ -80,7 +80,7 @@
 		t.Fatal("a view was chosen by one acceptor of three")
 	}
 	if primary.leadership.IsReady() || primary.leadership.MayLead(v.Epoch) {
-		t.Errorf("the primary takes writes: %v; leads on in epoch %d: %v", primary.leadership.IsReady(), v.Epoch, primary.leadership.MayLead(v.Epoch))
+		t.Errorf("got writes taken %v, epoch %d led on %v; want neither", primary.leadership.IsReady(), v.Epoch, primary.leadership.MayLead(v.Epoch))
 	}
 	lost.Delete("view.pick")
 	// Only the primary itself has accepted that view. A majority without its promise would not tell of it.
@@ -94,22 +94,22 @@
 	}
 	decided := primary.acceptor.View()
 	if decided.Epoch != v.Epoch+1 || !decided.IsBackup(v.Members[2].ID) {
-		t.Errorf("epoch %d was decided with backups %v, not the view that was accepted", decided.Epoch, decided.Backups())
+		t.Errorf("got epoch %d with backups %v, want epoch %d with the backup of the view that was accepted", decided.Epoch, decided.Backups(), v.Epoch+1)
 	}
 	if !primary.leadership.MayLead(decided.Epoch) {
-		t.Error("the primary does not lead the epoch that it has decided")
+		t.Error("the primary may not lead the epoch that it has decided")
 	}
 }
 
 // Where too few acceptors have promised anything, none was asked to accept the view: the primary leads on.
-func TestPrimaryLeadsOnWithoutPromises(t *testing.T) {
+func TestMissingPromisesDoNotEndTheEpoch(t *testing.T) {
 	var lost sync.Map
 	cores, v := idleCores(t, 3, &lost)
 	primary := cores[0]
 	alone := v
 	alone.Members = append(alone.Members[:1:1], view.Member{ID: "x", Addr: "b"}, view.Member{ID: "y", Addr: "c"})
 	if primary.decide(alone, alone, false) {
-		t.Fatal("a view was decided by strangers")
+		t.Fatal("a view was chosen by processes that are no members")
 	}
 	if !primary.leadership.MayLead(v.Epoch) {
 		t.Error("the primary ended its epoch though nobody was asked to accept another view")
