--- a/internal/testing/drill/main.go
+++ b/internal/testing/drill/main.go
@@ -18,14 +18,31 @@
 const usage = `drill rehearses a yarrowridge fleet on this machine. Usage:
 
   drill fleet  [flags]   start a whole fleet with stand-in runners, until interrupted
-  drill load   [flags]   start a fleet and play the mix's origins against it
-  drill hall   [flags]   the same, and take a hall out and bring it back meanwhile
+  drill load   [flags]   start a fleet and play the mix's clients against it
+  drill zone   [flags]   the same, and take a zone out and bring it back meanwhile ("hall" in older versions)
   drill day    [flags]   start a fleet and play a day: traffic, operators, a course of faults drawn from
                          the seed or given by -course, and a closing fault
-  drill layout [flags]   print the mix's example layout
+  drill config [flags]   print the mix's example configuration ("layout" in older versions)
 
 `
 
+// Commands that had another name in older versions, which goes on working.
+const (
+	commandZone   = "zone"
+	commandConfig = "config"
+)
+
+// olderCommands leads from the older names of commands to theirs.
+var olderCommands = map[string]string{"hall": commandZone, "layout": commandConfig}
+
+// canonicalCommand is the name of a command given by that or by an older name.
+func canonicalCommand(name string) string {
+	if current, ok := olderCommands[name]; ok {
+		return current
+	}
+	return name
+}
+
 // printf prints for the person who watches. A line that can't be printed changes nothing: the exit code tells the verdict.
 func printf(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
 
@@ -40,7 +57,7 @@
 		return daemon.ExitUsage
 	}
 	logx.Disable() // httpc logs every call
-	r := &rehearsal{command: args[0], out: out}
+	r := &rehearsal{command: canonicalCommand(args[0]), out: out}
 	if code, done := r.readFlags(args[1:]); done {
 		return code
 	}
@@ -81,7 +98,7 @@
 		load.Run(run)
 		close(done)
 	}()
-	if r.command == "hall" {
+	if r.command == commandZone {
 		f.loseZone(run, r.span, out, load)
 	}
 	<-done
--- a/internal/testing/drill/rehearsal.go
+++ b/internal/testing/drill/rehearsal.go
@@ -55,7 +55,7 @@
 		return daemon.ExitUsage, true
 	}
 	r.mix = mix
-	if r.command == "layout" {
+	if r.command == commandConfig {
 		printf(r.out, "%s", mix.Raw())
 		return daemon.ExitOK, true
 	}
@@ -66,7 +66,7 @@
 	if !r.checkCourse() {
 		return daemon.ExitUsage, true
 	}
-	if r.command != "fleet" && r.command != "load" && r.command != "hall" && r.command != "day" {
+	if r.command != "fleet" && r.command != "load" && r.command != commandZone && r.command != "day" {
 		printf(r.out, "drill: %q is not a command\n\n%s", r.command, usage)
 		return daemon.ExitUsage, true
 	}
