--- a/internal/dataplane/router/drain.go
+++ b/internal/dataplane/router/drain.go
@@ -27,7 +27,7 @@
 	defer cancel()
 	for _, server := range servers {
 		if err := server.Drain(within); err != nil {
-			ctx.Log.Warn("Draining timed out before the requests in flight had ended.", "error", err.Error())
+			ctx.Log.Warn("Drain ended before its requests did.", "error", err.Error())
 		}
 	}
 	for draining := true; draining; {
--- a/internal/dataplane/router/views.go
+++ b/internal/dataplane/router/views.go
@@ -27,7 +27,7 @@
 	Load         int           `json:"load"`
 	QueuedTokens int           `json:"queued_tokens"`
 	Rate         float64       `json:"rate"`
-	Room         int           `json:"room"`
+	Capacity     int           `json:"room"`
 	Report       runner.Report `json:"runner"`
 	Health       string        `json:"standing"`
 }
@@ -35,7 +35,7 @@
 // shareView is this router's share of one tenant's quota in the body of /v1/shares.
 type shareView struct {
 	Free          int `json:"free"`
-	Held          int `json:"held"`
+	Allocated     int `json:"held"`
 	SpentInWindow int `json:"spent_in_window"`
 }
 
@@ -62,14 +62,14 @@
 func (r *Router) runnerViews() []runnerView {
 	views := []runnerView{}
 	for _, instance := range r.Runners.List() {
-		load, room := instance.Load()
+		load, capacity := instance.Load()
 		queued, more := instance.QueuedTokens()
 		_, rate := instance.Estimate(false)
 		health := instance.Health()
 		if health == "" {
 			health = "ready"
 		}
-		views = append(views, runnerView{Report: instance.Report(), Health: health, Load: load, Room: room, QueuedTokens: int(queued + more), Rate: rate})
+		views = append(views, runnerView{Report: instance.Report(), Health: health, Load: load, Capacity: capacity, QueuedTokens: int(queued + more), Rate: rate})
 	}
 	return views
 }
@@ -77,8 +77,8 @@
 func (r *Router) shareViews() map[string]shareView {
 	views := map[string]shareView{}
 	for _, tenant := range r.QuotaShares.Tenants() {
-		held, free, spent := r.QuotaShares.For(tenant).Stats()
-		views[tenant] = shareView{Held: held, Free: free, SpentInWindow: spent}
+		allocated, free, spent := r.QuotaShares.For(tenant).Stats()
+		views[tenant] = shareView{Allocated: allocated, Free: free, SpentInWindow: spent}
 	}
 	return views
 }
--- a/internal/dataplane/router/views_test.go
+++ b/internal/dataplane/router/views_test.go
@@ -19,9 +19,9 @@
 		{statusView{ConfigHash: "ab", Node: node, Stale: true, View: view.View{Epoch: 3}, WhyNotReady: "stale"},
 			map[string]any{"node": node, "layout_sha256": "ab", "stale": true, "why_not_ready": "stale", "view": view.View{Epoch: 3}}},
 		{relaysView{Nodes: []coreapi.Node{node}}, map[string]any{"near": nil, "nodes": []coreapi.Node{node}}},
-		{runnerView{Report: report, Health: "ready", Load: 1, Room: 2, QueuedTokens: 3, Rate: 4.5},
+		{runnerView{Report: report, Health: "ready", Load: 1, Capacity: 2, QueuedTokens: 3, Rate: 4.5},
 			map[string]any{"runner": report, "standing": "ready", "load": 1, "room": 2, "queued_tokens": 3, "rate": 4.5}},
-		{shareView{Free: 1, Held: 2, SpentInWindow: 3}, map[string]any{"held": 2, "free": 1, "spent_in_window": 3}},
+		{shareView{Free: 1, Allocated: 2, SpentInWindow: 3}, map[string]any{"held": 2, "free": 1, "spent_in_window": 3}},
 	} {
 		now, err := json.Marshal(c.now)
 		if err != nil {
--- a/internal/dataplane/router/workreport.go
+++ b/internal/dataplane/router/workreport.go
@@ -11,8 +11,8 @@
 // runnerTTL is how long a runner is remembered whose heartbeats have ended.
 const runnerTTL = time.Minute
 
-// maxSilentReports is how many unchanged reports are left out before one is repeated, so that others know it still holds.
-const maxSilentReports = 3
+// maxSkippedReports is how many unchanged reports are skipped before one is repeated, so that others know it still holds.
+const maxSkippedReports = 3
 
 // workReporter broadcasts this router's own work for the other routers' estimates. Only one goroutine uses it.
 type workReporter struct {
@@ -21,7 +21,7 @@
 	generation uint64
 	version    uint64
 	last       string // the report broadcast last, as text
-	unchanged  int    // reports left out since
+	unchanged  int    // reports skipped since
 }
 
 func newWorkReporter(r *Router) *workReporter {
@@ -40,7 +40,7 @@
 		return
 	}
 	text := fmt.Sprint(work) // maps print in order, so that equal work gives equal text
-	if w.unchanged++; text == w.last && w.unchanged <= maxSilentReports {
+	if w.unchanged++; text == w.last && w.unchanged <= maxSkippedReports {
 		return
 	}
 	w.version, w.last, w.unchanged = w.version+1, text, 0
