--- a/internal/controlplane/core/backups.go
+++ b/internal/controlplane/core/backups.go
@@ -67,7 +67,7 @@
 	return slices.Equal(slices.Sorted(slices.Values(a)), slices.Sorted(slices.Values(b)))
 }
 
-// chooseBackups picks members that answer as backups beside those that are kept, zones that hold no copy yet first. A
+// chooseBackups picks members that answer as backups beside those that are kept, zones that have no replica yet first. A
 // member that failed a while ago, and the former primary, are chosen only where there are not enough others.
 func (s *Server) chooseBackups(v view.View, self string, primacy *lease.Lease, keep []string, count int) []string {
 	used := map[string]bool{s.ctx.Zone: true}
@@ -89,7 +89,7 @@
 }
 
 // wronglyPlacedBackup is a backup in a zone that has another replica, while a member in a zone without one has answered
-// steadily: a backup there outlives the loss of a whole zone.
+// steadily: a backup there outlives the loss of a zone.
 func (s *Server) wronglyPlacedBackup(v view.View, primacy *lease.Lease) string {
 	if !s.leadership.IsReady() || time.Since(s.leadership.ReadySince()) <= minReadyTime {
 		return ""
--- a/internal/controlplane/core/settings.go
+++ b/internal/controlplane/core/settings.go
@@ -9,21 +9,21 @@
 
 // Settings is what a core is told about its place.
 type Settings struct {
-	Addr          string
-	Founders      []string
-	Seeds         []string
-	Bootstrap     bool                // without founders, the seeds found the fleet
-	Losses        int                 // disks that may be lost at once: so many backups hold a write before it is acknowledged
-	AllowNoBackup bool                // no loss is to be borne: a fleet's only member needs no backup
-	MaxMembers    int                 // the most cores that vote; more wait until one is lost
-	LeaseTerm     time.Duration       // lease of the primacy
-	LostAfter     time.Duration       // silence after which a member may be replaced by a newcomer
-	Codec         configuration.Codec // reads the configuration; nil: fleet configurations
+	Addr          string        // where this process listens, as the others reach it
+	Founders      []string      // addresses of the processes that found the fleet
+	Seeds         []string      // addresses at which the fleet is looked for
+	Bootstrap     bool          // without founders, the seeds found the fleet
+	Losses        int           // disks that may be lost at once: so many backups store a write before it is acknowledged; default 1
+	AllowNoBackup bool          // no loss is to be borne: a fleet's only member needs no backup
+	MaxMembers    int           // the most members; further candidates wait until one is lost; default 9
+	LeaseTerm     time.Duration // of the primary's lease; default 1.5 s
+	LostAfter     time.Duration // a member that has not answered for so long may be replaced; default 10 s
 
-	RunnerSilentAfter time.Duration // a runner without a heartbeat for so long is silent
+	Codec             configuration.Codec // reads the configuration; default: fleet configurations
+	RunnerSilentAfter time.Duration       // a runner without a heartbeat for so long is silent; default 4 s
 }
 
-// WithDefaults puts defaults where nothing is set.
+// WithDefaults is the settings with the default of each one that is zero.
 func (s Settings) WithDefaults() Settings {
 	if s.LeaseTerm == 0 {
 		s.LeaseTerm = 1500 * time.Millisecond
