--- a/internal/testing/drill/drain_test.go
+++ b/internal/testing/drill/drain_test.go
@@ -14,7 +14,7 @@
 // once-only request and a waiting request under way that all take longer than half a minute: none of
 // what it has read is dropped.
 func TestLongDrain(t *testing.T) {
-	t.Parallel()
+	takeFleetSlot(t)
 	mix := Trentvale()
 	mix.Config["pools"].(object)["late"] = object{"select": "app=late", "service": "model"}
 	mix.Config["lanes"].(object)["late"] = object{"rank": 5, "patience_ms": 120000, "tenants": []string{"*"}}
--- a/internal/testing/drill/drill_test.go
+++ b/internal/testing/drill/drill_test.go
@@ -39,6 +39,18 @@
 	os.Exit(code)
 }
 
+// fleetSlots bounds how many fleets are up at once: their tests wait for real time most of the while, and hold promises to it.
+var fleetSlots = make(chan struct{}, 3)
+
+// takeFleetSlot lets a test run beside others once it may have a fleet. A test that holds a slot takes no second one, and
+// begins none of its time limits before.
+func takeFleetSlot(t *testing.T) {
+	t.Helper()
+	t.Parallel()
+	fleetSlots <- struct{}{}
+	t.Cleanup(func() { <-fleetSlots })
+}
+
 // up starts a whole fleet of real processes.
 func up(t *testing.T, mix Mix) *Fleet {
 	t.Helper()
@@ -84,8 +96,10 @@
 
 // The whole path in separate processes: found, join, heartbeats, configuration, serve, whole and streamed.
 func TestWholePath(t *testing.T) {
+	t.Parallel()
 	for _, mix := range []Mix{Trentvale(), Tokachi()} {
 		t.Run(mix.Name, func(t *testing.T) {
+			takeFleetSlot(t)
 			f := up(t, mix)
 			l := NewLoad(f, 1, 1)
 			play(l, len(f.Routers))
--- a/internal/testing/drill/fault_test.go
+++ b/internal/testing/drill/fault_test.go
@@ -52,7 +52,8 @@
 
 // A fleet is rolled to a release one wire format up, and back, under load: every process is stopped with
 // a warning and another started in its place, one by one, routers first one way and cores first the other.
-// No request that was read is dropped, and none waits for its neighbours' release.
+// No request that was read is dropped, and none waits for its neighbours' release. It runs beside no other fleet: its
+// restarts follow each other so closely that a starved machine loses requests.
 func TestPlannedRestarts(t *testing.T) {
 	f := up(t, Tokachi())
 	next := t.TempDir()
@@ -102,6 +103,7 @@
 // anything new. The two seconds of the promise are held in simulated time (TestLeavingWord); the
 // bound here leaves room for a slow machine.
 func TestLeavingRunner(t *testing.T) {
+	takeFleetSlot(t)
 	f := up(t, Trentvale())
 	var gone []*Standin
 	var said time.Time
@@ -145,6 +147,7 @@
 // Operators write while the primary is killed, frozen and thawed: no acknowledged config is lost
 // and no version acknowledged twice.
 func TestPrimaryFaults(t *testing.T) {
+	takeFleetSlot(t)
 	f := up(t, Tokachi())
 	ctx, end := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer end()
@@ -233,6 +236,7 @@
 // A primary is frozen until another has acknowledged a config, and asked for the config meanwhile: what it
 // answers in the moment in which it thaws is never the old one. With its lease disabled it is.
 func TestThawedPrimary(t *testing.T) {
+	takeFleetSlot(t)
 	for range 2 {
 		if bounced, old := thaw(t, bin, ""); old > 0 || bounced != 200 {
 			t.Errorf("of 200 reads that met a thawing primary %d were bounced, %d told the old layout", bounced, old)
@@ -313,6 +317,7 @@
 // A tenant's quota over all routers, while routers die and come back: no rolling window of what
 // the runners saw holds more.
 func TestQuotaOverRouters(t *testing.T) {
+	takeFleetSlot(t)
 	mix := Trentvale()
 	const units, window = 24, 3
 	mix.Config["tenants"].(object)["casual"].(object)["quota"] = object{"units": units, "window_s": window}
@@ -366,6 +371,7 @@
 
 // Half of the routers, the primary and the backup die at once; then every process does.
 func TestHardFaults(t *testing.T) {
+	takeFleetSlot(t)
 	f := up(t, Tokachi())
 	under(t, f, 0.7, func(ctx context.Context, l *Load) {
 		p := f.Primary(ctx)
--- a/internal/testing/drill/slow_test.go
+++ b/internal/testing/drill/slow_test.go
@@ -29,6 +29,7 @@
 // Strangers that send slowly take no place from a known tenant and hold up no planned stop; a known
 // tenant's body has its time and no more.
 func TestSlowSenders(t *testing.T) {
+	takeFleetSlot(t)
 	mix := Trentvale()
 	mix.Config["limits"] = object{"open": 4, "body_ms": 1000}
 	f := up(t, mix)
--- a/internal/testing/drill/stream_test.go
+++ b/internal/testing/drill/stream_test.go
@@ -102,6 +102,7 @@
 // Streams through lost clients, routers and runners: resumed at any piece through any router, with
 // no gap, no repeat and no false end, and only by the tenant that owns them.
 func TestStreams(t *testing.T) {
+	takeFleetSlot(t)
 	mix := Trentvale()
 	mix.Config["lanes"].(object)["writeups"].(object)["repeat"] = false
 	f := up(t, mix)
@@ -210,6 +211,7 @@
 // answered alike by every run comes whole, through the understudy or another runner; what is not ends as
 // run-differs.
 func TestStreamsCarryOn(t *testing.T) {
+	takeFleetSlot(t)
 	f := up(t, Tokachi())
 	l := NewLoad(f, 1, 1)
 	k := Kind{Path: "/v1/replies", Tail: 10, Tokens: 300, Stream: true}
