--- a/internal/dataplane/balance/balancer.go
+++ b/internal/dataplane/balance/balancer.go
@@ -1,19 +1,22 @@
-// Package balance chooses the runner of each request: the one that is expected to answer first, judged by
-// what it keeps of the prompt, by the wait that this router measures there, and by its failures.
+// Package balance chooses the runner of each request: the one that is expected to answer first, judged by what it keeps of
+// the prompt, by the wait that this router measures there, and by its failures.
+//
+// A choice (choose.go) lists the candidates, estimates each one's cost (cost.go) and breaks ties at random. The policies
+// that enter are outlier ejection (ejection.go), the stall time-out (stall.go), the prefill rate (prefill.go), low-latency
+// runners (latency.go), the prefix cache (prefix.go), rendezvous hashing (rendezvous.go) and session affinity (session.go,
+// affinity.go). What attempts teach is recorded in attempt.go.
 package balance
 
 import (
-	"math"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"yarrowridge/internal/dataplane/session"
-	"yarrowridge/internal/lib/hashing"
 	"yarrowridge/internal/model/routing"
 )
 
-// Part is one part of a prompt: parts with one id are the same text.
+// PromptPart is one part of a prompt: parts with the same ID are the same text.
 type PromptPart struct {
 	ID     uint64
 	Tokens int
@@ -22,34 +25,36 @@
 // Request is what the choice of a runner depends on.
 type Request struct {
 	Service string
-	Model   string
+	Model   string       // "": any
 	Parts   []PromptPart // of the prompt, in order
 	Input   int          // tokens of the whole prompt
 	Output  int          // the most tokens that may come out
-	Tried   map[int]bool
+	Tried   map[int]bool // runners not to choose, by Runner.Index
 }
 
-// Balancer knows all runners and chooses among them.
+// Balancer knows all runners and chooses among them. All its methods may be called concurrently. Locks are taken in the
+// order Balancer.mu, Runner.mu, those of serviceStats.
 type Balancer struct {
 	zone  string
 	cache *PrefixCache
 
-	// Sessions tells which runners hold sessions' contexts beside their home; the routers share it.
+	// Sessions says which runners keep sessions' contexts beside their affinity target; the routers share it.
 	Sessions *session.Directory
 	recent   *recentSessions
-	added    []*Runner     // that have become ready since the last Rehome; guarded by mu
-	wake     chan struct{} // has one where one was added
+	wake     chan struct{} // holds one value where a runner was added
 
-	mu         sync.Mutex // over changes of the set
-	next       int
-	byID       map[string]*Runner
-	services   map[string]*serviceStats
-	byService  atomic.Pointer[map[string][]*Runner]
-	turn       atomic.Uint64
-	lowLatency atomic.Pointer[lowLatencyRunners]
+	mu       sync.Mutex // guards the fields below, up to services
+	next     int        // Index of the next runner
+	byID     map[string]*Runner
+	added    []*Runner // that have become ready since the last RefreshAffinity
+	services map[string]*serviceStats
+
+	byService  atomic.Pointer[map[string][]*Runner] // replaced by Update, never changed in place
+	turn       atomic.Uint64                        // counts ties
+	lowLatency atomic.Pointer[lowLatencyRunners]    // nil: nothing is known yet
 }
 
-// New makes a balancer of a router in a zone.
+// New makes a balancer for a router in a zone.
 func New(zone string) *Balancer {
 	b := &Balancer{zone: zone, cache: NewPrefixCache(maxPrefixEntries), byID: map[string]*Runner{}, services: map[string]*serviceStats{},
 		Sessions: session.New(maxDirectorySessions), recent: newRecentSessions(maxRecentSessions), wake: make(chan struct{}, 1)}
@@ -60,7 +65,7 @@
 // prefixEntries bounds how many prompt parts a router remembers.
 const maxPrefixEntries = 1 << 16
 
-// Update takes the list of all known runners.
+// Update takes the list of all known runners. What was measured of a runner stays with it while it is on the list.
 func (b *Balancer) Update(list []routing.Runner) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -76,13 +81,7 @@
 			b.next++
 			b.byID[info.ID] = runner
 		}
-		runner.mu.Lock()
-		if info.State == routing.RunnerReady && (runner.since == now || runner.info.State != routing.RunnerReady ||
-			len(info.Models) > len(runner.info.Models)) {
-			b.recordAdded(runner)
-		}
-		runner.info = info
-		runner.mu.Unlock()
+		b.refresh(runner, info, now)
 		if info.State == routing.RunnerGone {
 			gone = append(gone, info.ID)
 		}
@@ -98,93 +97,23 @@
 	b.byService.Store(&services)
 }
 
+// refresh takes what a runner last said of itself. The caller holds b.mu.
+func (b *Balancer) refresh(runner *Runner, info routing.Runner, now time.Time) {
+	runner.mu.Lock()
+	defer runner.mu.Unlock()
+	becameReady := runner.since == now || runner.info.State != routing.RunnerReady || len(info.Models) > len(runner.info.Models)
+	if info.State == routing.RunnerReady && becameReady {
+		b.recordAdded(runner)
+	}
+	runner.info = info
+}
+
 // Runners lists the known runners of a service.
 func (b *Balancer) Runners(service string) []*Runner { return (*b.byService.Load())[service] }
 
-// Misplaced notes that another runner has the address of this one: it is gone.
+// AddressReused records that another runner has the address of this one: it is gone.
 func (b *Balancer) AddressReused(runner *Runner) {
 	runner.mu.Lock()
 	defer runner.mu.Unlock()
 	runner.info.State = routing.RunnerGone
 }
-
-// candidate is a runner that could be sent a request, as one choice sees it.
-type candidate struct {
-	runner  *Runner
-	id      string
-	ready   bool    // as its heartbeats say
-	ejected bool    // only as a last resort
-	wait    float64 // cost without what has to be read, in milliseconds
-	rate    float64 // prompt tokens read in a millisecond
-}
-
-// Choose picks the runner that is expected to answer first and counts the request as sent to it. Nil:
-// there is none that may be sent anything.
-func (b *Balancer) Choose(request Request) *Attempt {
-	now := time.Now()
-	candidates := b.candidates(request, now)
-	key, shared := affinity(request.Parts)
-	first, home := rendezvous(candidates, key)
-	held := b.cache.Match(request.Parts)
-	context := b.session(&request, key, shared)
-	expected := first
-	if context.id != 0 {
-		expected = context.presumedHolder(candidates, first)
-		if context.affinityTarget = home; len(request.Tried) > 0 {
-			context.affinityTarget = b.affinityTarget(request.Service, request.Model, key)
-		}
-	}
-	var best *Runner
-	bestCost, bestRead, equals := math.Inf(1), 0, 0
-	for i := range candidates {
-		c := &candidates[i]
-		kept := held[c.runner.Index]
-		if c.runner == expected || context.isHeldBy(c.id) {
-			kept = max(kept, shared)
-		}
-		read := max(0, request.Input-kept)
-		cost := c.wait + float64(read)/c.rate + rereadCostMsPerToken*float64(max(0, shared-kept))
-		if c.ejected {
-			cost += ejectedCostMs
-		}
-		switch {
-		case cost < bestCost:
-			equals = 1
-		case cost == bestCost:
-			equals++
-		default:
-			continue
-		}
-		// Each of several equals is as likely as the others, so that routers do not all choose the same runner.
-		if equals == 1 || hashing.Mix(b.turn.Add(1))%uint64(equals) == 0 {
-			best, bestCost, bestRead = c.runner, cost, read
-		}
-	}
-	if best == nil {
-		return nil
-	}
-	b.cache.Record(request.Parts, best.Index)
-	attempt := best.begin(bestRead, now)
-	attempt.balancer, attempt.context = b, context
-	return attempt
-}
-
-// candidates are the runners that a request could be sent to.
-func (b *Balancer) candidates(request Request, now time.Time) []candidate {
-	runners := b.Runners(request.Service)
-	out := make([]candidate, 0, len(runners))
-	calm := b.lowLatencyNow(now)
-	for _, runner := range runners {
-		if request.Tried[runner.Index] {
-			continue
-		}
-		runner.mu.Lock()
-		if usable, barred := runner.usable(request.Model, now); usable {
-			wait := runner.waitCost(request, b.zone, now) + runner.eventGapCost(request, calm)
-			out = append(out, candidate{runner: runner, id: runner.info.ID, ready: runner.info.State == routing.RunnerReady,
-				ejected: barred, wait: wait, rate: runner.prefillRate()})
-		}
-		runner.mu.Unlock()
-	}
-	return out
-}
--- a/internal/dataplane/balance/choose_test.go
+++ b/internal/dataplane/balance/choose_test.go
@@ -146,7 +146,7 @@
 		}
 		first, second := pause(), pause()
 		if first < minEjection || second < 2*minEjection {
-			t.Errorf("barred for %s after the first failure, for %s after the second", first, second)
+			t.Errorf("ejected for %s after the first failure, for %s after the second", first, second)
 		}
 		sendTo(b, "life-1", Request{Service: "s", Input: 1_000_000})
 		trial := sendTo(b, "life-0", Request{Service: "s"})
@@ -159,7 +159,7 @@
 	})
 }
 
-// Where every runner is barred, one is chosen all the same.
+// Where every runner is ejected, one is chosen all the same.
 func TestLastResort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balancerOf(readyRunners(3))
@@ -167,7 +167,7 @@
 			sendTo(b, fmt.Sprintf("life-%d", i), Request{Service: "s"}).Failed()
 		}
 		if chosen(b, Request{Service: "s"}) == "" {
-			t.Error("no runner is chosen while all are barred")
+			t.Error("no runner is chosen while all are ejected")
 		}
 	})
 }
--- a/internal/dataplane/balance/prefix.go
+++ b/internal/dataplane/balance/prefix.go
@@ -5,11 +5,11 @@
 	"sync"
 )
 
-// holdersMost is how many runners are remembered for one part of a prompt.
+// maxPrefixRunners is how many runners are remembered for one part of a prompt.
 const maxPrefixRunners = 4
 
 // PrefixCache remembers which runners were lately sent which parts of prompts. It is this router's own
-// guess at what the runners keep: they tell nobody.
+// guess at what the runners keep: they do not report it. Its methods may be called concurrently; mu guards its fields.
 type PrefixCache struct {
 	mu         sync.Mutex
 	maxEntries int
@@ -56,7 +56,7 @@
 	return held
 }
 
-// Note remembers that a runner was sent these parts.
+// Record remembers that a runner was sent these parts.
 func (c *PrefixCache) Record(parts []PromptPart, runner int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,6 +65,7 @@
 	}
 }
 
+// record remembers that a runner was sent one part. The caller holds c.mu.
 func (c *PrefixCache) record(id uint64, runner int) {
 	element := c.entries[id]
 	if element == nil {
--- a/internal/dataplane/balance/rendezvous.go
+++ b/internal/dataplane/balance/rendezvous.go
@@ -21,26 +21,27 @@
 }
 
 // rendezvous picks the usable runner with the highest weight for a key: every router works out the same one, and a change of
-// the set moves only the keys of the runner that came or went. Nil: the key is none, or there is no such runner. home is the
-// ready runner with the highest weight, whatever this router thinks of it.
-func rendezvous(candidates []candidate, key uint64) (first *Runner, home string) {
+// the set moves only the keys of the runner that came or went. Nil: the key is none, or there is no such runner. target is the
+// ready runner with the highest weight, ejected or not.
+func rendezvous(candidates []candidate, key uint64) (first *Runner, target string) {
 	if key == 0 {
 		return nil, ""
 	}
-	var firstWeight, homeWeight uint64
+	var firstWeight, targetWeight uint64
 	for i := range candidates {
 		c := &candidates[i]
 		weight := rendezvousWeight(key, c.id)
-		if c.ready && (home == "" || weight > homeWeight) {
-			home, homeWeight = c.id, weight
+		if c.ready && (target == "" || weight > targetWeight) {
+			target, targetWeight = c.id, weight
 		}
 		if !c.ejected && (first == nil || weight > firstWeight) {
 			first, firstWeight = c.runner, weight
 		}
 	}
-	return first, home
+	return first, target
 }
 
+// rendezvousWeight is the weight of a runner for a key: the same at every router.
 func rendezvousWeight(key uint64, id string) uint64 {
 	hash := fnv.New64a()
 	var word [8]byte
