--- a/internal/dataplane/allow/lengths.go
+++ b/internal/dataplane/allow/lengths.go
@@ -5,24 +5,24 @@
 // LengthRatio is how much of the length asked for responses have lately come to. What is ahead is counted by
 // that, in the same unit as the runners' measured speed: clients ask for the most that they would take, and a
 // piece of a stream may hold several tokens.
-type LengthRatio struct{ runs, asked, received float64 }
+type LengthRatio struct{ responses, asked, received float64 }
 
-// A ratio counts from so many responses on; at so many, older ones fade.
-const ratioLeastRuns, ratioMostRuns = 4, 256
+// A ratio counts from minRatioResponses on; at maxRatioResponses, what was seen is halved so that older ones fade.
+const minRatioResponses, maxRatioResponses = 4, 256
 
 // Add counts a whole response.
 func (r *LengthRatio) Add(asked, came int) {
-	if r.runs >= ratioMostRuns {
-		*r = LengthRatio{r.runs / 2, r.asked / 2, r.received / 2}
+	if r.responses >= maxRatioResponses {
+		*r = LengthRatio{r.responses / 2, r.asked / 2, r.received / 2}
 	}
-	r.runs++
+	r.responses++
 	r.asked += float64(asked)
 	r.received += float64(min(came, asked))
 }
 
 // Share is the part of what is asked for that is likely to come: all, until enough was seen.
 func (r *LengthRatio) Share() float64 {
-	if r.runs < ratioLeastRuns || r.asked <= 0 {
+	if r.responses < minRatioResponses || r.asked <= 0 {
 		return 1
 	}
 	return r.received / r.asked
--- a/internal/dataplane/balance/choose_test.go
+++ b/internal/dataplane/balance/choose_test.go
@@ -192,7 +192,7 @@
 }
 
 // A runner whose heartbeats stopped, or that says nothing on its requests, is a last resort.
-func TestSilentRunners(t *testing.T) {
+func TestStalledRunners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := readyRunners(2)
 		list[0].State = routing.RunnerSilent
@@ -223,7 +223,7 @@
 }
 
 // A runner that says that it is full is left alone for a moment.
-func TestFullRunner(t *testing.T) {
+func TestRejectingRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balancerOf(readyRunners(2))
 		sendTo(b, "life-0", Request{Service: "s"}).Rejected()
--- a/internal/dataplane/balance/fleet_test.go
+++ b/internal/dataplane/balance/fleet_test.go
@@ -40,7 +40,7 @@
 }
 
 // Without a core nothing newer is heard, and a runner that failed elsewhere is tried again after a while.
-func TestOldWordOnFailingRunners(t *testing.T) {
+func TestOldReportOnFailingRunners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := twoRunners()
 		b.SetFailureShares(map[string]float64{"a": 1})
@@ -83,7 +83,7 @@
 
 // An answer of which more comes out than goes in goes to the runners that are calm for all routers, to each of them
 // alike, whatever this router saw of one of them; other answers go where they went.
-func TestLongAnswersGoToCalmRunners(t *testing.T) {
+func TestLongResponsesGoToLowLatencyRunners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New("east")
 		var runners []routing.Runner
@@ -126,7 +126,7 @@
 }
 
 // The pauses between the events of streams are told once.
-func TestPausesAreTold(t *testing.T) {
+func TestGapsAreReportedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := twoRunners()
 		attempt := b.Choose(Request{Service: "s"})
--- a/internal/dataplane/balance/session_test.go
+++ b/internal/dataplane/balance/session_test.go
@@ -106,7 +106,7 @@
 }
 
 // Where nothing deviates nothing is kept or told, and all routers choose alike.
-func TestNothingIsToldOfSessionsAtTheirHome(t *testing.T) {
+func TestSessionsAtTheirTargetAreNotAnnounced(t *testing.T) {
 	f := newSessionFleet(t, 2, "a", "b", "c", "d")
 	served := f.serve(200)
 	if moved := f.moved(1, served); moved > 0 {
@@ -144,7 +144,7 @@
 }
 
 // Before the routers have told each other, the one that served a session does not follow its home away either.
-func TestAddedRunnerBeforeAnythingIsTold(t *testing.T) {
+func TestAddedRunnerBeforeAnyAnnouncement(t *testing.T) {
 	f := newSessionFleet(t, 1, "a", "b", "c", "d")
 	served := f.serve(200)
 	f.runners = append(f.runners, routing.Runner{ID: "e", Service: "s", State: routing.RunnerReady, Zone: "east"})
@@ -186,7 +186,7 @@
 
 // A session that had to leave its home is known by all routers to be at its new runner, also once the old one
 // serves again.
-func TestSessionThatLeftItsHome(t *testing.T) {
+func TestSessionThatLeftItsTarget(t *testing.T) {
 	f := newSessionFleet(t, 3, "a", "b", "c", "d")
 	home := ask(f.routers[0], sessionRequest(1))
 	for _, runner := range f.routers[0].Runners("s") {
--- a/internal/dataplane/balance/stall_test.go
+++ b/internal/dataplane/balance/stall_test.go
@@ -8,7 +8,7 @@
 
 // A service whose runners speak often: one that says nothing is found out soon. A service whose runners read long prompts
 // for other routers: one that keeps silent for as long as others lately did is no silent one.
-func TestPatienceFollowsTheService(t *testing.T) {
+func TestStallTimeoutFollowsTheService(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		usual  time.Duration // between two words of a runner
@@ -42,7 +42,7 @@
 }
 
 // A runner that goes on after it was taken for silent teaches more patience.
-func TestFalseAlarmTeachesPatience(t *testing.T) {
+func TestFalseAlarmRaisesStallTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balancerOf(readyRunners(1))
 		late := sendTo(b, "life-0", Request{Service: "s"})
--- a/internal/dataplane/retry/budget.go
+++ b/internal/dataplane/retry/budget.go
@@ -1,4 +1,4 @@
-// Package retry bounds second attempts at the services of a fleet, so that retries never multiply a trouble.
+// Package retry bounds retries at the services of a fleet, so that retries never multiply a fault.
 package retry
 
 import (
@@ -29,14 +29,14 @@
 	b.services[service] = min(float64(rule.Spare), b.services[service]+rule.Ratio)
 }
 
-// smallest guards the comparison against sums of fractions that miss a whole number by rounding.
-const smallest = 1e-9
+// roundingSlack guards the comparison against sums of fractions that miss a whole number by rounding.
+const roundingSlack = 1e-9
 
 // Take reports whether a second attempt may be made now, and counts it.
 func (b *Budget) Take(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.services[service] < 1-smallest {
+	if b.services[service] < 1-roundingSlack {
 		return false
 	}
 	b.services[service]--
--- a/internal/model/routing/table.go
+++ b/internal/model/routing/table.go
@@ -133,7 +133,7 @@
 // Error joins path and text.
 func (f Flaw) Error() string { return f.Path + ": " + f.Text }
 
-// Repeatable reports whether a request of this route may be run again after it may have run.
+// Idempotent reports whether a request of this route may be sent again after it may have run.
 func (r *Route) Idempotent() bool {
 	return r.Kind == Safe || r.Kind == Streaming && r.Resume
 }
--- a/internal/model/routing/table_test.go
+++ b/internal/model/routing/table_test.go
@@ -189,14 +189,14 @@
 }
 
 // Only safe routes and streams that may be resumed may run again.
-func TestRepeatable(t *testing.T) {
+func TestIdempotent(t *testing.T) {
 	for _, c := range []struct {
 		kind         Kind
 		resume, want bool
 	}{{Safe, false, true}, {Unsafe, false, false}, {Unsafe, true, false}, {Streaming, false, false}, {Streaming, true, true}} {
 		route := Route{RouteSpec: RouteSpec{Kind: c.kind, Resume: c.resume}}
 		if route.Idempotent() != c.want {
-			t.Errorf("kind %d, resume %v: repeatable is %v", c.kind, c.resume, !c.want)
+			t.Errorf("kind %d, resume %v: Idempotent got %v", c.kind, c.resume, !c.want)
 		}
 	}
 }
