--- a/internal/dataplane/retry/budget.go
+++ b/internal/dataplane/retry/budget.go
@@ -5,15 +5,15 @@
 	"sync"
 )
 
-// Rule bounds the second attempts at one service.
+// Rule bounds the retries at one service.
 type Rule struct {
-	Ratio float64 // second attempts that each first attempt earns
-	Spare int     // what this router may keep of earned attempts: its part of the fleet's allowance
+	Ratio float64 // retries that each first attempt earns
+	Spare int     // the most earned retries that this router may keep: its share of the fleet's allowance
 }
 
-// Budget holds the second attempts that this router may make, for each service. Each first attempt earns
-// a part of a second one; what is earned is kept up to Spare and no further. So in any span of time the
-// second attempts of all routers are at most that ratio of the first ones within it, and the allowance.
+// Budget holds the retries that this router may make, for each service. Each first attempt earns a fraction of a retry; what
+// is earned is kept up to Spare and no further. Invariant: in any span of time the retries of all routers are at most Ratio
+// times the first attempts within it, plus the allowance. Its methods may be called concurrently; mu guards the map.
 type Budget struct {
 	mu       sync.Mutex
 	services map[string]float64
@@ -32,7 +32,7 @@
 // roundingSlack guards the comparison against sums of fractions that miss a whole number by rounding.
 const roundingSlack = 1e-9
 
-// Take reports whether a second attempt may be made now, and counts it.
+// Take reports whether a retry may be made now, and counts it.
 func (b *Budget) Take(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
