--- a/internal/testing/sim/quota_test.go
+++ b/internal/testing/sim/quota_test.go
@@ -1,7 +1,10 @@
 package sim_test
 
 import (
+	"context"
+	"fmt"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"yarrowridge/internal/controlplane/coreapi"
@@ -50,3 +53,39 @@
 		}
 	})
 }
+
+// A router is cut off from a runner while a request is on its way. The client leaves, the router gives the request up, and
+// its unit is free again after the window. The runner gets the request after the cut all the same, beside as many as the
+// quota allows by then.
+func TestQuotaOfRequestsHeldBackByACut(t *testing.T) {
+	t.Parallel()
+	const units, window = 3, 5 * time.Second
+	synctest.Test(t, func(t *testing.T) {
+		metered := fmt.Sprintf(`,"metered":{"funded":true,"keys":["%s"],"quota":{"units":%d,"window_s":%d}}`, key("metered"), units, int(window.Seconds()))
+		w := newWhole(t, 1, 1, plainLay(metered), model(64, 10*time.Millisecond))
+		number := uint64(0)
+		send := func(ctx context.Context) got {
+			number++
+			return w.send(ctx, w.full[0], ask{n: number, tenant: "metered", path: "/ask", body: prompt(5)})
+		}
+		time.Sleep(time.Second) // until the router has acquired units
+		if first := send(w.ctx); first.status != 200 {
+			t.Fatalf("got %d %s before the cut, want 200", first.status, first.code)
+		}
+		w.w.Cut(w.full[0].addr, w.runners[0].addr)
+		ctx, cancel := context.WithTimeout(w.ctx, time.Second)
+		send(ctx)
+		cancel()
+		time.Sleep(window + window/2)
+		w.w.Heal()
+		for range units {
+			if response := send(w.ctx); response.status != 200 {
+				t.Errorf("got %d %s after the cut, want 200", response.status, response.code)
+			}
+		}
+		time.Sleep(time.Second)
+		if got := w.rolling("metered", window); got > units {
+			t.Errorf("got %d requests in a window, want at most %d", got, units)
+		}
+	})
+}
