--- a/internal/controlplane/coreapi/heartbeat.go
+++ b/internal/controlplane/coreapi/heartbeat.go
@@ -2,6 +2,7 @@
 
 import (
 	"strconv"
+
 	"yarrowridge/internal/controlplane/view"
 	"yarrowridge/internal/model/routing"
 )
--- a/internal/controlplane/coreapi/heartbeat_gen.go
+++ b/internal/controlplane/coreapi/heartbeat_gen.go
@@ -3,9 +3,9 @@
 package coreapi
 
 import (
-	"yarrowridge/internal/model/routing"
-
 	"github.com/tinylib/msgp/msgp"
+
+	"yarrowridge/internal/model/routing"
 )
 
 // Size limits for msgp deserialization
--- a/internal/controlplane/membership/plan_test.go
+++ b/internal/controlplane/membership/plan_test.go
@@ -4,6 +4,7 @@
 	"slices"
 	"testing"
 	"time"
+
 	"yarrowridge/internal/controlplane/view"
 )
 
--- a/internal/controlplane/quotapool/msgs_gen.go
+++ b/internal/controlplane/quotapool/msgs_gen.go
@@ -3,9 +3,9 @@
 package quotapool
 
 import (
-	"yarrowridge/internal/model/quota"
-
 	"github.com/tinylib/msgp/msgp"
+
+	"yarrowridge/internal/model/quota"
 )
 
 // Size limits for msgp deserialization
--- a/internal/controlplane/replication/messages_gen.go
+++ b/internal/controlplane/replication/messages_gen.go
@@ -3,9 +3,9 @@
 package replication
 
 import (
-	"yarrowridge/internal/controlplane/store"
-
 	"github.com/tinylib/msgp/msgp"
+
+	"yarrowridge/internal/controlplane/store"
 )
 
 // Size limits for msgp deserialization
--- a/internal/dataplane/balance/affinity.go
+++ b/internal/dataplane/balance/affinity.go
@@ -1,6 +1,9 @@
 package balance
 
-import "yarrowridge/internal/model/routing"
+import (
+	"yarrowridge/internal/lib/hashing"
+	"yarrowridge/internal/model/routing"
+)
 
 // Added gives a signal when a runner has become ready: it is time for RefreshAffinity.
 func (b *Balancer) Added() <-chan struct{} { return b.wake }
@@ -49,10 +52,10 @@
 
 // changesTarget reports whether one of the added runners is the session's affinity target rather than its holder.
 func (s *recentSession) changesTarget(added []routing.Runner) bool {
-	weight := rendezvousWeight(s.key, s.holder)
+	weight := hashing.RendezvousWeight(s.key, s.holder)
 	for i := range added {
 		runner := &added[i]
-		if runner.ID != s.holder && runner.Service == s.service && servesModel(runner, s.model) && rendezvousWeight(s.key, runner.ID) > weight {
+		if runner.ID != s.holder && runner.Service == s.service && servesModel(runner, s.model) && hashing.RendezvousWeight(s.key, runner.ID) > weight {
 			return true
 		}
 	}
@@ -71,7 +74,7 @@
 		if !fits {
 			continue
 		}
-		if weight := rendezvousWeight(key, id); best == "" || weight > bestWeight {
+		if weight := hashing.RendezvousWeight(key, id); best == "" || weight > bestWeight {
 			best, bestWeight = id, weight
 		}
 	}
--- a/internal/dataplane/balance/balancer.go
+++ b/internal/dataplane/balance/balancer.go
@@ -62,7 +62,7 @@
 	return b
 }
 
-// prefixEntries bounds how many prompt parts a router remembers.
+// maxPrefixEntries bounds how many prompt parts a router remembers.
 const maxPrefixEntries = 1 << 16
 
 // Update takes the list of all known runners. What was measured of a runner stays with it while it is on the list.
--- a/internal/dataplane/balance/rendezvous.go
+++ b/internal/dataplane/balance/rendezvous.go
@@ -1,8 +1,6 @@
 package balance
 
 import (
-	"hash/fnv"
-
 	"yarrowridge/internal/lib/hashing"
 )
 
@@ -30,7 +28,7 @@
 	var firstWeight, targetWeight uint64
 	for i := range candidates {
 		c := &candidates[i]
-		weight := rendezvousWeight(key, c.id)
+		weight := hashing.RendezvousWeight(key, c.id)
 		if c.ready && (target == "" || weight > targetWeight) {
 			target, targetWeight = c.id, weight
 		}
@@ -40,15 +38,3 @@
 	}
 	return first, target
 }
-
-// rendezvousWeight is the weight of a runner for a key: the same at every router.
-func rendezvousWeight(key uint64, id string) uint64 {
-	hash := fnv.New64a()
-	var word [8]byte
-	for i := range word {
-		word[i] = byte(key >> (8 * i))
-	}
-	hash.Write(word[:])
-	hash.Write([]byte(id))
-	return hashing.Mix(hash.Sum64())
-}
--- a/internal/dataplane/balance/session.go
+++ b/internal/dataplane/balance/session.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"yarrowridge/internal/dataplane/session"
+	"yarrowridge/internal/lib/hashing"
 	"yarrowridge/internal/model/routing"
 )
 
@@ -45,7 +46,7 @@
 
 // sessionID is a session's id in the directory: one text at two services or models is two contexts.
 func sessionID(service, model string, key uint64) uint64 {
-	return rendezvousWeight(key, service+"\x00"+model) | 1 // 0 is no session
+	return hashing.RendezvousWeight(key, service+"\x00"+model) | 1 // 0 is no session
 }
 
 // isHeldBy reports whether the runner is an announced holder of the session.
--- a/internal/dataplane/clientapi/events.go
+++ b/internal/dataplane/clientapi/events.go
@@ -6,6 +6,7 @@
 	"encoding/json"
 	"fmt"
 	"io"
+
 	"yarrowridge/internal/dataplane/streamstore"
 	"yarrowridge/internal/lib/faultinjection"
 )
--- a/internal/dataplane/clientapi/rejection.go
+++ b/internal/dataplane/clientapi/rejection.go
@@ -6,6 +6,7 @@
 	"math"
 	"strconv"
 	"time"
+
 	"yarrowridge/internal/dataplane/request"
 	"yarrowridge/internal/dataplane/runner"
 	"yarrowridge/internal/lib/web"
--- a/internal/dataplane/clientapi/resumable.go
+++ b/internal/dataplane/clientapi/resumable.go
@@ -4,6 +4,7 @@
 	"context"
 	"net/http"
 	"time"
+
 	"yarrowridge/internal/dataplane/runner"
 	"yarrowridge/internal/dataplane/streamstore"
 )
--- a/internal/dataplane/clientapi/takeover.go
+++ b/internal/dataplane/clientapi/takeover.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"net/http"
+
 	"yarrowridge/internal/dataplane/request"
 	"yarrowridge/internal/dataplane/streamstore"
 )
--- a/internal/dataplane/cluster/messages_gen.go
+++ b/internal/dataplane/cluster/messages_gen.go
@@ -3,9 +3,9 @@
 package cluster
 
 import (
-	"yarrowridge/internal/controlplane/coreapi"
-
 	"github.com/tinylib/msgp/msgp"
+
+	"yarrowridge/internal/controlplane/coreapi"
 )
 
 // Size limits for msgp deserialization
--- a/internal/dataplane/place/choose.go
+++ b/internal/dataplane/place/choose.go
@@ -1,6 +1,9 @@
 package place
 
-import "yarrowridge/internal/dataplane/runner"
+import (
+	"yarrowridge/internal/dataplane/runner"
+	"yarrowridge/internal/lib/hashing"
+)
 
 // Candidate is a runner that could take the prompt, as the choice sees it.
 type Candidate struct {
@@ -72,7 +75,7 @@
 		return a.SameZone
 	}
 	if c.hasKey {
-		return RendezvousWeight(c.key, a.Address) > RendezvousWeight(c.key, b.Address)
+		return hashing.RendezvousWeight(c.key, a.Address) > hashing.RendezvousWeight(c.key, b.Address)
 	}
 	if a.Load != b.Load {
 		return a.Load < b.Load
--- a/internal/dataplane/place/place_test.go
+++ b/internal/dataplane/place/place_test.go
@@ -13,6 +13,7 @@
 	"pgregory.net/rapid"
 
 	"yarrowridge/internal/dataplane/runner"
+	"yarrowridge/internal/lib/hashing"
 	"yarrowridge/internal/transport/dissemination"
 )
 
@@ -261,7 +262,7 @@
 	plain := func(keys []uint64, load []int) int {
 		best := 0
 		for i := range load {
-			if RendezvousWeight(keys[0], addr(i)) > RendezvousWeight(keys[0], addr(best)) {
+			if hashing.RendezvousWeight(keys[0], addr(i)) > hashing.RendezvousWeight(keys[0], addr(best)) {
 				best = i
 			}
 		}
--- a/internal/dataplane/place/waiter.go
+++ b/internal/dataplane/place/waiter.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"time"
+
 	"yarrowridge/internal/dataplane/runner"
 )
 
--- a/internal/dataplane/runner/heartbeat.go
+++ b/internal/dataplane/runner/heartbeat.go
@@ -3,9 +3,10 @@
 import (
 	"fmt"
 	"net/netip"
-	"yarrowridge/internal/transport/dissemination"
 
 	"github.com/tidwall/gjson"
+
+	"yarrowridge/internal/transport/dissemination"
 )
 
 // ParseHeartbeat reads a heartbeat and lists everything that is wrong with it.
--- a/internal/dataplane/runner/instance.go
+++ b/internal/dataplane/runner/instance.go
@@ -3,6 +3,7 @@
 import (
 	"sync"
 	"time"
+
 	"yarrowridge/internal/model/fleetconfig"
 )
 
--- a/internal/dataplane/runner/speed.go
+++ b/internal/dataplane/runner/speed.go
@@ -5,6 +5,7 @@
 	"math/bits"
 	"slices"
 	"time"
+
 	"yarrowridge/internal/dataplane/allow"
 )
 
--- a/internal/dataplane/upstream/dial.go
+++ b/internal/dataplane/upstream/dial.go
@@ -4,9 +4,10 @@
 	"context"
 	"net"
 	"net/netip"
-	"yarrowridge/internal/transport/tcp"
 
 	"github.com/rotisserie/eris"
+
+	"yarrowridge/internal/transport/tcp"
 )
 
 // dialTCP dials an IPv4 address given by number. It looks no name up.
--- /dev/null
+++ b/internal/lib/hashing/rendezvous.go
@@ -0,0 +1,17 @@
+package hashing
+
+import (
+	"encoding/binary"
+	"hash/fnv"
+)
+
+// RendezvousWeight is the weight of a node for a key in rendezvous hashing (Thaler and Ravishankar 1998): the node with the
+// highest weight takes the key. All routers have to compute the same, in all versions: it must not change.
+func RendezvousWeight(key uint64, node string) uint64 {
+	hash := fnv.New64a()
+	var word [8]byte
+	binary.LittleEndian.PutUint64(word[:], key)
+	hash.Write(word[:])
+	hash.Write([]byte(node))
+	return Mix(hash.Sum64())
+}
--- a/internal/testing/drill/evidence.go
+++ b/internal/testing/drill/evidence.go
@@ -9,9 +9,10 @@
 	"strings"
 	"sync"
 	"time"
-	"yarrowridge/internal/lib/runloop"
 
 	"github.com/tidwall/gjson"
+
+	"yarrowridge/internal/lib/runloop"
 )
 
 // ConfigWrite is one write of an operator, and what came of it.
--- a/internal/testing/drill/load.go
+++ b/internal/testing/drill/load.go
@@ -15,9 +15,10 @@
 	"sync"
 	"sync/atomic"
 	"time"
-	"yarrowridge/internal/lib/runloop"
 
 	"github.com/tidwall/gjson"
+
+	"yarrowridge/internal/lib/runloop"
 )
 
 // Outcome is one try of an client, as the client saw it.
--- a/internal/testing/drill/operatorcalls.go
+++ b/internal/testing/drill/operatorcalls.go
@@ -6,11 +6,12 @@
 	"io"
 	"net/http"
 	"time"
-	"yarrowridge/internal/lib/runloop"
 
 	"github.com/rotisserie/eris"
 	"github.com/tidwall/gjson"
 	"github.com/zeromicro/go-zero/rest/httpc"
+
+	"yarrowridge/internal/lib/runloop"
 )
 
 // OperatorKey is the operators' key of a rehearsal fleet.
--- a/internal/testing/drill/process.go
+++ b/internal/testing/drill/process.go
@@ -79,13 +79,3 @@
 		return false
 	}
 }
-
-// PID is the process's number; 0 before it was started.
-func (p *Proc) PID() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.cmd == nil || p.cmd.Process == nil {
-		return 0
-	}
-	return p.cmd.Process.Pid
-}
--- a/internal/testing/drill/processfaults.go
+++ b/internal/testing/drill/processfaults.go
@@ -7,6 +7,7 @@
 	"strconv"
 	"syscall"
 	"time"
+
 	"yarrowridge/internal/lib/runloop"
 )
 
--- a/internal/testing/drill/runnerfaults.go
+++ b/internal/testing/drill/runnerfaults.go
@@ -4,6 +4,7 @@
 	"context"
 	"slices"
 	"time"
+
 	"yarrowridge/internal/lib/runloop"
 )
 
--- a/internal/testing/drill/standin.go
+++ b/internal/testing/drill/standin.go
@@ -18,10 +18,11 @@
 	"sync"
 	"sync/atomic"
 	"time"
-	"yarrowridge/internal/lib/runloop"
 
 	"github.com/tidwall/gjson"
 	"github.com/zeromicro/go-zero/rest/httpc"
+
+	"yarrowridge/internal/lib/runloop"
 )
 
 // Standin plays a runner: batches with a rate that falls as the batch fills, a prefix cache,
--- a/internal/transport/wire/traffic.go
+++ b/internal/transport/wire/traffic.go
@@ -34,7 +34,7 @@
 func (c Count) plus(d Count) Count  { return Count{c.Frames + d.Frames, c.Bytes + d.Bytes} }
 func (c Count) minus(d Count) Count { return Count{c.Frames - d.Frames, c.Bytes - d.Bytes} }
 
-// mostKinds bounds how many kinds are counted one by one: a kind comes from a peer, which may be faulty.
+// maxKinds bounds how many kinds are counted one by one: a kind comes from a peer, which may be faulty.
 const maxKinds = 100
 
 // otherKinds is the kind under which those beyond maxKinds are counted together.
