--- a/internal/model/quota/corecontact.go
+++ b/internal/model/quota/corecontact.go
@@ -2,60 +2,62 @@
 
 import "time"
 
-// ContactTTL is how long a holder that hears nothing of the core may go on spending. The core takes back a silent holder's
-// units only after this and a window more.
+// ContactTTL is how long a holder without contact with the core may continue to spend units. The core frees the units of an
+// unreachable holder only after ContactTTL plus a window.
 const ContactTTL = 24 * time.Hour
 
 const (
-	exhaustedBackoff = 30 * time.Millisecond // the core is not asked again for so long once it had too few units
-	scarceTTL        = time.Second           // a limit counts as scarce for so long once the core had too few units
+	exhaustedBackoff = 30 * time.Millisecond // delay between an acquire that got no units and the next one
+	scarceTTL        = time.Second           // how long a limit counts as scarce after an acquire that got no units
 )
 
-// coreContact is what a share knows of the core: when it was last heard of, when it last had too few units, and who waits for
-// its next answer. The share's mutex guards it, except for firstAnswer, which is set once and may be received from freely.
+// coreContact records the last contact with the core and the last time the pool was exhausted, and wakes goroutines that wait
+// for a response. The share's mutex guards it, except for firstResponse: this channel is set once and may be received from
+// without the mutex.
 type coreContact struct {
-	lastContact    time.Time
-	exhaustedUntil time.Time // until then the core is not asked for units: it had too few; zero: it never had
-	lastExhausted  time.Time // when the core, or a list of scarce tenants, last said that units are too few
+	lastContact   time.Time
+	backoffUntil  time.Time // no acquire starts before this time, since the last one got no units; zero: none failed yet
+	lastExhausted time.Time // when an acquire last got no units, or the core last listed the tenant as scarce
 
-	firstAnswer chan struct{} // closed by the core's first answer
-	nextAnswer  chan struct{} // closed by the core's next answer, and replaced
+	firstResponse chan struct{} // closed on the core's first response
+	nextResponse  chan struct{} // closed on the core's next response, then replaced
 }
 
 func newCoreContact(now time.Time) coreContact {
-	return coreContact{lastContact: now, firstAnswer: make(chan struct{}), nextAnswer: make(chan struct{})}
+	return coreContact{lastContact: now, firstResponse: make(chan struct{}), nextResponse: make(chan struct{})}
 }
 
-// isLost reports whether the core was silent for so long that nothing may be spent.
+// isLost reports whether the last contact with the core is so long ago that no units may be spent.
 func (c *coreContact) isLost(now time.Time) bool { return now.Sub(c.lastContact) > ContactTTL }
 
-// backsOff reports whether it is too early to ask the core for units again.
-func (c *coreContact) backsOff(now time.Time) bool { return now.Before(c.exhaustedUntil) }
+// inBackoff reports whether it is too early for another acquire.
+func (c *coreContact) inBackoff(now time.Time) bool { return now.Before(c.backoffUntil) }
 
-// wasExhausted reports whether units were too few at most so long ago.
-func (c *coreContact) wasExhausted(now time.Time, ago time.Duration) bool {
-	return now.Sub(c.lastExhausted) < ago
+// exhaustedWithin reports whether the pool was exhausted, or the tenant listed as scarce, within the span before now.
+func (c *coreContact) exhaustedWithin(now time.Time, span time.Duration) bool {
+	return now.Sub(c.lastExhausted) < span
 }
 
-// hasAnswered reports whether the core has ever answered.
-func (c *coreContact) hasAnswered() bool {
+// hasResponded reports whether the core has ever responded to a transfer.
+func (c *coreContact) hasResponded() bool {
 	select {
-	case <-c.firstAnswer:
+	case <-c.firstResponse:
 		return true
 	default:
 		return false
 	}
 }
 
-// recordAnswer notes an answer of the core, and whether it had too few units, and wakes who waits for one.
-func (c *coreContact) recordAnswer(now time.Time, exhausted bool) {
-	if !c.hasAnswered() {
-		close(c.firstAnswer)
+// recordResponse records a response of the core, and whether it left an acquire without units. It wakes all goroutines that wait
+// for a response.
+func (c *coreContact) recordResponse(now time.Time, exhausted bool) {
+	if !c.hasResponded() {
+		close(c.firstResponse)
 	}
 	if exhausted {
-		c.exhaustedUntil, c.lastExhausted = now.Add(exhaustedBackoff), now
+		c.backoffUntil, c.lastExhausted = now.Add(exhaustedBackoff), now
 	}
 	c.lastContact = now
-	close(c.nextAnswer)
-	c.nextAnswer = make(chan struct{})
+	close(c.nextResponse)
+	c.nextResponse = make(chan struct{})
 }
--- a/internal/model/quota/corecontact_test.go
+++ b/internal/model/quota/corecontact_test.go
@@ -29,8 +29,8 @@
 				if !connected.Load() {
 					return 0, 0, errors.New("partitioned")
 				}
-				held, _ := pool.Acquire("a", transfer.Sequence, transfer.Units, 100)
-				return held, max(100, pool.AllocatedUnits()), nil
+				allocated, _ := pool.Acquire("a", transfer.Sequence, transfer.Units, 100)
+				return allocated, max(100, pool.AllocatedUnits()), nil
 			},
 			Nodes: func() int { return 1 }, ScarceTenants: func() []string { return nil },
 			Rules:     func() []Rule { return []Rule{{"t", 100, 10 * time.Second}} },
@@ -59,37 +59,37 @@
 }
 
 // An answer wakes who waits for one, and one with too few units keeps the share from asking again at once.
-func TestRecordAnswer(t *testing.T) {
+func TestRecordResponse(t *testing.T) {
 	start := time.Unix(0, 0)
 	contact := newCoreContact(start)
-	if contact.hasAnswered() || contact.backsOff(start) || contact.isLost(start.Add(ContactTTL)) {
+	if contact.hasResponded() || contact.inBackoff(start) || contact.isLost(start.Add(ContactTTL)) {
 		t.Fatalf("new contact: got %+v, want neither an answer nor a backoff nor a loss", contact)
 	}
 	if !contact.isLost(start.Add(ContactTTL + 1)) {
 		t.Error("isLost after the TTL: got false, want true")
 	}
-	next := contact.nextAnswer
-	contact.recordAnswer(start.Add(time.Second), false)
+	next := contact.nextResponse
+	contact.recordResponse(start.Add(time.Second), false)
 	select {
 	case <-next:
 	default:
 		t.Error("nextAnswer after an answer: got open, want closed")
 	}
-	if !contact.hasAnswered() || contact.backsOff(start.Add(time.Second)) || contact.isLost(start.Add(time.Second+ContactTTL)) {
+	if !contact.hasResponded() || contact.inBackoff(start.Add(time.Second)) || contact.isLost(start.Add(time.Second+ContactTTL)) {
 		t.Errorf("after an answer: got %+v, want contact and no backoff", contact)
 	}
 	exhaustedAt := start.Add(2 * time.Second)
-	contact.recordAnswer(exhaustedAt, true)
+	contact.recordResponse(exhaustedAt, true)
 	for _, test := range []struct {
-		after         time.Duration
-		backsOff, was bool
+		after                time.Duration
+		inBackoff, exhausted bool
 	}{{0, true, true}, {exhaustedBackoff - 1, true, true}, {exhaustedBackoff, false, true}, {time.Second - 1, false, true}, {time.Second, false, false}} {
 		now := exhaustedAt.Add(test.after)
-		if got := contact.backsOff(now); got != test.backsOff {
-			t.Errorf("backsOff %s after too few units: got %v, want %v", test.after, got, test.backsOff)
+		if got := contact.inBackoff(now); got != test.inBackoff {
+			t.Errorf("backsOff %s after too few units: got %v, want %v", test.after, got, test.inBackoff)
 		}
-		if got := contact.wasExhausted(now, time.Second); got != test.was {
-			t.Errorf("wasExhausted %s after too few units: got %v, want %v", test.after, got, test.was)
+		if got := contact.exhaustedWithin(now, time.Second); got != test.exhausted {
+			t.Errorf("wasExhausted %s after too few units: got %v, want %v", test.after, got, test.exhausted)
 		}
 	}
 }
--- a/internal/model/quota/demand.go
+++ b/internal/model/quota/demand.go
@@ -3,20 +3,20 @@
 import "slices"
 
 const (
-	maxWaitingCosts   = 64  // how many costs an acquire lists one by one
-	averageCostWeight = 0.1 // of the newest cost in the moving average
+	maxWaitingCosts   = 64  // maximum number of costs that an acquire lists
+	averageCostWeight = 0.1 // weight of the newest cost in the moving average
 )
 
-// demand estimates how many units the requests at one share want. The share's mutex guards it.
+// demand tracks how many units the requests at one share need. The share's mutex guards it.
 type demand struct {
-	unmetCost    int     // the largest cost that was lately rejected; 0 once the core has answered
+	unmetCost    int     // largest cost rejected since the core's last response; 0 if none
 	waitingUnits int     // sum of waitingCosts
-	waitingCosts []int   // of the requests that wait for units now, in the order in which they came
-	uneven       bool    // some request cost more than a unit
-	averageCost  float64 // moving average; 0: no request yet
+	waitingCosts []int   // costs of the requests that wait for units, in order of arrival
+	uneven       bool    // whether any request so far cost more than one unit
+	averageCost  float64 // moving average; 0 before the first request
 }
 
-// observe counts a request's cost.
+// observe updates the statistics with a request's cost.
 func (d *demand) observe(cost int) {
 	d.uneven = d.uneven || cost > 1
 	if d.averageCost == 0 {
@@ -25,39 +25,41 @@
 	d.averageCost += averageCostWeight * (float64(cost) - d.averageCost)
 }
 
-// reject notes that there were too few units for a cost.
-func (d *demand) reject(cost int) { d.unmetCost = max(d.unmetCost, cost) }
+// recordRejection records that there were too few free units for a request of this cost.
+func (d *demand) recordRejection(cost int) { d.unmetCost = max(d.unmetCost, cost) }
 
-// enqueue counts a request that waits for units.
+// enqueue adds a waiting request. A request that costs nothing does not wait.
 func (d *demand) enqueue(cost int) {
 	if cost == 0 {
-		d.forgetUnmet()
+		d.clearUnmetCost()
 		return
 	}
 	d.waitingUnits += cost
 	d.waitingCosts = append(d.waitingCosts, cost)
 }
 
-// dequeue counts a request of this cost as waiting no longer.
+// dequeue removes one waiting request of this cost.
 func (d *demand) dequeue(cost int) {
 	d.waitingUnits -= cost
 	if index := slices.Index(d.waitingCosts, cost); index >= 0 {
 		d.waitingCosts = slices.Delete(d.waitingCosts, index, index+1)
 	}
-	d.forgetUnmet()
+	d.clearUnmetCost()
 }
 
-// forgetUnmet forgets a rejected uneven cost once nobody waits: its units would lie idle here.
-func (d *demand) forgetUnmet() {
+// clearUnmetCost clears the rejected cost if costs are uneven and no request waits: units acquired for it would be idle here.
+func (d *demand) clearUnmetCost() {
 	if d.uneven && d.waitingUnits == 0 {
 		d.unmetCost = 0
 	}
 }
 
-// wanted is how many units requests want at once.
-func (d *demand) wanted() int { return max(d.unmetCost, d.waitingUnits) }
+// requiredUnits returns how many free units are needed now: for all waiting requests, or for the largest rejected one if that
+// is more.
+func (d *demand) requiredUnits() int { return max(d.unmetCost, d.waitingUnits) }
 
-// unevenCosts lists the first costs that wait; nil where each costs a unit.
+// unevenCosts returns the costs of the first waiting requests, at most maxWaitingCosts; nil if all requests so far cost one
+// unit.
 func (d *demand) unevenCosts() []int {
 	if !d.uneven {
 		return nil
--- a/internal/model/quota/demand_test.go
+++ b/internal/model/quota/demand_test.go
@@ -13,12 +13,12 @@
 	var d demand
 	check := func(step string, want state) {
 		t.Helper()
-		if got := d.unevenCosts(); d.wanted() != want.wanted || !slices.Equal(got, want.costs) {
-			t.Errorf("%s: got %d wanted and costs %v, want %d and %v", step, d.wanted(), got, want.wanted, want.costs)
+		if got := d.unevenCosts(); d.requiredUnits() != want.wanted || !slices.Equal(got, want.costs) {
+			t.Errorf("%s: got %d wanted and costs %v, want %d and %v", step, d.requiredUnits(), got, want.wanted, want.costs)
 		}
 	}
 	d.observe(1)
-	d.reject(1)
+	d.recordRejection(1)
 	d.enqueue(1)
 	d.enqueue(1)
 	check("two requests of a unit wait", state{2, nil})
@@ -26,7 +26,7 @@
 	d.dequeue(1)
 	check("a rejected unit is still wanted", state{1, nil})
 	d.observe(30)
-	d.reject(30)
+	d.recordRejection(30)
 	d.enqueue(30)
 	d.enqueue(5)
 	check("uneven requests wait", state{35, []int{30, 5}})
@@ -34,7 +34,7 @@
 	check("the small one waits no longer", state{30, []int{30}})
 	d.dequeue(30)
 	check("uneven costs that nobody waits for are not wanted", state{0, nil})
-	d.reject(30)
+	d.recordRejection(30)
 	d.enqueue(0)
 	check("a request without cost waits for nothing", state{0, nil})
 }
--- a/internal/model/quota/entitlement_test.go
+++ b/internal/model/quota/entitlement_test.go
@@ -41,8 +41,8 @@
 			share := NewShare()
 			share.SetLimit(high, time.Minute)
 			if sequence, _, ok := share.NextAcquire(1); ok {
-				held, _ := pool.Acquire(string(rune('a'+i)), sequence, rapid.IntRange(0, high).Draw(rt, "units"), high)
-				share.Apply(sequence, held, max(high, pool.AllocatedUnits()))
+				allocated, _ := pool.Acquire(string(rune('a'+i)), sequence, rapid.IntRange(0, high).Draw(rt, "units"), high)
+				share.Apply(sequence, allocated, max(high, pool.AllocatedUnits()))
 			}
 			shares = append(shares, share)
 		}
--- a/internal/model/quota/idleunits.go
+++ b/internal/model/quota/idleunits.go
@@ -2,70 +2,71 @@
 
 import "time"
 
-// How many idle units a share keeps at hand, so that units lie idle nowhere while another holder needs them. An equal
-// share is the limit divided by the number of nodes.
+// These constants determine how many idle units a share keeps for the next requests. They are low enough that few units are
+// idle at one holder while another needs them. An equal share is the limit divided by the number of nodes.
 const (
-	firstShareDivisor = 4                      // a share without units asks for a fourth of an equal share
-	smallShareUnits   = 2                      // from an equal share of so many units on, each node keeps some idle
-	idleSpan          = 300 * time.Millisecond // what is spent in so long is kept at hand
-	minIdle           = 2                      // and this, where an equal share is large enough
+	firstAcquireDivisor = 4                      // a share without units acquires an equal share divided by this
+	smallShareUnits     = 2                      // if an equal share has at least so many units, each node keeps some idle
+	idleSpan            = 300 * time.Millisecond // a share keeps the units that it spends on average in this time
+	minIdle             = 2                      // minimum of idle units to keep, unless the limit is small
 
-	// Where costs are uneven and the limit is not scarce, a share keeps a few requests' worth at hand, up to an eighth of
-	// an equal share: while no core answers, requests that find units here need not wait for one.
+	// If costs are uneven and the limit is not scarce, a share keeps enough for a few requests of average cost, up to an eighth
+	// of an equal share, so that these requests need not wait for a core that does not respond.
 	unevenIdleRequests = 2
 	unevenShareDivisor = 8
-	unevenIdleSpan     = time.Second // and what is spent in so long
+	unevenIdleSpan     = time.Second // takes the place of idleSpan
 )
 
-// IsSmall reports whether a limit is too small for each node to keep a unit idle. With an unknown number of nodes (0) it
-// counts as small.
+// IsSmall reports whether a limit is too small for each node to keep idle units. If the number of nodes is unknown (0), every
+// limit counts as small.
 func IsSmall(limit, nodes int) bool { return nodes == 0 || limit < smallShareUnits*nodes }
 
-// wantedIdle is how many units should be at hand: those that requests want now, and some for the next ones. Where equal
-// shares are smaller than a few units, a share that spends nothing holds none: they would lie idle everywhere. The same
-// holds while the fleet is not known (nodes is 0): after a restart of all, each node would ask for units of every tenant.
-// The caller holds the mutex and has expired the window.
-func (s *Share) wantedIdle(now time.Time, nodes int) int {
-	wanted, limit := s.demand.wanted(), s.entitlement.limit
+// targetIdle returns how many idle units the share should have: those that requests need now, and some for the next requests.
+// If the limit is small, a share that spends nothing keeps none, since otherwise most units would be idle at some node. The same
+// applies while the number of nodes is unknown (0), since otherwise each node would acquire units of every tenant after a
+// restart of the whole fleet. The caller must hold the mutex and have expired the window.
+func (s *Share) targetIdle(now time.Time, nodes int) int {
+	required, limit := s.demand.requiredUnits(), s.entitlement.limit
 	if s.entitlement.units == 0 && s.window.spent == 0 {
 		if nodes == 0 {
-			return wanted
+			return required
 		}
-		return max(wanted, limit/(firstShareDivisor*nodes))
+		return max(required, limit/(firstAcquireDivisor*nodes))
 	}
-	least := minIdle
+	minimum := minIdle
 	if IsSmall(limit, nodes) {
-		if least = 0; s.isScarce(now) {
-			return wanted // others wait for what would lie idle here
+		if minimum = 0; s.isScarce(now) {
+			return required // requests at other nodes wait for any unit that is idle here
 		}
 	}
 	span := idleSpan
 	if s.demand.uneven && nodes > 0 && !s.isScarce(now) {
 		span = unevenIdleSpan
-		least = max(least, min(int(unevenIdleRequests*s.demand.averageCost), limit/(unevenShareDivisor*nodes)))
+		minimum = max(minimum, min(int(unevenIdleRequests*s.demand.averageCost), limit/(unevenShareDivisor*nodes)))
 	}
 	spentInSpan := float64(s.window.spent) * float64(span) / float64(max(s.window.length, span))
-	return max(least, wanted, int(spentInSpan+0.999))
+	return max(minimum, required, int(spentInSpan+0.999))
 }
 
-// isScarce reports whether units were too few lately: within a window where costs are even, since units come back with it.
-// Uneven ones come back all the time. The caller holds the mutex.
+// isScarce reports whether the pool was exhausted lately. If every request costs one unit, this means within the last window,
+// after which the units spent in it are free again. If costs are uneven, units become free all the time, and scarceTTL applies.
+// The caller must hold the mutex.
 func (s *Share) isScarce(now time.Time) bool {
 	if s.demand.uneven {
-		return s.contact.wasExhausted(now, scarceTTL)
+		return s.contact.exhaustedWithin(now, scarceTTL)
 	}
-	return s.contact.wasExhausted(now, s.window.length)
+	return s.contact.exhaustedWithin(now, s.window.length)
 }
 
-// returnable is how many units go back to the pool: of those that are idle, more if they are scarce in the fleet, and in
-// any case those above what may be in use. The caller holds the mutex and has expired the window.
+// returnable returns how many idle units to return to the pool: more of them if units are scarce in the fleet, and in any case
+// those that exceed the usable units. The caller must hold the mutex and have expired the window.
 func (s *Share) returnable(now time.Time, scarce bool, nodes int) int {
 	idle := s.entitlement.units - s.window.inUse()
 	units := 0
-	if wanted := s.wantedIdle(now, nodes); scarce {
+	if target := s.targetIdle(now, nodes); scarce {
 		units = s.returnableScarce(idle, nodes)
-	} else if idle > 2*wanted {
-		units = idle - wanted
+	} else if idle > 2*target {
+		units = idle - target
 	}
 	if excess := s.entitlement.units - s.entitlement.usable(); excess > units {
 		units = min(excess, idle)
@@ -73,11 +74,11 @@
 	return units
 }
 
-// returnableScarce is how many of the idle units go back while they are scarce in the fleet.
+// returnableScarce returns how many of the idle units to return while units are scarce in the fleet.
 func (s *Share) returnableScarce(idle, nodes int) int {
 	switch {
 	case IsSmall(s.entitlement.limit, nodes) || s.demand.uneven:
-		return idle - s.demand.wanted() // too few to be kept: all that is idle is wanted elsewhere
+		return idle - s.demand.requiredUnits() // other nodes need every unit that is not required here
 	case s.window.spent == 0 && s.demand.unmetCost == 0:
 		return (idle + 1) / 2
 	}
--- a/internal/model/quota/idleunits_test.go
+++ b/internal/model/quota/idleunits_test.go
@@ -18,8 +18,8 @@
 			if !ok {
 				return 0
 			}
-			held, _, _ := share.Stats()
-			share.Apply(sequence, held+units, limit)
+			allocated, _, _ := share.Stats()
+			share.Apply(sequence, allocated+units, limit)
 			return units
 		}
 		acquire()
@@ -28,8 +28,8 @@
 			reserveAndCommit(t, share, cost)
 			acquire()
 			if sequence, _, ok := share.NextReturn(false, nodes); ok {
-				held, _, _ := share.Stats()
-				share.Apply(sequence, held, limit)
+				allocated, _, _ := share.Stats()
+				share.Apply(sequence, allocated, limit)
 			}
 		}
 		if _, free, _ := share.Stats(); free < cost || free > limit/nodes {
@@ -39,8 +39,8 @@
 		if !ok {
 			t.Fatal("NextReturn though units are scarce: got no transfer, want one")
 		}
-		held, free, _ := share.Stats()
-		share.Apply(sequence, held, limit)
+		allocated, free, _ := share.Stats()
+		share.Apply(sequence, allocated, limit)
 		if free != 0 {
 			t.Errorf("units kept though they are scarce: got %d, want 0", free)
 		}
--- a/internal/model/quota/msgs.go
+++ b/internal/model/quota/msgs.go
@@ -2,16 +2,17 @@
 
 //go:generate go tool msgp -tests=false -io=false
 
-// A length read from the wire is believed up to this only.
+// Maximum lengths of arrays and maps that a decoder accepts from the wire.
 //msgp:limit arrays:10000000 maps:200000
 
-// Allocation is what one holder has of a tenant's units, and the number of the last transfer that was applied to it.
+// Allocation holds the units of one tenant's limit that are allocated to one holder, and the sequence number of the last
+// transfer applied to it.
 type Allocation struct {
 	Units    int    `msg:"u"`
 	Sequence uint64 `msg:"t"`
 }
 
-// Charge is an amount of the tolerance that was used. It counts until no window holds both a spend that it stands for and a
+// Charge is an amount of the tolerance that was used. It counts until no window can contain both a spend that it covers and a
 // later one.
 type Charge struct {
 	ID    uint64 `msg:"i"`
--- a/internal/model/quota/pool_test.go
+++ b/internal/model/quota/pool_test.go
@@ -10,7 +10,7 @@
 		name        string
 		sequence    uint64
 		units       int
-		giveBack    bool
+		isReturn    bool
 		wantUnits   int
 		wantChanged bool
 	}{
@@ -26,7 +26,7 @@
 	}
 	for _, step := range steps {
 		apply := func() (int, bool) { return pool.Acquire("a", step.sequence, step.units, limit) }
-		if step.giveBack {
+		if step.isReturn {
 			apply = func() (int, bool) { return pool.Return("a", step.sequence, step.units) }
 		}
 		if units, changed := apply(); units != step.wantUnits || changed != step.wantChanged {
--- a/internal/model/quota/share.go
+++ b/internal/model/quota/share.go
@@ -7,9 +7,10 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// Share is what a router holds of one tenant's limit. All methods may be called concurrently; none blocks.
+// Share is the part of one tenant's limit that is allocated to this router. All methods may be called concurrently; none
+// blocks.
 type Share struct {
-	mu          sync.Mutex // guards all below
+	mu          sync.Mutex // guards all fields below
 	entitlement entitlement
 	window      tokenWindow
 	contact     coreContact
@@ -17,15 +18,15 @@
 	transfers   transferSequence
 }
 
-// NewShare makes a share without units.
+// NewShare returns a share to which no units are allocated yet.
 func NewShare() *Share { return newShare(Margin) }
 
 func newShare(margin time.Duration) *Share {
 	return &Share{window: tokenWindow{margin: margin}, contact: newCoreContact(time.Now())}
 }
 
-// SetLimit sets the tenant's limit as configured now: units in any window. A lowered limit shrinks at once what may be
-// spent here, in proportion.
+// SetLimit sets the tenant's configured limit: the units that may be spent in any window. A lowered limit takes effect at
+// once: the usable units of this share shrink in proportion.
 func (s *Share) SetLimit(units int, window time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,39 +34,40 @@
 	s.window.setLength(window)
 }
 
-// free is how many units may be reserved now; below 0 under a lowered limit. The caller holds the mutex.
+// free returns how many units may be reserved now. It is negative if the limit was lowered below the units in use. The caller
+// must hold the mutex.
 func (s *Share) free(now time.Time) int {
 	s.window.expire(now)
 	return s.entitlement.usable() - s.window.inUse()
 }
 
-// How long a request is told to stay away that found too few units here.
+// Bounds of the retry delay of a rejected request.
 const (
-	minRetryAfter    = 300 * time.Millisecond // others hear that units are wanted, and return idle ones
-	maxRetryAfter    = time.Second            // and units spent elsewhere come back at any time
-	lostContactRetry = time.Minute            // nothing is spent here before the core is heard again
+	minRetryAfter         = 300 * time.Millisecond // enough for other routers to learn of the shortage and return idle units
+	maxRetryAfter         = time.Second            // units that other routers spent may be free again at any time
+	lostContactRetryAfter = time.Minute            // no units can be spent before contact with the core is restored
 )
 
-// Reserve reserves units for a request that was admitted; Commit or Cancel must follow. Where there are too few it reports
-// false, and the time after which to ask again.
+// Reserve reserves units for a request; if it succeeds, Commit or Cancel must follow. If there are too few free units, it
+// returns false and the delay after which to retry.
 func (s *Share) Reserve(units int) (ok bool, retryAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	s.demand.observe(units)
 	if s.contact.isLost(now) {
-		return false, lostContactRetry
+		return false, lostContactRetryAfter
 	}
 	if s.free(now) < units && !faultinjection.Disabled("quota") {
-		s.demand.reject(units)
+		s.demand.recordRejection(units)
 		return false, s.retryAfter(units, now)
 	}
 	s.window.reserved += units
 	return true, 0
 }
 
-// retryAfter is when to ask again for units: once units spent here are back, or when others may have returned some. The
-// caller holds the mutex and has expired the window.
+// retryAfter returns the delay after which to retry a rejected reservation: until units committed here are released, or until
+// other routers may have returned some. The caller must hold the mutex and have expired the window.
 func (s *Share) retryAfter(units int, now time.Time) time.Duration {
 	release, ok := s.window.untilRelease(now)
 	if !ok || s.entitlement.units < units {
@@ -74,79 +76,82 @@
 	return min(maxRetryAfter, max(minRetryAfter, release))
 }
 
-// Commit turns reserved units into spent ones: the request leaves for a runner now.
+// Commit turns reserved units into committed ones. It is called when the request is sent to a runner.
 func (s *Share) Commit(units int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.window.commit(units, time.Now())
 }
 
-// Cancel ends a reservation unspent.
+// Cancel releases reserved units without spending them.
 func (s *Share) Cancel(units int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.window.reserved -= units
 }
 
-// Enqueue counts units that a request waits for: an acquire asks for as many as all of them need. Dequeue must follow.
+// Enqueue adds the units that a request waits for to the demand: an acquire requests units for all waiting requests. Dequeue
+// must follow.
 func (s *Share) Enqueue(units int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.demand.enqueue(units)
 }
 
-// Dequeue counts units as waited for no longer.
+// Dequeue removes the units of a request that waits no longer from the demand.
 func (s *Share) Dequeue(units int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.demand.dequeue(units)
 }
 
-// WaitingCosts lists what the requests cost that wait now, in the order in which they came; nil where each costs a unit.
+// WaitingCosts returns the costs of the waiting requests in order of arrival, at most maxWaitingCosts of them; nil if all
+// requests so far cost one unit.
 func (s *Share) WaitingCosts() []int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.demand.unevenCosts()
 }
 
-// TransferInFlight reports whether the core has been asked and has not answered yet.
+// TransferInFlight reports whether a transfer was started to which the core has not responded yet.
 func (s *Share) TransferInFlight() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.transfers.inFlight
 }
 
-// Unanswered reports whether the core was asked for units and has not answered, and had enough of them when it last did: that
-// there are too few here says nothing of the limit.
+// Unanswered reports whether an acquire is in flight and the pool was not exhausted lately. Then it is unknown whether the
+// limit is spent, even if this share has too few units.
 func (s *Share) Unanswered() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.transfers.inFlight && s.transfers.acquiring && !s.contact.wasExhausted(time.Now(), scarceTTL)
+	return s.transfers.inFlight && s.transfers.acquiring && !s.contact.exhaustedWithin(time.Now(), scarceTTL)
 }
 
-// NextAnswer is closed by the core's next answer.
-func (s *Share) NextAnswer() <-chan struct{} {
+// NextResponse returns a channel that is closed on the core's next response.
+func (s *Share) NextResponse() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.contact.nextAnswer
+	return s.contact.nextResponse
 }
 
-// Scarce reports whether the core lately had too few units left.
+// Scarce reports whether the core lately had no units for an acquire (see scarceTTL).
 func (s *Share) Scarce() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.contact.exhaustedUntil.IsZero() && time.Since(s.contact.exhaustedUntil) < scarceTTL
+	return !s.contact.backoffUntil.IsZero() && time.Since(s.contact.backoffUntil) < scarceTTL
 }
 
-// RecordContact notes that the core was heard of.
+// RecordContact records that this router is in contact with the core now.
 func (s *Share) RecordContact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.contact.lastContact = time.Now()
 }
 
-// Stats returns how many units are held, how many may be reserved now, and how many were spent in the window.
-func (s *Share) Stats() (held, free, spent int) {
+// Stats returns how many units are allocated to the share, how many may be reserved now, and how many were committed within
+// the window.
+func (s *Share) Stats() (allocated, free, spent int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	free = s.free(time.Now())
--- a/internal/model/quota/share_benchmark_test.go
+++ b/internal/model/quota/share_benchmark_test.go
@@ -9,7 +9,7 @@
 )
 
 // endlessShare returns a share that never runs out of units within a benchmark.
-func endlessShare(b *testing.B) *Share {
+func unlimitedShare(b *testing.B) *Share {
 	b.Helper()
 	const units = 1 << 40
 	share := NewShare()
@@ -24,7 +24,7 @@
 
 // A request that is admitted and dispatched, with the units committed before coming back meanwhile.
 func BenchmarkReserveCommit(b *testing.B) {
-	share := endlessShare(b)
+	share := unlimitedShare(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		share.Reserve(1)
@@ -34,7 +34,7 @@
 
 // A request that is admitted and ends before its dispatch.
 func BenchmarkReserveCancel(b *testing.B) {
-	share := endlessShare(b)
+	share := unlimitedShare(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		share.Reserve(1)
@@ -44,7 +44,7 @@
 
 // All cores admit requests of one tenant at once.
 func BenchmarkReserveCancelParallel(b *testing.B) {
-	share := endlessShare(b)
+	share := unlimitedShare(b)
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
@@ -57,7 +57,7 @@
 // A request takes its units by way of the tenants' shares, as routers do.
 func BenchmarkSharesReserveCancel(b *testing.B) {
 	shares := NewShares(daemon.Context{Context: b.Context()}, Config{Nodes: func() int { return 1 }})
-	shares.shares["t"] = endlessShare(b)
+	shares.shares["t"] = unlimitedShare(b)
 	ctx := context.Background()
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/model/quota/share_test.go
+++ b/internal/model/quota/share_test.go
@@ -59,8 +59,8 @@
 	case 3:
 		if sequence, units, ok := share.NextReturn(rapid.Bool().Draw(rt, "scarce"), 4); ok {
 			p.pool.Return(holder, sequence, units)
-			held, _ := p.pool.Return(holder, sequence, units)
-			share.Apply(sequence, held, max(p.limit, p.pool.AllocatedUnits()))
+			allocated, _ := p.pool.Return(holder, sequence, units)
+			share.Apply(sequence, allocated, max(p.limit, p.pool.AllocatedUnits()))
 		}
 	case 4, 5, 6:
 		units := rapid.IntRange(1, 4).Draw(rt, "units")
@@ -93,13 +93,13 @@
 	if !ok {
 		return
 	}
-	held, _ := p.pool.Acquire(holder, sequence, units, p.limit)
+	allocated, _ := p.pool.Acquire(holder, sequence, units, p.limit)
 	limitBase := max(p.limit, p.pool.AllocatedUnits())
 	if rapid.Bool().Draw(rt, "lost") {
-		held, _ = p.pool.Acquire(holder, sequence, units, p.limit)
+		allocated, _ = p.pool.Acquire(holder, sequence, units, p.limit)
 		limitBase = max(p.limit, p.pool.AllocatedUnits())
 	}
-	share.Apply(sequence, held, limitBase)
+	share.Apply(sequence, allocated, limitBase)
 }
 
 // In any order of acquires, returns, spends, lost answers and crashes no rolling window over all holders holds more units
@@ -125,13 +125,13 @@
 // A rejected request is told to come back when units spent here are released, or others may have returned some.
 func TestRetryAfter(t *testing.T) {
 	tests := []struct {
-		name   string
-		held   int
-		spent  int // at the start
-		wait   time.Duration
-		window time.Duration
-		cost   int
-		want   time.Duration
+		name      string
+		allocated int
+		spent     int // at the start
+		wait      time.Duration
+		window    time.Duration
+		cost      int
+		want      time.Duration
 	}{
 		{"nothing held", 0, 0, 0, time.Second, 1, minRetryAfter},
 		{"nothing spent here", 2, 0, 0, time.Second, 3, minRetryAfter},
@@ -139,12 +139,12 @@
 		{"units come back after the longest wait", 2, 2, 0, time.Minute, 1, maxRetryAfter},
 		{"units come back soon", 2, 2, 500 * time.Millisecond, time.Second, 1, 500*time.Millisecond + Margin},
 		{"units come back at once", 2, 2, 1200 * time.Millisecond, time.Second, 1, minRetryAfter},
-		{"no contact with the core", 2, 0, ContactTTL + time.Second, time.Second, 1, lostContactRetry},
+		{"no contact with the core", 2, 0, ContactTTL + time.Second, time.Second, 1, lostContactRetryAfter},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				share := shareWith(t, test.held, 10, test.window)
+				share := shareWith(t, test.allocated, 10, test.window)
 				if test.spent > 0 {
 					reserveAndCommit(t, share, test.spent)
 				}
@@ -163,8 +163,8 @@
 		share := shareWith(t, 5, 5, time.Second)
 		check := func(step string, wantFree, wantSpent int) {
 			t.Helper()
-			if held, free, spent := share.Stats(); held != 5 || free != wantFree || spent != wantSpent {
-				t.Errorf("%s: got %d held, %d free, %d spent, want 5, %d, %d", step, held, free, spent, wantFree, wantSpent)
+			if allocated, free, spent := share.Stats(); allocated != 5 || free != wantFree || spent != wantSpent {
+				t.Errorf("%s: got %d held, %d free, %d spent, want 5, %d, %d", step, allocated, free, spent, wantFree, wantSpent)
 			}
 		}
 		check("at first", 5, 0)
--- a/internal/model/quota/shares.go
+++ b/internal/model/quota/shares.go
@@ -8,49 +8,49 @@
 	"yarrowridge/internal/lib/daemon"
 )
 
-// TransferFunc asks the core to apply a transfer, and returns how many units are held after it and their limit base. It may
-// block until the context ends, and is called concurrently for different tenants. After an error the transfer is repeated
-// as it was.
-type TransferFunc func(ctx context.Context, transfer Transfer) (held, limitBase int, err error)
+// TransferFunc sends a transfer to the core and returns the units allocated to the share after it, and their limit base (see
+// Pool.LimitBase). It may block until the context ends, and is called concurrently for different tenants. After an error the
+// same transfer is sent again, unchanged.
+type TransferFunc func(ctx context.Context, transfer Transfer) (allocated, limitBase int, err error)
 
-// Config is what the shares of a router need of the rest of it. All functions may be called concurrently; all but Transfer
-// return at once.
+// Config connects Shares to the rest of the router. All functions may be called concurrently; all except Transfer must not
+// block.
 type Config struct {
 	Transfer      TransferFunc
-	Nodes         func() int      // live nodes; 0: not known yet
-	ScarceTenants func() []string // tenants whose idle units are wanted back
-	Rules         func() []Rule   // the limits of the configuration in force
-	InContact     func() bool     // the core was heard of lately
-	RecentContact func() bool     // the core has answered just now; nil: as InContact
+	Nodes         func() int      // number of live nodes; 0 if not known yet
+	ScarceTenants func() []string // tenants whose idle units should be returned to the pool
+	Rules         func() []Rule   // limits of the current configuration
+	InContact     func() bool     // whether there was contact with the core lately
+	RecentContact func() bool     // a stricter InContact: whether the core is responding now; nil: InContact is used
 
-	// Margin is added to the window before a spent unit counts as back; 0: the constant Margin.
+	// Margin is added to the window before a committed unit can be reserved again; 0: the constant Margin.
 	Margin time.Duration
 }
 
-// Rule is a tenant's limit as configured: units in any window.
+// Rule is a tenant's configured limit: the units that may be spent in any window.
 type Rule struct {
 	Tenant string
 	Units  int
 	Window time.Duration
 }
 
-// Shares are a router's shares of all tenants, and the loop that makes their transfers (Run). All methods may be called
-// concurrently.
+// Shares holds a router's shares of all tenants' limits; Run is the loop that starts their transfers. All methods may be
+// called concurrently.
 type Shares struct {
 	ctx    daemon.Context
 	config Config
-	wakeup chan struct{} // holds one wake-up of the loop
+	wakeup chan struct{} // buffers one wake-up of the loop
 
 	mu     sync.Mutex
 	shares map[string]*Share // by tenant; guarded by mu
 }
 
-// NewShares makes the shares of a router, without units. The loop ends with ctx.
+// NewShares returns a router's shares, to which no units are allocated yet. Run and all transfers end with ctx.
 func NewShares(ctx daemon.Context, config Config) *Shares {
 	return &Shares{ctx: ctx, config: config, wakeup: make(chan struct{}, 1), shares: map[string]*Share{}}
 }
 
-// For returns a tenant's share, and makes it on first use.
+// For returns a tenant's share, creating it on first use.
 func (s *Shares) For(tenant string) *Share {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +66,7 @@
 	return share
 }
 
-// Tenants lists the tenants that have a share here, in no order.
+// Tenants returns the tenants that have a share, in no particular order.
 func (s *Shares) Tenants() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,21 +77,23 @@
 	return tenants
 }
 
-// How long a request waits for units: for the core's first answer about the tenant, or for an acquire.
+// How long a request waits for units: for the core's first response to a transfer of the tenant's units or, after that, for an
+// acquire. Reserve may wait longer if the context has a deadline.
 const (
-	maxFirstAnswerWait = 300 * time.Millisecond
-	maxAcquireWait     = 35 * time.Millisecond
+	maxFirstResponseWait = 300 * time.Millisecond
+	maxAcquireWait       = 35 * time.Millisecond
 )
 
-// Reserve reserves units of a tenant's limit, as Share.Reserve does. Where there are too few here it waits a moment for more
-// from the core; where the context has a deadline, it waits until then for a core that has just fallen silent.
+// Reserve reserves units of a tenant's limit, as Share.Reserve does. If the share has too few free units, Reserve waits briefly
+// for an acquire. If the context has a deadline, it waits until then at most, as long as a transfer is in flight and there was
+// contact with the core lately. So a request can outlast a change of the primary core.
 func (s *Shares) Reserve(ctx context.Context, tenant string, units int) (ok bool, retryAfter time.Duration) {
 	share := s.For(tenant)
 	wait := maxAcquireWait
-	if !share.contact.hasAnswered() {
-		wait = maxFirstAnswerWait
+	if !share.contact.hasResponded() {
+		wait = maxFirstResponseWait
 	}
-	answered := share.NextAnswer() // before reserving: an answer between the two must not be missed
+	nextResponse := share.NextResponse() // before reserving, so that a response between the two calls is not missed
 	ok, retryAfter = share.Reserve(units)
 	if ok || ctx.Err() != nil {
 		return ok, retryAfter
@@ -100,20 +102,20 @@
 	defer timer.Stop()
 	share.Enqueue(units)
 	defer share.Dequeue(units)
-	_, bounded := ctx.Deadline()
+	_, hasDeadline := ctx.Deadline()
 	for expired := false; ; {
 		s.startAcquire(tenant, share)
 		select {
-		case <-answered:
+		case <-nextResponse:
 		case <-time.After(exhaustedBackoff / 2):
 		case <-timer.C:
 			expired = true
 		case <-ctx.Done():
 		}
-		answered = share.NextAnswer()
+		nextResponse = share.NextResponse()
 		ok, retryAfter = share.Reserve(units)
-		outOfTime := expired && !(bounded && share.TransferInFlight() && s.config.InContact())
-		if ok || outOfTime || ctx.Err() != nil {
+		timedOut := expired && !(hasDeadline && share.TransferInFlight() && s.config.InContact())
+		if ok || timedOut || ctx.Err() != nil {
 			return ok, retryAfter
 		}
 	}
--- a/internal/model/quota/shares_test.go
+++ b/internal/model/quota/shares_test.go
@@ -46,21 +46,21 @@
 }
 
 // apply applies a transfer to the pool, which takes five milliseconds.
-func (f *holderFleet) apply(holder string, transfer Transfer) (held, limitBase int, err error) {
+func (f *holderFleet) apply(holder string, transfer Transfer) (allocated, limitBase int, err error) {
 	f.transfers.Add(1)
 	time.Sleep(5 * time.Millisecond)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if transfer.Return {
-		held, _ = f.pool.Return(holder, transfer.Sequence, transfer.Units)
-		return held, max(f.limit, f.pool.AllocatedUnits()), nil
+		allocated, _ = f.pool.Return(holder, transfer.Sequence, transfer.Units)
+		return allocated, max(f.limit, f.pool.AllocatedUnits()), nil
 	}
 	before := f.pool.Allocations[holder].Units
-	held, _ = f.pool.Acquire(holder, transfer.Sequence, transfer.Units, f.limit)
-	if held-before < transfer.Units {
+	allocated, _ = f.pool.Acquire(holder, transfer.Sequence, transfer.Units, f.limit)
+	if allocated-before < transfer.Units {
 		f.scarce.Store(true)
 	}
-	return held, max(f.limit, f.pool.AllocatedUnits()), nil
+	return allocated, max(f.limit, f.pool.AllocatedUnits()), nil
 }
 
 // A fleet with more holders than a tenant has units serves the tenant's requests all the same, wherever they come, while
--- a/internal/model/quota/tokenwindow.go
+++ b/internal/model/quota/tokenwindow.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// Margin is added to the window before a committed unit can be reserved again: it covers the time between the commit here
-// and the runner's first sight of the request.
+// Margin is added to the window before a committed unit can be reserved again. It covers the time from the commit at the router
+// to the arrival of the request at the runner.
 const Margin = 250 * time.Millisecond
 
-// tokenWindow counts the units of one share that are in use: reserved by requests that have not left yet, and committed
-// within the window. Committed units are released by time alone. The share's mutex guards it.
+// tokenWindow counts the units of one share that are in use: reserved for requests that have not been sent to a runner yet, or
+// committed within the window. Committed units are released only by the passage of time. The share's mutex guards it.
 type tokenWindow struct {
 	length    time.Duration
-	margin    time.Duration // on top of length
+	margin    time.Duration // added to length before committed units are released
 	reserved  int
 	committed []commitment // oldest first
 	spent     int          // sum of committed
 }
 
-// commitment is units that left at one time.
+// commitment is a number of units that were committed at the same time.
 type commitment struct {
 	units int
 	at    time.Time
 }
 
-// setLength changes the window's length. It gets no shorter while units are committed: they were counted by the longer one.
+// setLength changes the window's length. While units are committed, the window is not shortened: they were committed under the
+// longer one.
 func (w *tokenWindow) setLength(length time.Duration) {
 	w.length = max(w.length, length)
 	if w.spent == 0 {
@@ -37,7 +38,7 @@
 	w.committed = append(w.committed, commitment{units, now})
 }
 
-// expire releases the units whose window is over.
+// expire releases the committed units whose window and margin are over.
 func (w *tokenWindow) expire(now time.Time) {
 	for len(w.committed) > 0 && now.Sub(w.committed[0].at) > w.length+w.margin {
 		w.spent -= w.committed[0].units
@@ -45,10 +46,10 @@
 	}
 }
 
-// inUse is how many units are reserved or committed, as of the last expire.
+// inUse returns how many units are reserved or committed, as of the last call of expire.
 func (w *tokenWindow) inUse() int { return w.reserved + w.spent }
 
-// untilRelease is how long it takes until the oldest commitment is released; false: there is none.
+// untilRelease returns the time until the oldest commitment is released, or false if there is none.
 func (w *tokenWindow) untilRelease(now time.Time) (time.Duration, bool) {
 	if len(w.committed) == 0 {
 		return 0, false
--- a/internal/model/quota/tolerance.go
+++ b/internal/model/quota/tolerance.go
@@ -6,7 +6,7 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// ChargedUnits is how much of the tolerance was used lately.
+// ChargedUnits returns how many units of the tolerance are in use: the sum of all charges.
 func (p *Pool) ChargedUnits() int {
 	units := 0
 	for _, charge := range p.Charges {
@@ -15,31 +15,32 @@
 	return units
 }
 
-// MaxAllocated is how many units may be allocated under a limit: while some cool, as many again above it, as far as the
-// tolerance has not been used lately.
+// MaxAllocated returns how many units may be allocated and cooling in total. While units cool, as many may be allocated above
+// the limit, up to the tolerance that is not charged.
 func (p *Pool) MaxAllocated(limit, tolerance int) int {
-	left := max(0, tolerance-p.ChargedUnits())
+	remaining := max(0, tolerance-p.ChargedUnits())
 	if faultinjection.Disabled("tolerance-charge") {
-		left = tolerance
+		remaining = tolerance
 	}
-	return min(max(limit, p.AllocatedUnits())+left, limit+p.CoolingUnits())
+	return min(max(limit, p.AllocatedUnits())+remaining, limit+p.CoolingUnits())
 }
 
-// AcquireWithTolerance is Acquire where the tolerance may be used as well: what is allocated above the limit counts as a
-// charge of the given ID, until RemoveCharge. Each unit of it adds one spend at most to the spends under the limit: the
-// next spend of the unit comes when the unit that cooled is free.
-func (p *Pool) AcquireWithTolerance(holder string, sequence uint64, wanted, limit, tolerance int, id uint64) (units int, changed bool) {
+// AcquireWithTolerance is Acquire that may also use the tolerance. Units allocated above the limit are charged to the given
+// charge ID until RemoveCharge. Each such unit adds at most one spend to those under the limit: by the time the unit can be
+// spent again, the cooling unit that it stands in for is free.
+func (p *Pool) AcquireWithTolerance(holder string, sequence uint64, requested, limit, tolerance int, id uint64) (units int, changed bool) {
 	before := p.AllocatedUnits()
-	units, changed = p.Acquire(holder, sequence, wanted, p.MaxAllocated(limit, tolerance))
-	if above := p.AllocatedUnits() - max(limit, before); above > 0 {
-		p.AboveLimit += above
-		p.charge(id, above)
+	units, changed = p.Acquire(holder, sequence, requested, p.MaxAllocated(limit, tolerance))
+	if aboveLimit := p.AllocatedUnits() - max(limit, before); aboveLimit > 0 {
+		p.AboveLimit += aboveLimit
+		p.addToCharge(id, aboveLimit)
 	}
 	return units, changed
 }
 
-// charge adds units to a charge. The slice is replaced, not changed in place: copies of the pool share it.
-func (p *Pool) charge(id uint64, units int) {
+// addToCharge adds units to the charge of this ID, creating it if needed. It replaces the slice because copies of the pool
+// share it.
+func (p *Pool) addToCharge(id uint64, units int) {
 	charges := slices.Clone(p.Charges)
 	index := slices.IndexFunc(charges, func(charge Charge) bool { return charge.ID == id })
 	if index < 0 {
@@ -50,13 +51,13 @@
 	p.Charges = charges
 }
 
-// RemoveCharge ends a charge of the tolerance, once no window holds a spend that it stands for. It reports whether the pool
-// changed.
+// RemoveCharge removes a charge of the tolerance. It must not be called while some window can contain both a spend that the
+// charge covers and a later one. It reports whether the pool changed.
 func (p *Pool) RemoveCharge(id uint64) bool {
 	before := len(p.Charges)
 	p.Charges = slices.DeleteFunc(slices.Clone(p.Charges), func(charge Charge) bool { return charge.ID == id })
 	return len(p.Charges) < before
 }
 
-// releaseAboveLimit counts units that are allocated no longer. Those above the limit go first.
+// releaseAboveLimit updates AboveLimit after units were released: units above the limit are released first.
 func (p *Pool) releaseAboveLimit(units int) { p.AboveLimit = max(0, p.AboveLimit-units) }
--- a/internal/model/quota/tolerance_test.go
+++ b/internal/model/quota/tolerance_test.go
@@ -56,11 +56,11 @@
 		p.runs[name]++
 		p.shares[name] = NewShare()
 	case 9:
-		p.endWhatIsOver()
+		p.expireCoolingAndCharges()
 	case 10:
 		if sequence, units, ok := share.NextReturn(rapid.Bool().Draw(rt, "scarce"), 4); ok {
-			held, _ := p.pool.Return(holder, sequence, units)
-			share.Apply(sequence, held, p.pool.LimitBase(p.limit))
+			allocated, _ := p.pool.Return(holder, sequence, units)
+			share.Apply(sequence, allocated, p.pool.LimitBase(p.limit))
 		}
 	}
 }
@@ -74,15 +74,15 @@
 	}
 	p.lastCharge++
 	p.chargedAt[p.lastCharge] = time.Now()
-	held, _ := p.pool.AcquireWithTolerance(holder, sequence, units, p.limit, p.tolerance, p.lastCharge)
+	allocated, _ := p.pool.AcquireWithTolerance(holder, sequence, units, p.limit, p.tolerance, p.lastCharge)
 	if rapid.Bool().Draw(rt, "lost") {
-		held, _ = p.pool.AcquireWithTolerance(holder, sequence, units, p.limit, p.tolerance, p.lastCharge)
+		allocated, _ = p.pool.AcquireWithTolerance(holder, sequence, units, p.limit, p.tolerance, p.lastCharge)
 	}
-	share.Apply(sequence, held, p.pool.LimitBase(p.limit))
+	share.Apply(sequence, allocated, p.pool.LimitBase(p.limit))
 }
 
 // endWhatIsOver ends the cooling and the charges that have had their time.
-func (p *tolerantPool) endWhatIsOver() {
+func (p *tolerantPool) expireCoolingAndCharges() {
 	for holder, since := range p.coolingSince {
 		if time.Since(since) > p.window+Margin {
 			p.pool.EndCooling(holder)
@@ -179,7 +179,7 @@
 }
 
 // giveBack has a holder return what it has not spent.
-func (f *greedyFleet) giveBack(name string) {
+func (f *greedyFleet) returnIdle(name string) {
 	holder := f.holders[name]
 	idle := holder.units
 	for at, units := range holder.spent {
@@ -217,31 +217,31 @@
 }
 
 // most is the largest sum over any span of so many steps.
-func (f *greedyFleet) most(steps int) int {
-	most := 0
+func (f *greedyFleet) maxInSpan(steps int) int {
+	maxInSpan := 0
 	for i := range f.spent {
 		sum := 0
 		for _, units := range f.spent[i:min(len(f.spent), i+steps)] {
 			sum += units
 		}
-		most = max(most, sum)
+		maxInSpan = max(maxInSpan, sum)
 	}
-	return most
+	return maxInSpan
 }
 
 // play has the fleet act at random, but each holder that acquires spends often and crashes often.
-func (f *greedyFleet) play(rt *rapid.T) {
+func (f *greedyFleet) run(rt *rapid.T) {
 	f.spent = []int{0}
 	for range rapid.IntRange(20, 120).Draw(rt, "acts") {
 		name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "holder")
-		switch act := rapid.IntRange(0, 11).Draw(rt, "act"); {
-		case act < 3:
+		switch action := rapid.IntRange(0, 11).Draw(rt, "act"); {
+		case action < 3:
 			f.acquire(name)
-		case act < 6:
+		case action < 6:
 			f.spend(name)
-		case act < 7:
-			f.giveBack(name)
-		case act < 9:
+		case action < 7:
+			f.returnIdle(name)
+		case action < 9:
 			f.crash(name)
 		default:
 			f.step()
@@ -256,8 +256,8 @@
 		const periods = 3
 		f := newGreedyFleet(rapid.IntRange(1, 30).Draw(rt, "limit"), rapid.IntRange(0, 40).Draw(rt, "tolerance"),
 			rapid.IntRange(1, 4).Draw(rt, "period"), periods)
-		f.play(rt)
-		if got, want := f.most(f.window), periods*f.limit+f.tolerance; got > want {
+		f.run(rt)
+		if got, want := f.maxInSpan(f.window), periods*f.limit+f.tolerance; got > want {
 			rt.Fatalf("units within a window: got %d, want at most %d", got, want)
 		}
 	})
@@ -282,7 +282,7 @@
 			}
 			f.step()
 		}
-		if got := f.most(f.window); (got > want) != tooShort || got < want {
+		if got := f.maxInSpan(f.window); (got > want) != tooShort || got < want {
 			t.Errorf("most units within a window, charged too short %v: got %d, want %d, or more if too short", tooShort, got, want)
 		}
 	}
--- a/internal/model/quota/transfer.go
+++ b/internal/model/quota/transfer.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// returnInterval is how often idle units go back to the pool at most.
+// returnInterval is the minimum time from a transfer to a return of idle units, unless the units are scarce.
 const returnInterval = time.Second
 
-// Transfer moves units of one tenant between the core's pool and a share.
+// Transfer moves units of one tenant's limit between the core's pool and a share.
 type Transfer struct {
 	Tenant   string
-	Sequence uint64 // of this holder and tenant: one that was applied already changes nothing
+	Sequence uint64 // per holder and tenant; a transfer that was already applied changes nothing
 	Units    int
-	Costs    []int // of the requests that wait for the acquire, where these differ; the rest of Units is to be kept at hand
-	Return   bool  // units go back to the pool; else they are acquired from it
+	Costs    []int // of the requests waiting for the acquire, if costs are uneven; the rest of Units is for later requests
+	Return   bool  // true: units are returned to the pool; false: units are acquired from it
 }
 
-// transferSequence numbers a share's transfers, one at a time. The share's mutex guards it.
+// transferSequence numbers a share's transfers and allows one in flight at a time. The share's mutex guards it.
 type transferSequence struct {
 	last          uint64
 	inFlight      bool
-	acquiring     bool      // the one in flight is an acquire
-	lastCompleted time.Time // zero: none was completed
+	acquiring     bool      // whether the last transfer started is an acquire
+	lastCompleted time.Time // zero if none was completed
 }
 
-// start gives the next transfer's number.
+// start begins a transfer and returns its sequence number.
 func (t *transferSequence) start(acquiring bool) uint64 {
 	t.inFlight, t.acquiring = true, acquiring
 	t.last++
 	return t.last
 }
 
-// complete ends the transfer in flight, and reports whether that has this number.
+// complete ends the transfer in flight if it has this sequence number, and reports whether it has.
 func (t *transferSequence) complete(sequence uint64, now time.Time) bool {
 	if sequence != t.last || !t.inFlight {
 		return false
@@ -38,26 +38,27 @@
 	return true
 }
 
-// NextAcquire starts an acquire if one is called for: it returns its sequence number and how many units to ask for. Until
-// Apply is called no other transfer starts: one whose answer was lost is repeated with its number.
+// NextAcquire starts an acquire if more units are needed. It returns the acquire's sequence number and how many units to
+// request. No other transfer starts until Apply is called: if the response is lost, the same transfer is repeated with its
+// sequence number.
 func (s *Share) NextAcquire(nodes int) (sequence uint64, units int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if s.transfers.inFlight || s.entitlement.limit == 0 || s.contact.backsOff(now) {
+	if s.transfers.inFlight || s.entitlement.limit == 0 || s.contact.inBackoff(now) {
 		return 0, 0, false
 	}
 	free := s.free(now)
-	wanted := s.wantedIdle(now, nodes)
-	if free >= max(s.demand.wanted(), (wanted+1)/2) {
+	target := s.targetIdle(now, nodes)
+	if free >= max(s.demand.requiredUnits(), (target+1)/2) {
 		return 0, 0, false
 	}
-	return s.transfers.start(true), max(1, wanted-max(free, 0)), true
+	return s.transfers.start(true), max(1, target-max(free, 0)), true
 }
 
-// NextReturn starts a return of idle units if one is called for: of more of them if the tenant's units are scarce in the
-// fleet. They are struck off at once, before the core may allocate them to another holder. Until Apply is called no other
-// transfer starts.
+// NextReturn starts a return of idle units if there are enough of them. If the tenant's units are scarce in the fleet, more are
+// returned, and without waiting for the return interval. They are deducted from the share at once, before the core can allocate
+// them to another holder. No other transfer starts until Apply is called.
 func (s *Share) NextReturn(scarce bool, nodes int) (sequence uint64, units int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,8 +78,8 @@
 	return s.transfers.start(false), units, true
 }
 
-// minReturnInterval is how long after a transfer the first idle units go back. Those of a small limit stay for a window:
-// until they are wanted elsewhere, they save acquires here. The caller holds the mutex.
+// minReturnInterval returns the minimum time from a transfer to a return. Idle units of a small limit are kept for a window:
+// as long as they are not scarce, they save acquires. The caller must hold the mutex.
 func (s *Share) minReturnInterval(nodes int) time.Duration {
 	if IsSmall(s.entitlement.limit, nodes) {
 		return max(returnInterval, s.window.length)
@@ -86,17 +87,17 @@
 	return returnInterval
 }
 
-// Apply ends the transfer in flight with the core's answer: how many units are held now, and the limit base that they are
-// measured against. An answer to another transfer changes nothing.
-func (s *Share) Apply(sequence uint64, held, limitBase int) {
+// Apply completes the transfer in flight with the core's response: the units now allocated to this share, and their limit base
+// (see Pool.LimitBase). A response to any other transfer is ignored.
+func (s *Share) Apply(sequence uint64, allocated, limitBase int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	if !s.transfers.complete(sequence, now) {
 		return
 	}
-	exhausted := s.transfers.acquiring && held <= s.entitlement.units
-	s.entitlement.units, s.entitlement.limitBase = held, limitBase
+	exhausted := s.transfers.acquiring && allocated <= s.entitlement.units
+	s.entitlement.units, s.entitlement.limitBase = allocated, limitBase
 	s.demand.unmetCost = 0
-	s.contact.recordAnswer(now, exhausted)
+	s.contact.recordResponse(now, exhausted)
 }
--- a/internal/model/quota/transfer_test.go
+++ b/internal/model/quota/transfer_test.go
@@ -42,12 +42,12 @@
 			t.Error("NextReturn while a transfer is in flight: got one, want none")
 		}
 		share.Apply(1, 9, 10)
-		if held, _, _ := share.Stats(); held != 4 || !share.TransferInFlight() {
-			t.Errorf("after an answer to an earlier transfer: got %d held, in flight %v, want 4, true", held, share.TransferInFlight())
+		if allocated, _, _ := share.Stats(); allocated != 4 || !share.TransferInFlight() {
+			t.Errorf("after an answer to an earlier transfer: got %d held, in flight %v, want 4, true", allocated, share.TransferInFlight())
 		}
 		share.Apply(sequence, 6, 10)
-		if held, _, _ := share.Stats(); held != 6 || share.TransferInFlight() {
-			t.Errorf("after the answer: got %d held, in flight %v, want 6, false", held, share.TransferInFlight())
+		if allocated, _, _ := share.Stats(); allocated != 6 || share.TransferInFlight() {
+			t.Errorf("after the answer: got %d held, in flight %v, want 6, false", allocated, share.TransferInFlight())
 		}
 	})
 }
@@ -86,8 +86,8 @@
 		if !ok || units != 5 {
 			t.Fatalf("NextReturn: got %d, %v, want 5, true", units, ok)
 		}
-		if held, free, spent := share.Stats(); held != 3 || free != 0 || spent != 3 {
-			t.Errorf("before the answer: got %d held, %d free, %d spent, want 3, 0, 3", held, free, spent)
+		if allocated, free, spent := share.Stats(); allocated != 3 || free != 0 || spent != 3 {
+			t.Errorf("before the answer: got %d held, %d free, %d spent, want 3, 0, 3", allocated, free, spent)
 		}
 	})
 }
--- a/internal/model/quota/transferloop.go
+++ b/internal/model/quota/transferloop.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	transferInterval = 500 * time.Millisecond // between two looks at whether transfers are called for
-	transferTimeout  = 5 * time.Second        // of one attempt at a transfer
-	transferBackoff  = 500 * time.Millisecond // between two attempts, on average
+	transferInterval = 500 * time.Millisecond // between two checks for transfers to start
+	transferTimeout  = 5 * time.Second        // for one attempt at a transfer
+	transferBackoff  = 500 * time.Millisecond // mean delay between two attempts
 )
 
-// Run makes the transfers that the shares call for until the context ends.
+// Run starts the transfers that the shares need until the context ends.
 func (s *Shares) Run() {
-	select { // routers that started together do not ask the core together
+	select { // random delay, so that routers that start together don't all call the core at once
 	case <-time.After(rand.N(transferInterval)):
 	case <-s.wakeup:
 	case <-s.ctx.Done():
@@ -26,7 +26,7 @@
 	runloop.Run(s.ctx, s.wakeup, transferInterval, func(struct{}) { s.startTransfers() }, s.startTransfers)
 }
 
-// Wake has Run look at once whether units should be acquired.
+// Wake makes Run check at once for transfers to start.
 func (s *Shares) Wake() {
 	select {
 	case s.wakeup <- struct{}{}:
@@ -34,7 +34,7 @@
 	}
 }
 
-// startTransfers takes up the limits in force, and starts for each tenant the transfer that is called for.
+// startTransfers applies the current limits to the shares, and starts a transfer for each tenant that needs one.
 func (s *Shares) startTransfers() {
 	scarce := map[string]bool{}
 	for _, tenant := range s.config.ScarceTenants() {
@@ -52,7 +52,7 @@
 			continue
 		}
 		if !s.recentContact() {
-			continue // units returned now would be lost here, and no core could allocate them to others
+			continue // no core could allocate the returned units to other holders, and this share would no longer have them
 		}
 		if sequence, units, ok := share.NextReturn(scarce[tenant], s.config.Nodes()); ok {
 			go s.perform(share, Transfer{Tenant: tenant, Sequence: sequence, Units: units, Return: true})
@@ -60,7 +60,7 @@
 	}
 }
 
-// startAcquire starts an acquire where one is called for, and reports whether it did.
+// startAcquire starts an acquire if the share needs one, and reports whether it did.
 func (s *Shares) startAcquire(tenant string, share *Share) bool {
 	sequence, units, ok := share.NextAcquire(s.config.Nodes())
 	if ok {
@@ -76,15 +76,15 @@
 	return s.config.RecentContact()
 }
 
-// perform repeats one transfer until the core has answered it: if an answer is lost, the repetition changes nothing. It ends
-// with the loop's context.
+// perform repeats a transfer until the core responds. Repeating it is safe: the core applies a sequence number only once.
+// perform ends with the loop's context.
 func (s *Shares) perform(share *Share, transfer Transfer) {
 	for {
 		ctx, cancel := context.WithTimeout(s.ctx, transferTimeout)
-		held, limitBase, err := s.config.Transfer(ctx, transfer)
+		allocated, limitBase, err := s.config.Transfer(ctx, transfer)
 		cancel()
 		if err == nil {
-			share.Apply(transfer.Sequence, held, limitBase)
+			share.Apply(transfer.Sequence, allocated, limitBase)
 			return
 		}
 		if !runloop.Sleep(s.ctx, transferBackoff/2+rand.N(transferBackoff)) {
--- a/internal/model/quota/unevencosts_test.go
+++ b/internal/model/quota/unevencosts_test.go
@@ -48,26 +48,26 @@
 }
 
 // apply applies a transfer to the pool as the core does.
-func (f *unevenFleet) apply(holder string, transfer Transfer) (held, limitBase int, err error) {
+func (f *unevenFleet) apply(holder string, transfer Transfer) (allocated, limitBase int, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	limit := int(f.limit.Load())
 	if transfer.Return {
-		held, _ = f.pool.Return(holder, transfer.Sequence, transfer.Units)
-		return held, f.pool.LimitBase(limit), nil
+		allocated, _ = f.pool.Return(holder, transfer.Sequence, transfer.Units)
+		return allocated, f.pool.LimitBase(limit), nil
 	}
 	free := max(0, limit-f.pool.AllocatedUnits())
 	units, unmet := min(transfer.Units, (free+AcquireDivisor-1)/AcquireDivisor), false
 	if len(transfer.Costs) > 0 {
 		units, unmet = f.saving.Allocate(time.Now(), free, limit, transfer.Costs, transfer.Units)
 	}
-	held, _ = f.pool.Acquire(holder, transfer.Sequence, units, limit)
+	allocated, _ = f.pool.Acquire(holder, transfer.Sequence, units, limit)
 	f.scarce.Store(unmet || free-units < limit/8)
-	return held, f.pool.LimitBase(limit), nil
+	return allocated, f.pool.LimitBase(limit), nil
 }
 
 // play sends requests of unequal costs to random routers, and returns those that were admitted and rejected.
-func (f *unevenFleet) play(ctx context.Context, requests int, interval time.Duration, cost func() int) (admitted, rejected []spend) {
+func (f *unevenFleet) sendRequests(ctx context.Context, requests int, interval time.Duration, cost func() int) (admitted, rejected []spend) {
 	var mu sync.Mutex
 	var running sync.WaitGroup
 	for range requests {
@@ -114,7 +114,7 @@
 		limit := perWindow * 10 / 7
 		fleet := newUnevenFleet(ctx, 20, limit, window)
 		time.Sleep(time.Second)
-		admitted, rejected := fleet.play(ctx, 900, 100*time.Millisecond, unevenCost)
+		admitted, rejected := fleet.sendRequests(ctx, 900, 100*time.Millisecond, unevenCost)
 		if got := maxInWindow(admitted, window); got > limit {
 			t.Errorf("units in a window: got %d, want at most %d", got, limit)
 		}
@@ -135,7 +135,7 @@
 		const window, limit = 8 * time.Second, 250_000
 		fleet := newUnevenFleet(ctx, 20, limit, window)
 		time.Sleep(time.Second)
-		admitted, rejected := fleet.play(ctx, 3000, 10*time.Millisecond, unevenCost)
+		admitted, rejected := fleet.sendRequests(ctx, 3000, 10*time.Millisecond, unevenCost)
 		if got := maxInWindow(admitted, window); got > limit {
 			t.Errorf("units in a window: got %d, want at most %d", got, limit)
 		}
@@ -157,7 +157,7 @@
 		fleet.limit.Store(limit / 4)
 		time.Sleep(time.Second) // the routers take up the lower limit within half a second
 		time.Sleep(window)
-		admitted, _ = fleet.play(ctx, 1500, 10*time.Millisecond, unevenCost)
+		admitted, _ = fleet.sendRequests(ctx, 1500, 10*time.Millisecond, unevenCost)
 		if got := maxInWindow(admitted, window); got > limit/4 {
 			t.Errorf("units in a window of the lowered limit: got %d, want at most %d", got, limit/4)
 		}
