--- a/internal/model/quota/corecontact_test.go
+++ b/internal/model/quota/corecontact_test.go
@@ -12,8 +12,8 @@
 	"yarrowridge/internal/lib/daemon"
 )
 
-// A holder that hears the core spends on for as long as it likes, also without a transfer; one that does not stops once
-// ContactTTL is over.
+// A holder in contact with the core can spend units indefinitely, even without any transfer. A holder that has lost contact
+// stops spending after ContactTTL.
 func TestContactTTL(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -58,12 +58,13 @@
 	})
 }
 
-// An answer wakes who waits for one, and one with too few units keeps the share from asking again at once.
+// A response wakes the goroutines that wait for one. After a response that the pool is exhausted, the share waits before the
+// next acquire.
 func TestRecordResponse(t *testing.T) {
 	start := time.Unix(0, 0)
 	contact := newCoreContact(start)
 	if contact.hasResponded() || contact.inBackoff(start) || contact.isLost(start.Add(ContactTTL)) {
-		t.Fatalf("new contact: got %+v, want neither an answer nor a backoff nor a loss", contact)
+		t.Fatalf("new contact: got %+v, want no response, no backoff and no loss of contact", contact)
 	}
 	if !contact.isLost(start.Add(ContactTTL + 1)) {
 		t.Error("isLost after the TTL: got false, want true")
@@ -73,10 +74,10 @@
 	select {
 	case <-next:
 	default:
-		t.Error("nextAnswer after an answer: got open, want closed")
+		t.Error("nextResponse after a response: got open, want closed")
 	}
 	if !contact.hasResponded() || contact.inBackoff(start.Add(time.Second)) || contact.isLost(start.Add(time.Second+ContactTTL)) {
-		t.Errorf("after an answer: got %+v, want contact and no backoff", contact)
+		t.Errorf("after a response: got %+v, want contact and no backoff", contact)
 	}
 	exhaustedAt := start.Add(2 * time.Second)
 	contact.recordResponse(exhaustedAt, true)
@@ -86,10 +87,10 @@
 	}{{0, true, true}, {exhaustedBackoff - 1, true, true}, {exhaustedBackoff, false, true}, {time.Second - 1, false, true}, {time.Second, false, false}} {
 		now := exhaustedAt.Add(test.after)
 		if got := contact.inBackoff(now); got != test.inBackoff {
-			t.Errorf("backsOff %s after too few units: got %v, want %v", test.after, got, test.inBackoff)
+			t.Errorf("inBackoff %s after exhaustion: got %v, want %v", test.after, got, test.inBackoff)
 		}
 		if got := contact.exhaustedWithin(now, time.Second); got != test.exhausted {
-			t.Errorf("wasExhausted %s after too few units: got %v, want %v", test.after, got, test.exhausted)
+			t.Errorf("exhaustedWithin %s after exhaustion: got %v, want %v", test.after, got, test.exhausted)
 		}
 	}
 }
--- a/internal/model/quota/demand_test.go
+++ b/internal/model/quota/demand_test.go
@@ -7,39 +7,39 @@
 
 func TestDemand(t *testing.T) {
 	type state struct {
-		wanted int
-		costs  []int
+		required int
+		costs    []int
 	}
 	var d demand
 	check := func(step string, want state) {
 		t.Helper()
-		if got := d.unevenCosts(); d.requiredUnits() != want.wanted || !slices.Equal(got, want.costs) {
-			t.Errorf("%s: got %d wanted and costs %v, want %d and %v", step, d.requiredUnits(), got, want.wanted, want.costs)
+		if got := d.unevenCosts(); d.requiredUnits() != want.required || !slices.Equal(got, want.costs) {
+			t.Errorf("%s: got %d required units and costs %v, want %d and %v", step, d.requiredUnits(), got, want.required, want.costs)
 		}
 	}
 	d.observe(1)
 	d.recordRejection(1)
 	d.enqueue(1)
 	d.enqueue(1)
-	check("two requests of a unit wait", state{2, nil})
+	check("two requests of one unit wait", state{2, nil})
 	d.dequeue(1)
 	d.dequeue(1)
-	check("a rejected unit is still wanted", state{1, nil})
+	check("a rejected request of one unit counts after it stopped waiting", state{1, nil})
 	d.observe(30)
 	d.recordRejection(30)
 	d.enqueue(30)
 	d.enqueue(5)
 	check("uneven requests wait", state{35, []int{30, 5}})
 	d.dequeue(5)
-	check("the small one waits no longer", state{30, []int{30}})
+	check("the small request has stopped waiting", state{30, []int{30}})
 	d.dequeue(30)
-	check("uneven costs that nobody waits for are not wanted", state{0, nil})
+	check("a rejected uneven cost does not count once no request waits", state{0, nil})
 	d.recordRejection(30)
 	d.enqueue(0)
-	check("a request without cost waits for nothing", state{0, nil})
+	check("a request without cost does not wait", state{0, nil})
 }
 
-// An acquire lists so many costs at most, the first ones.
+// An acquire lists only the first maxWaitingCosts costs.
 func TestUnevenCostsAreBounded(t *testing.T) {
 	d := demand{uneven: true}
 	for cost := range maxWaitingCosts + 10 {
--- a/internal/model/quota/entitlement_test.go
+++ b/internal/model/quota/entitlement_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// A lowered limit binds each holder at once, in proportion, before any unit was returned.
+// A lowered limit takes effect at each holder at once, in proportion, before any unit has been returned.
 func TestLoweredLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		high := rapid.IntRange(10, 200).Draw(rt, "high")
--- a/internal/model/quota/idleunits.go
+++ b/internal/model/quota/idleunits.go
@@ -48,7 +48,7 @@
 	return max(minimum, required, int(spentInSpan+0.999))
 }
 
-// isScarce reports whether the pool was exhausted lately. If every request costs one unit, this means within the last window,
+// isScarce reports whether the pool was exhausted recently. If every request costs one unit, this means within the last window,
 // after which the units spent in it are free again. If costs are uneven, units become free all the time, and scarceTTL applies.
 // The caller must hold the mutex.
 func (s *Share) isScarce(now time.Time) bool {
--- a/internal/model/quota/idleunits_test.go
+++ b/internal/model/quota/idleunits_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A share keeps a few requests' worth of uneven units at hand while the limit is not scarce, so that small requests need no
-// core; it takes no more than a fraction of an equal share, and keeps nothing that nobody waits for once units are scarce.
+// If costs are uneven and the limit is not scarce, a share keeps idle units for a few requests, so that small requests need no
+// response from the core. It keeps at most a fraction of an equal share, and returns all idle units once they are scarce.
 func TestIdleUnitsOfUnevenCosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit, nodes, cost = 640_000, 40, 400
@@ -23,7 +23,7 @@
 			return units
 		}
 		acquire()
-		for range 60 { // one request now and then: little is spent in any window
+		for range 60 { // one request every two seconds: little is spent in any window
 			time.Sleep(2 * time.Second)
 			reserveAndCommit(t, share, cost)
 			acquire()
@@ -33,19 +33,19 @@
 			}
 		}
 		if _, free, _ := share.Stats(); free < cost || free > limit/nodes {
-			t.Errorf("units at hand: got %d, want %d to %d", free, cost, limit/nodes)
+			t.Errorf("idle units: got %d, want %d to %d", free, cost, limit/nodes)
 		}
 		sequence, _, ok := share.NextReturn(true, nodes)
 		if !ok {
-			t.Fatal("NextReturn though units are scarce: got no transfer, want one")
+			t.Fatal("NextReturn while units are scarce: got no transfer, want one")
 		}
 		allocated, free, _ := share.Stats()
 		share.Apply(sequence, allocated, limit)
 		if free != 0 {
-			t.Errorf("units kept though they are scarce: got %d, want 0", free)
+			t.Errorf("units kept while they are scarce: got %d, want 0", free)
 		}
-		if got := acquire(); got >= cost { // what is spent in 0.3 s may be
-			t.Errorf("units acquired though they are scarce: got %d, want less than %d", got, cost)
+		if got := acquire(); got >= cost { // the units spent in idleSpan may still be acquired
+			t.Errorf("units acquired while they are scarce: got %d, want less than %d", got, cost)
 		}
 	})
 }
--- a/internal/model/quota/pool_test.go
+++ b/internal/model/quota/pool_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A transfer counts once, by its number; numbers never go back.
+// A transfer is applied once, and sequence numbers never decrease.
 func TestPoolAppliesSequenceOnce(t *testing.T) {
 	const limit = 10
 	var pool Pool
@@ -15,12 +15,12 @@
 		wantChanged bool
 	}{
 		{"acquire", 1, 4, false, 4, true},
-		{"the same again", 1, 4, false, 4, false},
+		{"the same acquire again", 1, 4, false, 4, false},
 		{"more than is free", 2, 100, false, 10, true},
 		{"return", 3, 3, true, 7, true},
 		{"the same return again", 3, 3, true, 7, false},
-		{"an earlier number", 2, 3, false, 7, false},
-		{"return of more than is held", 5, 100, true, 0, true},
+		{"an earlier sequence number", 2, 3, false, 7, false},
+		{"return of more than is allocated", 5, 100, true, 0, true},
 		{"return of a negative number", 6, -3, true, 0, true},
 		{"acquire of nothing", 7, 0, false, 0, true},
 	}
@@ -35,7 +35,7 @@
 	}
 }
 
-// Units of a holder that is gone are not free until their cooling ends.
+// The units of a holder that is gone are not free until their cooling ends.
 func TestPoolCooling(t *testing.T) {
 	const limit = 10
 	var pool Pool
@@ -55,11 +55,11 @@
 		t.Error("EndCooling: want true once for the holder that had units")
 	}
 	if got, _ := pool.Acquire("b", 3, 10, limit); got != limit {
-		t.Errorf("Acquire after the cooling: got %d, want %d", got, limit)
+		t.Errorf("Acquire after cooling: got %d, want %d", got, limit)
 	}
 }
 
-// A limit that was lowered leaves the units that were out as the limit base.
+// If a limit is lowered below the allocated units, these become the limit base.
 func TestLimitBase(t *testing.T) {
 	var pool Pool
 	pool.Acquire("a", 1, 8, 10)
--- a/internal/model/quota/saving.go
+++ b/internal/model/quota/saving.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// savingTTL is how long units are saved for a request that was rejected for lack of units. Its client is told to retry within
+// savingTTL is how long units are saved for a request that was rejected for lack of units. Its client is asked to retry within
 // this time, at any router.
 const savingTTL = time.Second
 
--- a/internal/model/quota/saving_test.go
+++ b/internal/model/quota/saving_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// An acquire never gets more than is free, and of what it gets each request is met in full: without an unmet one all are.
+// An acquire never gets more units than are free, and gets at least the sum of its costs if it reports none as unmet.
 func TestSavingAllocatesOnlyFreeUnits(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var saving Saving
@@ -34,7 +34,7 @@
 	})
 }
 
-// Large and small requests want more than there is, all the time: each kind gets a good deal of it.
+// If large and small requests together constantly need more units than there are, each kind gets at least a quarter of them.
 func TestNeitherLargeNorSmallRequestsStarve(t *testing.T) {
 	var saving Saving
 	now, free := time.Unix(0, 0), 0
@@ -43,9 +43,9 @@
 	for step := range 20_000 {
 		now = now.Add(2 * time.Millisecond)
 		free = min(limit, free+released)
-		cost, costs := small, []int{small, small, small, small} // more than becomes free meanwhile
+		cost, costs := small, []int{small, small, small, small} // more than becomes free in a step
 		if step%5 == 0 {
-			cost, costs = large, []int{large} // asked for again and again, as by clients that come back
+			cost, costs = large, []int{large} // repeated, as by clients that retry
 		}
 		units, _ := saving.Allocate(now, free, limit, costs, cost*len(costs))
 		free -= units
@@ -57,7 +57,7 @@
 	}
 }
 
-// A cost above the limit is not saved for.
+// Nothing is saved for a cost above the limit.
 func TestNothingSavedAboveLimit(t *testing.T) {
 	var saving Saving
 	now := time.Unix(0, 0)
--- a/internal/model/quota/share.go
+++ b/internal/model/quota/share.go
@@ -34,8 +34,8 @@
 	s.window.setLength(window)
 }
 
-// free returns how many units may be reserved now. It is negative if the limit was lowered below the units in use. The caller
-// must hold the mutex.
+// free returns how many units may be reserved now. It is negative if, after the limit was lowered, more units are in use than
+// are usable. The caller must hold the mutex.
 func (s *Share) free(now time.Time) int {
 	s.window.expire(now)
 	return s.entitlement.usable() - s.window.inUse()
@@ -43,7 +43,7 @@
 
 // Bounds of the retry delay of a rejected request.
 const (
-	minRetryAfter         = 300 * time.Millisecond // enough for other routers to learn of the shortage and return idle units
+	minRetryAfter         = 300 * time.Millisecond // time for other routers to learn of the shortage and return idle units
 	maxRetryAfter         = time.Second            // units that other routers spent may be free again at any time
 	lostContactRetryAfter = time.Minute            // no units can be spent before contact with the core is restored
 )
@@ -120,7 +120,7 @@
 	return s.transfers.inFlight
 }
 
-// Unanswered reports whether an acquire is in flight and the pool was not exhausted lately. Then it is unknown whether the
+// Unanswered reports whether an acquire is in flight and the pool was not exhausted recently. Then it is unknown whether the
 // limit is spent, even if this share has too few units.
 func (s *Share) Unanswered() bool {
 	s.mu.Lock()
@@ -135,7 +135,7 @@
 	return s.contact.nextResponse
 }
 
-// Scarce reports whether the core lately had no units for an acquire (see scarceTTL).
+// Scarce reports whether the core recently had no units for an acquire (see scarceTTL).
 func (s *Share) Scarce() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/model/quota/share_benchmark_test.go
+++ b/internal/model/quota/share_benchmark_test.go
@@ -8,7 +8,7 @@
 	"yarrowridge/internal/lib/daemon"
 )
 
-// endlessShare returns a share that never runs out of units within a benchmark.
+// unlimitedShare returns a share with more units than a benchmark can use up.
 func unlimitedShare(b *testing.B) *Share {
 	b.Helper()
 	const units = 1 << 40
@@ -22,7 +22,7 @@
 	return share
 }
 
-// A request that is admitted and dispatched, with the units committed before coming back meanwhile.
+// One request is admitted and dispatched, while units committed earlier are released.
 func BenchmarkReserveCommit(b *testing.B) {
 	share := unlimitedShare(b)
 	b.ReportAllocs()
@@ -32,7 +32,7 @@
 	}
 }
 
-// A request that is admitted and ends before its dispatch.
+// One request is admitted and ends before its dispatch.
 func BenchmarkReserveCancel(b *testing.B) {
 	share := unlimitedShare(b)
 	b.ReportAllocs()
@@ -42,7 +42,7 @@
 	}
 }
 
-// All cores admit requests of one tenant at once.
+// All CPU cores admit requests of one tenant at once.
 func BenchmarkReserveCancelParallel(b *testing.B) {
 	share := unlimitedShare(b)
 	b.ReportAllocs()
@@ -54,7 +54,7 @@
 	})
 }
 
-// A request takes its units by way of the tenants' shares, as routers do.
+// One request reserves its units through Shares, as in a router.
 func BenchmarkSharesReserveCancel(b *testing.B) {
 	shares := NewShares(daemon.Context{Context: b.Context()}, Config{Nodes: func() int { return 1 }})
 	shares.shares["t"] = unlimitedShare(b)
@@ -66,20 +66,20 @@
 	}
 }
 
-// Each of 200 holders in turn acquires a unit and returns it.
+// Each of 200 holders in turn acquires one unit and returns it.
 func BenchmarkPoolAcquireReturn(b *testing.B) {
-	const quota = 10_000
+	const limit = 10_000
 	holders := make([]string, 200)
 	var pool Pool
 	for i := range holders {
 		holders[i] = string(rune('A' + i))
-		pool.Acquire(holders[i], 1, 10, quota)
+		pool.Acquire(holders[i], 1, 10, limit)
 	}
 	b.ReportAllocs()
 	sequence := uint64(1)
 	for i := 0; b.Loop(); i++ {
 		holder := holders[i%len(holders)]
-		pool.AcquireWithTolerance(holder, sequence+1, 1, quota, 10, 1)
+		pool.AcquireWithTolerance(holder, sequence+1, 1, limit, 10, 1)
 		pool.Return(holder, sequence+2, 1)
 		sequence += 2
 	}
--- a/internal/model/quota/share_test.go
+++ b/internal/model/quota/share_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-// spend is units that were committed at one time.
+// spend is a number of units that were committed at the same time.
 type spend struct {
 	units int
 	at    time.Time
 }
 
-// maxInWindow is the most units that any window holds.
+// maxInWindow returns the largest number of units spent in any window.
 func maxInWindow(spends []spend, window time.Duration) int {
 	most := 0
 	for i := range spends {
@@ -29,8 +29,9 @@
 	return most
 }
 
-// sharedPool is one tenant's pool and the shares of some holders, whose answers get lost, which crash, and whose units cool.
-type sharedPool struct {
+// poolSimulation is one tenant's pool with the shares of several holders. Responses to holders are lost, holders crash, and
+// their units cool.
+type poolSimulation struct {
 	pool         Pool
 	limit        int
 	window       time.Duration
@@ -39,19 +40,19 @@
 	spends       []spend
 }
 
-var sharedPoolHolders = []string{"a", "b", "c", "d"}
+var simulatedHolders = []string{"a", "b", "c", "d"}
 
-func newSharedPool(limit int, window time.Duration) *sharedPool {
-	p := &sharedPool{limit: limit, window: window, shares: map[string]*Share{}, coolingSince: map[string]time.Time{}}
-	for _, holder := range sharedPoolHolders {
+func newPoolSimulation(limit int, window time.Duration) *poolSimulation {
+	p := &poolSimulation{limit: limit, window: window, shares: map[string]*Share{}, coolingSince: map[string]time.Time{}}
+	for _, holder := range simulatedHolders {
 		p.shares[holder] = NewShare()
 	}
 	return p
 }
 
-// step has one holder do one thing at random.
-func (p *sharedPool) step(rt *rapid.T) {
-	holder := rapid.SampledFrom(sharedPoolHolders).Draw(rt, "holder")
+// step performs one random action of a random holder.
+func (p *poolSimulation) step(rt *rapid.T) {
+	holder := rapid.SampledFrom(simulatedHolders).Draw(rt, "holder")
 	share := p.shares[holder]
 	switch rapid.IntRange(0, 9).Draw(rt, "step") {
 	case 0, 1, 2:
@@ -73,7 +74,7 @@
 		}
 	case 7:
 		time.Sleep(time.Duration(rapid.IntRange(1, 4000).Draw(rt, "ms")) * time.Millisecond)
-	case 8: // the holder crashes and comes back as another run under the same name
+	case 8: // the holder crashes and restarts under the same name
 		p.pool.StartCooling(holder)
 		p.coolingSince[holder] = time.Now()
 		p.shares[holder] = NewShare()
@@ -86,8 +87,8 @@
 	}
 }
 
-// acquire makes an acquire if one is called for. Its answer may be lost; then it is repeated.
-func (p *sharedPool) acquire(rt *rapid.T, holder string, share *Share) {
+// acquire runs an acquire if the share needs one. Its response may be lost; then the acquire is repeated.
+func (p *poolSimulation) acquire(rt *rapid.T, holder string, share *Share) {
 	share.SetLimit(p.limit, p.window)
 	sequence, units, ok := share.NextAcquire(4)
 	if !ok {
@@ -102,13 +103,13 @@
 	share.Apply(sequence, allocated, limitBase)
 }
 
-// In any order of acquires, returns, spends, lost answers and crashes no rolling window over all holders holds more units
-// than the limit, nor is more than the limit ever allocated.
+// Under any sequence of acquires, returns, spends, lost responses and crashes, the spends of all holders in any rolling window
+// stay within the limit, and so do the allocated units at any time.
 func TestQuotaOverAllHolders(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(*testing.T) {
 			const window = 10 * time.Second
-			p := newSharedPool(rapid.IntRange(1, 60).Draw(rt, "limit"), window)
+			p := newPoolSimulation(rapid.IntRange(1, 60).Draw(rt, "limit"), window)
 			for range rapid.IntRange(20, 120).Draw(rt, "steps") {
 				p.step(rt)
 				if got := p.pool.AllocatedUnits(); got > p.limit {
@@ -122,7 +123,8 @@
 	})
 }
 
-// A rejected request is told to come back when units spent here are released, or others may have returned some.
+// A rejected request is to be retried when units committed at this share are released, or when other holders may have returned
+// some.
 func TestRetryAfter(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -133,18 +135,18 @@
 		cost      int
 		want      time.Duration
 	}{
-		{"nothing held", 0, 0, 0, time.Second, 1, minRetryAfter},
+		{"nothing allocated", 0, 0, 0, time.Second, 1, minRetryAfter},
 		{"nothing spent here", 2, 0, 0, time.Second, 3, minRetryAfter},
-		{"costs more than all units held", 2, 2, 0, time.Second, 3, minRetryAfter},
-		{"units come back after the longest wait", 2, 2, 0, time.Minute, 1, maxRetryAfter},
-		{"units come back soon", 2, 2, 500 * time.Millisecond, time.Second, 1, 500*time.Millisecond + Margin},
-		{"units come back at once", 2, 2, 1200 * time.Millisecond, time.Second, 1, minRetryAfter},
+		{"costs more than all allocated units", 2, 2, 0, time.Second, 3, minRetryAfter},
+		{"units released after the maximum delay", 2, 2, 0, time.Minute, 1, maxRetryAfter},
+		{"units released soon", 2, 2, 500 * time.Millisecond, time.Second, 1, 500*time.Millisecond + Margin},
+		{"units released before the minimum delay", 2, 2, 1200 * time.Millisecond, time.Second, 1, minRetryAfter},
 		{"no contact with the core", 2, 0, ContactTTL + time.Second, time.Second, 1, lostContactRetryAfter},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				share := shareWith(t, test.allocated, 10, test.window)
+				share := newShareWith(t, test.allocated, 10, test.window)
 				if test.spent > 0 {
 					reserveAndCommit(t, share, test.spent)
 				}
@@ -157,14 +159,14 @@
 	}
 }
 
-// Units are held, reserved, spent and come back when the window and its margin are over.
+// Units are reserved, then committed or cancelled; committed ones are free again once the window and its margin are over.
 func TestReserveCommitCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		share := shareWith(t, 5, 5, time.Second)
+		share := newShareWith(t, 5, 5, time.Second)
 		check := func(step string, wantFree, wantSpent int) {
 			t.Helper()
 			if allocated, free, spent := share.Stats(); allocated != 5 || free != wantFree || spent != wantSpent {
-				t.Errorf("%s: got %d held, %d free, %d spent, want 5, %d, %d", step, allocated, free, spent, wantFree, wantSpent)
+				t.Errorf("%s: got %d allocated, %d free, %d spent, want 5, %d, %d", step, allocated, free, spent, wantFree, wantSpent)
 			}
 		}
 		check("at first", 5, 0)
@@ -183,8 +185,8 @@
 	})
 }
 
-// shareWith returns a share that holds so many units of a limit.
-func shareWith(t *testing.T, units, limit int, window time.Duration) *Share {
+// newShareWith returns a share to which this many units of a limit are allocated.
+func newShareWith(t *testing.T, units, limit int, window time.Duration) *Share {
 	t.Helper()
 	share := NewShare()
 	share.SetLimit(limit, window)
@@ -196,7 +198,7 @@
 	return share
 }
 
-// reserveAndCommit spends units that must be there.
+// reserveAndCommit reserves and commits units; the test fails if too few are free.
 func reserveAndCommit(t *testing.T, share *Share, units int) {
 	t.Helper()
 	if ok, _ := share.Reserve(units); !ok {
@@ -205,7 +207,8 @@
 	share.Commit(units)
 }
 
-// Too few units here mean a spent limit only where the core has said so. While it owes an answer nothing is known.
+// If a share has too few units, the limit counts as spent only if the core recently had none either. While the first response to
+// an acquire is pending, this is unknown.
 func TestUnanswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit, nodes = 10, 2
@@ -220,17 +223,17 @@
 				t.Errorf("%s: got unanswered %t, want %t", when, got, want)
 			}
 		}
-		check("before the core was asked", false)
+		check("before any acquire", false)
 		sequence, _, _ := share.NextAcquire(nodes)
-		check("while the core owes an answer", true)
+		check("while the first acquire is in flight", true)
 		share.Apply(sequence, 0, limit)
-		check("after the core had none", false)
+		check("after an acquire that got no units", false)
 		time.Sleep(2 * exhaustedBackoff)
 		if _, _, ok := share.NextAcquire(nodes); !ok {
 			t.Fatal("got no acquire, want one")
 		}
-		check("asked again just after the core had none", false)
+		check("next acquire in flight, just after one that got no units", false)
 		time.Sleep(2 * scarceTTL)
-		check("asked again, long after the core had none", true)
+		check("next acquire in flight, long after one that got no units", true)
 	})
 }
--- a/internal/model/quota/shares.go
+++ b/internal/model/quota/shares.go
@@ -20,8 +20,8 @@
 	Nodes         func() int      // number of live nodes; 0 if not known yet
 	ScarceTenants func() []string // tenants whose idle units should be returned to the pool
 	Rules         func() []Rule   // limits of the current configuration
-	InContact     func() bool     // whether there was contact with the core lately
-	RecentContact func() bool     // a stricter InContact: whether the core is responding now; nil: InContact is used
+	InContact     func() bool     // whether the router is in contact with the core
+	RecentContact func() bool     // stricter than InContact: whether the core is responding now; nil: InContact is used
 
 	// Margin is added to the window before a committed unit can be reserved again; 0: the constant Margin.
 	Margin time.Duration
@@ -85,8 +85,8 @@
 )
 
 // Reserve reserves units of a tenant's limit, as Share.Reserve does. If the share has too few free units, Reserve waits briefly
-// for an acquire. If the context has a deadline, it waits until then at most, as long as a transfer is in flight and there was
-// contact with the core lately. So a request can outlast a change of the primary core.
+// for an acquire. If the context has a deadline, it keeps waiting until then while a transfer is in flight and the router is in
+// contact with the core, so that a request can outlast a change of the primary core.
 func (s *Shares) Reserve(ctx context.Context, tenant string, units int) (ok bool, retryAfter time.Duration) {
 	share := s.For(tenant)
 	wait := maxAcquireWait
--- a/internal/model/quota/shares_test.go
+++ b/internal/model/quota/shares_test.go
@@ -12,7 +12,7 @@
 	"yarrowridge/internal/lib/daemon"
 )
 
-// holderFleet is a large fleet of holders that share one tenant's small limit.
+// holderFleet is a fleet of many holders that share one tenant's small limit.
 type holderFleet struct {
 	shares    []*Shares
 	transfers atomic.Int64
@@ -23,7 +23,7 @@
 	limit int
 }
 
-// newHolderFleet starts so many holders.
+// newHolderFleet starts this many holders.
 func newHolderFleet(ctx context.Context, holders, limit int, window time.Duration) *holderFleet {
 	fleet := &holderFleet{limit: limit}
 	for i := range holders {
@@ -45,7 +45,7 @@
 	return fleet
 }
 
-// apply applies a transfer to the pool, which takes five milliseconds.
+// apply applies a transfer to the pool after a delay of five milliseconds.
 func (f *holderFleet) apply(holder string, transfer Transfer) (allocated, limitBase int, err error) {
 	f.transfers.Add(1)
 	time.Sleep(5 * time.Millisecond)
@@ -63,8 +63,8 @@
 	return allocated, max(f.limit, f.pool.AllocatedUnits()), nil
 }
 
-// A fleet with more holders than a tenant has units serves the tenant's requests all the same, wherever they come, while
-// they keep within the limit.
+// A fleet with more holders than a tenant has units admits the tenant's requests at any holder as long as they are within the
+// limit.
 func TestFewerUnitsThanHolders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -81,7 +81,7 @@
 		const requests = 400
 		var rejected atomic.Int64
 		var running sync.WaitGroup
-		for range requests { // four a second: half of the limit
+		for range requests { // four per second: half of the limit
 			shares := fleet.shares[random.IntN(holders)]
 			running.Go(func() {
 				if ok, _ := shares.Reserve(ctx, "t", 1); ok {
@@ -100,7 +100,7 @@
 	})
 }
 
-// Requests that come at one moment to a holder without units wait for one acquire that asks for all of them.
+// Requests that arrive at the same time at a holder without units share one acquire for all of them.
 func TestOneAcquireForAllWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -123,12 +123,13 @@
 			t.Errorf("requests rejected: got %d of 20, want 0", got)
 		}
 		if got := fleet.transfers.Load(); got > 3 {
-			t.Errorf("transfers for requests of one moment: got %d, want at most 3", got)
+			t.Errorf("transfers for simultaneous requests: got %d, want at most 3", got)
 		}
 	})
 }
 
-// While the core does not answer, a request with a deadline waits for it; one without is rejected soon.
+// While the core does not respond, as during a change of the primary, a request with a deadline waits for it; a request without
+// one is rejected soon.
 func TestReserveWaitsForPrimaryChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -157,18 +158,18 @@
 	})
 }
 
-// Without a core no idle units are returned: they go on serving here, and a request that finds none is rejected soon once
-// the core has been silent for long.
-func TestUnitsKeptWithoutCore(t *testing.T) {
+// Without contact with the core, a share returns no idle units, so that requests can still use them. Once contact has been lost
+// for long, a request for which there are too few units is rejected soon.
+func TestNoReturnWithoutContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer synctest.Wait()
 		defer time.Sleep(10 * time.Second)
 		defer cancel()
-		var silent atomic.Bool
+		var unreachable atomic.Bool
 		shares := NewShares(daemon.Context{Context: ctx}, Config{
 			Transfer: func(ctx context.Context, transfer Transfer) (int, int, error) {
-				if silent.Load() {
+				if unreachable.Load() {
 					<-ctx.Done()
 					return 0, 0, ctx.Err()
 				}
@@ -176,23 +177,23 @@
 			},
 			Nodes: func() int { return 60 }, ScarceTenants: func() []string { return []string{"t"} },
 			Rules:     func() []Rule { return []Rule{{"t", 40, time.Second}} },
-			InContact: func() bool { return !silent.Load() }})
+			InContact: func() bool { return !unreachable.Load() }})
 		go shares.Run()
 		time.Sleep(time.Second)
 		if ok, _ := shares.Reserve(ctx, "t", 1); !ok {
-			t.Fatal("Reserve with a core that answers: got false, want true")
+			t.Fatal("Reserve with a core that responds: got false, want true")
 		}
 		shares.For("t").Commit(1)
-		silent.Store(true)
+		unreachable.Store(true)
 		time.Sleep(20 * time.Second)
 		bounded, cancelBounded := context.WithTimeout(ctx, 800*time.Millisecond)
 		defer cancelBounded()
 		if ok, _ := shares.Reserve(bounded, "t", 1); !ok {
-			t.Error("Reserve of the unit held here without a core: got false, want true")
+			t.Error("Reserve of the allocated unit without contact: got false, want true")
 		}
 		start := time.Now()
 		if ok, _ := shares.Reserve(bounded, "t", 1); ok || time.Since(start) > 100*time.Millisecond {
-			t.Errorf("Reserve of a unit more: got %v after %s, want false within 100ms", ok, time.Since(start))
+			t.Errorf("Reserve of another unit without contact: got %v after %s, want false within 100ms", ok, time.Since(start))
 		}
 	})
 }
--- a/internal/model/quota/tokenwindow_test.go
+++ b/internal/model/quota/tokenwindow_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Committed units are released one by one, after the window and its margin.
+// Each commitment is released when its own window and margin are over.
 func TestTokenWindowExpire(t *testing.T) {
 	start := time.Unix(0, 0)
 	window := tokenWindow{length: 10 * time.Second, margin: time.Second, reserved: 7}
@@ -33,7 +33,7 @@
 	}
 }
 
-// A window gets no shorter while units are committed in it.
+// A window is not shortened while units are committed in it.
 func TestTokenWindowSetLength(t *testing.T) {
 	var window tokenWindow
 	for _, step := range []struct {
@@ -46,7 +46,7 @@
 		{"shorter, nothing spent", 0, 5 * time.Second, 5 * time.Second},
 		{"longer, units spent", 1, 8 * time.Second, 8 * time.Second},
 		{"shorter, units spent", 1, 2 * time.Second, 8 * time.Second},
-		{"shorter, nothing spent any more", 0, 2 * time.Second, 2 * time.Second},
+		{"shorter, all units released", 0, 2 * time.Second, 2 * time.Second},
 	} {
 		window.spent = step.spent
 		window.setLength(step.length)
--- a/internal/model/quota/tolerance_test.go
+++ b/internal/model/quota/tolerance_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// tolerantPool is one tenant's pool with a tolerance, and the shares of some holders, whose answers get lost, which crash,
-// and whose units cool.
-type tolerantPool struct {
+// toleranceSimulation is one tenant's pool with a tolerance and the shares of several holders. Responses to holders are lost,
+// holders crash, and their units cool.
+type toleranceSimulation struct {
 	pool             Pool
 	limit, tolerance int
 	window           time.Duration
@@ -24,18 +24,18 @@
 	spends           []spend
 }
 
-func newTolerantPool(limit, tolerance int, window, chargeTTL time.Duration) *tolerantPool {
-	p := &tolerantPool{limit: limit, tolerance: tolerance, window: window, chargeTTL: chargeTTL, shares: map[string]*Share{},
+func newToleranceSimulation(limit, tolerance int, window, chargeTTL time.Duration) *toleranceSimulation {
+	p := &toleranceSimulation{limit: limit, tolerance: tolerance, window: window, chargeTTL: chargeTTL, shares: map[string]*Share{},
 		runs: map[string]int{}, coolingSince: map[string]time.Time{}, chargedAt: map[uint64]time.Time{}}
-	for _, name := range sharedPoolHolders {
+	for _, name := range simulatedHolders {
 		p.shares[name] = NewShare()
 	}
 	return p
 }
 
-// step has one holder do one thing at random.
-func (p *tolerantPool) step(rt *rapid.T) {
-	name := rapid.SampledFrom(sharedPoolHolders).Draw(rt, "holder")
+// step performs one random action of a random holder.
+func (p *toleranceSimulation) step(rt *rapid.T) {
+	name := rapid.SampledFrom(simulatedHolders).Draw(rt, "holder")
 	share, holder := p.shares[name], fmt.Sprintf("%s/%d", name, p.runs[name])
 	switch rapid.IntRange(0, 10).Draw(rt, "step") {
 	case 0, 1, 2, 3:
@@ -50,7 +50,7 @@
 		}
 	case 7:
 		time.Sleep(time.Duration(rapid.IntRange(1, 1500).Draw(rt, "ms")) * time.Millisecond)
-	case 8: // the holder crashes and comes back as another run
+	case 8: // the holder crashes, and its next run is another holder
 		p.pool.StartCooling(holder)
 		p.coolingSince[holder] = time.Now()
 		p.runs[name]++
@@ -65,8 +65,8 @@
 	}
 }
 
-// acquire makes an acquire if one is called for. Its answer may be lost; then it is repeated.
-func (p *tolerantPool) acquire(rt *rapid.T, holder string, share *Share) {
+// acquire runs an acquire if the share needs one. Its response may be lost; then the acquire is repeated.
+func (p *toleranceSimulation) acquire(rt *rapid.T, holder string, share *Share) {
 	share.SetLimit(p.limit, p.window)
 	sequence, units, ok := share.NextAcquire(4)
 	if !ok {
@@ -81,8 +81,8 @@
 	share.Apply(sequence, allocated, p.pool.LimitBase(p.limit))
 }
 
-// endWhatIsOver ends the cooling and the charges that have had their time.
-func (p *tolerantPool) expireCoolingAndCharges() {
+// expireCoolingAndCharges ends cooling after the window and its margin, and removes charges after chargeTTL.
+func (p *toleranceSimulation) expireCoolingAndCharges() {
 	for holder, since := range p.coolingSince {
 		if time.Since(since) > p.window+Margin {
 			p.pool.EndCooling(holder)
@@ -97,14 +97,14 @@
 	}
 }
 
-// With a tolerance, no rolling window over all holders holds more than the limit and the tolerance, and no span of three
-// windows more than three limits and one tolerance, whoever crashes and whenever, in each window too.
+// With a tolerance, the spends of all holders stay within the limit plus the tolerance in any rolling window, and within three
+// limits plus one tolerance in any span of three windows, whichever holders crash and however often.
 func TestToleranceOverAllHolders(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(*testing.T) {
 			const window, windows = time.Second, 3
 			limit, tolerance := rapid.IntRange(1, 60).Draw(rt, "limit"), rapid.IntRange(0, 20).Draw(rt, "tolerance")
-			p := newTolerantPool(limit, tolerance, window, (windows+1)*window+Margin)
+			p := newToleranceSimulation(limit, tolerance, window, (windows+1)*window+Margin)
 			for range rapid.IntRange(20, 150).Draw(rt, "steps") {
 				p.step(rt)
 			}
@@ -118,8 +118,8 @@
 	})
 }
 
-// greedyFleet is a fleet of holders that acquire and spend all they can, and crash, in steps of time. It has no clock
-// but its own, and its spends take no time, so that it comes as near to the limit as can be.
+// greedyFleet is a fleet of holders that acquire and spend as many units as they can, and crash. It uses discrete time steps
+// instead of a clock, and its spends take no time, so that it gets as close to the limit as possible.
 type greedyFleet struct {
 	pool             Pool
 	limit, tolerance int
@@ -128,15 +128,15 @@
 	now              int
 	holders          map[string]*greedyHolder
 	sequence         uint64
-	crashedAt        map[string]int // by holder that is gone
-	chargedAt        map[uint64]int // by charge
+	crashedAt        map[string]int // by holder
+	chargedAt        map[uint64]int // by charge ID
 	spent            []int          // units, by step
 }
 
-// greedyHolder is what a holder has, and when it spent which units.
+// greedyHolder holds a holder's allocated units and its spends.
 type greedyHolder struct {
 	run, units int
-	spent      map[int]int
+	spent      map[int]int // units, by step
 }
 
 func newGreedyFleet(limit, tolerance, period, periods int) *greedyFleet {
@@ -153,14 +153,14 @@
 	return fmt.Sprintf("%s/%d", name, f.holders[name].run)
 }
 
-// acquire has a holder acquire all that there is.
+// acquire makes a holder acquire all units that it can get.
 func (f *greedyFleet) acquire(name string) {
 	f.sequence++
 	f.chargedAt[f.sequence] = f.now
 	f.holders[name].units, _ = f.pool.AcquireWithTolerance(f.holder(name), f.sequence, 1000, f.limit, f.tolerance, f.sequence)
 }
 
-// spend has a holder spend all units that it has not spent within the period.
+// spend makes a holder spend all usable units that it has not spent within the period.
 func (f *greedyFleet) spend(name string) {
 	holder := f.holders[name]
 	usable := holder.units
@@ -178,7 +178,7 @@
 	}
 }
 
-// giveBack has a holder return what it has not spent.
+// returnIdle makes a holder return all units that it has not spent within the period.
 func (f *greedyFleet) returnIdle(name string) {
 	holder := f.holders[name]
 	idle := holder.units
@@ -191,14 +191,14 @@
 	holder.units, _ = f.pool.Return(f.holder(name), f.sequence, max(idle, 0))
 }
 
-// crash has a holder crash and come back as another run.
+// crash makes a holder crash; its next run is another holder.
 func (f *greedyFleet) crash(name string) {
 	f.pool.StartCooling(f.holder(name))
 	f.crashedAt[f.holder(name)] = f.now
 	f.holders[name] = &greedyHolder{run: f.holders[name].run + 1, spent: map[int]int{}}
 }
 
-// step goes on to the next step of time, and ends what has had its time.
+// step advances to the next time step, and ends cooling and charges that have expired.
 func (f *greedyFleet) step() {
 	f.now++
 	f.spent = append(f.spent, 0)
@@ -216,7 +216,7 @@
 	}
 }
 
-// most is the largest sum over any span of so many steps.
+// maxInSpan returns the largest number of units spent in any span of this many steps.
 func (f *greedyFleet) maxInSpan(steps int) int {
 	maxInSpan := 0
 	for i := range f.spent {
@@ -229,7 +229,7 @@
 	return maxInSpan
 }
 
-// play has the fleet act at random, but each holder that acquires spends often and crashes often.
+// run performs random actions, with a bias toward acquiring, spending and crashing.
 func (f *greedyFleet) run(rt *rapid.T) {
 	f.spent = []int{0}
 	for range rapid.IntRange(20, 120).Draw(rt, "acts") {
@@ -249,8 +249,8 @@
 	}
 }
 
-// In any window the fleet spends no more than its periods' limits and one tolerance, whoever acquires, spends, returns
-// and crashes, several times in each period and in all periods.
+// In any window of several periods, the fleet spends at most one limit per period plus one tolerance, whichever holders acquire,
+// spend, return and crash, and however often.
 func TestToleranceSpentOnceInWindow(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const periods = 3
@@ -263,8 +263,8 @@
 	})
 }
 
-// Holders that spend and crash at once, all the time, get each tolerance once in a window. Were it charged for a
-// shorter time, the window would be overspent.
+// Holders that continually acquire, spend and crash can use the tolerance once per window. With charges that expire too soon,
+// they would exceed the window's limit.
 func TestToleranceUnderConstantCrashes(t *testing.T) {
 	const limit, tolerance, period, periods = 10, 10, 4, 3
 	const want = periods*limit + tolerance
@@ -283,7 +283,7 @@
 			f.step()
 		}
 		if got := f.maxInSpan(f.window); (got > want) != tooShort || got < want {
-			t.Errorf("most units within a window, charged too short %v: got %d, want %d, or more if too short", tooShort, got, want)
+			t.Errorf("most units within a window, charges expire too soon %v: got %d, want %d, or more if charges expire too soon", tooShort, got, want)
 		}
 	}
 }
--- a/internal/model/quota/transfer_test.go
+++ b/internal/model/quota/transfer_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// One transfer is in flight at a time, numbers only grow, and only the answer to the one in flight counts.
+// Sequence numbers increase by one, and only the transfer in flight can be completed, once.
 func TestTransferSequence(t *testing.T) {
 	var transfers transferSequence
 	now := time.Unix(1, 0)
@@ -15,10 +15,10 @@
 	}
 	for want := uint64(1); want <= 3; want++ {
 		if got := transfers.start(true); got != want {
-			t.Errorf("start: got number %d, want %d", got, want)
+			t.Errorf("start: got sequence number %d, want %d", got, want)
 		}
 		if transfers.complete(want-1, now) || transfers.complete(want+1, now) {
-			t.Errorf("complete of another number than %d: got true, want false", want)
+			t.Errorf("complete of a sequence number other than %d: got true, want false", want)
 		}
 		if !transfers.complete(want, now) || transfers.complete(want, now) {
 			t.Errorf("complete of %d: want true once", want)
@@ -26,10 +26,10 @@
 	}
 }
 
-// While a transfer is in flight no other starts, and an answer to an earlier one changes nothing.
+// While a transfer is in flight, no other starts, and a response to an earlier one is ignored.
 func TestApplyOnlyTransferInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		share := shareWith(t, 4, 10, time.Second)
+		share := newShareWith(t, 4, 10, time.Second)
 		share.Enqueue(6)
 		sequence, units, ok := share.NextAcquire(1)
 		if !ok || sequence != 2 || units != 2 {
@@ -43,19 +43,19 @@
 		}
 		share.Apply(1, 9, 10)
 		if allocated, _, _ := share.Stats(); allocated != 4 || !share.TransferInFlight() {
-			t.Errorf("after an answer to an earlier transfer: got %d held, in flight %v, want 4, true", allocated, share.TransferInFlight())
+			t.Errorf("after a response to an earlier transfer: got %d allocated, in flight %v, want 4, true", allocated, share.TransferInFlight())
 		}
 		share.Apply(sequence, 6, 10)
 		if allocated, _, _ := share.Stats(); allocated != 6 || share.TransferInFlight() {
-			t.Errorf("after the answer: got %d held, in flight %v, want 6, false", allocated, share.TransferInFlight())
+			t.Errorf("after the response: got %d allocated, in flight %v, want 6, false", allocated, share.TransferInFlight())
 		}
 	})
 }
 
-// Once the core had too few units it is not asked again for a moment, and the limit counts as scarce.
-func TestExhaustedCoreIsNotAskedAtOnce(t *testing.T) {
+// After an acquire that got no units, the next one waits for exhaustedBackoff, and the limit counts as scarce.
+func TestBackoffAfterExhaustion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		share := shareWith(t, 4, 10, time.Second)
+		share := newShareWith(t, 4, 10, time.Second)
 		if share.Scarce() {
 			t.Error("Scarce at first: got true, want false")
 		}
@@ -63,7 +63,7 @@
 		sequence, _, _ := share.NextAcquire(1)
 		share.Apply(sequence, 4, 10)
 		if _, _, ok := share.NextAcquire(1); ok || !share.Scarce() {
-			t.Errorf("right after too few units: got transfer %v, scarce %v, want false, true", ok, share.Scarce())
+			t.Errorf("right after an acquire that got no units: got transfer %v, scarce %v, want false, true", ok, share.Scarce())
 		}
 		time.Sleep(exhaustedBackoff)
 		if _, _, ok := share.NextAcquire(1); !ok {
@@ -76,10 +76,10 @@
 	})
 }
 
-// Returned units are struck off before the core answers, and never are units in use.
-func TestReturnStrikesOffFirst(t *testing.T) {
+// Returned units are deducted from the share before the core responds, and units in use are never returned.
+func TestReturnDeductsUnitsFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		share := shareWith(t, 8, 10, time.Minute)
+		share := newShareWith(t, 8, 10, time.Minute)
 		reserveAndCommit(t, share, 3)
 		time.Sleep(returnInterval)
 		_, units, ok := share.NextReturn(true, 10)
@@ -87,7 +87,7 @@
 			t.Fatalf("NextReturn: got %d, %v, want 5, true", units, ok)
 		}
 		if allocated, free, spent := share.Stats(); allocated != 3 || free != 0 || spent != 3 {
-			t.Errorf("before the answer: got %d held, %d free, %d spent, want 3, 0, 3", allocated, free, spent)
+			t.Errorf("before the response: got %d allocated, %d free, %d spent, want 3, 0, 3", allocated, free, spent)
 		}
 	})
 }
--- a/internal/model/quota/unevencosts_test.go
+++ b/internal/model/quota/unevencosts_test.go
@@ -12,7 +12,7 @@
 	"yarrowridge/internal/lib/daemon"
 )
 
-// unevenFleet is routers that acquire units of one pool as the core lets them.
+// unevenFleet is a fleet of routers that acquire units of one pool under the core's allocation policy.
 type unevenFleet struct {
 	mu     sync.Mutex
 	pool   Pool   // guarded by mu
@@ -66,7 +66,7 @@
 	return allocated, f.pool.LimitBase(limit), nil
 }
 
-// play sends requests of unequal costs to random routers, and returns those that were admitted and rejected.
+// sendRequests sends requests of the given costs to random routers, and returns the admitted and the rejected ones.
 func (f *unevenFleet) sendRequests(ctx context.Context, requests int, interval time.Duration, cost func() int) (admitted, rejected []spend) {
 	var mu sync.Mutex
 	var running sync.WaitGroup
@@ -93,7 +93,7 @@
 	return admitted, rejected
 }
 
-// unevenCost is that of short questions beside long summaries.
+// unevenCost returns a random cost from a mix of many short questions and some long summaries.
 func unevenCost() int {
 	if rand.IntN(7) == 0 {
 		return 10_000 + rand.IntN(20_000)
@@ -101,8 +101,8 @@
 	return 100 + rand.IntN(600)
 }
 
-// A tenant that stays under its limit, by seven tenths of it in the mean, is rejected next to nothing, whatever its requests
-// cost, and however many routers they come to.
+// If a tenant uses seven tenths of its limit on average, almost none of its requests are rejected, even if their costs are
+// uneven and they are spread over many routers.
 func TestUnevenCostsUnderLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -110,7 +110,7 @@
 		defer time.Sleep(time.Second)
 		defer cancel()
 		const window = 8 * time.Second
-		perWindow := 80 * (20_000/7 + 350) // a request each 100 ms
+		perWindow := 80 * (20_000/7 + 350) // one request every 100 ms
 		limit := perWindow * 10 / 7
 		fleet := newUnevenFleet(ctx, 20, limit, window)
 		time.Sleep(time.Second)
@@ -124,8 +124,8 @@
 	})
 }
 
-// A tenant asks for ten times its limit, which then is lowered: no window holds more than its limit, and what is admitted
-// comes to most of it.
+// A tenant's requests need far more than its limit, which is then lowered: the spends in any window stay within the limit in
+// force, and the admitted requests use most of the limit.
 func TestUnevenCostsFarAboveLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -155,11 +155,11 @@
 		}
 		t.Logf("%d admitted, %d rejected, %d units of large requests, %d of small ones", len(admitted), len(rejected), large, small)
 		fleet.limit.Store(limit / 4)
-		time.Sleep(time.Second) // the routers take up the lower limit within half a second
+		time.Sleep(time.Second) // the routers apply the lower limit within transferInterval
 		time.Sleep(window)
 		admitted, _ = fleet.sendRequests(ctx, 1500, 10*time.Millisecond, unevenCost)
 		if got := maxInWindow(admitted, window); got > limit/4 {
-			t.Errorf("units in a window of the lowered limit: got %d, want at most %d", got, limit/4)
+			t.Errorf("units in a window under the lowered limit: got %d, want at most %d", got, limit/4)
 		}
 	})
 }
