--- a/internal/model/quota/entitlement_test.go
+++ b/internal/model/quota/entitlement_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// A lowered limit binds each holder at once, in proportion, before any unit was returned.
+// A lowered limit takes effect at each holder at once, in proportion, before any unit has been returned.
 func TestLoweredLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		high := rapid.IntRange(10, 200).Draw(rt, "high")
@@ -41,8 +41,8 @@
 			share := NewShare()
 			share.SetLimit(high, time.Minute)
 			if sequence, _, ok := share.NextAcquire(1); ok {
-				held, _ := pool.Acquire(string(rune('a'+i)), sequence, rapid.IntRange(0, high).Draw(rt, "units"), high)
-				share.Apply(sequence, held, max(high, pool.AllocatedUnits()))
+				allocated, _ := pool.Acquire(string(rune('a'+i)), sequence, rapid.IntRange(0, high).Draw(rt, "units"), high)
+				share.Apply(sequence, allocated, max(high, pool.AllocatedUnits()))
 			}
 			shares = append(shares, share)
 		}
