--- a/internal/controlplane/quotapool/scarcity.go
+++ b/internal/controlplane/quotapool/scarcity.go
@@ -43,9 +43,9 @@
 	version  uint64 // of listed; 0: nothing was listed yet
 }
 
-// Mark takes note of an acquire of at least one unit by one of so many live routers: idle units are wanted back if it got too few, or the next
+// Record takes note of an acquire of at least one unit by one of so many live routers: idle units are wanted back if it got too few, or the next
 // one may.
-func (s *Scarcity) Mark(demand Demand, routers int) {
+func (s *Scarcity) Record(demand Demand, routers int) {
 	if !demand.Unmet && !demand.isLow(routers) {
 		return
 	}
--- a/internal/controlplane/quotapool/scarcity_test.go
+++ b/internal/controlplane/quotapool/scarcity_test.go
@@ -26,7 +26,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				var scarcity Scarcity
 				c.demand.Tenant, c.demand.Units = "t", 1
-				scarcity.Mark(c.demand, c.routers)
+				scarcity.Record(c.demand, c.routers)
 				if got := slices.Contains(scarcity.Tenants(), "t"); got != c.want {
 					t.Errorf("got scarce %t, want %t", got, c.want)
 				}
@@ -42,7 +42,7 @@
 func TestScarceTenantsAreSorted(t *testing.T) {
 	var scarcity Scarcity
 	for _, tenant := range []string{"c", "a", "b"} {
-		scarcity.Mark(Demand{Tenant: tenant, Units: 1, Unmet: true}, 1)
+		scarcity.Record(Demand{Tenant: tenant, Units: 1, Unmet: true}, 1)
 	}
 	if got, want := scarcity.Tenants(), []string{"a", "b", "c"}; !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
@@ -53,7 +53,7 @@
 func TestScarceListVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var scarcity Scarcity
-		mark := func(tenant string) { scarcity.Mark(Demand{Tenant: tenant, Units: 1, Unmet: true}, 1) }
+		mark := func(tenant string) { scarcity.Record(Demand{Tenant: tenant, Units: 1, Unmet: true}, 1) }
 		mark("a")
 		_, first := scarcity.Listed()
 		if first == 0 {
--- a/internal/controlplane/service/quota.go
+++ b/internal/controlplane/service/quota.go
@@ -54,7 +54,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.scarcity.Mark(demand, s.routers.Len())
+	s.scarcity.Record(demand, s.routers.Len())
 }
 
 // coolHolder has a holder's units cool: its process is surely gone.
