--- a/internal/controlplane/quotapool/scarcity.go
+++ b/internal/controlplane/quotapool/scarcity.go
@@ -58,9 +58,9 @@
 // listMaxAge is how long one list is given out.
 const listMaxAge = 50 * time.Millisecond
 
-// Listed is Tenants as of listMaxAge ago at most, with a version that changes with the list: in a large fleet each heartbeat
+// Snapshot is Tenants as of listMaxAge ago at most, with a version that changes with the list: in a large fleet each heartbeat
 // asks for it. The list must not be changed. No other primary uses the same versions.
-func (s *Scarcity) Listed() (tenants []string, version uint64) {
+func (s *Scarcity) Snapshot() (tenants []string, version uint64) {
 	now := time.Now()
 	if s.version == 0 {
 		s.version = rand.Uint64() | 1
--- a/internal/controlplane/quotapool/scarcity_test.go
+++ b/internal/controlplane/quotapool/scarcity_test.go
@@ -55,18 +55,18 @@
 		var scarcity Scarcity
 		mark := func(tenant string) { scarcity.Record(Demand{Tenant: tenant, Units: 1, Unmet: true}, 1) }
 		mark("a")
-		_, first := scarcity.Listed()
+		_, first := scarcity.Snapshot()
 		if first == 0 {
 			t.Error("got version 0, want another")
 		}
 		time.Sleep(listMaxAge)
 		mark("a")
-		if _, again := scarcity.Listed(); again != first {
+		if _, again := scarcity.Snapshot(); again != first {
 			t.Errorf("got version %d of the same list, want %d", again, first)
 		}
 		mark("b")
 		time.Sleep(listMaxAge)
-		tenants, next := scarcity.Listed()
+		tenants, next := scarcity.Snapshot()
 		if next == first || !slices.Equal(tenants, []string{"a", "b"}) {
 			t.Errorf("got %v in version %d, want a and b in another than %d", tenants, next, first)
 		}
--- a/internal/controlplane/service/routerheartbeat.go
+++ b/internal/controlplane/service/routerheartbeat.go
@@ -62,7 +62,7 @@
 
 // fillScarceTenants puts the scarce tenants into the response, unless the router has this very list. The caller holds s.mu.
 func (s *Service) fillScarceTenants(request *coreapi.HeartbeatRequest, response *coreapi.HeartbeatResponse) {
-	tenants, version := s.scarcity.Listed()
+	tenants, version := s.scarcity.Snapshot()
 	response.ScarceVersion = version
 	if request.ScarceVersion == version {
 		response.ScarceUnchanged = true
