--- a/internal/controlplane/quotapool/cache.go
+++ b/internal/controlplane/quotapool/cache.go
@@ -12,8 +12,8 @@
 	"yarrowridge/internal/model/quota"
 )
 
-// poolCache keeps the decoded pools of tenants: each has an entry for every router, and is read and written with
-// every transfer.
+// poolCache caches the decoded pools of tenants: a pool has an entry for every router and is read and written by every
+// transfer.
 type poolCache struct {
 	pools   map[string]*cachedPool // by tenant
 	holders holderNumbers
@@ -23,22 +23,22 @@
 	return poolCache{pools: map[string]*cachedPool{}, holders: holderNumbers{}}
 }
 
-// cachedPool is a pool and the bytes that it was decoded from or encoded to. It is good for as long as the
-// store, or the batch under way, has these very bytes.
+// cachedPool is a pool with the bytes that it was decoded from or encoded to. It is valid as long as the store, or the
+// current batch, has the same slice under the pool's key (see transaction.SameRecord).
 type cachedPool struct {
 	encoded encodedPool
 	pool    quota.Pool
-	stored  storedPool // what is encoded, with allocations sorted by the holders' numbers
+	stored  storedPool // the encoded form, with allocations sorted by holder number
 }
 
-// get gives a tenant's pool as the batch under way has it. One that is changed must be put.
+// get returns a tenant's pool as of the current batch. A caller that changes the pool must call put or putAllocation.
 func (c poolCache) get(tx *transaction.Tx, tenant string) (*quota.Pool, error) {
 	raw, ok := tx.Get(poolKey(tenant))
 	if !ok {
 		return &quota.Pool{}, nil
 	}
-	if known := c.pools[tenant]; known != nil && (transaction.SameRecord(raw, known.encoded.raw) || faultinjection.Disabled("pool-cache")) {
-		return &known.pool, nil
+	if cached := c.pools[tenant]; cached != nil && (transaction.SameRecord(raw, cached.encoded.raw) || faultinjection.Disabled("pool-cache")) {
+		return &cached.pool, nil
 	}
 	decoded, err := decodePool(raw, func(number uint64) (string, error) { return c.holders.name(tx, number) })
 	if err != nil {
@@ -51,7 +51,7 @@
 	return &decoded.pool, nil
 }
 
-// put puts a changed pool.
+// put stores and caches a changed pool.
 func (c poolCache) put(tx *transaction.Tx, tenant string, pool *quota.Pool) error {
 	delete(c.pools, tenant)
 	stored := storedPool{Allocations: make([]numberedAllocation, 0, len(pool.Allocations))}
@@ -66,11 +66,12 @@
 	return c.encode(tx, tenant, &cachedPool{pool: *pool, stored: stored})
 }
 
-// putAllocation puts a pool, as get gave it, of which a transfer has changed one holder's allocation and maybe the charges.
-// It takes the others' numbers from what was encoded before: their records are in the state as surely as that is.
+// putAllocation stores a pool returned by get in which a transfer changed one holder's allocation and possibly the charges.
+// It takes the numbers of the other holders from the previous encoding: the state that contains that pool record also
+// contains their records.
 func (c poolCache) putAllocation(tx *transaction.Tx, tenant string, pool *quota.Pool, holder string) error {
-	known := c.pools[tenant]
-	if known == nil || &known.pool != pool {
+	cached := c.pools[tenant]
+	if cached == nil || &cached.pool != pool {
 		return c.put(tx, tenant, pool)
 	}
 	delete(c.pools, tenant)
@@ -80,24 +81,24 @@
 	}
 	allocation := pool.Allocations[holder]
 	changed := numberedAllocation{Holder: number, Units: allocation.Units, Sequence: allocation.Sequence}
-	index, found := slices.BinarySearchFunc(known.stored.Allocations, changed, compareHolders)
-	if found && len(known.stored.Allocations) == len(pool.Allocations) && known.encoded.summary == summarize(pool) {
-		if err := known.encoded.replace(known.stored.Allocations, index, changed); err != nil {
+	index, found := slices.BinarySearchFunc(cached.stored.Allocations, changed, compareHolders)
+	if found && len(cached.stored.Allocations) == len(pool.Allocations) && cached.encoded.summary == summarize(pool) {
+		if err := cached.encoded.replaceAllocation(cached.stored.Allocations, index, changed); err != nil {
 			return err
 		}
-		known.stored.Allocations[index] = changed
-		tx.PutRaw(poolKey(tenant), known.encoded.raw)
-		c.pools[tenant] = known
+		cached.stored.Allocations[index] = changed
+		tx.PutRaw(poolKey(tenant), cached.encoded.raw)
+		c.pools[tenant] = cached
 		return nil
 	}
-	known.stored.setAllocation(index, found, changed)
-	if len(known.stored.Allocations) != len(pool.Allocations) {
-		return c.put(tx, tenant, pool) // holders went by their names, as older versions stored them
+	cached.stored.setAllocation(index, found, changed)
+	if len(cached.stored.Allocations) != len(pool.Allocations) {
+		return c.put(tx, tenant, pool) // an older version stored holders by name
 	}
-	return c.encode(tx, tenant, known)
+	return c.encode(tx, tenant, cached)
 }
 
-// encode puts the record of a pool whose stored allocations are those of the pool, and caches it.
+// encode stores the record of a pool and caches the pool. The allocations in entry.stored must already be those of the pool.
 func (c poolCache) encode(tx *transaction.Tx, tenant string, entry *cachedPool) error {
 	entry.stored.NamedAllocations = nil
 	entry.stored.Cooling, entry.stored.AboveLimit, entry.stored.Charges = entry.pool.Cooling, entry.pool.AboveLimit, entry.pool.Charges
@@ -111,10 +112,10 @@
 	return nil
 }
 
-// sortAllocations sorts the allocations by the holders' numbers.
+// sortAllocations sorts the allocations by holder number.
 func (s *storedPool) sortAllocations() { slices.SortFunc(s.Allocations, compareHolders) }
 
-// setAllocation sets the allocation at an index, or inserts it there where its holder had none.
+// setAllocation replaces the allocation at an index, or inserts it there if its holder had none.
 func (s *storedPool) setAllocation(index int, found bool, allocation numberedAllocation) {
 	if found {
 		s.Allocations[index] = allocation
@@ -125,12 +126,12 @@
 
 func compareHolders(a, b numberedAllocation) int { return cmp.Compare(a.Holder, b.Holder) }
 
-// decodePool decodes a stored pool, whose holders the function names by their numbers.
+// decodePool decodes a stored pool. holderName returns the name of the holder with a number.
 func decodePool(raw []byte, holderName func(number uint64) (string, error)) (*cachedPool, error) {
 	decoded := &cachedPool{encoded: encodedPool{raw: raw}}
 	stored := &decoded.stored
 	if _, err := stored.UnmarshalMsg(raw); err != nil {
-		return nil, eris.Wrap(err, "quotapool: decode a pool")
+		return nil, eris.Wrap(err, "quotapool: decode a pool record")
 	}
 	isSorted := slices.IsSortedFunc(stored.Allocations, compareHolders)
 	stored.sortAllocations()
@@ -153,13 +154,13 @@
 	return decoded, nil
 }
 
-// poolPrefix begins the keys of pools.
+// poolPrefix is the prefix of the keys of pools.
 const poolPrefix = "share/"
 
 // poolKey is the key of a tenant's pool.
 func poolKey(tenant string) string { return poolPrefix + tenant }
 
-// poolTenants lists the tenants that have a pool in the state as the batch has it.
+// poolTenants returns the tenants that have a pool in the committed state or in the mutations of the batch.
 func poolTenants(tx *transaction.Tx) []string {
 	var tenants []string
 	tx.Committed().ForEachWithPrefix(poolPrefix, func(key string, _ []byte) { tenants = append(tenants, strings.TrimPrefix(key, poolPrefix)) })
@@ -168,7 +169,7 @@
 		if !isPool {
 			continue
 		}
-		if _, known := tx.Committed().Get(mutation.Key); !known && !slices.Contains(tenants, tenant) {
+		if _, isCommitted := tx.Committed().Get(mutation.Key); !isCommitted && !slices.Contains(tenants, tenant) {
 			tenants = append(tenants, tenant)
 		}
 	}
--- a/internal/controlplane/quotapool/cache_test.go
+++ b/internal/controlplane/quotapool/cache_test.go
@@ -32,7 +32,7 @@
 	return transaction.New(committed)
 }
 
-func poolOf(holders int) *quota.Pool {
+func newTestPool(holders int) *quota.Pool {
 	pool := &quota.Pool{Allocations: map[string]quota.Allocation{}, Cooling: map[string]int{"gone@10.0.0.9:1/1": 2}, AboveLimit: 1, Charges: []quota.Charge{{ID: 7, Units: 1}}}
 	for i := range holders {
 		pool.Allocations[fmt.Sprintf("edge-%d@10.0.0.%d:7360/%016x", i, i, uint64(i+1)*0x9e3779b97f4a7c15)] = quota.Allocation{Units: i % 3, Sequence: uint64(100 + i)}
@@ -40,8 +40,8 @@
 	return pool
 }
 
-// poolByNames encodes a pool as older versions did: all four fields, and holders by their names.
-func poolByNames(pool *quota.Pool) ([]byte, error) {
+// encodePoolByName encodes a pool as older versions did: all four fields, and holders by their names.
+func encodePoolByName(pool *quota.Pool) ([]byte, error) {
 	raw := msgp.AppendMapHeader(nil, 4)
 	raw = msgp.AppendString(raw, "h")
 	raw = msgp.AppendMapHeader(raw, uint32(len(pool.Allocations)))
@@ -78,7 +78,7 @@
 func TestStoredPoolsAreSmall(t *testing.T) {
 	pools, committed := New(), openStore(t)
 	const holders = 74
-	pool := poolOf(holders)
+	pool := newTestPool(holders)
 	tx := beginTx(committed)
 	if err := pools.cache.put(tx, "t", pool); err != nil {
 		t.Fatal(err)
@@ -104,8 +104,8 @@
 // A pool that an older version wrote, with its holders by name, is decoded as it is.
 func TestPoolsOfOlderVersionsAreDecoded(t *testing.T) {
 	pools, committed := New(), openStore(t)
-	pool := poolOf(3)
-	raw, err := poolByNames(pool)
+	pool := newTestPool(3)
+	raw, err := encodePoolByName(pool)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -197,7 +197,7 @@
 //
 //	go test ./internal/controlplane/quotapool -run XXX -bench PoolSize -benchtime 1x
 func BenchmarkPoolSize(b *testing.B) {
-	pool := poolOf(360)
+	pool := newTestPool(360)
 	for b.Loop() {
 		disk, err := store.OpenFolder(b.TempDir())
 		if err != nil {
@@ -313,7 +313,7 @@
 // Units of a holder that an older version stored by its name are taken back like those of any other.
 func TestSweepOfPoolsByNames(t *testing.T) {
 	pools, committed := New(), openStore(t)
-	raw, err := poolByNames(&quota.Pool{Allocations: map[string]quota.Allocation{"node@1/1": {Units: 2}}})
+	raw, err := encodePoolByName(&quota.Pool{Allocations: map[string]quota.Allocation{"node@1/1": {Units: 2}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -360,7 +360,7 @@
 		t.Fatal(err)
 	}
 	commitTx(t, committed, tx)
-	successor := Successor{Node: coreapi.Node{Name: "node", Addr: "10.0.0.1:1", Run: 2}, BegunBy: time.Now()}
+	successor := Successor{Node: coreapi.Node{Name: "node", Addr: "10.0.0.1:1", Run: 2}, LatestStart: time.Now()}
 	fresh := New()
 	tx = beginTx(committed)
 	replaced, err := fresh.FindReplaced(tx, map[string]Successor{successor.Node.Addr: successor})
--- a/internal/controlplane/quotapool/encoding.go
+++ b/internal/controlplane/quotapool/encoding.go
@@ -6,18 +6,18 @@
 	"yarrowridge/internal/model/quota"
 )
 
-// encodedPool is a pool's record together with where each allocation stands in it. A transfer changes one allocation of
-// hundreds: its bytes are replaced in a copy of the record, in place of encoding all of them.
+// encodedPool is a pool's record with the offset of each allocation in it. A transfer changes one of hundreds of allocations:
+// its bytes are replaced in a copy of the record, so that the others need not be encoded again.
 //
-// It rests on the generated encoder of storedPool writing Allocations last.
+// This requires that the generated encoder of storedPool writes Allocations last.
 type encodedPool struct {
-	raw        []byte
-	boundaries []int         // of the allocations in raw, one more than there are; nil: not known
-	summary    recordSummary // of what raw has beside the allocations
+	raw     []byte
+	offsets []int         // of the allocations in raw, and of the end of the last one; nil: not computed
+	summary recordSummary // of the contents of raw other than the allocations
 }
 
-// recordSummary tells whether a pool has changed in anything beside its allocations since it was encoded. A transfer only
-// adds to charges, and leaves what cools as it is.
+// recordSummary is compared to detect whether anything other than a pool's allocations changed since the pool was encoded.
+// Counts and sums are enough: a transfer only adds to charges and does not change the cooling units.
 type recordSummary struct {
 	coolingHolders int
 	coolingUnits   int
@@ -26,10 +26,10 @@
 	aboveLimit     int
 }
 
-// unknownSummary is that of no pool: a record that older versions wrote is encoded anew.
+// unknownSummary differs from the summary of every pool, so that a record of an older version is encoded again in full.
 var unknownSummary = recordSummary{coolingHolders: -1}
 
-// summarize summarizes what a pool has beside its allocations.
+// summarize returns the summary of a pool's contents other than its allocations.
 func summarize(pool *quota.Pool) recordSummary {
 	return recordSummary{
 		coolingHolders: len(pool.Cooling),
@@ -40,34 +40,35 @@
 	}
 }
 
-// encodePool encodes a pool.
+// encodePool encodes a pool; stored must have the same contents as pool.
 func encodePool(stored *storedPool, pool *quota.Pool) (encodedPool, error) {
 	raw, err := stored.MarshalMsg(nil)
 	return encodedPool{raw: raw, summary: summarize(pool)}, err
 }
 
-// locate finds where each allocation stands in the record.
-func (e *encodedPool) locate(allocations []numberedAllocation) error {
-	boundaries := make([]int, 1, len(allocations)+1)
+// computeOffsets computes the offset of each allocation in the record.
+func (e *encodedPool) computeOffsets(allocations []numberedAllocation) error {
+	offsets := make([]int, 1, len(allocations)+1)
 	var entries []byte
 	for i := range allocations {
 		var err error
 		if entries, err = allocations[i].MarshalMsg(entries); err != nil {
 			return err
 		}
-		boundaries = append(boundaries, len(entries))
+		offsets = append(offsets, len(entries))
 	}
-	for i := range boundaries {
-		boundaries[i] += len(e.raw) - len(entries)
+	for i := range offsets {
+		offsets[i] += len(e.raw) - len(entries)
 	}
-	e.boundaries = boundaries
+	e.offsets = offsets
 	return nil
 }
 
-// replace replaces the allocation at an index by another one of the same holder, in a new record.
-func (e *encodedPool) replace(allocations []numberedAllocation, index int, changed numberedAllocation) error {
-	if e.boundaries == nil {
-		if err := e.locate(allocations); err != nil {
+// replaceAllocation replaces the allocation at an index by another one of the same holder. The result is a new record; the
+// previous one is not modified.
+func (e *encodedPool) replaceAllocation(allocations []numberedAllocation, index int, changed numberedAllocation) error {
+	if e.offsets == nil {
+		if err := e.computeOffsets(allocations); err != nil {
 			return err
 		}
 	}
@@ -75,11 +76,11 @@
 	if err != nil {
 		return err
 	}
-	begin, end := e.boundaries[index], e.boundaries[index+1]
+	begin, end := e.offsets[index], e.offsets[index+1]
 	e.raw = slices.Concat(e.raw[:begin], entry, e.raw[end:])
-	if grown := begin + len(entry) - end; grown != 0 {
-		for i := index + 1; i < len(e.boundaries); i++ {
-			e.boundaries[i] += grown
+	if delta := begin + len(entry) - end; delta != 0 {
+		for i := index + 1; i < len(e.offsets); i++ {
+			e.offsets[i] += delta
 		}
 	}
 	return nil
--- a/internal/controlplane/quotapool/holders.go
+++ b/internal/controlplane/quotapool/holders.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	holderPrefix   = "holder/" // begins the keys of storedHolder records
-	holderCountKey = "holders" // of the holderCount
-	// maxUnusedHolders is how many records of holders without units may lie there before they are dropped.
+	holderPrefix   = "holder/" // prefix of the keys of storedHolder records
+	holderCountKey = "holders" // key of the holderCount record
+	// maxUnusedHolders is how many records of holders that no pool refers to may accumulate before they are deleted.
 	maxUnusedHolders = 64
 )
 
-// holderNumbers knows the numbers under which holders of quota units are stored, by their names.
+// holderNumbers caches, by name, the numbers under which holders of quota units are stored.
 type holderNumbers map[string]numberedHolder
 
-// numberedHolder is a holder's number, with the stored bytes of its record: it is good for as long as the store, or
-// the batch under way, has these very bytes.
+// numberedHolder is a holder's number with the bytes of its stored record. It is valid as long as the store, or the current
+// batch, has the same slice under the key (see transaction.SameRecord).
 type numberedHolder struct {
 	number uint64
 	key    string
@@ -29,17 +29,17 @@
 
 func holderKey(number uint64) string { return fmt.Sprintf("%s%x", holderPrefix, number) }
 
-// number gives a holder's number. One that has none gets it within the batch.
+// number returns a holder's number. A holder without a number is assigned one within the batch.
 func (h holderNumbers) number(tx *transaction.Tx, name string) (uint64, error) {
-	if known, ok := h[name]; ok && known.key != "" {
-		if raw, ok := tx.Get(known.key); ok && transaction.SameRecord(raw, known.raw) {
-			return known.number, nil
+	if cached, ok := h[name]; ok && cached.key != "" {
+		if raw, ok := tx.Get(cached.key); ok && transaction.SameRecord(raw, cached.raw) {
+			return cached.number, nil
 		}
 	}
 	var count holderCount
 	if raw, ok := tx.Get(holderCountKey); ok {
 		if _, err := count.UnmarshalMsg(raw); err != nil {
-			return 0, eris.Wrap(err, "quotapool: decode the count of holders")
+			return 0, eris.Wrap(err, "quotapool: decode the holder count")
 		}
 	}
 	count.Last++
@@ -50,35 +50,36 @@
 	if err := tx.Put(holderCountKey, &count); err != nil {
 		return 0, err
 	}
-	known := numberedHolder{number: count.Last, key: holderKey(count.Last), raw: raw}
-	tx.PutRaw(known.key, raw)
-	h[name] = known
-	return known.number, nil
+	assigned := numberedHolder{number: count.Last, key: holderKey(count.Last), raw: raw}
+	tx.PutRaw(assigned.key, raw)
+	h[name] = assigned
+	return assigned.number, nil
 }
 
-// addUnnumbered adds a holder that a pool names as older versions did. It gets its number when the pool is put.
+// addUnnumbered adds a holder that a pool record of an older version refers to by name. It is assigned a number when the pool
+// is next stored.
 func (h holderNumbers) addUnnumbered(name string) {
 	if _, known := h[name]; !known {
 		h[name] = numberedHolder{}
 	}
 }
 
-// name gives the name of the holder with a number.
+// name returns the name of the holder with a number.
 func (h holderNumbers) name(tx *transaction.Tx, number uint64) (string, error) {
 	key := holderKey(number)
 	raw, ok := tx.Get(key)
 	if !ok {
-		return "", eris.Errorf("quotapool: no holder of quota units has the number %d", number)
+		return "", eris.Errorf("quotapool: no record of the quota holder with number %d", number)
 	}
 	var holder storedHolder
 	if _, err := holder.UnmarshalMsg(raw); err != nil {
-		return "", eris.Wrapf(err, "quotapool: decode the holder with number %d", number)
+		return "", eris.Wrapf(err, "quotapool: decode the record of the quota holder with number %d", number)
 	}
 	h[holder.Name] = numberedHolder{number: number, key: key, raw: raw}
 	return holder.Name, nil
 }
 
-// DropUnusedHolders drops the records of holders that no pool names any longer, once there are many.
+// DropUnusedHolders deletes the records of holders that no pool refers to if there are more than maxUnusedHolders of them.
 func (p *Pools) DropUnusedHolders(tx *transaction.Tx) error {
 	names := map[string]string{} // by key
 	var holder storedHolder
@@ -111,7 +112,7 @@
 	return nil
 }
 
-// absent lists the holders that are known and not live: the only ones of which units may have to be taken back.
+// absent returns the cached holders that are not live. Only units of these may have to be reclaimed.
 func (h holderNumbers) absent(live LiveHolders) []string {
 	var names []string
 	for name := range h {
--- a/internal/controlplane/quotapool/msgs.go
+++ b/internal/controlplane/quotapool/msgs.go
@@ -4,13 +4,13 @@
 
 //go:generate go tool msgp -tests=false -io=false -unexported
 
-// A length read from disk is believed up to this only.
+// Records read from disk with longer arrays or maps are rejected.
 //msgp:limit arrays:10000000 maps:200000
 
-// storedPool is a tenant's quota pool as it is on disk. It has an entry for every router and is written with every
-// transfer, so holders go by the numbers of their storedHolder records.
+// storedPool is the stored form of a tenant's quota pool. It has an entry for every router and is written by every transfer.
+// To keep it small, it refers to holders by the numbers of their storedHolder records.
 type storedPool struct {
-	NamedAllocations map[string]quota.Allocation `msg:"h,omitempty"` // by name: as older versions wrote it, only read
+	NamedAllocations map[string]quota.Allocation `msg:"h,omitempty"` // by holder name, as written by older versions; never written
 	Cooling          map[string]int              `msg:"c,omitempty"`
 	AboveLimit       int                         `msg:"a,omitempty"`
 	Charges          []quota.Charge              `msg:"x,omitempty"`
@@ -19,19 +19,19 @@
 
 //msgp:tuple numberedAllocation
 
-// numberedAllocation is a quota.Allocation with the number of its holder.
+// numberedAllocation is a quota.Allocation with its holder's number.
 type numberedAllocation struct {
 	Holder   uint64
 	Units    int
 	Sequence uint64
 }
 
-// storedHolder is the name of a holder of quota units, under its number.
+// storedHolder is the record of a holder of quota units. Its key contains the holder's number.
 type storedHolder struct {
 	Name string `msg:"n"`
 }
 
-// holderCount is how many numbers of holders were given out: none is given twice.
+// holderCount is the last holder number that was assigned. Numbers are never reused.
 type holderCount struct {
 	Last uint64 `msg:"l"`
 }
--- a/internal/controlplane/quotapool/pools_test.go
+++ b/internal/controlplane/quotapool/pools_test.go
@@ -138,7 +138,7 @@
 	begun := time.Now().Add(-time.Second)
 	successors := map[string]Successor{}
 	for _, node := range []coreapi.Node{{Name: "a", Addr: "1", Run: 2}, {Name: "b", Addr: "2", Run: 2}, {Name: "c", Addr: "3", Run: 1}} {
-		successors[node.Addr] = Successor{Node: node, BegunBy: begun}
+		successors[node.Addr] = Successor{Node: node, LatestStart: begun}
 	}
 	tx = transaction.New(committed)
 	replaced, err := pools.FindReplaced(tx, successors)
@@ -176,7 +176,7 @@
 	if err := pools.cache.put(tx, "t", &quota.Pool{Cooling: map[string]int{"a@1/1": 2, "b@2/1": 2}}); err != nil {
 		t.Fatal(err)
 	}
-	successor := Successor{Node: coreapi.Node{Name: "a", Addr: "1", Run: 2}, BegunBy: time.Now().Add(-time.Second)}
+	successor := Successor{Node: coreapi.Node{Name: "a", Addr: "1", Run: 2}, LatestStart: time.Now().Add(-time.Second)}
 	replaced, err := pools.FindReplaced(tx, map[string]Successor{"1": successor})
 	if err != nil {
 		t.Fatal(err)
@@ -184,7 +184,7 @@
 	if err := pools.CoolReplaced(tx, replaced); err != nil {
 		t.Fatal(err)
 	}
-	want := map[string]time.Time{coolingKey("t", "a@1/1"): successor.BegunBy.Add(inFlightTime - quota.Margin)}
+	want := map[string]time.Time{coolingKey("t", "a@1/1"): successor.LatestStart.Add(inFlightTime - quota.Margin)}
 	if !maps.Equal(pools.firstSeen, want) {
 		t.Errorf("got %v, want %v", pools.firstSeen, want)
 	}
--- a/internal/controlplane/quotapool/replaced.go
+++ b/internal/controlplane/quotapool/replaced.go
@@ -10,10 +10,10 @@
 	"yarrowridge/internal/model/quota"
 )
 
-// inFlightTime covers the last requests that a process sent before its end and that had not arrived yet.
+// inFlightTime covers requests that a process sent before it ended and that had not arrived by then.
 const inFlightTime = 50 * time.Millisecond
 
-// addressOfHolder is the address in a holder's name, as coreapi.Holder makes it of a node's name, address and run; "": none.
+// addressOfHolder returns the address in a holder's name (see coreapi.Holder), or "" if the name has none.
 func addressOfHolder(holder string) string {
 	begin, end := strings.LastIndex(holder, "@")+1, strings.LastIndex(holder, "/")
 	if begin == 0 || end < begin {
@@ -22,35 +22,36 @@
 	return holder[begin:end]
 }
 
-// Successor is a run of a node that was heard of, and may have replaced earlier runs at the node's address: of the same node,
-// or of another one that had the address before.
+// Successor is a run of a node that may have replaced earlier runs at the node's address, either of the same node or of
+// another node that had the address before.
 type Successor struct {
-	Node    coreapi.Node
-	BegunBy time.Time // it had begun by then
+	Node        coreapi.Node
+	LatestStart time.Time // the run started at this time or earlier
 }
 
-// Replaced is a successor with the other runs at its address that have units, held or cooling.
-type Replaced struct {
+// ReplacedRuns lists the other runs at a successor's address that have units, allocated or cooling.
+type ReplacedRuns struct {
 	Successor
 	Holders []string
 }
 
-// FindReplaced lists the successors, given by their addresses, beside which other runs at the same address have units. These runs have ended once the
-// successor is seen alive after this call: they began before, and only one process can listen at an address. What was heard
-// of the successor before proves nothing, since it may have been delayed until after the successor's own end.
-func (p *Pools) FindReplaced(tx *transaction.Tx, successors map[string]Successor) ([]Replaced, error) {
+// FindReplaced returns the successors, given by address, at whose address other runs have units. If a successor is seen
+// alive after this call, these runs have ended: they started before the call, and only one process can listen at an
+// address. A message received from the successor before the call proves nothing: it may have been delayed until after the
+// successor itself had ended.
+func (p *Pools) FindReplaced(tx *transaction.Tx, successors map[string]Successor) ([]ReplacedRuns, error) {
 	pools, err := p.readAll(tx)
 	if err != nil {
 		return nil, err
 	}
-	var replaced []Replaced
+	var replaced []ReplacedRuns
 	for address, holders := range p.otherRuns(pools, successors) {
-		replaced = append(replaced, Replaced{Successor: successors[address], Holders: holders})
+		replaced = append(replaced, ReplacedRuns{Successor: successors[address], Holders: holders})
 	}
 	return replaced, nil
 }
 
-// otherRuns lists the holders with units at the successors' addresses that are not the successors, by their addresses.
+// otherRuns returns, by address, the holders with units at the successors' addresses other than the successors themselves.
 func (p *Pools) otherRuns(pools map[string]*quota.Pool, successors map[string]Successor) map[string][]string {
 	found := map[string][]string{}
 	add := func(holder string) {
@@ -60,10 +61,10 @@
 		}
 	}
 	isOther := func(holder string) bool {
-		successor, known := successors[addressOfHolder(holder)]
-		return known && holder != coreapi.Holder(successor.Node)
+		successor, ok := successors[addressOfHolder(holder)]
+		return ok && holder != coreapi.Holder(successor.Node)
 	}
-	for holder := range p.cache.holders { // once, not for each pool: a large fleet has hundreds of both
+	for holder := range p.cache.holders { // not for each pool: a large fleet has hundreds of holders and pools
 		if isOther(holder) && hasAllocation(pools, holder) {
 			add(holder)
 		}
@@ -78,7 +79,7 @@
 	return found
 }
 
-// hasAllocation reports whether a holder is named by any of the pools.
+// hasAllocation reports whether any of the pools has an allocation for a holder.
 func hasAllocation(pools map[string]*quota.Pool, holder string) bool {
 	for _, pool := range pools {
 		if _, ok := pool.Allocations[holder]; ok {
@@ -88,41 +89,42 @@
 	return false
 }
 
-// CoolReplaced has the units of runs cool whose successors were seen alive after FindReplaced had listed them. They cool
-// since their successor began: their last spends are older.
-func (p *Pools) CoolReplaced(tx *transaction.Tx, replaced []Replaced) error {
+// CoolReplaced starts the cooling period of the units of replaced runs. Their successors must have been seen alive after
+// FindReplaced returned them. The period is counted from the start of the successor, since the last spends of the replaced
+// runs are older.
+func (p *Pools) CoolReplaced(tx *transaction.Tx, replaced []ReplacedRuns) error {
 	pools, err := p.readAll(tx)
 	if err != nil {
 		return err
 	}
-	return p.changeEach(tx, pools, func(tenant string, pool *quota.Pool) bool {
+	return p.updatePools(tx, pools, func(tenant string, pool *quota.Pool) bool {
 		changed := false
-		for _, one := range replaced {
-			changed = p.coolReplacedIn(tenant, pool, one) || changed
+		for _, runs := range replaced {
+			changed = p.coolReplacedInPool(tenant, pool, runs) || changed
 		}
 		return changed
 	})
 }
 
-// coolReplacedIn is CoolReplaced of one successor and one tenant's pool. It reports whether the pool changed.
-func (p *Pools) coolReplacedIn(tenant string, pool *quota.Pool, replaced Replaced) (changed bool) {
-	endedBy := replaced.BegunBy.Add(inFlightTime - quota.Margin)
+// coolReplacedInPool is CoolReplaced for one successor and one tenant's pool. It reports whether the pool changed.
+func (p *Pools) coolReplacedInPool(tenant string, pool *quota.Pool, replaced ReplacedRuns) (changed bool) {
+	coolingSince := replaced.LatestStart.Add(inFlightTime - quota.Margin)
 	for _, holder := range replaced.Holders {
 		changed = pool.StartCooling(holder) || changed
-		if _, cools := pool.Cooling[holder]; cools {
-			p.setCoolingSince(tenant, holder, endedBy)
+		if _, isCooling := pool.Cooling[holder]; isCooling {
+			p.setCoolingSince(tenant, holder, coolingSince)
 		}
 	}
 	return changed
 }
 
-// setCoolingSince notes since when a holder's units cool at the latest.
+// setCoolingSince records when the cooling period of a holder's units started, unless an earlier time is recorded.
 func (p *Pools) setCoolingSince(tenant, holder string, since time.Time) {
 	key := coolingKey(tenant, holder)
-	if known, ok := p.firstSeen[key]; !ok || since.Before(known) {
+	if recorded, ok := p.firstSeen[key]; !ok || since.Before(recorded) {
 		p.firstSeen[key] = since
 	}
 }
 
-// coolingKey names a holder's cooling units in Pools.firstSeen.
+// coolingKey is the key of a holder's cooling units in Pools.firstSeen.
 func coolingKey(tenant, holder string) string { return "cool/" + tenant + "/" + holder }
--- a/internal/controlplane/quotapool/scarcity.go
+++ b/internal/controlplane/quotapool/scarcity.go
@@ -9,80 +9,81 @@
 )
 
 const (
-	// scarceTTL is how long idle units of a tenant are wanted back after an acquire that got too little.
+	// scarceTTL is how long after a recorded shortage the routers are asked to return a tenant's idle units.
 	scarceTTL = 5 * time.Second
-	// smallQuotaDivisor is the fraction of a small quota below which idle units are wanted back: there are more routers
-	// than units, and each that has some idle keeps them from many others.
+	// smallQuotaDivisor sets the fraction of a small quota below which idle units are requested back: it has too few units
+	// for each router to keep one idle, so that idle units of one router are missing at many others.
 	smallQuotaDivisor = 2
-	// unevenQuotaDivisor is that fraction of a quota whose requests cost unequal numbers of units: one of them may want
-	// more than an acquire's usual share of what is left.
-	unevenQuotaDivisor = 8
+	// unevenCostsDivisor sets this fraction for a quota whose requests differ in cost: one of them may need more than the
+	// usual share that an acquire gets of the free units.
+	unevenCostsDivisor = 8
 )
 
-// Demand is what an acquire asked for, and what it has left.
+// Demand describes what an acquire requested and what it left free.
 type Demand struct {
-	Tenant string
-	Units  int  // asked for; 0: none, or units were returned
-	Unmet  bool // it got nothing, or too little for a request that waits
-	Uneven bool // requests cost unequal numbers of units
-	Quota  int  // the tenant's units
-	Free   int  // units that are left
+	Tenant      string
+	Units       int  // requested; 0: none, or the transfer was a return
+	Unmet       bool // it got no units, or too few for a waiting request
+	UnevenCosts bool // requests differ in cost
+	Quota       int  // the tenant's units
+	Free        int  // units that are free after the acquire
 }
 
-// isLow reports whether an acquire of one of so many routers soon may get too little.
+// isLow reports whether so few units are free that the next acquires, from this number of routers, may get too few.
 func (d Demand) isLow(routers int) bool {
-	return quota.IsSmall(d.Quota, routers) && d.Free < d.Quota/smallQuotaDivisor || d.Uneven && d.Free < d.Quota/unevenQuotaDivisor
+	return quota.IsSmall(d.Quota, routers) && d.Free < d.Quota/smallQuotaDivisor || d.UnevenCosts && d.Free < d.Quota/unevenCostsDivisor
 }
 
-// Scarcity knows the tenants whose idle units are wanted back from the routers. The core's server guards it with the mutex
-// that guards the live routers: both are read for the response to one heartbeat. The zero value is ready.
+// Scarcity records for which tenants the routers are asked to return idle units. It is guarded by the mutex of the core's
+// service that also guards the live routers, since the response to a heartbeat reads both. The zero value is ready to use.
 type Scarcity struct {
-	markedAt map[string]time.Time // by tenant
-	listed   []string             // as of listedAt; replaced, never changed
-	listedAt time.Time
-	version  uint64 // of listed; 0: nothing was listed yet
+	lastShortage map[string]time.Time // by tenant: when an acquire was last short of units, or left few
+	snapshot     []string             // as of snapshotAt; replaced, never modified
+	snapshotAt   time.Time
+	version      uint64 // of snapshot; 0: no snapshot was taken yet
 }
 
-// Record takes note of an acquire of at least one unit by one of so many live routers: idle units are wanted back if it got too few, or the next
-// one may.
+// Record records an acquire of at least one unit, given the number of live routers. If the acquire got too few units, or the
+// next one may, routers are asked to return the tenant's idle units.
 func (s *Scarcity) Record(demand Demand, routers int) {
 	if !demand.Unmet && !demand.isLow(routers) {
 		return
 	}
-	if s.markedAt == nil {
-		s.markedAt = map[string]time.Time{}
+	if s.lastShortage == nil {
+		s.lastShortage = map[string]time.Time{}
 	}
-	s.markedAt[demand.Tenant] = time.Now()
+	s.lastShortage[demand.Tenant] = time.Now()
 }
 
-// listMaxAge is how long one list is given out.
-const listMaxAge = 50 * time.Millisecond
+// snapshotMaxAge is how long Snapshot returns the same list.
+const snapshotMaxAge = 50 * time.Millisecond
 
-// Snapshot is Tenants as of listMaxAge ago at most, with a version that changes with the list: in a large fleet each heartbeat
-// asks for it. The list must not be changed. No other primary uses the same versions.
+// Snapshot returns the result of Tenants, at most snapshotMaxAge old, with a version that changes with the list. It is cached
+// since every heartbeat of a large fleet reads it. The caller must not modify the list. Versions start at a random number, so
+// that they differ from those of other primaries.
 func (s *Scarcity) Snapshot() (tenants []string, version uint64) {
 	now := time.Now()
 	if s.version == 0 {
 		s.version = rand.Uint64() | 1
-	} else if now.Sub(s.listedAt) < listMaxAge {
-		return s.listed, s.version
+	} else if now.Sub(s.snapshotAt) < snapshotMaxAge {
+		return s.snapshot, s.version
 	}
-	s.listedAt = now
-	if current := s.Tenants(); !slices.Equal(current, s.listed) {
-		s.listed = current
+	s.snapshotAt = now
+	if current := s.Tenants(); !slices.Equal(current, s.snapshot) {
+		s.snapshot = current
 		s.version++
 	}
-	return s.listed, s.version
+	return s.snapshot, s.version
 }
 
-// Tenants lists the tenants whose idle units are wanted back, sorted.
+// Tenants returns the tenants whose idle units the routers are asked to return, sorted. It deletes expired records.
 func (s *Scarcity) Tenants() []string {
 	var tenants []string
-	for tenant, markedAt := range s.markedAt {
-		if time.Since(markedAt) < scarceTTL {
+	for tenant, recordedAt := range s.lastShortage {
+		if time.Since(recordedAt) < scarceTTL {
 			tenants = append(tenants, tenant)
 		} else {
-			delete(s.markedAt, tenant)
+			delete(s.lastShortage, tenant)
 		}
 	}
 	slices.Sort(tenants)
--- a/internal/controlplane/quotapool/scarcity_test.go
+++ b/internal/controlplane/quotapool/scarcity_test.go
@@ -19,8 +19,8 @@
 		{"little is left of a large quota", Demand{Quota: 1000, Free: 1}, 2, false},
 		{"less than half is left of a small quota", Demand{Quota: 10, Free: 4}, 10, true},
 		{"half is left of a small quota", Demand{Quota: 10, Free: 5}, 10, false},
-		{"less than an eighth is left of an uneven quota", Demand{Uneven: true, Quota: 1000, Free: 124}, 2, true},
-		{"an eighth is left of an uneven quota", Demand{Uneven: true, Quota: 1000, Free: 125}, 2, false},
+		{"less than an eighth is left of an uneven quota", Demand{UnevenCosts: true, Quota: 1000, Free: 124}, 2, true},
+		{"an eighth is left of an uneven quota", Demand{UnevenCosts: true, Quota: 1000, Free: 125}, 2, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -59,13 +59,13 @@
 		if first == 0 {
 			t.Error("got version 0, want another")
 		}
-		time.Sleep(listMaxAge)
+		time.Sleep(snapshotMaxAge)
 		mark("a")
 		if _, again := scarcity.Snapshot(); again != first {
 			t.Errorf("got version %d of the same list, want %d", again, first)
 		}
 		mark("b")
-		time.Sleep(listMaxAge)
+		time.Sleep(snapshotMaxAge)
 		tenants, next := scarcity.Snapshot()
 		if next == first || !slices.Equal(tenants, []string{"a", "b"}) {
 			t.Errorf("got %v in version %d, want a and b in another than %d", tenants, next, first)
--- a/internal/controlplane/quotapool/shares.go
+++ b/internal/controlplane/quotapool/shares.go
@@ -9,17 +9,17 @@
 	"yarrowridge/internal/controlplane/transaction"
 )
 
-// Shares lists who holds what of all tenants' quotas in a committed state, sorted by tenant and holder. It is safe for
-// concurrent use.
+// Shares returns the units of each holder in all tenants' pools of a committed state, sorted by tenant and holder. It is safe
+// for concurrent use.
 func Shares(committed *store.Store) []coreapi.QuotaShare {
-	pools := map[string][]byte{} // read first: a store must not be asked again while it is gone through
+	pools := map[string][]byte{} // copied first: a store must not be read during an iteration
 	committed.ForEachWithPrefix(poolPrefix, func(key string, raw []byte) { pools[strings.TrimPrefix(key, poolPrefix)] = raw })
 	names, tx := holderNumbers{}, transaction.New(committed)
 	var shares []coreapi.QuotaShare
 	for tenant, raw := range pools {
 		decoded, err := decodePool(raw, func(number uint64) (string, error) { return names.name(tx, number) })
 		if err != nil {
-			continue // it was written anew meanwhile
+			continue // for example, a concurrent commit has deleted the record of one of its holders
 		}
 		pool := &decoded.pool
 		for holder, allocation := range pool.Allocations {
--- a/internal/controlplane/quotapool/sweep.go
+++ b/internal/controlplane/quotapool/sweep.go
@@ -11,83 +11,86 @@
 	"yarrowridge/internal/model/quota"
 )
 
-// silentHolderTTL is how long a silent holder keeps its units: by then it has stopped spending on its own.
-const silentHolderTTL = quota.ContactTTL + quota.ContactTTL/10
+// absentHolderTTL is how long a holder without a lease keeps its units. It is longer than quota.ContactTTL, after which a
+// holder without contact to the core stops spending.
+const absentHolderTTL = quota.ContactTTL + quota.ContactTTL/10
 
-// LiveHolders are the holders whose node's lease runs.
+// LiveHolders lists the holders whose node has a lease that has not expired.
 type LiveHolders struct {
 	Holders   map[string]bool         // by coreapi.Holder
 	Addresses map[string]coreapi.Node // by address
 }
 
-// holding names one holder's units of one tenant.
-type holding struct{ tenant, holder string }
+// poolEntry identifies one holder's units of one tenant.
+type poolEntry struct{ tenant, holder string }
 
-// expiredCharge names a charge of a tenant's tolerance that counts no longer.
+// expiredCharge identifies a charge that no longer counts against a tenant's tolerance.
 type expiredCharge struct {
 	tenant string
 	id     uint64
 }
 
-// dueChanges is what a sweep of the pools has found due.
+// dueChanges collects the changes that a sweep of the pools found to be due.
 type dueChanges struct {
-	cooled   []holding // units that have cooled
-	departed []holding // units of holders that are gone
+	cooled   []poolEntry // units whose cooling period is over
+	timedOut []poolEntry // units of holders that were absent for absentHolderTTL
 	charges  []expiredCharge
 
-	successors map[string]coreapi.Node // live nodes at whose address other runs have units, by address
+	successors map[string]coreapi.Node // by address: live nodes at whose address another run has units
 }
 
-// HasCooling reports whether the last sweep found cooling units: the next one is due sooner.
+// HasCooling reports whether the last sweep found cooling units. The next sweep is due earlier in that case.
 func (p *Pools) HasCooling() bool { return p.hasCooling }
 
-// Sweep finds units that have cooled, those of holders that are gone, and charges that count no longer. It returns the
-// operation that frees the first, has the second cool and removes the third, for the core to submit, or nil where nothing
-// is due. Time is counted from when this run of this process first saw each: a restart only makes them last longer.
+// Sweep finds units whose cooling period is over, units of holders that have been absent for too long, and expired charges.
+// It returns the operation that frees the first, starts the cooling period of the second and removes the third, for the
+// core to submit, or nil if nothing is due. Each period is counted from when this run of the process first saw the entry,
+// so that a restart only extends it.
 //
-// successors are live nodes beside which other runs at the same address hold units. Whether these have ended is for the
-// core to find out (FindReplaced).
+// successors are live nodes at whose address another run has units. The sweep cannot know whether that run has ended; the
+// core finds out (see FindReplaced).
 func (p *Pools) Sweep(committed *store.Store, document *configuration.Document, live LiveHolders) (operation func(*transaction.Tx) error, successors map[string]coreapi.Node) {
 	ages := &ageTable{firstSeen: p.firstSeen, now: time.Now(), seen: map[string]bool{}}
 	due := dueChanges{successors: map[string]coreapi.Node{}}
 	p.hasCooling = false
-	pools, _ := p.readAll(transaction.New(committed)) // one that can't be read is left out
-	absent := p.cache.holders.absent(live)            // of all pools together: few, where a look at each pool's holders would be at many
+	pools, _ := p.readAll(transaction.New(committed)) // unreadable pools are skipped
+	absent := p.cache.holders.absent(live)            // computed once: few holders are absent, but each pool has many holders
 	for tenant, pool := range pools {
 		p.hasCooling = p.hasCooling || len(pool.Cooling) > 0
-		due.add(tenant, pool, document, ages)
-		due.addDeparted(tenant, pool, absent, live, ages)
+		due.addExpired(tenant, pool, document, ages)
+		due.addTimedOut(tenant, pool, absent, live, ages)
 	}
-	ages.forgetUnseen()
-	if len(due.cooled)+len(due.departed)+len(due.charges) == 0 {
+	ages.removeUnseen()
+	if len(due.cooled)+len(due.timedOut)+len(due.charges) == 0 {
 		return nil, due.successors
 	}
 	return func(tx *transaction.Tx) error { return p.update(tx, due.apply) }, due.successors
 }
 
-// add adds the cooling units and the charges that are due in one tenant's pool.
-func (d *dueChanges) add(tenant string, pool *quota.Pool, document *configuration.Document, ages *ageTable) {
+// addExpired adds the cooling units and the charges of one tenant's pool whose time is over.
+func (d *dueChanges) addExpired(tenant string, pool *quota.Pool, document *configuration.Document, ages *ageTable) {
 	window := document.Windows[tenant]
 	for holder := range pool.Cooling {
-		if ages.isOver(coolingKey(tenant, holder), window+quota.Margin) || faultinjection.Disabled("cooling") {
-			d.cooled = append(d.cooled, holding{tenant, holder})
+		if ages.isOlderThan(coolingKey(tenant, holder), window+quota.Margin) || faultinjection.Disabled("cooling") {
+			d.cooled = append(d.cooled, poolEntry{tenant, holder})
 		}
 	}
 	for _, charge := range pool.Charges {
-		if ages.isOver(chargeKey(tenant, charge.ID), chargeTTL(max(document.ToleranceWindow, window))) {
+		if ages.isOlderThan(chargeKey(tenant, charge.ID), chargeTTL(max(document.ToleranceWindow, window))) {
 			d.charges = append(d.charges, expiredCharge{tenant, charge.ID})
 		}
 	}
 }
 
-// addDeparted adds the absent holders whose units in one tenant's pool are to cool, and the nodes that may have replaced one.
-func (d *dueChanges) addDeparted(tenant string, pool *quota.Pool, absent []string, live LiveHolders, ages *ageTable) {
+// addTimedOut adds the holders with units in one tenant's pool that have been absent for absentHolderTTL. For the other
+// absent holders it adds the live node at their address, which may have replaced them.
+func (d *dueChanges) addTimedOut(tenant string, pool *quota.Pool, absent []string, live LiveHolders, ages *ageTable) {
 	for _, holder := range absent {
-		if _, holds := pool.Allocations[holder]; !holds {
+		if _, hasUnits := pool.Allocations[holder]; !hasUnits {
 			continue
 		}
-		if ages.isOver("silent/"+tenant+"/"+holder, silentHolderTTL) {
-			d.departed = append(d.departed, holding{tenant, holder})
+		if ages.isOlderThan("silent/"+tenant+"/"+holder, absentHolderTTL) {
+			d.timedOut = append(d.timedOut, poolEntry{tenant, holder})
 			continue
 		}
 		address := addressOfHolder(holder)
@@ -97,13 +100,13 @@
 	}
 }
 
-// apply makes the changes due in one tenant's pool, and reports whether there were any.
+// apply makes the changes that are due in one tenant's pool and reports whether the pool changed.
 func (d *dueChanges) apply(tenant string, pool *quota.Pool) (changed bool) {
-	for _, one := range d.cooled {
-		changed = one.tenant == tenant && pool.EndCooling(one.holder) || changed
+	for _, entry := range d.cooled {
+		changed = entry.tenant == tenant && pool.EndCooling(entry.holder) || changed
 	}
-	for _, one := range d.departed {
-		changed = one.tenant == tenant && pool.StartCooling(one.holder) || changed
+	for _, entry := range d.timedOut {
+		changed = entry.tenant == tenant && pool.StartCooling(entry.holder) || changed
 	}
 	for _, charge := range d.charges {
 		changed = charge.tenant == tenant && pool.RemoveCharge(charge.id) || changed
@@ -111,26 +114,26 @@
 	return changed
 }
 
-// ageTable tells for how long this run of the process has seen things.
+// ageTable records since when this run of the process has seen entries of pools, by key.
 type ageTable struct {
-	firstSeen map[string]time.Time // kept from sweep to sweep
+	firstSeen map[string]time.Time // retained between sweeps
 	now       time.Time
-	seen      map[string]bool // in this sweep
+	seen      map[string]bool // by this sweep
 }
 
-// isOver reports whether a thing was first seen longer ago than the span.
-func (a *ageTable) isOver(key string, span time.Duration) bool {
+// isOlderThan reports whether an entry was first seen more than age ago. It records the entry as seen by this sweep.
+func (a *ageTable) isOlderThan(key string, age time.Duration) bool {
 	a.seen[key] = true
-	since, ok := a.firstSeen[key]
+	firstSeen, ok := a.firstSeen[key]
 	if !ok {
 		a.firstSeen[key] = a.now
 		return false
 	}
-	return a.now.Sub(since) > span
+	return a.now.Sub(firstSeen) > age
 }
 
-// forgetUnseen drops what this sweep has not come upon.
-func (a *ageTable) forgetUnseen() {
+// removeUnseen removes the entries that this sweep has not seen.
+func (a *ageTable) removeUnseen() {
 	for key := range a.firstSeen {
 		if !a.seen[key] {
 			delete(a.firstSeen, key)
--- a/internal/controlplane/quotapool/sweep_test.go
+++ b/internal/controlplane/quotapool/sweep_test.go
@@ -29,11 +29,11 @@
 	}{
 		{"cooling units", quota.Pool{Cooling: map[string]int{"gone@2/1": 3}}, window + quota.Margin, quota.Pool{}, nil},
 		{"a charge", quota.Pool{Charges: []quota.Charge{{ID: 7, Units: 1}}}, chargeTTL(window), quota.Pool{}, nil},
-		{"a silent holder", quota.Pool{Allocations: map[string]quota.Allocation{"silent@2/1": {Units: 2, Sequence: 1}}}, silentHolderTTL,
+		{"a silent holder", quota.Pool{Allocations: map[string]quota.Allocation{"silent@2/1": {Units: 2, Sequence: 1}}}, absentHolderTTL,
 			quota.Pool{Cooling: map[string]int{"silent@2/1": 2}}, nil},
-		{"an earlier run of a live node", quota.Pool{Allocations: map[string]quota.Allocation{"new@1/1": {Units: 2, Sequence: 1}}}, silentHolderTTL,
+		{"an earlier run of a live node", quota.Pool{Allocations: map[string]quota.Allocation{"new@1/1": {Units: 2, Sequence: 1}}}, absentHolderTTL,
 			quota.Pool{Cooling: map[string]int{"new@1/1": 2}}, map[string]coreapi.Node{"1": liveNode}},
-		{"a run of another node that had the address", quota.Pool{Allocations: map[string]quota.Allocation{"old@1/1": {Units: 2, Sequence: 1}}}, silentHolderTTL,
+		{"a run of another node that had the address", quota.Pool{Allocations: map[string]quota.Allocation{"old@1/1": {Units: 2, Sequence: 1}}}, absentHolderTTL,
 			quota.Pool{Cooling: map[string]int{"old@1/1": 2}}, map[string]coreapi.Node{"1": liveNode}},
 		{"a live holder", quota.Pool{Allocations: map[string]quota.Allocation{"new@1/2": {Units: 2, Sequence: 1}}}, -1, quota.Pool{}, nil},
 	} {
@@ -56,7 +56,7 @@
 					t.Fatal("got a change at the first sweep")
 				}
 				if c.after < 0 {
-					time.Sleep(2 * silentHolderTTL)
+					time.Sleep(2 * absentHolderTTL)
 					if operation, _ := pools.Sweep(committed, document, live); operation != nil {
 						t.Error("got a change, want none ever")
 					}
--- a/internal/controlplane/replacedruns/tracker.go
+++ b/internal/controlplane/replacedruns/tracker.go
@@ -1,7 +1,7 @@
-// Package replacedruns finds out which runs of routers have ended because another run of the same router took their place,
-// so that their quota units can cool. A heartbeat of a run is no proof that the others at its address have ended: it may
-// have been delayed in the network until after the end of the run that sent it. So the router itself is asked, once the
-// runs that hold units are known.
+// Package replacedruns finds out which runs of routers have ended because another run replaced them at the same address, so
+// that the cooling period of their quota units can start. A heartbeat from a run does not prove that the other runs at its
+// address have ended: it may have been delayed in the network until after the end of the run that sent it. The tracker
+// therefore queries the router once the runs that have units are known.
 package replacedruns
 
 import (
@@ -15,69 +15,69 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// gatherInterval is how long runs are gathered before they are looked up in the pools. After a restart of a whole fleet
-// there are as many as routers, and each would have all pools written anew.
-const gatherInterval = 20 * time.Millisecond
+// batchDelay is how long runs are collected before they are looked up in the pools together. After a restart of a whole fleet
+// every router has a new run, and a separate operation for each would write all pools again.
+const batchDelay = 20 * time.Millisecond
 
-// Tracker gathers runs that may have replaced others, has those confirmed whose predecessors have units, and has the units
-// of these cool. Where it fails at any step nothing cools: the sweep of the pools finds the run again. Its methods may be
-// called concurrently.
+// Tracker collects runs that may have replaced other runs, queries those whose predecessors have units, and starts the
+// cooling period of these units if the run is confirmed. If a step fails, no cooling period starts, and the next sweep of
+// the pools finds the run again. Its methods may be called concurrently.
 type Tracker struct {
-	ctx    context.Context
-	pools  *quotapool.Pools // used within operations only
-	runAt  RunAtFunc
-	submit func(operation func(*transaction.Tx) error)
+	ctx      context.Context
+	pools    *quotapool.Pools // used only within operations
+	queryRun QueryRunFunc
+	submit   func(operation func(*transaction.Tx) error)
 
-	mu       sync.Mutex
-	gathered map[string]quotapool.Successor // by address; guarded by mu
+	mu      sync.Mutex
+	pending map[string]quotapool.Successor // by address; guarded by mu
 }
 
-// RunAtFunc asks the router that listens at an address which run of it there is. It has a time-out of its own: the units of all
-// runs that are asked about together wait for the slowest answer.
-type RunAtFunc func(ctx context.Context, addr string) (run uint64, err error)
+// QueryRunFunc asks the router that listens at an address for its run. It must have a time-out of its own: the units of all
+// runs in a batch wait for the slowest response.
+type QueryRunFunc func(ctx context.Context, addr string) (run uint64, err error)
 
-// New makes a tracker whose queries end with ctx. submit has the run loop of the pools apply an operation some time later;
-// it may drop it. Both functions may be called concurrently.
-func New(ctx context.Context, pools *quotapool.Pools, runAt RunAtFunc, submit func(operation func(*transaction.Tx) error)) *Tracker {
-	return &Tracker{ctx: ctx, pools: pools, runAt: runAt, submit: submit}
+// New returns a tracker whose queries are cancelled with ctx. submit schedules an operation on the run loop that owns the
+// pools; it may drop the operation. Both functions may be called concurrently.
+func New(ctx context.Context, pools *quotapool.Pools, queryRun QueryRunFunc, submit func(operation func(*transaction.Tx) error)) *Tracker {
+	return &Tracker{ctx: ctx, pools: pools, queryRun: queryRun, submit: submit}
 }
 
-// Add notes a run of a node that was heard of, and that had begun age ago.
+// Add adds a run of a node that a heartbeat or a sweep reported and that started at least age ago.
 func (t *Tracker) Add(node coreapi.Node, age time.Duration) {
-	if isFirst := t.gather(node, time.Now().Add(-age)); isFirst {
-		time.AfterFunc(gatherInterval, t.find)
+	if isFirst := t.addPending(node, time.Now().Add(-age)); isFirst {
+		time.AfterFunc(batchDelay, t.findReplaced)
 	}
 }
 
-// gather adds a run to those that are gathered, and reports whether it is the first of them. Of two reports of one run the
-// one counts that says more of its age.
-func (t *Tracker) gather(node coreapi.Node, begunBy time.Time) (isFirst bool) {
+// addPending adds a run to the pending ones and reports whether it is the first of them. Of two reports of the same run, the
+// one with the earlier start is retained; a report of another run replaces them.
+func (t *Tracker) addPending(node coreapi.Node, latestStart time.Time) (isFirst bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	isFirst = t.gathered == nil
+	isFirst = t.pending == nil
 	if isFirst {
-		t.gathered = map[string]quotapool.Successor{}
+		t.pending = map[string]quotapool.Successor{}
 	}
-	known, ok := t.gathered[node.Addr]
-	if ok && known.Node.Run == node.Run && known.BegunBy.Before(begunBy) {
+	existing, ok := t.pending[node.Addr]
+	if ok && existing.Node.Run == node.Run && existing.LatestStart.Before(latestStart) {
 		return isFirst
 	}
-	t.gathered[node.Addr] = quotapool.Successor{Node: node, BegunBy: begunBy}
+	t.pending[node.Addr] = quotapool.Successor{Node: node, LatestStart: latestStart}
 	return isFirst
 }
 
-// take gives what was gathered, and begins anew.
-func (t *Tracker) take() map[string]quotapool.Successor {
+// takePending returns the pending runs and clears them.
+func (t *Tracker) takePending() map[string]quotapool.Successor {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	gathered := t.gathered
-	t.gathered = nil
-	return gathered
+	pending := t.pending
+	t.pending = nil
+	return pending
 }
 
-// find has the gathered runs looked up in the pools, and those confirmed beside which others have units.
-func (t *Tracker) find() {
-	successors := t.take()
+// findReplaced looks up the pending runs in the pools and confirms those at whose address other runs have units.
+func (t *Tracker) findReplaced() {
+	successors := t.takePending()
 	t.submit(func(tx *transaction.Tx) error {
 		replaced, err := t.pools.FindReplaced(tx, successors)
 		if len(replaced) > 0 {
@@ -87,18 +87,18 @@
 	})
 }
 
-// confirm asks the successors whether they are alive, and has the units of the runs cool that the living ones replaced.
-func (t *Tracker) confirm(replaced []quotapool.Replaced) {
+// confirm queries the successors and starts the cooling period of the units of runs whose successor is alive.
+func (t *Tracker) confirm(replaced []quotapool.ReplacedRuns) {
 	alive := make([]bool, len(replaced))
 	var queries sync.WaitGroup
-	for i, one := range replaced {
-		queries.Go(func() { alive[i] = t.isAlive(one.Node) })
+	for i, runs := range replaced {
+		queries.Go(func() { alive[i] = t.isAlive(runs.Node) })
 	}
 	queries.Wait()
-	var confirmed []quotapool.Replaced
-	for i, one := range replaced {
+	var confirmed []quotapool.ReplacedRuns
+	for i, runs := range replaced {
 		if alive[i] {
-			confirmed = append(confirmed, one)
+			confirmed = append(confirmed, runs)
 		}
 	}
 	if len(confirmed) > 0 {
@@ -106,11 +106,11 @@
 	}
 }
 
-// isAlive reports whether a node's run answers at its address.
+// isAlive reports whether the router at the node's address responds with the node's run.
 func (t *Tracker) isAlive(node coreapi.Node) bool {
 	if faultinjection.Disabled("run-query") {
 		return true
 	}
-	run, err := t.runAt(t.ctx, node.Addr)
+	run, err := t.queryRun(t.ctx, node.Addr)
 	return err == nil && run == node.Run
 }
--- a/internal/controlplane/replacedruns/tracker_test.go
+++ b/internal/controlplane/replacedruns/tracker_test.go
@@ -19,10 +19,10 @@
 
 // poolRunner applies the operations of a tracker at once, or drops them.
 type poolRunner struct {
-	t         *testing.T
-	pools     *quotapool.Pools
-	committed *store.Store
-	drops     bool
+	t               *testing.T
+	pools           *quotapool.Pools
+	committed       *store.Store
+	dropsOperations bool
 }
 
 func newPoolRunner(t *testing.T) *poolRunner {
@@ -34,7 +34,7 @@
 }
 
 func (r *poolRunner) submit(operation func(*transaction.Tx) error) {
-	if r.drops {
+	if r.dropsOperations {
 		return
 	}
 	tx := transaction.New(r.committed)
@@ -46,8 +46,8 @@
 	}
 }
 
-// held is how many of the limit's units a holder can't get, since others hold them or they cool.
-func (r *poolRunner) held(limit int) (held int) {
+// unavailableUnits is how many of the limit's units a holder can't get, since others hold them or they cool.
+func (r *poolRunner) unavailableUnits(limit int) (held int) {
 	document := &configuration.Document{Quotas: map[string]int{"t": limit}}
 	tx := transaction.New(r.committed) // not committed
 	for sequence := range uint64(100) {
@@ -107,8 +107,8 @@
 				if queries != 1 {
 					t.Errorf("got %d queries, want 1", queries)
 				}
-				r.sweepOut(node)
-				if isFreed := r.held(100) == 0; isFreed != c.wantFreed {
+				r.freeCooling(node)
+				if isFreed := r.unavailableUnits(100) == 0; isFreed != c.wantFreed {
 					t.Errorf("got the units of the earlier run freed: %t, want %t", isFreed, c.wantFreed)
 				}
 			})
@@ -116,8 +116,8 @@
 	}
 }
 
-// sweepOut sweeps the pools twice, for so long apart that cooling units are free.
-func (r *poolRunner) sweepOut(live coreapi.Node) {
+// freeCooling sweeps the pools twice, for so long apart that cooling units are free.
+func (r *poolRunner) freeCooling(live coreapi.Node) {
 	holders := quotapool.LiveHolders{Holders: map[string]bool{coreapi.Holder(live): true}}
 	document := &configuration.Document{Quotas: map[string]int{"t": 100}, Windows: map[string]time.Duration{"t": time.Second}}
 	for range 2 {
@@ -157,8 +157,8 @@
 		New(t.Context(), r.pools, runAt, r.submit).Add(coreapi.Node{Name: "a", Addr: "1", Run: 2}, 0)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		r.sweepOut(coreapi.Node{Name: "a", Addr: "1", Run: 3})
-		if held := r.held(100); held != 5 {
+		r.freeCooling(coreapi.Node{Name: "a", Addr: "1", Run: 3})
+		if held := r.unavailableUnits(100); held != 5 {
 			t.Errorf("got %d units held, want the 5 of the third run", held)
 		}
 	})
@@ -176,11 +176,11 @@
 		}
 		tracker := New(t.Context(), r.pools, runAt, r.submit)
 		node := coreapi.Node{Name: "a", Addr: "1", Run: 2}
-		r.drops = true
+		r.dropsOperations = true
 		tracker.Add(node, 0)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		r.drops = false
+		r.dropsOperations = false
 		tracker.Add(node, 0)
 		time.Sleep(time.Second)
 		synctest.Wait()
@@ -195,17 +195,17 @@
 	tracker := New(t.Context(), nil, nil, nil)
 	now := time.Now()
 	node, other := coreapi.Node{Name: "a", Addr: "1", Run: 2}, coreapi.Node{Name: "a", Addr: "1", Run: 3}
-	if !tracker.gather(node, now.Add(-time.Minute)) || tracker.gather(node, now) {
+	if !tracker.addPending(node, now.Add(-time.Minute)) || tracker.addPending(node, now) {
 		t.Error("got the gathering started by another than the first report")
 	}
-	if got := tracker.gathered["1"]; got.Node != node || !got.BegunBy.Equal(now.Add(-time.Minute)) {
+	if got := tracker.pending["1"]; got.Node != node || !got.LatestStart.Equal(now.Add(-time.Minute)) {
 		t.Errorf("got %+v, want run 2 begun a minute ago", got)
 	}
-	tracker.gather(other, now)
-	if got := tracker.take()["1"]; got.Node != other || !got.BegunBy.Equal(now) {
+	tracker.addPending(other, now)
+	if got := tracker.takePending()["1"]; got.Node != other || !got.LatestStart.Equal(now) {
 		t.Errorf("got %+v, want run 3 begun now", got)
 	}
-	if left := tracker.take(); len(left) > 0 {
+	if left := tracker.takePending(); len(left) > 0 {
 		t.Errorf("got %v left after it was taken, want none", left)
 	}
 }
