--- a/internal/controlplane/quotapool/cache_test.go
+++ b/internal/controlplane/quotapool/cache_test.go
@@ -40,15 +40,15 @@
 	return pool
 }
 
-// encodePoolByName encodes a pool as older versions did: all four fields, and holders by their names.
+// encodePoolByName encodes a pool as older versions did: with all four fields, and with holders by name.
 func encodePoolByName(pool *quota.Pool) ([]byte, error) {
 	raw := msgp.AppendMapHeader(nil, 4)
 	raw = msgp.AppendString(raw, "h")
 	raw = msgp.AppendMapHeader(raw, uint32(len(pool.Allocations)))
 	var err error
-	for holder, held := range pool.Allocations {
+	for holder, allocation := range pool.Allocations {
 		raw = msgp.AppendString(raw, holder)
-		if raw, err = held.MarshalMsg(raw); err != nil {
+		if raw, err = allocation.MarshalMsg(raw); err != nil {
 			return nil, err
 		}
 	}
@@ -74,7 +74,7 @@
 	return maps.Equal(a.Allocations, b.Allocations) && maps.Equal(a.Cooling, b.Cooling) && a.AboveLimit == b.AboveLimit && len(a.Charges) == len(b.Charges)
 }
 
-// A pool with an entry for each of many routers is small, and another process decodes it as it was.
+// The record of a pool with an entry for each of many routers is small, and another process decodes it unchanged.
 func TestStoredPoolsAreSmall(t *testing.T) {
 	pools, committed := New(), openStore(t)
 	const holders = 74
@@ -101,7 +101,7 @@
 	}
 }
 
-// A pool that an older version wrote, with its holders by name, is decoded as it is.
+// A pool record written by an older version, with holders by name, is decoded correctly and stored by this version.
 func TestPoolsOfOlderVersionsAreDecoded(t *testing.T) {
 	pools, committed := New(), openStore(t)
 	pool := newTestPool(3)
@@ -123,11 +123,12 @@
 	commitTx(t, committed, tx)
 	fresh := newPoolCache()
 	if got, err = fresh.get(beginTx(committed), "t"); err != nil || !samePool(got, pool) {
-		t.Errorf("got %+v, %v after it was written anew", got, err)
+		t.Errorf("got %+v, %v after the pool was stored again", got, err)
 	}
 }
 
-// A number that was given in a batch that was never committed may go to another holder: neither is taken for the other.
+// A holder number assigned in a batch that was not committed may be assigned to another holder later. The cache must not
+// confuse the two holders.
 func TestHolderNumbersOfLostBatches(t *testing.T) {
 	pools, committed := New(), openStore(t)
 	put := func(tx *transaction.Tx, tenant, holder string, units int) {
@@ -145,11 +146,11 @@
 		}
 	}
 	put(beginTx(committed), "t", "lost", 5) // never committed
-	undone := beginTx(committed)
-	put(undone, "t", "undone", 4)
-	undone.Rollback(0)
-	put(undone, "u", "kept", 3)
-	commitTx(t, committed, undone)
+	rolledBack := beginTx(committed)
+	put(rolledBack, "t", "undone", 4)
+	rolledBack.Rollback(0)
+	put(rolledBack, "u", "kept", 3)
+	commitTx(t, committed, rolledBack)
 	tx := beginTx(committed)
 	put(tx, "u", "lost", 2)
 	put(tx, "u", "undone", 1)
@@ -161,12 +162,12 @@
 			t.Errorf("%s: got %+v, %v, want %v", name, got, err, want)
 		}
 		if got, err := cache.get(beginTx(committed), "t"); err != nil || len(got.Allocations) != 0 {
-			t.Errorf("%s: got %+v, %v of a pool that was never committed, want none", name, got.Allocations, err)
+			t.Errorf("%s: got %+v, %v for a pool that was never committed, want none", name, got.Allocations, err)
 		}
 	}
 }
 
-// Records of holders that have nothing are dropped once there are many, never one that a pool names.
+// Once there are many records of holders without units, they are deleted. A record that a pool refers to stays.
 func TestUnusedHoldersAreDropped(t *testing.T) {
 	pools, committed := New(), openStore(t)
 	for run := range 3 * maxUnusedHolders {
@@ -192,8 +193,8 @@
 	}
 }
 
-// BenchmarkPoolSize tells how large a pool's record is at 360 routers, as it is kept and compressed, beside the records of
-// BenchmarkSizes in package scale.
+// BenchmarkPoolSize reports the size of a pool's record with 360 routers, as stored and compressed. Compare it with the records
+// of BenchmarkSizes in package scale.
 //
 //	go test ./internal/controlplane/quotapool -run XXX -bench PoolSize -benchtime 1x
 func BenchmarkPoolSize(b *testing.B) {
@@ -217,13 +218,13 @@
 	}
 }
 
-// A pool whose record follows each transfer is stored as one that is encoded anew, through rollbacks, batches that are not
-// committed, new holders and holders that leave.
-func TestTransfersKeepTheStoredPool(t *testing.T) {
+// A pool record in which each transfer replaces one allocation decodes to the cached pool, also after rollbacks, batches that are
+// not committed, new holders and holders that ended.
+func TestIncrementallyUpdatedRecordMatchesPool(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pools, committed := New(), openStore(t)
 		document := &configuration.Document{Quotas: map[string]int{"t": 400}, Tolerances: map[string]int{"t": 5}}
-		sequences := map[string]uint64{} // near where an encoded number gets longer
+		sequences := map[string]uint64{} // just below values whose encoding is longer
 		for holder := range 6 {
 			sequences[fmt.Sprint("holder", holder)] = rapid.SampledFrom([]uint64{0, 126, 254, 65534}).Draw(t, "sequence")
 		}
@@ -254,15 +255,15 @@
 	})
 }
 
-// transferUnits acquires units, or returns them where they are below 0.
+// transferUnits acquires units, or returns them if the number is negative.
 func transferUnits(t *rapid.T, pools *Pools, tx *transaction.Tx, document *configuration.Document, holder string, sequence uint64, units int) {
-	move := coreapi.QuotaTransfer{Tenant: "t", Sequence: sequence, Units: max(units, -units), Return: units < 0}
-	if _, _, err := pools.Transfer(tx, holder, &move, document); err != nil {
+	transfer := coreapi.QuotaTransfer{Tenant: "t", Sequence: sequence, Units: max(units, -units), Return: units < 0}
+	if _, _, err := pools.Transfer(tx, holder, &transfer, document); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// checkStoredPool compares the cached pool with what another process reads, and its sum with the sum of its parts.
+// checkStoredPool compares the cached pool with what another process decodes, and AllocatedUnits with the sum over its entries.
 func checkStoredPool(t *rapid.T, pools *Pools, tx *transaction.Tx) {
 	cached, err := pools.cache.get(tx, "t")
 	if err != nil {
@@ -281,7 +282,7 @@
 	}
 }
 
-// A holder's record stays where only a pool that is new in the same batch names the holder.
+// A holder's record is not deleted if the only pool that refers to it is created in the same batch.
 func TestHoldersOfANewPoolAreKept(t *testing.T) {
 	pools, committed := New(), openStore(t)
 	tx := beginTx(committed)
@@ -310,7 +311,7 @@
 	}
 }
 
-// Units of a holder that an older version stored by its name are taken back like those of any other.
+// Units of a holder that an older version stored by name are reclaimed like those of any other holder.
 func TestSweepOfPoolsByNames(t *testing.T) {
 	pools, committed := New(), openStore(t)
 	raw, err := encodePoolByName(&quota.Pool{Allocations: map[string]quota.Allocation{"node@1/1": {Units: 2}}})
@@ -322,12 +323,13 @@
 	}
 	live := LiveHolders{Holders: map[string]bool{"node@1/2": true}, Addresses: map[string]coreapi.Node{"1": {Name: "node", Addr: "1", Run: 2}}}
 	if _, successors := pools.Sweep(committed, &configuration.Document{}, live); len(successors) != 1 {
-		t.Errorf("got successors %v, want the node of which an earlier run holds units", successors)
+		t.Errorf("got successors %v, want the node whose earlier run has units", successors)
 	}
 }
 
-// A record whose holders are in another order, as older versions wrote it, is not taken for one of this version.
-func TestUnsortedRecordIsEncodedAnew(t *testing.T) {
+// A record with unsorted holders, as written by older versions, is encoded again in full. Replacing one allocation at its sorted
+// index would overwrite another holder's.
+func TestUnsortedRecordIsEncodedInFull(t *testing.T) {
 	pools, committed := New(), openStore(t)
 	tx := beginTx(committed)
 	for _, holder := range []string{"a", "b"} {
@@ -352,7 +354,7 @@
 	}
 }
 
-// A primary that has read no pool yet has the units of replaced runs cool all the same.
+// A primary that has not read any pool yet still starts the cooling period of the units of replaced runs.
 func TestReplacedRunsOfPoolsNotReadYet(t *testing.T) {
 	committed := openStore(t)
 	tx := beginTx(committed)
@@ -371,11 +373,11 @@
 		t.Fatal(err)
 	}
 	if got, err := fresh.cache.get(tx, "t"); err != nil || got.CoolingUnits() != 4 {
-		t.Errorf("got %+v, %v, want 4 units that cool", got, err)
+		t.Errorf("got %+v, %v, want 4 cooling units", got, err)
 	}
 }
 
-// A pool that can't be read fails a change of all pools, which then changes none; a sweep goes on with the others.
+// With an unreadable pool, an operation on all pools fails and changes none of them. A sweep skips that pool.
 func TestUnreadablePool(t *testing.T) {
 	pools, committed := New(), openStore(t)
 	tx := beginTx(committed)
@@ -391,6 +393,6 @@
 	}
 	live := LiveHolders{Holders: map[string]bool{"node@1/2": true}, Addresses: map[string]coreapi.Node{"1": {Name: "node", Addr: "1", Run: 2}}}
 	if _, successors := pools.Sweep(committed, &configuration.Document{}, live); len(successors) != 1 {
-		t.Errorf("got successors %v, want the node of which an earlier run holds units", successors)
+		t.Errorf("got successors %v, want the node whose earlier run has units", successors)
 	}
 }
--- a/internal/controlplane/quotapool/pools_bench_test.go
+++ b/internal/controlplane/quotapool/pools_bench_test.go
@@ -11,11 +11,11 @@
 	"yarrowridge/internal/controlplane/transaction"
 )
 
-// The size of a large fleet.
+// Sizes of a large fleet.
 const (
 	benchmarkHolders = 291
 	benchmarkTenants = 190
-	benchmarkBatch   = 32 // transfers committed together
+	benchmarkBatch   = 32 // transfers per commit
 )
 
 // largeFleet returns pools in which each holder has units of each tenant, with the committed store and the configuration.
@@ -39,8 +39,8 @@
 	b.Helper()
 	tx := transaction.New(committed)
 	for tenant := range tenants {
-		move := coreapi.QuotaTransfer{Tenant: fmt.Sprint("tenant", tenant), Holder: holder, Sequence: sequence, Units: 1}
-		if _, _, err := pools.Transfer(tx, holder, &move, document); err != nil {
+		transfer := coreapi.QuotaTransfer{Tenant: fmt.Sprint("tenant", tenant), Holder: holder, Sequence: sequence, Units: 1}
+		if _, _, err := pools.Transfer(tx, holder, &transfer, document); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -49,7 +49,7 @@
 	}
 }
 
-// BenchmarkTransfer is one acquire among others in a batch, each for a tenant of its own. The commit is not measured.
+// BenchmarkTransfer measures acquires in one batch, each for a different tenant, without the commit.
 func BenchmarkTransfer(b *testing.B) {
 	pools, committed, document := largeFleet(b)
 	sequence := uint64(1)
@@ -57,8 +57,8 @@
 		sequence++
 		tx := transaction.New(committed)
 		for tenant := range benchmarkBatch {
-			move := coreapi.QuotaTransfer{Tenant: fmt.Sprint("tenant", tenant), Sequence: sequence, Units: 1}
-			if _, _, err := pools.Transfer(tx, "holder7", &move, document); err != nil {
+			transfer := coreapi.QuotaTransfer{Tenant: fmt.Sprint("tenant", tenant), Sequence: sequence, Units: 1}
+			if _, _, err := pools.Transfer(tx, "holder7", &transfer, document); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -71,7 +71,7 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*benchmarkBatch), "ns/transfer")
 }
 
-// BenchmarkSweep is one look for what is due, where nothing is.
+// BenchmarkSweep measures a sweep that finds no due changes.
 func BenchmarkSweep(b *testing.B) {
 	pools, committed, document := largeFleet(b)
 	live := LiveHolders{Holders: map[string]bool{}, Addresses: map[string]coreapi.Node{}}
--- a/internal/controlplane/quotapool/pools_test.go
+++ b/internal/controlplane/quotapool/pools_test.go
@@ -15,14 +15,14 @@
 	"yarrowridge/internal/model/quota"
 )
 
-// testingT is what helpers need of a *testing.T, *testing.B or *rapid.T.
+// testingT is the part of *testing.T, *testing.B and *rapid.T that the helpers use.
 type testingT interface {
 	Helper()
 	Fatal(arguments ...any)
 	Cleanup(function func())
 }
 
-// openStore makes an empty committed state.
+// openStore opens an empty store of committed state.
 func openStore(t testingT) *store.Store {
 	t.Helper()
 	folder, err := os.MkdirTemp("", "quotapool")
@@ -41,8 +41,8 @@
 	return opened
 }
 
-// A pool is decoded once, and one that a failed operation or a failed batch changed is decoded anew.
-func TestPoolsAreDecodedAnewAfterAFailure(t *testing.T) {
+// A cached pool that was changed by a batch that is not committed, or by an operation that is rolled back, is decoded again.
+func TestPoolsAreDecodedAgainAfterAFailure(t *testing.T) {
 	pools, committed := New(), openStore(t)
 	begin := func() *transaction.Tx { return transaction.New(committed) }
 	acquire := func(tx *transaction.Tx, sequence uint64) int {
@@ -60,9 +60,9 @@
 	tx := begin()
 	acquire(tx, 1)
 	acquire(tx, 2)
-	ofPool := slices.DeleteFunc(slices.Clone(tx.LastMutations()), func(mutation store.Mutation) bool { return mutation.Key != poolKey("t") })
-	if len(ofPool) != 1 {
-		t.Fatalf("got %d mutations of one pool, want 1", len(ofPool))
+	poolMutations := slices.DeleteFunc(slices.Clone(tx.LastMutations()), func(mutation store.Mutation) bool { return mutation.Key != poolKey("t") })
+	if len(poolMutations) != 1 {
+		t.Fatalf("got %d mutations of the pool, want 1", len(poolMutations))
 	}
 	commit(tx)
 
@@ -70,10 +70,10 @@
 	if got := acquire(lost, 3); got != 3 {
 		t.Fatalf("got %d units in the batch, want 3", got)
 	}
-	undone := begin()
-	savepoint := undone.Savepoint()
-	acquire(undone, 4)
-	undone.Rollback(savepoint)
+	rolledBack := begin()
+	savepoint := rolledBack.Savepoint()
+	acquire(rolledBack, 4)
+	rolledBack.Rollback(savepoint)
 
 	tx = begin()
 	if got := acquire(tx, 3); got != 3 {
@@ -86,8 +86,8 @@
 	}
 }
 
-// What is acquired of the tolerance, on top of the quota while units cool, may be spent to the last unit: it does not
-// count against those who hold it.
+// While units are cooling, holders may acquire units above the quota from the tolerance, and may spend all of them: these units
+// must not reduce what their holders may spend.
 func TestToleranceMayBeSpent(t *testing.T) {
 	pools, committed := New(), openStore(t)
 	tx := transaction.New(committed)
@@ -95,36 +95,36 @@
 		t.Fatal(err)
 	}
 	document := &configuration.Document{Quotas: map[string]int{"t": 10}, Tolerances: map[string]int{"t": 4}}
-	held, spent := 0, 0
+	acquired, spent := 0, 0
 	for _, holder := range []string{"a", "b", "c", "d"} {
 		out, _, err := pools.Transfer(tx, holder, &coreapi.QuotaTransfer{Tenant: "t", Sequence: 1, Units: 1}, document)
 		if err != nil {
 			t.Fatal(err)
 		}
-		held += out.Held
-		quotaShare := quota.NewShare()
-		quotaShare.SetLimit(10, time.Minute)
-		quotaShare.Enqueue(1)
-		turn, _, ok := quotaShare.NextAcquire(4)
+		acquired += out.Held
+		share := quota.NewShare()
+		share.SetLimit(10, time.Minute)
+		share.Enqueue(1)
+		turn, _, ok := share.NextAcquire(4)
 		if !ok {
 			t.Fatal("got no acquire, want one")
 		}
-		quotaShare.Apply(turn, out.Held, out.Limit)
+		share.Apply(turn, out.Held, out.Limit)
 		for {
-			if ok, _ := quotaShare.Reserve(1); !ok {
+			if ok, _ := share.Reserve(1); !ok {
 				break
 			}
-			quotaShare.Commit(1)
+			share.Commit(1)
 			spent++
 		}
 	}
-	if held != 4 || spent != 4 {
-		t.Errorf("got %d units held and %d spent, want 4 and 4", held, spent)
+	if acquired != 4 || spent != 4 {
+		t.Errorf("got %d units acquired and %d spent, want 4 and 4", acquired, spent)
 	}
 }
 
-// After a restart of a whole fleet the units of all earlier runs cool in one write of each pool. Those of a run of which the
-// core heard only afterwards do not: whoever was seen alive may have been alive before it.
+// After a restart of a whole fleet, the cooling period of the units of all earlier runs starts with one write per pool. Units of
+// a run that the core learned of only after FindReplaced are not affected: that run may have started after the successor.
 func TestReplacedRunsCoolInOneWrite(t *testing.T) {
 	pools, committed := New(), openStore(t)
 	tx := transaction.New(committed)
@@ -161,15 +161,16 @@
 	}
 	got, err := pools.cache.get(tx, "t")
 	if err != nil || got.CoolingUnits() != 5 || got.Allocations["c@3/1"].Units != 4 || got.Allocations["a@1/3"].Units != 1 {
-		t.Errorf("got pool %+v, %v, want 5 units cooling, 4 held by c and 1 by the third run of a", got, err)
+		t.Errorf("got pool %+v, %v, want 5 cooling units, 4 allocated to c and 1 to the third run of a", got, err)
 	}
-	endedBy := begun.Add(inFlightTime - quota.Margin)
-	if at := pools.firstSeen[coolingKey("t", "a@1/1")]; !at.Equal(endedBy) {
-		t.Errorf("got units of a cooling since %s, want %s", at, endedBy)
+	coolingSince := begun.Add(inFlightTime - quota.Margin)
+	if at := pools.firstSeen[coolingKey("t", "a@1/1")]; !at.Equal(coolingSince) {
+		t.Errorf("got units of a cooling since %s, want %s", at, coolingSince)
 	}
 }
 
-// Units that cool already, as the holder left, cool no longer than from the start of the run that replaced it.
+// If units are already cooling since their holder left, the cooling period is counted from the start of the run that replaced
+// the holder.
 func TestUnitsOfALeaverCoolFromItsSuccessorsStart(t *testing.T) {
 	pools, committed := New(), openStore(t)
 	tx := transaction.New(committed)
--- a/internal/controlplane/quotapool/scarcity_test.go
+++ b/internal/controlplane/quotapool/scarcity_test.go
@@ -28,7 +28,7 @@
 				c.demand.Tenant, c.demand.Units = "t", 1
 				scarcity.Record(c.demand, c.routers)
 				if got := slices.Contains(scarcity.Tenants(), "t"); got != c.want {
-					t.Errorf("got scarce %t, want %t", got, c.want)
+					t.Errorf("got scarce: %t, want %t", got, c.want)
 				}
 				time.Sleep(scarceTTL)
 				if got := scarcity.Tenants(); len(got) != 0 {
@@ -49,26 +49,26 @@
 	}
 }
 
-// The list that heartbeats carry has a version that changes with it only.
+// The version of the list of scarce tenants changes only if the list changes.
 func TestScarceListVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var scarcity Scarcity
-		mark := func(tenant string) { scarcity.Record(Demand{Tenant: tenant, Units: 1, Unmet: true}, 1) }
-		mark("a")
+		record := func(tenant string) { scarcity.Record(Demand{Tenant: tenant, Units: 1, Unmet: true}, 1) }
+		record("a")
 		_, first := scarcity.Snapshot()
 		if first == 0 {
-			t.Error("got version 0, want another")
+			t.Error("got version 0, want another version")
 		}
 		time.Sleep(snapshotMaxAge)
-		mark("a")
+		record("a")
 		if _, again := scarcity.Snapshot(); again != first {
-			t.Errorf("got version %d of the same list, want %d", again, first)
+			t.Errorf("got version %d for the same list, want %d", again, first)
 		}
-		mark("b")
+		record("b")
 		time.Sleep(snapshotMaxAge)
 		tenants, next := scarcity.Snapshot()
 		if next == first || !slices.Equal(tenants, []string{"a", "b"}) {
-			t.Errorf("got %v in version %d, want a and b in another than %d", tenants, next, first)
+			t.Errorf("got %v with version %d, want a and b with a version other than %d", tenants, next, first)
 		}
 	})
 }
--- a/internal/controlplane/quotapool/sweep_test.go
+++ b/internal/controlplane/quotapool/sweep_test.go
@@ -13,8 +13,8 @@
 	"yarrowridge/internal/model/quota"
 )
 
-// Units cool for a window and the margin from the first sweep that sees them, and a silent holder keeps its units for
-// silentHolderTTL, also one whose node has another run: which of the two has ended a sweep can't know.
+// The cooling period of units is a window plus the margin, counted from the first sweep that sees them. An absent holder keeps
+// its units for absentHolderTTL, even if its node has another run: a sweep cannot know which of the two has ended.
 func TestSweep(t *testing.T) {
 	const window = 3 * time.Second
 	document := &configuration.Document{Quotas: map[string]int{"t": 100}, Windows: map[string]time.Duration{"t": window}}
@@ -23,7 +23,7 @@
 	for _, c := range []struct {
 		name       string
 		pool       quota.Pool
-		after      time.Duration // from the first sweep until it is due, and not before; below 0: never
+		after      time.Duration // from the first sweep until the change is due; negative: never due
 		want       quota.Pool
 		successors map[string]coreapi.Node
 	}{
@@ -50,25 +50,25 @@
 					t.Errorf("got successors %v, want %v", successors, c.successors)
 				}
 				if got, want := pools.HasCooling(), len(c.pool.Cooling) > 0; got != want {
-					t.Errorf("got cooling units: %t, want %t", got, want)
+					t.Errorf("got HasCooling %t, want %t", got, want)
 				}
 				if operation != nil {
-					t.Fatal("got a change at the first sweep")
+					t.Fatal("got a change at the first sweep, want none")
 				}
 				if c.after < 0 {
 					time.Sleep(2 * absentHolderTTL)
 					if operation, _ := pools.Sweep(committed, document, live); operation != nil {
-						t.Error("got a change, want none ever")
+						t.Error("got a change, want none")
 					}
 					return
 				}
 				time.Sleep(c.after)
 				if operation, _ := pools.Sweep(committed, document, live); operation != nil {
-					t.Fatalf("got a change after %s, want it later", c.after)
+					t.Fatalf("got a change after %s, want it only later", c.after)
 				}
 				time.Sleep(time.Nanosecond)
 				if operation, _ = pools.Sweep(committed, document, live); operation == nil {
-					t.Fatal("got no change")
+					t.Fatal("got no change, want one")
 				}
 				tx = transaction.New(committed)
 				if err := operation(tx); err != nil {
@@ -83,8 +83,9 @@
 	}
 }
 
-// What a sweep no longer finds is forgotten: units of the same holder that cool later cool for their whole time.
-func TestSweepForgetsWhatIsGone(t *testing.T) {
+// A sweep removes the times of entries that no longer exist. If units of the same holder start cooling later, their cooling
+// period is not shortened.
+func TestSweepRemovesTimesOfGoneEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pools, committed := New(), openStore(t)
 		document := &configuration.Document{}
@@ -104,7 +105,7 @@
 		time.Sleep(2 * quota.Margin)
 		put(&quota.Pool{Cooling: map[string]int{"a@1/1": 1}})
 		if operation, _ := pools.Sweep(committed, document, LiveHolders{}); operation != nil {
-			t.Error("got units freed at the first sweep that sees them cool")
+			t.Error("got a change at the first sweep that sees the units cooling, want none")
 		}
 	})
 }
--- a/internal/controlplane/replacedruns/tracker_test.go
+++ b/internal/controlplane/replacedruns/tracker_test.go
@@ -17,7 +17,7 @@
 	"yarrowridge/internal/testing/sim"
 )
 
-// poolRunner applies the operations of a tracker at once, or drops them.
+// poolRunner applies the operations of a tracker immediately, or drops them.
 type poolRunner struct {
 	t               *testing.T
 	pools           *quotapool.Pools
@@ -46,8 +46,8 @@
 	}
 }
 
-// unavailableUnits is how many of the limit's units a holder can't get, since others hold them or they cool.
-func (r *poolRunner) unavailableUnits(limit int) (held int) {
+// unavailableUnits returns how many of the limit's units another holder cannot acquire since they are allocated or cooling.
+func (r *poolRunner) unavailableUnits(limit int) (units int) {
 	document := &configuration.Document{Quotas: map[string]int{"t": limit}}
 	tx := transaction.New(r.committed) // not committed
 	for sequence := range uint64(100) {
@@ -56,12 +56,12 @@
 		if err != nil {
 			r.t.Fatal(err)
 		}
-		held = limit - result.Held
+		units = limit - result.Held
 	}
-	return held
+	return units
 }
 
-// acquire has a holder acquire units.
+// acquire acquires units for a holder.
 func (r *poolRunner) acquire(holder string, sequence uint64, units int) {
 	document := &configuration.Document{Quotas: map[string]int{"t": 100}}
 	r.submit(func(tx *transaction.Tx) error {
@@ -72,35 +72,35 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// The units of an earlier run cool only once the router says that the run which was heard of is alive: not while another
-// run answers, nor while nobody does.
+// The cooling period of an earlier run's units starts only after the router confirms that the reported run is alive. It does
+// not start if another run responds or if there is no response.
 func TestUnitsCoolOnceTheSuccessorIsConfirmed(t *testing.T) {
 	node := coreapi.Node{Name: "a", Addr: "1", Run: 2}
 	for _, c := range []struct {
 		name      string
-		holder    string // that has units
-		run       uint64 // that answers
+		holder    string // with units
+		run       uint64 // in the response
 		err       error
 		wantFreed bool
 	}{
 		{"the run answers", "a@1/1", 2, nil, true},
 		{"the run answers, which has the address of another node", "old@1/1", 2, nil, true},
 		{"another run answers", "a@1/1", 3, nil, false},
-		{"nobody answers", "a@1/1", 0, errNoAnswer, false},
+		{"no run answers", "a@1/1", 0, errNoAnswer, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := newPoolRunner(t)
 				r.acquire(c.holder, 1, 4)
 				queries := 0
-				runAt := func(_ context.Context, addr string) (uint64, error) {
+				queryRun := func(_ context.Context, addr string) (uint64, error) {
 					queries++
 					if addr != "1" {
 						t.Errorf("got a query at %s, want one at 1", addr)
 					}
 					return c.run, c.err
 				}
-				tracker := New(t.Context(), r.pools, runAt, r.submit)
+				tracker := New(t.Context(), r.pools, queryRun, r.submit)
 				tracker.Add(node, time.Minute)
 				time.Sleep(time.Second)
 				synctest.Wait()
@@ -116,7 +116,7 @@
 	}
 }
 
-// freeCooling sweeps the pools twice, for so long apart that cooling units are free.
+// freeCooling sweeps the pools twice, with enough time in between for cooling units to become free.
 func (r *poolRunner) freeCooling(live coreapi.Node) {
 	holders := quotapool.LiveHolders{Holders: map[string]bool{coreapi.Holder(live): true}}
 	document := &configuration.Document{Quotas: map[string]int{"t": 100}, Windows: map[string]time.Duration{"t": time.Second}}
@@ -128,53 +128,54 @@
 	}
 }
 
-// A router without earlier runs that hold units is not asked.
+// A router is not queried if no earlier run at its address has units.
 func TestNoQueryWithoutEarlierRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newPoolRunner(t)
 		r.acquire("a@1/2", 1, 4)
 		r.acquire("b@2/1", 1, 4)
-		runAt := func(_ context.Context, addr string) (uint64, error) {
+		queryRun := func(_ context.Context, addr string) (uint64, error) {
 			t.Errorf("got a query at %s, want none", addr)
 			return 0, errNoAnswer
 		}
-		New(t.Context(), r.pools, runAt, r.submit).Add(coreapi.Node{Name: "a", Addr: "1", Run: 2}, 0)
+		New(t.Context(), r.pools, queryRun, r.submit).Add(coreapi.Node{Name: "a", Addr: "1", Run: 2}, 0)
 		time.Sleep(time.Second)
 	})
 }
 
-// A run that begins while its predecessor is asked keeps what it acquires, although the predecessor's answer comes late.
+// A run that starts while its predecessor is being queried keeps the units that it acquires, even if the predecessor's response
+// arrives afterwards.
 func TestUnitsAcquiredDuringTheQueryStay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newPoolRunner(t)
 		r.acquire("a@1/1", 1, 4)
-		runAt := func(context.Context, string) (uint64, error) {
+		queryRun := func(context.Context, string) (uint64, error) {
 			time.Sleep(100 * time.Millisecond)
 			r.acquire("a@1/3", 1, 5)
 			time.Sleep(100 * time.Millisecond)
 			return 2, nil
 		}
-		New(t.Context(), r.pools, runAt, r.submit).Add(coreapi.Node{Name: "a", Addr: "1", Run: 2}, 0)
+		New(t.Context(), r.pools, queryRun, r.submit).Add(coreapi.Node{Name: "a", Addr: "1", Run: 2}, 0)
 		time.Sleep(time.Second)
 		synctest.Wait()
 		r.freeCooling(coreapi.Node{Name: "a", Addr: "1", Run: 3})
-		if held := r.unavailableUnits(100); held != 5 {
-			t.Errorf("got %d units held, want the 5 of the third run", held)
+		if units := r.unavailableUnits(100); units != 5 {
+			t.Errorf("got %d unavailable units, want the 5 of the third run", units)
 		}
 	})
 }
 
-// A lookup that is dropped, as too many operations wait, holds up none of the later ones.
-func TestDroppedLookupIsMadeUpFor(t *testing.T) {
+// If a lookup is dropped because too many operations are waiting, later lookups are still made.
+func TestLookupAfterADroppedLookup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newPoolRunner(t)
 		r.acquire("a@1/1", 1, 4)
 		queries := 0
-		runAt := func(context.Context, string) (uint64, error) {
+		queryRun := func(context.Context, string) (uint64, error) {
 			queries++
 			return 2, nil
 		}
-		tracker := New(t.Context(), r.pools, runAt, r.submit)
+		tracker := New(t.Context(), r.pools, queryRun, r.submit)
 		node := coreapi.Node{Name: "a", Addr: "1", Run: 2}
 		r.dropsOperations = true
 		tracker.Add(node, 0)
@@ -190,22 +191,22 @@
 	})
 }
 
-// Reports of one run within the interval count as one, with the greatest age; one of another run replaces them.
+// Reports of the same run within batchDelay are merged, with the earliest start. A report of another run replaces them.
 func TestGatheredRuns(t *testing.T) {
 	tracker := New(t.Context(), nil, nil, nil)
 	now := time.Now()
 	node, other := coreapi.Node{Name: "a", Addr: "1", Run: 2}, coreapi.Node{Name: "a", Addr: "1", Run: 3}
 	if !tracker.addPending(node, now.Add(-time.Minute)) || tracker.addPending(node, now) {
-		t.Error("got the gathering started by another than the first report")
+		t.Error("got a wrong isFirst: want true for the first report and false for the second")
 	}
 	if got := tracker.pending["1"]; got.Node != node || !got.LatestStart.Equal(now.Add(-time.Minute)) {
-		t.Errorf("got %+v, want run 2 begun a minute ago", got)
+		t.Errorf("got %+v, want run 2 started a minute ago", got)
 	}
 	tracker.addPending(other, now)
 	if got := tracker.takePending()["1"]; got.Node != other || !got.LatestStart.Equal(now) {
-		t.Errorf("got %+v, want run 3 begun now", got)
+		t.Errorf("got %+v, want run 3 started now", got)
 	}
 	if left := tracker.takePending(); len(left) > 0 {
-		t.Errorf("got %v left after it was taken, want none", left)
+		t.Errorf("got %v pending after takePending, want none", left)
 	}
 }
