--- a/internal/controlplane/quotapool/cache_test.go
+++ b/internal/controlplane/quotapool/cache_test.go
@@ -377,7 +377,7 @@
 	}
 }
 
-// With an unreadable pool, an operation on all pools fails and changes none of them. A sweep skips that pool.
+// With an unreadable pool, an operation on all pools fails and changes none of them. Sweep still examines the other pools.
 func TestUnreadablePool(t *testing.T) {
 	pools, committed := New(), openStore(t)
 	tx := beginTx(committed)
--- a/internal/controlplane/replacedruns/tracker_test.go
+++ b/internal/controlplane/replacedruns/tracker_test.go
@@ -192,7 +192,7 @@
 }
 
 // Reports of the same run within batchDelay are merged, with the earliest start. A report of another run replaces them.
-func TestGatheredRuns(t *testing.T) {
+func TestPendingRuns(t *testing.T) {
 	tracker := New(t.Context(), nil, nil, nil)
 	now := time.Now()
 	node, other := coreapi.Node{Name: "a", Addr: "1", Run: 2}, coreapi.Node{Name: "a", Addr: "1", Run: 3}
