--- a/internal/controlplane/quotapool/scarcity_test.go
+++ b/internal/controlplane/quotapool/scarcity_test.go
@@ -19,16 +19,16 @@
 		{"little is left of a large quota", Demand{Quota: 1000, Free: 1}, 2, false},
 		{"less than half is left of a small quota", Demand{Quota: 10, Free: 4}, 10, true},
 		{"half is left of a small quota", Demand{Quota: 10, Free: 5}, 10, false},
-		{"less than an eighth is left of an uneven quota", Demand{Uneven: true, Quota: 1000, Free: 124}, 2, true},
-		{"an eighth is left of an uneven quota", Demand{Uneven: true, Quota: 1000, Free: 125}, 2, false},
+		{"less than an eighth is left of an uneven quota", Demand{UnevenCosts: true, Quota: 1000, Free: 124}, 2, true},
+		{"an eighth is left of an uneven quota", Demand{UnevenCosts: true, Quota: 1000, Free: 125}, 2, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var scarcity Scarcity
 				c.demand.Tenant, c.demand.Units = "t", 1
-				scarcity.Mark(c.demand, c.routers)
+				scarcity.Record(c.demand, c.routers)
 				if got := slices.Contains(scarcity.Tenants(), "t"); got != c.want {
-					t.Errorf("got scarce %t, want %t", got, c.want)
+					t.Errorf("got scarce: %t, want %t", got, c.want)
 				}
 				time.Sleep(scarceTTL)
 				if got := scarcity.Tenants(); len(got) != 0 {
@@ -42,33 +42,33 @@
 func TestScarceTenantsAreSorted(t *testing.T) {
 	var scarcity Scarcity
 	for _, tenant := range []string{"c", "a", "b"} {
-		scarcity.Mark(Demand{Tenant: tenant, Units: 1, Unmet: true}, 1)
+		scarcity.Record(Demand{Tenant: tenant, Units: 1, Unmet: true}, 1)
 	}
 	if got, want := scarcity.Tenants(), []string{"a", "b", "c"}; !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
 }
 
-// The list that heartbeats carry has a version that changes with it only.
+// The version of the list of scarce tenants changes only if the list changes.
 func TestScarceListVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var scarcity Scarcity
-		mark := func(tenant string) { scarcity.Mark(Demand{Tenant: tenant, Units: 1, Unmet: true}, 1) }
-		mark("a")
-		_, first := scarcity.Listed()
+		record := func(tenant string) { scarcity.Record(Demand{Tenant: tenant, Units: 1, Unmet: true}, 1) }
+		record("a")
+		_, first := scarcity.Snapshot()
 		if first == 0 {
-			t.Error("got version 0, want another")
+			t.Error("got version 0, want another version")
 		}
-		time.Sleep(listMaxAge)
-		mark("a")
-		if _, again := scarcity.Listed(); again != first {
-			t.Errorf("got version %d of the same list, want %d", again, first)
+		time.Sleep(snapshotMaxAge)
+		record("a")
+		if _, again := scarcity.Snapshot(); again != first {
+			t.Errorf("got version %d for the same list, want %d", again, first)
 		}
-		mark("b")
-		time.Sleep(listMaxAge)
-		tenants, next := scarcity.Listed()
+		record("b")
+		time.Sleep(snapshotMaxAge)
+		tenants, next := scarcity.Snapshot()
 		if next == first || !slices.Equal(tenants, []string{"a", "b"}) {
-			t.Errorf("got %v in version %d, want a and b in another than %d", tenants, next, first)
+			t.Errorf("got %v with version %d, want a and b with a version other than %d", tenants, next, first)
 		}
 	})
 }
--- a/internal/controlplane/replacedruns/tracker_test.go
+++ b/internal/controlplane/replacedruns/tracker_test.go
@@ -17,12 +17,12 @@
 	"yarrowridge/internal/testing/sim"
 )
 
-// poolRunner applies the operations of a tracker at once, or drops them.
+// poolRunner applies the operations of a tracker immediately, or drops them.
 type poolRunner struct {
-	t         *testing.T
-	pools     *quotapool.Pools
-	committed *store.Store
-	drops     bool
+	t               *testing.T
+	pools           *quotapool.Pools
+	committed       *store.Store
+	dropsOperations bool
 }
 
 func newPoolRunner(t *testing.T) *poolRunner {
@@ -34,7 +34,7 @@
 }
 
 func (r *poolRunner) submit(operation func(*transaction.Tx) error) {
-	if r.drops {
+	if r.dropsOperations {
 		return
 	}
 	tx := transaction.New(r.committed)
@@ -46,8 +46,8 @@
 	}
 }
 
-// held is how many of the limit's units a holder can't get, since others hold them or they cool.
-func (r *poolRunner) held(limit int) (held int) {
+// unavailableUnits returns how many of the limit's units another holder cannot acquire since they are allocated or cooling.
+func (r *poolRunner) unavailableUnits(limit int) (units int) {
 	document := &configuration.Document{Quotas: map[string]int{"t": limit}}
 	tx := transaction.New(r.committed) // not committed
 	for sequence := range uint64(100) {
@@ -56,12 +56,12 @@
 		if err != nil {
 			r.t.Fatal(err)
 		}
-		held = limit - result.Held
+		units = limit - result.Held
 	}
-	return held
+	return units
 }
 
-// acquire has a holder acquire units.
+// acquire acquires units for a holder.
 func (r *poolRunner) acquire(holder string, sequence uint64, units int) {
 	document := &configuration.Document{Quotas: map[string]int{"t": 100}}
 	r.submit(func(tx *transaction.Tx) error {
@@ -72,43 +72,43 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// The units of an earlier run cool only once the router says that the run which was heard of is alive: not while another
-// run answers, nor while nobody does.
+// The cooling period of an earlier run's units starts only after the router confirms that the reported run is alive. It does
+// not start if another run responds or if there is no response.
 func TestUnitsCoolOnceTheSuccessorIsConfirmed(t *testing.T) {
 	node := coreapi.Node{Name: "a", Addr: "1", Run: 2}
 	for _, c := range []struct {
 		name      string
-		holder    string // that has units
-		run       uint64 // that answers
+		holder    string // with units
+		run       uint64 // in the response
 		err       error
 		wantFreed bool
 	}{
 		{"the run answers", "a@1/1", 2, nil, true},
 		{"the run answers, which has the address of another node", "old@1/1", 2, nil, true},
 		{"another run answers", "a@1/1", 3, nil, false},
-		{"nobody answers", "a@1/1", 0, errNoAnswer, false},
+		{"no run answers", "a@1/1", 0, errNoAnswer, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := newPoolRunner(t)
 				r.acquire(c.holder, 1, 4)
 				queries := 0
-				runAt := func(_ context.Context, addr string) (uint64, error) {
+				queryRun := func(_ context.Context, addr string) (uint64, error) {
 					queries++
 					if addr != "1" {
 						t.Errorf("got a query at %s, want one at 1", addr)
 					}
 					return c.run, c.err
 				}
-				tracker := New(t.Context(), r.pools, runAt, r.submit)
+				tracker := New(t.Context(), r.pools, queryRun, r.submit)
 				tracker.Add(node, time.Minute)
 				time.Sleep(time.Second)
 				synctest.Wait()
 				if queries != 1 {
 					t.Errorf("got %d queries, want 1", queries)
 				}
-				r.sweepOut(node)
-				if isFreed := r.held(100) == 0; isFreed != c.wantFreed {
+				r.freeCooling(node)
+				if isFreed := r.unavailableUnits(100) == 0; isFreed != c.wantFreed {
 					t.Errorf("got the units of the earlier run freed: %t, want %t", isFreed, c.wantFreed)
 				}
 			})
@@ -116,8 +116,8 @@
 	}
 }
 
-// sweepOut sweeps the pools twice, for so long apart that cooling units are free.
-func (r *poolRunner) sweepOut(live coreapi.Node) {
+// freeCooling sweeps the pools twice, with enough time in between for cooling units to become free.
+func (r *poolRunner) freeCooling(live coreapi.Node) {
 	holders := quotapool.LiveHolders{Holders: map[string]bool{coreapi.Holder(live): true}}
 	document := &configuration.Document{Quotas: map[string]int{"t": 100}, Windows: map[string]time.Duration{"t": time.Second}}
 	for range 2 {
@@ -128,59 +128,60 @@
 	}
 }
 
-// A router without earlier runs that hold units is not asked.
+// A router is not queried if no earlier run at its address has units.
 func TestNoQueryWithoutEarlierRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newPoolRunner(t)
 		r.acquire("a@1/2", 1, 4)
 		r.acquire("b@2/1", 1, 4)
-		runAt := func(_ context.Context, addr string) (uint64, error) {
+		queryRun := func(_ context.Context, addr string) (uint64, error) {
 			t.Errorf("got a query at %s, want none", addr)
 			return 0, errNoAnswer
 		}
-		New(t.Context(), r.pools, runAt, r.submit).Add(coreapi.Node{Name: "a", Addr: "1", Run: 2}, 0)
+		New(t.Context(), r.pools, queryRun, r.submit).Add(coreapi.Node{Name: "a", Addr: "1", Run: 2}, 0)
 		time.Sleep(time.Second)
 	})
 }
 
-// A run that begins while its predecessor is asked keeps what it acquires, although the predecessor's answer comes late.
+// A run that starts while its predecessor is being queried keeps the units that it acquires, even if the predecessor's response
+// arrives afterwards.
 func TestUnitsAcquiredDuringTheQueryStay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newPoolRunner(t)
 		r.acquire("a@1/1", 1, 4)
-		runAt := func(context.Context, string) (uint64, error) {
+		queryRun := func(context.Context, string) (uint64, error) {
 			time.Sleep(100 * time.Millisecond)
 			r.acquire("a@1/3", 1, 5)
 			time.Sleep(100 * time.Millisecond)
 			return 2, nil
 		}
-		New(t.Context(), r.pools, runAt, r.submit).Add(coreapi.Node{Name: "a", Addr: "1", Run: 2}, 0)
+		New(t.Context(), r.pools, queryRun, r.submit).Add(coreapi.Node{Name: "a", Addr: "1", Run: 2}, 0)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		r.sweepOut(coreapi.Node{Name: "a", Addr: "1", Run: 3})
-		if held := r.held(100); held != 5 {
-			t.Errorf("got %d units held, want the 5 of the third run", held)
+		r.freeCooling(coreapi.Node{Name: "a", Addr: "1", Run: 3})
+		if units := r.unavailableUnits(100); units != 5 {
+			t.Errorf("got %d unavailable units, want the 5 of the third run", units)
 		}
 	})
 }
 
-// A lookup that is dropped, as too many operations wait, holds up none of the later ones.
-func TestDroppedLookupIsMadeUpFor(t *testing.T) {
+// If a lookup is dropped because too many operations are waiting, later lookups are still made.
+func TestLookupAfterADroppedLookup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newPoolRunner(t)
 		r.acquire("a@1/1", 1, 4)
 		queries := 0
-		runAt := func(context.Context, string) (uint64, error) {
+		queryRun := func(context.Context, string) (uint64, error) {
 			queries++
 			return 2, nil
 		}
-		tracker := New(t.Context(), r.pools, runAt, r.submit)
+		tracker := New(t.Context(), r.pools, queryRun, r.submit)
 		node := coreapi.Node{Name: "a", Addr: "1", Run: 2}
-		r.drops = true
+		r.dropsOperations = true
 		tracker.Add(node, 0)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		r.drops = false
+		r.dropsOperations = false
 		tracker.Add(node, 0)
 		time.Sleep(time.Second)
 		synctest.Wait()
@@ -190,22 +191,22 @@
 	})
 }
 
-// Reports of one run within the interval count as one, with the greatest age; one of another run replaces them.
-func TestGatheredRuns(t *testing.T) {
+// Reports of the same run within batchDelay are merged, with the earliest start. A report of another run replaces them.
+func TestPendingRuns(t *testing.T) {
 	tracker := New(t.Context(), nil, nil, nil)
 	now := time.Now()
 	node, other := coreapi.Node{Name: "a", Addr: "1", Run: 2}, coreapi.Node{Name: "a", Addr: "1", Run: 3}
-	if !tracker.gather(node, now.Add(-time.Minute)) || tracker.gather(node, now) {
-		t.Error("got the gathering started by another than the first report")
+	if !tracker.addPending(node, now.Add(-time.Minute)) || tracker.addPending(node, now) {
+		t.Error("got a wrong isFirst: want true for the first report and false for the second")
 	}
-	if got := tracker.gathered["1"]; got.Node != node || !got.BegunBy.Equal(now.Add(-time.Minute)) {
-		t.Errorf("got %+v, want run 2 begun a minute ago", got)
+	if got := tracker.pending["1"]; got.Node != node || !got.LatestStart.Equal(now.Add(-time.Minute)) {
+		t.Errorf("got %+v, want run 2 started a minute ago", got)
 	}
-	tracker.gather(other, now)
-	if got := tracker.take()["1"]; got.Node != other || !got.BegunBy.Equal(now) {
-		t.Errorf("got %+v, want run 3 begun now", got)
+	tracker.addPending(other, now)
+	if got := tracker.takePending()["1"]; got.Node != other || !got.LatestStart.Equal(now) {
+		t.Errorf("got %+v, want run 3 started now", got)
 	}
-	if left := tracker.take(); len(left) > 0 {
-		t.Errorf("got %v left after it was taken, want none", left)
+	if left := tracker.takePending(); len(left) > 0 {
+		t.Errorf("got %v pending after takePending, want none", left)
 	}
 }
