--- a/internal/dataplane/gateway/forwarding_test.go
+++ b/internal/dataplane/gateway/forwarding_test.go
@@ -95,7 +95,7 @@
 				}
 			}
 			begun := time.Now()
-			f.gateway.Ready = func() string {
+			f.gateway.NotReadyReason = func() string {
 				if time.Since(begun) < c.startsIn {
 					return "starting"
 				}
--- a/internal/dataplane/gateway/fuzz_test.go
+++ b/internal/dataplane/gateway/fuzz_test.go
@@ -40,7 +40,7 @@
 	if len(flaws) > 0 {
 		t.Fatal(flaws)
 	}
-	return New(Options{Dialect: testDialect{}, Table: func() *routing.Table { return table }, Ready: func() string { return "" }, Balancer: balancer,
+	return New(Options{Dialect: testDialect{}, Table: func() *routing.Table { return table }, NotReadyReason: func() string { return "" }, Balancer: balancer,
 		Pool: pool, Quotas: &fakeQuotas{}, LocalShare: func(n int) int { return n }, Log: slog.New(slog.DiscardHandler)})
 }
 
--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -40,7 +40,7 @@
 type Options struct {
 	Dialect    Dialect
 	Table      func() *routing.Table // the routing table in force; nil: none yet
-	Ready      func() string         // why nothing can be served; "": it can
+	NotReadyReason      func() string         // why nothing can be served; "": it can
 	Balancer   *balance.Balancer
 	Pool       *upstream.Pool
 	Quotas     Quotas
--- a/internal/dataplane/gateway/gateway_test.go
+++ b/internal/dataplane/gateway/gateway_test.go
@@ -92,7 +92,7 @@
 	f.setTable(1, routes...)
 	pool := upstream.New(upstream.Options{})
 	t.Cleanup(pool.Close)
-	f.gateway = New(Options{Dialect: testDialect{}, Table: f.table.Load, Ready: func() string { return "" }, Balancer: f.balancer, Pool: pool,
+	f.gateway = New(Options{Dialect: testDialect{}, Table: f.table.Load, NotReadyReason: func() string { return "" }, Balancer: f.balancer, Pool: pool,
 		Quotas: f.quotas, Retries: RetryBounds{Ratio: 1, Allowance: 10}, LocalShare: func(n int) int { return n }, Log: slog.New(slog.DiscardHandler)})
 	server := httptest.NewServer(f.gateway)
 	t.Cleanup(server.Close)
--- a/internal/dataplane/gateway/wait.go
+++ b/internal/dataplane/gateway/wait.go
@@ -27,7 +27,7 @@
 
 // awaitReady waits for a router that has just started, unless it is draining already, and reports whether it is ready.
 func (r *request) awaitReady() bool {
-	ready := func() bool { return r.gateway.Ready() == "" }
+	ready := func() bool { return r.gateway.NotReadyReason() == "" }
 	return r.waitUntil(func() bool { return ready() || r.gateway.draining.Load() }) && ready()
 }
 
--- a/internal/dataplane/gateway/wait_test.go
+++ b/internal/dataplane/gateway/wait_test.go
@@ -14,7 +14,7 @@
 	f := newFleet(t, route(routing.Unsafe, 1, false))
 	f.addRunner("one", respondWith("text"))
 	var ready atomic.Bool
-	f.gateway.Ready = func() string {
+	f.gateway.NotReadyReason = func() string {
 		if ready.Load() {
 			return ""
 		}
@@ -42,7 +42,7 @@
 	if answer, text, err := f.send("1", "/a/x", "k1", ""); err != nil || text != "text" || !answer.Close {
 		t.Errorf("got %v %q, error %v, want the runner's response and a closed connection", answer, text, err)
 	}
-	f.gateway.Ready = func() string { return "no configuration yet" }
+	f.gateway.NotReadyReason = func() string { return "no configuration yet" }
 	begun := time.Now()
 	if answer, _, err := f.send("2", "/a/x", "k1", ""); err != nil || answer.StatusCode != http.StatusServiceUnavailable || time.Since(begun) > maxReadyWait/2 {
 		t.Errorf("got %v, error %v after %s, want 503 at once", answer, err, time.Since(begun))
--- a/internal/dataplane/router/gateway.go
+++ b/internal/dataplane/router/gateway.go
@@ -50,7 +50,7 @@
 	g.Cluster.RegisterHandler("session", g.sessions.handle)
 	g.QuotaShares = quota.NewShares(ctx.WithComponent("share"), quota.Config{Transfer: newTransferQueue(ctx, g.Cluster).transfer, Nodes: func() int { return len(g.Cluster.Nodes()) },
 		ScarceTenants: g.Cluster.ScarceTenants, Rules: g.quotaRules, RecentContact: g.Cluster.CoreResponsive, InContact: func() bool { return !g.Cluster.CoreSilent() }, Margin: quotaMargin})
-	g.Front = gateway.New(gateway.Options{Dialect: settings.Dialect, Table: g.table.Load, Ready: g.unavailableReason, Balancer: g.Balancer,
+	g.Front = gateway.New(gateway.Options{Dialect: settings.Dialect, Table: g.table.Load, NotReadyReason: g.unavailableReason, Balancer: g.Balancer,
 		Pool: g.Pool, Quotas: quotas{g.QuotaShares}, Retries: settings.Retries, LocalShare: g.localShare,
 		Keys: gateway.KeyBounds{Term: settings.RevocationTerm, ConfirmedAt: g.Cluster.ConfirmedAt}, Log: ctx.WithComponent("gateway").Log})
 	return g
