--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -69,8 +69,8 @@
 // Drain begins the graceful shutdown: each response from now on asks the client to close its connection.
 func (g *Gateway) Drain() { g.draining.Store(true) }
 
-// Open returns how many requests are in flight.
-func (g *Gateway) Open() int { return int(g.open.Load()) }
+// InFlight returns how many requests are in flight.
+func (g *Gateway) InFlight() int { return int(g.open.Load()) }
 
 // ServeHTTP serves one request.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
--- a/internal/dataplane/router/gatewaymetrics.go
+++ b/internal/dataplane/router/gatewaymetrics.go
@@ -9,7 +9,7 @@
 // metricsHandler serves a gateway's own figures.
 func (g *Gateway) metricsHandler() http.Handler {
 	return metrics.NewHandler(metrics.Gauges{
-		"yarrowridge_requests_open":  func() float64 { return float64(g.Front.Open()) },
+		"yarrowridge_requests_open":  func() float64 { return float64(g.Front.InFlight()) },
 		"yarrowridge_config_version": func() float64 { return float64(g.Cluster.ConfigVersion()) },
 		"yarrowridge_runners":        func() float64 { return float64(len(g.Registry.List())) },
 		"yarrowridge_routers":        func() float64 { return float64(len(g.Cluster.Nodes())) },
--- a/internal/dataplane/router/gatewayrun.go
+++ b/internal/dataplane/router/gatewayrun.go
@@ -60,7 +60,7 @@
 
 // shutDown shuts the router down gracefully: it finishes the requests in flight and leaves the fleet, within the grace period.
 func (g *Gateway) shutDown(ctx daemon.Context, server *gateway.Server) {
-	ctx.Log.Info("Router leaves. Requests in flight are finished.", slog.Int("open", g.Front.Open()))
+	ctx.Log.Info("Router leaves. Requests in flight are finished.", slog.Int("open", g.Front.InFlight()))
 	startedAt := time.Now()
 	g.Cluster.StartDraining()
 	g.Front.Drain()
@@ -68,7 +68,7 @@
 	draining, cancel := context.WithTimeout(ctx, g.settings.GracePeriod-time.Since(startedAt)-leaveReserve)
 	defer cancel()
 	if err := server.Drain(draining); err != nil {
-		ctx.Log.Warn("The grace ended before the requests did.", slog.Int("open", g.Front.Open()))
+		ctx.Log.Warn("The grace ended before the requests did.", slog.Int("open", g.Front.InFlight()))
 	}
 	leave(ctx, startedAt.Add(g.settings.GracePeriod-exitReserve), g.sessions.handOver, g.Cluster.Leave)
 	g.Pool.Close()
