--- a/internal/dataplane/gateway/keys.go
+++ b/internal/dataplane/gateway/keys.go
@@ -4,9 +4,9 @@
 
 // KeyBounds say for how long tenants' keys are valid at a router that cannot ask whether they still are.
 type KeyBounds struct {
-	// Term is the time from a configuration's acknowledgement within which a key that it revokes is of no use at any router.
+	// RevocationTerm is the time from a configuration's acknowledgement within which a key that it revokes is of no use at any router.
 	// 0: a router goes by the configuration that it has.
-	Term time.Duration
+	RevocationTerm time.Duration
 	// ConfirmedAt is the latest moment of which all configurations acknowledged before it are known to be obeyed. Requests
 	// call it concurrently; it must not block.
 	ConfirmedAt func() time.Time
@@ -17,7 +17,7 @@
 
 // Stale reports whether keys may have been revoked for longer than the term at a moment, without our knowing.
 func (k KeyBounds) Stale(at time.Time) bool {
-	return k.Term > 0 && at.Sub(k.ConfirmedAt()) > k.Term-k.Term/clockDriftDivisor
+	return k.RevocationTerm > 0 && at.Sub(k.ConfirmedAt()) > k.RevocationTerm-k.RevocationTerm/clockDriftDivisor
 }
 
 // needsKey reports whether a key decides whether the request may run.
--- a/internal/dataplane/gateway/keys_test.go
+++ b/internal/dataplane/gateway/keys_test.go
@@ -14,7 +14,7 @@
 func setKeyTerm(f *fleet, term time.Duration) *atomic.Pointer[time.Time] {
 	confirmed := &atomic.Pointer[time.Time]{}
 	confirmed.Store(&time.Time{})
-	f.gateway.Keys = KeyBounds{Term: term, ConfirmedAt: func() time.Time { return *confirmed.Load() }}
+	f.gateway.Keys = KeyBounds{RevocationTerm: term, ConfirmedAt: func() time.Time { return *confirmed.Load() }}
 	return confirmed
 }
 
@@ -52,7 +52,7 @@
 	if status, _ := f.status("/a/", "k1"); status != http.StatusServiceUnavailable {
 		t.Errorf("confirmed too long ago: got %d, want 503", status)
 	}
-	f.gateway.Keys.Term = 0
+	f.gateway.Keys.RevocationTerm = 0
 	if status, _ := f.status("/a/", "k1"); status != http.StatusOK {
 		t.Errorf("without a term: got %d, want 200", status)
 	}
--- a/internal/dataplane/router/gateway.go
+++ b/internal/dataplane/router/gateway.go
@@ -52,7 +52,7 @@
 		ScarceTenants: g.Cluster.ScarceTenants, Rules: g.quotaRules, RecentContact: g.Cluster.CoreResponsive, InContact: func() bool { return !g.Cluster.CoreSilent() }, Margin: quotaMargin})
 	g.Front = gateway.New(gateway.Options{Dialect: settings.Dialect, Table: g.table.Load, NotReadyReason: g.unavailableReason, Balancer: g.Balancer,
 		Pool: g.Pool, Quotas: quotas{g.QuotaShares}, Retries: settings.Retries, LocalShare: g.localShare,
-		Keys: gateway.KeyBounds{Term: settings.RevocationTerm, ConfirmedAt: g.Cluster.ConfirmedAt}, Log: ctx.WithComponent("gateway").Log})
+		Keys: gateway.KeyBounds{RevocationTerm: settings.RevocationTerm, ConfirmedAt: g.Cluster.ConfirmedAt}, Log: ctx.WithComponent("gateway").Log})
 	return g
 }
 
