--- a/internal/dataplane/gateway/dialect.go
+++ b/internal/dataplane/gateway/dialect.go
@@ -45,8 +45,8 @@
 type Dialect interface {
 	// ReadRequest reads a client's headers. An error is the client's fault; its text is shown to the client.
 	ReadRequest(header http.Header) (RequestMeta, error)
-	// WriteRunner sets in header what the runner is told. It removes what only the system may say.
-	WriteRunner(header http.Header, meta RunnerMeta)
+	// WriteRequest sets in header what the runner is told. It removes what only the system may say.
+	WriteRequest(header http.Header, meta RunnerMeta)
 	// ReadResponse reads status and headers of a runner's response.
 	ReadResponse(status int, header http.Header) ResponseMeta
 }
--- a/internal/dataplane/gateway/gateway_test.go
+++ b/internal/dataplane/gateway/gateway_test.go
@@ -31,7 +31,7 @@
 		Deadline: time.Duration(ms) * time.Millisecond}, nil
 }
 
-func (testDialect) WriteRunner(h http.Header, m RunnerMeta) {
+func (testDialect) WriteRequest(h http.Header, m RunnerMeta) {
 	h.Del("Test-Key")
 	h.Del("Test-Tenant")
 	if m.Tenant != "" {
