--- a/internal/dataplane/gateway/admission.go
+++ b/internal/dataplane/gateway/admission.go
@@ -2,8 +2,8 @@
 
 import "context"
 
-// quotaWaitPercent is the part of a request's time, in percent, that it may wait for units of its quota from a core that
-// does not answer: while the core changes its primary a late response is worth more than a rejection.
+// quotaWaitPercent is the percentage of a request's time limit that it may wait for quota units from a core that does not
+// answer. The core does not answer while its primary changes, and a late response is better than a rejection then.
 const quotaWaitPercent = 40
 
 // admit reserves units of the tenant's quota, applies the output allowance and reads the body, in this order.
@@ -21,21 +21,21 @@
 	return err
 }
 
-// quotaReservation is what a request has reserved of a quota. A later configuration may count in another unit: the
-// reservation stays what it was when the request was admitted.
+// quotaReservation is a request's reservation of quota units. It keeps the quota's name and the cost from the time of
+// admission, because a later configuration may count the quota in another unit.
 type quotaReservation struct {
-	name     string
-	units    int
-	reserved bool // and neither spent nor released
+	name    string
+	units   int
+	pending bool // reserved, and neither spent nor released yet
 }
 
-// reserveQuota reserves what the request costs, where its tenant has a limit.
+// reserveQuota reserves the request's cost if its tenant has a rate limit.
 func (r *request) reserveQuota() error {
 	if r.tenant == nil || r.tenant.Rate <= 0 {
 		return nil
 	}
 	waitUntil := r.received.Add(r.deadline.Sub(r.received) * quotaWaitPercent / 100)
-	ctx, cancel := context.WithDeadline(r.client.Context(), waitUntil)
+	ctx, cancel := context.WithDeadline(r.httpRequest.Context(), waitUntil)
 	defer cancel()
 	reservation := quotaReservation{name: r.tenant.QuotaName(),
 		units: r.tenant.Cost(r.meta.InputTokens+r.meta.OutputTokens, r.meta.TokensKnown)}
@@ -46,23 +46,23 @@
 	if !ok {
 		return rejectQuota(retryAfter)
 	}
-	reservation.reserved = true
+	reservation.pending = true
 	r.reservation = reservation
 	return nil
 }
 
-// spendQuota spends the reservation: the request has been sent to its first runner.
+// spendQuota commits the pending reservation, if any. It is called once bytes may have been sent to a runner.
 func (r *request) spendQuota() {
-	if r.reservation.reserved {
+	if r.reservation.pending {
 		r.gateway.Quotas.Spend(r.reservation.name, r.reservation.units)
 	}
-	r.reservation.reserved = false
+	r.reservation.pending = false
 }
 
-// releaseQuota gives the reservation back, unless it was spent.
+// releaseQuota cancels the reservation unless it has been spent.
 func (r *request) releaseQuota() {
-	if r.reservation.reserved {
+	if r.reservation.pending {
 		r.gateway.Quotas.Release(r.reservation.name, r.reservation.units)
 	}
-	r.reservation.reserved = false
+	r.reservation.pending = false
 }
--- a/internal/dataplane/gateway/allowance.go
+++ b/internal/dataplane/gateway/allowance.go
@@ -6,17 +6,19 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// The free output allowance on the gateway (docs/allowance.md). Its clients know no funds: a tenant counts as unfunded
-// while its quota is nearly spent over all routers. The figures follow the route: up to a wait of its target latency the
-// ceiling holds, which is the most output that was asked for on it; from allowanceFloorTargets times the target on the
-// floor does, the ceiling over allowanceFloorDivisor. Both ratios are the source's.
+// Parameters of the free output allowance (docs/allowance.md). The gateway's clients declare no funds: a tenant counts as
+// unfunded while its quota is nearly spent across all routers. The allowance depends on the route and on the estimated wait.
+// Up to a wait of the route's target latency it is the ceiling, the largest output requested on the route so far. From
+// allowanceFloorWaitFactor times the target latency on it is the floor, the ceiling divided by allowanceFloorDivisor. Both
+// ratios equal those of the default allowance settings in package fleetconfig.
 const (
-	allowanceFloorDivisor  = 8  // ceiling over floor: 4096 tokens over 512
-	allowanceFloorTargets  = 5  // target latencies of wait: 300 s over 60 s
-	assumedTokensPerSecond = 10 // of a runner that has completed no stream
+	allowanceFloorDivisor    = 8  // ceiling to floor: 4096 to 512 tokens by default there
+	allowanceFloorWaitFactor = 5  // wait at the floor to wait at the ceiling: 300 s to 60 s by default there
+	assumedTokensPerSecond   = 10 // of a runner that has not completed a stream yet
 )
 
-// applyAllowance decides once, when the request arrives, whether an unfunded tenant may ask for so much output.
+// applyAllowance rejects a request of an unfunded tenant if its requested output exceeds the allowance. It is applied once,
+// on admission.
 func (r *request) applyAllowance() error {
 	if r.meta.OutputTokens == 0 || r.service.Engine == nil {
 		return nil
@@ -29,20 +31,20 @@
 	verdict := allow.Decide(allowanceRule(&r.route.RouteSpec, ceiling), allow.Demand{Tokens: r.meta.OutputTokens}, estimates, 0)
 	switch verdict.Outcome {
 	case allow.NoFunds:
-		return reject(CodeAllowance)
+		return reject(CodeAllowanceExceeded)
 	case allow.NoRunner:
 		return reject(CodeNoRunner)
 	}
 	return nil
 }
 
-// allowanceRule gives the allowance's figures of a route on which ceiling tokens at most were asked for.
+// allowanceRule returns the allowance parameters of a route; ceiling is the largest output requested on it, in tokens.
 func allowanceRule(route *routing.RouteSpec, ceiling int) fleetconfig.Allowance {
 	return fleetconfig.Allowance{Ceiling: ceiling, Floor: ceiling / allowanceFloorDivisor, FullUntil: route.TargetLatency,
-		FloorFrom: allowanceFloorTargets * route.TargetLatency, AssumedTokensPerSecond: assumedTokensPerSecond}
+		FloorFrom: allowanceFloorWaitFactor * route.TargetLatency, AssumedTokensPerSecond: assumedTokensPerSecond}
 }
 
-// funded reports whether the tenant's quota is not nearly spent.
+// funded reports whether the request has no rate limit or enough of its tenant's quota is left.
 func (r *request) funded() bool {
 	return r.tenant == nil || r.tenant.Rate <= 0 || !r.gateway.Quotas.Scarce(r.tenant.QuotaName())
 }
--- a/internal/dataplane/gateway/allowance_test.go
+++ b/internal/dataplane/gateway/allowance_test.go
@@ -8,8 +8,8 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// The allowance's figures follow the route: nobody is rejected up to the target latency, an eighth of the most that was
-// asked for is free from five times the target on, and the fall between is linear.
+// The allowance depends on the route: it is the largest requested output up to a wait of the target latency, an eighth of
+// that from five times the target latency on, and falls linearly between them.
 func TestAllowanceFollowsTheRoute(t *testing.T) {
 	route := routing.RouteSpec{TargetLatency: 200 * time.Millisecond}
 	rule := allowanceRule(&route, 8000)
--- a/internal/dataplane/gateway/buffered.go
+++ b/internal/dataplane/gateway/buffered.go
@@ -10,73 +10,73 @@
 )
 
 const (
-	maxBufferedBytes  = 8 << 20  // of a response that is buffered before it is forwarded
-	maxDiscardedBytes = 64 << 10 // of an unwanted response that are read to keep its connection
+	maxBufferedBytes  = 8 << 20  // larger responses are not forwarded: the attempt counts as lost
+	maxDiscardedBytes = 64 << 10 // read from a discarded response so that its connection can be reused
 )
 
-// forwardBuffered reads a response to its framed end before a byte of it is forwarded: a client never sees a part of a
-// response for a complete one, and a failure can still be retried.
-func (r *request) forwardBuffered(chosen *balance.Attempt, exchange *upstream.Exchange, head upstream.Head, stream *streamResponse) (attemptOutcome, error) {
+// forwardBuffered reads a response to the end of its framing before it forwards any of it. So a client cannot mistake a
+// truncated response for a complete one, and a failed attempt can still be retried.
+func (r *request) forwardBuffered(attempt *balance.Attempt, exchange *upstream.Exchange, head upstream.Head, stream *streamResponse) (attemptOutcome, error) {
 	body, err := io.ReadAll(io.LimitReader(exchange.Body, maxBufferedBytes+1))
 	if err != nil || len(body) > maxBufferedBytes || !head.Framed {
 		exchange.Abort()
 		if err == nil {
 			err = io.ErrUnexpectedEOF
 		}
-		return r.responseLost(chosen, err)
+		return r.handleResponseLost(attempt, err)
 	}
 	exchange.Finish()
 	if head.Status >= http.StatusInternalServerError {
-		chosen.Failed()
-		r.tried[chosen.Runner().Index] = true
+		attempt.Failed()
+		r.tried[attempt.Runner().Index] = true
 		r.mayHaveRun = true
 		if r.mayRetry(outcomeUnknown) {
 			return outcomeRetryGranted, nil
 		}
 	} else {
-		chosen.Progress()
-		chosen.Done()
+		attempt.Progress()
+		attempt.Done()
 	}
 	if stream != nil && stream.started() {
-		return outcomeFinal, reject(CodeResponseCut) // the response's head is out already: this cannot continue it
+		return outcomeFinal, reject(CodeResponseTruncated) // the stream's head has been written; this response cannot continue it
 	}
 	if err := r.chart.advance(Completed); err != nil {
 		return outcomeFinal, err
 	}
 	r.writeBuffered(head, body)
-	return outcomeEnded, nil
+	return outcomeCompleted, nil
 }
 
-// writeBuffered forwards a complete response.
+// writeBuffered writes a complete response to the client.
 func (r *request) writeBuffered(head upstream.Head, body []byte) {
 	copyHeader(r.writer.Header(), head.Header)
 	r.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	r.responseStarted = true
 	r.writer.WriteHeader(head.Status)
-	if r.client.Method != http.MethodHead {
-		_, _ = r.writer.Write(body) // it fails where the client is gone: nobody is left to be told
+	if r.httpRequest.Method != http.MethodHead {
+		_, _ = r.writer.Write(body) // an error means that the client has disconnected
 	}
 }
 
-// discard reads a short response away so that its connection can be used again. Finish judges the connection by what
-// was read, whether the reading failed or not.
+// discard reads and drops a short response so that its connection can be reused. A read error is ignored: Finish closes the
+// connection unless the response was read to its end.
 func discard(exchange *upstream.Exchange) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(exchange.Body, maxDiscardedBytes))
 	exchange.Finish()
 }
 
-// hopHeaders concern one connection only (RFC 9110, 7.6.1).
-var hopHeaders = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
+// hopByHopHeaders apply to a single connection and are not forwarded (RFC 9110, 7.6.1).
+var hopByHopHeaders = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true}
 
-// copyHeader copies a runner's headers for the client, but for those that concern one connection only.
+// copyHeader copies a response's headers, except hop-by-hop headers and those named as connection options.
 func copyHeader(to, from http.Header) {
-	named := map[string]bool{}
+	connectionOptions := map[string]bool{}
 	for _, value := range from.Values("Connection") {
-		named[http.CanonicalHeaderKey(value)] = true
+		connectionOptions[http.CanonicalHeaderKey(value)] = true
 	}
 	for key, values := range from {
-		if !hopHeaders[key] && !named[key] {
+		if !hopByHopHeaders[key] && !connectionOptions[key] {
 			to[key] = values
 		}
 	}
--- a/internal/dataplane/gateway/counters.go
+++ b/internal/dataplane/gateway/counters.go
@@ -9,24 +9,24 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// counters count how requests ended, by route and code, since the start. mu guards both maps.
+// counters counts ended requests by route and code since the process started. mu guards both maps.
 type counters struct {
-	mu       *sync.Mutex
-	ended    map[endKey]int
-	reported map[endKey]int // of these, in the log by now
+	mu     *sync.Mutex
+	ended  map[resultKey]int
+	logged map[resultKey]int // the counts in ended that have been logged
 }
 
-// endKey is one way in which requests of a route end.
-type endKey struct {
+// resultKey identifies a counter.
+type resultKey struct {
 	route string // "none": no route was found
 	code  Code
 }
 
 func newCounters() counters {
-	return counters{mu: &sync.Mutex{}, ended: map[endKey]int{}, reported: map[endKey]int{}}
+	return counters{mu: &sync.Mutex{}, ended: map[resultKey]int{}, logged: map[resultKey]int{}}
 }
 
-// add counts a request that ended.
+// add counts a request that ended with a code.
 func (c counters) add(r *request, code Code) {
 	name := "none"
 	if r.route != nil {
@@ -34,18 +34,18 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ended[endKey{name, code}]++
+	c.ended[resultKey{name, code}]++
 }
 
-// unreported gives what has been counted since the last call, in the order of routes and codes.
-func (c counters) unreported() []slog.Attr {
+// takeUnreported returns the counts since its last call, sorted by route and code.
+func (c counters) takeUnreported() []slog.Attr {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var counts []slog.Attr
 	for key, count := range c.ended {
-		if added := count - c.reported[key]; added > 0 {
+		if added := count - c.logged[key]; added > 0 {
 			counts = append(counts, slog.Int(key.route+"/"+string(key.code), added))
-			c.reported[key] = count
+			c.logged[key] = count
 		}
 	}
 	sort.Slice(counts, func(i, j int) bool { return counts[i].Key < counts[j].Key })
@@ -66,12 +66,12 @@
 	}
 }
 
-// Counts is the metric of how requests ended since the start.
+// Counts returns the collector of the metric of ended requests.
 func (g *Gateway) Counts() prometheus.Collector { return g.counts }
 
-// Report logs how many requests ended how since the last report, if any did.
+// Report logs the counts of requests that ended since the last report, if any.
 func (g *Gateway) Report() {
-	if counts := g.counts.unreported(); len(counts) > 0 {
+	if counts := g.counts.takeUnreported(); len(counts) > 0 {
 		g.Log.LogAttrs(context.Background(), slog.LevelInfo, "Requests ended.", counts...)
 	}
 }
--- a/internal/dataplane/gateway/counters_test.go
+++ b/internal/dataplane/gateway/counters_test.go
@@ -8,22 +8,22 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// The log counts each end once, the metric counts all ends since the start.
+// The log reports each ended request once; the metric counts all of them since the start.
 func TestCounters(t *testing.T) {
 	counts := newCounters()
-	asked := &request{route: &routing.Route{RouteSpec: routing.RouteSpec{Name: "ask"}}}
-	counts.add(asked, codeDone)
-	counts.add(asked, codeDone)
+	ended := &request{route: &routing.Route{RouteSpec: routing.RouteSpec{Name: "ask"}}}
+	counts.add(ended, codeCompleted)
+	counts.add(ended, codeCompleted)
 	counts.add(&request{}, CodeNoRoute)
-	if counted := counts.unreported(); len(counted) != 2 || counted[0].String() != "ask/done=2" || counted[1].String() != "none/no-route=1" {
-		t.Errorf("first report: got %v, want ask/done=2 and none/no-route=1", counted)
+	if reported := counts.takeUnreported(); len(reported) != 2 || reported[0].String() != "ask/done=2" || reported[1].String() != "none/no-route=1" {
+		t.Errorf("first report: got %v, want ask/done=2 and none/no-route=1", reported)
 	}
-	counts.add(asked, codeDone)
-	if counted := counts.unreported(); len(counted) != 1 || counted[0].String() != "ask/done=1" {
-		t.Errorf("second report: got %v, want ask/done=1", counted)
+	counts.add(ended, codeCompleted)
+	if reported := counts.takeUnreported(); len(reported) != 1 || reported[0].String() != "ask/done=1" {
+		t.Errorf("second report: got %v, want ask/done=1", reported)
 	}
-	if counted := counts.unreported(); len(counted) != 0 {
-		t.Errorf("report without new ends: got %v, want none", counted)
+	if reported := counts.takeUnreported(); len(reported) != 0 {
+		t.Errorf("report without new requests: got %v, want none", reported)
 	}
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(counts)
@@ -36,6 +36,6 @@
 		total += metric.GetCounter().GetValue()
 	}
 	if total != 4 {
-		t.Errorf("ends in the metric: got %v, want 4", total)
+		t.Errorf("requests in the metric: got %v, want 4", total)
 	}
 }
--- a/internal/dataplane/gateway/doc.go
+++ b/internal/dataplane/gateway/doc.go
@@ -1,11 +1,15 @@
-// Package gateway forwards clients' opaque HTTP requests to runners: any method, path and body, routed by the routing table,
-// admitted by quota and output allowance, sent to the runner that the balancer chooses, answered with its response
-// unchanged.
+// Package gateway forwards clients' HTTP requests to runners without interpreting them. Any method, path and body is
+// accepted. The routing table selects the service, quota and output allowance admit the request, the balancer chooses the
+// runner, and the runner's response is returned unchanged.
 //
-// A request's way is a state chart (state.go): received, routed, authenticated (keys.go), admitted (admission.go,
-// allowance.go, body.go), then attempts (serve.go). An attempt (attempt.go) chooses a runner, sends (send.go), classifies
-// the outcome (outcome.go) and forwards the response, buffered (buffered.go) or as a stream of events (stream.go).
+// A request moves through the states of a state chart (state.go): received, routed, authenticated (keys.go), admitted
+// (admission.go, allowance.go, body.go), then one or more attempts (serve.go). An attempt (attempt.go) chooses a runner,
+// sends the request (send.go), classifies the outcome (outcome.go) and forwards the response, either buffered (buffered.go)
+// or as an event stream (stream.go).
 //
-// Two invariants hold. What can't be repeated is never sent again once a byte may have left, unless the runner promises
-// not to have run it. And a client never gets a success that is not the runner's complete sealed response to its request.
+// Two invariants hold:
+//
+//   - A request that is not idempotent is never sent again once a byte of it may have left, unless the runner promises
+//     that it did not run it.
+//   - A client receives a success only if it is the runner's complete, sealed response to that client's request.
 package gateway
--- a/internal/dataplane/gateway/forwarding_test.go
+++ b/internal/dataplane/gateway/forwarding_test.go
@@ -9,7 +9,7 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// A response that is not a success is forwarded unchanged: status, seal, other headers and body.
+// An error response from a runner is forwarded with its status, seal, other headers and body unchanged.
 func TestFailureIsForwardedUnchanged(t *testing.T) {
 	for _, status := range []int{400, 404, 409, 422, 429, 499, 500, 501, 507} {
 		f := newFleet(t, route(routing.Unsafe, 3, false))
@@ -20,54 +20,55 @@
 			w.WriteHeader(status)
 			writeText(w, "why it failed")
 		})
-		answer, text, err := f.send("1", "/a/x", "k1", "asked")
+		response, text, err := f.send("1", "/a/x", "k1", "asked")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if answer.StatusCode != status || answer.Header.Get("Test-Seal") != "s" || answer.Header.Get("X-Reason") != "as given" || text != "why it failed" {
-			t.Errorf("got status %d, headers %v and %q, want the runner's %d unchanged", answer.StatusCode, answer.Header, text, status)
+		if response.StatusCode != status || response.Header.Get("Test-Seal") != "s" || response.Header.Get("X-Reason") != "as given" || text != "why it failed" {
+			t.Errorf("got status %d, headers %v and %q, want the runner's %d unchanged", response.StatusCode, response.Header, text, status)
 		}
 	}
 }
 
-// Runners are sent how urgent a request is: by its tenant's priority first, then by its route's, 0 the most urgent.
+// The urgency sent to a runner ranks requests by their tenant's priority first and by their route's second; 0 is the most
+// urgent.
 func TestUrgencyByTenantAndRoute(t *testing.T) {
 	f := newFleet(t, route(routing.Unsafe, 1, false))
-	var seen string
+	var urgency string
 	f.addRunner("one", func(w http.ResponseWriter, r *http.Request) {
-		seen = r.Header.Get("Test-Urgency")
+		urgency = r.Header.Get("Test-Urgency")
 		respondWith("text")(w, r)
 	})
 	for _, c := range []struct{ tenant, route, want int }{{0, 0, 0}, {0, 2, 2}, {1, 0, 3}, {1, 2, 5}, {2, 2, 8}, {3, 3, 9}, {0, -1, 0}} {
-		asked := route(routing.Unsafe, 1, false)
-		asked.Priority = c.route
-		table, flaws := routing.Build(routing.Spec{Revision: 1, Routes: []routing.RouteSpec{asked}, Services: []routing.Service{{Name: "desk"}},
+		spec := route(routing.Unsafe, 1, false)
+		spec.Priority = c.route
+		table, problems := routing.Build(routing.Spec{Revision: 1, Routes: []routing.RouteSpec{spec}, Services: []routing.Service{{Name: "desk"}},
 			Tenants: []routing.TenantSpec{{Name: "yard", Keys: []string{"k1"}, Rate: 100, Priority: c.tenant}}, Limits: routing.Limits{BodyBytes: 1000}})
-		if len(flaws) > 0 {
-			t.Fatal(flaws)
+		if len(problems) > 0 {
+			t.Fatal(problems)
 		}
 		f.table.Store(table)
-		if answer, _, err := f.send("1", "/a/x", "k1", ""); err != nil || answer.StatusCode != http.StatusOK {
-			t.Fatalf("got %v, error %v, want status 200", answer, err)
+		if response, _, err := f.send("1", "/a/x", "k1", ""); err != nil || response.StatusCode != http.StatusOK {
+			t.Fatalf("got %v, error %v, want status 200", response, err)
 		}
-		if seen != fmt.Sprint(c.want) {
-			t.Errorf("tenant of priority %d, route of %d: urgency got %q, want %d", c.tenant, c.route, seen, c.want)
+		if urgency != fmt.Sprint(c.want) {
+			t.Errorf("tenant of priority %d, route of %d: urgency got %q, want %d", c.tenant, c.route, urgency, c.want)
 		}
 	}
 }
 
-// A request whose client has waited for longer than the route's target latency is the least urgent, unless its time is
-// short or it resumes a stream.
+// A request whose client has waited for longer than the route's target latency has the lowest urgency, unless little time is
+// left or it resumes a stream.
 func TestUrgencyOfLateRequests(t *testing.T) {
 	timed := route(routing.Safe, 1, true)
 	timed.Priority, timed.Timeout, timed.TargetLatency = 2, 5*time.Second, 500*time.Millisecond
 	for _, c := range []struct {
 		name     string
-		longest  string // milliseconds that another client said before; "": none
+		earlier  string // deadline of an earlier client, in milliseconds; "": no earlier client
 		deadline string
 		lastID   string
 		target   time.Duration
-		startsIn time.Duration // the router is not ready for so long
+		startsIn time.Duration // time until the router is ready
 		want     string
 	}{
 		{"first attempt", "3000", "3000", "", timed.TargetLatency, 0, "2"},
@@ -84,29 +85,29 @@
 		t.Run(c.name, func(t *testing.T) {
 			timed.TargetLatency = c.target
 			f := newFleet(t, timed)
-			var seen string
+			var urgency string
 			f.addRunner("one", func(w http.ResponseWriter, r *http.Request) {
-				seen = r.Header.Get("Test-Urgency")
+				urgency = r.Header.Get("Test-Urgency")
 				respondWith("text")(w, r)
 			})
-			if c.longest != "" {
-				if _, _, err := f.send("1", "/a/x", "k1", "", "Test-Deadline", c.longest); err != nil {
+			if c.earlier != "" {
+				if _, _, err := f.send("1", "/a/x", "k1", "", "Test-Deadline", c.earlier); err != nil {
 					t.Fatal(err)
 				}
 			}
-			begun := time.Now()
+			start := time.Now()
 			f.gateway.NotReadyReason = func() string {
-				if time.Since(begun) < c.startsIn {
+				if time.Since(start) < c.startsIn {
 					return "starting"
 				}
 				return ""
 			}
-			answer, _, err := f.send("2", "/a/x", "k1", "", "Test-Deadline", c.deadline, "Last-Event-Id", c.lastID)
-			if err != nil || answer.StatusCode != http.StatusOK {
-				t.Fatalf("got %v, error %v, want status 200", answer, err)
+			response, _, err := f.send("2", "/a/x", "k1", "", "Test-Deadline", c.deadline, "Last-Event-Id", c.lastID)
+			if err != nil || response.StatusCode != http.StatusOK {
+				t.Fatalf("got %v, error %v, want status 200", response, err)
 			}
-			if seen != c.want {
-				t.Errorf("urgency: got %q, want %s", seen, c.want)
+			if urgency != c.want {
+				t.Errorf("urgency: got %q, want %s", urgency, c.want)
 			}
 		})
 	}
--- a/internal/dataplane/gateway/fuzz_test.go
+++ b/internal/dataplane/gateway/fuzz_test.go
@@ -19,56 +19,56 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// gatewayWithRunner is a gateway with one runner, which answers every request with these bytes and closes.
-func gatewayWithRunner(t *testing.T, answer []byte) *Gateway {
+// gatewayWithRunner returns a gateway with one runner, which answers each request with the given bytes and closes the connection.
+func gatewayWithRunner(t *testing.T, response []byte) *Gateway {
 	balancer := balance.New("north")
 	balancer.Update([]routing.Runner{{ID: "one", Service: "desk", Address: "10.0.0.1:1", Zone: "north", State: routing.RunnerReady}})
 	pool := upstream.New(upstream.Options{Dial: func(context.Context, string) (net.Conn, error) {
-		near, far := net.Pipe()
+		gatewaySide, runnerSide := net.Pipe()
 		go func() {
-			defer closeQuietly(far)
-			if request, err := http.ReadRequest(bufio.NewReader(far)); err == nil {
+			defer closeQuietly(runnerSide)
+			if request, err := http.ReadRequest(bufio.NewReader(runnerSide)); err == nil {
 				drainBody(request.Body)
-				writeText(far, string(answer))
+				writeText(runnerSide, string(response))
 			}
 		}()
-		return near, nil
+		return gatewaySide, nil
 	}})
 	t.Cleanup(pool.Close)
-	table, flaws := routing.Build(routing.Spec{Revision: 1, Services: []routing.Service{{Name: "desk"}},
+	table, problems := routing.Build(routing.Spec{Revision: 1, Services: []routing.Service{{Name: "desk"}},
 		Routes: []routing.RouteSpec{route(routing.Unsafe, 1, false)}})
-	if len(flaws) > 0 {
-		t.Fatal(flaws)
+	if len(problems) > 0 {
+		t.Fatal(problems)
 	}
 	return New(Options{Dialect: testDialect{}, Table: func() *routing.Table { return table }, NotReadyReason: func() string { return "" }, Balancer: balancer,
 		Pool: pool, Quotas: &fakeQuotas{}, LocalShare: func(n int) int { return n }, Log: slog.New(slog.DiscardHandler)})
 }
 
-// sealedResponse tells, by another reader of HTTP, which body a runner's bytes hold as a complete sealed success
-// for the request with this id. known is false where they hold none.
-func sealedResponse(raw []byte, id string) (body string, known bool) {
+// sealedResponse parses a runner's bytes with net/http, independently of package upstream. If they contain a complete sealed
+// success for the request with this ID, it returns its body and true.
+func sealedResponse(raw []byte, id string) (body string, complete bool) {
 	reader := bufio.NewReader(bytes.NewReader(raw))
 	for {
-		answer, err := http.ReadResponse(reader, &http.Request{Method: http.MethodPost})
+		response, err := http.ReadResponse(reader, &http.Request{Method: http.MethodPost})
 		if err != nil {
 			return "", false
 		}
-		text, err := readBody(answer, reader)
-		if answer.StatusCode/100 == 1 {
+		text, err := readBody(response, reader)
+		if response.StatusCode/100 == 1 {
 			continue
 		}
-		other := answer.Header.Get("Test-Id")
+		other := response.Header.Get("Test-Id")
 		if other != "" && other != id && err == nil {
 			continue // a late response to an earlier request
 		}
-		return string(text), err == nil && answer.StatusCode/100 == 2 && answer.Header.Get("Test-Seal") != ""
+		return string(text), err == nil && response.StatusCode/100 == 2 && response.Header.Get("Test-Seal") != ""
 	}
 }
 
-// readBody reads a body to its framed end. A body in chunks ends with the last one, whatever trailer follows.
-func readBody(answer *http.Response, reader *bufio.Reader) ([]byte, error) {
-	if len(answer.TransferEncoding) == 0 {
-		return io.ReadAll(answer.Body)
+// readBody reads a body to the end of its framing. A chunked body ends with its last chunk; the trailer is skipped.
+func readBody(response *http.Response, reader *bufio.Reader) ([]byte, error) {
+	if len(response.TransferEncoding) == 0 {
+		return io.ReadAll(response.Body)
 	}
 	body, err := io.ReadAll(httputil.NewChunkedReader(reader))
 	for err == nil {
@@ -80,8 +80,8 @@
 	return body, err
 }
 
-// Whatever bytes a runner responds with, a client gets a success only where they hold the runner's complete sealed
-// response to its request, and then with the body unchanged.
+// For any bytes that a runner sends, the client receives a success only if they contain the runner's complete sealed response
+// to its request, and then the body is unchanged.
 func FuzzRunnerResponse(f *testing.F) {
 	for _, seed := range []string{
 		"HTTP/1.1 200 OK\r\nTest-Id: 1\r\nTest-Seal: s\r\nContent-Length: 2\r\n\r\nok",
@@ -104,14 +104,14 @@
 		if !servedComplete(gateway, got, request.WithContext(ctx)) || got.Code/100 != 2 {
 			return
 		}
-		body, known := sealedResponse(raw, "1")
-		if !known || body != got.Body.String() {
-			t.Fatalf("got %d with %q, want the runner's %q (sealed and complete: %v)", got.Code, got.Body, body, known)
+		body, complete := sealedResponse(raw, "1")
+		if !complete || body != got.Body.String() {
+			t.Fatalf("got %d with %q, want the runner's %q (sealed and complete: %v)", got.Code, got.Body, body, complete)
 		}
 	})
 }
 
-// servedComplete reports whether the answer was not cut off.
+// servedComplete serves a request and reports whether the gateway completed the response rather than aborting the connection.
 func servedComplete(gateway *Gateway, w http.ResponseWriter, request *http.Request) (complete bool) {
 	defer func() {
 		if failure := recover(); failure != nil && failure != http.ErrAbortHandler {
--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -14,75 +14,76 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// Quotas keeps tenants within their limits. Requests call it concurrently.
+// Quotas enforces the tenants' rate limits. Its methods are called concurrently.
 type Quotas interface {
-	// Reserve reserves units of a quota. It may block until ctx ends, while it asks for more. False: too few are left for
-	// now; retryAfter is when to ask again.
+	// Reserve reserves units of a quota. It may block until ctx ends while it requests more units from the control plane. If
+	// ok is false, too few units are left for now, and retryAfter is the time until the next try makes sense.
 	Reserve(ctx context.Context, quota string, units int) (ok bool, retryAfter time.Duration)
-	// Spend turns a reservation into spent units: the request has been sent to a runner. It does not block.
+	// Spend commits a reservation once the request has been sent to a runner. It does not block.
 	Spend(quota string, units int)
-	// Release ends a reservation unspent. It does not block.
+	// Release cancels a reservation and returns its units. It does not block.
 	Release(quota string, units int)
-	// Unanswered reports, after Reserve has reported false, that it is not known whether the quota is spent: the control plane
-	// was asked for units and has not answered. It does not block.
+	// Unanswered reports, after Reserve has returned false, whether the control plane has not yet answered the request for
+	// more units, so that it is unknown whether the quota is spent. It does not block.
 	Unanswered(quota string) bool
-	// Scarce reports whether the quota is nearly spent over all routers.
+	// Scarce reports whether the quota is nearly spent across all routers.
 	Scarce(quota string) bool
 }
 
-// RetryBounds bound the retries of the whole fleet at one service.
+// RetryBounds limits the retries of all routers together at one service.
 type RetryBounds struct {
-	Ratio     float64 // retries that each request earns
-	Allowance int     // retries on top, over all routers
+	Ratio     float64 // retries earned per request
+	Allowance int     // additional retries, summed over all routers
 }
 
-// Options are what a gateway is made of. All functions are called concurrently and must not block.
+// Options configures a Gateway. All functions are called concurrently and must not block.
 type Options struct {
-	Dialect    Dialect
-	Table      func() *routing.Table // the routing table in force; nil: none yet
-	NotReadyReason      func() string         // why nothing can be served; "": it can
-	Balancer   *balance.Balancer
-	Pool       *upstream.Pool
-	Quotas     Quotas
-	Retries    RetryBounds
-	Keys       KeyBounds
-	LocalShare func(total int) int // this router's share of a total that all routers divide among them
-	Log        *slog.Logger
+	Dialect        Dialect
+	Table          func() *routing.Table // the current routing table; nil: none yet
+	NotReadyReason func() string         // why requests cannot be served; "": they can
+	Balancer       *balance.Balancer
+	Pool           *upstream.Pool
+	Quotas         Quotas
+	Retries        RetryBounds
+	Keys           KeyBounds
+	LocalShare     func(total int) int // this router's share of a total that is divided among all routers
+	Log            *slog.Logger
 }
 
 // Gateway serves clients' requests. It is an http.Handler.
 type Gateway struct {
 	Options
-	budget          *retry.Budget
+	retryBudget     *retry.Budget
 	draining        atomic.Bool
-	open            atomic.Int64
+	inFlight        atomic.Int64
 	counts          counters
-	maxOutputTokens routeMaxima[int]           // the most output that a client asked for
-	maxDeadlines    routeMaxima[time.Duration] // the longest time that a client said it would wait
+	maxOutputTokens routeMaxima[int]           // the largest output that a client requested, by route
+	maxDeadlines    routeMaxima[time.Duration] // the longest deadline that a client sent, by route
 }
 
-// New makes a gateway.
+// New creates a gateway.
 func New(options Options) *Gateway {
-	return &Gateway{Options: options, budget: retry.New(), counts: newCounters()}
+	return &Gateway{Options: options, retryBudget: retry.New(), counts: newCounters()}
 }
 
-// Drain begins the graceful shutdown: each response from now on asks the client to close its connection.
+// Drain begins the graceful shutdown: from now on each response asks the client to close its connection.
 func (g *Gateway) Drain() { g.draining.Store(true) }
 
-// InFlight returns how many requests are in flight.
-func (g *Gateway) InFlight() int { return int(g.open.Load()) }
+// InFlight returns the number of requests in flight.
+func (g *Gateway) InFlight() int { return int(g.inFlight.Load()) }
 
-// ServeHTTP serves one request.
+// ServeHTTP serves one request. It aborts the connection if the response has been started but cannot be completed, and if
+// the client has disconnected.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.open.Add(1)
-	defer g.open.Add(-1)
+	g.inFlight.Add(1)
+	defer g.inFlight.Add(-1)
 	if g.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	request := &request{gateway: g, writer: w, client: r, received: time.Now()}
+	request := &request{gateway: g, writer: w, httpRequest: r, received: time.Now()}
 	err := request.run()
 	if err == nil {
-		g.counts.add(request, codeDone)
+		g.counts.add(request, codeCompleted)
 		return
 	}
 	var rejection *Rejection
@@ -92,7 +93,7 @@
 	}
 	g.counts.add(request, rejection.Code)
 	if rejection.Status == 0 || request.responseStarted {
-		// The client must not take a truncated response for a complete one.
+		// Abort the connection so that the client cannot mistake a truncated response for a complete one.
 		panic(http.ErrAbortHandler)
 	}
 	rejection.write(w)
--- a/internal/dataplane/gateway/gateway_test.go
+++ b/internal/dataplane/gateway/gateway_test.go
@@ -22,7 +22,7 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// testDialect is a dialect with headers of the tests' own.
+// testDialect is a Dialect that uses Test-* headers.
 type testDialect struct{}
 
 func (testDialect) ReadRequest(h http.Header) (RequestMeta, error) {
@@ -50,12 +50,12 @@
 		OtherRunner: status == http.StatusMisdirectedRequest}
 }
 
-// fakeQuotas lets everything through but what is listed as spent.
+// fakeQuotas admits every request except those of the quotas listed as exhausted.
 type fakeQuotas struct {
 	exhausted                 map[string]bool
-	unanswered                map[string]bool // of those that are exhausted
+	unanswered                map[string]bool // the exhausted quotas that Unanswered reports
 	reserved, spent, released atomic.Int64
-	onReserve                 func() // called by each reservation; nil: nothing
+	onReserve                 func() // called by Reserve; may be nil
 }
 
 func (q *fakeQuotas) Reserve(_ context.Context, tenant string, _ int) (bool, time.Duration) {
@@ -73,7 +73,7 @@
 func (q *fakeQuotas) Scarce(string) bool            { return false }
 func (q *fakeQuotas) Spend(string, int)             { q.spent.Add(1) }
 
-// fleet is a gateway with runners of the test's making.
+// fleet is a gateway with the runners that a test adds.
 type fleet struct {
 	*testing.T
 	gateway  *Gateway
@@ -104,9 +104,9 @@
 	spec := routing.Spec{Revision: revision, Routes: routes, Services: []routing.Service{{Name: "desk"}},
 		Tenants: []routing.TenantSpec{{Name: "yard", Keys: []string{"k1"}, Rate: 100}},
 		Limits:  routing.Limits{BodyBytes: 1000}}
-	table, flaws := routing.Build(spec)
-	if len(flaws) > 0 {
-		f.Fatal(flaws)
+	table, problems := routing.Build(spec)
+	if len(problems) > 0 {
+		f.Fatal(problems)
 	}
 	f.table.Store(table)
 }
@@ -116,15 +116,15 @@
 		Timeout: 5 * time.Second, TargetLatency: time.Second, Split: []routing.SplitSpec{{Service: "desk", Weight: 1}}}
 }
 
-// addRunner adds a runner that answers with handler.
+// addRunner adds a runner that serves requests with handler.
 func (f *fleet) addRunner(id string, handler http.HandlerFunc) {
 	server := httptest.NewServer(handler)
 	f.Cleanup(server.Close)
 	f.addRunnerAt(id, server.Listener.Addr().String())
 }
 
-// addRawRunner adds a runner that does with each connection's requests what answer says.
-func (f *fleet) addRawRunner(id string, answer func(con net.Conn, request *http.Request)) {
+// addRawRunner adds a runner that calls serve for each request; serve writes to the connection directly.
+func (f *fleet) addRawRunner(id string, serve func(conn net.Conn, request *http.Request)) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		f.Fatal(err)
@@ -132,20 +132,20 @@
 	f.Cleanup(func() { closeQuietly(listener) })
 	go func() {
 		for {
-			con, err := listener.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer closeQuietly(con)
-				reader := bufio.NewReader(con)
+				defer closeQuietly(conn)
+				reader := bufio.NewReader(conn)
 				for {
 					request, err := http.ReadRequest(reader)
 					if err != nil {
 						return
 					}
 					drainBody(request.Body)
-					answer(con, request)
+					serve(conn, request)
 				}
 			}()
 		}
@@ -170,16 +170,16 @@
 	for i := 0; i+1 < len(header); i += 2 {
 		request.Header.Set(header[i], header[i+1])
 	}
-	answer, err := http.DefaultTransport.RoundTrip(request)
+	response, err := http.DefaultTransport.RoundTrip(request)
 	if err != nil {
 		return nil, "", err
 	}
-	defer closeQuietly(answer.Body)
-	raw, err := io.ReadAll(answer.Body)
-	return answer, string(raw), err
+	defer closeQuietly(response.Body)
+	raw, err := io.ReadAll(response.Body)
+	return response, string(raw), err
 }
 
-// respondWith answers in full, with seal and id.
+// respondWith returns a handler that responds with text, the seal and the request's ID.
 func respondWith(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Test-Id", r.Header.Get("Test-Id"))
@@ -190,22 +190,22 @@
 
 func TestBufferedResponse(t *testing.T) {
 	f := newFleet(t, route(routing.Unsafe, 1, false))
-	var seen http.Header
+	var header http.Header
 	var path, body string
 	f.addRunner("one", func(w http.ResponseWriter, r *http.Request) {
 		raw, _ := io.ReadAll(r.Body)
-		seen, path, body = r.Header.Clone(), r.RequestURI, string(raw)
+		header, path, body = r.Header.Clone(), r.RequestURI, string(raw)
 		respondWith("text")(w, r)
 	})
-	answer, text, err := f.send("7", "/a/b%20c?x=1&y", "k1", "asked", "Test-Tenant", "other", "X-More", "kept")
-	if err != nil || answer.StatusCode != 200 || text != "text" || answer.Header.Get("Test-Seal") != "s" {
-		t.Fatalf("got %v %q, error %v, want the runner's sealed response", answer, text, err)
+	response, text, err := f.send("7", "/a/b%20c?x=1&y", "k1", "asked", "Test-Tenant", "other", "X-More", "kept")
+	if err != nil || response.StatusCode != 200 || text != "text" || response.Header.Get("Test-Seal") != "s" {
+		t.Fatalf("got %v %q, error %v, want the runner's sealed response", response, text, err)
 	}
 	if path != "/a/b%20c?x=1&y" || body != "asked" {
 		t.Errorf("the runner got %q with %q, want the client's path and body", path, body)
 	}
-	if seen.Get("Test-Tenant") != "yard" || seen.Get("Test-Key") != "" || seen.Get("X-More") != "kept" || seen.Get("Test-Runner") != "one" {
-		t.Errorf("the runner got headers %v, want tenant yard, no key, X-More and its own ID", seen)
+	if header.Get("Test-Tenant") != "yard" || header.Get("Test-Key") != "" || header.Get("X-More") != "kept" || header.Get("Test-Runner") != "one" {
+		t.Errorf("the runner got headers %v, want tenant yard, no key, X-More and its own ID", header)
 	}
 	if f.quotas.spent.Load() != 1 || f.quotas.released.Load() != 0 {
 		t.Errorf("quota: got %d spent and %d released, want 1 and 0", f.quotas.spent.Load(), f.quotas.released.Load())
@@ -225,24 +225,24 @@
 		{"/a/x", "", "asked", 401},
 		{"/b/x", "k1", "asked", 404},
 	} {
-		if answer, _, err := f.send("1", c.path, c.key, c.body); err != nil || answer.StatusCode != c.want {
-			t.Errorf("%s with key %q: got %v, error %v, want status %d", c.path, c.key, answer, err, c.want)
+		if response, _, err := f.send("1", c.path, c.key, c.body); err != nil || response.StatusCode != c.want {
+			t.Errorf("%s with key %q: got %v, error %v, want status %d", c.path, c.key, response, err, c.want)
 		}
 	}
 	f.quotas.unanswered = map[string]bool{"yard": true}
-	if answer, _, err := f.send("1", "/a/x", "k1", "asked"); err != nil || answer.StatusCode != 503 || answer.Header.Get("Retry-After") == "" {
-		t.Errorf("limit not known: got %v, error %v, want status 503 with Retry-After", answer, err)
+	if response, _, err := f.send("1", "/a/x", "k1", "asked"); err != nil || response.StatusCode != 503 || response.Header.Get("Retry-After") == "" {
+		t.Errorf("limit not known: got %v, error %v, want status 503 with Retry-After", response, err)
 	}
 	f.quotas.exhausted["yard"] = false
-	if answer, _, err := f.send("1", "/a/x", "k1", strings.Repeat("x", 1001)); err != nil || answer.StatusCode != 413 {
-		t.Errorf("body over the limit: got %v, error %v, want status 413", answer, err)
+	if response, _, err := f.send("1", "/a/x", "k1", strings.Repeat("x", 1001)); err != nil || response.StatusCode != 413 {
+		t.Errorf("body over the limit: got %v, error %v, want status 413", response, err)
 	}
 	if f.quotas.reserved.Load() != f.quotas.released.Load() {
 		t.Errorf("quota: got %d reserved and %d released, want all released", f.quotas.reserved.Load(), f.quotas.released.Load())
 	}
 }
 
-// A request that a runner promises not to have run is retried at another one, within its attempts.
+// A request that a runner promises not to have run is retried at another runner, up to MaxAttempts.
 func TestRejectedByRunnerIsRetried(t *testing.T) {
 	full := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Test-Not-Run", "1")
@@ -250,22 +250,22 @@
 	}
 	f := newFleet(t, route(routing.Unsafe, 1, false))
 	f.addRunner("full", full)
-	answer, _, err := f.send("1", "/a/x", "k1", "")
-	if err != nil || answer.StatusCode != 503 || answer.Header.Get("Retry-After") == "" {
-		t.Fatalf("got %v, error %v, want 503 with Retry-After", answer, err)
+	response, _, err := f.send("1", "/a/x", "k1", "")
+	if err != nil || response.StatusCode != 503 || response.Header.Get("Retry-After") == "" {
+		t.Fatalf("got %v, error %v, want 503 with Retry-After", response, err)
 	}
 	f = newFleet(t, route(routing.Unsafe, 3, false))
 	f.addRunner("full", full)
 	f.addRunner("moved", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(421) })
 	f.addRunner("free", respondWith("text"))
 	for i := range 5 {
-		if answer, text, err := f.send(fmt.Sprint(i), "/a/x", "k1", ""); err != nil || text != "text" {
-			t.Fatalf("request %d: got %v, error %v, want the free runner's response", i, answer, err)
+		if response, text, err := f.send(fmt.Sprint(i), "/a/x", "k1", ""); err != nil || text != "text" {
+			t.Fatalf("request %d: got %v, error %v, want the free runner's response", i, response, err)
 		}
 	}
 }
 
-// Once a byte may have left, only an idempotent request is sent to another runner.
+// Once a byte may have been sent, only an idempotent request is sent to another runner.
 func TestOnlyIdempotentIsRetriedAfterSending(t *testing.T) {
 	for _, c := range []struct {
 		kind     routing.Kind
@@ -274,17 +274,17 @@
 	}{{routing.Unsafe, 3, 502}, {routing.Safe, 1, 502}, {routing.Safe, 2, 200}} {
 		f := newFleet(t, route(c.kind, c.attempts, false))
 		var ran atomic.Int64
-		f.addRawRunner("cuts", func(con net.Conn, _ *http.Request) { ran.Add(1); closeQuietly(con) })
-		f.addRawRunner("cuts too", func(con net.Conn, _ *http.Request) { ran.Add(1); closeQuietly(con) })
+		f.addRawRunner("cuts", func(conn net.Conn, _ *http.Request) { ran.Add(1); closeQuietly(conn) })
+		f.addRawRunner("cuts too", func(conn net.Conn, _ *http.Request) { ran.Add(1); closeQuietly(conn) })
 		if c.want == 200 {
 			f.mu.Lock()
 			f.runners = f.runners[:1]
 			f.mu.Unlock()
 			f.addRunner("good", respondWith("text"))
 		}
-		answer, _, err := f.send("1", "/a/x", "k1", "")
-		if err != nil || answer.StatusCode != c.want {
-			t.Errorf("%+v: got %v, error %v", c, answer, err)
+		response, _, err := f.send("1", "/a/x", "k1", "")
+		if err != nil || response.StatusCode != c.want {
+			t.Errorf("%+v: got %v, error %v", c, response, err)
 		}
 		if c.want == 502 && ran.Load() != 1 {
 			t.Errorf("%+v: it ran %d times, want 1", c, ran.Load())
@@ -292,7 +292,7 @@
 	}
 }
 
-// A runner that cannot be reached got no byte: another one is tried, whatever the attempts.
+// An unreachable runner has received no byte, so another one is tried. This does not count towards MaxAttempts.
 func TestUnreachableRunnerIsPassedOver(t *testing.T) {
 	f := newFleet(t, route(routing.Unsafe, 1, false))
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
@@ -303,13 +303,13 @@
 	closeQuietly(closed)
 	f.addRunner("good", respondWith("text"))
 	for i := range 4 {
-		if answer, text, err := f.send(fmt.Sprint(i), "/a/x", "k1", ""); err != nil || text != "text" {
-			t.Fatalf("request %d: got %v %q, error %v, want the reachable runner's response", i, answer, text, err)
+		if response, text, err := f.send(fmt.Sprint(i), "/a/x", "k1", ""); err != nil || text != "text" {
+			t.Fatalf("request %d: got %v %q, error %v, want the reachable runner's response", i, response, text, err)
 		}
 	}
 }
 
-// What is not the runner's complete sealed response to this request is never forwarded as a success.
+// A response that is truncated, unframed, malformed, without a seal or for another request is never forwarded as a success.
 func TestDamagedResponsesAreNoSuccess(t *testing.T) {
 	for name, bytes := range map[string]string{
 		"unsealed":   "HTTP/1.1 200 OK\r\nTest-Id: 1\r\nContent-Length: 2\r\n\r\nok",
@@ -320,23 +320,23 @@
 		"other's":    "HTTP/1.1 200 OK\r\nTest-Id: 9\r\nTest-Seal: s\r\nContent-Length: 2\r\n\r\nok",
 	} {
 		f := newFleet(t, route(routing.Unsafe, 1, false))
-		f.addRawRunner("bad", func(con net.Conn, _ *http.Request) { writeText(con, bytes); closeQuietly(con) })
-		if answer, text, err := f.send("1", "/a/x", "k1", ""); err == nil && answer.StatusCode < 500 {
-			t.Errorf("%s: got %v %q, want no success", name, answer, text)
+		f.addRawRunner("bad", func(conn net.Conn, _ *http.Request) { writeText(conn, bytes); closeQuietly(conn) })
+		if response, text, err := f.send("1", "/a/x", "k1", ""); err == nil && response.StatusCode < 500 {
+			t.Errorf("%s: got %v %q, want no success", name, response, text)
 		}
 	}
 }
 
-// A late response to an earlier request, where ours is due, is skipped.
+// A late response to an earlier request on the same connection is skipped.
 func TestLateResponseIsSkipped(t *testing.T) {
 	f := newFleet(t, route(routing.Unsafe, 1, false))
-	f.addRawRunner("late", func(con net.Conn, r *http.Request) {
+	f.addRawRunner("late", func(conn net.Conn, r *http.Request) {
 		own := "HTTP/1.1 200 OK\r\nTest-Seal: s\r\nContent-Length: 4\r\nTest-Id: " + r.Header.Get("Test-Id") + "\r\n\r\nmine"
-		writeText(con, "HTTP/1.1 200 OK\r\nTest-Seal: s\r\nContent-Length: 5\r\nTest-Id: 0\r\n\r\nother"+own)
+		writeText(conn, "HTTP/1.1 200 OK\r\nTest-Seal: s\r\nContent-Length: 5\r\nTest-Id: 0\r\n\r\nother"+own)
 	})
 	for i := 1; i < 4; i++ {
-		if answer, text, err := f.send(fmt.Sprint(i), "/a/x", "k1", ""); err != nil || text != "mine" {
-			t.Fatalf("request %d: got %v %q, error %v, want its own response", i, answer, text, err)
+		if response, text, err := f.send(fmt.Sprint(i), "/a/x", "k1", ""); err != nil || text != "mine" {
+			t.Fatalf("request %d: got %v %q, error %v, want its own response", i, response, text, err)
 		}
 	}
 }
@@ -349,129 +349,130 @@
 	return b.String()
 }
 
-// streamUpTo sends the events after Last-Event-Id up to its own end, and closes there if that is not the last.
-func streamUpTo(end, last int, askedFor *[]string) func(net.Conn, *http.Request) {
-	return func(con net.Conn, r *http.Request) {
+// streamUpTo returns a runner that sends the events after Last-Event-Id up to end. If end is not last, it breaks off within the
+// next event and closes the connection. It appends each request's Last-Event-Id to lastEventIDs.
+func streamUpTo(end, last int, lastEventIDs *[]string) func(net.Conn, *http.Request) {
+	return func(conn net.Conn, r *http.Request) {
 		from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
-		*askedFor = append(*askedFor, r.Header.Get("Last-Event-Id"))
+		*lastEventIDs = append(*lastEventIDs, r.Header.Get("Last-Event-Id"))
 		text := events(from+1, end)
-		writeText(con, fmt.Sprintf("HTTP/1.1 200 OK\r\nTest-Seal: s%d\r\nTest-Id: %s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n",
+		writeText(conn, fmt.Sprintf("HTTP/1.1 200 OK\r\nTest-Seal: s%d\r\nTest-Id: %s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n",
 			end, r.Header.Get("Test-Id"), len(text), text))
 		if end == last {
-			writeText(con, "0\r\n\r\n")
+			writeText(conn, "0\r\n\r\n")
 			return
 		}
-		writeText(con, "20\r\nid: 99\nda")
-		closeQuietly(con)
+		writeText(conn, "20\r\nid: 99\nda")
+		closeQuietly(conn)
 	}
 }
 
-// A stream that its runner breaks off is resumed at another one within one response where the route permits it, with no
-// event missing or doubled; elsewhere it never ends as if it were complete.
+// If a runner breaks off a stream and the route permits it, the stream is resumed at another runner within the same response,
+// with no event missing or duplicated. Otherwise the response does not end as if it were complete.
 func TestStreamIsResumed(t *testing.T) {
 	for _, resume := range []bool{true, false} {
 		f := newFleet(t, route(routing.Streaming, 3, resume))
-		var asked []string
-		f.addRawRunner("cuts", streamUpTo(3, 9, &asked))
-		answer, text, err := f.send("1", "/a/x", "k1", "")
-		if answer == nil || answer.Header.Get("Test-Seal") != "s3" || text != events(1, 3) || err == nil {
-			t.Fatalf("resume %v: got %v %q, error %v, want three events and a cut connection", resume, answer, text, err)
+		var lastEventIDs []string
+		f.addRawRunner("cuts", streamUpTo(3, 9, &lastEventIDs))
+		response, text, err := f.send("1", "/a/x", "k1", "")
+		if response == nil || response.Header.Get("Test-Seal") != "s3" || text != events(1, 3) || err == nil {
+			t.Fatalf("resume %v: got %v %q, error %v, want three events and an aborted connection", resume, response, text, err)
 		}
-		f.addRawRunner("whole", streamUpTo(9, 9, &asked))
-		for range 6 { // whichever runner comes first
-			asked = nil
+		f.addRawRunner("whole", streamUpTo(9, 9, &lastEventIDs))
+		for range 6 { // either runner may be chosen first
+			lastEventIDs = nil
 			_, text, err = f.send("2", "/a/x", "k1", "")
 			if resume && (err != nil || text != events(1, 9)) {
-				t.Fatalf("got %q, error %v, want all nine events (runs from %v)", text, err, asked)
+				t.Fatalf("got %q, error %v, want all nine events (Last-Event-Id of each run: %v)", text, err, lastEventIDs)
 			}
 			if err == nil && text != events(1, 9) {
-				t.Fatalf("a stream that was cut ends as if complete: got %q", text)
+				t.Fatalf("a truncated stream ends as if complete: got %q", text)
 			}
-			if len(asked) > 1 && (!resume || asked[1] != "3") {
-				t.Fatalf("second run: got Last-Event-Id of both runs %q, want 3 in the second", asked)
+			if len(lastEventIDs) > 1 && (!resume || lastEventIDs[1] != "3") {
+				t.Fatalf("got Last-Event-Ids %q, want 3 in the second run", lastEventIDs)
 			}
-			time.Sleep(400 * time.Millisecond) // until the ejection of the runner that failed has ended
+			time.Sleep(400 * time.Millisecond) // until the ejection of the failed runner has ended
 		}
 	}
 }
 
-// Where a client disconnects, its runner's request is cancelled.
+// If a client disconnects, its request at the runner is cancelled.
 func TestClientDisconnects(t *testing.T) {
 	f := newFleet(t, route(routing.Unsafe, 1, false))
-	began, left := make(chan bool, 1), make(chan bool, 1)
-	var closed time.Time
+	started, cancelled := make(chan bool, 1), make(chan bool, 1)
+	var disconnected time.Time
 	f.addRunner("slow", func(_ http.ResponseWriter, r *http.Request) {
 		drainBody(r.Body)
-		began <- true
+		started <- true
 		<-r.Context().Done()
-		left <- true
+		cancelled <- true
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	request, _ := http.NewRequestWithContext(ctx, "POST", f.url+"/a/x", nil)
 	request.Host = testHost
 	request.Header.Set("Test-Key", "k1")
 	go func() {
-		<-began
-		closed = time.Now()
+		<-started
+		disconnected = time.Now()
 		cancel()
 	}()
 	if _, err := http.DefaultTransport.RoundTrip(request); !errors.Is(err, context.Canceled) {
 		t.Fatal(err)
 	}
-	<-left
-	if took := time.Since(closed); took > timingTolerance {
-		t.Errorf("the runner learnt of it %s after the client had disconnected, want %s at most", took, timingTolerance)
+	<-cancelled
+	if took := time.Since(disconnected); took > timingTolerance {
+		t.Errorf("the runner's request was cancelled %s after the client had disconnected, want at most %s", took, timingTolerance)
 	}
 }
 
-// The deadline ends a request whose runner stalls, as one that may have run.
+// A request whose runner stalls ends at its deadline with 504, because it may have run.
 func TestDeadline(t *testing.T) {
 	f := newFleet(t, route(routing.Unsafe, 1, false))
 	f.addRunner("silent", func(_ http.ResponseWriter, r *http.Request) {
 		drainBody(r.Body)
 		<-r.Context().Done()
 	})
-	answer, _, err := f.send("1", "/a/x", "k1", "", "Test-Deadline", "80")
-	if err != nil || answer.StatusCode != 504 {
-		t.Fatalf("got %v, error %v, want status 504", answer, err)
+	response, _, err := f.send("1", "/a/x", "k1", "", "Test-Deadline", "80")
+	if err != nil || response.StatusCode != 504 {
+		t.Fatalf("got %v, error %v, want status 504", response, err)
 	}
 }
 
-// Before a retry the newest table is obeyed.
+// The current routing table is applied before each retry: a request whose route has been removed is not retried.
 func TestRevokedBetweenAttempts(t *testing.T) {
 	f := newFleet(t, route(routing.Safe, 3, false))
-	f.addRawRunner("cuts", func(con net.Conn, _ *http.Request) {
+	f.addRawRunner("cuts", func(conn net.Conn, _ *http.Request) {
 		moved := route(routing.Safe, 3, false)
 		moved.Prefix = "/elsewhere/"
 		f.setTable(2, moved)
-		closeQuietly(con)
+		closeQuietly(conn)
 	})
-	answer, _, err := f.send("1", "/a/x", "k1", "")
-	if err != nil || answer.StatusCode != 502 {
-		t.Fatalf("got %v, error %v, want status 502", answer, err)
+	response, _, err := f.send("1", "/a/x", "k1", "")
+	if err != nil || response.StatusCode != 502 {
+		t.Fatalf("got %v, error %v, want status 502", response, err)
 	}
 }
 
 func TestStateChart(t *testing.T) {
-	follow := func(j stateChart, states ...State) error {
+	follow := func(chart stateChart, states ...State) error {
 		for _, s := range states {
-			if err := j.advance(s); err != nil {
+			if err := chart.advance(s); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	begin := []State{Routed, Authenticated, Admitted, Selected, Sent}
-	if err := follow(stateChart{}, append(begin, Admitted)...); err == nil {
-		t.Error("a request that may have run, and must run once only, gets back to admitted")
+	untilSent := []State{Routed, Authenticated, Admitted, Selected, Sent}
+	if err := follow(stateChart{}, append(untilSent, Admitted)...); err == nil {
+		t.Error("a request that is not idempotent and may have run returned to admitted")
 	}
-	if err := follow(stateChart{}, append(begin, Rejected)...); err == nil {
-		t.Error("a request that may have run is rejected as not executed")
+	if err := follow(stateChart{}, append(untilSent, Rejected)...); err == nil {
+		t.Error("a request that may have run was rejected as not executed")
 	}
-	if err := follow(stateChart{idempotent: true}, append(begin, Admitted, Selected, Sent, Responding, Completed)...); err != nil {
+	if err := follow(stateChart{idempotent: true}, append(untilSent, Admitted, Selected, Sent, Responding, Completed)...); err != nil {
 		t.Error(err)
 	}
 	if err := follow(stateChart{}, Selected); err == nil {
-		t.Error("got no error for a transition that the chart lacks")
+		t.Error("got no error for a transition that is not permitted")
 	}
 }
--- a/internal/dataplane/gateway/helpers_test.go
+++ b/internal/dataplane/gateway/helpers_test.go
@@ -2,11 +2,11 @@
 
 import "io"
 
-// drainBody reads a request's body away, as far as it comes.
+// drainBody reads and discards a request body. Errors are ignored.
 func drainBody(body io.Reader) { _, _ = io.Copy(io.Discard, body) }
 
-// writeText writes as much of a response as the other end takes: it may have gone, as some tests want it to.
+// writeText writes a response. Errors are ignored: in some tests the other end has closed the connection.
 func writeText(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
-// closeQuietly closes what the other end may have closed already.
+// closeQuietly closes c and ignores the error, because the other end may have closed the connection already.
 func closeQuietly(c io.Closer) { _ = c.Close() }
--- a/internal/dataplane/gateway/keys.go
+++ b/internal/dataplane/gateway/keys.go
@@ -2,29 +2,32 @@
 
 import "time"
 
-// KeyBounds say for how long tenants' keys are valid at a router that cannot ask whether they still are.
+// KeyBounds limits how long a router accepts tenants' keys without confirmation that they are still valid.
 type KeyBounds struct {
-	// RevocationTerm is the time from a configuration's acknowledgement within which a key that it revokes is of no use at any router.
-	// 0: a router goes by the configuration that it has.
+	// RevocationTerm is the time within which a revoked key is rejected by every router, counted from the acknowledgement of
+	// the configuration that revokes it. 0: no bound; a router uses the configuration that it has.
 	RevocationTerm time.Duration
-	// ConfirmedAt is the latest moment of which all configurations acknowledged before it are known to be obeyed. Requests
-	// call it concurrently; it must not block.
+	// ConfirmedAt returns the latest time for which this router is known to have applied every configuration acknowledged
+	// before it. It is called concurrently and must not block.
 	ConfirmedAt func() time.Time
 }
 
-// clockDriftDivisor is the fraction of the term, one over it, by which two machines' monotonic clocks may differ over it.
+// clockDriftDivisor sets the clock drift that is allowed for: over one term the monotonic clocks of two machines may differ
+// by term/clockDriftDivisor.
 const clockDriftDivisor = 10
 
-// Stale reports whether keys may have been revoked for longer than the term at a moment, without our knowing.
+// Stale reports whether, at the given time, a key may have been revoked longer than the term ago without this router's
+// knowledge.
 func (k KeyBounds) Stale(at time.Time) bool {
 	return k.RevocationTerm > 0 && at.Sub(k.ConfirmedAt()) > k.RevocationTerm-k.RevocationTerm/clockDriftDivisor
 }
 
-// needsKey reports whether a key decides whether the request may run.
+// needsKey reports whether the request needs a tenant's key.
 func (r *request) needsKey() bool { return !r.route.Public && len(r.table.Tenants) > 0 }
 
-// keyMayBeRevoked reports, before an attempt, whether the key may have been revoked too long ago by now: the request may
-// have waited, or this process may have been suspended. Once a runner may have run it, it goes on: it came in time.
+// keyMayBeRevoked reports, before an attempt, whether the request's key may have been revoked longer than the term ago. The
+// keys can become stale after authentication while the request waits or the process is suspended. The check is skipped once
+// a runner may have run the request, because its key was valid when it was sent.
 func (r *request) keyMayBeRevoked() bool {
 	return (r.sentAttempts == 0 || r.chart.notExecuted) && r.needsKey() && r.gateway.Keys.Stale(time.Now())
 }
--- a/internal/dataplane/gateway/keys_test.go
+++ b/internal/dataplane/gateway/keys_test.go
@@ -9,9 +9,9 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// setKeyTerm gives a fleet a term for revoked keys, and the moment up to which its configuration is known to be the
-// newest.
-func setKeyTerm(f *fleet, term time.Duration) *atomic.Pointer[time.Time] {
+// setRevocationTerm sets the gateway's revocation term. The returned pointer holds the time that KeyBounds.ConfirmedAt returns; it
+// starts at the zero time.
+func setRevocationTerm(f *fleet, term time.Duration) *atomic.Pointer[time.Time] {
 	confirmed := &atomic.Pointer[time.Time]{}
 	confirmed.Store(&time.Time{})
 	f.gateway.Keys = KeyBounds{RevocationTerm: term, ConfirmedAt: func() time.Time { return *confirmed.Load() }}
@@ -19,21 +19,21 @@
 }
 
 func (f *fleet) status(path, key string) (int, http.Header) {
-	answer, _, err := f.send("1", path, key, "")
+	response, _, err := f.send("1", path, key, "")
 	if err != nil {
 		f.Fatal(err)
 	}
-	return answer.StatusCode, answer.Header
+	return response.StatusCode, response.Header
 }
 
-// A router that cannot tell whether keys are still valid rejects what needs one, whether it knows the key or not, with
-// Retry-After. Public routes go on.
+// While keys are stale, requests that need a key are rejected with Retry-After, whether their key is known or not. Public
+// routes are still served.
 func TestStaleKeysAreRejected(t *testing.T) {
 	public := routing.RouteSpec{Name: "p", Host: testHost, Prefix: "/public/", Kind: routing.Safe, Public: true, MaxAttempts: 1,
 		Timeout: 5 * time.Second, Split: []routing.SplitSpec{{Service: "desk", Weight: 1}}}
 	f := newFleet(t, route(routing.Safe, 1, false), public)
 	f.addRunner("one", respondWith("text"))
-	confirmed := setKeyTerm(f, 2*time.Second)
+	confirmed := setRevocationTerm(f, 2*time.Second)
 	for _, key := range []string{"k1", "unknown"} {
 		if status, header := f.status("/a/", key); status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" {
 			t.Errorf("key %s: got %d, Retry-After %q, want 503 with Retry-After", key, status, header.Get("Retry-After"))
@@ -47,7 +47,7 @@
 	if status, _ := f.status("/a/", "k1"); status != http.StatusOK {
 		t.Errorf("confirmed within the term: got %d, want 200", status)
 	}
-	over := time.Now().Add(-1900 * time.Millisecond) // within the term, but for what clocks may differ by
+	over := time.Now().Add(-1900 * time.Millisecond) // within the term, but not within the margin for clock drift
 	confirmed.Store(&over)
 	if status, _ := f.status("/a/", "k1"); status != http.StatusServiceUnavailable {
 		t.Errorf("confirmed too long ago: got %d, want 503", status)
@@ -58,11 +58,11 @@
 	}
 }
 
-// A request waits for the confirmation that keys are valid, and then goes by the table that came with it.
+// A request waits until keys are confirmed, and then uses the current routing table.
 func TestRequestWaitsForConfirmedKeys(t *testing.T) {
 	f := newFleet(t, route(routing.Safe, 1, false))
 	f.addRunner("one", respondWith("text"))
-	confirmed := setKeyTerm(f, 2*time.Second)
+	confirmed := setRevocationTerm(f, 2*time.Second)
 	confirm := func(revoked bool) {
 		time.Sleep(100 * time.Millisecond)
 		if revoked {
@@ -85,15 +85,15 @@
 	}
 }
 
-// A request that was admitted, and then suspended with its process, does not run once its key may have been revoked.
+// A request whose process is suspended after admission does not run if its key may have been revoked meanwhile.
 func TestStaleKeyBeforeTheFirstByte(t *testing.T) {
 	f := newFleet(t, route(routing.Safe, 1, false))
 	var ran atomic.Int64
 	f.addRunner("one", func(w http.ResponseWriter, r *http.Request) { ran.Add(1); respondWith("text")(w, r) })
-	confirmed := setKeyTerm(f, 2*time.Second)
+	confirmed := setRevocationTerm(f, 2*time.Second)
 	now := time.Now()
 	confirmed.Store(&now)
-	f.quotas.onReserve = func() { confirmed.Store(&time.Time{}) } // as if much time had passed here
+	f.quotas.onReserve = func() { confirmed.Store(&time.Time{}) } // as if the process had been suspended here
 	if status, _ := f.status("/a/", "k1"); status != http.StatusServiceUnavailable || ran.Load() > 0 {
 		t.Errorf("got %d after %d runs, want 503 after none", status, ran.Load())
 	}
--- a/internal/dataplane/gateway/maxima.go
+++ b/internal/dataplane/gateway/maxima.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// routeMaxima remembers the largest value seen on each route. The zero value has seen none. mu guards the map.
+// routeMaxima records the largest value observed on each route. The zero value is ready to use. mu guards the map.
 type routeMaxima[T cmp.Ordered] struct {
 	mu     sync.Mutex
 	routes map[string]T
 }
 
-// observe takes a value and returns the largest of its route so far.
+// observe records a value and returns the largest value of its route so far.
 func (m *routeMaxima[T]) observe(route string, value T) T {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/dataplane/gateway/maxima_test.go
+++ b/internal/dataplane/gateway/maxima_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The largest value of a route is remembered for each route by itself.
+// The largest value is recorded for each route separately.
 func TestRouteMaxima(t *testing.T) {
 	var largest routeMaxima[int]
 	for _, c := range []struct {
--- a/internal/dataplane/gateway/outcome.go
+++ b/internal/dataplane/gateway/outcome.go
@@ -7,31 +7,31 @@
 	"yarrowridge/internal/dataplane/upstream"
 )
 
-// sendFailed classifies an attempt whose request was not sent completely. Only upstream's word that no byte left makes it
-// outcomeNotSent; everything else may have run.
-func (r *request) sendFailed(chosen *balance.Attempt, err error) (attemptOutcome, error) {
+// handleSendError classifies an attempt whose request was not sent completely. The outcome is outcomeNotSent only if package
+// upstream reports that no byte was sent. Otherwise the runner may have run the request.
+func (r *request) handleSendError(attempt *balance.Attempt, err error) (attemptOutcome, error) {
 	var failure *upstream.SendError
 	if errors.As(err, &failure) && !failure.Sent {
-		return r.notSent(chosen, err)
+		return r.handleNotSent(attempt, err)
 	}
 	if err := r.markSent(); err != nil {
-		chosen.Cancel()
+		attempt.Cancel()
 		return outcomeFinal, err
 	}
-	return r.responseLost(chosen, err)
+	return r.handleResponseLost(attempt, err)
 }
 
-// notSent ends an attempt of which no byte left.
-func (r *request) notSent(chosen *balance.Attempt, err error) (attemptOutcome, error) {
-	r.tried[chosen.Runner().Index] = true
+// handleNotSent ends an attempt of which no byte was sent.
+func (r *request) handleNotSent(attempt *balance.Attempt, err error) (attemptOutcome, error) {
+	r.tried[attempt.Runner().Index] = true
 	switch {
-	case r.client.Context().Err() != nil:
-		chosen.Cancel()
-		return outcomeFinal, reject(CodeClientLeft)
+	case r.httpRequest.Context().Err() != nil:
+		attempt.Cancel()
+		return outcomeFinal, reject(CodeClientDisconnected)
 	case errors.Is(err, upstream.ErrNoConnection):
-		chosen.Rejected()
+		attempt.Rejected()
 	default:
-		chosen.Failed()
+		attempt.Failed()
 	}
 	if err := r.chart.advance(Admitted); err != nil {
 		return outcomeFinal, err
@@ -39,39 +39,39 @@
 	return outcomeNotSent, reject(CodeNoRunner)
 }
 
-// responseLost ends an attempt whose response is lost: the runner may have run the request.
-func (r *request) responseLost(chosen *balance.Attempt, err error) (attemptOutcome, error) {
-	r.tried[chosen.Runner().Index] = true
+// handleResponseLost ends an attempt whose response is lost. The runner may have run the request.
+func (r *request) handleResponseLost(attempt *balance.Attempt, err error) (attemptOutcome, error) {
+	r.tried[attempt.Runner().Index] = true
 	r.mayHaveRun = true
 	switch {
-	case r.client.Context().Err() != nil:
-		chosen.Abandon()
-		return outcomeFinal, reject(CodeClientLeft)
+	case r.httpRequest.Context().Err() != nil:
+		attempt.Abandon()
+		return outcomeFinal, reject(CodeClientDisconnected)
 	case r.remaining() <= 0:
-		chosen.Abandon()
+		attempt.Abandon()
 		return outcomeFinal, reject(CodeDeadline)
 	}
-	chosen.Failed()
-	r.gateway.Log.Debug("Runner lost a request.", "peer", chosen.Runner().Info().Address, "error", err.Error())
+	attempt.Failed()
+	r.gateway.Log.Debug("Response from runner lost.", "peer", attempt.Runner().Info().Address, "error", err.Error())
 	return outcomeUnknown, reject(CodeRunnerLost)
 }
 
-// rejectedByRunner ends an attempt that the runner promised not to have run.
-func (r *request) rejectedByRunner(chosen *balance.Attempt, exchange *upstream.Exchange, meta ResponseMeta) (attemptOutcome, error) {
-	r.tried[chosen.Runner().Index] = true
+// handleRunnerRejection ends an attempt whose request the runner promised not to have run.
+func (r *request) handleRunnerRejection(attempt *balance.Attempt, exchange *upstream.Exchange, meta ResponseMeta) (attemptOutcome, error) {
+	r.tried[attempt.Runner().Index] = true
 	if meta.OtherRunner {
-		r.gateway.Balancer.AddressReused(chosen.Runner())
-		chosen.Cancel()
+		r.gateway.Balancer.AddressReused(attempt.Runner())
+		attempt.Cancel()
 	} else {
-		chosen.Rejected()
+		attempt.Rejected()
 	}
 	r.chart.notExecuted = true
 	discard(exchange)
 	return outcomeNotExecuted, reject(CodeRunnersFull)
 }
 
-// noRunner says why the request ends for want of a runner.
-func (r *request) noRunner() error {
+// rejectNoRunner returns the rejection of a request for which no runner is available.
+func (r *request) rejectNoRunner() error {
 	if r.sentAttempts > 0 && !r.chart.notExecuted {
 		return reject(CodeRunnerLost)
 	}
--- a/internal/dataplane/gateway/rejection_test.go
+++ b/internal/dataplane/gateway/rejection_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// documentedRule is a row of the operators' table of codes.
+// documentedRule is a row of the table of codes on the operators' page.
 type documentedRule struct {
 	status     int
 	executed   string // no, perhaps, yes
 	retryAfter string
 }
 
-// documentedCodes reads the operators' table of codes.
+// documentedCodes reads the table of codes from the operators' page.
 func documentedCodes(t *testing.T) map[Code]documentedRule {
 	t.Helper()
 	page, err := os.ReadFile("../../../docs/operators/platform.md")
@@ -38,7 +38,7 @@
 			cells = append(cells, "")
 		}
 		number, _, _ := strings.Cut(cells[0], " ")
-		status, _ := strconv.Atoi(number) // "none," stands for no response: 0
+		status, _ := strconv.Atoi(number) // 0 for "none,", which stands for no response
 		for _, code := range regexp.MustCompile("`([a-z-]+)`").FindAllStringSubmatch(cells[0], -1) {
 			codes[Code(code[1])] = documentedRule{status: status, executed: cells[2], retryAfter: cells[3]}
 		}
@@ -46,12 +46,12 @@
 	return codes
 }
 
-// Every code, its status and its Retry-After stand in the operators' table, and nothing else does.
+// The table on the operators' page lists exactly the codes of rejectionRules, with the same status and Retry-After.
 func TestRejectionRulesMatchOperatorsPage(t *testing.T) {
 	documented := documentedCodes(t)
 	for code := range documented {
 		if _, known := rejectionRules[code]; !known {
-			t.Errorf("the page has the code %q, the table of rules has not", code)
+			t.Errorf("the page has the code %q, rejectionRules does not", code)
 		}
 	}
 	for code, rule := range rejectionRules {
@@ -84,14 +84,14 @@
 	}
 }
 
-// A client over its quota is told when units come back, and never to come back at once.
+// Retry-After for an exceeded quota is the time until units are available again, and at least minRetryAfter.
 func TestQuotaRetryAfter(t *testing.T) {
-	for _, c := range []struct{ unitsBackIn, want time.Duration }{
+	for _, c := range []struct{ availableIn, want time.Duration }{
 		{0, minRetryAfter}, {time.Millisecond, minRetryAfter}, {300 * time.Millisecond, 300 * time.Millisecond},
 		{1234567 * time.Microsecond, 1235 * time.Millisecond},
 	} {
-		if got := rejectQuota(c.unitsBackIn).RetryAfter; got != c.want {
-			t.Errorf("units back in %s: Retry-After got %s, want %s", c.unitsBackIn, got, c.want)
+		if got := rejectQuota(c.availableIn).RetryAfter; got != c.want {
+			t.Errorf("units available in %s: Retry-After got %s, want %s", c.availableIn, got, c.want)
 		}
 	}
 }
--- a/internal/dataplane/gateway/request.go
+++ b/internal/dataplane/gateway/request.go
@@ -10,34 +10,35 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// request is one client's request on its way. One goroutine owns it; nothing in it is locked.
+// request is the state of one client request. It is owned by one goroutine and needs no lock.
 type request struct {
-	gateway  *Gateway
-	writer   http.ResponseWriter
-	client   *http.Request
-	received time.Time
-	chart    stateChart
+	gateway     *Gateway
+	writer      http.ResponseWriter
+	httpRequest *http.Request
+	received    time.Time
+	chart       stateChart
 
-	// What the headers and the routing table say. Revalidated before each attempt.
+	// From the headers and the routing table. All but meta are revalidated before each attempt.
 	meta    RequestMeta
 	table   *routing.Table
 	route   *routing.Route
 	service *routing.Service
-	tenant  *routing.Tenant // nil: the route is public, or there are no tenants
+	tenant  *routing.Tenant // nil: the route is public, or no tenants are configured
 
-	// What admission settled.
+	// Set by routing and admission.
 	body        []byte
-	deadline    time.Time        // the client or the operator waits no longer
+	deadline    time.Time        // from the client's header and the route's time-out, whichever is earlier
 	reservation quotaReservation // of the tenant's quota
 
-	// What the attempts came to.
-	responseStarted bool         // a byte of a response was written
+	// Results of the attempts so far.
+	responseStarted bool         // the head of a response has been written
 	tried           map[int]bool // by Runner.Index
-	sentAttempts    int          // attempts that may have reached a runner
-	mayHaveRun      bool         // one of them may have run it, and its response is lost
+	sentAttempts    int          // attempts of which a byte may have reached a runner
+	mayHaveRun      bool         // a runner may have run the request, and its response is lost
 }
 
-// run takes the request its whole way. The error is a *Rejection where the gateway itself ends the request.
+// run processes the request from routing to the end of its response. If the gateway itself ends the request, the error is a
+// *Rejection.
 func (r *request) run() error {
 	if !r.awaitReady() {
 		return reject(CodeNotReady)
@@ -58,11 +59,12 @@
 		}
 	}
 	defer r.releaseQuota()
-	return r.withoutFalsePromise(r.serve())
+	return r.replaceFalseNotExecuted(r.serve())
 }
 
-// withoutFalsePromise keeps a rejection from promising that the request has not run where it may have.
-func (r *request) withoutFalsePromise(err error) error {
+// replaceFalseNotExecuted replaces a rejection whose status promises that the request has not run if a runner may have run
+// it. Other errors are returned unchanged.
+func (r *request) replaceFalseNotExecuted(err error) error {
 	var rejection *Rejection
 	if errors.As(err, &rejection) && r.mayHaveRun && rejection.promisesNotExecuted() {
 		return reject(CodeRunnerLost)
@@ -70,17 +72,17 @@
 	return err
 }
 
-// remaining is how long the request may still take.
+// remaining returns the time until the request's deadline.
 func (r *request) remaining() time.Duration { return time.Until(r.deadline) }
 
-// findRoute reads the headers, finds route and service by the table, and sets the deadline.
+// findRoute reads the headers, looks up route and service in the routing table, and sets the deadline.
 func (r *request) findRoute() error {
-	meta, err := r.gateway.Dialect.ReadRequest(r.client.Header)
+	meta, err := r.gateway.Dialect.ReadRequest(r.httpRequest.Header)
 	if err != nil {
 		return rejectHeaders(err)
 	}
 	r.meta = meta
-	r.route = r.table.Match(r.client.Host, r.client.URL.Path)
+	r.route = r.table.Match(r.httpRequest.Host, r.httpRequest.URL.Path)
 	if r.route == nil {
 		return reject(CodeNoRoute)
 	}
@@ -95,15 +97,15 @@
 	return nil
 }
 
-// hashAttemptID hashes a client's ID evenly over all numbers. Clients choose their IDs, so that the hash's own mixing is
-// not enough for Route.Pick, which takes it modulo the weights.
+// hashAttemptID returns an evenly distributed hash of a client's attempt ID. Clients choose their IDs, and FNV alone does not
+// mix its bits well enough for Route.Pick, which takes the hash modulo the weights.
 func hashAttemptID(id string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(id))
 	return hashing.Mix(hash.Sum64())
 }
 
-// authenticate finds the request's tenant by its key.
+// authenticate determines the request's tenant from its key.
 func (r *request) authenticate() error {
 	if err := r.awaitConfirmedKeys(); err != nil {
 		return err
@@ -116,7 +118,8 @@
 	return nil
 }
 
-// tenantFor finds the tenant that a request with a key belongs to on a route. Nil: none is needed.
+// tenantFor returns the tenant of a request with the given key. The tenant is nil if the route needs none; known is false
+// if the route needs a tenant and none has the key.
 func tenantFor(table *routing.Table, route *routing.Route, key string) (tenant *routing.Tenant, known bool) {
 	if route.Public || len(table.Tenants) == 0 {
 		return nil, true
--- a/internal/dataplane/gateway/send.go
+++ b/internal/dataplane/gateway/send.go
@@ -7,9 +7,9 @@
 	"yarrowridge/internal/dataplane/upstream"
 )
 
-// send hands the request to the runner.
-func (r *request) send(ctx context.Context, chosen *balance.Attempt, stream *streamResponse) (*upstream.Exchange, error) {
-	info := chosen.Runner().Info()
+// send sends the request to the runner with headers in the runner's dialect.
+func (r *request) send(ctx context.Context, attempt *balance.Attempt, stream *streamResponse) (*upstream.Exchange, error) {
+	info := attempt.Runner().Info()
 	meta := RunnerMeta{RunnerID: info.ID, Deadline: r.remaining(), Urgency: r.urgency()}
 	if r.tenant != nil {
 		meta.Tenant = r.tenant.Name
@@ -17,15 +17,15 @@
 	if stream != nil {
 		meta.LastEventID = stream.lastID
 	}
-	header := r.client.Header.Clone()
+	header := r.httpRequest.Header.Clone()
 	r.gateway.Dialect.WriteRequest(header, meta)
 	r.gateway.Pool.SetMax(info.Address, r.maxConnections())
-	return r.gateway.Pool.Send(ctx, info.Address, upstream.Request{Method: r.client.Method, Target: r.client.RequestURI,
-		Host: r.client.Host, Header: header, Body: r.body})
+	return r.gateway.Pool.Send(ctx, info.Address, upstream.Request{Method: r.httpRequest.Method, Target: r.httpRequest.RequestURI,
+		Host: r.httpRequest.Host, Header: header, Body: r.body})
 }
 
-// maxConnections is this router's share of the connections that a runner takes, with a tenth of them kept free for
-// routers that have just started. 0: not bounded.
+// maxConnections returns this router's share of the connections that a runner accepts; 0 means unlimited. A tenth of the
+// connections is reserved for routers that have just started.
 func (r *request) maxConnections() int {
 	if r.service.MaxConnections <= 0 {
 		return 0
@@ -33,8 +33,8 @@
 	return max(1, r.gateway.LocalShare(r.service.MaxConnections*9/10))
 }
 
-// markSent records that bytes may have left for a runner. From here on only an idempotent request may be sent again,
-// unless the runner promises not to have run it.
+// markSent records that bytes may have been sent to a runner. From here on the request may be sent again only if it is
+// idempotent or the runner promises that it did not run it.
 func (r *request) markSent() error {
 	r.sentAttempts++
 	r.spendQuota()
--- a/internal/dataplane/gateway/serve.go
+++ b/internal/dataplane/gateway/serve.go
@@ -8,13 +8,13 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// serve makes attempts until a runner has answered or no further attempt may be made.
+// serve makes attempts until a runner has responded or no further attempt is permitted.
 //
-// Invariant: once a byte of the request may have left for a runner, it is sent again only where its route is idempotent
-// or where the runner promised not to have run it. mayRetry decides it and stateChart.advance enforces it.
+// Invariant: once a byte of the request may have been sent to a runner, it is sent again only if its route is idempotent or
+// the runner promised that it did not run it. mayRetry decides this and stateChart.advance enforces it.
 func (r *request) serve() error {
 	r.tried = map[int]bool{}
-	r.gateway.budget.First(r.service.Name, r.retryRule())
+	r.gateway.retryBudget.First(r.service.Name, r.retryRule())
 	var stream *streamResponse
 	if r.route.Kind == routing.Streaming {
 		stream = &streamResponse{request: r, lastID: r.meta.LastEventID}
@@ -25,16 +25,16 @@
 		}
 		outcome, err := r.attempt(stream)
 		switch outcome {
-		case outcomeEnded, outcomeFinal:
+		case outcomeCompleted, outcomeFinal:
 			return err
 		case outcomeNotSent:
-			if r.remaining() <= 0 || errors.Is(r.client.Context().Err(), context.Canceled) {
-				return r.giveUp(err)
+			if r.remaining() <= 0 || errors.Is(r.httpRequest.Context().Err(), context.Canceled) {
+				return r.finalError(err)
 			}
 			continue
 		case outcomeNotExecuted, outcomeUnknown:
 			if !r.mayRetry(outcome) {
-				return r.giveUp(err)
+				return r.finalError(err)
 			}
 		case outcomeRetryGranted:
 		}
@@ -44,28 +44,28 @@
 	}
 }
 
-// retryRule is this router's share of the fleet's bound on retries.
+// retryRule returns this router's share of the fleet-wide retry limit.
 func (r *request) retryRule() retry.Rule {
 	bounds := r.gateway.Retries
 	return retry.Rule{Ratio: bounds.Ratio, Spare: r.gateway.LocalShare(bounds.Allowance)}
 }
 
-// mayRetry reports whether the request may be sent to a further runner after its last attempt, and takes the retry out of
-// the budget if so.
+// mayRetry reports whether the request may be sent to another runner after an attempt with the given outcome. If so, it
+// takes the retry from the budget.
 func (r *request) mayRetry(last attemptOutcome) bool {
 	if last == outcomeUnknown && !r.route.Idempotent() {
 		return false
 	}
-	if r.sentAttempts >= max(1, r.route.MaxAttempts) || r.remaining() <= 0 || r.client.Context().Err() != nil {
+	if r.sentAttempts >= max(1, r.route.MaxAttempts) || r.remaining() <= 0 || r.httpRequest.Context().Err() != nil {
 		return false
 	}
 	if !r.hasUntriedRunner() {
 		return false
 	}
-	return r.gateway.budget.Take(r.service.Name)
+	return r.gateway.retryBudget.Take(r.service.Name)
 }
 
-// hasUntriedRunner reports whether a ready runner of the service has not been tried.
+// hasUntriedRunner reports whether the service has a ready runner that this request has not tried.
 func (r *request) hasUntriedRunner() bool {
 	for _, runner := range r.gateway.Balancer.Runners(r.service.Name) {
 		if !r.tried[runner.Index] && runner.Info().State == routing.RunnerReady {
@@ -75,16 +75,16 @@
 	return false
 }
 
-// giveUp ends a request for which no further attempt is made.
-func (r *request) giveUp(err error) error {
-	if r.client.Context().Err() != nil {
-		return reject(CodeClientLeft)
+// finalError returns the error of a request that is not attempted again. A client's disconnect takes precedence over err.
+func (r *request) finalError(err error) error {
+	if r.httpRequest.Context().Err() != nil {
+		return reject(CodeClientDisconnected)
 	}
 	return err
 }
 
-// revalidate applies the routing table in force before each attempt: a key or a route that was revoked meanwhile is
-// obeyed, and so is a route that leads to other services by now.
+// revalidate applies the current routing table before each attempt. The request is rejected if its key or route has been
+// revoked meanwhile, and it moves to another service if its route no longer leads to the present one.
 func (r *request) revalidate() error {
 	if r.keyMayBeRevoked() {
 		return reject(CodeKeysStale)
@@ -93,23 +93,23 @@
 	if table.Revision == r.table.Revision {
 		return nil
 	}
-	route := table.Match(r.client.Host, r.client.URL.Path)
+	route := table.Match(r.httpRequest.Host, r.httpRequest.URL.Path)
 	if route == nil || route.Kind != r.route.Kind {
-		return r.revoked(CodeNoRoute)
+		return r.rejectRevoked(CodeNoRoute)
 	}
 	tenant, known := tenantFor(table, route, r.meta.Key)
 	if !known || tenant != nil && r.tenant != nil && tenant.Name != r.tenant.Name {
-		return r.revoked(CodeUnknownKey)
+		return r.rejectRevoked(CodeUnknownKey)
 	}
 	if (tenant == nil) != (r.tenant == nil) {
-		return r.revoked(CodeNotReady)
+		return r.rejectRevoked(CodeNotReady)
 	}
-	r.table, r.route, r.tenant, r.service = table, route, tenant, r.serviceIn(table, route)
+	r.table, r.route, r.tenant, r.service = table, route, tenant, r.serviceFor(table, route)
 	return nil
 }
 
-// serviceIn is the request's service by a newer table: the one that it has, while the route still leads there.
-func (r *request) serviceIn(table *routing.Table, route *routing.Route) *routing.Service {
+// serviceFor returns the request's service in a newer table. The service stays the same as long as the route leads there.
+func (r *request) serviceFor(table *routing.Table, route *routing.Route) *routing.Service {
 	service := &table.Services[route.Pick(hashAttemptID(r.meta.AttemptID))]
 	for _, split := range route.Split {
 		if name := table.Services[split.Service].Name; name == r.service.Name && split.Weight > 0 {
@@ -119,11 +119,12 @@
 	return service
 }
 
-// revoked ends a request that the newer table no longer allows: by the code, unless a runner may have run it already.
-func (r *request) revoked(code Code) error {
+// rejectRevoked returns the rejection of a request that the newer table no longer allows. It uses the given code only if
+// no runner may have run the request.
+func (r *request) rejectRevoked(code Code) error {
 	switch {
 	case r.responseStarted:
-		return reject(CodeResponseCut)
+		return reject(CodeResponseTruncated)
 	case r.sentAttempts > 0 && !r.chart.notExecuted:
 		return reject(CodeRunnerLost)
 	}
--- a/internal/dataplane/gateway/stall.go
+++ b/internal/dataplane/gateway/stall.go
@@ -7,15 +7,15 @@
 	"yarrowridge/internal/dataplane/balance"
 )
 
-// stallGuard ends an attempt whose runner has exceeded its stall time-out, so that the stream can be resumed at another
-// one. Its timer runs concurrently with the request.
+// stallGuard cancels an attempt whose runner exceeds its stall time-out, so that the stream can be resumed at another runner.
+// Its timer runs concurrently with the request.
 type stallGuard struct {
 	runner *balance.Runner
 	cancel context.CancelFunc
 	timer  *time.Timer
 }
 
-// stallCheckInterval is how often a stream without events checks its runner's stall time-out.
+// stallCheckInterval is the interval of stall checks while no event arrives.
 const stallCheckInterval = 200 * time.Millisecond
 
 func newStallGuard(runner *balance.Runner, cancel context.CancelFunc) *stallGuard {
@@ -32,7 +32,7 @@
 	g.timer.Reset(stallCheckInterval)
 }
 
-// progress records an event. A nil guard does nothing.
+// progress postpones the next check after an event. A nil guard does nothing.
 func (g *stallGuard) progress() {
 	if g != nil {
 		g.timer.Reset(stallCheckInterval)
--- a/internal/dataplane/gateway/state.go
+++ b/internal/dataplane/gateway/state.go
@@ -2,7 +2,7 @@
 
 import "github.com/rotisserie/eris"
 
-// State is where a request stands on its way from its client to a runner and back.
+// State is a request's progress from the client to a runner and back.
 type State int
 
 // The states of a request.
@@ -11,8 +11,8 @@
 	Routed                     // route and service are known
 	Authenticated              // the tenant is known, or none is needed
 	Admitted                   // quota and allowance admit it, its body has been read
-	Selected                   // a runner has been chosen; no byte has left
-	Sent                       // a byte may have left
+	Selected                   // a runner has been chosen; no byte has been sent
+	Sent                       // a byte may have been sent
 	Responding                 // the runner has begun to respond
 	Completed                  // the client has the runner's complete response
 	Rejected                   // the gateway rejected it; it has not run and never will
@@ -21,11 +21,11 @@
 
 var stateNames = [...]string{"received", "routed", "authenticated", "admitted", "selected", "sent", "responding", "completed", "rejected", "failed"}
 
-// String names the state.
+// String returns the state's name.
 func (s State) String() string { return stateNames[s] }
 
-// transitions lists where each state may lead. From Sent and Responding a request gets back to Admitted only where it is
-// idempotent, or where the runner promised that it did not run it.
+// transitions lists the permitted next states of each state. advance adds conditions to the transitions from Sent and
+// Responding.
 var transitions = map[State][]State{
 	Received:      {Routed, Rejected},
 	Routed:        {Authenticated, Rejected},
@@ -36,21 +36,22 @@
 	Responding:    {Completed, Admitted, Failed, Rejected},
 }
 
-// stateChart is the state of one request. Its goroutine owns it.
+// stateChart is the state chart of one request. It is owned by the request's goroutine.
 type stateChart struct {
 	state       State
 	idempotent  bool
-	notExecuted bool // the last runner promised that it did not run it
+	notExecuted bool // the last runner promised that it did not run the request
 }
 
-// advance makes a transition. It fails on one that the chart does not have.
+// advance moves the request to another state. It returns an error if the transition is not permitted.
 //
-// Invariant: after a byte may have left, a request that is not idempotent gets back to Admitted, and any request to
-// Rejected, only by the runner's promise that it did not run it. Selected clears that promise: it is the last runner's.
+// Invariant: once a byte may have been sent, returning to Admitted requires that the request is idempotent or that the runner
+// promised not to have run it; moving to Rejected always requires that promise. Selected clears the promise, because it comes
+// from the previous runner.
 func (s *stateChart) advance(to State) error {
 	if s.state == Sent || s.state == Responding {
 		if (to == Admitted && !s.idempotent || to == Rejected) && !s.notExecuted {
-			return eris.Errorf("gateway: transition from %s to %s of a request that may have run", s.state, to)
+			return eris.Errorf("gateway: forbidden transition from %s to %s: the request may have run", s.state, to)
 		}
 	}
 	for _, next := range transitions[s.state] {
@@ -62,5 +63,5 @@
 			return nil
 		}
 	}
-	return eris.Errorf("gateway: no transition leads from %s to %s", s.state, to)
+	return eris.Errorf("gateway: invalid transition from %s to %s", s.state, to)
 }
--- a/internal/dataplane/gateway/stream.go
+++ b/internal/dataplane/gateway/stream.go
@@ -11,42 +11,43 @@
 	"yarrowridge/internal/dataplane/upstream"
 )
 
-// streamResponse is the response of one stream, whichever runners it comes from. The request's goroutine owns it.
+// streamResponse is the response to a streaming request. If the stream is resumed, its events come from several runners. It
+// is owned by the request's goroutine.
 type streamResponse struct {
-	request *request
-	lastID  string                   // of the last event that was forwarded
-	control *http.ResponseController // nil: the response's head is not out yet
-	guard   *stallGuard              // of the attempt under way; nil: none
+	request    *request
+	lastID     string                   // ID of the last event forwarded; before that, the client's Last-Event-ID
+	controller *http.ResponseController // nil: the response's head has not been written yet
+	guard      *stallGuard              // of the current attempt; nil: it has no stall time-out
 }
 
-// writeGrace is how much longer than the request's deadline a client may take to accept the response's bytes.
+// writeGrace is how long past the request's deadline writes to the client may continue.
 const writeGrace = time.Second
 
-// started reports whether the response's head is out.
-func (s *streamResponse) started() bool { return s.control != nil }
+// started reports whether the response's head has been written.
+func (s *streamResponse) started() bool { return s.controller != nil }
 
-// start writes the response's head: that of the first runner, which it keeps.
+// start writes the response's head unless it has been written. Later runners' heads are not forwarded.
 func (s *streamResponse) start(head upstream.Head) {
 	if s.started() {
 		return
 	}
 	r := s.request
-	s.control = http.NewResponseController(r.writer)
-	_ = s.control.SetWriteDeadline(r.deadline.Add(writeGrace)) // a writer without deadlines has none to exceed
+	s.controller = http.NewResponseController(r.writer)
+	_ = s.controller.SetWriteDeadline(r.deadline.Add(writeGrace)) // an error means that the writer does not support deadlines
 	copyHeader(r.writer.Header(), head.Header)
 	r.responseStarted = true
 	r.writer.WriteHeader(head.Status)
 }
 
-// forward forwards a runner's events as they come.
-func (s *streamResponse) forward(chosen *balance.Attempt, exchange *upstream.Exchange, head upstream.Head) (attemptOutcome, error) {
+// forward forwards a runner's events as they arrive.
+func (s *streamResponse) forward(attempt *balance.Attempt, exchange *upstream.Exchange, head upstream.Head) (attemptOutcome, error) {
 	r := s.request
 	reader := upstream.NewEventReader(exchange.Body)
 	for {
 		event, id, err := reader.Next()
 		switch {
 		case err == nil:
-			chosen.Progress()
+			attempt.Progress()
 			s.guard.progress()
 			if s.isDuplicate(id) {
 				continue
@@ -54,28 +55,28 @@
 			s.start(head)
 			if !s.writeEvent(event) {
 				exchange.Abort()
-				chosen.Cancel()
-				return outcomeFinal, reject(CodeClientLeft)
+				attempt.Cancel()
+				return outcomeFinal, reject(CodeClientDisconnected)
 			}
 			if id != "" {
 				s.lastID = id
 			}
 		case errors.Is(err, upstream.ErrLeftover) && head.Framed:
 			s.start(head)
-			s.writeEvent(event) // where the client is gone, the next read ends the attempt
+			s.writeEvent(event) // a write error is ignored: the next read returns io.EOF and ends the attempt
 		case errors.Is(err, io.EOF) && head.Framed:
 			exchange.Finish()
-			chosen.Done()
+			attempt.Done()
 			s.start(head)
-			return outcomeEnded, r.chart.advance(Completed)
+			return outcomeCompleted, r.chart.advance(Completed)
 		default:
 			exchange.Abort()
-			return s.brokenOff(chosen, err)
+			return s.handleStreamError(attempt, err)
 		}
 	}
 }
 
-// isDuplicate reports whether an event of a second run was forwarded already: IDs that are numbers only go up.
+// isDuplicate reports whether an event has already been forwarded from an earlier run. Numeric IDs increase within a stream.
 func (s *streamResponse) isDuplicate(id string) bool {
 	if s.lastID == "" || id == "" {
 		return false
@@ -88,19 +89,19 @@
 	return err == nil && next <= last
 }
 
-// writeEvent forwards an event at once and reports whether the client took it.
+// writeEvent writes and flushes an event and reports whether both succeeded.
 func (s *streamResponse) writeEvent(event []byte) bool {
 	if _, err := s.request.writer.Write(event); err != nil {
 		return false
 	}
-	return s.control.Flush() == nil
+	return s.controller.Flush() == nil
 }
 
-// brokenOff classifies a stream that its runner broke off.
-func (s *streamResponse) brokenOff(chosen *balance.Attempt, err error) (attemptOutcome, error) {
-	outcome, failure := s.request.responseLost(chosen, err)
+// handleStreamError classifies an attempt whose stream ended early.
+func (s *streamResponse) handleStreamError(attempt *balance.Attempt, err error) (attemptOutcome, error) {
+	outcome, failure := s.request.handleResponseLost(attempt, err)
 	if s.started() && outcome == outcomeUnknown {
-		return outcome, reject(CodeResponseCut)
+		return outcome, reject(CodeResponseTruncated)
 	}
 	return outcome, failure
 }
--- a/internal/dataplane/gateway/wait.go
+++ b/internal/dataplane/gateway/wait.go
@@ -2,37 +2,36 @@
 
 import "time"
 
-// How long a request waits for what the router is about to learn, from when it came: a late response is worth more than a
-// rejection. A router that starts awaits its configuration, one that was suspended or cut off awaits confirmation that its
-// keys are still valid.
+// Limits of the wait for the router's configuration after a start, or for confirmation of its keys after it was suspended or
+// disconnected. A request waits because a late response is better than a rejection.
 const (
-	maxReadyWait       = 500 * time.Millisecond
+	maxReadyWait       = 500 * time.Millisecond // since the request was received
 	readyCheckInterval = 20 * time.Millisecond
 )
 
-// waitUntil waits until a condition holds, for maxReadyWait at most, and reports whether it does.
-func (r *request) waitUntil(holds func() bool) bool {
-	for !holds() {
+// waitUntil waits until a condition holds and reports whether it does. It gives up maxReadyWait after the request was received.
+func (r *request) waitUntil(condition func() bool) bool {
+	for !condition() {
 		if time.Since(r.received) > maxReadyWait {
 			return false
 		}
 		select {
 		case <-time.After(readyCheckInterval):
-		case <-r.client.Context().Done():
+		case <-r.httpRequest.Context().Done():
 			return false
 		}
 	}
 	return true
 }
 
-// awaitReady waits for a router that has just started, unless it is draining already, and reports whether it is ready.
+// awaitReady waits until the router is ready or draining, and reports whether it is ready.
 func (r *request) awaitReady() bool {
 	ready := func() bool { return r.gateway.NotReadyReason() == "" }
 	return r.waitUntil(func() bool { return ready() || r.gateway.draining.Load() }) && ready()
 }
 
-// awaitConfirmedKeys waits where keys may have been revoked without our knowing. What became known meanwhile counts: the
-// route is looked up anew.
+// awaitConfirmedKeys waits for confirmation if keys are stale. After a wait it looks up the route in the current routing
+// table, which may have changed meanwhile.
 func (r *request) awaitConfirmedKeys() error {
 	if !r.needsKey() || !r.gateway.Keys.Stale(time.Now()) {
 		return nil
