--- a/internal/dataplane/gateway/allowance.go
+++ b/internal/dataplane/gateway/allowance.go
@@ -12,8 +12,8 @@
 // allowanceFloorWaitFactor times the target latency on it is the floor, the ceiling divided by allowanceFloorDivisor. Both
 // ratios equal those of the default allowance settings in package fleetconfig.
 const (
-	allowanceFloorDivisor    = 8  // ceiling to floor: 4096 to 512 tokens by default there
-	allowanceFloorWaitFactor = 5  // wait at the floor to wait at the ceiling: 300 s to 60 s by default there
+	allowanceFloorDivisor    = 8  // the defaults: 4096 and 512 tokens
+	allowanceFloorWaitFactor = 5  // the defaults: 300 s and 60 s
 	assumedTokensPerSecond   = 10 // of a runner that has not completed a stream yet
 )
 
--- a/internal/dataplane/gateway/buffered.go
+++ b/internal/dataplane/gateway/buffered.go
@@ -14,7 +14,7 @@
 	maxDiscardedBytes = 64 << 10 // read from a discarded response so that its connection can be reused
 )
 
-// forwardBuffered reads a response to the end of its framing before it forwards any of it. So a client cannot mistake a
+// forwardBuffered reads a response to the end of its framing before it forwards any of it, so that a client cannot mistake a
 // truncated response for a complete one, and a failed attempt can still be retried.
 func (r *request) forwardBuffered(attempt *balance.Attempt, exchange *upstream.Exchange, head upstream.Head, stream *streamResponse) (attemptOutcome, error) {
 	body, err := io.ReadAll(io.LimitReader(exchange.Body, maxBufferedBytes+1))
--- a/internal/dataplane/gateway/gateway.go
+++ b/internal/dataplane/gateway/gateway.go
@@ -17,7 +17,7 @@
 // Quotas enforces the tenants' rate limits. Its methods are called concurrently.
 type Quotas interface {
 	// Reserve reserves units of a quota. It may block until ctx ends while it requests more units from the control plane. If
-	// ok is false, too few units are left for now, and retryAfter is the time until the next try makes sense.
+	// ok is false, too few units are left for now, and retryAfter is how long to wait before retrying.
 	Reserve(ctx context.Context, quota string, units int) (ok bool, retryAfter time.Duration)
 	// Spend commits a reservation once the request has been sent to a runner. It does not block.
 	Spend(quota string, units int)
