--- a/internal/dataplane/gateway/send.go
+++ b/internal/dataplane/gateway/send.go
@@ -19,7 +19,7 @@
 	}
 	header := r.client.Header.Clone()
 	r.gateway.Dialect.WriteRunner(header, meta)
-	r.gateway.Pool.SetMax(info.Address, r.maxConnections())
+	r.gateway.Pool.SetMaxConnections(info.Address, r.maxConnections())
 	return r.gateway.Pool.Send(ctx, info.Address, upstream.Request{Method: r.client.Method, Target: r.client.RequestURI,
 		Host: r.client.Host, Header: header, Body: r.body})
 }
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -77,8 +77,8 @@
 	closeAll(all)
 }
 
-// SetMax bounds the connections that this pool has open to an address at once; 0: not bounded.
-func (p *Pool) SetMax(address string, limit int) {
+// SetMaxConnections bounds the connections that this pool has open to an address at once; 0: not bounded.
+func (p *Pool) SetMaxConnections(address string, limit int) {
 	p.mutex.Lock()
 	peer := p.peer(address)
 	peer.maxOpen = limit
--- a/internal/dataplane/upstream/pool_test.go
+++ b/internal/dataplane/upstream/pool_test.go
@@ -61,17 +61,17 @@
 
 func TestBound(t *testing.T) {
 	r, p := newRunner(t), newPool(t, Options{})
-	p.SetMax(r.address(), 2)
+	p.SetMaxConnections(r.address(), 2)
 	one, two := send(t, p, r.address(), get), send(t, p, r.address(), get)
 	_, err := p.Send(t.Context(), r.address(), get)
 	wantFailure(t, err, false, StepConnect, ErrNoConnection)
 	one.Abort()
 	three := send(t, p, r.address(), get)
-	p.SetMax(r.address(), 1)
+	p.SetMaxConnections(r.address(), 1)
 	two.Abort()
 	_, err = p.Send(t.Context(), r.address(), get)
 	wantFailure(t, err, false, StepConnect, ErrNoConnection)
-	p.SetMax(r.address(), 0)
+	p.SetMaxConnections(r.address(), 0)
 	send(t, p, r.address(), get).Abort()
 	three.Abort()
 	if len(p.peers) != 0 {
@@ -92,11 +92,11 @@
 		readResponse(t, e)
 		e.Finish()
 	}
-	p.SetMax(r.address(), 2)
+	p.SetMaxConnections(r.address(), 2)
 	if got := openCount(p, r.address()); got != 2 {
 		t.Fatalf("%d open after the bound was 2", got)
 	}
-	p.SetMax(r.address(), 1)
+	p.SetMaxConnections(r.address(), 1)
 	if got := openCount(p, r.address()); got != 1 {
 		t.Fatalf("%d open after the bound was 1", got)
 	}
@@ -116,7 +116,7 @@
 		on.request()
 		on.say(okResponse)
 	}
-	p.SetMax(r.address(), 2)
+	p.SetMaxConnections(r.address(), 2)
 	for _, e := range all {
 		readResponse(t, e)
 		e.Finish()
