--- a/internal/dataplane/gateway/outcome.go
+++ b/internal/dataplane/gateway/outcome.go
@@ -28,7 +28,7 @@
 	case r.client.Context().Err() != nil:
 		chosen.Cancel()
 		return outcomeFinal, reject(CodeClientLeft)
-	case errors.Is(err, upstream.ErrNoConnection):
+	case errors.Is(err, upstream.ErrConnectionLimit):
 		chosen.Rejected()
 	default:
 		chosen.Failed()
--- a/internal/dataplane/upstream/errors.go
+++ b/internal/dataplane/upstream/errors.go
@@ -7,8 +7,8 @@
 
 // Causes that errors.Is finds in the errors of this package.
 var (
-	// ErrNoConnection says that as many connections are open as SetMaxConnections allows and none of them is idle.
-	ErrNoConnection = errors.New("no connection to the runner is free")
+	// ErrConnectionLimit says that as many connections are open as SetMaxConnections allows and none of them is idle.
+	ErrConnectionLimit = errors.New("no connection to the runner is free")
 	// ErrClosed says that the pool has been closed.
 	ErrClosed = errors.New("connection pool is closed")
 	// ErrBadRequest says that a request cannot be written as HTTP/1.1.
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -145,7 +145,7 @@
 		return idle, at, at.generation, nil
 	}
 	if at.maxOpen > 0 && at.open >= at.maxOpen {
-		return nil, nil, 0, ErrNoConnection
+		return nil, nil, 0, ErrConnectionLimit
 	}
 	at.open++
 	return nil, at, at.generation, nil
