--- a/internal/dataplane/gateway/stream.go
+++ b/internal/dataplane/gateway/stream.go
@@ -60,7 +60,7 @@
 			if id != "" {
 				s.lastID = id
 			}
-		case errors.Is(err, upstream.ErrLeftover) && head.Framed:
+		case errors.Is(err, upstream.ErrIncompleteEvent) && head.Framed:
 			s.start(head)
 			s.writeEvent(event) // where the client is gone, the next read ends the attempt
 		case errors.Is(err, io.EOF) && head.Framed:
--- a/internal/dataplane/upstream/events.go
+++ b/internal/dataplane/upstream/events.go
@@ -17,8 +17,8 @@
 )
 
 var (
-	// ErrLeftover comes with what stood behind the last complete event when the stream reached its end.
-	ErrLeftover = errors.New("event stream ends within an event")
+	// ErrIncompleteEvent comes with what stood behind the last complete event when the stream reached its end.
+	ErrIncompleteEvent = errors.New("event stream ends within an event")
 	// ErrEventTooLarge says that an event is larger than MaxEventBytes.
 	ErrEventTooLarge = errors.New("event is too large")
 )
@@ -45,7 +45,7 @@
 // raw is good until the next call. Errors:
 //
 //   - io.EOF: the source ended behind the last event;
-//   - ErrLeftover: the source ended with io.EOF, but raw is a part that is no complete event; io.EOF follows;
+//   - ErrIncompleteEvent: the source ended with io.EOF, but raw is a part that is no complete event; io.EOF follows;
 //   - ErrEventTooLarge;
 //   - otherwise the source's own error, such as io.ErrUnexpectedEOF; a part that it cut off is not returned.
 func (r *EventReader) Next() (raw []byte, id string, err error) {
@@ -142,7 +142,7 @@
 	raw = r.buffer[r.eventStart:]
 	r.buffer, r.eventStart, r.lineStart, r.scanned = nil, 0, 0, 0
 	if r.err == io.EOF && len(raw) > 0 {
-		return raw, "", ErrLeftover
+		return raw, "", ErrIncompleteEvent
 	}
 	return nil, "", r.err
 }
--- a/internal/dataplane/upstream/events_test.go
+++ b/internal/dataplane/upstream/events_test.go
@@ -15,7 +15,7 @@
 // told is one response of Next.
 type told struct{ raw, id string }
 
-// readEvents reads until an error other than ErrLeftover, and gives the leftover apart.
+// readEvents reads until an error other than ErrIncompleteEvent, and gives the leftover apart.
 func readEvents(source io.Reader) (events []told, leftover string, err error) {
 	r := NewEventReader(source)
 	for {
@@ -23,7 +23,7 @@
 		switch {
 		case err == nil:
 			events = append(events, told{string(raw), id})
-		case errors.Is(err, ErrLeftover):
+		case errors.Is(err, ErrIncompleteEvent):
 			leftover = string(raw)
 		default:
 			return events, leftover, err
