--- a/internal/dataplane/upstream/body.go
+++ b/internal/dataplane/upstream/body.go
@@ -5,14 +5,14 @@
 	"io"
 )
 
-// bodyReader is the Exchange as the reader of its response's body.
+// bodyReader implements io.Reader for the response body of an Exchange.
 type bodyReader Exchange
 
-// Read reads what has come of the body, and waits where nothing has.
+// Read returns the bytes of the body that have arrived, and blocks if there are none.
 func (b *bodyReader) Read(buffer []byte) (int, error) {
 	e := (*Exchange)(b)
 	if e.state.Load() != exchangeRunning {
-		return 0, e.failure(StepReadBody, ErrExchangeOver)
+		return 0, e.sendError(StepReadBody, ErrExchangeOver)
 	}
 	n, err := e.readBody(buffer)
 	if err == nil || err == io.EOF {
@@ -21,10 +21,10 @@
 	if err = e.cause(err); err == io.ErrUnexpectedEOF {
 		return n, err
 	}
-	return n, e.failure(StepReadBody, err)
+	return n, e.sendError(StepReadBody, err)
 }
 
-// readBody reads once from the body. io.EOF is its end; cause explains any other error.
+// readBody reads once from the body. It returns io.EOF at the end of the body; other errors are still to be passed to cause.
 func (e *Exchange) readBody(buffer []byte) (n int, err error) {
 	switch {
 	case e.bodyDone:
@@ -58,16 +58,16 @@
 		return n, err
 	}
 	if n > 0 && !e.blankLineBuffered() {
-		return n, nil // the trailer is read, and perhaps waited for, next time
+		return n, nil // the next call reads the trailer, which may block
 	}
-	if err = e.readTrailer(); err != nil {
+	if err = e.discardTrailer(); err != nil {
 		return n, err
 	}
 	e.bodyDone = true
 	return n, io.EOF
 }
 
-// blankLineBuffered reports whether an empty trailer is there.
+// blankLineBuffered reports whether an empty trailer is buffered.
 func (e *Exchange) blankLineBuffered() bool {
 	if e.reader.Buffered() < 2 {
 		return false
@@ -76,10 +76,10 @@
 	return string(next) == "\r\n"
 }
 
-// readTrailer reads a chunked body's trailer away.
-func (e *Exchange) readTrailer() error {
+// discardTrailer reads and drops the trailer of a chunked body.
+func (e *Exchange) discardTrailer() error {
 	e.connection.headBytesLeft = MaxHeadBytes
-	defer func() { e.connection.headBytesLeft = noHeadBound }()
+	defer func() { e.connection.headBytesLeft = noHeadLimit }()
 	for {
 		line, err := e.reader.ReadSlice('\n')
 		if err == io.EOF {
--- a/internal/dataplane/upstream/connection.go
+++ b/internal/dataplane/upstream/connection.go
@@ -11,41 +11,42 @@
 
 const (
 	readBufferBytes = 4 << 10
-	// tcpUserTimeout is how long bytes may stay without an acknowledgement before TCP gives up.
+	// tcpUserTimeout is how long sent data may stay unacknowledged before TCP closes the connection (TCP_USER_TIMEOUT).
 	tcpUserTimeout = 10 * time.Second
 )
 
-// pastDeadline is a deadline that has passed, on the clock of whoever asks: in simulated time that is not the one
-// that the process began with.
+// pastDeadline returns a deadline that has already passed. It is computed on each call, because a caller in simulated time
+// has a different clock from the one that the process started with.
 func pastDeadline() time.Time { return time.Now().Add(-time.Second) }
 
 var responseReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBufferBytes) }}
 
-// connection is one TCP connection to a runner. At most one exchange uses it at a time.
+// connection is a TCP connection to a runner. At most one exchange uses it at a time.
 type connection struct {
 	net.Conn
-	pool          *Pool
-	peer          *peer
-	generation    int
-	expires       time.Time // when idle: not to be used from here on
-	closeOnce     sync.Once
-	probe         *socketProbe // nil: the connection is not a socket
-	closeOnCancel func()       // aborts it; made once, since each exchange needs it
+	pool       *Pool
+	peer       *peer
+	generation int
+	expires    time.Time // an idle connection is not reused from this time on
+	closeOnce  sync.Once
+	probe      *socketProbe // nil if the connection is not a socket
+	abortFunc  func()       // the abort method as a value, allocated once rather than for each exchange
 
-	headBytesLeft int   // bytes that may still be read of a head; noHeadBound outside a head
-	readErr       error // what the last failed read returned
+	headBytesLeft int   // bytes that may still be read of a head or trailer; noHeadLimit outside of them
+	readErr       error // error of the last failed read
 }
 
-const noHeadBound = -1
+// noHeadLimit as headBytesLeft means that reads are not limited.
+const noHeadLimit = -1
 
-// newConnection wraps what was dialled. pool, peer and generation tell where it is counted.
+// newConnection wraps a dialled connection, which is counted in peer as of generation.
 func newConnection(conn net.Conn, pool *Pool, peer *peer, generation int) *connection {
-	c := &connection{Conn: conn, pool: pool, peer: peer, generation: generation, probe: newSocketProbe(conn), headBytesLeft: noHeadBound}
-	c.closeOnCancel = c.abort
+	c := &connection{Conn: conn, pool: pool, peer: peer, generation: generation, probe: newSocketProbe(conn), headBytesLeft: noHeadLimit}
+	c.abortFunc = c.abort
 	return c
 }
 
-// Read reads from the network, and of a head not more than its limit.
+// Read reads from the network. It fails with ErrHeadTooLarge once headBytesLeft is used up.
 func (c *connection) Read(buffer []byte) (int, error) {
 	if c.headBytesLeft == 0 {
 		c.readErr = ErrHeadTooLarge
@@ -64,8 +65,7 @@
 	return n, err
 }
 
-// Close closes the connection once, and counts it as closed in the pool. When it returns, both are done,
-// whoever began it.
+// Close closes the connection and releases its slot in the pool, once. Concurrent calls return only when both are done.
 func (c *connection) Close() (err error) {
 	c.closeOnce.Do(func() {
 		err = c.Conn.Close()
@@ -74,23 +74,23 @@
 	return err
 }
 
-// discard closes a connection that is not used any more: an error in closing it would change nothing.
+// discard closes a connection that is no longer needed, and ignores the error.
 func (c *connection) discard() { _ = c.Close() }
 
-// abort discards a connection together with what the runner has not acknowledged of a request that was given up. A network
-// partition may hold the request back: closed in order, the connection would deliver it when the partition heals, and the
-// runner would work on it for nobody, above its tenant's quota.
+// abort closes the connection with a reset and drops the request bytes that the runner has not acknowledged yet. After an
+// orderly close during a network partition, TCP would still deliver the abandoned request once the partition heals, and the
+// runner would process it with no client waiting and beyond the tenant's quota.
 func (c *connection) abort() {
-	_ = tcp.AbortOnClose(c.Conn) // it fails on a closed connection only
+	_ = tcp.AbortOnClose(c.Conn) // fails only if the connection is closed already
 	c.discard()
 }
 
-// isUsable reports, without waiting, that the runner has neither closed the idle connection nor sent anything on it.
+// isUsable reports, without blocking, whether the idle connection is still open and the runner has sent nothing on it.
 func (c *connection) isUsable() bool {
 	if c.probe != nil {
 		return c.probe.isIdle()
 	}
-	// No socket: with a deadline that has passed, a pipe still says that its other end is closed.
+	// Not a socket, such as net.Pipe: a read past its deadline reports a closed peer rather than a timeout.
 	if c.SetReadDeadline(pastDeadline()) != nil {
 		return false
 	}
--- a/internal/dataplane/upstream/dial.go
+++ b/internal/dataplane/upstream/dial.go
@@ -10,7 +10,7 @@
 	"yarrowridge/internal/transport/tcp"
 )
 
-// dialTCP dials an IPv4 address given by number. It looks no name up.
+// dialTCP dials an IPv4 address in the form ip:port. It does not resolve host names.
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
 		return nil, eris.Wrapf(err, "address %q", address)
--- a/internal/dataplane/upstream/errors.go
+++ b/internal/dataplane/upstream/errors.go
@@ -5,28 +5,28 @@
 	"fmt"
 )
 
-// Causes that errors.Is finds in the errors of this package.
+// Errors that the errors of this package wrap.
 var (
-	// ErrConnectionLimit says that as many connections are open as SetMaxConnections allows and none of them is idle.
-	ErrConnectionLimit = errors.New("no connection to the runner is free")
-	// ErrClosed says that the pool has been closed.
+	// ErrConnectionLimit means that as many connections are open as SetMaxConnections allows, and none of them is idle.
+	ErrConnectionLimit = errors.New("connection limit of the runner is reached")
+	// ErrClosed means that the pool is closed.
 	ErrClosed = errors.New("connection pool is closed")
-	// ErrBadRequest says that a request cannot be written as HTTP/1.1.
+	// ErrBadRequest means that a request cannot be written as HTTP/1.1.
 	ErrBadRequest = errors.New("request cannot be written as HTTP/1.1")
-	// ErrMalformed says that the runner's response is not HTTP/1.1.
-	ErrMalformed = errors.New("response is not HTTP/1.1")
-	// ErrHeadTooLarge says that the head of the runner's response is larger than MaxHeadBytes.
+	// ErrMalformed means that the response of the runner is not valid HTTP/1.1.
+	ErrMalformed = errors.New("response is not valid HTTP/1.1")
+	// ErrHeadTooLarge means that the head of a response is larger than MaxHeadBytes.
 	ErrHeadTooLarge = errors.New("head of the response is too large")
-	// ErrUnrelatedResponses says that the responses of other requests were too many, too large or without an end.
-	ErrUnrelatedResponses = errors.New("responses of other requests on the connection")
-	// ErrExchangeOver says that an exchange was used after Finish or Abort.
-	ErrExchangeOver = errors.New("exchange is over")
+	// ErrUnrelatedResponses means that the responses to other requests were too many, too large or without a marked end.
+	ErrUnrelatedResponses = errors.New("unexpected responses to other requests on the connection")
+	// ErrExchangeOver means that an exchange was used after Finish or Abort.
+	ErrExchangeOver = errors.New("exchange has already ended")
 )
 
-// Step is the part of an exchange that failed.
+// Step is a step of an exchange.
 type Step string
 
-// The steps of an exchange.
+// Steps of an exchange.
 const (
 	StepEncode   Step = "encode request"
 	StepConnect  Step = "connect"
@@ -35,18 +35,18 @@
 	StepReadBody Step = "read body"
 )
 
-// SendError is a failed exchange with one runner.
+// SendError is the error of a failed exchange with a runner.
 type SendError struct {
-	Sent    bool // a byte of the request may have left; false only where none can have
-	Step    Step
-	Address string // the runner's
+	Sent    bool   // false only if no byte of the request can have been sent
+	Step    Step   // the step that failed
+	Address string // of the runner
 	Err     error
 }
 
-// Error names the step, the runner and the cause.
+// Error returns a message with the step, the runner's address and the cause.
 func (e *SendError) Error() string {
 	return fmt.Sprintf("upstream: %s, runner %s: %v", e.Step, e.Address, e.Err)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *SendError) Unwrap() error { return e.Err }
--- a/internal/dataplane/upstream/events.go
+++ b/internal/dataplane/upstream/events.go
@@ -8,53 +8,54 @@
 	"github.com/rotisserie/eris"
 )
 
-// MaxEventBytes is how large one event of a stream may be, its blank line included.
+// MaxEventBytes is the maximum size of an event, including the blank line at its end.
 const MaxEventBytes = 1 << 20
 
 const (
-	firstEventBuffer = 4 << 10 // bytes
-	maxEmptyReads    = 100     // reads that give neither a byte nor an error, in a row
+	initialEventBufferBytes = 4 << 10
+	maxEmptyReads           = 100 // consecutive reads that return neither a byte nor an error
 )
 
 var (
-	// ErrIncompleteEvent comes with what stood behind the last complete event when the stream reached its end.
+	// ErrIncompleteEvent means that the stream ended within an event. Next returns it with the bytes of that event.
 	ErrIncompleteEvent = errors.New("event stream ends within an event")
-	// ErrEventTooLarge says that an event is larger than MaxEventBytes.
+	// ErrEventTooLarge means that an event is larger than MaxEventBytes.
 	ErrEventTooLarge = errors.New("event is too large")
 )
 
-// EventReader cuts a text/event-stream into its events. Lines end with \n or \r\n. An event ends with the
-// first blank line after a field; comments and blank lines before its first field belong to it.
+// EventReader splits a text/event-stream into events. Lines end with \n or \r\n. An event ends with the first blank line
+// after a field; comments and blank lines before its first field belong to it.
 type EventReader struct {
 	source        io.Reader
 	buffer        []byte
-	eventStart    int    // of the event in the buffer
-	lineStart     int    // start of the line that is being looked at
-	scanned       int    // up to here the line has no end
-	hasField      bool   // the event has a field
-	id            []byte // the event's id as a part of the buffer
-	complete      bool   // an event reaches from start to line
-	err           error  // what the source ended with
-	pastFirstLine bool   // the first line of the stream is over
+	eventStart    int    // offset of the current event in buffer
+	lineStart     int    // offset of the current line in buffer
+	scanned       int    // buffer[lineStart:scanned] has no line end
+	hasField      bool   // the current event has a field
+	id            []byte // id of the current event; a slice of buffer
+	complete      bool   // buffer[eventStart:lineStart] is a complete event
+	err           error  // error of the source, ErrEventTooLarge or io.ErrNoProgress
+	firstLineDone bool   // the first line of the stream, which may start with a byte order mark, was read
 }
 
-// NewEventReader reads events from source, usually an Exchange's Body.
+// NewEventReader returns an EventReader that reads from source, usually the Body of an Exchange.
 func NewEventReader(source io.Reader) *EventReader { return &EventReader{source: source} }
 
-// Next gives the next event as soon as it is complete: its bytes unchanged, with the blank line, and its id ("": none).
-// raw is good until the next call. Errors:
+// Next returns the next event as soon as it is complete: its unchanged bytes, including the blank line, and its id ("" if it
+// has none). raw is valid until the next call. Errors:
 //
-//   - io.EOF: the source ended behind the last event;
-//   - ErrIncompleteEvent: the source ended with io.EOF, but raw is a part that is no complete event; io.EOF follows;
-//   - ErrEventTooLarge;
-//   - otherwise the source's own error, such as io.ErrUnexpectedEOF; a part that it cut off is not returned.
+//   - io.EOF: the source ended after a complete event;
+//   - ErrIncompleteEvent: the source ended within an event, whose bytes are returned as raw; the next call returns io.EOF;
+//   - ErrEventTooLarge: the event is larger than MaxEventBytes;
+//   - io.ErrNoProgress: the source returned neither a byte nor an error too often;
+//   - any other error of the source, such as io.ErrUnexpectedEOF; the bytes of an incomplete event are dropped.
 func (r *EventReader) Next() (raw []byte, id string, err error) {
 	for empty := 0; !r.Ready(); {
 		if len(r.buffer)-r.eventStart > MaxEventBytes {
 			r.err = eris.Wrapf(ErrEventTooLarge, "upstream: more than %d bytes", MaxEventBytes)
 		}
 		if r.err != nil {
-			return r.end()
+			return r.endResult()
 		}
 		n := r.fill()
 		if empty++; n > 0 {
@@ -74,7 +75,7 @@
 	return raw, id, nil
 }
 
-// Ready reports whether Next has a complete event without reading from the source.
+// Ready reports whether Next can return an event without reading from the source.
 func (r *EventReader) Ready() bool {
 	for !r.complete {
 		length := bytes.IndexByte(r.buffer[r.scanned:], '\n')
@@ -83,18 +84,18 @@
 			return false
 		}
 		next := r.scanned + length + 1
-		r.readLine(r.buffer[r.lineStart : next-1])
+		r.parseLine(r.buffer[r.lineStart : next-1])
 		r.lineStart, r.scanned = next, next
 	}
 	return true
 }
 
-// readLine notes what a line, without its \n, means for the event.
-func (r *EventReader) readLine(line []byte) {
+// parseLine updates the state of the current event with a line, given without its \n.
+func (r *EventReader) parseLine(line []byte) {
 	line = bytes.TrimSuffix(line, []byte("\r"))
-	if !r.pastFirstLine {
+	if !r.firstLineDone {
 		line = bytes.TrimPrefix(line, []byte("\ufeff"))
-		r.pastFirstLine = true
+		r.firstLineDone = true
 	}
 	switch {
 	case len(line) == 0:
@@ -110,7 +111,7 @@
 	}
 }
 
-// fill reads once from the source.
+// fill reads once from the source into the buffer and returns the number of bytes read.
 func (r *EventReader) fill() int {
 	r.growBuffer()
 	n, err := r.source.Read(r.buffer[len(r.buffer):cap(r.buffer)])
@@ -119,26 +120,26 @@
 	return n
 }
 
-// growBuffer moves the part of an event to the buffer's front, and makes the buffer larger when that is full.
+// growBuffer makes room in the buffer: it moves the current event to the front, and enlarges the buffer if that is full.
 func (r *EventReader) growBuffer() {
 	if len(r.buffer) < cap(r.buffer) && r.eventStart == 0 {
 		return
 	}
-	part := r.buffer[r.eventStart:]
-	into := r.buffer[:0]
-	if len(part) == cap(r.buffer) {
-		into = make([]byte, 0, max(firstEventBuffer, 2*cap(r.buffer)))
+	event := r.buffer[r.eventStart:]
+	target := r.buffer[:0]
+	if len(event) == cap(r.buffer) {
+		target = make([]byte, 0, max(initialEventBufferBytes, 2*cap(r.buffer)))
 	}
-	id := bytes.Clone(r.id) // it points into the bytes that move
-	r.buffer = append(into, part...)
+	id := bytes.Clone(r.id) // r.id refers to the bytes that are moved
+	r.buffer = append(target, event...)
 	r.id = id
 	r.lineStart -= r.eventStart
 	r.scanned -= r.eventStart
 	r.eventStart = 0
 }
 
-// end gives what is to be told once the source has ended.
-func (r *EventReader) end() (raw []byte, id string, err error) {
+// endResult returns the results of Next after an error, and drops the buffer.
+func (r *EventReader) endResult() (raw []byte, id string, err error) {
 	raw = r.buffer[r.eventStart:]
 	r.buffer, r.eventStart, r.lineStart, r.scanned = nil, 0, 0, 0
 	if r.err == io.EOF && len(raw) > 0 {
--- a/internal/dataplane/upstream/events_test.go
+++ b/internal/dataplane/upstream/events_test.go
@@ -224,7 +224,7 @@
 
 func TestEventsLikeThePlainest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		parts := rapid.SliceOf(rapid.SampledFrom([]string{"\n", "\r\n", "\r", ":", "id: 1", "id:", "id", "data: x", " ", "\x00", "\ufeff", strings.Repeat("y", firstEventBuffer-1)})).Draw(t, "parts")
+		parts := rapid.SliceOf(rapid.SampledFrom([]string{"\n", "\r\n", "\r", ":", "id: 1", "id:", "id", "data: x", " ", "\x00", "\ufeff", strings.Repeat("y", initialEventBufferBytes-1)})).Draw(t, "parts")
 		sizes := rapid.SliceOf(rapid.IntRange(0, 9000)).Draw(t, "sizes")
 		checkEvents(t, strings.Join(parts, ""), sizes)
 	})
--- a/internal/dataplane/upstream/exchange.go
+++ b/internal/dataplane/upstream/exchange.go
@@ -13,48 +13,50 @@
 	"github.com/rotisserie/eris"
 )
 
-// The states of an exchange.
+// States of an exchange.
 const (
 	exchangeRunning = iota
 	exchangeFinished
 	exchangeAborted
 )
 
-// Exchange is one request and its response on one connection. One goroutine at a time uses it; Abort may be
-// called by any. It ends with Finish or Abort.
+// Exchange is one request and its response on one connection. Only Abort is safe for concurrent use. Each exchange has to be
+// ended with Finish or Abort.
 type Exchange struct {
-	// Body gives the response's bytes as they come, after ReadHead. Its marked end is io.EOF. A body that the
-	// runner cuts short is io.ErrUnexpectedEOF; any other failure is a *SendError.
+	// Body is the response body and is set by ReadHead. Reads return bytes as they arrive and io.EOF at the end of the body.
+	// They return io.ErrUnexpectedEOF if the runner closes the connection within the body, and a *SendError for any other
+	// failure.
 	Body io.Reader
 
 	ctx             context.Context
-	detachContext   func() bool // keeps ctx from closing the connection
+	detachContext   func() bool // stops ctx from aborting the connection; false if it has already
 	connection      *connection
 	reader          *bufio.Reader
 	method          string
 	reused          bool
 	response        *http.Response
-	bodyFramed      bool
-	bodyBytesLeft   int64        // bytes of a body of known length that are still to be read
-	chunks          io.Reader    // of a chunked body, up to its last chunk
-	atTrailer       bool         // of a chunked body only the trailer is still to be read
+	bodyFramed      bool         // see Head.Framed
+	bodyBytesLeft   int64        // unread bytes of a body of known length
+	chunks          io.Reader    // decodes the chunks of a chunked body; nil for other bodies
+	atTrailer       bool         // all chunks are read, but not the trailer
 	bodyDone        bool         // the body was read to its end
-	notReusable     bool         // the connection must not be used again
+	notReusable     bool         // the connection must not be reused
 	hasReadDeadline bool         // a read deadline is set
-	state           atomic.Int32 // running, finished or aborted
+	state           atomic.Int32 // exchangeRunning, exchangeFinished or exchangeAborted
 }
 
-// Reused reports whether the connection was idle before.
+// Reused reports whether the exchange runs on a reused connection.
 func (e *Exchange) Reused() bool { return e.reused }
 
-// SetReadDeadline bounds reads of the head and the body; the zero time lifts the bound. After a read has met
-// the deadline (os.ErrDeadlineExceeded) nothing more can be read.
+// SetReadDeadline sets the deadline for reads of the head and the body; the zero time means none. The response cannot be
+// read any further after a read has failed with os.ErrDeadlineExceeded.
 func (e *Exchange) SetReadDeadline(at time.Time) error {
 	e.hasReadDeadline = !at.IsZero()
 	return e.connection.SetReadDeadline(at)
 }
 
-// cause says why the response could not be read: the context's end, the connection, or what the runner sent.
+// cause returns the reason for a failed read of the response: the end of the context, a connection error, or a malformed
+// response.
 func (e *Exchange) cause(err error) error {
 	failed := e.connection.readErr
 	switch {
@@ -68,25 +70,24 @@
 	return failed
 }
 
-// failure is an error after the request has been written.
-func (e *Exchange) failure(step Step, err error) error {
+// sendError returns a *SendError for a step after the request was written.
+func (e *Exchange) sendError(step Step, err error) error {
 	return &SendError{Sent: true, Step: step, Address: e.connection.peer.address, Err: err}
 }
 
-// Finish ends the exchange. The connection is kept for another if the body was read to its marked end, the
-// runner does not close it, and it has sent nothing more; otherwise it is closed, or aborted where the body was not read
-// to its end.
+// Finish ends the exchange. The connection becomes idle if the body was read to its marked end, the runner does not close
+// the connection, and no more bytes have arrived. Otherwise it is closed, or aborted if the body was not read to its end.
 func (e *Exchange) Finish() {
 	if !e.state.CompareAndSwap(exchangeRunning, exchangeFinished) {
 		if e.state.Load() == exchangeAborted {
-			e.connection.discard() // waits until Abort has closed it
+			e.connection.discard() // waits for a concurrent Abort to close it
 		}
 		return
 	}
-	notCancelled := e.detachContext == nil || e.detachContext()
+	detached := e.detachContext == nil || e.detachContext()
 	ttl := e.idleTTL()
 	switch {
-	case notCancelled && ttl > 0 && e.liftDeadline():
+	case detached && ttl > 0 && e.clearReadDeadline():
 		e.connection.pool.putIdle(e.connection, ttl)
 	case e.bodyDone:
 		e.connection.discard()
@@ -97,7 +98,8 @@
 	responseReaders.Put(e.reader)
 }
 
-// Abort ends the exchange and aborts its connection at once. The reader isn't kept: a Read may be running.
+// Abort ends the exchange and aborts its connection at once. It does not return the reader to its pool, because a concurrent
+// read may still use it.
 func (e *Exchange) Abort() {
 	if !e.state.CompareAndSwap(exchangeRunning, exchangeAborted) {
 		return
@@ -108,7 +110,7 @@
 	e.connection.abort()
 }
 
-// liftDeadline makes the connection fit for the next exchange.
-func (e *Exchange) liftDeadline() bool {
+// clearReadDeadline removes a read deadline, so that the connection can be reused, and reports whether it succeeded.
+func (e *Exchange) clearReadDeadline() bool {
 	return !e.hasReadDeadline || e.SetReadDeadline(time.Time{}) == nil
 }
--- a/internal/dataplane/upstream/head.go
+++ b/internal/dataplane/upstream/head.go
@@ -10,57 +10,57 @@
 )
 
 const (
-	// MaxHeadBytes is how large the head of a response may be.
+	// MaxHeadBytes is the maximum size of the head of a response.
 	MaxHeadBytes = 64 << 10
-	// MaxUnrelatedResponses is how many responses of other requests are read and dropped before the one that is waited for.
+	// MaxUnrelatedResponses is the maximum number of responses to other requests before the expected one.
 	MaxUnrelatedResponses = 2
-	// MaxUnrelatedBodyBytes is how large the body of such a response may be.
+	// MaxUnrelatedBodyBytes is the maximum size of the body of such a response.
 	MaxUnrelatedBodyBytes = 1 << 20
 
-	maxInformational = 8                      // responses with a status below 200 before the final one
-	keepAliveMargin  = 500 * time.Millisecond // how much sooner than the runner we take a connection for closed
+	maxInformationalResponses = 8                      // responses with a status below 200 before the final response
+	keepAliveMargin           = 500 * time.Millisecond // an idle connection expires this much earlier than its Keep-Alive timeout
 )
 
-// ReadResponse needs a request only to know whether the response can have a body.
+// Requests for http.ReadResponse, which uses only the method, to determine whether the response can have a body.
 var (
 	headRequest = &http.Request{Method: http.MethodHead}
 	bodyRequest = &http.Request{Method: http.MethodGet}
 )
 
-// Head is the head of a runner's response.
+// Head is the status, the header and the body framing of a response.
 type Head struct {
 	Status        int
 	Header        http.Header
-	ContentLength int64 // in bytes; -1: not told
+	ContentLength int64 // in bytes; -1 if unknown
 	Chunked       bool
-	Framed        bool // the body's end is marked; otherwise the connection's end is the body's end
+	Framed        bool // the end of the body is marked; otherwise the body ends when the connection is closed
 }
 
-// ReadHead reads the head of the response. Informational ones (1xx) are skipped. A response that accept refuses
-// belongs to another request: it is read and dropped, and the connection is not used again. accept may be nil.
-// An error is a *SendError.
+// ReadHead reads the head of the response and skips informational responses (1xx). A response for which accept returns false
+// belongs to another request: ReadHead drops it, and the connection is not reused. accept may be nil, which accepts any
+// response. Errors are of type *SendError.
 func (e *Exchange) ReadHead(accept func(status int, header http.Header) bool) (Head, error) {
 	if e.state.Load() != exchangeRunning {
-		return Head{}, e.failure(StepReadHead, ErrExchangeOver)
+		return Head{}, e.sendError(StepReadHead, ErrExchangeOver)
 	}
 	for range MaxUnrelatedResponses + 1 {
 		response, err := e.readFinalHead()
 		if err != nil {
-			return Head{}, e.failure(StepReadHead, err)
+			return Head{}, e.sendError(StepReadHead, err)
 		}
 		if accept == nil || accept(response.StatusCode, response.Header) {
 			return e.beginBody(response), nil
 		}
 		e.notReusable = true
 		if err := e.discardResponse(response); err != nil {
-			return Head{}, e.failure(StepReadHead, err)
+			return Head{}, e.sendError(StepReadHead, err)
 		}
 	}
-	return Head{}, e.failure(StepReadHead, ErrUnrelatedResponses)
+	return Head{}, e.sendError(StepReadHead, ErrUnrelatedResponses)
 }
 
-// beginBody makes response the response whose body is read. The body is not read from response.Body: that waits for a
-// chunked body's trailer before it hands over the last bytes in front of it.
+// beginBody prepares reading the body of response. The body is not read through response.Body, which waits for the trailer
+// of a chunked body before it returns the last bytes of the body.
 func (e *Exchange) beginBody(response *http.Response) Head {
 	chunked := len(response.TransferEncoding) > 0
 	e.response = response
@@ -75,16 +75,16 @@
 	return Head{response.StatusCode, response.Header, response.ContentLength, chunked, e.bodyFramed}
 }
 
-// readFinalHead reads the head of the next response that is not informational.
+// readFinalHead skips informational responses and reads the head of the final one.
 func (e *Exchange) readFinalHead() (*http.Response, error) {
 	request := bodyRequest
 	if e.method == http.MethodHead {
 		request = headRequest
 	}
-	for range maxInformational + 1 {
-		e.connection.headBytesLeft = MaxHeadBytes + readBufferBytes // the reader may take some of the body with it
+	for range maxInformationalResponses + 1 {
+		e.connection.headBytesLeft = MaxHeadBytes + readBufferBytes // the buffered reader may read part of the body as well
 		response, err := http.ReadResponse(e.reader, request)
-		e.connection.headBytesLeft = noHeadBound
+		e.connection.headBytesLeft = noHeadLimit
 		if err != nil {
 			return nil, e.cause(err)
 		}
@@ -95,13 +95,13 @@
 			return response, nil
 		}
 	}
-	return nil, eris.Wrapf(ErrMalformed, "more than %d informational responses", maxInformational)
+	return nil, eris.Wrapf(ErrMalformed, "more than %d informational responses", maxInformationalResponses)
 }
 
-// discardResponse reads a response away that is not ours.
+// discardResponse reads and drops the body of a response to another request.
 func (e *Exchange) discardResponse(response *http.Response) error {
 	if !e.beginBody(response).Framed {
-		return eris.Wrap(ErrUnrelatedResponses, "one without a marked end")
+		return eris.Wrap(ErrUnrelatedResponses, "end of a response is not marked")
 	}
 	buffer := make([]byte, readBufferBytes)
 	for total := 0; total <= MaxUnrelatedBodyBytes; {
@@ -114,5 +114,5 @@
 			return e.cause(err)
 		}
 	}
-	return eris.Wrapf(ErrUnrelatedResponses, "one larger than %d bytes", MaxUnrelatedBodyBytes)
+	return eris.Wrapf(ErrUnrelatedResponses, "body is larger than %d bytes", MaxUnrelatedBodyBytes)
 }
--- a/internal/dataplane/upstream/head_test.go
+++ b/internal/dataplane/upstream/head_test.go
@@ -22,7 +22,7 @@
 		"bad length":         {"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", ErrMalformed},
 		"another version":    {"HTTP/2.0 200 OK\r\n\r\n", ErrMalformed},
 		"switching":          {"HTTP/1.1 101 Switching Protocols\r\n\r\n", ErrMalformed},
-		"informational":      {strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInformational+1), ErrMalformed},
+		"informational":      {strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInformationalResponses+1), ErrMalformed},
 		"too large":          {"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", MaxHeadBytes+2*readBufferBytes), ErrHeadTooLarge},
 		"endless line":       {strings.Repeat("a", MaxHeadBytes+2*readBufferBytes), ErrHeadTooLarge},
 	} {
--- a/internal/dataplane/upstream/headerfields.go
+++ b/internal/dataplane/upstream/headerfields.go
@@ -9,12 +9,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// appendHeader writes the header fields that concern both ends.
+// appendHeader appends the end-to-end header fields to buffer, leaving out hop-by-hop fields and those that Request.append
+// writes itself.
 func appendHeader(buffer []byte, header http.Header) ([]byte, error) {
-	named := connectionNames(header)
+	listed := connectionOptions(header)
 	for name, values := range header {
 		canonical := textproto.CanonicalMIMEHeaderKey(name)
-		if isHopByHop(canonical) || slices.Contains(named, canonical) {
+		if isHopByHop(canonical) || slices.Contains(listed, canonical) {
 			continue
 		}
 		for _, value := range values {
@@ -30,8 +31,8 @@
 	return buffer, nil
 }
 
-// connectionNames lists the fields that the Connection header declares to concern one connection only.
-func connectionNames(header http.Header) (names []string) {
+// connectionOptions returns the names of the fields that the Connection header lists as hop-by-hop.
+func connectionOptions(header http.Header) (names []string) {
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
 			names = append(names, textproto.CanonicalMIMEHeaderKey(textproto.TrimString(name)))
@@ -40,7 +41,7 @@
 	return names
 }
 
-// isHopByHop reports whether a field concerns one connection only, or is written by this package itself.
+// isHopByHop reports whether a field is not forwarded, because it is hop-by-hop or because Request.append writes it itself.
 func isHopByHop(canonical string) bool {
 	switch canonical {
 	case "Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Host", "Content-Length":
@@ -49,7 +50,7 @@
 	return strings.HasPrefix(canonical, "Proxy-")
 }
 
-// isToken reports whether a string is a token of RFC 9110, section 5.6.2.
+// isToken reports whether a string is a token as defined by RFC 9110, section 5.6.2.
 func isToken(text string) bool {
 	for i := range len(text) {
 		b := text[i]
@@ -61,7 +62,7 @@
 	return text != ""
 }
 
-// isVisible reports whether a string has no spaces and no control characters.
+// isVisible reports whether a string is not empty and has neither spaces nor control characters.
 func isVisible(text string) bool {
 	for i := range len(text) {
 		if text[i] <= ' ' || text[i] == 0x7f {
@@ -71,7 +72,7 @@
 	return text != ""
 }
 
-// isFieldValue reports whether a string may stand as a header field's value: no control characters but tabs.
+// isFieldValue reports whether a string is valid as the value of a header field: it has no control characters except tabs.
 func isFieldValue(text string) bool {
 	for i := range len(text) {
 		if text[i] < ' ' && text[i] != '\t' || text[i] == 0x7f {
--- a/internal/dataplane/upstream/idle.go
+++ b/internal/dataplane/upstream/idle.go
@@ -4,55 +4,57 @@
 	"time"
 )
 
-// peer is what the pool knows of one runner's address.
+// peer holds the connections to one runner address. Pool.mutex guards all fields except address.
 type peer struct {
 	address    string
-	idle       []*connection // the most recently used one last
-	open       int           // connections open or being opened
-	maxOpen    int           // 0: not bounded
-	generation int           // rises when the runner is forgotten
+	idle       []*connection // in order of last use, the most recently used one last
+	open       int           // connections that are open or being dialled
+	maxOpen    int           // limit of open; 0 means no limit
+	generation int           // incremented by Forget; connections of an older generation are not reused
 }
 
-// takeIdle removes the least recently used idle connections until some number of them are left.
+// takeIdle removes and returns the least recently used idle connections until at most keep are left.
 func (r *peer) takeIdle(keep int) []*connection {
 	count := len(r.idle) - keep
 	if count <= 0 {
 		return nil
 	}
-	taken := append([]*connection(nil), r.idle[:count]...)
-	left := copy(r.idle, r.idle[count:])
-	clear(r.idle[left:])
-	r.idle = r.idle[:left]
-	return taken
+	removed := append([]*connection(nil), r.idle[:count]...)
+	remaining := copy(r.idle, r.idle[count:])
+	clear(r.idle[remaining:])
+	r.idle = r.idle[:remaining]
+	return removed
 }
 
-// closeAll closes connections. The mutex must not be held.
-func closeAll(all []*connection) {
-	for _, each := range all {
-		each.discard()
+// closeAll closes connections. The caller must not hold Pool.mutex.
+func closeAll(connections []*connection) {
+	for _, conn := range connections {
+		conn.discard()
 	}
 }
 
-// putIdle makes a connection idle for its TTL, or closes it where the pool has no use for it.
-func (p *Pool) putIdle(used *connection, ttl time.Duration) {
-	used.expires = time.Now().Add(ttl)
+// putIdle adds a connection to the idle ones for the given TTL. It closes the connection instead if the pool is closed, the
+// address was forgotten since the dial, or the connection limit is exceeded.
+func (p *Pool) putIdle(conn *connection, ttl time.Duration) {
+	conn.expires = time.Now().Add(ttl)
 	p.mutex.Lock()
-	peer := used.peer
-	useless := p.closed || used.generation != peer.generation || peer.maxOpen > 0 && peer.open > peer.maxOpen
+	peer := conn.peer
+	rejected := p.closed || conn.generation != peer.generation || peer.maxOpen > 0 && peer.open > peer.maxOpen
 	var surplus []*connection
-	if !useless {
-		peer.idle = append(peer.idle, used)
+	if !rejected {
+		peer.idle = append(peer.idle, conn)
 		surplus = peer.takeIdle(p.options.MaxIdlePerRunner)
 		p.scheduleSweep()
 	}
 	p.mutex.Unlock()
-	if useless {
-		used.discard()
+	if rejected {
+		conn.discard()
 	}
 	closeAll(surplus)
 }
 
-// scheduleSweep has idle connections closed in time, also those of a runner that is sent nothing more. The mutex is held.
+// scheduleSweep starts the timer that closes expired idle connections, including those to runners that receive no further
+// requests. The caller holds p.mutex.
 func (p *Pool) scheduleSweep() {
 	if p.sweepScheduled {
 		return
@@ -65,35 +67,35 @@
 	p.sweeper.Reset(p.options.IdleTimeout)
 }
 
-// closeExpired closes the idle connections whose time is over.
+// closeExpired closes the expired idle connections of all peers, and schedules the next sweep if any idle ones are left.
 func (p *Pool) closeExpired() {
 	now := time.Now()
 	var expired []*connection
-	left := 0
+	remaining := 0
 	p.mutex.Lock()
 	for _, peer := range p.peers {
 		expired = append(expired, peer.takeExpired(now)...)
-		left += len(peer.idle)
+		remaining += len(peer.idle)
 	}
 	p.sweepScheduled = false
-	if left > 0 && !p.closed {
+	if remaining > 0 && !p.closed {
 		p.scheduleSweep()
 	}
 	p.mutex.Unlock()
 	closeAll(expired)
 }
 
-// takeExpired removes the idle connections whose time is over.
+// takeExpired removes and returns the expired idle connections.
 func (r *peer) takeExpired(now time.Time) (expired []*connection) {
-	kept := r.idle[:0]
+	remaining := r.idle[:0]
 	for _, idle := range r.idle {
 		if now.Before(idle.expires) {
-			kept = append(kept, idle)
+			remaining = append(remaining, idle)
 		} else {
 			expired = append(expired, idle)
 		}
 	}
-	clear(r.idle[len(kept):])
-	r.idle = kept
+	clear(r.idle[len(remaining):])
+	r.idle = remaining
 	return expired
 }
--- a/internal/dataplane/upstream/keepalive.go
+++ b/internal/dataplane/upstream/keepalive.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// idleTTL is how long the connection may be idle; 0: it is to be closed.
+// idleTTL returns how long the connection may stay idle; 0 means that it cannot be reused.
 func (e *Exchange) idleTTL() time.Duration {
 	if e.response == nil || !e.bodyFramed || !e.bodyDone || e.notReusable || e.response.Close || e.reader.Buffered() > 0 {
 		return 0
@@ -19,7 +19,7 @@
 	return max(ttl, 0)
 }
 
-// keepAliveTimeout reads `Keep-Alive: timeout=N`, in seconds.
+// keepAliveTimeout returns the timeout of the header field `Keep-Alive: timeout=N`, where N is in seconds.
 func keepAliveTimeout(header http.Header) (time.Duration, bool) {
 	for _, value := range header["Keep-Alive"] {
 		for part := range strings.SplitSeq(value, ",") {
--- a/internal/dataplane/upstream/options.go
+++ b/internal/dataplane/upstream/options.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// What Options stand for where they are zero.
+// Defaults for zero fields of Options.
 const (
 	DefaultDialTimeout      = 150 * time.Millisecond
 	DefaultIdleTimeout      = 10 * time.Second
 	DefaultMaxIdlePerRunner = 32
 )
 
-// Options are the settings of a Pool. The zero value has the defaults.
+// Options are the settings of a Pool. Zero fields stand for the defaults.
 type Options struct {
 	DialTimeout      time.Duration
-	IdleTimeout      time.Duration // a runner's Keep-Alive header shortens it
+	IdleTimeout      time.Duration // the Keep-Alive header of a response can shorten it
 	MaxIdlePerRunner int
-	// Dial opens a connection; nil: TCP to an IPv4 address given by number. It must return when ctx ends.
+	// Dial opens a connection and has to return when ctx ends. If it is nil, the pool dials TCP to IPv4 addresses in the form
+	// ip:port.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Stats are the connections taken so far.
+// Stats are counters of a Pool.
 type Stats struct {
-	Dials  uint64 // connections opened, or tried to
-	Reuses uint64 // exchanges begun on a connection that was idle
+	Dials  uint64 // dial attempts, including failed ones
+	Reuses uint64 // exchanges started on an idle connection
 }
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -1,11 +1,11 @@
-// Package upstream holds the gateway's connections to runners, and carries one exchange of HTTP/1.1 on one of them.
+// Package upstream pools the gateway's connections to runners and performs HTTP/1.1 exchanges on them.
 //
-// It says exactly whether a byte of a request may have left (SendError.Sent), and sends a request on a second connection
-// only where the first one took no byte: what may be sent again beyond that is for its caller to decide. A connection
-// carries one exchange at a time and is kept only after the response was read to its marked end with nothing behind it.
+// SendError.Sent reports whether any byte of a request may have been sent. Send retries a request on another connection
+// only if not a single byte was written to the previous one; any other retry is up to the caller. A connection carries one
+// exchange at a time. It is reused only if the end of the response body was marked and reached, and no bytes followed it.
 //
-// Files: pool, idle connections and options; connection, dial, socketprobe; send and request (encoding); exchange, head,
-// body, keepalive (decoding); events (text/event-stream).
+// Source files: pool, idle, options (connection pool); connection, dial, socketprobe (connections); send, request,
+// headerfields (requests); exchange, head, body, keepalive (responses); events (text/event-stream); errors.
 package upstream
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Pool holds connections to runners. All its methods may be called at once.
+// Pool is a pool of connections to runners. Its methods are safe for concurrent use.
 type Pool struct {
 	options Options
 	dials   atomic.Uint64
@@ -27,10 +27,10 @@
 	closed         bool
 	peers          map[string]*peer
 	sweeper        *time.Timer
-	sweepScheduled bool // the sweeper is set
+	sweepScheduled bool // the sweeper timer is running
 }
 
-// New makes a pool. Close ends it.
+// New creates a pool. Call Close to release it.
 func New(options Options) *Pool {
 	if options.DialTimeout <= 0 {
 		options.DialTimeout = DefaultDialTimeout
@@ -47,54 +47,55 @@
 	return &Pool{options: options, peers: map[string]*peer{}}
 }
 
-// Close closes the idle connections. Exchanges that run go on; their connections are closed after them.
+// Close closes the idle connections. Running exchanges continue; their connections are closed when they end.
 func (p *Pool) Close() {
 	p.mutex.Lock()
 	p.closed = true
 	if p.sweeper != nil {
 		p.sweeper.Stop()
 	}
-	var all []*connection
+	var removed []*connection
 	for _, peer := range p.peers {
-		all = append(all, peer.takeIdle(0)...)
+		removed = append(removed, peer.takeIdle(0)...)
 	}
 	p.mutex.Unlock()
-	closeAll(all)
+	closeAll(removed)
 }
 
-// Forget closes the idle connections to an address, and lifts its bound. Connections in use are closed after
-// their exchange. A later Send to the address begins anew.
+// Forget closes the idle connections to an address and removes its connection limit. Connections in use are closed when
+// their exchange ends. A later Send to the address opens a new connection.
 func (p *Pool) Forget(address string) {
 	p.mutex.Lock()
-	var all []*connection
+	var removed []*connection
 	if peer := p.peers[address]; peer != nil {
 		peer.generation++
 		peer.maxOpen = 0
-		all = peer.takeIdle(0)
-		p.dropIfUnused(peer)
+		removed = peer.takeIdle(0)
+		p.deleteIfUnused(peer)
 	}
 	p.mutex.Unlock()
-	closeAll(all)
+	closeAll(removed)
 }
 
-// SetMaxConnections bounds the connections that this pool has open to an address at once; 0: not bounded.
+// SetMaxConnections limits how many connections the pool has open to an address at a time; 0 means no limit. If more are
+// open already, idle connections are closed at once and those in use when their exchange ends.
 func (p *Pool) SetMaxConnections(address string, limit int) {
 	p.mutex.Lock()
 	peer := p.peer(address)
 	peer.maxOpen = limit
-	var all []*connection
+	var removed []*connection
 	if limit > 0 && peer.open > limit {
-		all = peer.takeIdle(len(peer.idle) - min(len(peer.idle), peer.open-limit))
+		removed = peer.takeIdle(len(peer.idle) - min(len(peer.idle), peer.open-limit))
 	}
-	p.dropIfUnused(peer)
+	p.deleteIfUnused(peer)
 	p.mutex.Unlock()
-	closeAll(all)
+	closeAll(removed)
 }
 
-// Stats gives the counts so far.
+// Stats returns the counters since the pool was created.
 func (p *Pool) Stats() Stats { return Stats{Dials: p.dials.Load(), Reuses: p.reuses.Load()} }
 
-// peer finds or makes an address's entry. The mutex is held.
+// peer returns the entry of an address and creates it if there is none. The caller holds p.mutex.
 func (p *Pool) peer(address string) *peer {
 	found := p.peers[address]
 	if found == nil {
@@ -104,23 +105,23 @@
 	return found
 }
 
-// dropIfUnused deletes an entry that has nothing to remember. The mutex is held.
-func (p *Pool) dropIfUnused(peer *peer) {
+// deleteIfUnused deletes an entry that has neither open connections nor a limit. The caller holds p.mutex.
+func (p *Pool) deleteIfUnused(peer *peer) {
 	if peer.open == 0 && peer.maxOpen == 0 {
 		delete(p.peers, peer.address)
 	}
 }
 
-// acquire gives the most recently used idle connection that is clean, or a new one.
-func (p *Pool) acquire(ctx context.Context, address string) (found *connection, reused bool, err error) {
+// acquire returns the most recently used idle connection that is still usable, or else a new one.
+func (p *Pool) acquire(ctx context.Context, address string) (conn *connection, reused bool, err error) {
 	for {
 		idle, peer, generation, err := p.reserveSlot(address)
 		if err != nil {
 			return nil, false, err
 		}
 		if idle == nil {
-			found, err = p.dial(ctx, peer, generation)
-			return found, false, err
+			conn, err = p.dial(ctx, peer, generation)
+			return conn, false, err
 		}
 		if time.Now().Before(idle.expires) && idle.isUsable() {
 			p.reuses.Add(1)
@@ -130,28 +131,29 @@
 	}
 }
 
-// reserveSlot takes an idle connection out, or else counts one that the caller is to dial.
-func (p *Pool) reserveSlot(address string) (idle *connection, at *peer, generation int, err error) {
+// reserveSlot removes an idle connection from the pool and returns it. If there is none, it counts one connection as open,
+// which the caller has to dial.
+func (p *Pool) reserveSlot(address string) (idle *connection, peer *peer, generation int, err error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed {
 		return nil, nil, 0, ErrClosed
 	}
-	at = p.peer(address)
-	if last := len(at.idle) - 1; last >= 0 {
-		idle = at.idle[last]
-		at.idle[last] = nil
-		at.idle = at.idle[:last]
-		return idle, at, at.generation, nil
+	peer = p.peer(address)
+	if last := len(peer.idle) - 1; last >= 0 {
+		idle = peer.idle[last]
+		peer.idle[last] = nil
+		peer.idle = peer.idle[:last]
+		return idle, peer, peer.generation, nil
 	}
-	if at.maxOpen > 0 && at.open >= at.maxOpen {
+	if peer.maxOpen > 0 && peer.open >= peer.maxOpen {
 		return nil, nil, 0, ErrConnectionLimit
 	}
-	at.open++
-	return nil, at, at.generation, nil
+	peer.open++
+	return nil, peer, peer.generation, nil
 }
 
-// dial opens a connection that reserveSlot has counted.
+// dial opens a connection that reserveSlot has already counted.
 func (p *Pool) dial(ctx context.Context, peer *peer, generation int) (*connection, error) {
 	p.dials.Add(1)
 	ctx, cancel := context.WithTimeout(ctx, p.options.DialTimeout)
@@ -164,10 +166,10 @@
 	return newConnection(conn, p, peer, generation), nil
 }
 
-// releaseSlot counts a connection as closed.
+// releaseSlot decrements the number of open connections of a peer.
 func (p *Pool) releaseSlot(peer *peer) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	peer.open--
-	p.dropIfUnused(peer)
+	p.deleteIfUnused(peer)
 }
--- a/internal/dataplane/upstream/request.go
+++ b/internal/dataplane/upstream/request.go
@@ -8,31 +8,31 @@
 	"github.com/rotisserie/eris"
 )
 
-// Request is what goes to a runner.
+// Request is a request to a runner.
 type Request struct {
 	Method string
-	Target string // the path with its query, exactly as the client sent it
+	Target string // path and query, exactly as the client sent them
 	Host   string
-	Header http.Header // headers that concern one connection only are left out, and Content-Length is set anew
+	Header http.Header // hop-by-hop fields are not sent, and Content-Length is derived from Body
 	Body   []byte
 }
 
-// maxInlineBodyBytes is up to where a body is copied behind the head, so that both leave in one packet if they fit.
+// maxInlineBodyBytes is the largest body that is copied after the head, so that both go out in one packet if they fit.
 const maxInlineBodyBytes = 16 << 10
 
-// maxPooledBufferBytes is the largest buffer that is kept for a later request.
+// maxPooledBufferBytes is the capacity of the largest buffer that is returned to requestBuffers.
 const maxPooledBufferBytes = 64 << 10
 
 var requestBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 2<<10); return &b }}
 
-// putBuffer gives a buffer back.
+// putBuffer returns a buffer to requestBuffers unless it is too large.
 func putBuffer(buffer *[]byte) {
 	if cap(*buffer) <= maxPooledBufferBytes {
 		requestBuffers.Put(buffer)
 	}
 }
 
-// append writes the request's head, and its body where that is small. rest is what of the body is left to write.
+// append appends the head of the request to buffer, and the body if it is small. rest is a body that is still to be written.
 func (r *Request) append(buffer []byte) (head, rest []byte, err error) {
 	if !isToken(r.Method) || !isVisible(r.Target) || r.Host != "" && !isVisible(r.Host) {
 		return nil, nil, eris.Wrapf(ErrBadRequest, "method %q, target %q, host %q", r.Method, r.Target, r.Host)
@@ -58,7 +58,7 @@
 	return append(buffer, r.Body...), nil, nil
 }
 
-// needsLength reports whether a request of the method states the length of its body even when it has none.
+// needsLength reports whether a request with this method has a Content-Length field even if its body is empty.
 func needsLength(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
--- a/internal/dataplane/upstream/send.go
+++ b/internal/dataplane/upstream/send.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// writeStallTimeout is how long a large body may wait for the runner before we look whether it has answered already.
+	// writeStallTimeout is how long the write of a large request may block before Send checks for an early response.
 	writeStallTimeout = 100 * time.Millisecond
-	// earlyResponseTimeout is how long the first byte of a response is waited for after the request could not be written.
+	// earlyResponseTimeout is how long Send waits for the first byte of a response after writing the request failed.
 	earlyResponseTimeout = 50 * time.Millisecond
-	// earlyResponseReadTimeout is how long reading all of such a response may take.
+	// earlyResponseReadTimeout is how long reading the complete early response may take.
 	earlyResponseReadTimeout = 500 * time.Millisecond
 )
 
-// errEarlyResponse ends the writing of a body that the runner does not take.
+// errEarlyResponse stops writing a request that the runner has answered without reading all of it.
 var errEarlyResponse = errors.New("the runner answered before it read the complete request")
 
-// Send writes a request to a runner, on the most recently used idle connection that is proved clean or on a new
-// one. The exchange ends with ctx: its connection is then closed. An error is a *SendError. Send writes on
-// another connection only where the one before took no byte.
+// Send writes a request to a runner on the most recently used idle connection that is still usable, or on a new one. When
+// ctx ends, the connection is aborted. Send retries on another connection only if the previous one was an idle connection that
+// accepted no byte. Errors are of type *SendError.
 func (p *Pool) Send(ctx context.Context, address string, request Request) (*Exchange, error) {
 	buffer := requestBuffers.Get().(*[]byte)
 	defer putBuffer(buffer)
@@ -51,24 +51,25 @@
 		if ctx.Err() != nil {
 			err = context.Cause(ctx)
 		} else if reused && !sent {
-			continue // nothing has left: the runner closed the connection just now
+			continue // the runner closed the idle connection before any byte was written
 		}
 		return nil, &SendError{Sent: sent, Step: StepWrite, Address: address, Err: err}
 	}
 }
 
-// newExchange begins an exchange on a connection that nobody else uses.
+// newExchange starts an exchange on a connection that no other exchange uses.
 func newExchange(ctx context.Context, connection *connection, method string, reused bool) *Exchange {
 	reader := responseReaders.Get().(*bufio.Reader)
 	reader.Reset(connection)
 	e := &Exchange{ctx: ctx, connection: connection, reader: reader, method: method, reused: reused}
 	if ctx.Done() != nil {
-		e.detachContext = context.AfterFunc(ctx, connection.closeOnCancel)
+		e.detachContext = context.AfterFunc(ctx, connection.abortFunc)
 	}
 	return e
 }
 
-// write sends the request. Where it cannot be sent completely, but the runner has answered, there is no error.
+// write writes the request. An incomplete write is not an error if the runner has responded. sent reports whether any byte
+// was written.
 func (e *Exchange) write(head, rest []byte) (sent bool, err error) {
 	var count int64
 	if rest == nil {
@@ -87,14 +88,14 @@
 	return count > 0, eris.Wrapf(err, "%d bytes of the request written", count)
 }
 
-// writeLarge writes a head and a body. While the runner does not take them it looks whether a response is there.
+// writeLarge writes a head and a body. Whenever the write stalls, it checks whether the runner has already responded.
 func (c *connection) writeLarge(head, rest []byte) (written int64, err error) {
-	pieces := net.Buffers{head, rest}
+	buffers := net.Buffers{head, rest}
 	for {
 		if err = c.SetWriteDeadline(time.Now().Add(writeStallTimeout)); err != nil {
 			return written, err
 		}
-		n, err := pieces.WriteTo(c.Conn)
+		n, err := buffers.WriteTo(c.Conn)
 		written += n
 		if err == nil {
 			return written, c.SetWriteDeadline(time.Time{})
@@ -108,7 +109,7 @@
 	}
 }
 
-// hasEarlyResponse reports whether a response has come to a request that could not be written completely.
+// hasEarlyResponse reports whether the runner has responded to a request that could not be written completely.
 func (e *Exchange) hasEarlyResponse() bool {
 	e.notReusable = true
 	if e.SetReadDeadline(time.Now().Add(earlyResponseTimeout)) != nil {
--- a/internal/dataplane/upstream/socketprobe.go
+++ b/internal/dataplane/upstream/socketprobe.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// socketProbe looks into a socket's receive buffer. It is made once for each connection, since a new closure for
-// each look would be one more allocation for each exchange.
+// socketProbe peeks into the receive buffer of a socket. It is created once per connection, because a closure created for
+// each peek would cost an allocation per exchange.
 type socketProbe struct {
 	raw     syscall.RawConn
 	peek    func(descriptor uintptr) bool
@@ -15,7 +15,7 @@
 	buffer  [1]byte
 }
 
-// newSocketProbe gives nil where conn is not a socket.
+// newSocketProbe returns a probe of conn, or nil if conn is not a socket.
 func newSocketProbe(conn net.Conn) *socketProbe {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
@@ -33,7 +33,7 @@
 	return p
 }
 
-// isIdle reports whether the socket is open and nothing waits to be read.
+// isIdle reports whether the socket is open and has no data to read.
 func (p *socketProbe) isIdle() bool {
 	for {
 		if p.raw.Read(p.peek) != nil {
@@ -45,7 +45,7 @@
 	}
 }
 
-// hasData reports whether bytes wait to be read.
+// hasData reports whether the socket has data to read.
 func (p *socketProbe) hasData() bool {
 	return p.raw.Read(p.peek) == nil && p.peekErr == nil && p.peeked > 0
 }
