--- a/internal/dataplane/upstream/abort_test.go
+++ b/internal/dataplane/upstream/abort_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// A request that is given up aborts its connection, so that nothing of it is delivered later. Once the response was read to
-// its end there is nothing to give up, and the connection closes in order.
-func TestGivenUpExchangeAbortsItsConnection(t *testing.T) {
+// An abandoned request must reset its connection, so that TCP does not deliver it later, for example after a network
+// partition. After a complete response, the connection is closed in order instead.
+func TestAbandonedExchangeAbortsItsConnection(t *testing.T) {
 	const partialResponse = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok"
 	const lastResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok"
 	tests := []struct {
@@ -27,17 +27,17 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			r, p := newRunner(t), newPool(t, Options{})
+			r, p := newFakeRunner(t), newPool(t, Options{})
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			e, err := p.Send(ctx, r.address(), get)
+			e, err := p.Send(ctx, r.address(), getRequest)
 			if err != nil {
 				t.Fatal(err)
 			}
-			on := r.accept()
-			on.request()
+			conn := r.accept()
+			conn.readRequest()
 			if test.response != "" {
-				on.say(test.response)
+				conn.writeString(test.response)
 				if _, err := e.ReadHead(nil); err != nil {
 					t.Fatal(err)
 				}
@@ -46,7 +46,7 @@
 				}
 			}
 			test.end(e, cancel)
-			if _, err := on.Read(make([]byte, 1)); !errors.Is(err, test.want) {
+			if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, test.want) {
 				t.Errorf("got %v at the runner, want %v", err, test.want)
 			}
 		})
--- a/internal/dataplane/upstream/bench_test.go
+++ b/internal/dataplane/upstream/bench_test.go
@@ -17,7 +17,7 @@
 			}
 			defer func() { _ = listener.Close() }()
 			go respondAlways(listener, []byte(response))
-			p := New(Options{DialTimeout: await})
+			p := New(Options{DialTimeout: testTimeout})
 			defer p.Close()
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
--- a/internal/dataplane/upstream/body_test.go
+++ b/internal/dataplane/upstream/body_test.go
@@ -11,7 +11,7 @@
 		method, response, body string
 		length                 int64
 		chunked, framed        bool
-		kept                   bool
+		reusable               bool
 	}{
 		"length":         {"GET", okResponse, "ok", 2, false, true, true},
 		"no body":        {"GET", "HTTP/1.1 204 No Content\r\n\r\n", "", 0, false, true, true},
@@ -26,18 +26,18 @@
 		"a second whole": {"GET", okResponse + okResponse, "ok", 2, false, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, p := newRunner(t), newPool(t, Options{})
+			r, p := newFakeRunner(t), newPool(t, Options{})
 			e := send(t, p, r.address(), Request{Method: test.method, Target: "/", Host: "h"})
-			on := r.accept()
-			on.request()
-			on.say(test.response)
+			conn := r.accept()
+			conn.readRequest()
+			conn.writeString(test.response)
 			head, got := readResponse(t, e)
 			if got != test.body || head.ContentLength != test.length || head.Chunked != test.chunked || head.Framed != test.framed {
-				t.Fatalf("%+v with %q", head, got)
+				t.Fatalf("head %+v, body %q", head, got)
 			}
 			e.Finish()
-			if kept := openCount(p, r.address()) == 1; kept != test.kept {
-				t.Fatalf("kept: %v", kept)
+			if reusable := openCount(p, r.address()) == 1; reusable != test.reusable {
+				t.Fatalf("connection reusable: %v", reusable)
 			}
 			if _, err := e.Body.Read(make([]byte, 1)); !errors.Is(err, ErrExchangeOver) {
 				t.Fatalf("read after Finish: %v", err)
@@ -47,21 +47,21 @@
 }
 
 func TestUnframedResponse(t *testing.T) {
-	r, p := newRunner(t), newPool(t, Options{})
-	e := send(t, p, r.address(), get)
-	on := r.accept()
-	on.request()
-	on.say("HTTP/1.1 200 OK\r\n\r\nto the")
+	r, p := newFakeRunner(t), newPool(t, Options{})
+	e := send(t, p, r.address(), getRequest)
+	conn := r.accept()
+	conn.readRequest()
+	conn.writeString("HTTP/1.1 200 OK\r\n\r\nto the")
 	head, err := e.ReadHead(nil)
 	if err != nil || head.Framed || head.ContentLength != -1 {
 		t.Fatalf("%+v, %v", head, err)
 	}
 	first := make([]byte, 6)
 	if _, err := io.ReadFull(e.Body, first); err != nil || string(first) != "to the" {
-		t.Fatalf("%q, %v", first, err) // delivered before the end
+		t.Fatalf("%q, %v", first, err) // bytes are delivered before the body ends
 	}
-	on.say(" end")
-	_ = on.Close()
+	conn.writeString(" end")
+	_ = conn.Close()
 	rest, err := io.ReadAll(e.Body)
 	if err != nil || string(rest) != " end" {
 		t.Fatalf("%q, %v", rest, err)
@@ -72,12 +72,12 @@
 	}
 }
 
-func TestUnreadResponseIsNotKept(t *testing.T) {
-	r, p := newRunner(t), newPool(t, Options{})
-	e := send(t, p, r.address(), get)
-	on := r.accept()
-	on.request()
-	on.say(okResponse)
+func TestConnectionWithUnreadResponseIsClosed(t *testing.T) {
+	r, p := newFakeRunner(t), newPool(t, Options{})
+	e := send(t, p, r.address(), getRequest)
+	conn := r.accept()
+	conn.readRequest()
+	conn.writeString(okResponse)
 	if _, err := e.ReadHead(nil); err != nil {
 		t.Fatal(err)
 	}
@@ -85,12 +85,12 @@
 	if openCount(p, r.address()) != 0 {
 		t.Fatal("kept")
 	}
-	if _, err := on.reader.ReadByte(); err == nil {
-		t.Fatal("the runner's end is open")
+	if _, err := conn.reader.ReadByte(); err == nil {
+		t.Fatal("the runner's end of the connection is still open")
 	}
 }
 
-func TestCutBodies(t *testing.T) {
+func TestTruncatedBodies(t *testing.T) {
 	chunks := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for name, response := range map[string]string{
 		"length":           "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok",
@@ -102,23 +102,23 @@
 		"half its newline": chunks + "2\r\nok\r\n0\r\n\r",
 		"trailer":          chunks + "2\r\nok\r\n0\r\nA: b\r\n",
 	} {
-		for _, how := range []string{"closed", "reset"} {
-			t.Run(name+" "+how, func(t *testing.T) {
-				r, p := newRunner(t), newPool(t, Options{})
-				e := send(t, p, r.address(), get)
-				on := r.accept()
-				on.request()
-				on.say(response)
+		for _, ending := range []string{"closed", "reset"} {
+			t.Run(name+" "+ending, func(t *testing.T) {
+				r, p := newFakeRunner(t), newPool(t, Options{})
+				e := send(t, p, r.address(), getRequest)
+				conn := r.accept()
+				conn.readRequest()
+				conn.writeString(response)
 				if _, err := e.ReadHead(nil); err != nil {
 					t.Fatal(err)
 				}
 				if _, err := io.ReadFull(e.Body, make([]byte, 2)); err != nil {
 					t.Fatal(err)
 				}
-				if how == "reset" {
-					on.reset()
+				if ending == "reset" {
+					conn.reset()
 				} else {
-					_ = on.Close()
+					_ = conn.Close()
 				}
 				if _, err := io.ReadAll(e.Body); err != io.ErrUnexpectedEOF {
 					t.Fatal(err)
@@ -133,14 +133,14 @@
 }
 
 func TestMalformedChunk(t *testing.T) {
-	r, p := newRunner(t), newPool(t, Options{})
-	e := send(t, p, r.address(), get)
-	on := r.accept()
-	on.request()
-	on.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n")
+	r, p := newFakeRunner(t), newPool(t, Options{})
+	e := send(t, p, r.address(), getRequest)
+	conn := r.accept()
+	conn.readRequest()
+	conn.writeString("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n")
 	if _, err := e.ReadHead(nil); err != nil {
 		t.Fatal(err)
 	}
 	_, err := io.ReadAll(e.Body)
-	wantFailure(t, err, true, StepReadBody, ErrMalformed)
+	wantSendError(t, err, true, StepReadBody, ErrMalformed)
 }
--- a/internal/dataplane/upstream/cancel_test.go
+++ b/internal/dataplane/upstream/cancel_test.go
@@ -11,47 +11,47 @@
 )
 
 func TestContextEndUnblocks(t *testing.T) {
-	for _, where := range []string{"write", "head", "body"} {
-		t.Run(where, func(t *testing.T) {
-			r, p := newRunner(t), newPool(t, Options{})
+	for _, step := range []string{"write", "head", "body"} {
+		t.Run(step, func(t *testing.T) {
+			r, p := newFakeRunner(t), newPool(t, Options{})
 			ctx, cancel := context.WithCancelCause(t.Context())
 			cause := errors.New("client left")
-			request := get
-			if where == "write" {
+			request := getRequest
+			if step == "write" {
 				request.Body = make([]byte, 32<<20)
 			}
 			go func() {
-				on := r.accept()
-				switch where {
+				conn := r.accept()
+				switch step {
 				case "write":
-					_, _ = on.reader.ReadByte()
+					_, _ = conn.reader.ReadByte()
 				case "body":
-					on.request()
-					on.say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok")
-					return // the test cancels once it has read that
+					conn.readRequest()
+					conn.writeString("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok")
+					return // the test cancels after reading these bytes
 				default:
-					on.request()
+					conn.readRequest()
 				}
 				cancel(cause)
 			}()
 			e, err := p.Send(ctx, r.address(), request)
-			if where == "write" {
-				wantFailure(t, err, true, StepWrite, cause)
+			if step == "write" {
+				wantSendError(t, err, true, StepWrite, cause)
 				return
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
 			_, err = e.ReadHead(nil)
-			if where == "head" {
-				wantFailure(t, err, true, StepReadHead, cause)
+			if step == "head" {
+				wantSendError(t, err, true, StepReadHead, cause)
 			} else {
 				if _, err := io.ReadFull(e.Body, make([]byte, 2)); err != nil {
 					t.Fatal(err)
 				}
 				time.AfterFunc(time.Millisecond, func() { cancel(cause) })
 				_, err = e.Body.Read(make([]byte, 1))
-				wantFailure(t, err, true, StepReadBody, cause)
+				wantSendError(t, err, true, StepReadBody, cause)
 			}
 			e.Finish()
 			if openCount(p, r.address()) != 0 {
@@ -62,29 +62,29 @@
 }
 
 func TestContextEndAfterFinishLeavesTheConnection(t *testing.T) {
-	r, p := newRunner(t), newPool(t, Options{})
+	r, p := newFakeRunner(t), newPool(t, Options{})
 	ctx, cancel := context.WithCancel(t.Context())
-	e, err := p.Send(ctx, r.address(), get)
+	e, err := p.Send(ctx, r.address(), getRequest)
 	if err != nil {
 		t.Fatal(err)
 	}
-	on := r.accept()
-	on.request()
-	on.say(okResponse)
+	conn := r.accept()
+	conn.readRequest()
+	conn.writeString(okResponse)
 	readResponse(t, e)
 	e.Finish()
-	e.Abort() // without effect
+	e.Abort() // has no effect after Finish
 	cancel()
-	exchangeCompletely(t, p, r, on, okResponse)
+	runExchange(t, p, r, conn, okResponse)
 	wantStats(t, p, 1, 1)
 }
 
 func TestReadDeadline(t *testing.T) {
-	r, p := newRunner(t), newPool(t, Options{})
-	e := send(t, p, r.address(), get)
+	r, p := newFakeRunner(t), newPool(t, Options{})
+	e := send(t, p, r.address(), getRequest)
 	_ = e.SetReadDeadline(pastDeadline())
 	_, err := e.ReadHead(nil)
-	wantFailure(t, err, true, StepReadHead, os.ErrDeadlineExceeded)
+	wantSendError(t, err, true, StepReadHead, os.ErrDeadlineExceeded)
 	e.Finish()
 	if openCount(p, r.address()) != 0 {
 		t.Fatal("kept")
@@ -92,7 +92,7 @@
 }
 
 func TestReadDeadlineEndsWithTheExchange(t *testing.T) {
-	r := newRunner(t)
+	r := newFakeRunner(t)
 	var dialled *deadlineConn
 	p := newPool(t, Options{Dial: func(ctx context.Context, address string) (net.Conn, error) {
 		conn, err := dialTCP(ctx, address)
@@ -102,31 +102,31 @@
 		dialled = &deadlineConn{TCPConn: conn.(*net.TCPConn)}
 		return dialled, nil
 	}})
-	e := send(t, p, r.address(), get)
-	_ = e.SetReadDeadline(time.Now().Add(await))
-	on := r.accept()
-	on.request()
-	on.say(okResponse)
+	e := send(t, p, r.address(), getRequest)
+	_ = e.SetReadDeadline(time.Now().Add(testTimeout))
+	conn := r.accept()
+	conn.readRequest()
+	conn.writeString(okResponse)
 	readResponse(t, e)
 	e.Finish()
-	if !dialled.at.IsZero() {
-		t.Fatal("the deadline is still set")
+	if !dialled.readDeadline.IsZero() {
+		t.Fatal("the read deadline is still set")
 	}
-	exchangeCompletely(t, p, r, on, okResponse)
+	runExchange(t, p, r, conn, okResponse)
 	wantStats(t, p, 1, 1)
 }
 
 func TestAbortUnblocks(t *testing.T) {
-	r, p := newRunner(t), newPool(t, Options{})
-	e := send(t, p, r.address(), get)
+	r, p := newFakeRunner(t), newPool(t, Options{})
+	e := send(t, p, r.address(), getRequest)
 	go func() {
-		r.accept().request()
+		r.accept().readRequest()
 		e.Abort()
 	}()
 	_, err := e.ReadHead(nil)
-	wantFailure(t, err, true, StepReadHead, nil)
+	wantSendError(t, err, true, StepReadHead, nil)
 	_, err = e.ReadHead(nil)
-	wantFailure(t, err, true, StepReadHead, ErrExchangeOver)
+	wantSendError(t, err, true, StepReadHead, ErrExchangeOver)
 	e.Finish()
 	if openCount(p, r.address()) != 0 {
 		t.Fatal("kept")
--- a/internal/dataplane/upstream/connection_test.go
+++ b/internal/dataplane/upstream/connection_test.go
@@ -16,19 +16,19 @@
 )
 
 func TestStaleIdleConnection(t *testing.T) {
-	for name, spoil := range map[string]func(*served){
-		"closed":        func(s *served) { _ = s.Close() },
-		"half closed":   func(s *served) { _ = s.CloseWrite() },
-		"reset":         func(s *served) { s.reset() },
-		"extra byte":    func(s *served) { s.say("H") },
-		"late response": func(s *served) { s.say(okResponse) },
+	for name, makeStale := range map[string]func(*runnerConn){
+		"closed":        func(s *runnerConn) { _ = s.Close() },
+		"half closed":   func(s *runnerConn) { _ = s.CloseWrite() },
+		"reset":         func(s *runnerConn) { s.reset() },
+		"extra byte":    func(s *runnerConn) { s.writeString("H") },
+		"late response": func(s *runnerConn) { s.writeString(okResponse) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, p := newRunner(t), newPool(t, Options{})
-			on := exchangeCompletely(t, p, r, nil, okResponse)
-			spoil(on)
-			waitUnclean(t, idleConnection(t, p, r.address()))
-			exchangeCompletely(t, p, r, nil, okResponse)
+			r, p := newFakeRunner(t), newPool(t, Options{})
+			conn := runExchange(t, p, r, nil, okResponse)
+			makeStale(conn)
+			waitUntilUnusable(t, idleConnection(t, p, r.address()))
+			runExchange(t, p, r, nil, okResponse)
 			wantStats(t, p, 2, 0)
 			if openCount(p, r.address()) != 1 {
 				t.Fatal("the stale connection is still counted")
@@ -55,7 +55,7 @@
 			}
 			answered <- far
 		}()
-		e := send(t, p, "runner", get)
+		e := send(t, p, "runner", getRequest)
 		readResponse(t, e)
 		e.Finish()
 		far := <-answered
@@ -69,15 +69,15 @@
 }
 
 func TestDialRefused(t *testing.T) {
-	r, p := newRunner(t), newPool(t, Options{})
+	r, p := newFakeRunner(t), newPool(t, Options{})
 	_ = r.listener.Close()
-	_, err := p.Send(t.Context(), r.address(), get)
-	wantFailure(t, err, false, StepConnect, nil)
+	_, err := p.Send(t.Context(), r.address(), getRequest)
+	wantSendError(t, err, false, StepConnect, nil)
 	if !strings.Contains(err.Error(), r.address()) {
-		t.Fatalf("%v does not name the runner", err)
+		t.Fatalf("%v does not contain the address of the runner", err)
 	}
-	_, err = p.Send(t.Context(), "localhost:80", get)
-	wantFailure(t, err, false, StepConnect, nil) // no name is looked up
+	_, err = p.Send(t.Context(), "localhost:80", getRequest)
+	wantSendError(t, err, false, StepConnect, nil) // host names are not resolved
 	if len(p.peers) != 0 {
 		t.Fatal("a failed dial is still counted")
 	}
@@ -90,18 +90,18 @@
 			return nil, ctx.Err()
 		}})
 		defer p.Close()
-		began := time.Now()
-		_, err := p.Send(t.Context(), "runner", get)
-		wantFailure(t, err, false, StepConnect, context.DeadlineExceeded)
-		if took := time.Since(began); took != DefaultDialTimeout {
-			t.Fatalf("took %v", took)
+		start := time.Now()
+		_, err := p.Send(t.Context(), "runner", getRequest)
+		wantSendError(t, err, false, StepConnect, context.DeadlineExceeded)
+		if elapsed := time.Since(start); elapsed != DefaultDialTimeout {
+			t.Fatalf("dial timed out after %v", elapsed)
 		}
 	})
 }
 
 func TestSocketOptions(t *testing.T) {
-	r, p := newRunner(t), newPool(t, Options{})
-	e := send(t, p, r.address(), get)
+	r, p := newFakeRunner(t), newPool(t, Options{})
+	e := send(t, p, r.address(), getRequest)
 	raw, err := e.connection.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dataplane/upstream/events_test.go
+++ b/internal/dataplane/upstream/events_test.go
@@ -12,17 +12,17 @@
 	"pgregory.net/rapid"
 )
 
-// told is one response of Next.
-type told struct{ raw, id string }
+// parsedEvent is an event as returned by Next.
+type parsedEvent struct{ raw, id string }
 
-// readEvents reads until an error other than ErrIncompleteEvent, and gives the leftover apart.
-func readEvents(source io.Reader) (events []told, leftover string, err error) {
+// readEvents reads events until an error other than ErrIncompleteEvent. leftover is the incomplete event at the end.
+func readEvents(source io.Reader) (events []parsedEvent, leftover string, err error) {
 	r := NewEventReader(source)
 	for {
 		raw, id, err := r.Next()
 		switch {
 		case err == nil:
-			events = append(events, told{string(raw), id})
+			events = append(events, parsedEvent{string(raw), id})
 		case errors.Is(err, ErrIncompleteEvent):
 			leftover = string(raw)
 		default:
@@ -31,31 +31,31 @@
 	}
 }
 
-// pieces is a source whose reads end where the pieces end.
-type pieces struct {
-	left []string
-	end  error
+// segmentReader is an io.Reader whose reads do not cross the end of a segment. After the last segment it returns end.
+type segmentReader struct {
+	segments []string
+	end      error
 }
 
-func (p *pieces) Read(b []byte) (int, error) {
-	if len(p.left) == 0 {
-		return 0, p.end
+func (r *segmentReader) Read(b []byte) (int, error) {
+	if len(r.segments) == 0 {
+		return 0, r.end
 	}
-	n := copy(b, p.left[0])
-	if p.left[0] = p.left[0][n:]; p.left[0] == "" {
-		p.left = p.left[1:]
+	n := copy(b, r.segments[0])
+	if r.segments[0] = r.segments[0][n:]; r.segments[0] == "" {
+		r.segments = r.segments[1:]
 	}
 	return n, nil
 }
 
-const stream = "\ufeffid: first\ndata: a\n\n" +
+const testStream = "\ufeffid: first\ndata: a\n\n" +
 	"\n: comment\n\ndata: b\r\n\r\n" +
 	"id:3\r\ndata\n\r\n" +
 	"id: 4\nid: 5\ndata: c\n\n" +
 	"id\n\n" +
 	"id: a\x00b\n\n"
 
-var streamEvents = []told{
+var testStreamEvents = []parsedEvent{
 	{"\ufeffid: first\ndata: a\n\n", "first"},
 	{"\n: comment\n\ndata: b\r\n\r\n", ""},
 	{"id:3\r\ndata\n\r\n", "3"},
@@ -65,49 +65,49 @@
 }
 
 func TestEventsSplitAnywhere(t *testing.T) {
-	for first := 0; first <= len(stream); first++ {
-		for second := first; second <= len(stream); second++ {
-			source := &pieces{[]string{stream[:first], stream[first:second], stream[second:]}, io.EOF}
+	for first := 0; first <= len(testStream); first++ {
+		for second := first; second <= len(testStream); second++ {
+			source := &segmentReader{[]string{testStream[:first], testStream[first:second], testStream[second:]}, io.EOF}
 			events, leftover, err := readEvents(source)
-			if !reflect.DeepEqual(events, streamEvents) || leftover != "" || err != io.EOF {
+			if !reflect.DeepEqual(events, testStreamEvents) || leftover != "" || err != io.EOF {
 				t.Fatalf("split at %d and %d: %q, leftover %q, %v", first, second, events, leftover, err)
 			}
 		}
 	}
-	events, _, err := readEvents(iotest.OneByteReader(strings.NewReader(stream)))
-	if !reflect.DeepEqual(events, streamEvents) || err != io.EOF {
+	events, _, err := readEvents(iotest.OneByteReader(strings.NewReader(testStream)))
+	if !reflect.DeepEqual(events, testStreamEvents) || err != io.EOF {
 		t.Fatalf("%q, %v", events, err)
 	}
-	events, _, err = readEvents(iotest.DataErrReader(strings.NewReader(stream)))
-	if !reflect.DeepEqual(events, streamEvents) || err != io.EOF {
+	events, _, err = readEvents(iotest.DataErrReader(strings.NewReader(testStream)))
+	if !reflect.DeepEqual(events, testStreamEvents) || err != io.EOF {
 		t.Fatalf("%q, %v", events, err)
 	}
 }
 
 func TestEventsEndAnywhere(t *testing.T) {
-	for at := range len(stream) {
-		wantEvents, part := []told(nil), stream[:at]
-		for _, event := range streamEvents {
-			if !strings.HasPrefix(part, event.raw) {
+	for at := range len(testStream) {
+		wantEvents, remainder := []parsedEvent(nil), testStream[:at]
+		for _, event := range testStreamEvents {
+			if !strings.HasPrefix(remainder, event.raw) {
 				break
 			}
 			wantEvents = append(wantEvents, event)
-			part = part[len(event.raw):]
+			remainder = remainder[len(event.raw):]
 		}
 		for _, end := range []error{io.EOF, io.ErrUnexpectedEOF} {
-			wantPart := part
+			wantLeftover := remainder
 			if end != io.EOF {
-				wantPart = ""
+				wantLeftover = ""
 			}
-			events, leftover, err := readEvents(&pieces{[]string{stream[:at]}, end})
-			if !reflect.DeepEqual(events, wantEvents) || leftover != wantPart || err != end {
+			events, leftover, err := readEvents(&segmentReader{[]string{testStream[:at]}, end})
+			if !reflect.DeepEqual(events, wantEvents) || leftover != wantLeftover || err != end {
 				t.Fatalf("end %v at %d: %q, leftover %q, %v", end, at, events, leftover, err)
 			}
 		}
 	}
 }
 
-func TestEventIsGivenAsSoonAsItIsWhole(t *testing.T) {
+func TestEventIsReturnedOnceComplete(t *testing.T) {
 	near, far := io.Pipe()
 	defer func() { _ = near.Close() }()
 	written := make(chan struct{})
@@ -130,24 +130,24 @@
 		t.Fatalf("%q, %v", raw, err)
 	}
 	if r.Ready() {
-		t.Fatal("a part is ready")
+		t.Fatal("an incomplete event is ready")
 	}
 }
 
 func TestEventSize(t *testing.T) {
-	atMost := "data: " + strings.Repeat("a", MaxEventBytes-len("data: \n\n")) + "\n\n"
-	for _, whole := range []bool{true, false} {
+	largestEvent := "data: " + strings.Repeat("a", MaxEventBytes-len("data: \n\n")) + "\n\n"
+	for _, singleRead := range []bool{true, false} {
 		for _, test := range []struct {
 			text string
 			want error
-		}{{atMost, io.EOF}, {"x" + atMost, ErrEventTooLarge}, {strings.Repeat("a", MaxEventBytes+1), ErrEventTooLarge}} {
-			source := &pieces{[]string{"data: before\n\n" + test.text + "data: after\n\n"}, io.EOF}
-			if !whole {
-				text := source.left[0]
-				source.left = nil
+		}{{largestEvent, io.EOF}, {"x" + largestEvent, ErrEventTooLarge}, {strings.Repeat("a", MaxEventBytes+1), ErrEventTooLarge}} {
+			source := &segmentReader{[]string{"data: before\n\n" + test.text + "data: after\n\n"}, io.EOF}
+			if !singleRead {
+				text := source.segments[0]
+				source.segments = nil
 				for len(text) > 0 {
 					n := min(1000, len(text))
-					source.left, text = append(source.left, text[:n]), text[n:]
+					source.segments, text = append(source.segments, text[:n]), text[n:]
 				}
 			}
 			events, leftover, err := readEvents(source)
@@ -156,13 +156,13 @@
 				count = 3
 			}
 			if len(events) != count || leftover != "" || !errors.Is(err, test.want) {
-				t.Fatalf("%d events, %d bytes left, %v", len(events), len(leftover), err)
+				t.Fatalf("%d events, leftover of %d bytes, %v", len(events), len(leftover), err)
 			}
 		}
 	}
 }
 
-func TestEventsFromASourceThatGivesNothing(t *testing.T) {
+func TestEventsFromSourceWithoutProgress(t *testing.T) {
 	r := NewEventReader(readerFunc(func([]byte) (int, error) { return 0, nil }))
 	if _, _, err := r.Next(); err != io.ErrNoProgress {
 		t.Fatal(err)
@@ -173,9 +173,9 @@
 
 func (f readerFunc) Read(b []byte) (int, error) { return f(b) }
 
-// plainEvents cuts a whole stream in the plainest way, to compare with.
-func plainEvents(text string) (events []told, leftover string) {
-	var event told
+// referenceEvents splits a complete stream in the simplest way. Its result is compared with that of EventReader.
+func referenceEvents(text string) (events []parsedEvent, leftover string) {
+	var event parsedEvent
 	field, first := false, true
 	for text != "" {
 		end := strings.IndexByte(text, '\n') + 1
@@ -189,7 +189,7 @@
 		first = false
 		event.raw, text = event.raw+text[:end], text[end:]
 		if line == "" && field {
-			events, event, field = append(events, event), told{}, false
+			events, event, field = append(events, event), parsedEvent{}, false
 			continue
 		}
 		if line == "" || line[0] == ':' {
@@ -205,24 +205,26 @@
 	return events, event.raw
 }
 
+// checkEvents compares EventReader with referenceEvents on text. A segment is one byte longer than its entry in sizes, which
+// repeats; without sizes, text is a single segment.
 func checkEvents(t interface{ Fatalf(string, ...any) }, text string, sizes []int) {
-	source := &pieces{end: io.EOF}
+	source := &segmentReader{end: io.EOF}
 	left := text
 	for i := 0; left != ""; i++ {
 		n := len(left)
 		if len(sizes) > 0 {
 			n = min(n, 1+sizes[i%len(sizes)])
 		}
-		source.left, left = append(source.left, left[:n]), left[n:]
+		source.segments, left = append(source.segments, left[:n]), left[n:]
 	}
-	want, wantLeftover := plainEvents(text)
+	want, wantLeftover := referenceEvents(text)
 	events, leftover, err := readEvents(source)
 	if !reflect.DeepEqual(events, want) || leftover != wantLeftover || err != io.EOF {
-		t.Fatalf("%q in pieces %v: %q, leftover %q, %v; want %q, %q", text, sizes, events, leftover, err, want, wantLeftover)
+		t.Fatalf("%q in segments %v: %q, leftover %q, %v; want %q, %q", text, sizes, events, leftover, err, want, wantLeftover)
 	}
 }
 
-func TestEventsLikeThePlainest(t *testing.T) {
+func TestEventsMatchReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		parts := rapid.SliceOf(rapid.SampledFrom([]string{"\n", "\r\n", "\r", ":", "id: 1", "id:", "id", "data: x", " ", "\x00", "\ufeff", strings.Repeat("y", initialEventBufferBytes-1)})).Draw(t, "parts")
 		sizes := rapid.SliceOf(rapid.IntRange(0, 9000)).Draw(t, "sizes")
@@ -231,11 +233,11 @@
 }
 
 func FuzzEventReader(f *testing.F) {
-	f.Add([]byte(stream), []byte{0})
+	f.Add([]byte(testStream), []byte{0})
 	f.Add([]byte("data: a\r\n\r\nid: 2"), []byte{})
-	f.Fuzz(func(t *testing.T, text, pieces []byte) {
+	f.Fuzz(func(t *testing.T, text, segmentSizes []byte) {
 		var sizes []int
-		for _, size := range pieces {
+		for _, size := range segmentSizes {
 			sizes = append(sizes, int(size))
 		}
 		checkEvents(t, string(text), sizes)
--- a/internal/dataplane/upstream/fakerunner_test.go
+++ b/internal/dataplane/upstream/fakerunner_test.go
@@ -14,27 +14,27 @@
 	"time"
 )
 
-// runner is a scripted peer: a listener whose accepted connections the test plays by hand.
-type runner struct {
+// fakeRunner is a runner whose end of each connection is scripted by the test.
+type fakeRunner struct {
 	t        *testing.T
 	listener net.Listener
-	accepted chan *served
+	accepted chan *runnerConn
 }
 
-// served is the runner's end of one connection.
-type served struct {
+// runnerConn is the runner's end of a connection.
+type runnerConn struct {
 	*net.TCPConn
 	t      *testing.T
 	reader *bufio.Reader
 }
 
-func newRunner(t *testing.T) *runner {
+func newFakeRunner(t *testing.T) *fakeRunner {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &runner{t, listener, make(chan *served, 100)}
-	var all []*served
+	r := &fakeRunner{t, listener, make(chan *runnerConn, 100)}
+	var all []*runnerConn
 	var done sync.WaitGroup
 	done.Go(func() {
 		for {
@@ -42,65 +42,65 @@
 			if err != nil {
 				return
 			}
-			one := &served{conn.(*net.TCPConn), t, bufio.NewReader(conn)}
-			all = append(all, one)
-			r.accepted <- one
+			runnerEnd := &runnerConn{conn.(*net.TCPConn), t, bufio.NewReader(conn)}
+			all = append(all, runnerEnd)
+			r.accepted <- runnerEnd
 		}
 	})
 	t.Cleanup(func() {
 		_ = listener.Close()
 		done.Wait()
-		for _, one := range all {
-			_ = one.Close()
+		for _, conn := range all {
+			_ = conn.Close()
 		}
 	})
 	return r
 }
 
-func (r *runner) address() string { return r.listener.Addr().String() }
+func (r *fakeRunner) address() string { return r.listener.Addr().String() }
 
-func (r *runner) accept() *served {
+func (r *fakeRunner) accept() *runnerConn {
 	r.t.Helper()
 	select {
-	case one := <-r.accepted:
-		_ = one.SetDeadline(time.Now().Add(await))
-		return one
-	case <-time.After(await):
-		r.t.Fatal("no connection came")
+	case conn := <-r.accepted:
+		_ = conn.SetDeadline(time.Now().Add(testTimeout))
+		return conn
+	case <-time.After(testTimeout):
+		r.t.Fatal("no connection was accepted in time")
 		return nil
 	}
 }
 
-// request reads one request whole.
-func (s *served) request() (*http.Request, string) {
+// readRequest reads a complete request and returns it with its body.
+func (s *runnerConn) readRequest() (*http.Request, string) {
 	s.t.Helper()
 	request, err := http.ReadRequest(s.reader)
 	if err != nil {
-		s.t.Fatalf("runner reads the request: %v", err)
+		s.t.Fatalf("runner failed to read the request: %v", err)
 	}
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
-		s.t.Fatalf("runner reads the body: %v", err)
+		s.t.Fatalf("runner failed to read the request body: %v", err)
 	}
 	return request, string(body)
 }
 
-func (s *served) say(text string) {
+func (s *runnerConn) writeString(text string) {
 	s.t.Helper()
 	if _, err := io.WriteString(s.TCPConn, text); err != nil {
-		s.t.Fatalf("runner writes: %v", err)
+		s.t.Fatalf("runner failed to write: %v", err)
 	}
 }
 
-// reset closes the connection with RST.
-func (s *served) reset() {
+// reset closes the connection with a TCP reset.
+func (s *runnerConn) reset() {
 	_ = s.SetLinger(0)
 	_ = s.Close()
 }
 
 func newPool(t *testing.T, options Options) *Pool {
 	if options.DialTimeout == 0 {
-		options.DialTimeout = await
+		options.DialTimeout = testTimeout
 	}
 	p := New(options)
 	t.Cleanup(p.Close)
@@ -130,18 +130,18 @@
 	return head, string(body)
 }
 
-// exchangeCompletely runs one whole exchange and gives the runner's end of the connection.
-func exchangeCompletely(t *testing.T, p *Pool, r *runner, on *served, response string) *served {
+// runExchange runs a complete exchange, on a new connection if conn is nil, and returns the runner's end of the connection.
+func runExchange(t *testing.T, p *Pool, r *fakeRunner, conn *runnerConn, response string) *runnerConn {
 	t.Helper()
-	e := send(t, p, r.address(), get)
-	if on == nil {
-		on = r.accept()
+	e := send(t, p, r.address(), getRequest)
+	if conn == nil {
+		conn = r.accept()
 	}
-	on.request()
-	on.say(response)
+	conn.readRequest()
+	conn.writeString(response)
 	readResponse(t, e)
 	e.Finish()
-	return on
+	return conn
 }
 
 func wantStats(t *testing.T, p *Pool, dials, reuses uint64) {
@@ -151,21 +151,21 @@
 	}
 }
 
-func wantFailure(t *testing.T, err error, sent bool, step Step, cause error) {
+func wantSendError(t *testing.T, err error, sent bool, step Step, cause error) {
 	t.Helper()
 	var failed *SendError
 	if !errors.As(err, &failed) {
-		t.Fatalf("%v is no SendError", err)
+		t.Fatalf("%v is not a SendError", err)
 	}
 	if failed.Sent != sent || failed.Step != step {
-		t.Fatalf("%v: sent %v at %q, want %v at %q", err, failed.Sent, failed.Step, sent, step)
+		t.Fatalf("%v: sent %v in step %q, want %v in step %q", err, failed.Sent, failed.Step, sent, step)
 	}
 	if cause != nil && !errors.Is(err, cause) {
-		t.Fatalf("%v is not caused by %v", err, cause)
+		t.Fatalf("%v does not wrap %v", err, cause)
 	}
 }
 
-// openCount is how many connections the pool counts at an address.
+// openCount returns the number of connections to an address that the pool counts as open.
 func openCount(p *Pool, address string) int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -186,14 +186,14 @@
 	return idle[len(idle)-1]
 }
 
-// waitUnclean waits until what the runner did to an idle connection has arrived.
-func waitUnclean(t *testing.T, c *connection) {
+// waitUntilUnusable waits until data or the end of the connection has arrived from the runner on an idle connection.
+func waitUntilUnusable(t *testing.T, c *connection) {
 	t.Helper()
-	look := newSocketProbe(c.Conn)
-	_ = c.SetReadDeadline(time.Now().Add(await))
-	err := look.raw.Read(func(descriptor uintptr) bool {
-		look.peek(descriptor)
-		return look.peekErr != syscall.EAGAIN
+	probe := newSocketProbe(c.Conn)
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
+	err := probe.raw.Read(func(descriptor uintptr) bool {
+		probe.peek(descriptor)
+		return probe.peekErr != syscall.EAGAIN
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -201,7 +201,7 @@
 	_ = c.SetReadDeadline(time.Time{})
 }
 
-// pipeRunner dials runners that response each request in the same way.
+// pipeRunner returns a Dial function for in-memory connections to a runner that answers each request with response.
 func pipeRunner(response string) func(context.Context, string) (net.Conn, error) {
 	return func(context.Context, string) (net.Conn, error) {
 		near, far := net.Pipe()
@@ -220,7 +220,7 @@
 	}
 }
 
-// brokenConn fails to write after some bytes.
+// brokenConn is a connection whose writes fail after the given number of bytes.
 type brokenConn struct {
 	net.Conn
 	written int
@@ -236,34 +236,34 @@
 
 func (b brokenConn) SetWriteDeadline(time.Time) error { return nil }
 
-func responseOf(id, body string) string {
+func responseWithID(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func isMine(_ int, header http.Header) bool { return header.Get("X-Id") == "mine" }
+func isExpectedResponse(_ int, header http.Header) bool { return header.Get("X-Id") == "mine" }
 
-// deadlineConn remembers the read deadline.
+// deadlineConn records the read deadline that was set last.
 type deadlineConn struct {
 	*net.TCPConn
-	at time.Time
+	readDeadline time.Time
 }
 
 func (d *deadlineConn) SetReadDeadline(at time.Time) error {
-	d.at = at
+	d.readDeadline = at
 	return d.TCPConn.SetReadDeadline(at)
 }
 
-// script is a connection whose response is written beforehand.
-type script struct {
+// scriptedConn is a connection that accepts any request and then delivers a fixed response.
+type scriptedConn struct {
 	brokenConn
 	response io.Reader
 }
 
-func (s script) Write(b []byte) (int, error) { return len(b), nil }
+func (s scriptedConn) Write(b []byte) (int, error) { return len(b), nil }
 
-func (s script) Read(b []byte) (int, error) { return s.response.Read(b) }
+func (s scriptedConn) Read(b []byte) (int, error) { return s.response.Read(b) }
 
-// respondAlways responses requests that come one at a time, without allocating.
+// respondAlways answers each read on one connection with response, without allocating.
 func respondAlways(listener net.Listener, response []byte) {
 	conn, err := listener.Accept()
 	if err != nil {
@@ -281,9 +281,9 @@
 	}
 }
 
-// await bounds what a test waits for; it is met only by a test that fails.
-const await = 10 * time.Second
+// testTimeout limits each wait in a test. Only a failing test reaches it.
+const testTimeout = 10 * time.Second
 
-var get = Request{Method: "GET", Target: "/a?b=c", Host: "example.org"}
+var getRequest = Request{Method: "GET", Target: "/a?b=c", Host: "example.org"}
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
--- a/internal/dataplane/upstream/head_test.go
+++ b/internal/dataplane/upstream/head_test.go
@@ -27,14 +27,14 @@
 		"endless line":       {strings.Repeat("a", MaxHeadBytes+2*readBufferBytes), ErrHeadTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, p := newRunner(t), newPool(t, Options{})
-			e := send(t, p, r.address(), get)
-			on := r.accept()
-			on.request()
-			on.say(test.response)
-			_ = on.CloseWrite()
+			r, p := newFakeRunner(t), newPool(t, Options{})
+			e := send(t, p, r.address(), getRequest)
+			conn := r.accept()
+			conn.readRequest()
+			conn.writeString(test.response)
+			_ = conn.CloseWrite()
 			_, err := e.ReadHead(nil)
-			wantFailure(t, err, true, StepReadHead, test.cause)
+			wantSendError(t, err, true, StepReadHead, test.cause)
 			e.Finish()
 			if openCount(p, r.address()) != 0 {
 				t.Fatal("kept")
@@ -44,12 +44,12 @@
 }
 
 func TestLargeHeadIsRead(t *testing.T) {
-	r, p := newRunner(t), newPool(t, Options{})
-	e := send(t, p, r.address(), get)
-	on := r.accept()
-	on.request()
+	r, p := newFakeRunner(t), newPool(t, Options{})
+	e := send(t, p, r.address(), getRequest)
+	conn := r.accept()
+	conn.readRequest()
 	start, end := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nA: ", "\r\n\r\n"
-	on.say(start + strings.Repeat("a", MaxHeadBytes-len(start)-len(end)) + end + "ok")
+	conn.writeString(start + strings.Repeat("a", MaxHeadBytes-len(start)-len(end)) + end + "ok")
 	if _, body := readResponse(t, e); body != "ok" {
 		t.Fatal(body)
 	}
@@ -59,30 +59,30 @@
 	chunked := "HTTP/1.1 200 OK\r\nX-Id: old\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nold\r\n0\r\n\r\n"
 	for name, test := range map[string]struct {
 		responses string
-		cause     error // nil: ours is found
+		cause     error // nil if the expected response is found
 	}{
-		"one":             {responseOf("old", "old") + responseOf("mine", "mine"), nil},
-		"two":             {responseOf("old", "old") + chunked + responseOf("mine", "mine"), nil},
-		"three":           {responseOf("old", "") + responseOf("old", "") + responseOf("old", "") + responseOf("mine", "mine"), ErrUnrelatedResponses},
-		"large":           {responseOf("old", strings.Repeat("a", MaxUnrelatedBodyBytes)) + responseOf("mine", "mine"), nil},
-		"too large":       {responseOf("old", strings.Repeat("a", MaxUnrelatedBodyBytes+1)) + responseOf("mine", "mine"), ErrUnrelatedResponses},
+		"one":             {responseWithID("old", "old") + responseWithID("mine", "mine"), nil},
+		"two":             {responseWithID("old", "old") + chunked + responseWithID("mine", "mine"), nil},
+		"three":           {responseWithID("old", "") + responseWithID("old", "") + responseWithID("old", "") + responseWithID("mine", "mine"), ErrUnrelatedResponses},
+		"large":           {responseWithID("old", strings.Repeat("a", MaxUnrelatedBodyBytes)) + responseWithID("mine", "mine"), nil},
+		"too large":       {responseWithID("old", strings.Repeat("a", MaxUnrelatedBodyBytes+1)) + responseWithID("mine", "mine"), ErrUnrelatedResponses},
 		"without an end":  {"HTTP/1.1 200 OK\r\nX-Id: old\r\n\r\nold", ErrUnrelatedResponses},
 		"cut":             {"HTTP/1.1 200 OK\r\nX-Id: old\r\nContent-Length: 9\r\n\r\nold", io.ErrUnexpectedEOF},
-		"and nothing":     {responseOf("old", "old"), io.ErrUnexpectedEOF},
+		"and nothing":     {responseWithID("old", "old"), io.ErrUnexpectedEOF},
 		"malformed chunk": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n", ErrMalformed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, p := newRunner(t), newPool(t, Options{})
-			e := send(t, p, r.address(), get)
-			on := r.accept()
-			on.request()
+			r, p := newFakeRunner(t), newPool(t, Options{})
+			e := send(t, p, r.address(), getRequest)
+			conn := r.accept()
+			conn.readRequest()
 			go func() {
-				_, _ = io.WriteString(on.TCPConn, test.responses) // fails where the exchange gives up before its end
-				_ = on.CloseWrite()
+				_, _ = io.WriteString(conn.TCPConn, test.responses) // fails if the exchange ends before it has read all responses
+				_ = conn.CloseWrite()
 			}()
-			_, err := e.ReadHead(isMine)
+			_, err := e.ReadHead(isExpectedResponse)
 			if test.cause != nil {
-				wantFailure(t, err, true, StepReadHead, test.cause)
+				wantSendError(t, err, true, StepReadHead, test.cause)
 			} else if err != nil {
 				t.Fatal(err)
 			} else if body, err := io.ReadAll(e.Body); err != nil || string(body) != "mine" {
@@ -99,20 +99,20 @@
 func FuzzReadHead(f *testing.F) {
 	f.Add([]byte(okResponse))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"))
-	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\n" + responseOf("old", "old") + responseOf("mine", "mine")))
+	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\n" + responseWithID("old", "old") + responseWithID("mine", "mine")))
 	f.Add([]byte("HTTP/1.0 404\r\n\r\nx"))
 	f.Fuzz(func(t *testing.T, response []byte) {
 		p := New(Options{Dial: func(context.Context, string) (net.Conn, error) {
-			return script{response: strings.NewReader(string(response))}, nil
+			return scriptedConn{response: strings.NewReader(string(response))}, nil
 		}})
 		defer p.Close()
-		e, err := p.Send(context.Background(), "runner", get)
+		e, err := p.Send(context.Background(), "runner", getRequest)
 		if err != nil {
 			t.Fatal(err)
 		}
-		head, err := e.ReadHead(isMine)
+		head, err := e.ReadHead(isExpectedResponse)
 		if err != nil {
-			wantFailure(t, err, true, StepReadHead, nil)
+			wantSendError(t, err, true, StepReadHead, nil)
 		} else {
 			if head.Status < 200 || head.Status > 999 {
 				t.Fatalf("status %d", head.Status)
@@ -122,7 +122,7 @@
 				t.Fatalf("%d bytes of %d", len(body), head.ContentLength)
 			}
 			if err != nil && err != io.ErrUnexpectedEOF {
-				wantFailure(t, err, true, StepReadBody, nil)
+				wantSendError(t, err, true, StepReadBody, nil)
 			}
 		}
 		e.Finish()
--- a/internal/dataplane/upstream/idle.go
+++ b/internal/dataplane/upstream/idle.go
@@ -14,15 +14,15 @@
 }
 
 // takeIdle removes and returns the least recently used idle connections until at most keep are left.
-func (r *peer) takeIdle(keep int) []*connection {
-	count := len(r.idle) - keep
+func (p *peer) takeIdle(keep int) []*connection {
+	count := len(p.idle) - keep
 	if count <= 0 {
 		return nil
 	}
-	removed := append([]*connection(nil), r.idle[:count]...)
-	remaining := copy(r.idle, r.idle[count:])
-	clear(r.idle[remaining:])
-	r.idle = r.idle[:remaining]
+	removed := append([]*connection(nil), p.idle[:count]...)
+	remaining := copy(p.idle, p.idle[count:])
+	clear(p.idle[remaining:])
+	p.idle = p.idle[:remaining]
 	return removed
 }
 
@@ -86,16 +86,16 @@
 }
 
 // takeExpired removes and returns the expired idle connections.
-func (r *peer) takeExpired(now time.Time) (expired []*connection) {
-	remaining := r.idle[:0]
-	for _, idle := range r.idle {
+func (p *peer) takeExpired(now time.Time) (expired []*connection) {
+	remaining := p.idle[:0]
+	for _, idle := range p.idle {
 		if now.Before(idle.expires) {
 			remaining = append(remaining, idle)
 		} else {
 			expired = append(expired, idle)
 		}
 	}
-	clear(r.idle[len(remaining):])
-	r.idle = remaining
+	clear(p.idle[len(remaining):])
+	p.idle = remaining
 	return expired
 }
--- a/internal/dataplane/upstream/pool_test.go
+++ b/internal/dataplane/upstream/pool_test.go
@@ -13,80 +13,80 @@
 )
 
 func TestMostRecentlyUsedFirst(t *testing.T) {
-	r, p := newRunner(t), newPool(t, Options{})
-	one, two := send(t, p, r.address(), get), send(t, p, r.address(), get)
+	r, p := newFakeRunner(t), newPool(t, Options{})
+	firstExchange, secondExchange := send(t, p, r.address(), getRequest), send(t, p, r.address(), getRequest)
 	first, second := r.accept(), r.accept()
-	for _, on := range []*served{first, second} {
-		on.request()
-		on.say(okResponse)
-	}
-	byPort := map[string]*served{first.RemoteAddr().String(): first, second.RemoteAddr().String(): second}
-	readResponse(t, two)
-	two.Finish()
-	readResponse(t, one)
-	last := one.connection
-	one.Finish()
-	on := byPort[last.LocalAddr().String()]
+	for _, conn := range []*runnerConn{first, second} {
+		conn.readRequest()
+		conn.writeString(okResponse)
+	}
+	byPort := map[string]*runnerConn{first.RemoteAddr().String(): first, second.RemoteAddr().String(): second}
+	readResponse(t, secondExchange)
+	secondExchange.Finish()
+	readResponse(t, firstExchange)
+	last := firstExchange.connection
+	firstExchange.Finish()
+	conn := byPort[last.LocalAddr().String()]
 	for range 3 {
-		exchangeCompletely(t, p, r, on, okResponse)
+		runExchange(t, p, r, conn, okResponse)
 	}
 	wantStats(t, p, 2, 3)
-	_ = on.Close()
-	waitUnclean(t, last)
+	_ = conn.Close()
+	waitUntilUnusable(t, last)
 	other := first
-	if on == first {
+	if conn == first {
 		other = second
 	}
-	exchangeCompletely(t, p, r, other, okResponse) // the stale one is skipped, the older one is clean
+	runExchange(t, p, r, other, okResponse) // skips the stale connection and reuses the older one
 	wantStats(t, p, 2, 4)
 }
 
 func TestSurplusIdleConnectionsAreClosed(t *testing.T) {
-	r, p := newRunner(t), newPool(t, Options{MaxIdlePerRunner: 1})
+	r, p := newFakeRunner(t), newPool(t, Options{MaxIdlePerRunner: 1})
 	var all []*Exchange
 	for range 3 {
-		all = append(all, send(t, p, r.address(), get))
-		on := r.accept()
-		on.request()
-		on.say(okResponse)
+		all = append(all, send(t, p, r.address(), getRequest))
+		conn := r.accept()
+		conn.readRequest()
+		conn.writeString(okResponse)
 	}
 	for _, e := range all {
 		readResponse(t, e)
 		e.Finish()
 	}
 	if got := openCount(p, r.address()); got != 1 {
-		t.Fatalf("%d open", got)
+		t.Fatalf("%d connections open", got)
 	}
 }
 
-func TestBound(t *testing.T) {
-	r, p := newRunner(t), newPool(t, Options{})
+func TestConnectionLimit(t *testing.T) {
+	r, p := newFakeRunner(t), newPool(t, Options{})
 	p.SetMaxConnections(r.address(), 2)
-	one, two := send(t, p, r.address(), get), send(t, p, r.address(), get)
-	_, err := p.Send(t.Context(), r.address(), get)
-	wantFailure(t, err, false, StepConnect, ErrConnectionLimit)
+	one, two := send(t, p, r.address(), getRequest), send(t, p, r.address(), getRequest)
+	_, err := p.Send(t.Context(), r.address(), getRequest)
+	wantSendError(t, err, false, StepConnect, ErrConnectionLimit)
 	one.Abort()
-	three := send(t, p, r.address(), get)
+	three := send(t, p, r.address(), getRequest)
 	p.SetMaxConnections(r.address(), 1)
 	two.Abort()
-	_, err = p.Send(t.Context(), r.address(), get)
-	wantFailure(t, err, false, StepConnect, ErrConnectionLimit)
+	_, err = p.Send(t.Context(), r.address(), getRequest)
+	wantSendError(t, err, false, StepConnect, ErrConnectionLimit)
 	p.SetMaxConnections(r.address(), 0)
-	send(t, p, r.address(), get).Abort()
+	send(t, p, r.address(), getRequest).Abort()
 	three.Abort()
 	if len(p.peers) != 0 {
-		t.Fatalf("%v is still known", p.peers)
+		t.Fatalf("peers not deleted: %v", p.peers)
 	}
 }
 
-func TestLoweredBoundClosesIdle(t *testing.T) {
-	r, p := newRunner(t), newPool(t, Options{})
+func TestLoweredLimitClosesIdleConnections(t *testing.T) {
+	r, p := newFakeRunner(t), newPool(t, Options{})
 	var all []*Exchange
 	for range 3 {
-		all = append(all, send(t, p, r.address(), get))
-		on := r.accept()
-		on.request()
-		on.say(okResponse)
+		all = append(all, send(t, p, r.address(), getRequest))
+		conn := r.accept()
+		conn.readRequest()
+		conn.writeString(okResponse)
 	}
 	for _, e := range all[:2] {
 		readResponse(t, e)
@@ -94,27 +94,27 @@
 	}
 	p.SetMaxConnections(r.address(), 2)
 	if got := openCount(p, r.address()); got != 2 {
-		t.Fatalf("%d open after the bound was 2", got)
+		t.Fatalf("%d connections open with a limit of 2", got)
 	}
 	p.SetMaxConnections(r.address(), 1)
 	if got := openCount(p, r.address()); got != 1 {
-		t.Fatalf("%d open after the bound was 1", got)
+		t.Fatalf("%d connections open with a limit of 1", got)
 	}
 	readResponse(t, all[2])
 	all[2].Finish()
 	if got := openCount(p, r.address()); got != 1 {
-		t.Fatalf("%d open in the end", got)
+		t.Fatalf("%d connections open after the last exchange", got)
 	}
 }
 
-func TestLoweredBoundClosesAfterUse(t *testing.T) {
-	r, p := newRunner(t), newPool(t, Options{})
+func TestLoweredLimitClosesConnectionsAfterUse(t *testing.T) {
+	r, p := newFakeRunner(t), newPool(t, Options{})
 	var all []*Exchange
 	for range 3 {
-		all = append(all, send(t, p, r.address(), get))
-		on := r.accept()
-		on.request()
-		on.say(okResponse)
+		all = append(all, send(t, p, r.address(), getRequest))
+		conn := r.accept()
+		conn.readRequest()
+		conn.writeString(okResponse)
 	}
 	p.SetMaxConnections(r.address(), 2)
 	for _, e := range all {
@@ -122,39 +122,39 @@
 		e.Finish()
 	}
 	if got := openCount(p, r.address()); got != 2 {
-		t.Fatalf("%d open", got)
+		t.Fatalf("%d connections open", got)
 	}
 }
 
 func TestForget(t *testing.T) {
-	r, p := newRunner(t), newPool(t, Options{})
-	used := send(t, p, r.address(), get)
+	r, p := newFakeRunner(t), newPool(t, Options{})
+	used := send(t, p, r.address(), getRequest)
 	busy := r.accept()
-	exchangeCompletely(t, p, r, nil, okResponse)
+	runExchange(t, p, r, nil, okResponse)
 	p.Forget(r.address())
 	if got := openCount(p, r.address()); got != 1 {
-		t.Fatalf("%d open", got)
+		t.Fatalf("%d connections open", got)
 	}
-	busy.request()
-	busy.say(okResponse)
+	busy.readRequest()
+	busy.writeString(okResponse)
 	readResponse(t, used)
 	used.Finish()
 	if len(p.peers) != 0 {
-		t.Fatalf("%v is still known", p.peers)
+		t.Fatalf("peers not deleted: %v", p.peers)
 	}
-	exchangeCompletely(t, p, r, nil, okResponse)
+	runExchange(t, p, r, nil, okResponse)
 	wantStats(t, p, 3, 0)
 }
 
 func TestClosedPool(t *testing.T) {
-	r, p := newRunner(t), newPool(t, Options{})
-	used := send(t, p, r.address(), get)
+	r, p := newFakeRunner(t), newPool(t, Options{})
+	used := send(t, p, r.address(), getRequest)
 	busy := r.accept()
 	p.Close()
-	_, err := p.Send(t.Context(), r.address(), get)
-	wantFailure(t, err, false, StepConnect, ErrClosed)
-	busy.request()
-	busy.say(okResponse)
+	_, err := p.Send(t.Context(), r.address(), getRequest)
+	wantSendError(t, err, false, StepConnect, ErrClosed)
+	busy.readRequest()
+	busy.writeString(okResponse)
 	readResponse(t, used)
 	used.Finish()
 	if openCount(p, r.address()) != 0 {
@@ -165,7 +165,7 @@
 func TestIdleTimes(t *testing.T) {
 	for name, test := range map[string]struct {
 		header string
-		keep   time.Duration
+		ttl    time.Duration
 	}{
 		"ours":             {"", DefaultIdleTimeout},
 		"the runner's":     {"Keep-Alive: timeout=5, max=100\r\n", 5*time.Second - keepAliveMargin},
@@ -178,15 +178,15 @@
 				p := New(Options{Dial: pipeRunner("HTTP/1.1 200 OK\r\n" + test.header + "Content-Length: 2\r\n\r\nok")})
 				defer p.Close()
 				run := func() {
-					e := send(t, p, "runner", get)
+					e := send(t, p, "runner", getRequest)
 					readResponse(t, e)
 					e.Finish()
 				}
 				run()
-				time.Sleep(test.keep - 1) // simulated time
+				time.Sleep(test.ttl - 1) // simulated time
 				run()
 				wantStats(t, p, 1, 1)
-				time.Sleep(test.keep)
+				time.Sleep(test.ttl)
 				run()
 				wantStats(t, p, 2, 1)
 				time.Sleep(2*DefaultIdleTimeout + 1)
@@ -199,7 +199,7 @@
 	}
 }
 
-func TestManyAtOnce(t *testing.T) {
+func TestConcurrentExchanges(t *testing.T) {
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		body, _ := io.ReadAll(q.Body)
 		_, _ = w.Write(append([]byte(q.Header.Get("X-Id")+" "), body...))
@@ -235,6 +235,6 @@
 	}
 	all.Wait()
 	if got := openCount(p, listener.Addr().String()); got > 4 {
-		t.Fatalf("%d open", got)
+		t.Fatalf("%d connections open", got)
 	}
 }
--- a/internal/dataplane/upstream/send_test.go
+++ b/internal/dataplane/upstream/send_test.go
@@ -10,11 +10,11 @@
 )
 
 func TestCancelledBeforeSending(t *testing.T) {
-	r, p := newRunner(t), newPool(t, Options{})
+	r, p := newFakeRunner(t), newPool(t, Options{})
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err := p.Send(ctx, r.address(), get)
-	wantFailure(t, err, false, StepConnect, context.Canceled)
+	_, err := p.Send(ctx, r.address(), getRequest)
+	wantSendError(t, err, false, StepConnect, context.Canceled)
 	wantStats(t, p, 0, 0)
 }
 
@@ -25,7 +25,7 @@
 				return brokenConn{written: written}, nil
 			}})
 			_, err := p.Send(t.Context(), "runner", Request{Method: "POST", Target: "/", Body: make([]byte, size)})
-			wantFailure(t, err, sent, StepWrite, io.ErrClosedPipe)
+			wantSendError(t, err, sent, StepWrite, io.ErrClosedPipe)
 			if len(p.peers) != 0 {
 				t.Fatal("the connection is still counted")
 			}
@@ -34,42 +34,42 @@
 }
 
 func TestIdleConnectionThatTakesNoByteIsReplaced(t *testing.T) {
-	r, p := newRunner(t), newPool(t, Options{})
-	exchangeCompletely(t, p, r, nil, okResponse)
+	r, p := newFakeRunner(t), newPool(t, Options{})
+	runExchange(t, p, r, nil, okResponse)
 	idle := idleConnection(t, p, r.address())
 	idle.Conn = brokenConn{written: 0}
-	exchangeCompletely(t, p, r, nil, okResponse)
+	runExchange(t, p, r, nil, okResponse)
 	wantStats(t, p, 2, 1)
 }
 
 func TestResetAfterTheWrite(t *testing.T) {
-	r, p := newRunner(t), newPool(t, Options{})
-	on := exchangeCompletely(t, p, r, nil, okResponse)
-	e := send(t, p, r.address(), get)
-	on.request()
-	on.reset()
+	r, p := newFakeRunner(t), newPool(t, Options{})
+	conn := runExchange(t, p, r, nil, okResponse)
+	e := send(t, p, r.address(), getRequest)
+	conn.readRequest()
+	conn.reset()
 	_, err := e.ReadHead(nil)
-	wantFailure(t, err, true, StepReadHead, io.ErrUnexpectedEOF)
-	wantStats(t, p, 1, 1) // no second try
+	wantSendError(t, err, true, StepReadHead, io.ErrUnexpectedEOF)
+	wantStats(t, p, 1, 1) // the request is not retried
 }
 
 func TestEarlyResponse(t *testing.T) {
 	early := "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 4\r\n\r\nbusy"
-	for name, leave := range map[string]func(*served){
-		"and open":   func(*served) {},
-		"and closed": func(s *served) { _ = s.Close() },
+	for name, leave := range map[string]func(*runnerConn){
+		"and open":   func(*runnerConn) {},
+		"and closed": func(s *runnerConn) { _ = s.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, p := newRunner(t), newPool(t, Options{})
+			r, p := newFakeRunner(t), newPool(t, Options{})
 			go func() {
-				on := r.accept()
-				if _, err := on.reader.ReadByte(); err != nil {
-					return // the request has begun to arrive
+				conn := r.accept()
+				if _, err := conn.reader.ReadByte(); err != nil {
+					return // ReadByte only waits for the start of the request
 				}
-				_, _ = io.WriteString(on.TCPConn, early)
-				leave(on)
+				_, _ = io.WriteString(conn.TCPConn, early)
+				leave(conn)
 			}()
-			ctx, cancel := context.WithTimeout(t.Context(), tcpUserTimeout/2) // else TCP would end the write
+			ctx, cancel := context.WithTimeout(t.Context(), tcpUserTimeout/2) // before TCP_USER_TIMEOUT could end the write
 			defer cancel()
 			e, err := p.Send(ctx, r.address(), Request{Method: "POST", Target: "/", Host: "h", Body: make([]byte, 32<<20)})
 			if err != nil {
@@ -88,23 +88,23 @@
 }
 
 func TestSlowlyReadBodyIsSentCompletely(t *testing.T) {
-	r, p := newRunner(t), newPool(t, Options{})
+	r, p := newFakeRunner(t), newPool(t, Options{})
 	const size = 32 << 20
 	var got int
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		on := r.accept()
-		<-time.After(3 * writeStallTimeout) // longer than one write's patience: that is what is tested
-		_, body := on.request()
+		conn := r.accept()
+		<-time.After(3 * writeStallTimeout) // the write stalls several times before the body is read
+		_, body := conn.readRequest()
 		got = len(body)
-		_, _ = io.WriteString(on.TCPConn, okResponse)
+		_, _ = io.WriteString(conn.TCPConn, okResponse)
 	}()
 	e := send(t, p, r.address(), Request{Method: "POST", Target: "/", Host: "h", Body: make([]byte, size)})
 	readResponse(t, e)
 	e.Finish()
 	<-done
 	if got != size || openCount(p, r.address()) != 1 {
-		t.Fatalf("%d bytes, %d open", got, openCount(p, r.address()))
+		t.Fatalf("%d bytes received, %d connections open", got, openCount(p, r.address()))
 	}
 }
