--- a/internal/dataplane/upstream/keepalive.go
+++ b/internal/dataplane/upstream/keepalive.go
@@ -22,8 +22,8 @@
 // keepAliveTimeout returns the timeout of the header field `Keep-Alive: timeout=N`, where N is in seconds.
 func keepAliveTimeout(header http.Header) (time.Duration, bool) {
 	for _, value := range header["Keep-Alive"] {
-		for part := range strings.SplitSeq(value, ",") {
-			name, number, _ := strings.Cut(strings.TrimSpace(part), "=")
+		for parameter := range strings.SplitSeq(value, ",") {
+			name, number, _ := strings.Cut(strings.TrimSpace(parameter), "=")
 			if !strings.EqualFold(strings.TrimSpace(name), "timeout") {
 				continue
 			}
