--- a/internal/dataplane/gateway/outcome.go
+++ b/internal/dataplane/gateway/outcome.go
@@ -28,7 +28,7 @@
 	case r.httpRequest.Context().Err() != nil:
 		attempt.Cancel()
 		return outcomeFinal, reject(CodeClientDisconnected)
-	case errors.Is(err, upstream.ErrNoConnection):
+	case errors.Is(err, upstream.ErrConnectionLimit):
 		attempt.Rejected()
 	default:
 		attempt.Failed()
--- a/internal/dataplane/gateway/send.go
+++ b/internal/dataplane/gateway/send.go
@@ -19,7 +19,7 @@
 	}
 	header := r.httpRequest.Header.Clone()
 	r.gateway.Dialect.WriteRequest(header, meta)
-	r.gateway.Pool.SetMax(info.Address, r.maxConnections())
+	r.gateway.Pool.SetMaxConnections(info.Address, r.maxConnections())
 	return r.gateway.Pool.Send(ctx, info.Address, upstream.Request{Method: r.httpRequest.Method, Target: r.httpRequest.RequestURI,
 		Host: r.httpRequest.Host, Header: header, Body: r.body})
 }
--- a/internal/dataplane/gateway/stream.go
+++ b/internal/dataplane/gateway/stream.go
@@ -61,7 +61,7 @@
 			if id != "" {
 				s.lastID = id
 			}
-		case errors.Is(err, upstream.ErrLeftover) && head.Framed:
+		case errors.Is(err, upstream.ErrIncompleteEvent) && head.Framed:
 			s.start(head)
 			s.writeEvent(event) // a write error is ignored: the next read returns io.EOF and ends the attempt
 		case errors.Is(err, io.EOF) && head.Framed:
