--- a/internal/dataplane/allow/allow.go
+++ b/internal/dataplane/allow/allow.go
@@ -68,8 +68,8 @@
 	MayLower bool // the client allows lowering
 }
 
-// Verdict is the decision, taken once when the prompt arrives.
-type Verdict struct {
+// Decision is the decision, taken once when the prompt arrives.
+type Decision struct {
 	Outcome Outcome
 	Tokens  int // output it may have
 	Size    int // the allowance it was held against
@@ -77,8 +77,8 @@
 }
 
 // Decide judges a prompt. estimates are of the runners eligible at the asked length.
-func Decide(rule fleetconfig.Allowance, demand Demand, estimates []Estimate, waiting float64) Verdict {
-	verdict := Verdict{Tokens: demand.Tokens, Size: rule.Floor}
+func Decide(rule fleetconfig.Allowance, demand Demand, estimates []Estimate, waiting float64) Decision {
+	verdict := Decision{Tokens: demand.Tokens, Size: rule.Floor}
 	if len(estimates) > 0 {
 		verdict.Wait = Wait(rule, estimates, waiting)
 		verdict.Size = Size(rule, verdict.Wait)
--- a/internal/dataplane/clientapi/admission.go
+++ b/internal/dataplane/clientapi/admission.go
@@ -48,7 +48,7 @@
 
 // judgeAllowance holds the output asked for against the free output allowance, and lowers it where the
 // client lets us.
-func (e *exchange) judgeAllowance() (allow.Verdict, error) {
+func (e *exchange) judgeAllowance() (allow.Decision, error) {
 	waiting, estimates := e.workAhead()
 	demand := allow.Demand{Funded: e.tenant.Funded, Tokens: e.maxTokens, MayLower: gjson.GetBytes(e.body, "allow_downgrade").Bool()}
 	verdict := allow.Decide(e.config.Allowance, demand, estimates, waiting)
