--- a/internal/dataplane/allow/allow.go
+++ b/internal/dataplane/allow/allow.go
@@ -70,28 +70,28 @@
 
 // Decision is the decision, taken once when the prompt arrives.
 type Decision struct {
-	Outcome Outcome
-	Tokens  int // output it may have
-	Size    int // the allowance it was held against
-	Wait    time.Duration
+	Outcome   Outcome
+	Tokens    int // output it may have
+	Allowance int // the allowance it was held against
+	Wait      time.Duration
 }
 
 // Decide judges a prompt. estimates are of the runners eligible at the asked length.
 func Decide(rule fleetconfig.Allowance, demand Demand, estimates []Estimate, waiting float64) Decision {
-	verdict := Decision{Tokens: demand.Tokens, Size: rule.Floor}
+	verdict := Decision{Tokens: demand.Tokens, Allowance: rule.Floor}
 	if len(estimates) > 0 {
 		verdict.Wait = Wait(rule, estimates, waiting)
-		verdict.Size = Size(rule, verdict.Wait)
+		verdict.Allowance = Size(rule, verdict.Wait)
 	}
 	switch {
 	case demand.Funded:
 		verdict.Outcome = Funded
-	case demand.Tokens <= verdict.Size:
+	case demand.Tokens <= verdict.Allowance:
 		verdict.Outcome = Free
 	case len(estimates) == 0:
 		verdict.Outcome = NoRunner
-	case demand.MayLower && verdict.Size > 0:
-		verdict.Outcome, verdict.Tokens = Lowered, verdict.Size
+	case demand.MayLower && verdict.Allowance > 0:
+		verdict.Outcome, verdict.Tokens = Lowered, verdict.Allowance
 	default:
 		verdict.Outcome = NoFunds
 	}
--- a/internal/dataplane/allow/allow_test.go
+++ b/internal/dataplane/allow/allow_test.go
@@ -70,8 +70,8 @@
 		got := Decide(r, demand, estimates, waiting)
 		out, tokens := plain(r, demand, estimates, waiting)
 		// A wait in whole nanoseconds may move the line by one token; a prompt just there may go either way.
-		if got.Outcome != out && math.Abs(float64(got.Size-demand.Tokens)) > 1 {
-			t.Fatalf("outcome %s, the model says %s (allowance %d)", got.Outcome, out, got.Size)
+		if got.Outcome != out && math.Abs(float64(got.Allowance-demand.Tokens)) > 1 {
+			t.Fatalf("outcome %s, the model says %s (allowance %d)", got.Outcome, out, got.Allowance)
 		}
 		if got.Outcome == out && math.Abs(float64(got.Tokens-tokens)) > 1 {
 			t.Fatalf("tokens %d, the model says %d", got.Tokens, tokens)
@@ -88,7 +88,7 @@
 		q := float64(rapid.IntRange(0, 100000).Draw(t, "queued"))
 		v := float64(rapid.IntRange(1, 500).Draw(t, "rate"))
 		more := float64(rapid.IntRange(0, 100000).Draw(t, "more"))
-		at := func(q, v float64) int { return Decide(rule, Demand{Tokens: 1}, []Estimate{{q, v}}, 0).Size }
+		at := func(q, v float64) int { return Decide(rule, Demand{Tokens: 1}, []Estimate{{q, v}}, 0).Allowance }
 		if at(q+more, v) > at(q, v) || at(q, v+more) < at(q, v) {
 			t.Fatalf("queued %g rate %g more %g: not monotone", q, v, more)
 		}
--- a/internal/dataplane/clientapi/admission.go
+++ b/internal/dataplane/clientapi/admission.go
@@ -38,7 +38,7 @@
 		if err != nil {
 			return err
 		}
-		note = fmt.Sprintf("%s, allowance %d, wait %.1f s", verdict.Outcome, verdict.Size, verdict.Wait.Seconds())
+		note = fmt.Sprintf("%s, allowance %d, wait %.1f s", verdict.Outcome, verdict.Allowance, verdict.Wait.Seconds())
 	}
 	if err := e.reserveUnits(); err != nil {
 		return err
@@ -53,12 +53,12 @@
 	demand := allow.Demand{Funded: e.tenant.Funded, Tokens: e.maxTokens, MayLower: gjson.GetBytes(e.body, "allow_downgrade").Bool()}
 	verdict := allow.Decide(e.config.Allowance, demand, estimates, waiting)
 	e.estimatedWait = verdict.Wait
-	e.server.Metrics.AllowanceDecisions.WithLabelValues(e.tenantKind(), string(verdict.Outcome), allow.Bucket(e.maxTokens), allow.Bucket(verdict.Size)).Inc()
+	e.server.Metrics.AllowanceDecisions.WithLabelValues(e.tenantKind(), string(verdict.Outcome), allow.Bucket(e.maxTokens), allow.Bucket(verdict.Allowance)).Inc()
 	e.server.Metrics.AllowanceWait.WithLabelValues(e.tenantKind()).Observe(verdict.Wait.Seconds())
 	switch verdict.Outcome {
 	case allow.NoFunds:
 		return verdict, &Rejection{Status: 402, Code: CodeAllowanceExceeded, RetryAfter: e.retryAfter(),
-			Message: fmt.Sprintf("The free output allowance is %d tokens now; %d were asked for. Ask for less, or later, or use funds.", verdict.Size, e.maxTokens)}
+			Message: fmt.Sprintf("The free output allowance is %d tokens now; %d were asked for. Ask for less, or later, or use funds.", verdict.Allowance, e.maxTokens)}
 	case allow.NoRunner:
 		return verdict, &Rejection{Status: 503, Code: CodeNoRunner, RetryAfter: 5 * time.Second,
 			Message: fmt.Sprintf("No runner that is ready serves model %s with %d tokens of output.", e.model, e.maxTokens)}
