--- a/internal/dataplane/allow/allow.go
+++ b/internal/dataplane/allow/allow.go
@@ -37,8 +37,8 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// Size is the allowance in tokens for a wait: the ceiling, then a straight line, then the floor.
-func Size(rule fleetconfig.Allowance, wait time.Duration) int {
+// Allowance is the allowance in tokens for a wait: the ceiling, then a straight line, then the floor.
+func Allowance(rule fleetconfig.Allowance, wait time.Duration) int {
 	switch {
 	case wait <= rule.FullUntil:
 		return rule.Ceiling
@@ -81,7 +81,7 @@
 	verdict := Decision{Tokens: demand.Tokens, Allowance: rule.Floor}
 	if len(estimates) > 0 {
 		verdict.Wait = Wait(rule, estimates, waiting)
-		verdict.Allowance = Size(rule, verdict.Wait)
+		verdict.Allowance = Allowance(rule, verdict.Wait)
 	}
 	switch {
 	case demand.Funded:
--- a/internal/dataplane/allow/allow_test.go
+++ b/internal/dataplane/allow/allow_test.go
@@ -15,7 +15,7 @@
 // The curve at its thresholds, between them and past them.
 func TestCurve(t *testing.T) {
 	for seconds, want := range map[float64]int{0: 4096, 59.9: 4096, 60: 4096, 120: 3200, 180: 2304, 240: 1408, 299.999: 513, 300: 512, 301: 512, 1e6: 512} {
-		if got := Size(rule, time.Duration(seconds*float64(time.Second))); got != want {
+		if got := Allowance(rule, time.Duration(seconds*float64(time.Second))); got != want {
 			t.Errorf("wait %g s: allowance %d, %d expected", seconds, got, want)
 		}
 	}
--- a/internal/dataplane/gateway/allowance_test.go
+++ b/internal/dataplane/gateway/allowance_test.go
@@ -19,7 +19,7 @@
 	}{
 		{0, 8000}, {200 * time.Millisecond, 8000}, {600 * time.Millisecond, 4500}, {time.Second, 1000}, {time.Minute, 1000},
 	} {
-		if got := allow.Size(rule, c.wait); got != c.size {
+		if got := allow.Allowance(rule, c.wait); got != c.size {
 			t.Errorf("allowance after a wait of %s: got %d tokens, want %d", c.wait, got, c.size)
 		}
 	}
