--- a/internal/dataplane/allow/lengths.go
+++ b/internal/dataplane/allow/lengths.go
@@ -20,8 +20,8 @@
 	r.received += float64(min(came, asked))
 }
 
-// Share is the part of what is asked for that is likely to come: all, until enough was seen.
-func (r *LengthRatio) Share() float64 {
+// Ratio is the part of what is asked for that is likely to come: all, until enough was seen.
+func (r *LengthRatio) Ratio() float64 {
 	if r.responses < minRatioResponses || r.asked <= 0 {
 		return 1
 	}
@@ -54,5 +54,5 @@
 	if l.byLane[lane] == nil {
 		return asked
 	}
-	return int(float64(asked)*l.byLane[lane].Share() + 0.5)
+	return int(float64(asked)*l.byLane[lane].Ratio() + 0.5)
 }
--- a/internal/dataplane/runner/load.go
+++ b/internal/dataplane/runner/load.go
@@ -33,7 +33,7 @@
 	if report := instance.report; report.Capacity > 0 && report.MaxTokens > 0 && report.Queued > report.Capacity*report.MaxTokens {
 		return queued, 0 // more than it can hold: not believed
 	}
-	return queued, max(0, float64(instance.report.Queued)-time.Since(instance.reportedAt).Seconds()*max(rate/instance.speed.lengths.Share(), 1)-queued)
+	return queued, max(0, float64(instance.report.Queued)-time.Since(instance.reportedAt).Seconds()*max(rate/instance.speed.lengths.Ratio(), 1)-queued)
 }
 
 // Estimate returns the output ahead of a newcomer on the runner, and its measured rate. A runner that batches
@@ -55,7 +55,7 @@
 	if !instance.hasCapacity() {
 		ahead += queued * 2 / float64(instance.report.Capacity+1)
 	}
-	return ahead * instance.speed.lengths.Share(), rate
+	return ahead * instance.speed.lengths.Ratio(), rate
 }
 
 // hasCapacity reports whether there is capacity for one more of our streams. Reports of the others' streams come late, so
