--- a/internal/dataplane/allow/lengths.go
+++ b/internal/dataplane/allow/lengths.go
@@ -47,8 +47,8 @@
 	l.byLane[lane].Add(asked, came)
 }
 
-// Expect is the output that a request of a lane is likely to come to, of what it asks for.
-func (l *LaneLengths) Expect(lane string, asked int) int {
+// ExpectedTokens is the output that a request of a lane is likely to come to, of what it asks for.
+func (l *LaneLengths) ExpectedTokens(lane string, asked int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.byLane[lane] == nil {
--- a/internal/dataplane/place/scheduler.go
+++ b/internal/dataplane/place/scheduler.go
@@ -52,7 +52,7 @@
 	for _, queue := range s.queues {
 		for _, waiters := range queue.byTenant {
 			for _, waiter := range waiters {
-				out[queue.kind] += s.Lengths.Expect(waiter.Lane, waiter.Tokens)
+				out[queue.kind] += s.Lengths.ExpectedTokens(waiter.Lane, waiter.Tokens)
 			}
 		}
 	}
@@ -74,7 +74,7 @@
 		for other, waiters := range queue.byTenant {
 			for i, waiter := range waiters {
 				if queue.priority < priority || other == tenant || i < turns {
-					sum += s.Lengths.Expect(waiter.Lane, waiter.Tokens)
+					sum += s.Lengths.ExpectedTokens(waiter.Lane, waiter.Tokens)
 				}
 			}
 		}
