--- a/internal/dataplane/gateway/serve.go
+++ b/internal/dataplane/gateway/serve.go
@@ -45,9 +45,9 @@
 }
 
 // retryRule is this router's share of the fleet's bound on retries.
-func (r *request) retryRule() retry.Rule {
+func (r *request) retryRule() retry.Policy {
 	bounds := r.gateway.Retries
-	return retry.Rule{Ratio: bounds.Ratio, Spare: r.gateway.LocalShare(bounds.Allowance)}
+	return retry.Policy{Ratio: bounds.Ratio, Spare: r.gateway.LocalShare(bounds.Allowance)}
 }
 
 // mayRetry reports whether the request may be sent to a further runner after its last attempt, and takes the retry out of
--- a/internal/dataplane/retry/budget.go
+++ b/internal/dataplane/retry/budget.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// Rule bounds the retries at one service.
-type Rule struct {
+// Policy bounds the retries at one service.
+type Policy struct {
 	Ratio float64 // retries that each first attempt earns
 	Spare int     // the most earned retries that this router may keep: its share of the fleet's allowance
 }
@@ -23,7 +23,7 @@
 func New() *Budget { return &Budget{services: map[string]float64{}} }
 
 // First counts a first attempt.
-func (b *Budget) First(service string, rule Rule) {
+func (b *Budget) First(service string, rule Policy) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.services[service] = min(float64(rule.Spare), b.services[service]+rule.Ratio)
