--- a/internal/dataplane/gateway/serve.go
+++ b/internal/dataplane/gateway/serve.go
@@ -47,7 +47,7 @@
 // retryRule is this router's share of the fleet's bound on retries.
 func (r *request) retryRule() retry.Policy {
 	bounds := r.gateway.Retries
-	return retry.Policy{Ratio: bounds.Ratio, Spare: r.gateway.LocalShare(bounds.Allowance)}
+	return retry.Policy{Ratio: bounds.Ratio, Burst: r.gateway.LocalShare(bounds.Allowance)}
 }
 
 // mayRetry reports whether the request may be sent to a further runner after its last attempt, and takes the retry out of
--- a/internal/dataplane/retry/budget.go
+++ b/internal/dataplane/retry/budget.go
@@ -8,7 +8,7 @@
 // Policy bounds the retries at one service.
 type Policy struct {
 	Ratio float64 // retries that each first attempt earns
-	Spare int     // the most earned retries that this router may keep: its share of the fleet's allowance
+	Burst int     // the most earned retries that this router may keep: its share of the fleet's allowance
 }
 
 // Budget holds the retries that this router may make, for each service. Each first attempt earns a fraction of a retry; what
@@ -26,7 +26,7 @@
 func (b *Budget) First(service string, rule Policy) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.services[service] = min(float64(rule.Spare), b.services[service]+rule.Ratio)
+	b.services[service] = min(float64(rule.Burst), b.services[service]+rule.Ratio)
 }
 
 // roundingSlack guards the comparison against sums of fractions that miss a whole number by rounding.
--- a/internal/dataplane/retry/budget_test.go
+++ b/internal/dataplane/retry/budget_test.go
@@ -24,7 +24,7 @@
 			given[i] = budgets[step.router].Take("desk")
 			continue
 		}
-		budgets[step.router].First("desk", Policy{Ratio: ratio, Spare: parts[step.router]})
+		budgets[step.router].First("desk", Policy{Ratio: ratio, Burst: parts[step.router]})
 	}
 	return given
 }
@@ -90,7 +90,7 @@
 // What first attempts earn can be spent to the last: ten at a ratio of a tenth are worth one.
 func TestEarnedAttemptsCanBeSpent(t *testing.T) {
 	budget := New()
-	rule := Policy{Ratio: 0.1, Spare: 3}
+	rule := Policy{Ratio: 0.1, Burst: 3}
 	if budget.Take("desk") {
 		t.Fatal("a second attempt before any was earned")
 	}
@@ -117,9 +117,9 @@
 func TestShrunkPart(t *testing.T) {
 	budget := New()
 	for range 100 {
-		budget.First("desk", Policy{Ratio: 1, Spare: 10})
+		budget.First("desk", Policy{Ratio: 1, Burst: 10})
 	}
-	budget.First("desk", Policy{Ratio: 1, Spare: 2})
+	budget.First("desk", Policy{Ratio: 1, Burst: 2})
 	count := 0
 	for budget.Take("desk") {
 		count++
@@ -132,7 +132,7 @@
 // Each service has a budget of its own.
 func TestServicesDoNotShare(t *testing.T) {
 	budget := New()
-	budget.First("desk", Policy{Ratio: 1, Spare: 5})
+	budget.First("desk", Policy{Ratio: 1, Burst: 5})
 	if budget.Take("yard") || !budget.Take("desk") {
 		t.Error("what one service earned was spent for another")
 	}
