--- a/internal/dataplane/gateway/serve.go
+++ b/internal/dataplane/gateway/serve.go
@@ -14,7 +14,7 @@
 // or where the runner promised not to have run it. mayRetry decides it and stateChart.advance enforces it.
 func (r *request) serve() error {
 	r.tried = map[int]bool{}
-	r.gateway.budget.First(r.service.Name, r.retryRule())
+	r.gateway.budget.RecordFirstAttempt(r.service.Name, r.retryRule())
 	var stream *streamResponse
 	if r.route.Kind == routing.Streaming {
 		stream = &streamResponse{request: r, lastID: r.meta.LastEventID}
--- a/internal/dataplane/retry/budget.go
+++ b/internal/dataplane/retry/budget.go
@@ -22,8 +22,8 @@
 // New makes an empty budget.
 func New() *Budget { return &Budget{services: map[string]float64{}} }
 
-// First counts a first attempt.
-func (b *Budget) First(service string, rule Policy) {
+// RecordFirstAttempt counts a first attempt.
+func (b *Budget) RecordFirstAttempt(service string, rule Policy) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.services[service] = min(float64(rule.Burst), b.services[service]+rule.Ratio)
--- a/internal/dataplane/retry/budget_test.go
+++ b/internal/dataplane/retry/budget_test.go
@@ -24,7 +24,7 @@
 			given[i] = budgets[step.router].Take("desk")
 			continue
 		}
-		budgets[step.router].First("desk", Policy{Ratio: ratio, Burst: parts[step.router]})
+		budgets[step.router].RecordFirstAttempt("desk", Policy{Ratio: ratio, Burst: parts[step.router]})
 	}
 	return given
 }
@@ -95,13 +95,13 @@
 		t.Fatal("a second attempt before any was earned")
 	}
 	for range 10 {
-		budget.First("desk", rule)
+		budget.RecordFirstAttempt("desk", rule)
 	}
 	if !budget.Take("desk") || budget.Take("desk") {
 		t.Error("ten first attempts earn one second attempt")
 	}
 	for range 1000 {
-		budget.First("desk", rule)
+		budget.RecordFirstAttempt("desk", rule)
 	}
 	for i := range 3 {
 		if !budget.Take("desk") {
@@ -117,9 +117,9 @@
 func TestShrunkPart(t *testing.T) {
 	budget := New()
 	for range 100 {
-		budget.First("desk", Policy{Ratio: 1, Burst: 10})
+		budget.RecordFirstAttempt("desk", Policy{Ratio: 1, Burst: 10})
 	}
-	budget.First("desk", Policy{Ratio: 1, Burst: 2})
+	budget.RecordFirstAttempt("desk", Policy{Ratio: 1, Burst: 2})
 	count := 0
 	for budget.Take("desk") {
 		count++
@@ -132,7 +132,7 @@
 // Each service has a budget of its own.
 func TestServicesDoNotShare(t *testing.T) {
 	budget := New()
-	budget.First("desk", Policy{Ratio: 1, Burst: 5})
+	budget.RecordFirstAttempt("desk", Policy{Ratio: 1, Burst: 5})
 	if budget.Take("yard") || !budget.Take("desk") {
 		t.Error("what one service earned was spent for another")
 	}
