--- a/internal/dataplane/balance/choose_test.go
+++ b/internal/dataplane/balance/choose_test.go
@@ -348,7 +348,7 @@
 			b.Update(readyRunners(3 + i%4))
 			b.Estimates("s", "")
 			b.Tally()
-			b.SetFailureShares(map[string]float64{"life-1": float64(i%2) / 2})
+			b.SetFailureRates(map[string]float64{"life-1": float64(i%2) / 2})
 		}
 	})
 	all.Wait()
--- a/internal/dataplane/balance/ejection.go
+++ b/internal/dataplane/balance/ejection.go
@@ -56,9 +56,9 @@
 	return r.fleetFailureShare
 }
 
-// SetFailureShares takes the runners that fail for all routers together, by ID, with the share of attempts that fail. It
+// SetFailureRates takes the runners that fail for all routers together, by ID, with the share of attempts that fail. It
 // counts for fleetReportTTL; a runner that is not named does not fail. It may be called concurrently with Choose.
-func (b *Balancer) SetFailureShares(shares map[string]float64) {
+func (b *Balancer) SetFailureRates(shares map[string]float64) {
 	until := time.Now().Add(fleetReportTTL)
 	for _, runners := range *b.byService.Load() {
 		for _, runner := range runners {
--- a/internal/dataplane/balance/fleet_test.go
+++ b/internal/dataplane/balance/fleet_test.go
@@ -18,7 +18,7 @@
 // used again once it is no longer named.
 func TestRunnerThatFailsElsewhere(t *testing.T) {
 	b := twoRunners()
-	b.SetFailureShares(map[string]float64{"a": 1})
+	b.SetFailureRates(map[string]float64{"a": 1})
 	for range 20 {
 		attempt := b.Choose(Request{Service: "s"})
 		if id := attempt.Runner().Info().ID; id != "b" {
@@ -26,13 +26,13 @@
 		}
 		attempt.Done()
 	}
-	b.SetFailureShares(map[string]float64{"a": 1, "b": 1})
+	b.SetFailureRates(map[string]float64{"a": 1, "b": 1})
 	last := b.Choose(Request{Service: "s"})
 	if last == nil {
 		t.Fatal("no runner is chosen where all fail: one is to be tried")
 	}
 	last.Cancel()
-	b.SetFailureShares(nil)
+	b.SetFailureRates(nil)
 	attempt := b.Choose(Request{Service: "s"})
 	if id := attempt.Runner().Info().ID; id != "a" {
 		t.Errorf("%s chosen, the runner of the own zone serves again", id)
@@ -43,7 +43,7 @@
 func TestOldReportOnFailingRunners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := twoRunners()
-		b.SetFailureShares(map[string]float64{"a": 1})
+		b.SetFailureRates(map[string]float64{"a": 1})
 		time.Sleep(fleetReportTTL + time.Millisecond)
 		attempt := b.Choose(Request{Service: "s"})
 		if id := attempt.Runner().Info().ID; id != "a" {
--- a/internal/dataplane/router/gatewayhealth.go
+++ b/internal/dataplane/router/gatewayhealth.go
@@ -21,6 +21,6 @@
 	for _, runner := range findings.Failing {
 		shares[runner.ID] = runner.Share
 	}
-	g.Balancer.SetFailureShares(shares)
+	g.Balancer.SetFailureRates(shares)
 	g.Balancer.SetLowLatency(findings.LowLatency)
 }
