--- a/internal/dataplane/clientapi/retryrun.go
+++ b/internal/dataplane/clientapi/retryrun.go
@@ -100,7 +100,7 @@
 
 // serveRetry takes a second run through all steps after the reading of its body.
 func (e *exchange) serveRetry(note string) error {
-	err := e.request.Advance(request.Known, note)
+	err := e.request.Advance(request.Identified, note)
 	if err == nil {
 		err = e.request.Advance(request.Routed, e.incoming.URL.Path)
 	}
--- a/internal/dataplane/clientapi/route.go
+++ b/internal/dataplane/clientapi/route.go
@@ -24,7 +24,7 @@
 	}
 	e.tenant = &e.config.Tenants[e.tenantIndex]
 	e.request.Tenant = e.tenant.Name
-	return e.request.Advance(request.Known, "")
+	return e.request.Advance(request.Identified, "")
 }
 
 // route finds the lane and the pool that the request belongs to, and reads its body.
--- a/internal/dataplane/request/request.go
+++ b/internal/dataplane/request/request.go
@@ -17,7 +17,7 @@
 // The states of a request. Their texts are read by operators and stay as they are.
 const (
 	Read       State = "read"
-	Known      State = "known"
+	Identified State = "known"
 	Routed     State = "mapped"
 	Admitted   State = "allowed"
 	Queued     State = "queued"
@@ -32,8 +32,8 @@
 // transitions lists where each state may lead. Nothing leads from sent back to queued: once a byte may
 // have left, a request is never sent again.
 var transitions = map[State][]State{
-	Read:       {Known, Rejected},
-	Known:      {Routed, Rejected},
+	Read:       {Identified, Rejected},
+	Identified: {Routed, Rejected},
 	Routed:     {Admitted, Rejected},
 	Admitted:   {Queued, Rejected},
 	Queued:     {Chosen, Rejected},
--- a/internal/dataplane/request/request_test.go
+++ b/internal/dataplane/request/request_test.go
@@ -8,7 +8,7 @@
 
 // Whatever steps are tried, a request ends once, never leaves an end, and is not sent after it was.
 func TestChart(t *testing.T) {
-	all := []State{Read, Known, Routed, Admitted, Queued, Chosen, Sent, Responding, Done, Rejected, Failed}
+	all := []State{Read, Identified, Routed, Admitted, Queued, Chosen, Sent, Responding, Done, Rejected, Failed}
 	rapid.Check(t, func(t *rapid.T) {
 		r := New()
 		sent, over := 0, false
--- a/internal/dataplane/tracing/tracing_test.go
+++ b/internal/dataplane/tracing/tracing_test.go
@@ -19,7 +19,7 @@
 	}
 	rejected := request.New()
 	rejected.Tenant, rejected.Lane = "casual", "checks"
-	for _, state := range []request.State{request.Known, request.Routed, request.Rejected} {
+	for _, state := range []request.State{request.Identified, request.Routed, request.Rejected} {
 		if err := rejected.Advance(state, "note"); err != nil {
 			t.Fatal(err)
 		}
