--- a/internal/dataplane/allow/allow.go
+++ b/internal/dataplane/allow/allow.go
@@ -1,6 +1,6 @@
-// Package allow judges the free output allowance: how much output a tenant without funds may ask for,
-// sized by the estimated wait on the runners that could serve the prompt. The rule and where it
-// departs from its source are told in docs/allowance.md.
+// Package allow computes the free output allowance: the maximum output that a tenant without funds may request, which
+// shrinks as the estimated wait on the eligible runners grows. See docs/allowance.md for the rule and its deviations
+// from the source.
 package allow
 
 import (
@@ -9,14 +9,14 @@
 	"yarrowridge/internal/model/fleetconfig"
 )
 
-// Estimate is what is known of one eligible runner at the moment of judging.
+// Estimate is the expected load of one eligible runner.
 type Estimate struct {
-	Queued float64 // output tokens ahead on it
-	Rate   float64 // measured tokens a second; 0 where no stream has completed
+	Queued float64 // output tokens queued ahead of a new request
+	Rate   float64 // measured tokens per second; 0: not measured yet
 }
 
-// Wait is the queued output ahead divided by the summed rate. waiting is what stands in queues
-// for these runners and is not yet on any of them.
+// Wait estimates the wait: all queued output divided by the summed rate of the runners. waiting is the output of
+// requests that are queued for these runners but not yet sent to one.
 func Wait(rule fleetconfig.Allowance, estimates []Estimate, waiting float64) time.Duration {
 	queued, rate := waiting, 0.0
 	for _, estimate := range estimates {
@@ -37,7 +37,8 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// Allowance is the allowance in tokens for a wait: the ceiling, then a straight line, then the floor.
+// Allowance returns the allowance in tokens for a wait: the ceiling up to FullUntil, the floor from FloorFrom on, and a
+// linear interpolation in between.
 func Allowance(rule fleetconfig.Allowance, wait time.Duration) int {
 	switch {
 	case wait <= rule.FullUntil:
@@ -45,60 +46,61 @@
 	case wait >= rule.FloorFrom:
 		return rule.Floor
 	}
-	part := float64(wait-rule.FullUntil) / float64(rule.FloorFrom-rule.FullUntil)
-	return rule.Ceiling - int(part*float64(rule.Ceiling-rule.Floor))
+	fraction := float64(wait-rule.FullUntil) / float64(rule.FloorFrom-rule.FullUntil)
+	return rule.Ceiling - int(fraction*float64(rule.Ceiling-rule.Floor))
 }
 
-// Outcome is what became of a prompt at the allowance.
+// Outcome is the result of checking a request against the allowance.
 type Outcome string
 
-// The outcomes.
+// Outcomes of Decide.
 const (
 	Free     Outcome = "free"      // within the allowance
-	Funded   Outcome = "funded"    // a tenant with funds
-	Lowered  Outcome = "lowered"   // cut to the allowance, with the client's leave
-	NoFunds  Outcome = "no-funds"  // over the allowance
-	NoRunner Outcome = "no-runner" // over the floor, and nobody could serve it anyway
+	Funded   Outcome = "funded"    // not limited: the tenant has funds
+	Lowered  Outcome = "lowered"   // reduced to the allowance, as the client permits
+	NoFunds  Outcome = "no-funds"  // rejected: over the allowance
+	NoRunner Outcome = "no-runner" // rejected: over the floor, and no runner is eligible
 )
 
-// Demand is what a prompt asks for.
+// Demand is what a request asks for.
 type Demand struct {
 	Funded   bool
-	Tokens   int  // output asked for
-	MayLower bool // the client allows lowering
+	Tokens   int  // requested output
+	MayLower bool // the client permits a reduction to the allowance
 }
 
-// Decision is the decision, taken once when the prompt arrives.
+// Decision is the result for one request. It is made once, when the request arrives.
 type Decision struct {
 	Outcome   Outcome
-	Tokens    int // output it may have
-	Allowance int // the allowance it was held against
+	Tokens    int // permitted output
+	Allowance int // the allowance that applied
 	Wait      time.Duration
 }
 
-// Decide judges a prompt. estimates are of the runners eligible at the asked length.
+// Decide checks a request against the allowance. estimates covers the runners that are eligible for the requested
+// output length.
 func Decide(rule fleetconfig.Allowance, demand Demand, estimates []Estimate, waiting float64) Decision {
-	verdict := Decision{Tokens: demand.Tokens, Allowance: rule.Floor}
+	decision := Decision{Tokens: demand.Tokens, Allowance: rule.Floor}
 	if len(estimates) > 0 {
-		verdict.Wait = Wait(rule, estimates, waiting)
-		verdict.Allowance = Allowance(rule, verdict.Wait)
+		decision.Wait = Wait(rule, estimates, waiting)
+		decision.Allowance = Allowance(rule, decision.Wait)
 	}
 	switch {
 	case demand.Funded:
-		verdict.Outcome = Funded
-	case demand.Tokens <= verdict.Allowance:
-		verdict.Outcome = Free
+		decision.Outcome = Funded
+	case demand.Tokens <= decision.Allowance:
+		decision.Outcome = Free
 	case len(estimates) == 0:
-		verdict.Outcome = NoRunner
-	case demand.MayLower && verdict.Allowance > 0:
-		verdict.Outcome, verdict.Tokens = Lowered, verdict.Allowance
+		decision.Outcome = NoRunner
+	case demand.MayLower && decision.Allowance > 0:
+		decision.Outcome, decision.Tokens = Lowered, decision.Allowance
 	default:
-		verdict.Outcome = NoFunds
+		decision.Outcome = NoFunds
 	}
-	return verdict
+	return decision
 }
 
-// Bucket names the size class of a token count.
+// Bucket returns the size class of a token count, as a metric label.
 func Bucket(n int) string {
 	switch {
 	case n <= 512:
--- a/internal/dataplane/allow/lengths.go
+++ b/internal/dataplane/allow/lengths.go
@@ -2,57 +2,58 @@
 
 import "sync"
 
-// LengthRatio is how much of the length asked for responses have lately come to. What is ahead is counted by
-// that, in the same unit as the runners' measured speed: clients ask for the most that they would take, and a
-// piece of a stream may hold several tokens.
-type LengthRatio struct{ responses, asked, received float64 }
+// LengthRatio tracks the recent ratio of received to requested output. Queued output is scaled by it, because clients
+// request the most that they would accept. The ratio also converts to the unit in which the rate of the runners is
+// measured: stream events, each of which may hold several tokens.
+type LengthRatio struct{ responses, requested, received float64 }
 
-// A ratio counts from minRatioResponses on; at maxRatioResponses, what was seen is halved so that older ones fade.
+// The ratio applies from minRatioResponses on. At maxRatioResponses all sums are halved, so that older responses lose
+// weight.
 const minRatioResponses, maxRatioResponses = 4, 256
 
-// Add counts a whole response.
-func (r *LengthRatio) Add(asked, came int) {
+// Add counts a complete response.
+func (r *LengthRatio) Add(requested, received int) {
 	if r.responses >= maxRatioResponses {
-		*r = LengthRatio{r.responses / 2, r.asked / 2, r.received / 2}
+		*r = LengthRatio{r.responses / 2, r.requested / 2, r.received / 2}
 	}
 	r.responses++
-	r.asked += float64(asked)
-	r.received += float64(min(came, asked))
+	r.requested += float64(requested)
+	r.received += float64(min(received, requested))
 }
 
-// Ratio is the part of what is asked for that is likely to come: all, until enough was seen.
+// Ratio returns the expected share of the requested output, 1 until enough responses are counted.
 func (r *LengthRatio) Ratio() float64 {
-	if r.responses < minRatioResponses || r.asked <= 0 {
+	if r.responses < minRatioResponses || r.requested <= 0 {
 		return 1
 	}
-	return r.received / r.asked
+	return r.received / r.requested
 }
 
-// LaneLengths is the ratio of each lane.
+// LaneLengths tracks a LengthRatio for each lane. Its methods may be called concurrently.
 type LaneLengths struct {
 	mu     sync.Mutex
 	byLane map[string]*LengthRatio
 }
 
-// NewLaneLengths makes an empty record.
+// NewLaneLengths creates a LaneLengths without any responses.
 func NewLaneLengths() *LaneLengths { return &LaneLengths{byLane: map[string]*LengthRatio{}} }
 
-// Add counts a whole response of a lane.
-func (l *LaneLengths) Add(lane string, asked, came int) {
+// Add counts a complete response of a lane.
+func (l *LaneLengths) Add(lane string, requested, received int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.byLane[lane] == nil {
 		l.byLane[lane] = &LengthRatio{}
 	}
-	l.byLane[lane].Add(asked, came)
+	l.byLane[lane].Add(requested, received)
 }
 
-// ExpectedTokens is the output that a request of a lane is likely to come to, of what it asks for.
-func (l *LaneLengths) ExpectedTokens(lane string, asked int) int {
+// ExpectedTokens returns the output expected of a request of the lane.
+func (l *LaneLengths) ExpectedTokens(lane string, requested int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.byLane[lane] == nil {
-		return asked
+		return requested
 	}
-	return int(float64(asked)*l.byLane[lane].Ratio() + 0.5)
+	return int(float64(requested)*l.byLane[lane].Ratio() + 0.5)
 }
--- a/internal/dataplane/balance/affinity.go
+++ b/internal/dataplane/balance/affinity.go
@@ -5,23 +5,22 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// Added gives a signal when a runner has become ready: it is time for RefreshAffinity.
-func (b *Balancer) Added() <-chan struct{} { return b.wake }
+// Added returns a channel that signals that a runner has become ready and RefreshAffinity is due.
+func (b *Balancer) Added() <-chan struct{} { return b.addedSignal }
 
-// recordAdded records a runner that has become ready. The caller holds b.mu.
+// recordAdded queues a runner that has become ready for RefreshAffinity, and signals Added. The caller holds b.mu.
 func (b *Balancer) recordAdded(runner *Runner) {
 	b.added = append(b.added, runner)
 	select {
-	case b.wake <- struct{}{}:
+	case b.addedSignal <- struct{}{}:
 	default:
 	}
 }
 
-// RefreshAffinity looks, after runners were added, for sessions that this router served at their affinity target and whose
-// target is one of the added ones now: their old runner becomes an announced holder. Where no runner was added it does
-// nothing.
+// RefreshAffinity finds the sessions that this router served at their affinity target and whose target is now a newly
+// added runner, and announces their old runner in the session directory. It does nothing if no runner was added.
 func (b *Balancer) RefreshAffinity() {
-	added := b.takeAdded()
+	added := b.drainAdded()
 	if len(added) == 0 {
 		return
 	}
@@ -29,15 +28,15 @@
 		if !remembered.changesTarget(added) {
 			continue
 		}
-		if _, known := b.Sessions.Lookup(remembered.id); !known && len(b.readyOf([]string{remembered.holder})) > 0 {
-			b.Sessions.Record(remembered.id, remembered.holder)
+		if _, known := b.Sessions.Lookup(remembered.id); !known && len(b.filterReady([]string{remembered.runner})) > 0 {
+			b.Sessions.Record(remembered.id, remembered.runner)
 		}
-		b.recent.forget(remembered.id)
+		b.recent.remove(remembered.id)
 	}
 }
 
-// takeAdded gives the runners that have become ready since the last call.
-func (b *Balancer) takeAdded() []routing.Runner {
+// drainAdded returns the runners that have become ready since the last call and still are.
+func (b *Balancer) drainAdded() []routing.Runner {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []routing.Runner
@@ -50,20 +49,20 @@
 	return out
 }
 
-// changesTarget reports whether one of the added runners is the session's affinity target rather than its holder.
+// changesTarget reports whether one of the added runners replaces the session's runner as its affinity target.
 func (s *recentSession) changesTarget(added []routing.Runner) bool {
-	weight := hashing.RendezvousWeight(s.key, s.holder)
+	weight := hashing.RendezvousWeight(s.key, s.runner)
 	for i := range added {
 		runner := &added[i]
-		if runner.ID != s.holder && runner.Service == s.service && servesModel(runner, s.model) && hashing.RendezvousWeight(s.key, runner.ID) > weight {
+		if runner.ID != s.runner && runner.Service == s.service && servesModel(runner, s.model) && hashing.RendezvousWeight(s.key, runner.ID) > weight {
 			return true
 		}
 	}
 	return false
 }
 
-// affinityTarget is the ready runner with the highest weight for a key, ejected or not: all routers with the same list of
-// runners work out the same one.
+// affinityTarget returns the ID of the ready runner with the highest rendezvous weight for a key, ejected or not. All
+// routers with the same list of runners compute the same one.
 func (b *Balancer) affinityTarget(service, model string, key uint64) string {
 	var best string
 	var bestWeight uint64
--- a/internal/dataplane/balance/attempt.go
+++ b/internal/dataplane/balance/attempt.go
@@ -4,44 +4,44 @@
 
 // Attempt is one request in flight at a runner.
 //
-// Exactly one of Done, Rejected, Failed, Cancel and Abandon ends it; a second one changes nothing. The runner's mu guards
-// its fields.
+// Exactly one of Done, Rejected, Failed, Cancel and Abandon ends it; further calls have no effect. The runner's mu
+// guards its fields.
 type Attempt struct {
-	runner   *Runner
-	prompt   int // prompt tokens that the runner is expected to read
-	started  time.Time
-	first    time.Time // of the first byte of the answer's body
-	last     time.Time
-	finished bool
+	runner        *Runner
+	prefillTokens int // prompt tokens that the runner is expected to prefill
+	started       time.Time
+	first         time.Time // first byte of the response body
+	last          time.Time // latest bytes of the response body
+	finished      bool
 
 	balancer *Balancer
-	context  sessionRef // of the session that the request belongs to
+	session  sessionRef // the session of the request
 }
 
 // begin counts a request as in flight at the runner.
-func (r *Runner) begin(prompt int, now time.Time) *Attempt {
+func (r *Runner) begin(prefillTokens int, now time.Time) *Attempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.inFlight) == 0 {
 		r.lastActivity = now
 	}
-	attempt := &Attempt{runner: r, prompt: prompt, started: now}
+	attempt := &Attempt{runner: r, prefillTokens: prefillTokens, started: now}
 	r.inFlight[attempt] = struct{}{}
-	r.pendingPromptTokens += prompt
+	r.pendingPromptTokens += prefillTokens
 	return attempt
 }
 
-// Runner is the runner that the attempt went to.
+// Runner returns the runner that the request was sent to.
 func (a *Attempt) Runner() *Runner { return a.runner }
 
-// Progress records that bytes of the response's body came.
+// Progress records that bytes of the response body arrived.
 func (a *Attempt) Progress() {
-	if first := a.progress(time.Now()); first && a.context.id != 0 {
-		a.balancer.recordHolder(&a.context, a.runner.Info().ID)
+	if first := a.progress(time.Now()); first && a.session.id != 0 {
+		a.balancer.recordSessionRunner(&a.session, a.runner.Info().ID)
 	}
 }
 
-// progress reports whether these were the first bytes.
+// progress updates the measurements and reports whether these were the first bytes.
 func (a *Attempt) progress(now time.Time) bool {
 	r := a.runner
 	r.mu.Lock()
@@ -50,8 +50,8 @@
 	r.recordActivity(now)
 	if first {
 		a.first = now
-		r.pendingPromptTokens -= a.prompt
-		r.recordFirstByte(float64(now.Sub(a.started))/float64(time.Millisecond), a.prompt, now)
+		r.pendingPromptTokens -= a.prefillTokens
+		r.recordFirstByte(float64(now.Sub(a.started))/float64(time.Millisecond), a.prefillTokens, now)
 	} else {
 		pause := now.Sub(a.last)
 		r.eventGapMs = average(r.eventGapMs, float64(pause)/float64(time.Millisecond))
@@ -62,7 +62,7 @@
 	return first
 }
 
-// Done ends an attempt whose response came complete.
+// Done ends an attempt whose response is complete. It clears the ejection of the runner.
 func (a *Attempt) Done() {
 	r, now := a.runner, time.Now()
 	r.mu.Lock()
@@ -77,7 +77,7 @@
 	r.responseMs = average(r.responseMs, float64(now.Sub(a.started))/float64(time.Millisecond))
 }
 
-// Rejected ends an attempt that the runner did not run for want of capacity.
+// Rejected ends an attempt that the runner rejected for lack of capacity.
 func (a *Attempt) Rejected() {
 	r, now := a.runner, time.Now()
 	r.mu.Lock()
@@ -88,15 +88,14 @@
 	}
 }
 
-// Cancel ends an attempt that says nothing about the runner.
+// Cancel ends an attempt without recording an outcome for the runner.
 func (a *Attempt) Cancel() {
 	a.runner.mu.Lock()
 	defer a.runner.mu.Unlock()
 	a.runner.end(a)
 }
 
-// Abandon ends an attempt that nobody waits for any longer. It counts as failed where the runner has
-// stalled.
+// Abandon ends an attempt whose response is no longer needed. It counts as failed if the runner has stalled.
 func (a *Attempt) Abandon() {
 	if a.runner.Stalled() {
 		a.Failed()
@@ -105,7 +104,7 @@
 	a.Cancel()
 }
 
-// Failed ends an attempt by the runner's fault: the runner is ejected for a while, longer each time.
+// Failed ends an attempt that failed because of the runner, and ejects the runner.
 func (a *Attempt) Failed() {
 	r, now := a.runner, time.Now()
 	r.mu.Lock()
@@ -117,7 +116,8 @@
 	r.eject(now)
 }
 
-// end takes an attempt out of those in flight. It reports false where it had ended before. The caller holds r.mu.
+// end removes an attempt from those in flight. It reports false if the attempt had already ended. The caller holds
+// r.mu.
 func (r *Runner) end(a *Attempt) bool {
 	if a.finished {
 		return false
@@ -125,7 +125,7 @@
 	a.finished = true
 	delete(r.inFlight, a)
 	if a.first.IsZero() {
-		r.pendingPromptTokens -= a.prompt
+		r.pendingPromptTokens -= a.prefillTokens
 	}
 	return true
 }
--- a/internal/dataplane/balance/balancer.go
+++ b/internal/dataplane/balance/balancer.go
@@ -1,10 +1,10 @@
-// Package balance chooses the runner of each request: the one that is expected to answer first, judged by what it keeps of
-// the prompt, by the wait that this router measures there, and by its failures.
+// Package balance chooses a runner for each request: the one that is expected to answer first, given the share of the
+// prompt that it has cached, the wait that this router measures there and its recent failures.
 //
-// A choice (choose.go) lists the candidates, estimates each one's cost (cost.go) and breaks ties at random. The policies
-// that enter are outlier ejection (ejection.go), the stall time-out (stall.go), the prefill rate (prefill.go), low-latency
-// runners (latency.go), the prefix cache (prefix.go), rendezvous hashing (rendezvous.go) and session affinity (session.go,
-// affinity.go). What attempts teach is recorded in attempt.go.
+// A choice (choose.go) lists the candidates, estimates the cost of each (cost.go) and breaks ties at random. The cost
+// depends on outlier ejection (ejection.go), the stall timeout (stall.go), the prefill rate (prefill.go), low-latency
+// runners (latency.go), the prefix cache (prefix.go), rendezvous hashing (rendezvous.go) and session affinity
+// (session.go, affinity.go). The results of attempts are recorded in attempt.go.
 package balance
 
 import (
@@ -16,56 +16,56 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// PromptPart is one part of a prompt: parts with the same ID are the same text.
+// PromptPart is one segment of a prompt. Parts with the same ID have the same text.
 type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
 
-// Request is what the choice of a runner depends on.
+// Request holds the properties of a request that the choice of a runner depends on.
 type Request struct {
 	Service string
-	Model   string       // "": any
+	Model   string       // "": any model
 	Parts   []PromptPart // of the prompt, in order
-	Input   int          // tokens of the whole prompt
-	Output  int          // the most tokens that may come out
-	Tried   map[int]bool // runners not to choose, by Runner.Index
+	Input   int          // tokens in the whole prompt
+	Output  int          // maximum output tokens
+	Tried   map[int]bool // runners to exclude, by Runner.Index
 }
 
-// Balancer knows all runners and chooses among them. All its methods may be called concurrently. Locks are taken in the
-// order Balancer.mu, Runner.mu, those of serviceStats.
+// Balancer tracks all runners and chooses among them. Its methods may be called concurrently. Lock order: Balancer.mu,
+// Runner.mu, the locks in serviceStats.
 type Balancer struct {
 	zone  string
 	cache *PrefixCache
 
-	// Sessions says which runners keep sessions' contexts beside their affinity target; the routers share it.
-	Sessions *session.Directory
-	recent   *recentSessions
-	wake     chan struct{} // holds one value where a runner was added
+	// Sessions is the replicated directory of sessions that are cached at runners other than their affinity target.
+	Sessions    *session.Directory
+	recent      *recentSessions
+	addedSignal chan struct{} // has one pending value after a runner was added
 
 	mu       sync.Mutex // guards the fields below, up to services
-	next     int        // Index of the next runner
+	next     int        // Index of the next new runner
 	byID     map[string]*Runner
-	added    []*Runner // that have become ready since the last RefreshAffinity
+	added    []*Runner // runners that became ready since the last RefreshAffinity
 	services map[string]*serviceStats
 
-	byService  atomic.Pointer[map[string][]*Runner] // replaced by Update, never changed in place
-	turn       atomic.Uint64                        // counts ties
-	lowLatency atomic.Pointer[lowLatencyRunners]    // nil: nothing is known yet
+	byService  atomic.Pointer[map[string][]*Runner] // replaced by Update, never modified in place
+	tieCounter atomic.Uint64                        // seeds the draws that break ties
+	lowLatency atomic.Pointer[lowLatencyRunners]    // nil: no report yet
 }
 
-// New makes a balancer for a router in a zone.
+// New creates a balancer for a router in the given zone.
 func New(zone string) *Balancer {
 	b := &Balancer{zone: zone, cache: NewPrefixCache(maxPrefixEntries), byID: map[string]*Runner{}, services: map[string]*serviceStats{},
-		Sessions: session.New(maxDirectorySessions), recent: newRecentSessions(maxRecentSessions), wake: make(chan struct{}, 1)}
+		Sessions: session.New(maxDirectorySessions), recent: newRecentSessions(maxRecentSessions), addedSignal: make(chan struct{}, 1)}
 	b.byService.Store(&map[string][]*Runner{})
 	return b
 }
 
-// maxPrefixEntries bounds how many prompt parts a router remembers.
+// maxPrefixEntries bounds the number of prompt parts in a router's prefix cache.
 const maxPrefixEntries = 1 << 16
 
-// Update takes the list of all known runners. What was measured of a runner stays with it while it is on the list.
+// Update replaces the list of runners. Measurements of a runner are kept for as long as it stays on the list.
 func (b *Balancer) Update(list []routing.Runner) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -77,7 +77,7 @@
 		known[info.ID] = true
 		runner := b.byID[info.ID]
 		if runner == nil {
-			runner = newRunner(b.next, info, b.statsOf(info.Service), now)
+			runner = newRunner(b.next, info, b.statsFor(info.Service), now)
 			b.next++
 			b.byID[info.ID] = runner
 		}
@@ -97,21 +97,21 @@
 	b.byService.Store(&services)
 }
 
-// refresh takes what a runner last said of itself. The caller holds b.mu.
+// refresh stores the latest state that a runner reported. The caller holds b.mu.
 func (b *Balancer) refresh(runner *Runner, info routing.Runner, now time.Time) {
 	runner.mu.Lock()
 	defer runner.mu.Unlock()
-	becameReady := runner.since == now || runner.info.State != routing.RunnerReady || len(info.Models) > len(runner.info.Models)
+	becameReady := runner.firstSeen == now || runner.info.State != routing.RunnerReady || len(info.Models) > len(runner.info.Models)
 	if info.State == routing.RunnerReady && becameReady {
 		b.recordAdded(runner)
 	}
 	runner.info = info
 }
 
-// Runners lists the known runners of a service.
+// Runners returns the runners of a service.
 func (b *Balancer) Runners(service string) []*Runner { return (*b.byService.Load())[service] }
 
-// AddressReused records that another runner has the address of this one: it is gone.
+// AddressReused marks a runner as gone because another runner now has its address.
 func (b *Balancer) AddressReused(runner *Runner) {
 	runner.mu.Lock()
 	defer runner.mu.Unlock()
--- a/internal/dataplane/balance/choose.go
+++ b/internal/dataplane/balance/choose.go
@@ -9,103 +9,104 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// candidate is a runner that could be sent a request, as one choice sees it.
+// candidate is a runner that may receive the request, with the inputs of its cost.
 type candidate struct {
 	runner  *Runner
 	id      string
-	ready   bool    // as its heartbeats say
-	ejected bool    // chosen only as a last resort
-	wait    float64 // cost without the prefill of the request's own prompt, in milliseconds
-	rate    float64 // prefill rate, in prompt tokens a millisecond
+	ready   bool    // its reported state is RunnerReady
+	ejected bool    // used only as a last resort
+	wait    float64 // cost without the prefill of this request's prompt, in milliseconds
+	rate    float64 // prefill rate, in prompt tokens per millisecond
 }
 
-// Choose picks the runner that is expected to answer first and counts the request as sent to it. Nil:
-// there is none that may be sent anything.
+// Choose picks the runner that is expected to answer first and counts the request as in flight there. It returns nil if
+// no runner may receive the request.
 func (b *Balancer) Choose(request Request) *Attempt {
 	now := time.Now()
 	candidates := b.candidates(request, now)
 	key, shared := affinity(request.Parts)
-	first, home := rendezvous(candidates, key)
-	context := b.session(&request, key, shared)
-	prompt := promptCache{input: request.Input, shared: shared, held: b.cache.Match(request.Parts), expected: first, session: &context}
-	if context.id != 0 {
-		prompt.expected = context.presumedHolder(candidates, first)
-		if context.affinityTarget = home; len(request.Tried) > 0 {
-			context.affinityTarget = b.affinityTarget(request.Service, request.Model, key)
+	preferred, target := rendezvous(candidates, key)
+	ref := b.sessionRefFor(&request, key, shared)
+	prompt := cacheEstimate{input: request.Input, shared: shared, sentTokens: b.cache.Match(request.Parts), presumed: preferred, session: &ref}
+	if ref.id != 0 {
+		prompt.presumed = ref.presumedRunner(candidates, preferred)
+		if ref.affinityTarget = target; len(request.Tried) > 0 {
+			ref.affinityTarget = b.affinityTarget(request.Service, request.Model, key)
 		}
 	}
 	cheapest := cheapestRunner{cost: math.Inf(1)}
 	for i := range candidates {
-		cheapest.consider(&candidates[i], &prompt, &b.turn)
+		cheapest.consider(&candidates[i], &prompt, &b.tieCounter)
 	}
 	if cheapest.runner == nil {
 		return nil
 	}
 	b.cache.Record(request.Parts, cheapest.runner.Index)
-	attempt := cheapest.runner.begin(cheapest.read, now)
-	attempt.balancer, attempt.context = b, context
+	attempt := cheapest.runner.begin(cheapest.uncached, now)
+	attempt.balancer, attempt.session = b, ref
 	return attempt
 }
 
-// promptCache tells what of a request's prompt is where in the runners' prefix caches.
-type promptCache struct {
-	input    int // tokens of the whole prompt
-	shared   int // of those that other requests begin with too
-	held     map[int]int
-	expected *Runner // where the shared part is expected, though nobody is known to have sent it there; nil: nowhere
-	session  *sessionRef
+// cacheEstimate estimates how much of a request's prompt each runner has in its prefix cache.
+type cacheEstimate struct {
+	input      int         // tokens in the whole prompt
+	shared     int         // leading tokens that other requests share
+	sentTokens map[int]int // leading tokens that each runner was recently sent, by Runner.Index
+	presumed   *Runner     // assumed to have the shared tokens cached by rendezvous hashing alone; nil: none
+	session    *sessionRef
 }
 
-// cachedTokens is how many of the prompt's tokens a runner need not read.
-func (p *promptCache) cachedTokens(c *candidate) int {
-	cached := p.held[c.runner.Index]
-	if c.runner == p.expected || p.session.isHeldBy(c.id) {
+// cachedTokens estimates how many prompt tokens the candidate has cached and need not prefill.
+func (p *cacheEstimate) cachedTokens(c *candidate) int {
+	cached := p.sentTokens[c.runner.Index]
+	if c.runner == p.presumed || p.session.isCachedOn(c.id) {
 		cached = max(cached, p.shared)
 	}
 	return cached
 }
 
-// cost is what it costs to send the request to a candidate, in milliseconds, and how many tokens that runner reads.
-func (p *promptCache) cost(c *candidate) (cost float64, read int) {
+// cost returns the cost of sending the request to a candidate, in milliseconds, and the number of tokens to prefill
+// there.
+func (p *cacheEstimate) cost(c *candidate) (cost float64, uncached int) {
 	cached := p.cachedTokens(c)
-	read = max(0, p.input-cached)
-	cost = c.wait + float64(read)/c.rate + rereadCostMsPerToken*float64(max(0, p.shared-cached))
+	uncached = max(0, p.input-cached)
+	cost = c.wait + float64(uncached)/c.rate + reprefillCostMsPerToken*float64(max(0, p.shared-cached))
 	if c.ejected {
 		cost += ejectedCostMs
 	}
-	return cost, read
+	return cost, uncached
 }
 
-// cheapestRunner is the one of lowest cost of those considered. Each of several equals is as likely as the others, so that
-// routers do not all choose the same runner.
+// cheapestRunner tracks the candidate with the lowest cost. Ties are broken at random with equal chances, so that
+// routers with the same view do not all choose the same runner.
 type cheapestRunner struct {
-	runner *Runner // nil: none was considered
-	cost   float64
-	read   int // tokens of the prompt that it reads
-	equals int // candidates of this cost so far
+	runner   *Runner // nil: no candidate so far
+	cost     float64
+	uncached int // prompt tokens that it has to prefill
+	ties     int // candidates with this cost so far
 }
 
-// consider takes a candidate in place of the one before where that costs less.
-func (best *cheapestRunner) consider(c *candidate, prompt *promptCache, turn *atomic.Uint64) {
-	cost, read := prompt.cost(c)
+// consider replaces the current choice with c if c costs less, or if c ties with it and wins the draw.
+func (best *cheapestRunner) consider(c *candidate, prompt *cacheEstimate, tieCounter *atomic.Uint64) {
+	cost, uncached := prompt.cost(c)
 	switch {
 	case cost < best.cost:
-		best.equals = 1
+		best.ties = 1
 	case cost == best.cost:
-		best.equals++
+		best.ties++
 	default:
 		return
 	}
-	if best.equals == 1 || hashing.Mix(turn.Add(1))%uint64(best.equals) == 0 {
-		best.runner, best.cost, best.read = c.runner, cost, read
+	if best.ties == 1 || hashing.Mix(tieCounter.Add(1))%uint64(best.ties) == 0 {
+		best.runner, best.cost, best.uncached = c.runner, cost, uncached
 	}
 }
 
-// candidates are the runners that a request could be sent to.
+// candidates lists the runners that may receive the request, without those already tried.
 func (b *Balancer) candidates(request Request, now time.Time) []candidate {
 	runners := b.Runners(request.Service)
 	out := make([]candidate, 0, len(runners))
-	lowLatency := b.lowLatencyNow(now)
+	lowLatency := b.currentLowLatency(now)
 	for _, runner := range runners {
 		if request.Tried[runner.Index] {
 			continue
--- a/internal/dataplane/balance/estimates.go
+++ b/internal/dataplane/balance/estimates.go
@@ -7,9 +7,9 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// Estimates gives, for each runner that could serve the model, the output ahead of a newcomer and the measured
-// rate of its output. A runner that batches gives what it owes beside a newcomer, not before it: ahead is
-// only what the measured wait for a first token is worth at its rate.
+// Estimates returns, for each ready runner that serves the model, the output tokens queued ahead of a new request and
+// the measured output rate. A batching runner processes the requests in flight alongside a new one, not before it, so
+// only the measured wait for the first token counts as queued, converted to tokens at the output rate.
 func (b *Balancer) Estimates(service, model string) []allow.Estimate {
 	now := time.Now()
 	var estimates []allow.Estimate
@@ -26,8 +26,8 @@
 	return estimates
 }
 
-// outputRate is the measured output of the runner in events a second over all streams of this router; 0
-// where no stream has given two events yet. The caller holds r.mu.
+// outputRate is the measured output of the runner in events per second over all streams of this router, 0 until a
+// stream has sent two events. The caller holds r.mu.
 func (r *Runner) outputRate() float64 {
 	if r.eventGapMs <= 0 {
 		return 0
--- a/internal/dataplane/balance/fleet_test.go
+++ b/internal/dataplane/balance/fleet_test.go
@@ -119,7 +119,7 @@
 			t.Errorf("other answers went to %v", spread)
 		}
 		time.Sleep(fleetReportTTL + time.Millisecond)
-		if b.lowLatencyNow(time.Now()) != nil {
+		if b.currentLowLatency(time.Now()) != nil {
 			t.Error("the core's word on calm runners holds though it was heard of no longer")
 		}
 	})
--- a/internal/dataplane/balance/latency.go
+++ b/internal/dataplane/balance/latency.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// lowLatencyRunners are the runners whose streams have the shortest gaps between events for all routers together. It is
+// lowLatencyRunners is the set of runners with the shortest gaps between stream events over all routers. It is
 // immutable once stored.
 type lowLatencyRunners struct {
 	ids   map[string]bool
 	until time.Time
 }
 
-// SetLowLatency takes the IDs of the runners whose streams have the shortest gaps for all routers together. They count for
+// SetLowLatency stores the IDs of the runners with the shortest gaps between stream events over all routers, for
 // fleetReportTTL. It may be called concurrently with Choose.
 func (b *Balancer) SetLowLatency(ids []string) {
 	runners := &lowLatencyRunners{ids: make(map[string]bool, len(ids)), until: time.Now().Add(fleetReportTTL)}
@@ -19,8 +19,8 @@
 	b.lowLatency.Store(runners)
 }
 
-// lowLatencyNow gives the low-latency runners; nil: nothing is known of them now.
-func (b *Balancer) lowLatencyNow(now time.Time) *lowLatencyRunners {
+// currentLowLatency returns the low-latency runners, or nil if there is no valid report.
+func (b *Balancer) currentLowLatency(now time.Time) *lowLatencyRunners {
 	runners := b.lowLatency.Load()
 	if runners == nil || len(runners.ids) == 0 || now.After(runners.until) {
 		return nil
--- a/internal/dataplane/balance/measure.go
+++ b/internal/dataplane/balance/measure.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// How a runner's wait and failures are measured.
+// Half-lives and weights of the moving averages of wait and failure rate.
 const (
-	failureHalfLife = 5 * time.Second        // of the weight of a failure
-	waitHalfLife    = 400 * time.Millisecond // of the measured wait, without new samples
+	failureHalfLife = 5 * time.Second        // of the failure rate
+	waitHalfLife    = 400 * time.Millisecond // of the measured wait
 	sampleWeight    = 0.3                    // of a new sample in a moving average
-	outcomeWeight   = 0.2                    // of the newest outcome in the share of failed attempts
+	outcomeWeight   = 0.2                    // of the latest outcome in the failure rate
 )
 
-// average moves a moving average towards a sample. 0 stands for none yet.
+// average updates an exponential moving average with a sample. An old value of 0 means that there is no sample yet.
 func average(old, sample float64) float64 {
 	if old == 0 {
 		return sample
@@ -18,31 +18,32 @@
 	return old + sampleWeight*(sample-old)
 }
 
-// recordOutcome moves the share of failed attempts towards the newest outcome. The caller holds r.mu.
+// recordOutcome updates the failure rate with the outcome of an attempt: 1 for a failure, 0 for a success. The caller
+// holds r.mu.
 func (r *Runner) recordOutcome(outcome float64, now time.Time) {
 	r.tally.Attempts++
 	r.tally.Failures += int(outcome)
-	r.failureShare = r.decayedFailureShare(now) + outcomeWeight*(outcome-r.decayedFailureShare(now))
-	r.failureShareAt = now
+	r.failureRate = r.decayedFailureRate(now) + outcomeWeight*(outcome-r.decayedFailureRate(now))
+	r.failureRateAt = now
 }
 
-// decayedFailureShare is the share of attempts that failed lately here. The caller holds r.mu.
-func (r *Runner) decayedFailureShare(now time.Time) float64 {
-	return decay(r.failureShare, now.Sub(r.failureShareAt), failureHalfLife)
+// decayedFailureRate is the failure rate that this router measured, decayed by its age. The caller holds r.mu.
+func (r *Runner) decayedFailureRate(now time.Time) float64 {
+	return decay(r.failureRate, now.Sub(r.failureRateAt), failureHalfLife)
 }
 
-// recordFirstByte learns from the time to the first byte: what the prompt's own prefill does not explain
-// is wait. The caller holds r.mu.
-func (r *Runner) recordFirstByte(ms float64, prompt int, now time.Time) {
-	if prompt >= minRateSampleTokens && ms > 0 {
-		r.stats.prefill.sample(float64(prompt) / ms)
+// recordFirstByte updates the prefill rate and the wait from the time to the first byte. Time beyond the prefill of the
+// request's own prompt counts as wait. The caller holds r.mu.
+func (r *Runner) recordFirstByte(ms float64, prefillTokens int, now time.Time) {
+	if prefillTokens >= minRateSampleTokens && ms > 0 {
+		r.stats.prefill.sample(float64(prefillTokens) / ms)
 	}
-	wait := max(0, ms-float64(prompt)/r.prefillRate())
+	wait := max(0, ms-float64(prefillTokens)/r.prefillRate())
 	r.waitMs = average(r.decayedWait(now), wait)
 	r.waitAt = now
 }
 
-// decayedWait is the measured wait in milliseconds. The caller holds r.mu.
+// decayedWait is the measured wait in milliseconds, decayed by its age. The caller holds r.mu.
 func (r *Runner) decayedWait(now time.Time) float64 {
 	return decay(r.waitMs, now.Sub(r.waitAt), waitHalfLife)
 }
--- a/internal/dataplane/balance/prefill.go
+++ b/internal/dataplane/balance/prefill.go
@@ -2,42 +2,44 @@
 
 import "sync"
 
-// serviceStats is what this router has measured of all runners of one service together.
+// serviceStats holds the measurements that this router shares among all runners of one service.
 type serviceStats struct {
 	prefill prefillRate
 	stalls  stallHistory
 }
 
-// statsOf gives what was measured of a service's runners. The caller holds b.mu.
-func (b *Balancer) statsOf(service string) *serviceStats {
-	known := b.services[service]
-	if known == nil {
-		known = &serviceStats{}
-		b.services[service] = known
+// statsFor returns the measurements of a service, and creates them on first use. The caller holds b.mu.
+func (b *Balancer) statsFor(service string) *serviceStats {
+	stats := b.services[service]
+	if stats == nil {
+		stats = &serviceStats{}
+		b.services[service] = stats
 	}
-	return known
+	return stats
 }
 
-// prefillRate is how many prompt tokens the runner reads in a millisecond. It is measured over all runners of the
-// service: a single slow response must not keep a router from a runner for good, and what a runner is slower than the
-// others shows in its measured wait.
+// prefillRate returns the prefill rate in prompt tokens per millisecond. It is measured over all runners of the
+// service: with a rate per runner, a single slow response could keep a router away from that runner for good. A runner
+// that is slower than the others shows it in its measured wait.
 func (r *Runner) prefillRate() float64 { return r.stats.prefill.rate() }
 
-// How the prefill rate of a service's runners is learnt: nearly the fastest samples count, since the others waited.
+// Parameters of the prefill rate estimate. Faster samples weigh more than slower ones, because slow samples include
+// queueing: the estimate stays near the fastest samples.
 const (
-	initialTokensPerMs  = 100.0 // prompt tokens a millisecond, until it was measured
-	minRateSampleTokens = 500   // of a prompt whose time is a sample
-	fasterSampleWeight  = 0.10  // of a faster sample in the moving average
-	slowerSampleWeight  = 0.02  // of a slower one
+	initialTokensPerMs  = 100.0 // assumed until a sample is measured
+	minRateSampleTokens = 500   // shorter prompts are not sampled
+	fasterSampleWeight  = 0.10  // of a sample above the moving average
+	slowerSampleWeight  = 0.02  // of a sample below it
 )
 
-// prefillRate is how fast the runners of one service read prompts. mu guards it; it is taken while a Runner's mu is held.
+// prefillRate estimates how fast the runners of one service prefill prompts. mu guards it; it is taken while a Runner's
+// mu is held.
 type prefillRate struct {
 	mu       sync.Mutex
-	measured float64 // prompt tokens a millisecond; 0: not yet
+	measured float64 // prompt tokens per millisecond; 0: no sample yet
 }
 
-// rate is the measured rate in prompt tokens a millisecond, the initial one until there is a sample.
+// rate returns the estimate in prompt tokens per millisecond, initialTokensPerMs before the first sample.
 func (p *prefillRate) rate() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,7 +49,7 @@
 	return p.measured
 }
 
-// sample takes a prompt's rate.
+// sample adds a measured rate to the estimate.
 func (p *prefillRate) sample(rate float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/dataplane/balance/prefix.go
+++ b/internal/dataplane/balance/prefix.go
@@ -5,11 +5,11 @@
 	"sync"
 )
 
-// maxPrefixRunners is how many runners are remembered for one part of a prompt.
+// maxPrefixRunners is the maximum number of runners recorded for one prompt part.
 const maxPrefixRunners = 4
 
-// PrefixCache remembers which runners were lately sent which parts of prompts. It is this router's own
-// guess at what the runners keep: they do not report it. Its methods may be called concurrently; mu guards its fields.
+// PrefixCache records which runners were recently sent which prompt parts. It is an estimate by this router: runners do
+// not report what they have cached. Its methods may be called concurrently; mu guards its fields.
 type PrefixCache struct {
 	mu         sync.Mutex
 	maxEntries int
@@ -19,22 +19,22 @@
 
 type prefixEntry struct {
 	id      uint64
-	runners []int // newest last
+	runners []int // by Runner.Index, most recent last
 }
 
-// NewPrefixCache makes a cache of at most so many parts.
-func NewPrefixCache(most int) *PrefixCache {
-	return &PrefixCache{maxEntries: most, entries: map[uint64]*list.Element{}, recent: list.New()}
+// NewPrefixCache creates a cache of at most maxEntries prompt parts.
+func NewPrefixCache(maxEntries int) *PrefixCache {
+	return &PrefixCache{maxEntries: maxEntries, entries: map[uint64]*list.Element{}, recent: list.New()}
 }
 
-// Match gives for each runner how many leading tokens of the prompt it was lately sent.
+// Match returns how many leading tokens of the prompt each runner was recently sent, by Runner.Index.
 func (c *PrefixCache) Match(parts []PromptPart) map[int]int {
 	if len(parts) == 0 {
 		return nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	held := map[int]int{}
+	sent := map[int]int{}
 	sum := 0
 	for i, part := range parts {
 		element := c.entries[part.ID]
@@ -43,8 +43,8 @@
 		}
 		found := false
 		for _, runner := range element.Value.(*prefixEntry).runners {
-			if i == 0 || held[runner] == sum {
-				held[runner] = sum + part.Tokens
+			if i == 0 || sent[runner] == sum {
+				sent[runner] = sum + part.Tokens
 				found = true
 			}
 		}
@@ -53,10 +53,10 @@
 			break
 		}
 	}
-	return held
+	return sent
 }
 
-// Record remembers that a runner was sent these parts.
+// Record adds the runner to the entries of these parts.
 func (c *PrefixCache) Record(parts []PromptPart, runner int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +65,8 @@
 	}
 }
 
-// record remembers that a runner was sent one part. The caller holds c.mu.
+// record adds the runner to the entry of one part, and evicts the least recently recorded entry if the cache is full. The
+// caller holds c.mu.
 func (c *PrefixCache) record(id uint64, runner int) {
 	element := c.entries[id]
 	if element == nil {
@@ -80,14 +81,14 @@
 		c.recent.MoveToFront(element)
 	}
 	entry := element.Value.(*prefixEntry)
-	kept := entry.runners[:0]
+	others := entry.runners[:0]
 	for _, known := range entry.runners {
 		if known != runner {
-			kept = append(kept, known)
+			others = append(others, known)
 		}
 	}
-	if len(kept) >= maxPrefixRunners {
-		kept = kept[1:]
+	if len(others) >= maxPrefixRunners {
+		others = others[1:]
 	}
-	entry.runners = append(kept, runner)
+	entry.runners = append(others, runner)
 }
--- a/internal/dataplane/balance/recent.go
+++ b/internal/dataplane/balance/recent.go
@@ -6,36 +6,36 @@
 	"sync"
 )
 
-// recentSession is a session that this router lately served at its affinity target.
+// recentSession is a session that this router recently served at its affinity target.
 type recentSession struct {
 	id      uint64
 	service string
 	model   string
 	key     uint64
-	holder  string
+	runner  string
 }
 
-// recentSessions remembers the sessions that this router served at their affinity target, in case that it becomes another
-// one. No other router needs to know of them until then. mu guards its fields.
+// recentSessions is a bounded LRU set of sessions that this router served at their affinity target. It is needed if
+// another runner becomes the target; until then the other routers need no entry for them. mu guards its fields.
 type recentSessions struct {
 	mu         sync.Mutex
 	maxEntries int
 	entries    map[uint64]*list.Element
-	order      *list.List // of recentSession, the one served last in front
+	order      *list.List // of recentSession, most recently served first
 }
 
-func newRecentSessions(most int) *recentSessions {
-	return &recentSessions{maxEntries: most, entries: map[uint64]*list.Element{}, order: list.New()}
+func newRecentSessions(maxEntries int) *recentSessions {
+	return &recentSessions{maxEntries: maxEntries, entries: map[uint64]*list.Element{}, order: list.New()}
 }
 
-// record remembers a session, and forgets the one served longest ago where there are too many.
+// record adds or refreshes a session, and evicts the least recently served one if there are too many.
 func (r *recentSessions) record(id uint64, served recentSession) {
 	served.id = id
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if element := r.entries[id]; element != nil {
 		known := element.Value.(recentSession)
-		if known.holder != served.holder {
+		if known.runner != served.runner {
 			element.Value = served
 		}
 		r.order.MoveToFront(element)
@@ -46,11 +46,11 @@
 		delete(r.entries, oldest.Value.(recentSession).id)
 		r.order.Remove(oldest)
 	}
-	served.model = strings.Clone(served.model) // it is a part of a header, which is not to stay
+	served.model = strings.Clone(served.model) // a substring of a header, which must not stay in memory
 	r.entries[id] = r.order.PushFront(served)
 }
 
-// get gives a remembered session.
+// get looks up a session.
 func (r *recentSessions) get(id uint64) (recentSession, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,8 +61,8 @@
 	return element.Value.(recentSession), true
 }
 
-// forget forgets a session, if it is known.
-func (r *recentSessions) forget(id uint64) {
+// remove deletes a session if it is present.
+func (r *recentSessions) remove(id uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if element := r.entries[id]; element != nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-// all lists the sessions, the one served longest ago first.
+// all lists the sessions, least recently served first.
 func (r *recentSessions) all() []recentSession {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/dataplane/balance/rendezvous.go
+++ b/internal/dataplane/balance/rendezvous.go
@@ -4,13 +4,13 @@
 	"yarrowridge/internal/lib/hashing"
 )
 
-// affinity gives the key by which all routers pick the same runner for a session, and how many tokens of
-// the prompt that runner is expected to keep.
+// affinity returns the key by which all routers map a session to the same runner, and the number of leading prompt
+// tokens that this runner is expected to have cached.
 func affinity(parts []PromptPart) (key uint64, shared int) {
 	if len(parts) == 0 {
 		return 0, 0
 	}
-	// The last part is the request's own, unless there is no other.
+	// The last part is specific to the request, unless it is the only one.
 	for _, part := range parts[:max(1, len(parts)-1)] {
 		shared += part.Tokens
 		key = part.ID
@@ -18,9 +18,9 @@
 	return key, shared
 }
 
-// rendezvous picks the usable runner with the highest weight for a key: every router works out the same one, and a change of
-// the set moves only the keys of the runner that came or went. Nil: the key is none, or there is no such runner. target is the
-// ready runner with the highest weight, ejected or not.
+// rendezvous returns the candidate with the highest rendezvous weight for a key that is not ejected, or nil if there is
+// none or the key is 0. Every router computes the same runner, and when a runner joins or leaves, only its own keys
+// move. target is the ready candidate with the highest weight, ejected or not.
 func rendezvous(candidates []candidate, key uint64) (first *Runner, target string) {
 	if key == 0 {
 		return nil, ""
--- a/internal/dataplane/balance/runner.go
+++ b/internal/dataplane/balance/runner.go
@@ -7,42 +7,42 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// Runner is one incarnation of one runner with what this router has measured of it.
+// Runner is one incarnation of a runner, with the measurements of this router.
 type Runner struct {
-	Index int // dense, never used again
-	stats *serviceStats
-	since time.Time // when this router came to know it
+	Index     int // dense, never reused
+	stats     *serviceStats
+	firstSeen time.Time // when this router first listed it
 
 	mu   sync.Mutex // guards the fields below
 	info routing.Runner
 
 	// Requests in flight.
 	inFlight            map[*Attempt]struct{}
-	pendingPromptTokens int       // sent, whose first event has not come
-	lastActivity        time.Time // when it last sent anything, or began to work after it had none
+	pendingPromptTokens int       // of requests without a first byte yet
+	lastActivity        time.Time // last data received, or start of the first request after idle
 
 	// Moving averages, in milliseconds.
-	waitMs     float64 // what the prompt's own prefill does not explain of the time to the first byte, as of waitAt
+	waitMs     float64 // time to the first byte without the prefill of the request's own prompt, as of waitAt
 	waitAt     time.Time
-	responseMs float64 // of complete responses
-	eventGapMs float64 // between events
+	responseMs float64 // duration of complete responses
+	eventGapMs float64 // gap between events
 
 	// Failures and rejections.
-	failuresInRow     int
-	ejectedUntil      time.Time
-	failureShare      float64 // of lately failed attempts, as of failureShareAt
-	failureShareAt    time.Time
-	rejectedAt        time.Time // when it last had no capacity
-	fleetFailureShare float64   // of attempts that failed lately for all routers, as far as it is large
-	fleetFailureUntil time.Time
-	tally             Tally
+	failuresInRow      int
+	ejectedUntil       time.Time
+	failureRate        float64 // recent share of failed attempts, as of failureRateAt
+	failureRateAt      time.Time
+	rejectedAt         time.Time // last rejection for lack of capacity
+	fleetFailureRate   float64   // over all routers, valid until fleetFailureExpiry; 0: not reported as failing
+	fleetFailureExpiry time.Time
+	tally              Tally
 }
 
 func newRunner(index int, info routing.Runner, service *serviceStats, now time.Time) *Runner {
-	return &Runner{Index: index, stats: service, info: info, since: now, lastActivity: now, inFlight: map[*Attempt]struct{}{}}
+	return &Runner{Index: index, stats: service, info: info, firstSeen: now, lastActivity: now, inFlight: map[*Attempt]struct{}{}}
 }
 
-// Info is what the runner last said of itself. It may be called concurrently.
+// Info returns the latest state that the runner reported. It may be called concurrently.
 func (r *Runner) Info() routing.Runner {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/dataplane/balance/session.go
+++ b/internal/dataplane/balance/session.go
@@ -10,89 +10,90 @@
 )
 
 const (
-	maxDirectorySessions = 1 << 15 // sessions in the directory
-	maxRecentSessions    = 1 << 14 // sessions that this router remembers as served at their affinity target
-	// minSessionTokens is how many shared tokens make a session worth an entry: below it reading them again costs less than
-	// announcing it to all routers.
+	maxDirectorySessions = 1 << 15 // capacity of the session directory
+	maxRecentSessions    = 1 << 14 // capacity of recentSessions
+	// minSessionTokens is the minimum number of shared tokens for a directory entry. Below it, prefilling them again
+	// costs less than announcing the entry to all routers.
 	minSessionTokens = 128
-	// minEntryAge is how long an entry whose holders are all ready stands before another runner replaces one of them: a
-	// session in use at many runners at once does not cause updates all the time.
+	// minEntryAge is the minimum age of a full entry of ready runners before one of them is replaced, so that a session
+	// in use at many runners at once does not cause constant updates.
 	minEntryAge = 2 * time.Second
 )
 
-// sessionRef is a session as all routers name it, and where its context is expected.
+// sessionRef identifies a session across all routers, and lists the runners that are expected to have its context
+// cached.
 type sessionRef struct {
-	id             uint64 // 0: the request belongs to no session that is worth an entry
+	id             uint64 // 0: the request has no session, or its context is too small
 	service        string
 	model          string
 	key            uint64
-	affinityTarget string   // the runner that every router works out; "": none is ready
-	holders        []string // those announced, or the one that this router remembers
+	affinityTarget string   // ID of the runner that every router computes; "": none is ready
+	runners        []string // IDs from the directory entry, else the one in recentSessions
 }
 
-// session names the session that a request belongs to and looks up its holders.
-func (b *Balancer) session(request *Request, key uint64, shared int) sessionRef {
+// sessionRefFor identifies the session of a request and looks up the runners that have its context cached.
+func (b *Balancer) sessionRefFor(request *Request, key uint64, shared int) sessionRef {
 	if len(request.Parts) < 2 || shared < minSessionTokens {
 		return sessionRef{}
 	}
 	ref := sessionRef{id: sessionID(request.Service, request.Model, key), service: request.Service, model: request.Model, key: key}
 	if entry, known := b.Sessions.Lookup(ref.id); known {
-		ref.holders = entry.Runners
+		ref.runners = entry.Runners
 	} else if remembered, known := b.recent.get(ref.id); known {
-		ref.holders = []string{remembered.holder}
+		ref.runners = []string{remembered.runner}
 	}
 	return ref
 }
 
-// sessionID is a session's id in the directory: one text at two services or models is two contexts.
+// sessionID returns the ID of a session in the directory. The same text at two services or models is two contexts.
 func sessionID(service, model string, key uint64) uint64 {
-	return hashing.RendezvousWeight(key, service+"\x00"+model) | 1 // 0 is no session
+	return hashing.RendezvousWeight(key, service+"\x00"+model) | 1 // never 0, which means no session
 }
 
-// isHeldBy reports whether the runner is an announced holder of the session.
-func (s *sessionRef) isHeldBy(id string) bool { return slices.Contains(s.holders, id) }
+// isCachedOn reports whether the runner is expected to have the session's context cached.
+func (s *sessionRef) isCachedOn(id string) bool { return slices.Contains(s.runners, id) }
 
-// presumedHolder gives the runner that is taken for the session's holder although nobody is known to have sent it
-// there: the first choice, unless a known holder can be used.
-func (s *sessionRef) presumedHolder(candidates []candidate, first *Runner) *Runner {
+// presumedRunner returns the runner that is assumed to have the context cached without any record of it: the first
+// choice of rendezvous hashing, unless a runner on record is among the candidates and not ejected.
+func (s *sessionRef) presumedRunner(candidates []candidate, preferred *Runner) *Runner {
 	for i := range candidates {
-		if !candidates[i].ejected && s.isHeldBy(candidates[i].id) {
+		if !candidates[i].ejected && s.isCachedOn(candidates[i].id) {
 			return nil
 		}
 	}
-	return first
+	return preferred
 }
 
-// recordHolder records that a runner holds the session's context now: it has answered. It is announced to the other routers
-// where they would not look for it there.
-func (b *Balancer) recordHolder(ref *sessionRef, id string) {
+// recordSessionRunner records that a runner has the session's context cached, because it has answered. It is announced
+// to the other routers unless they expect the context there anyway.
+func (b *Balancer) recordSessionRunner(ref *sessionRef, id string) {
 	entry, known := b.Sessions.Lookup(ref.id)
 	switch {
 	case known && slices.Contains(entry.Runners, id):
 		return
 	case known:
-		b.replaceHolder(id, entry)
+		b.replaceSessionRunner(id, entry)
 	case id == ref.affinityTarget:
-		b.recent.record(ref.id, recentSession{service: ref.service, model: ref.model, key: ref.key, holder: id})
+		b.recent.record(ref.id, recentSession{service: ref.service, model: ref.model, key: ref.key, runner: id})
 		return
 	default:
-		// The one before keeps it too, as far as this router knows of one.
-		b.Sessions.Record(ref.id, append([]string{id}, b.readyOf(ref.holders)...)...)
+		// Previous runners on record still have the context cached.
+		b.Sessions.Record(ref.id, append([]string{id}, b.filterReady(ref.runners)...)...)
 	}
-	b.recent.forget(ref.id)
+	b.recent.remove(ref.id)
 }
 
-// replaceHolder puts a runner into a session's entry that names others.
-func (b *Balancer) replaceHolder(id string, entry session.Entry) {
-	ready := b.readyOf(entry.Runners)
+// replaceSessionRunner puts a runner first in an existing entry of a session, unless the entry is full and too recent.
+func (b *Balancer) replaceSessionRunner(id string, entry session.Entry) {
+	ready := b.filterReady(entry.Runners)
 	if len(ready) == session.MaxRunners && b.Sessions.Age(entry.Session) < minEntryAge {
 		return
 	}
 	b.Sessions.Record(entry.Session, append([]string{id}, ready...)...)
 }
 
-// readyOf gives those of the runners that may be sent requests.
-func (b *Balancer) readyOf(ids []string) []string {
+// filterReady returns the IDs of those runners that are ready.
+func (b *Balancer) filterReady(ids []string) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var ready []string
--- a/internal/dataplane/balance/session_test.go
+++ b/internal/dataplane/balance/session_test.go
@@ -191,7 +191,7 @@
 	home := ask(f.routers[0], sessionRequest(1))
 	for _, runner := range f.routers[0].Runners("s") {
 		if runner.Info().ID == home {
-			runner.begin(0, runner.since).Failed()
+			runner.begin(0, runner.firstSeen).Failed()
 		}
 	}
 	second := ask(f.routers[0], sessionRequest(1))
@@ -199,7 +199,7 @@
 		t.Fatal("a runner that failed just now was chosen")
 	}
 	f.spread()
-	entry, _ := f.routers[2].Sessions.Lookup(f.routers[2].session(ptr(sessionRequest(1)), sessionRequest(1).Parts[0].ID, 3000).id)
+	entry, _ := f.routers[2].Sessions.Lookup(f.routers[2].sessionRefFor(ptr(sessionRequest(1)), sessionRequest(1).Parts[0].ID, 3000).id)
 	if len(entry.Runners) != 2 || entry.Runners[0] != second || entry.Runners[1] != home {
 		t.Errorf("held by %v, by %s and %s expected", entry.Runners, second, home)
 	}
@@ -236,7 +236,7 @@
 func TestTriedRunnerIsNotChosenAgain(t *testing.T) {
 	f := newSessionFleet(t, 1, "a", "b")
 	b, request := f.routers[0], sessionRequest(1)
-	b.Sessions.Record(b.session(&request, request.Parts[0].ID, 3000).id, "a", "b")
+	b.Sessions.Record(b.sessionRefFor(&request, request.Parts[0].ID, 3000).id, "a", "b")
 	request.Tried = map[int]bool{}
 	for range 2 {
 		attempt := b.Choose(request)
@@ -256,8 +256,8 @@
 	f := newSessionFleet(t, 2, "a", "b", "c", "d")
 	told := 0
 	for i := range 100 {
-		ref := f.routers[i%2].session(ptr(sessionRequest(1)), sessionRequest(1).Parts[0].ID, 3000)
-		f.routers[i%2].recordHolder(&ref, []string{"a", "b", "c", "d"}[i%4])
+		ref := f.routers[i%2].sessionRefFor(ptr(sessionRequest(1)), sessionRequest(1).Parts[0].ID, 3000)
+		f.routers[i%2].recordSessionRunner(&ref, []string{"a", "b", "c", "d"}[i%4])
 		for from := range f.routers {
 			entries := f.routers[from].Sessions.DrainUpdates()
 			told += len(entries)
@@ -273,7 +273,7 @@
 	b := New("east")
 	for _, request := range []Request{{}, {Parts: []PromptPart{{ID: 1, Tokens: 5000}}}, {Parts: []PromptPart{{ID: 1, Tokens: 20}, {ID: 2, Tokens: 5000}}}} {
 		key, shared := affinity(request.Parts)
-		if ref := b.session(&request, key, shared); ref.id != 0 {
+		if ref := b.sessionRefFor(&request, key, shared); ref.id != 0 {
 			t.Errorf("%v is taken for a session", request)
 		}
 	}
@@ -282,14 +282,14 @@
 func TestRecentSessionsAreBounded(t *testing.T) {
 	r := newRecentSessions(10)
 	for id := range uint64(100) {
-		r.record(id, recentSession{holder: "a"})
-		r.record(0, recentSession{holder: fmt.Sprint(id)})
+		r.record(id, recentSession{runner: "a"})
+		r.record(0, recentSession{runner: fmt.Sprint(id)})
 	}
 	if len(r.all()) != 10 || len(r.entries) != 10 {
 		t.Errorf("%d sessions", len(r.all()))
 	}
-	if kept, _ := r.get(0); kept.holder != "99" {
-		t.Errorf("the session in use has holder %q", kept.holder)
+	if kept, _ := r.get(0); kept.runner != "99" {
+		t.Errorf("the session in use has holder %q", kept.runner)
 	}
 }
 
--- a/internal/dataplane/balance/tally.go
+++ b/internal/dataplane/balance/tally.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Tally counts how attempts at a runner ended, and the gaps between the events of its streams.
+// Tally counts the outcomes of attempts at a runner and the gaps between the events of its streams.
 type Tally struct {
 	Attempts, Failures int
 	Gaps               int
-	GapTotal           time.Duration // all gaps together
+	GapTotal           time.Duration // sum of all gaps
 }
 
-// Tally gives for each runner used since the last call how its attempts ended. Those in flight at a
-// runner that has stalled count as failed.
+// Tally returns, by runner ID, the counts since the last call, for runners with any. Attempts in flight at a stalled
+// runner count as failed.
 func (b *Balancer) Tally() map[string]Tally {
 	now := time.Now()
 	out := map[string]Tally{}
 	for _, runners := range *b.byService.Load() {
 		for _, runner := range runners {
-			if tally := runner.takeTally(now); tally.Attempts > 0 || tally.Gaps > 0 {
+			if tally := runner.drainTally(now); tally.Attempts > 0 || tally.Gaps > 0 {
 				out[runner.Info().ID] = tally
 			}
 		}
@@ -24,8 +24,8 @@
 	return out
 }
 
-// takeTally gives what was counted since the last call.
-func (r *Runner) takeTally(now time.Time) Tally {
+// drainTally returns the counts since the last call and resets them.
+func (r *Runner) drainTally(now time.Time) Tally {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	tally := r.tally
--- a/internal/dataplane/request/request.go
+++ b/internal/dataplane/request/request.go
@@ -1,5 +1,4 @@
-// Package request holds the states that every request goes through, and a log of the requests that did
-// not end well.
+// Package request tracks the state of each request, and keeps a log of requests that failed or were rejected.
 package request
 
 import (
@@ -11,10 +10,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// State is how far a request has come.
+// State is a stage in the life of a request.
 type State string
 
-// The states of a request. Their texts are read by operators and stay as they are.
+// The states of a request. Operators read their texts: do not change them.
 const (
 	Read       State = "read"
 	Identified State = "known"
@@ -29,8 +28,8 @@
 	Failed     State = "troubled"
 )
 
-// transitions lists where each state may lead. Nothing leads from sent back to queued: once a byte may
-// have left, a request is never sent again.
+// transitions lists the states that may follow each state. Sent never leads back to Queued: once a byte may have left,
+// a request is never sent again.
 var transitions = map[State][]State{
 	Read:       {Identified, Rejected},
 	Identified: {Routed, Rejected},
@@ -42,14 +41,14 @@
 	Responding: {Done, Failed},
 }
 
-// Step is one entry of a request's record.
+// Step is one state transition in the record of a request.
 type Step struct {
 	State State         `json:"state"`
 	After time.Duration `json:"after_ns"`
 	Note  string        `json:"note,omitempty"`
 }
 
-// Request is one request on its way.
+// Request is a request in progress. mu guards state and steps.
 type Request struct {
 	ID      string
 	Tenant  string
@@ -60,7 +59,7 @@
 	steps   []Step
 }
 
-// New begins a request, being read.
+// New creates a request in state Read, with a random ID.
 func New() *Request {
 	var id [12]byte
 	rand.Read(id[:])
@@ -69,31 +68,31 @@
 	return r
 }
 
-// Advance moves the request on, or refuses a step that the chart does not have.
+// Advance moves the request to a state. It returns an error if the transition is not allowed.
 func (r *Request) Advance(to State, note string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, allowed := range transitions[r.state] {
-		if allowed == to {
+	for _, next := range transitions[r.state] {
+		if next == to {
 			r.state = to
 			r.steps = append(r.steps, Step{to, time.Since(r.started), note})
 			return nil
 		}
 	}
-	return eris.Errorf("query %s: no way from %s to %s", r.ID, r.state, to)
+	return eris.Errorf("query %s: invalid state transition from %s to %s", r.ID, r.state, to)
 }
 
-// State tells where the request stands.
+// State returns the current state.
 func (r *Request) State() State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state
 }
 
-// Age is the time since the request began.
+// Age returns the time since the request was created.
 func (r *Request) Age() time.Duration { return time.Since(r.started) }
 
-// Record is what is kept of a request.
+// Record is the log entry of a request.
 type Record struct {
 	ID     string `json:"query"`
 	Tenant string `json:"tenant"`
@@ -102,27 +101,27 @@
 	Steps  []Step `json:"steps"`
 }
 
-// Record is the request's way so far, with the code it ended in.
+// Record returns the state transitions so far, with the result code of the request.
 func (r *Request) Record(code string) Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return Record{r.ID, r.Tenant, r.Lane, code, append([]Step(nil), r.steps...)}
 }
 
-// Started is when the request began to be read.
+// Started returns the time at which the request was created.
 func (r *Request) Started() time.Time { return r.started }
 
-// Log keeps the records of the last failed or rejected requests.
+// Log is a ring buffer of the records of failed and rejected requests.
 type Log struct {
 	mu      sync.Mutex
 	records []Record
 	next    int
 }
 
-// NewLog makes a log of n records.
+// NewLog creates a log with a capacity of n records.
 func NewLog(n int) *Log { return &Log{records: make([]Record, 0, n)} }
 
-// Add keeps a request's record.
+// Add stores the record of a request, and overwrites the oldest one if the log is full.
 func (l *Log) Add(r *Request, code string) {
 	record := r.Record(code)
 	l.mu.Lock()
@@ -135,7 +134,7 @@
 	l.next = (l.next + 1) % len(l.records)
 }
 
-// All gives the records, oldest first.
+// All returns the records, oldest first.
 func (l *Log) All() []Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/dataplane/retry/budget.go
+++ b/internal/dataplane/retry/budget.go
@@ -1,44 +1,44 @@
-// Package retry bounds retries at the services of a fleet, so that retries never multiply a fault.
+// Package retry limits retries per service, so that retries cannot amplify a failure.
 package retry
 
 import (
 	"sync"
 )
 
-// Policy bounds the retries at one service.
+// Policy limits the retries at one service.
 type Policy struct {
-	Ratio float64 // retries that each first attempt earns
-	Burst int     // the most earned retries that this router may keep: its share of the fleet's allowance
+	Ratio float64 // retries earned per first attempt
+	Burst int     // maximum unspent retries of this router: its share of the fleet's allowance
 }
 
-// Budget holds the retries that this router may make, for each service. Each first attempt earns a fraction of a retry; what
-// is earned is kept up to Spare and no further. Invariant: in any span of time the retries of all routers are at most Ratio
-// times the first attempts within it, plus the allowance. Its methods may be called concurrently; mu guards the map.
+// Budget is a token bucket of retries for each service: each first attempt adds Ratio retries, up to Burst. Invariant:
+// in any period the retries of all routers are at most Ratio times the first attempts in that period, plus the
+// allowance. Its methods may be called concurrently; mu guards the map.
 type Budget struct {
 	mu       sync.Mutex
-	services map[string]float64
+	balances map[string]float64 // unspent retries by service
 }
 
-// New makes an empty budget.
-func New() *Budget { return &Budget{services: map[string]float64{}} }
+// New creates a budget with no retries earned.
+func New() *Budget { return &Budget{balances: map[string]float64{}} }
 
-// RecordFirstAttempt counts a first attempt.
-func (b *Budget) RecordFirstAttempt(service string, rule Policy) {
+// RecordFirstAttempt adds the retries that a first attempt earns.
+func (b *Budget) RecordFirstAttempt(service string, policy Policy) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.services[service] = min(float64(rule.Burst), b.services[service]+rule.Ratio)
+	b.balances[service] = min(float64(policy.Burst), b.balances[service]+policy.Ratio)
 }
 
-// roundingSlack guards the comparison against sums of fractions that miss a whole number by rounding.
-const roundingSlack = 1e-9
+// roundingTolerance compensates for rounding in sums of fractions, which may fall just short of a whole number.
+const roundingTolerance = 1e-9
 
-// Take reports whether a retry may be made now, and counts it.
+// Take reports whether a retry is permitted, and deducts it if so.
 func (b *Budget) Take(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.services[service] < 1-roundingSlack {
+	if b.balances[service] < 1-roundingTolerance {
 		return false
 	}
-	b.services[service]--
+	b.balances[service]--
 	return true
 }
