--- a/internal/dataplane/allow/allow_test.go
+++ b/internal/dataplane/allow/allow_test.go
@@ -12,17 +12,17 @@
 
 var rule = fleetconfig.Allowance{Ceiling: 4096, Floor: 512, FullUntil: 60 * time.Second, FloorFrom: 300 * time.Second, AssumedTokensPerSecond: 10}
 
-// The curve at its thresholds, between them and past them.
-func TestCurve(t *testing.T) {
+// The allowance at the thresholds, between them and beyond them.
+func TestAllowanceThresholds(t *testing.T) {
 	for seconds, want := range map[float64]int{0: 4096, 59.9: 4096, 60: 4096, 120: 3200, 180: 2304, 240: 1408, 299.999: 513, 300: 512, 301: 512, 1e6: 512} {
 		if got := Allowance(rule, time.Duration(seconds*float64(time.Second))); got != want {
-			t.Errorf("wait %g s: allowance %d, %d expected", seconds, got, want)
+			t.Errorf("wait %g s: got allowance %d, want %d", seconds, got, want)
 		}
 	}
 }
 
-// plain is the rule as the paper tells it, by big steps and with no care for speed.
-func plain(r fleetconfig.Allowance, demand Demand, estimates []Estimate, waiting float64) (Outcome, int) {
+// referenceDecide implements the rule directly as the source paper states it, for comparison with Decide.
+func referenceDecide(r fleetconfig.Allowance, demand Demand, estimates []Estimate, waiting float64) (Outcome, int) {
 	size := r.Floor
 	if len(estimates) > 0 {
 		sum, rate := waiting, 0.0
@@ -51,8 +51,8 @@
 	return NoFunds, demand.Tokens
 }
 
-// The decision against the plain model, for any rule, fleet and prompt.
-func TestDecideAgainstModel(t *testing.T) {
+// Decide agrees with the reference implementation for any rule, set of runners and request.
+func TestDecideMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		floor := rapid.IntRange(1, 2000).Draw(t, "floor")
 		r := fleetconfig.Allowance{Floor: floor, Ceiling: floor + rapid.IntRange(0, 8000).Draw(t, "above"),
@@ -68,22 +68,23 @@
 		demand := Demand{Funded: rapid.Bool().Draw(t, "funded"), MayLower: rapid.Bool().Draw(t, "lower"), Tokens: rapid.IntRange(1, 16384).Draw(t, "tokens")}
 		waiting := float64(rapid.IntRange(0, 20000).Draw(t, "waiting"))
 		got := Decide(r, demand, estimates, waiting)
-		out, tokens := plain(r, demand, estimates, waiting)
-		// A wait in whole nanoseconds may move the line by one token; a prompt just there may go either way.
+		out, tokens := referenceDecide(r, demand, estimates, waiting)
+		// Rounding the wait to nanoseconds may change the allowance by one token, so a request at the limit may get
+		// either outcome.
 		if got.Outcome != out && math.Abs(float64(got.Allowance-demand.Tokens)) > 1 {
-			t.Fatalf("outcome %s, the model says %s (allowance %d)", got.Outcome, out, got.Allowance)
+			t.Fatalf("got outcome %s, want %s (allowance %d)", got.Outcome, out, got.Allowance)
 		}
 		if got.Outcome == out && math.Abs(float64(got.Tokens-tokens)) > 1 {
-			t.Fatalf("tokens %d, the model says %d", got.Tokens, tokens)
+			t.Fatalf("got %d tokens, want %d", got.Tokens, tokens)
 		}
 		if got.Outcome != Lowered && got.Tokens != demand.Tokens {
-			t.Fatalf("tokens changed from %d to %d without lowering", demand.Tokens, got.Tokens)
+			t.Fatalf("tokens changed from %d to %d, but the outcome is not lowered", demand.Tokens, got.Tokens)
 		}
 	})
 }
 
-// More work ahead never raises the allowance; more speed never lowers it.
-func TestMonotone(t *testing.T) {
+// More queued output never raises the allowance; a higher rate never lowers it.
+func TestAllowanceIsMonotone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := float64(rapid.IntRange(0, 100000).Draw(t, "queued"))
 		v := float64(rapid.IntRange(1, 500).Draw(t, "rate"))
--- a/internal/dataplane/balance/attempt.go
+++ b/internal/dataplane/balance/attempt.go
@@ -10,8 +10,8 @@
 	runner        *Runner
 	prefillTokens int // prompt tokens that the runner is expected to prefill
 	started       time.Time
-	first         time.Time // first byte of the response body
-	last          time.Time // latest bytes of the response body
+	firstByteAt   time.Time // first byte of the response body
+	lastByteAt    time.Time // latest bytes of the response body
 	finished      bool
 
 	balancer *Balancer
@@ -46,19 +46,19 @@
 	r := a.runner
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	first := a.first.IsZero()
+	first := a.firstByteAt.IsZero()
 	r.recordActivity(now)
 	if first {
-		a.first = now
+		a.firstByteAt = now
 		r.pendingPromptTokens -= a.prefillTokens
 		r.recordFirstByte(float64(now.Sub(a.started))/float64(time.Millisecond), a.prefillTokens, now)
 	} else {
-		pause := now.Sub(a.last)
+		pause := now.Sub(a.lastByteAt)
 		r.eventGapMs = average(r.eventGapMs, float64(pause)/float64(time.Millisecond))
 		r.tally.Gaps++
 		r.tally.GapTotal += pause
 	}
-	a.last = now
+	a.lastByteAt = now
 	return first
 }
 
@@ -124,7 +124,7 @@
 	}
 	a.finished = true
 	delete(r.inFlight, a)
-	if a.first.IsZero() {
+	if a.firstByteAt.IsZero() {
 		r.pendingPromptTokens -= a.prefillTokens
 	}
 	return true
--- a/internal/dataplane/balance/balancer.go
+++ b/internal/dataplane/balance/balancer.go
@@ -43,11 +43,11 @@
 	recent      *recentSessions
 	addedSignal chan struct{} // has one pending value after a runner was added
 
-	mu       sync.Mutex // guards the fields below, up to services
-	next     int        // Index of the next new runner
-	byID     map[string]*Runner
-	added    []*Runner // runners that became ready since the last RefreshAffinity
-	services map[string]*serviceStats
+	mu        sync.Mutex // guards the fields below, up to services
+	nextIndex int        // Index of the next new runner
+	byID      map[string]*Runner
+	added     []*Runner // runners that became ready since the last RefreshAffinity
+	services  map[string]*serviceStats
 
 	byService  atomic.Pointer[map[string][]*Runner] // replaced by Update, never modified in place
 	tieCounter atomic.Uint64                        // seeds the draws that break ties
@@ -77,8 +77,8 @@
 		known[info.ID] = true
 		runner := b.byID[info.ID]
 		if runner == nil {
-			runner = newRunner(b.next, info, b.statsFor(info.Service), now)
-			b.next++
+			runner = newRunner(b.nextIndex, info, b.statsFor(info.Service), now)
+			b.nextIndex++
 			b.byID[info.ID] = runner
 		}
 		b.refresh(runner, info, now)
--- a/internal/dataplane/balance/choose_test.go
+++ b/internal/dataplane/balance/choose_test.go
@@ -10,7 +10,7 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// readyRunners are runners of one service and zone.
+// readyRunners returns ready runners of one service in one zone.
 func readyRunners(count int) []routing.Runner {
 	var list []routing.Runner
 	for i := range count {
@@ -25,12 +25,12 @@
 	return b
 }
 
-// sessionOf is a request of a session whose shared prompt has 5000 tokens.
+// sessionOf returns a request of a session with 5000 shared prompt tokens.
 func sessionOf(key uint64) Request {
 	return Request{Service: "s", Parts: []PromptPart{{ID: key, Tokens: 5000}, {ID: key + 1<<40, Tokens: 100}}, Input: 5100, Output: 50}
 }
 
-// chosen gives the ID of the runner that a request would go to.
+// chosen returns the ID of the runner that the request would be sent to, "" if there is none.
 func chosen(b *Balancer, request Request) string {
 	attempt := b.Choose(request)
 	if attempt == nil {
@@ -40,7 +40,7 @@
 	return attempt.Runner().Info().ID
 }
 
-// sendTo begins a request at one runner, whatever the balancer would choose.
+// sendTo starts a request at the given runner by excluding all others.
 func sendTo(b *Balancer, id string, request Request) *Attempt {
 	request.Tried = map[int]bool{}
 	for _, runner := range b.Runners(request.Service) {
@@ -51,14 +51,14 @@
 	return b.Choose(request)
 }
 
-// answer has a runner answer so long after the request.
+// answer completes the response after a delay.
 func answer(attempt *Attempt, after time.Duration) {
 	time.Sleep(after)
 	attempt.Progress()
 	attempt.Done()
 }
 
-// measuredWait has the balancer measure that a runner lets requests wait.
+// measuredWait makes the balancer measure a wait at a runner.
 func measuredWait(b *Balancer, id string, wait time.Duration) {
 	var open []*Attempt
 	for range 8 {
@@ -70,7 +70,7 @@
 	}
 }
 
-// A session stays at its runner while nothing is wrong there, turn after turn.
+// A session stays at its runner over all turns if nothing is wrong there.
 func TestSessionStaysAtItsRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balancerOf(readyRunners(6))
@@ -79,7 +79,7 @@
 			for turn := range 10 {
 				attempt := b.Choose(sessionOf(key + 1))
 				if id := attempt.Runner().Info().ID; id != home {
-					t.Fatalf("session %d: turn %d goes to %s, the ones before went to %s", key, turn, id, home)
+					t.Fatalf("session %d: turn %d was sent to %s, earlier turns to %s", key, turn, id, home)
 				}
 				answer(attempt, 5*time.Millisecond)
 			}
@@ -87,44 +87,44 @@
 	})
 }
 
-// A short wait at its runner does not move a session, a long one does. Later it goes to one of the two, which
-// both have read its prompt.
+// A short wait at its runner does not move a session, a long one does. Afterwards the session stays at one of the two
+// runners that have its prompt cached.
 func TestSessionLeavesForALongWaitOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balancerOf(readyRunners(6))
 		home := chosen(b, sessionOf(1))
 		measuredWait(b, home, 30*time.Millisecond)
 		if id := chosen(b, sessionOf(1)); id != home {
-			t.Errorf("a wait of 30 ms moves the session from %s to %s", home, id)
+			t.Errorf("a wait of 30 ms moved the session from %s to %s", home, id)
 		}
 		measuredWait(b, home, 1200*time.Millisecond)
 		second := chosen(b, sessionOf(1))
 		if second == home {
-			t.Errorf("the session stays at %s, where requests wait 1.2 s", home)
+			t.Errorf("the session stayed at %s despite a wait of 1.2 s", home)
 		}
 		time.Sleep(10 * time.Second)
 		for range 10 {
 			if id := chosen(b, sessionOf(1)); id != home && id != second {
-				t.Errorf("the wait is over, but the session goes to %s, not to %s or %s", id, home, second)
+				t.Errorf("after the wait the session was sent to %s, want %s or %s", id, home, second)
 			}
 		}
 	})
 }
 
-// A prompt that one runner keeps is not read again elsewhere to save about the time of the reading: that time is taken from
+// A cached prompt is not prefilled at another runner to save a wait of about the prefill time: the prefill would delay
 // all other requests.
-func TestSharedPromptIsNotReadAgainForAShortWait(t *testing.T) {
+func TestSharedPromptIsNotPrefilledAgainForAShortWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balancerOf(readyRunners(6))
 		home := chosen(b, sessionOf(1))
 		measuredWait(b, home, 100*time.Millisecond)
 		if id := chosen(b, sessionOf(1)); id != home {
-			t.Errorf("got %s for a prompt of 5000 tokens that %s keeps, where requests wait 100 ms, want the latter: reading it takes 50 ms", id, home)
+			t.Errorf("got %s for a prompt of 5000 tokens that %s has cached with a wait of 100 ms, want the latter: the prefill takes 50 ms", id, home)
 		}
 	})
 }
 
-// Of runners that are alike the router's own zone serves, for the bytes between zones.
+// Among otherwise equal runners, one in the router's own zone is chosen, to avoid traffic between zones.
 func TestOwnZoneIsPreferred(t *testing.T) {
 	list := readyRunners(8)
 	for i := range list[1:] {
@@ -133,12 +133,13 @@
 	b := balancerOf(list)
 	for range 50 {
 		if id := chosen(b, Request{Service: "s"}); id != list[0].ID {
-			t.Fatalf("got %s in another zone, want %s, which is as free", id, list[0].ID)
+			t.Fatalf("got %s in another zone, want %s with the same load", id, list[0].ID)
 		}
 	}
 }
 
-// Routers that never spoke to each other, in other zones, with lists in another order, choose alike.
+// Routers choose the same runner for a session without any communication, regardless of their zone and the order of
+// their lists.
 func TestBalancersAgree(t *testing.T) {
 	list := readyRunners(7)
 	reversed := make([]routing.Runner, len(list))
@@ -149,44 +150,45 @@
 		one, other := balancerOf(list), New("west")
 		other.Update(reversed)
 		if a, b := chosen(one, sessionOf(key+1)), chosen(other, sessionOf(key+1)); a != b {
-			t.Fatalf("session %d goes to %s from one router and to %s from another", key, a, b)
+			t.Fatalf("session %d was sent to %s by one router and to %s by another", key, a, b)
 		}
 	}
 }
 
-// A runner that failed gets nothing new for a while, longer each time, and then one request to try it.
-func TestFailingRunnerIsTriedAgain(t *testing.T) {
+// A failed runner gets no new requests for a period that doubles with each failure, and then a single request as a
+// probe.
+func TestEjectionAndProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balancerOf(readyRunners(2))
-		pause := func() time.Duration {
+		ejection := func() time.Duration {
 			sendTo(b, "life-0", Request{Service: "s"}).Failed()
-			begun := time.Now()
+			started := time.Now()
 			for {
-				keep := sendTo(b, "life-1", Request{Service: "s", Input: 1_000_000}) // so that life-0 is wanted
+				load := sendTo(b, "life-1", Request{Service: "s", Input: 1_000_000}) // makes life-0 the cheaper runner
 				id := chosen(b, Request{Service: "s"})
-				keep.Cancel()
+				load.Cancel()
 				if id == "life-0" {
-					return time.Since(begun)
+					return time.Since(started)
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
 		}
-		first, second := pause(), pause()
+		first, second := ejection(), ejection()
 		if first < minEjection || second < 2*minEjection {
 			t.Errorf("ejected for %s after the first failure, for %s after the second", first, second)
 		}
 		sendTo(b, "life-1", Request{Service: "s", Input: 1_000_000})
-		trial := sendTo(b, "life-0", Request{Service: "s"})
+		probe := sendTo(b, "life-0", Request{Service: "s"})
 		for range 10 {
 			if id := chosen(b, Request{Service: "s"}); id != "life-1" {
-				t.Fatal("a runner on trial gets a second request before the first one is answered")
+				t.Fatal("a second request was sent to the runner before the probe was answered")
 			}
 		}
-		answer(trial, time.Millisecond)
+		answer(probe, time.Millisecond)
 	})
 }
 
-// Where every runner is ejected, one is chosen all the same.
+// If every runner is ejected, one of them is chosen nevertheless.
 func TestLastResort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balancerOf(readyRunners(3))
@@ -194,31 +196,31 @@
 			sendTo(b, fmt.Sprintf("life-%d", i), Request{Service: "s"}).Failed()
 		}
 		if chosen(b, Request{Service: "s"}) == "" {
-			t.Error("no runner is chosen while all are ejected")
+			t.Error("no runner was chosen while all are ejected")
 		}
 	})
 }
 
-// Runners that drain, have left or have lost their address get nothing, not even as a last resort.
+// Runners that drain, are gone or have lost their address are not chosen, not even as a last resort.
 func TestRunnersThatMustNotBeUsed(t *testing.T) {
 	list := readyRunners(3)
 	list[0].State, list[1].State = routing.RunnerDraining, routing.RunnerGone
 	b := balancerOf(list)
 	for range 10 {
 		if id := chosen(b, Request{Service: "s"}); id != "life-2" {
-			t.Fatalf("%q is chosen", id)
+			t.Fatalf("%q was chosen", id)
 		}
 	}
 	b.AddressReused(b.Runners("s")[2])
 	if id := chosen(b, Request{Service: "s"}); id != "" {
-		t.Errorf("%q is chosen though none may be", id)
+		t.Errorf("%q was chosen, want none", id)
 	}
 	if id := chosen(b, Request{Service: "other"}); id != "" {
-		t.Errorf("%q is chosen for another service", id)
+		t.Errorf("%q was chosen for another service", id)
 	}
 }
 
-// A runner whose heartbeats stopped, or that says nothing on its requests, is a last resort.
+// A runner whose heartbeats stopped, or that has stalled, is used only as a last resort.
 func TestStalledRunners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := readyRunners(2)
@@ -226,66 +228,66 @@
 		b := balancerOf(list)
 		for range 10 {
 			if id := chosen(b, Request{Service: "s"}); id != "life-1" {
-				t.Fatalf("%q is chosen, its heartbeats stopped", id)
+				t.Fatalf("%q was chosen although its heartbeats stopped", id)
 			}
 		}
 		b = balancerOf(readyRunners(2))
-		stuck := sendTo(b, "life-0", Request{Service: "s"})
+		stalled := sendTo(b, "life-0", Request{Service: "s"})
 		time.Sleep(stallTimeoutFactor*initialLongestGap + time.Millisecond)
-		if !stuck.Runner().Stalled() {
-			t.Error("a runner that says nothing is not called silent")
+		if !stalled.Runner().Stalled() {
+			t.Error("a runner that sent nothing was not detected as stalled")
 		}
 		busy := sendTo(b, "life-1", Request{Service: "s", Input: 10000})
 		for range 10 {
 			if id := chosen(b, Request{Service: "s"}); id != "life-1" {
-				t.Fatal("a runner that says nothing gets more")
+				t.Fatal("a request was sent to a stalled runner")
 			}
 		}
 		busy.Cancel()
-		stuck.Progress()
-		if stuck.Runner().Stalled() {
-			t.Error("a runner that has just spoken is called silent")
+		stalled.Progress()
+		if stalled.Runner().Stalled() {
+			t.Error("a runner that just sent data counts as stalled")
 		}
 	})
 }
 
-// A runner that says that it is full is left alone for a moment.
+// A runner that rejected a request for lack of capacity is avoided for rejectionTTL.
 func TestRejectingRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balancerOf(readyRunners(2))
 		sendTo(b, "life-0", Request{Service: "s"}).Rejected()
 		for range 10 {
 			if id := chosen(b, Request{Service: "s"}); id != "life-1" {
-				t.Fatal("a full runner gets more at once")
+				t.Fatal("a request was sent to a full runner at once")
 			}
 		}
 		time.Sleep(2 * rejectionTTL)
 		sendTo(b, "life-1", Request{Service: "s"})
 		if id := chosen(b, Request{Service: "s"}); id != "life-0" {
-			t.Error("a runner that was full is never asked again")
+			t.Error("the runner was not used again after rejectionTTL")
 		}
 	})
 }
 
-// A runner that served a request before is not sent it again, and one without the model never.
-func TestTriedAndModels(t *testing.T) {
+// A request is not sent again to a runner that was tried, and never to one without the model.
+func TestTriedRunnersAndOtherModelsAreExcluded(t *testing.T) {
 	list := readyRunners(2)
 	list[0].Models = []routing.RunnerModel{{Name: "m"}}
 	list[1].Models = []routing.RunnerModel{{Name: "n"}}
 	b := balancerOf(list)
 	for range 10 {
 		if id := chosen(b, Request{Service: "s", Model: "m"}); id != "life-0" {
-			t.Fatalf("%q is chosen for a model that it does not serve", id)
+			t.Fatalf("%q was chosen for a model that it does not serve", id)
 		}
 	}
 	if id := chosen(b, Request{Service: "s", Model: "m", Tried: map[int]bool{0: true}}); id != "" {
-		t.Errorf("%q is chosen again", id)
+		t.Errorf("%q was chosen again", id)
 	}
 }
 
-// A runner that comes takes sessions over from others, one that goes leaves its own to others; no session
-// moves between two runners that stay.
-func TestChangesMoveOnlyWhatTheyMust(t *testing.T) {
+// Between two lists that differ by one runner, only the sessions of that runner move; no session moves between two
+// runners that are in both lists.
+func TestAddedRunnerMovesOnlyItsShare(t *testing.T) {
 	few, many := readyRunners(6), readyRunners(7)
 	moved := 0
 	for key := range uint64(300) {
@@ -293,37 +295,38 @@
 		if before != after {
 			moved++
 			if after != "life-6" {
-				t.Fatalf("session %d moves from %s to %s, which were there before and after", key, before, after)
+				t.Fatalf("session %d moved from %s to %s, although both are in both lists", key, before, after)
 			}
 		}
 	}
 	if moved < 300/7/2 || moved > 300/7*2 {
-		t.Errorf("%d of 300 sessions move to the seventh runner", moved)
+		t.Errorf("%d of 300 sessions moved to the seventh runner", moved)
 	}
 }
 
-// What a runner is known by stays with it when the list is told anew; what has left is forgotten.
-func TestUpdateKeepsWhatIsKnown(t *testing.T) {
+// The measurements of a runner survive an update of the list. A runner that was off the list gets a new index and new
+// measurements.
+func TestUpdateKeepsMeasurements(t *testing.T) {
 	list := readyRunners(3)
 	b := balancerOf(list)
 	known := b.Runners("s")[1]
 	b.Update([]routing.Runner{list[1], list[2]})
 	if got := b.Runners("s"); len(got) != 2 || got[0] != known {
-		t.Error("a runner that stays is made anew")
+		t.Error("a runner that stays on the list was recreated")
 	}
 	b.Update([]routing.Runner{list[2]})
 	b.Update(list)
 	if got := b.Runners("s"); got[1] == known || got[1].Index == known.Index {
-		t.Error("a runner that comes back has the index of its old life")
+		t.Error("a runner that returned has its old index or measurements")
 	}
 }
 
-// Many requests, updates and reports at once; the race detector looks on.
-func TestBalancerAtOnce(t *testing.T) {
+// Concurrent requests, updates and reports, for the race detector.
+func TestBalancerConcurrentUse(t *testing.T) {
 	b := balancerOf(readyRunners(5))
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for worker := range 8 {
-		all.Go(func() {
+		group.Go(func() {
 			for i := range 200 {
 				attempt := b.Choose(sessionOf(uint64(worker*200+i)%17 + 1))
 				if attempt == nil {
@@ -343,7 +346,7 @@
 			}
 		})
 	}
-	all.Go(func() {
+	group.Go(func() {
 		for i := range 200 {
 			b.Update(readyRunners(3 + i%4))
 			b.Estimates("s", "")
@@ -351,10 +354,10 @@
 			b.SetFailureRates(map[string]float64{"life-1": float64(i%2) / 2})
 		}
 	})
-	all.Wait()
+	group.Wait()
 	for _, runner := range b.Runners("s") {
 		if len(runner.inFlight) != 0 || runner.pendingPromptTokens != 0 {
-			t.Errorf("%s: %d requests and %d tokens stay counted", runner.info.ID, len(runner.inFlight), runner.pendingPromptTokens)
+			t.Errorf("%s: %d requests and %d tokens still counted as in flight", runner.info.ID, len(runner.inFlight), runner.pendingPromptTokens)
 		}
 	}
 }
--- a/internal/dataplane/balance/fleet_test.go
+++ b/internal/dataplane/balance/fleet_test.go
@@ -14,64 +14,65 @@
 	return b
 }
 
-// A runner that fails for other routers is left alone before this router has lost a request there, and is
-// used again once it is no longer named.
-func TestRunnerThatFailsElsewhere(t *testing.T) {
+// A runner that fails for other routers is avoided before this router has lost a request there, and is used again once
+// it is no longer reported.
+func TestRunnerWithFleetWideFailuresIsAvoided(t *testing.T) {
 	b := twoRunners()
 	b.SetFailureRates(map[string]float64{"a": 1})
 	for range 20 {
 		attempt := b.Choose(Request{Service: "s"})
 		if id := attempt.Runner().Info().ID; id != "b" {
-			t.Fatalf("%s chosen, which fails everywhere", id)
+			t.Fatalf("%s was chosen, which fails for all routers", id)
 		}
 		attempt.Done()
 	}
 	b.SetFailureRates(map[string]float64{"a": 1, "b": 1})
 	last := b.Choose(Request{Service: "s"})
 	if last == nil {
-		t.Fatal("no runner is chosen where all fail: one is to be tried")
+		t.Fatal("no runner was chosen while all fail, want one as a last resort")
 	}
 	last.Cancel()
 	b.SetFailureRates(nil)
 	attempt := b.Choose(Request{Service: "s"})
 	if id := attempt.Runner().Info().ID; id != "a" {
-		t.Errorf("%s chosen, the runner of the own zone serves again", id)
+		t.Errorf("%s was chosen, want a: it is in the own zone and no longer fails", id)
 	}
 }
 
-// Without a core nothing newer is heard, and a runner that failed elsewhere is tried again after a while.
-func TestOldReportOnFailingRunners(t *testing.T) {
+// Without a core there are no newer reports: a runner that failed for other routers is tried again after
+// fleetReportTTL.
+func TestFleetFailureReportExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := twoRunners()
 		b.SetFailureRates(map[string]float64{"a": 1})
 		time.Sleep(fleetReportTTL + time.Millisecond)
 		attempt := b.Choose(Request{Service: "s"})
 		if id := attempt.Runner().Info().ID; id != "a" {
-			t.Errorf("%s chosen, a was to be tried again", id)
+			t.Errorf("%s was chosen, want a: the report has expired", id)
 		}
 	})
 }
 
-// What became of attempts is told once.
-func TestTally(t *testing.T) {
+// Each attempt is counted in one Tally only.
+func TestAttemptsAreReportedOnce(t *testing.T) {
 	b := twoRunners()
 	b.Choose(Request{Service: "s"}).Done()
 	b.Choose(Request{Service: "s"}).Failed()
 	b.Choose(Request{Service: "s"}).Cancel()
-	tries, fails := 0, 0
+	attempts, failures := 0, 0
 	for _, tally := range b.Tally() {
-		tries, fails = tries+tally.Attempts, fails+tally.Failures
+		attempts, failures = attempts+tally.Attempts, failures+tally.Failures
 	}
-	if tries != 2 || fails != 1 {
-		t.Errorf("%d tries and %d failures, 2 and 1 expected", tries, fails)
+	if attempts != 2 || failures != 1 {
+		t.Errorf("got %d attempts and %d failures, want 2 and 1", attempts, failures)
 	}
 	if again := b.Tally(); len(again) != 0 {
-		t.Errorf("told again: %v", again)
+		t.Errorf("counted again: %v", again)
 	}
 }
 
-// choosesOf counts which runners a request is sent to, each answered at once.
-func choosesOf(b *Balancer, request Request, times int) map[string]int {
+// countChoices counts how often each runner is chosen for a request; each attempt ends at once.
+func countChoices(b *Balancer, request Request, times int) map[string]int {
 	chosen := map[string]int{}
 	for range times {
 		attempt := b.Choose(request)
@@ -81,8 +82,8 @@
 	return chosen
 }
 
-// An answer of which more comes out than goes in goes to the runners that are calm for all routers, to each of them
-// alike, whatever this router saw of one of them; other answers go where they went.
+// Responses that are longer than their prompt go to the low-latency runners of the fleet, spread evenly, whatever this
+// router measured itself. Other responses are not affected.
 func TestLongResponsesGoToLowLatencyRunners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New("east")
@@ -94,38 +95,38 @@
 		long := Request{Service: "s", Input: 100, Output: 4000}
 		short := Request{Service: "s", Input: 4000, Output: 100}
 		slow := b.Choose(long)
-		slow.Progress() // at once: it is its pauses that are long
+		slow.Progress() // at once, so that only the gaps are long
 		for range 5 {
 			time.Sleep(100 * time.Millisecond)
 			slow.Progress()
 		}
 		slow.Done()
-		calm := slow.Runner().Info().ID // one router's own view goes behind that of all
-		var others []string
+		lowLatency := slow.Runner().Info().ID // the fleet-wide report overrides this router's own measurement
+		var rest []string
 		for _, runner := range runners {
-			if runner.ID != calm {
-				others = append(others, runner.ID)
+			if runner.ID != lowLatency {
+				rest = append(rest, runner.ID)
 			}
 		}
-		b.SetLowLatency([]string{calm, others[0], others[1]})
+		b.SetLowLatency([]string{lowLatency, rest[0], rest[1]})
 		const times = 300
-		chosen := choosesOf(b, long, times)
-		for _, id := range []string{calm, others[0], others[1]} {
+		chosen := countChoices(b, long, times)
+		for _, id := range []string{lowLatency, rest[0], rest[1]} {
 			if chosen[id] < times/6 {
-				t.Errorf("%s, which is calm, has %d of %d long answers", id, chosen[id], times)
+				t.Errorf("low-latency runner %s got %d of %d long responses", id, chosen[id], times)
 			}
 		}
-		if spread := choosesOf(b, short, times); len(spread) != len(runners) {
-			t.Errorf("other answers went to %v", spread)
+		if spread := countChoices(b, short, times); len(spread) != len(runners) {
+			t.Errorf("other responses went to %v, want all runners", spread)
 		}
 		time.Sleep(fleetReportTTL + time.Millisecond)
 		if b.currentLowLatency(time.Now()) != nil {
-			t.Error("the core's word on calm runners holds though it was heard of no longer")
+			t.Error("the low-latency report is still valid after fleetReportTTL")
 		}
 	})
 }
 
-// The pauses between the events of streams are told once.
+// Each gap between stream events is counted in one Tally only.
 func TestGapsAreReportedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := twoRunners()
@@ -136,10 +137,10 @@
 		}
 		id := attempt.Runner().Info().ID
 		if tally := b.Tally()[id]; tally.Gaps != 3 || tally.GapTotal != 150*time.Millisecond {
-			t.Errorf("%d pauses of %s, 3 of 150 ms expected", tally.Gaps, tally.GapTotal)
+			t.Errorf("got %d gaps of %s in total, want 3 of 150 ms", tally.Gaps, tally.GapTotal)
 		}
 		if tallies := b.Tally(); len(tallies) != 0 {
-			t.Errorf("told again: %v", tallies)
+			t.Errorf("counted again: %v", tallies)
 		}
 	})
 }
--- a/internal/dataplane/balance/memory_test.go
+++ b/internal/dataplane/balance/memory_test.go
@@ -8,7 +8,7 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// BenchmarkPrefixMemory tells how many bytes a router keeps for each remembered prompt part, with three runners each.
+// BenchmarkPrefixMemory measures the memory per prompt part in the prefix cache, with three runners each.
 //
 //	go test ./internal/dataplane/balance -run XXX -bench PrefixMemory -benchtime 1x
 func BenchmarkPrefixMemory(b *testing.B) {
@@ -25,7 +25,7 @@
 	}
 }
 
-// heap is how many bytes live objects take.
+// heap returns the size of the live heap in bytes.
 func heap() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -33,7 +33,7 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkChoose is what it takes to choose among the runners of a service with 610.
+// BenchmarkChoose measures one choice among the 610 runners of a service.
 //
 //	go test ./internal/dataplane/balance -run XXX -bench Choose
 func BenchmarkChoose(b *testing.B) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// BenchmarkUpdate is what it takes to take a changed list of 610 runners.
+// BenchmarkUpdate measures an update of a list of 610 runners.
 //
 //	go test ./internal/dataplane/balance -run XXX -bench Update
 func BenchmarkUpdate(b *testing.B) {
--- a/internal/dataplane/balance/rendezvous.go
+++ b/internal/dataplane/balance/rendezvous.go
@@ -19,22 +19,22 @@
 }
 
 // rendezvous returns the candidate with the highest rendezvous weight for a key that is not ejected, or nil if there is
-// none or the key is 0. Every router computes the same runner, and when a runner joins or leaves, only its own keys
-// move. target is the ready candidate with the highest weight, ejected or not.
-func rendezvous(candidates []candidate, key uint64) (first *Runner, target string) {
+// none or the key is 0. Routers with the same usable candidates compute the same runner, and when a runner joins or
+// leaves, only its own keys move. target is the ID of the ready candidate with the highest weight, ejected or not.
+func rendezvous(candidates []candidate, key uint64) (preferred *Runner, target string) {
 	if key == 0 {
 		return nil, ""
 	}
-	var firstWeight, targetWeight uint64
+	var preferredWeight, targetWeight uint64
 	for i := range candidates {
 		c := &candidates[i]
 		weight := hashing.RendezvousWeight(key, c.id)
 		if c.ready && (target == "" || weight > targetWeight) {
 			target, targetWeight = c.id, weight
 		}
-		if !c.ejected && (first == nil || weight > firstWeight) {
-			first, firstWeight = c.runner, weight
+		if !c.ejected && (preferred == nil || weight > preferredWeight) {
+			preferred, preferredWeight = c.runner, weight
 		}
 	}
-	return first, target
+	return preferred, target
 }
--- a/internal/dataplane/balance/session_bench_test.go
+++ b/internal/dataplane/balance/session_bench_test.go
@@ -7,8 +7,8 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// BenchmarkRehome is what a router with as many sessions as it remembers does when a hundredth runner is added.
-func BenchmarkRehome(b *testing.B) {
+// BenchmarkRefreshAffinity measures RefreshAffinity with a full set of recent sessions when a hundredth runner is added.
+func BenchmarkRefreshAffinity(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
 		balancer, runners := New("east"), []routing.Runner{}
@@ -18,7 +18,7 @@
 		balancer.Update(runners[:99])
 		balancer.RefreshAffinity()
 		for number := range maxRecentSessions {
-			ask(balancer, sessionRequest(number))
+			serveOnce(balancer, sessionRequest(number))
 		}
 		balancer.Update(runners)
 		b.StartTimer()
--- a/internal/dataplane/balance/session_test.go
+++ b/internal/dataplane/balance/session_test.go
@@ -8,7 +8,7 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// sessionFleet is some routers' balancers before the same runners.
+// sessionFleet is a set of routers' balancers with the same list of runners.
 type sessionFleet struct {
 	*testing.T
 	routers []*Balancer
@@ -27,36 +27,38 @@
 	return f
 }
 
+// update sends the list of runners to all routers.
 func (f *sessionFleet) update() {
 	for _, router := range f.routers {
 		router.Update(f.runners)
 	}
 }
 
-// add adds a runner and lets the routers look for sessions whose home it has become.
+// add adds a runner, refreshes the affinity and synchronizes the directories.
 func (f *sessionFleet) add(id string) {
 	f.runners = append(f.runners, routing.Runner{ID: id, Service: "s", State: routing.RunnerReady, Zone: "east"})
 	f.update()
-	f.spread()
+	f.syncDirectories()
 }
 
-func (f *sessionFleet) state(id string, state routing.RunnerState) {
+// setState changes the state of a runner and synchronizes the directories.
+func (f *sessionFleet) setState(id string, state routing.RunnerState) {
 	for i := range f.runners {
 		if f.runners[i].ID == id {
 			f.runners[i].State = state
 		}
 	}
 	f.update()
-	f.spread()
+	f.syncDirectories()
 }
 
-// spread has all routers tell each other what is new.
-func (f *sessionFleet) spread() {
+// syncDirectories sends the directory updates of each router to all others.
+func (f *sessionFleet) syncDirectories() {
 	for _, from := range f.routers {
 		from.RefreshAffinity()
-		told := from.Sessions.DrainUpdates()
+		sent := from.Sessions.DrainUpdates()
 		for _, to := range f.routers {
-			to.Sessions.Merge(told)
+			to.Sessions.Merge(sent)
 		}
 	}
 }
@@ -65,60 +67,61 @@
 	return Request{Service: "s", Parts: []PromptPart{{ID: uint64(number)*7919 + 1, Tokens: 3000}, {ID: uint64(number)<<32 + 5, Tokens: 100}}, Input: 3100}
 }
 
-// ask sends one request of a session through a router and tells which runner served it.
-func ask(b *Balancer, request Request) string {
+// serveOnce sends one request through a router and returns the runner that served it.
+func serveOnce(b *Balancer, request Request) string {
 	attempt := b.Choose(request)
 	attempt.Progress()
 	attempt.Done()
 	return attempt.Runner().Info().ID
 }
 
-// serve sends one request of each session through the first router and notes who served it.
+// serve sends one request of each session through the first router and returns the runners that served them.
 func (f *sessionFleet) serve(count int) []string {
 	served := make([]string, count)
 	for number := range count {
-		served[number] = ask(f.routers[0], sessionRequest(number))
+		served[number] = serveOnce(f.routers[0], sessionRequest(number))
 	}
 	return served
 }
 
-// moved counts the sessions that a router sends elsewhere than to the runner that serves them.
+// moved counts the sessions that a router sends to another runner than the one in served.
 func (f *sessionFleet) moved(router int, served []string) int {
 	moved := 0
 	for number, runner := range served {
-		if ask(f.routers[router], sessionRequest(number)) != runner {
+		if serveOnce(f.routers[router], sessionRequest(number)) != runner {
 			moved++
 		}
 	}
 	return moved
 }
 
-// readAgain counts the sessions that a router sends to a runner that does not keep them: one of neither list.
-func (f *sessionFleet) readAgain(router int, before, served []string) int {
-	read := 0
+// prefilledAgain counts the sessions that a router sends to a runner in neither list, which has to prefill their
+// context.
+func (f *sessionFleet) prefilledAgain(router int, before, served []string) int {
+	count := 0
 	for number, runner := range served {
-		id := ask(f.routers[router], sessionRequest(number))
+		id := serveOnce(f.routers[router], sessionRequest(number))
 		if id != runner && (before == nil || id != before[number]) {
-			read++
+			count++
 		}
 	}
-	return read
+	return count
 }
 
-// Where nothing deviates nothing is kept or told, and all routers choose alike.
+// While all sessions are at their affinity target, the directories stay empty and all routers choose alike.
 func TestSessionsAtTheirTargetAreNotAnnounced(t *testing.T) {
 	f := newSessionFleet(t, 2, "a", "b", "c", "d")
 	served := f.serve(200)
 	if moved := f.moved(1, served); moved > 0 {
-		t.Errorf("%d sessions were moved by another router", moved)
+		t.Errorf("another router moved %d sessions", moved)
 	}
-	f.spread()
+	f.syncDirectories()
 	if f.routers[0].Sessions.Len()+f.routers[1].Sessions.Len() > 0 {
-		t.Error("entries were made though every router works out the holders")
+		t.Error("directory entries exist for sessions at their affinity target")
 	}
 }
 
-// A runner that is added takes no session away from its holder, at whichever router the session goes on.
+// An added runner takes no session away from its runner, whichever router serves the next request.
 func TestAddedRunnerTakesNoSession(t *testing.T) {
 	f := newSessionFleet(t, 3, "a", "b", "c", "d")
 	served := f.serve(200)
@@ -130,20 +133,20 @@
 	}
 	entries := f.routers[2].Sessions.Len()
 	if entries == 0 || entries > 80 {
-		t.Errorf("%d entries, about a fifth of 200 sessions expected", entries)
+		t.Errorf("got %d entries, want about a fifth of 200 sessions", entries)
 	}
-	fresh := 0
+	newSessions := 0
 	for number := range 200 {
-		if ask(f.routers[1], sessionRequest(1000+number)) == "e" {
-			fresh++
+		if serveOnce(f.routers[1], sessionRequest(1000+number)) == "e" {
+			newSessions++
 		}
 	}
-	if fresh < 15 {
-		t.Errorf("the new runner got %d of 200 new sessions", fresh)
+	if newSessions < 15 {
+		t.Errorf("the added runner got %d of 200 new sessions, want at least 15", newSessions)
 	}
 }
 
-// Before the routers have told each other, the one that served a session does not follow its home away either.
+// A router keeps the sessions that it served at their runner even before any directory update is sent.
 func TestAddedRunnerBeforeAnyAnnouncement(t *testing.T) {
 	f := newSessionFleet(t, 1, "a", "b", "c", "d")
 	served := f.serve(200)
@@ -154,85 +157,85 @@
 	}
 }
 
-// Sessions of a runner that falls silent go to their next home. When it is heard again they go on at a runner
-// that keeps them; where it comes back under a new id, which keeps nothing, they stay where they are.
-func TestRunnerThatComesBack(t *testing.T) {
-	for _, back := range []string{"a", "a2"} {
+// Sessions of a runner whose heartbeats stop move to their next affinity target. When the runner returns, they go to a
+// runner that has them cached; if it returns under a new ID, with an empty cache, they stay where they are.
+func TestRunnerReturns(t *testing.T) {
+	for _, returnedID := range []string{"a", "a2"} {
 		f := newSessionFleet(t, 3, "a", "b", "c", "d")
 		before := f.serve(200)
-		f.state("a", routing.RunnerSilent)
+		f.setState("a", routing.RunnerSilent)
 		served := f.serve(200)
-		if back == "a2" {
-			before = nil // what the runner kept went with it
+		if returnedID == "a2" {
+			before = nil // its cache is lost
 		}
 		for _, runner := range served {
 			if runner == "a" {
-				t.Fatal("a silent runner was chosen")
+				t.Fatal("a runner without heartbeats was chosen")
 			}
 		}
-		if back == "a" {
-			f.state("a", routing.RunnerReady)
+		if returnedID == "a" {
+			f.setState("a", routing.RunnerReady)
 		} else {
-			f.state("a", routing.RunnerGone)
-			f.add(back)
+			f.setState("a", routing.RunnerGone)
+			f.add(returnedID)
 		}
 		for router := range f.routers {
-			if read := f.readAgain(router, before, served); read > 0 {
-				t.Errorf("%s: router %d has %d sessions read again", back, router, read)
+			if count := f.prefilledAgain(router, before, served); count > 0 {
+				t.Errorf("%s: router %d has %d sessions prefilled again", returnedID, router, count)
 			}
 		}
 	}
 }
 
-// A session that had to leave its home is known by all routers to be at its new runner, also once the old one
-// serves again.
+// After a session had to leave its affinity target, all routers know its new runner, even when the old one serves
+// again.
 func TestSessionThatLeftItsTarget(t *testing.T) {
 	f := newSessionFleet(t, 3, "a", "b", "c", "d")
-	home := ask(f.routers[0], sessionRequest(1))
+	home := serveOnce(f.routers[0], sessionRequest(1))
 	for _, runner := range f.routers[0].Runners("s") {
 		if runner.Info().ID == home {
 			runner.begin(0, runner.firstSeen).Failed()
 		}
 	}
-	second := ask(f.routers[0], sessionRequest(1))
+	second := serveOnce(f.routers[0], sessionRequest(1))
 	if second == home {
-		t.Fatal("a runner that failed just now was chosen")
+		t.Fatal("a runner that has just failed was chosen")
 	}
-	f.spread()
+	f.syncDirectories()
 	entry, _ := f.routers[2].Sessions.Lookup(f.routers[2].sessionRefFor(ptr(sessionRequest(1)), sessionRequest(1).Parts[0].ID, 3000).id)
 	if len(entry.Runners) != 2 || entry.Runners[0] != second || entry.Runners[1] != home {
-		t.Errorf("held by %v, by %s and %s expected", entry.Runners, second, home)
+		t.Errorf("entry lists runners %v, want %s and %s", entry.Runners, second, home)
 	}
 	for i := range 20 {
-		if id := ask(f.routers[i%3], sessionRequest(1)); id != second && id != home {
-			t.Errorf("sent to %s, which does not hold it", id)
+		if id := serveOnce(f.routers[i%3], sessionRequest(1)); id != second && id != home {
+			t.Errorf("sent to %s, which does not have the session cached", id)
 		}
 	}
-	f.state(home, routing.RunnerGone)
+	f.setState(home, routing.RunnerGone)
 	for _, router := range f.routers {
-		if id := ask(router, sessionRequest(1)); id != second {
-			t.Errorf("sent to %s, %s holds it", id, second)
+		if id := serveOnce(router, sessionRequest(1)); id != second {
+			t.Errorf("sent to %s, want %s, which has the session cached", id, second)
 		}
 	}
 }
 
 func ptr(request Request) *Request { return &request }
 
-// A new router that has fetched the directory goes on as the others do.
-func TestRouterThatStarts(t *testing.T) {
+// A new router that has fetched the directory sends sessions where the other routers do.
+func TestNewRouterWithFetchedDirectory(t *testing.T) {
 	f := newSessionFleet(t, 1, "a", "b", "c", "d")
 	served := f.serve(200)
 	f.add("e")
-	fresh := New("east")
-	fresh.Update(f.runners)
-	fresh.Sessions.Merge(f.routers[0].Sessions.Newest(maxDirectorySessions))
-	f.routers = append(f.routers, fresh)
+	newRouter := New("east")
+	newRouter.Update(f.runners)
+	newRouter.Sessions.Merge(f.routers[0].Sessions.Newest(maxDirectorySessions))
+	f.routers = append(f.routers, newRouter)
 	if moved := f.moved(1, served); moved > 0 {
 		t.Errorf("%d sessions moved", moved)
 	}
 }
 
-// What a request was tried at is never chosen again for it, whatever the directory says.
+// A runner that was tried for a request is not chosen for it again, even if the directory lists it for the session.
 func TestTriedRunnerIsNotChosenAgain(t *testing.T) {
 	f := newSessionFleet(t, 1, "a", "b")
 	b, request := f.routers[0], sessionRequest(1)
@@ -251,34 +254,36 @@
 	}
 }
 
-// A session in use at many runners at once does not become news all the time.
-func TestNoFlapping(t *testing.T) {
+// A session in use at many runners at once does not cause constant directory updates.
+func TestBusySessionCausesFewUpdates(t *testing.T) {
 	f := newSessionFleet(t, 2, "a", "b", "c", "d")
-	told := 0
+	sent := 0
 	for i := range 100 {
 		ref := f.routers[i%2].sessionRefFor(ptr(sessionRequest(1)), sessionRequest(1).Parts[0].ID, 3000)
 		f.routers[i%2].recordSessionRunner(&ref, []string{"a", "b", "c", "d"}[i%4])
 		for from := range f.routers {
 			entries := f.routers[from].Sessions.DrainUpdates()
-			told += len(entries)
+			sent += len(entries)
 			f.routers[1-from].Sessions.Merge(entries)
 		}
 	}
-	if told > 4 {
-		t.Errorf("%d entries were told", told)
+	if sent > 4 {
+		t.Errorf("%d directory updates were sent, want at most 4", sent)
 	}
 }
 
+// Requests with few shared tokens or without a shared prefix get no session.
 func TestSmallContextsAreNoSessions(t *testing.T) {
 	b := New("east")
 	for _, request := range []Request{{}, {Parts: []PromptPart{{ID: 1, Tokens: 5000}}}, {Parts: []PromptPart{{ID: 1, Tokens: 20}, {ID: 2, Tokens: 5000}}}} {
 		key, shared := affinity(request.Parts)
 		if ref := b.sessionRefFor(&request, key, shared); ref.id != 0 {
-			t.Errorf("%v is taken for a session", request)
+			t.Errorf("%v was treated as part of a session", request)
 		}
 	}
 }
 
+// The set evicts the least recently served sessions and keeps one that is in constant use.
 func TestRecentSessionsAreBounded(t *testing.T) {
 	r := newRecentSessions(10)
 	for id := range uint64(100) {
@@ -286,27 +291,27 @@
 		r.record(0, recentSession{runner: fmt.Sprint(id)})
 	}
 	if len(r.all()) != 10 || len(r.entries) != 10 {
-		t.Errorf("%d sessions", len(r.all()))
+		t.Errorf("got %d sessions, want 10", len(r.all()))
 	}
-	if kept, _ := r.get(0); kept.runner != "99" {
-		t.Errorf("the session in use has holder %q", kept.runner)
+	if latest, _ := r.get(0); latest.runner != "99" {
+		t.Errorf("the session in use has runner %q, want 99", latest.runner)
 	}
 }
 
-// Many requests, runners that come and go, and news from others at the same time.
+// Concurrent requests, runner changes and directory updates, for the race detector.
 func TestSessionsInParallel(t *testing.T) {
 	f := newSessionFleet(t, 2, "a", "b", "c", "d")
 	var group sync.WaitGroup
 	for worker := range 4 {
 		group.Go(func() {
 			for i := range 300 {
-				ask(f.routers[worker%2], sessionRequest(i%50))
+				serveOnce(f.routers[worker%2], sessionRequest(i%50))
 			}
 		})
 	}
 	group.Go(func() {
 		for i := range 50 {
-			f.state("a", []routing.RunnerState{routing.RunnerReady, routing.RunnerSilent}[i%2])
+			f.setState("a", []routing.RunnerState{routing.RunnerReady, routing.RunnerSilent}[i%2])
 			f.add(fmt.Sprint("new ", i))
 		}
 	})
--- a/internal/dataplane/balance/stall_test.go
+++ b/internal/dataplane/balance/stall_test.go
@@ -6,52 +6,52 @@
 	"time"
 )
 
-// A service whose runners speak often: one that says nothing is found out soon. A service whose runners read long prompts
-// for other routers: one that keeps silent for as long as others lately did is no silent one.
+// The stall timeout adapts to the gaps of the service. If its runners send data often, a stalled one is detected soon.
+// If they often prefill long prompts for other routers, a gap as long as their recent ones is not a stall.
 func TestStallTimeoutFollowsTheService(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		usual  time.Duration // between two words of a runner
-		stands time.Duration // a silence that says nothing
-		gone   time.Duration // one that does
+		name       string
+		usualGap   time.Duration // gap between events
+		tolerated  time.Duration // a gap that is not a stall
+		stallAfter time.Duration // a gap that is a stall
 	}{
-		{"speaks often", 50 * time.Millisecond, 350 * time.Millisecond, 450 * time.Millisecond},
-		{"reads for others", 900 * time.Millisecond, 1300 * time.Millisecond, 2 * time.Second},
+		{"short gaps", 50 * time.Millisecond, 350 * time.Millisecond, 450 * time.Millisecond},
+		{"long prefill for other routers", 900 * time.Millisecond, 1300 * time.Millisecond, 2 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := balancerOf(readyRunners(2))
-				for range 40 * time.Second / c.usual {
-					usual := sendTo(b, "life-0", Request{Service: "s"})
-					time.Sleep(c.usual)
-					usual.Progress()
-					usual.Cancel()
+				for range 40 * time.Second / c.usualGap {
+					previous := sendTo(b, "life-0", Request{Service: "s"})
+					time.Sleep(c.usualGap)
+					previous.Progress()
+					previous.Cancel()
 				}
-				stuck := sendTo(b, "life-1", Request{Service: "s"})
-				time.Sleep(c.stands)
-				if stuck.Runner().Stalled() {
-					t.Errorf("silent after %s", c.stands)
+				attempt := sendTo(b, "life-1", Request{Service: "s"})
+				time.Sleep(c.tolerated)
+				if attempt.Runner().Stalled() {
+					t.Errorf("stalled after %s, want not stalled", c.tolerated)
 				}
-				time.Sleep(c.gone - c.stands)
-				if !stuck.Runner().Stalled() {
-					t.Errorf("not silent after %s", c.gone)
+				time.Sleep(c.stallAfter - c.tolerated)
+				if !attempt.Runner().Stalled() {
+					t.Errorf("not stalled after %s, want stalled", c.stallAfter)
 				}
 			})
 		})
 	}
 }
 
-// A runner that goes on after it was taken for silent teaches more patience.
+// A runner that resumes after it counted as stalled raises the stall timeout.
 func TestFalseAlarmRaisesStallTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balancerOf(readyRunners(1))
 		late := sendTo(b, "life-0", Request{Service: "s"})
-		given := sendTo(b, "life-0", Request{Service: "s"})
+		failed := sendTo(b, "life-0", Request{Service: "s"})
 		time.Sleep(2 * time.Second)
-		given.Failed()
+		failed.Failed()
 		late.Progress()
-		if most := late.Runner().stats.stalls.longestGap(time.Now()); most != 2*time.Second {
-			t.Errorf("the longest silence seen is %s, 2s expected", most)
+		if longest := late.Runner().stats.stalls.longestGap(time.Now()); longest != 2*time.Second {
+			t.Errorf("longest gap is %s, want 2s", longest)
 		}
 	})
 }
