--- a/internal/dataplane/balance/choose_test.go
+++ b/internal/dataplane/balance/choose_test.go
@@ -350,7 +350,7 @@
 		for i := range 200 {
 			b.Update(readyRunners(3 + i%4))
 			b.Estimates("s", "")
-			b.Tally()
+			b.DrainTally()
 			b.SetFailureRates(map[string]float64{"life-1": float64(i%2) / 2})
 		}
 	})
--- a/internal/dataplane/balance/fleet_test.go
+++ b/internal/dataplane/balance/fleet_test.go
@@ -60,13 +60,13 @@
 	b.Choose(Request{Service: "s"}).Failed()
 	b.Choose(Request{Service: "s"}).Cancel()
 	attempts, failures := 0, 0
-	for _, tally := range b.Tally() {
+	for _, tally := range b.DrainTally() {
 		attempts, failures = attempts+tally.Attempts, failures+tally.Failures
 	}
 	if attempts != 2 || failures != 1 {
 		t.Errorf("got %d attempts and %d failures, want 2 and 1", attempts, failures)
 	}
-	if again := b.Tally(); len(again) != 0 {
+	if again := b.DrainTally(); len(again) != 0 {
 		t.Errorf("counted again: %v", again)
 	}
 }
@@ -136,10 +136,10 @@
 			attempt.Progress()
 		}
 		id := attempt.Runner().Info().ID
-		if tally := b.Tally()[id]; tally.Gaps != 3 || tally.GapTotal != 150*time.Millisecond {
+		if tally := b.DrainTally()[id]; tally.Gaps != 3 || tally.GapTotal != 150*time.Millisecond {
 			t.Errorf("got %d gaps of %s in total, want 3 of 150 ms", tally.Gaps, tally.GapTotal)
 		}
-		if tallies := b.Tally(); len(tallies) != 0 {
+		if tallies := b.DrainTally(); len(tallies) != 0 {
 			t.Errorf("counted again: %v", tallies)
 		}
 	})
--- a/internal/dataplane/balance/tally.go
+++ b/internal/dataplane/balance/tally.go
@@ -9,9 +9,9 @@
 	GapTotal           time.Duration // sum of all gaps
 }
 
-// Tally returns, by runner ID, the counts since the last call, for runners with any. Attempts in flight at a stalled
+// DrainTally returns, by runner ID, the counts since the last call, for runners with any. Attempts in flight at a stalled
 // runner count as failed.
-func (b *Balancer) Tally() map[string]Tally {
+func (b *Balancer) DrainTally() map[string]Tally {
 	now := time.Now()
 	out := map[string]Tally{}
 	for _, runners := range *b.byService.Load() {
--- a/internal/dataplane/router/gatewayhealth.go
+++ b/internal/dataplane/router/gatewayhealth.go
@@ -8,7 +8,7 @@
 // runnerStats returns how attempts at runners ended since the last heartbeat, for the core.
 func (g *Gateway) runnerStats() []coreapi.RunnerStats {
 	var stats []coreapi.RunnerStats
-	for id, tally := range g.Balancer.Tally() {
+	for id, tally := range g.Balancer.DrainTally() {
 		stats = append(stats, coreapi.RunnerStats{ID: id, Attempts: tally.Attempts, Failures: tally.Failures,
 			TokenGaps: tally.Gaps, TokenGapsMs: int(tally.GapTotal.Milliseconds())})
 	}
