--- a/internal/dataplane/balance/affinity.go
+++ b/internal/dataplane/balance/affinity.go
@@ -5,8 +5,8 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// Added returns a channel that signals that a runner has become ready and RefreshAffinity is due.
-func (b *Balancer) Added() <-chan struct{} { return b.addedSignal }
+// RunnerAdded returns a channel that signals that a runner has become ready and RefreshAffinity is due.
+func (b *Balancer) RunnerAdded() <-chan struct{} { return b.addedSignal }
 
 // recordAdded queues a runner that has become ready for RefreshAffinity, and signals Added. The caller holds b.mu.
 func (b *Balancer) recordAdded(runner *Runner) {
--- a/internal/dataplane/router/sessionsync.go
+++ b/internal/dataplane/router/sessionsync.go
@@ -78,7 +78,7 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-s.balancer.Added():
+	case <-s.balancer.RunnerAdded():
 		return runloop.Sleep(s.ctx, rand.N(runnerAddedJitter))
 	case <-s.ctx.Done():
 		return false
