--- a/internal/dataplane/allow/allow.go
+++ b/internal/dataplane/allow/allow.go
@@ -15,9 +15,9 @@
 	Rate   float64 // measured tokens per second; 0: not measured yet
 }
 
-// Wait estimates the wait: all queued output divided by the summed rate of the runners. waiting is the output of
+// EstimateWait estimates the wait: all queued output divided by the summed rate of the runners. waiting is the output of
 // requests that are queued for these runners but not yet sent to one.
-func Wait(rule fleetconfig.Allowance, estimates []Estimate, waiting float64) time.Duration {
+func EstimateWait(rule fleetconfig.Allowance, estimates []Estimate, waiting float64) time.Duration {
 	queued, rate := waiting, 0.0
 	for _, estimate := range estimates {
 		queued += estimate.Queued
@@ -82,7 +82,7 @@
 func Decide(rule fleetconfig.Allowance, demand Demand, estimates []Estimate, waiting float64) Decision {
 	decision := Decision{Tokens: demand.Tokens, Allowance: rule.Floor}
 	if len(estimates) > 0 {
-		decision.Wait = Wait(rule, estimates, waiting)
+		decision.Wait = EstimateWait(rule, estimates, waiting)
 		decision.Allowance = Allowance(rule, decision.Wait)
 	}
 	switch {
