--- a/internal/dataplane/allow/allow.go
+++ b/internal/dataplane/allow/allow.go
@@ -15,7 +15,7 @@
 	Rate   float64 // measured tokens per second; 0: not measured yet
 }
 
-// EstimateWait estimates the wait: all queued output divided by the summed rate of the runners. waiting is the output of
+// EstimateWait returns the expected wait: all queued output divided by the summed rate of the runners. waiting is the output of
 // requests that are queued for these runners but not yet sent to one.
 func EstimateWait(rule fleetconfig.Allowance, estimates []Estimate, waiting float64) time.Duration {
 	queued, rate := waiting, 0.0
--- a/internal/dataplane/balance/affinity.go
+++ b/internal/dataplane/balance/affinity.go
@@ -8,7 +8,7 @@
 // RunnerAdded returns a channel that signals that a runner has become ready and RefreshAffinity is due.
 func (b *Balancer) RunnerAdded() <-chan struct{} { return b.addedSignal }
 
-// recordAdded queues a runner that has become ready for RefreshAffinity, and signals Added. The caller holds b.mu.
+// recordAdded queues a runner that has become ready for RefreshAffinity, and signals RunnerAdded. The caller holds b.mu.
 func (b *Balancer) recordAdded(runner *Runner) {
 	b.added = append(b.added, runner)
 	select {
--- a/internal/dataplane/balance/attempt.go
+++ b/internal/dataplane/balance/attempt.go
@@ -53,10 +53,10 @@
 		r.pendingPromptTokens -= a.prefillTokens
 		r.recordFirstByte(float64(now.Sub(a.started))/float64(time.Millisecond), a.prefillTokens, now)
 	} else {
-		pause := now.Sub(a.lastByteAt)
-		r.eventGapMs = average(r.eventGapMs, float64(pause)/float64(time.Millisecond))
+		gap := now.Sub(a.lastByteAt)
+		r.eventGapMs = average(r.eventGapMs, float64(gap)/float64(time.Millisecond))
 		r.tally.Gaps++
-		r.tally.GapTotal += pause
+		r.tally.GapTotal += gap
 	}
 	a.lastByteAt = now
 	return first
--- a/internal/dataplane/balance/fleet_test.go
+++ b/internal/dataplane/balance/fleet_test.go
@@ -53,7 +53,7 @@
 	})
 }
 
-// Each attempt is counted in one Tally only.
+// Each attempt is counted in one DrainTally only.
 func TestAttemptsAreReportedOnce(t *testing.T) {
 	b := twoRunners()
 	b.Choose(Request{Service: "s"}).Done()
@@ -126,7 +126,7 @@
 	})
 }
 
-// Each gap between stream events is counted in one Tally only.
+// Each gap between stream events is counted in one DrainTally only.
 func TestGapsAreReportedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := twoRunners()
--- a/internal/dataplane/balance/tally.go
+++ b/internal/dataplane/balance/tally.go
@@ -9,8 +9,8 @@
 	GapTotal           time.Duration // sum of all gaps
 }
 
-// DrainTally returns, by runner ID, the counts since the last call, for runners with any. Attempts in flight at a stalled
-// runner count as failed.
+// DrainTally returns the counts since the last call by runner ID, and resets them. Runners without any are left out.
+// Attempts in flight at a stalled runner count as failed.
 func (b *Balancer) DrainTally() map[string]Tally {
 	now := time.Now()
 	out := map[string]Tally{}
