--- a/internal/dataplane/gateway/serve.go
+++ b/internal/dataplane/gateway/serve.go
@@ -14,7 +14,7 @@
 // the runner promised that it did not run it. mayRetry decides this and stateChart.advance enforces it.
 func (r *request) serve() error {
 	r.tried = map[int]bool{}
-	r.gateway.retryBudget.First(r.service.Name, r.retryRule())
+	r.gateway.retryBudget.RecordFirstAttempt(r.service.Name, r.retryRule())
 	var stream *streamResponse
 	if r.route.Kind == routing.Streaming {
 		stream = &streamResponse{request: r, lastID: r.meta.LastEventID}
@@ -45,9 +45,9 @@
 }
 
 // retryRule returns this router's share of the fleet-wide retry limit.
-func (r *request) retryRule() retry.Rule {
+func (r *request) retryRule() retry.Policy {
 	bounds := r.gateway.Retries
-	return retry.Rule{Ratio: bounds.Ratio, Spare: r.gateway.LocalShare(bounds.Allowance)}
+	return retry.Policy{Ratio: bounds.Ratio, Burst: r.gateway.LocalShare(bounds.Allowance)}
 }
 
 // mayRetry reports whether the request may be sent to another runner after an attempt with the given outcome. If so, it
