--- a/internal/controlplane/runnerregistry/latency.go
+++ b/internal/controlplane/runnerregistry/latency.go
@@ -10,25 +10,25 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// How the inter-token latency of runners is judged.
+// How runners are ranked by inter-token latency.
 const (
-	tokenGapHalfLife     = 2 * time.Second        // of the weight of a gap between two events of a stream
-	minTokenGaps         = 3.0                    // weighted gaps from which on a runner is judged
-	lowLatencyFraction   = 0.5                    // of a service's judged runners, rounded down, count as low-latency
-	lowLatencyListMaxAge = 200 * time.Millisecond // one list is given out for this long
+	tokenGapHalfLife     = 2 * time.Second        // half-life of the weight of a gap between two events of a stream
+	minTokenGaps         = 3.0                    // weighted gaps that a runner needs to be ranked
+	lowLatencyFraction   = 0.5                    // share of a service's ranked runners that are low-latency, rounded down
+	lowLatencyListMaxAge = 200 * time.Millisecond // how long a computed list is reused
 )
 
-// LatencyTracker adds up the inter-token latency of runners, as all routers saw it. What runs beside a stream shows in
-// it; in a large fleet one router sees too few streams to tell the runners apart. The zero value is ready; its methods may
-// be called concurrently.
+// LatencyTracker aggregates the inter-token latency of runners over all routers. The latency of a stream reflects the other
+// load on its runner, but in a large fleet a single router has too few streams to rank the runners by it. The zero value is
+// ready for use; its methods are safe for concurrent use.
 type LatencyTracker struct {
 	mu           sync.Mutex
-	gaps         decayingSums // the count is gaps, the amount is their milliseconds
-	lowLatency   []string     // IDs, sorted, as of lowLatencyAt
+	gaps         decayingSums // per runner: the number of gaps, and their sum in milliseconds
+	lowLatency   []string     // sorted IDs of the low-latency runners, computed at lowLatencyAt
 	lowLatencyAt time.Time
 }
 
-// Record adds one router's counts. Counts that cannot be are ignored.
+// Record adds the counts reported by one router. Invalid counts are ignored.
 func (t *LatencyTracker) Record(stats []coreapi.RunnerStats, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -39,9 +39,9 @@
 	}
 }
 
-// LowLatencyRunners lists the IDs of the runners of each service whose inter-token latency is lowest, sorted. Runners that
-// are not ready, or of which too little was seen, are none of them. list gives the known runners; it is called with the
-// tracker's lock held, and only where the last list is too old.
+// LowLatencyRunners returns the sorted IDs of the runners with the lowest inter-token latency within their service. Runners
+// that are not ready, or that have fewer weighted gaps than minTokenGaps, are not ranked. list returns the known runners; it
+// is called with the tracker's lock held, and only if the last result is older than lowLatencyListMaxAge.
 func (t *LatencyTracker) LowLatencyRunners(list func(time.Time) []routing.Runner, now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -49,20 +49,20 @@
 		return t.lowLatency
 	}
 	known := list(now)
-	t.forgetUnknown(known)
+	t.removeUnknown(known)
 	byService := map[string][]runnerLatency{}
 	for _, runner := range known {
-		seen := t.gaps[runner.ID]
-		if seen == nil || runner.State != routing.RunnerReady {
+		sum := t.gaps[runner.ID]
+		if sum == nil || runner.State != routing.RunnerReady {
 			continue
 		}
-		if seen.decayTo(now); seen.count >= minTokenGaps {
-			byService[runner.Service] = append(byService[runner.Service], runnerLatency{runner.ID, seen.mean()})
+		if sum.decayTo(now); sum.count >= minTokenGaps {
+			byService[runner.Service] = append(byService[runner.Service], runnerLatency{runner.ID, sum.mean()})
 		}
 	}
 	t.lowLatency, t.lowLatencyAt = nil, now
-	for _, measured := range byService {
-		t.lowLatency = append(t.lowLatency, lowestLatencies(measured)...)
+	for _, latencies := range byService {
+		t.lowLatency = append(t.lowLatency, lowestLatencyIDs(latencies)...)
 	}
 	slices.Sort(t.lowLatency)
 	return t.lowLatency
@@ -74,19 +74,20 @@
 	meanMs float64
 }
 
-// lowestLatencies gives the IDs of the lowLatencyFraction of runners with the lowest latency.
-func lowestLatencies(measured []runnerLatency) []string {
-	slices.SortFunc(measured, func(a, b runnerLatency) int { return cmp.Compare(a.meanMs, b.meanMs) })
-	count := int(float64(len(measured)) * lowLatencyFraction)
+// lowestLatencyIDs returns the IDs of the lowLatencyFraction of runners with the lowest latency. It sorts its argument.
+func lowestLatencyIDs(latencies []runnerLatency) []string {
+	slices.SortFunc(latencies, func(a, b runnerLatency) int { return cmp.Compare(a.meanMs, b.meanMs) })
+	count := int(float64(len(latencies)) * lowLatencyFraction)
 	ids := make([]string, 0, count)
-	for _, runner := range measured[:count] {
+	for _, runner := range latencies[:count] {
 		ids = append(ids, runner.id)
 	}
 	return ids
 }
 
-// forgetUnknown drops the runners that are not known any longer. The caller holds the lock.
-func (t *LatencyTracker) forgetUnknown(known []routing.Runner) {
+// removeUnknown removes the sums of runners that are no longer known, once there are more sums than known runners. The caller
+// holds the lock.
+func (t *LatencyTracker) removeUnknown(known []routing.Runner) {
 	if len(t.gaps) <= len(known) {
 		return
 	}
--- a/internal/controlplane/runnerregistry/notifier.go
+++ b/internal/controlplane/runnerregistry/notifier.go
@@ -8,16 +8,16 @@
 	"yarrowridge/internal/transport/dissemination"
 )
 
-// batchDelay is how long the first change of a batch waits for others.
+// batchDelay is how long the first change of a batch waits for further changes.
 const batchDelay = 5 * time.Millisecond
 
-// Notifier pushes changes of runners to routers. Changes that come within batchDelay are pushed as one. Its methods may be
-// called concurrently.
+// Notifier pushes changes of runners to routers. Changes within batchDelay are pushed as one batch. Its methods are safe for
+// concurrent use.
 type Notifier struct {
 	push func(...dissemination.Record)
 
 	mu      sync.Mutex
-	pending *batch // takes changes until it is pushed; nil: there is none
+	pending *batch // collects changes until its delay is over; nil: no batch is pending
 }
 
 // batch is a group of changes that are pushed together.
@@ -26,12 +26,12 @@
 	pushed  chan struct{} // closed once the push has ended
 }
 
-// NewNotifier makes a notifier. push is called on a goroutine of the batch's own, and concurrently for several batches: it
-// hands records to routers and returns once that has ended, well or not.
+// NewNotifier returns a notifier. push sends records to routers and returns once the attempt has ended, whether it succeeded
+// or not. It is called in one goroutine per batch, concurrently for different batches.
 func NewNotifier(push func(...dissemination.Record)) *Notifier { return &Notifier{push: push} }
 
-// Notify puts a runner's change into the pending batch and does not wait for it. The channel is closed once the batch was
-// pushed; it is nil where the runner cannot be encoded.
+// Notify adds a runner's change to the pending batch without waiting for the push. The returned channel is closed once the
+// push has ended; it is nil if the runner cannot be encoded.
 func (n *Notifier) Notify(runner routing.Runner) <-chan struct{} {
 	body, err := runner.MarshalMsg(nil)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return n.add(dissemination.Record{Key: dissemination.RunnerPrefix + runner.ID, Version: runner.Sequence, Body: body})
 }
 
-// add puts a record into the pending batch, or begins one.
+// add adds a record to the pending batch, starting one if there is none.
 func (n *Notifier) add(record dissemination.Record) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -52,12 +52,12 @@
 	return n.pending.pushed
 }
 
-// pushAfterDelay waits for more changes and pushes the batch. Batches do not wait for each other.
-func (n *Notifier) pushAfterDelay(ready *batch) {
+// pushAfterDelay waits for batchDelay, then pushes the pending batch. It does not wait for pushes of earlier batches.
+func (n *Notifier) pushAfterDelay(pending *batch) {
 	time.Sleep(batchDelay)
 	n.mu.Lock()
 	n.pending = nil
 	n.mu.Unlock()
-	n.push(ready.records...)
-	close(ready.pushed)
+	n.push(pending.records...)
+	close(pending.pushed)
 }
--- a/internal/controlplane/runnerregistry/outliers.go
+++ b/internal/controlplane/runnerregistry/outliers.go
@@ -9,23 +9,23 @@
 	"yarrowridge/internal/controlplane/coreapi"
 )
 
-// How the attempts of all routers at a runner are judged.
+// When a runner counts as failing.
 const (
-	attemptHalfLife = time.Second // of the weight of an attempt
-	minFailures     = 1.0         // weighted failures from which on a runner may be an outlier
-	minFailureRatio = 0.2         // of the weighted attempts
-	minKeptAttempts = 0.05        // weighted attempts below which a runner is forgotten
+	attemptHalfLife    = time.Second // half-life of the weight of an attempt
+	minFailures        = 1.0         // weighted failures that a failing runner has at least
+	minFailureRatio    = 0.2         // weighted failures per weighted attempt that a failing runner has at least
+	minTrackedAttempts = 0.05        // a runner with fewer weighted attempts is no longer tracked
 )
 
-// OutlierDetector adds up the attempts that routers made at runners. In a large fleet each router meets a runner seldom:
-// alone, each would lose a request of its own before it knows that the runner fails. The zero value is ready; its methods
-// may be called concurrently.
+// OutlierDetector aggregates the attempts that all routers made at runners. In a large fleet each router rarely uses a given
+// runner: on its own, every router would lose a request before it detects that the runner fails. The zero value is ready for
+// use; its methods are safe for concurrent use.
 type OutlierDetector struct {
 	mu       sync.Mutex
-	attempts decayingSums // the count is attempts, the amount is failures among them
+	attempts decayingSums // per runner: the number of attempts, and how many of them failed
 }
 
-// Record adds one router's counts.
+// Record adds the counts reported by one router.
 func (d *OutlierDetector) Record(stats []coreapi.RunnerStats, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -34,14 +34,14 @@
 	}
 }
 
-// Failing lists the runners that fail now, sorted by ID.
+// Failing returns the runners that are failing at the time now, sorted by ID.
 func (d *OutlierDetector) Failing(now time.Time) []coreapi.FailingRunner {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var failing []coreapi.FailingRunner
 	for id, sum := range d.attempts {
 		sum.decayTo(now)
-		if sum.count < minKeptAttempts {
+		if sum.count < minTrackedAttempts {
 			delete(d.attempts, id)
 			continue
 		}
--- a/internal/controlplane/runnerregistry/registry.go
+++ b/internal/controlplane/runnerregistry/registry.go
@@ -1,6 +1,6 @@
-// Package runnerregistry holds what the primary of the core knows of the fleet's runners: their last heartbeats, their
-// stored form, and what all routers together saw of their failures and latency. It reaches neither the network nor the
-// disk itself: its owner gives it functions for both.
+// Package runnerregistry holds what the primary core knows about the fleet's runners: their latest heartbeats, their stored
+// records, and their failures and latency as reported by all routers. It does no I/O of its own: its owner passes in the
+// functions that reach the network and the disk.
 package runnerregistry
 
 import (
@@ -14,51 +14,51 @@
 )
 
 const (
-	runnerTTL      = 60 * time.Second        // a runner without a heartbeat for this long is forgotten
-	warmupDuration = 5 * time.Second         // a new primary has had a heartbeat of every living runner by then
-	resumeGrace    = 1500 * time.Millisecond // a runner's time to send a heartbeat after a pause of the primary
-	expiryInterval = 100 * time.Millisecond  // between two checks for runners that timed out
-	firstVersion   = 1                       // 0 stands for "no version"
+	runnerTTL      = 60 * time.Second        // a runner without a heartbeat for this long is removed
+	warmupDuration = 5 * time.Second         // after this, a new primary has received a heartbeat from every live runner
+	resumeGrace    = 1500 * time.Millisecond // how long a runner has to send a heartbeat after the primary was paused
+	expiryInterval = 100 * time.Millisecond  // minimum time between two checks for runners that timed out
+	firstVersion   = 1                       // 0 means "no version"
 )
 
-// Registry is the primary's record of runners. Its version goes up with every change that routers must know of. A new
-// primary starts an epoch of its own, from the runners that its disk has. All methods may be called concurrently.
+// Registry holds the runners that the primary knows. Its version increases with every change that routers need to know
+// about. A new primary starts a new epoch with the runners stored on its disk. All methods are safe for concurrent use.
 type Registry struct {
 	timeout time.Duration
 	notify  func(routing.Runner) <-chan struct{}
 
-	mu              sync.Mutex // guards what follows, and is held during notify
-	epoch           uint64     // 0: none was started yet
-	leadingSince    time.Time  // since when the primary has led without a break
-	startedAt       time.Time  // when this epoch began to take heartbeats
+	mu              sync.Mutex // guards the fields below; held while notify is called
+	epoch           uint64     // 0: no epoch was started yet
+	leadingSince    time.Time  // the primary has led without interruption since then
+	startedAt       time.Time  // when this epoch began to accept heartbeats
 	version         uint64
-	completeVersion uint64 // the version from which on every living runner is known; 0: warming up
+	completeVersion uint64 // from this version on, every live runner is known; 0: still warming up
 	expiredAt       time.Time
 	runners         map[string]*entry
 }
 
-// entry is one known runner.
+// entry holds one known runner.
 type entry struct {
 	runner      routing.Runner
-	heartbeatAt time.Time       // of the last heartbeat
-	version     uint64          // the registry's, at the runner's last change
-	notified    <-chan struct{} // closed once routers were notified of the last change; nil: none in this epoch
+	heartbeatAt time.Time       // when the last heartbeat was received
+	version     uint64          // the registry's version at the runner's last change
+	notified    <-chan struct{} // closed once the push of the last change has ended; nil: nothing was pushed in this epoch
 }
 
-// New makes an empty registry. A runner without a heartbeat for the timeout is timed out. notify is called with the
-// registry's lock held, for each change that routers must learn of at once: it must not block nor call the registry. The
-// channel that it returns is closed once the attempt to notify the routers has ended.
+// New returns an empty registry. A runner that sends no heartbeat for longer than timeout is timed out. notify is called
+// with the registry's lock held, for each change that routers must learn of at once. It must neither block nor call the
+// registry. The channel that it returns is closed once the attempt to notify the routers has ended.
 func New(timeout time.Duration, notify func(routing.Runner) <-chan struct{}) *Registry {
 	return &Registry{timeout: timeout, notify: notify, runners: map[string]*entry{}}
 }
 
-// Epoch names one primary's count of versions. A process that restarts and leads the same view again counts anew, so the
-// number of its run is part of the epoch.
+// Epoch identifies the sequence of versions of one primary. A process that restarts and leads the same view again starts a
+// new sequence, so the epoch includes the low bits of its run ID.
 func Epoch(viewEpoch, runID uint64) uint64 { return viewEpoch<<32 | runID&(1<<32-1) }
 
-// StartEpoch starts taking heartbeats. A primary that has led without a break since leadingSince keeps what it knows when
-// its view changes; each runner then has resumeGrace to send a heartbeat, since none was taken in between. Otherwise the
-// registry starts a new epoch from the stored runners.
+// StartEpoch starts accepting heartbeats. If the primary has led without interruption since the same leadingSince as before,
+// and only its view has changed, the registry keeps its epoch and its runners. Each runner then has resumeGrace to send a
+// heartbeat, since none was accepted in the meantime. Otherwise the registry starts a new epoch with the stored runners.
 func (r *Registry) StartEpoch(epoch uint64, leadingSince, now time.Time, stored []routing.Runner) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,18 +73,18 @@
 	}
 }
 
-// extendTimeouts lets no runner time out before resumeGrace is over. The caller holds the lock.
+// extendTimeouts postpones every timeout that is due within resumeGrace to its end. The caller holds the lock.
 func (r *Registry) extendTimeouts(now time.Time) {
 	earliest := now.Add(resumeGrace - r.timeout)
-	for _, known := range r.runners {
-		if known.heartbeatAt.Before(earliest) {
-			known.heartbeatAt = earliest
+	for _, entry := range r.runners {
+		if entry.heartbeatAt.Before(earliest) {
+			entry.heartbeatAt = earliest
 		}
 	}
 }
 
-// RecordHeartbeat records one heartbeat, which may be acknowledged once the channel is closed; nil: at once. A heartbeat
-// that is not later than the last one changes nothing, and a runner that has left stays gone.
+// RecordHeartbeat records a heartbeat, which may be acknowledged once the returned channel is closed, or immediately if it is
+// nil. A heartbeat whose sequence number is not above the last one changes nothing. A runner that has left stays gone.
 func (r *Registry) RecordHeartbeat(runner routing.Runner, now time.Time) (notified <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -107,34 +107,34 @@
 	if old.State != runner.State || old.Address != runner.Address {
 		known.notified = r.notify(runner)
 	}
-	// A heartbeat that repeats a change is not acknowledged before routers were notified of the change.
+	// A heartbeat that repeats a change must not be acknowledged before the push of that change has ended.
 	return known.notified
 }
 
-// expire marks the runners that have timed out and forgets those without a heartbeat for runnerTTL. The caller holds the
-// lock.
+// expire sets the state of runners that have timed out, and removes runners without a heartbeat for runnerTTL. It does so
+// once per expiryInterval at most. The caller holds the lock.
 func (r *Registry) expire(now time.Time) {
 	if now.Sub(r.expiredAt) < expiryInterval {
 		return
 	}
 	r.expiredAt = now
-	for id, known := range r.runners {
-		age := now.Sub(known.heartbeatAt)
+	for id, entry := range r.runners {
+		age := now.Sub(entry.heartbeatAt)
 		if age > runnerTTL {
 			delete(r.runners, id)
 			continue
 		}
-		state := known.runner.State
+		state := entry.runner.State
 		if age > r.timeout && state != routing.RunnerGone && state != routing.RunnerSilent {
-			known.runner.State = routing.RunnerSilent
+			entry.runner.State = routing.RunnerSilent
 			r.version++
-			known.version = r.version
+			entry.version = r.version
 		}
 	}
 }
 
-// FillResponse puts into the response to a router's heartbeat the runners that changed since the version it has, or all of
-// them. Only a list sent once the registry is complete lets the router drop the runners that it does not name.
+// FillResponse adds runners to the response to a router's heartbeat: those that changed since the router's version, or all
+// of them. Only a complete list sent after the warm-up allows the router to drop the runners that are not listed.
 func (r *Registry) FillResponse(request *coreapi.HeartbeatRequest, response *coreapi.HeartbeatResponse, now time.Time) {
 	if !request.RunnersWanted {
 		return
@@ -143,38 +143,38 @@
 	defer r.mu.Unlock()
 	r.expire(now)
 	if r.completeVersion == 0 && now.Sub(r.startedAt) >= warmupDuration {
-		r.version++ // so that a router which has the registry from before gets a complete list
+		r.version++ // so that routers with a version from the warm-up get a complete list
 		r.completeVersion = r.version
 	}
-	known := request.RunnersVersion
-	all := request.RunnersEpoch != r.epoch || known == 0 || known < r.completeVersion || known > r.version
+	since := request.RunnersVersion
+	all := request.RunnersEpoch != r.epoch || since == 0 || since < r.completeVersion || since > r.version
 	response.RunnersEpoch, response.RunnersVersion = r.epoch, r.version
 	if r.hasCurrentList(request) {
 		return
 	}
 	response.RunnersComplete = all && r.completeVersion > 0
 	for _, entry := range r.runners {
-		if all || entry.version > known {
+		if all || entry.version > since {
 			response.Runners = append(response.Runners, entry.runner)
 		}
 	}
 	slices.SortFunc(response.Runners, compareIDs)
 }
 
-// hasCurrentList reports whether a router that asks for a complete list has exactly that, by its digest. The caller holds
-// the lock.
+// hasCurrentList reports whether a router that asks for a complete list already has it, judging by the digest of its own
+// list. The caller holds the lock.
 func (r *Registry) hasCurrentList(request *coreapi.HeartbeatRequest) bool {
 	if request.RunnersEpoch != r.epoch || request.RunnersVersion != 0 || request.RunnersDigest == 0 {
 		return false
 	}
 	digest := uint64(0)
-	for _, known := range r.runners {
-		digest ^= known.runner.Digest()
+	for _, entry := range r.runners {
+		digest ^= entry.runner.Digest()
 	}
 	return digest == request.RunnersDigest
 }
 
-// Lookup gives what is known of a runner, and whether anything is.
+// Lookup returns a runner by its ID. ok is false if the registry does not know it.
 func (r *Registry) Lookup(id string) (runner routing.Runner, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -184,14 +184,14 @@
 	return routing.Runner{}, false
 }
 
-// List gives all known runners, sorted by ID.
+// List returns all known runners, sorted by ID.
 func (r *Registry) List(now time.Time) []routing.Runner {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.expire(now)
 	runners := make([]routing.Runner, 0, len(r.runners))
-	for _, known := range r.runners {
-		runners = append(runners, known.runner)
+	for _, entry := range r.runners {
+		runners = append(runners, entry.runner)
 	}
 	slices.SortFunc(runners, compareIDs)
 	return runners
--- a/internal/controlplane/runnerregistry/storage.go
+++ b/internal/controlplane/runnerregistry/storage.go
@@ -9,21 +9,21 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// runnerPrefix begins the keys of stored runners.
+// runnerPrefix is the key prefix of stored runners.
 const runnerPrefix = "runner/"
 
-// Storage keeps runners on disk, so that after the loss of all processes routers know at once where to send requests. Only
-// what routers must know is stored, not each heartbeat. It holds no state itself: its methods may be called concurrently
-// where its functions may.
+// Storage keeps runners on disk, so that routers know where to send requests right after a restart of all processes. It
+// stores changes that routers need to know about, not every heartbeat. Storage is stateless: its methods are safe for
+// concurrent use if its functions are.
 type Storage struct {
-	Committed   func() *store.Store                                         // the committed state
+	Committed   func() *store.Store                                         // returns the committed state
 	Submit      func(context.Context, func(tx *transaction.Tx) error) error // changes the state and waits for the commit
-	SubmitLater func(func(tx *transaction.Tx) error)                        // changes the state some time, or not at all
+	SubmitLater func(func(tx *transaction.Tx) error)                        // changes the state asynchronously, best effort
 }
 
-// Save stores a runner where it differs, in what routers must know, from what the disk has. That one is draining or gone is
-// committed before Save returns: a primary that takes over must not send routers to it again. That one has come can wait.
-// The error is that of Submit.
+// Save stores a runner if the disk has another version of it, in what routers need to know. A draining runner, or the
+// removal of one that is gone, is committed before Save returns, so that a primary that takes over does not direct routers
+// to it again. A ready runner is stored asynchronously. The only errors are those of Submit.
 func (s Storage) Save(ctx context.Context, runner routing.Runner) error {
 	if runner.ID == "" || runner.State == routing.RunnerSilent {
 		return nil
@@ -31,7 +31,7 @@
 	if stored, ok := s.Load(runner.ID); ok == (runner.State != routing.RunnerGone) && (!ok || stored.SaysSame(runner)) {
 		return nil
 	}
-	put := func(tx *transaction.Tx) error {
+	apply := func(tx *transaction.Tx) error {
 		key := runnerPrefix + runner.ID
 		if runner.State != routing.RunnerGone {
 			return tx.Put(key, &runner)
@@ -42,18 +42,18 @@
 		return nil
 	}
 	if runner.State == routing.RunnerReady {
-		s.SubmitLater(put)
+		s.SubmitLater(apply)
 		return nil
 	}
-	return s.Submit(ctx, put)
+	return s.Submit(ctx, apply)
 }
 
-// Load reads a runner, and reports whether the disk has it.
+// Load reads a stored runner. ok is false if there is none, or if it cannot be decoded.
 func (s Storage) Load(id string) (runner routing.Runner, ok bool) {
 	return decodeRunner(s.Committed().Get(runnerPrefix + id))
 }
 
-// decodeRunner decodes a stored runner, if one was found.
+// decodeRunner decodes a stored runner. ok is false if none was found, or if it cannot be decoded.
 func decodeRunner(raw []byte, found bool) (runner routing.Runner, ok bool) {
 	if !found {
 		return runner, false
@@ -62,7 +62,7 @@
 	return runner, err == nil
 }
 
-// LoadAll reads all runners that the disk has.
+// LoadAll reads all stored runners. Those that cannot be decoded are skipped.
 func (s Storage) LoadAll() []routing.Runner {
 	var runners []routing.Runner
 	s.Committed().ForEachWithPrefix(runnerPrefix, func(_ string, raw []byte) {
@@ -73,9 +73,9 @@
 	return runners
 }
 
-// SaveTimedOut stores, some time later, which of the known runners have timed out. Without it a crashed runner would count
-// as ready again after the loss of all core processes, until it timed out once more. Only a ready runner is stored as timed
-// out: that one is draining must not be forgotten.
+// SaveTimedOut stores asynchronously which of the known runners have timed out. Otherwise, after a restart of all cores, a
+// crashed runner would count as ready until it timed out once more. Only runners that are stored as ready are stored as timed
+// out: a draining runner has to stay draining.
 func (s Storage) SaveTimedOut(known []routing.Runner) {
 	for _, runner := range known {
 		if runner.State != routing.RunnerSilent {
@@ -85,7 +85,7 @@
 			continue
 		}
 		s.SubmitLater(func(tx *transaction.Tx) error {
-			// That it is draining may have been written since.
+			// The runner may have been stored as draining since the check above.
 			stored, ok := decodeRunner(tx.Get(runnerPrefix + runner.ID))
 			if !ok || stored.State != routing.RunnerReady {
 				return nil
@@ -95,23 +95,23 @@
 	}
 }
 
-// DeleteUnknown deletes, some time later, the stored runners that the registry has forgotten.
+// DeleteUnknown asynchronously deletes the stored runners that are not among the known ones.
 func (s Storage) DeleteUnknown(known []routing.Runner) {
 	isKnown := map[string]bool{}
 	for _, runner := range known {
 		isKnown[runner.ID] = true
 	}
-	var forgotten []string
+	var unknown []string
 	s.Committed().ForEachWithPrefix(runnerPrefix, func(key string, _ []byte) {
 		if !isKnown[strings.TrimPrefix(key, runnerPrefix)] {
-			forgotten = append(forgotten, key)
+			unknown = append(unknown, key)
 		}
 	})
-	if len(forgotten) == 0 {
+	if len(unknown) == 0 {
 		return
 	}
 	s.SubmitLater(func(tx *transaction.Tx) error {
-		for _, key := range forgotten {
+		for _, key := range unknown {
 			tx.Delete(key)
 		}
 		return nil
