--- a/internal/controlplane/runnerregistry/latency_test.go
+++ b/internal/controlplane/runnerregistry/latency_test.go
@@ -10,7 +10,7 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// readyRunners lists ready runners of a service.
+// readyRunners returns a function that lists ready runners of a service.
 func readyRunners(service string, ids ...string) func(time.Time) []routing.Runner {
 	return func(time.Time) []routing.Runner {
 		var runners []routing.Runner
@@ -21,7 +21,7 @@
 	}
 }
 
-// No single router sees enough of a runner's streams to judge it, all together do.
+// One router alone reports too few gaps to rank a runner, but the reports of all routers together are enough.
 func TestLowLatencyRunnersAcrossRouters(t *testing.T) {
 	var tracker LatencyTracker
 	now := time.Now()
@@ -35,7 +35,7 @@
 	}
 }
 
-// A runner that was slow counts as low-latency soon after it has become so, and one that is not known is forgotten.
+// A slow runner counts as low-latency soon after it becomes fast, and a runner that is no longer known is removed.
 func TestLowLatencyRunnersFollowChanges(t *testing.T) {
 	var tracker LatencyTracker
 	now := time.Now()
@@ -53,11 +53,11 @@
 	}
 	tracker.LowLatencyRunners(readyRunners("s", "b"), now.Add(time.Second))
 	if len(tracker.gaps) != 1 {
-		t.Errorf("got %d runners remembered, want the 1 that is known", len(tracker.gaps))
+		t.Errorf("got %d runners tracked, want only the known one", len(tracker.gaps))
 	}
 }
 
-// Services are judged apart, runners that are not ready are not listed, and counts that cannot be change nothing.
+// Runners are ranked within their service, runners that are not ready are not listed, and invalid counts change nothing.
 func TestLowLatencyRunnersOfEachService(t *testing.T) {
 	var tracker LatencyTracker
 	now := time.Now()
--- a/internal/controlplane/runnerregistry/notifier_test.go
+++ b/internal/controlplane/runnerregistry/notifier_test.go
@@ -6,7 +6,7 @@
 	"yarrowridge/internal/transport/dissemination"
 )
 
-// Changes that come together are pushed together, and each is acknowledged after its push.
+// Every change is pushed, and it is acknowledged only after its push has ended.
 func TestNotifierBatchesChanges(t *testing.T) {
 	pushes := make(chan int, 100)
 	notifier := NewNotifier(func(records ...dissemination.Record) { pushes <- len(records) })
--- a/internal/controlplane/runnerregistry/outliers_test.go
+++ b/internal/controlplane/runnerregistry/outliers_test.go
@@ -7,7 +7,7 @@
 	"yarrowridge/internal/controlplane/coreapi"
 )
 
-// A runner that fails most attempts is an outlier soon, whichever routers met it, and is forgotten soon after.
+// A runner that fails most attempts is soon detected, whichever routers report it, and is soon removed once the reports end.
 func TestFailingRunnerIsDetected(t *testing.T) {
 	var detector OutlierDetector
 	now := time.Now()
@@ -26,11 +26,11 @@
 	}
 	detector.Failing(now.Add(20 * time.Second))
 	if len(detector.attempts) != 0 {
-		t.Errorf("got %d runners remembered twenty seconds later, want none", len(detector.attempts))
+		t.Errorf("got %d runners tracked twenty seconds later, want none", len(detector.attempts))
 	}
 }
 
-// A runner that serves nearly all attempts is no outlier, however many it fails.
+// A runner that serves most of its attempts is not failing, however many failures it has in total.
 func TestFewFailuresOfManyAttempts(t *testing.T) {
 	var detector OutlierDetector
 	now := time.Now()
--- a/internal/controlplane/runnerregistry/registry_test.go
+++ b/internal/controlplane/runnerregistry/registry_test.go
@@ -10,15 +10,15 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// testRegistry is a registry whose time the test sets.
+// testRegistry is a registry with a clock set by the test.
 type testRegistry struct {
 	*Registry
 	now           time.Time
 	notifications int
-	push          chan struct{} // of the last change; the test closes it
+	push          chan struct{} // for the last change; closed by the test when the push has ended
 }
 
-// newTestRegistry makes a registry in its epoch 1, whose runners time out after four seconds.
+// newTestRegistry returns a registry in epoch 1 whose runners time out after four seconds.
 func newTestRegistry() *testRegistry {
 	r := &testRegistry{now: time.Unix(1000, 0)}
 	r.Registry = New(4*time.Second, func(routing.Runner) <-chan struct{} {
@@ -30,21 +30,21 @@
 	return r
 }
 
-// heartbeat records a heartbeat and reports whether routers are notified of it at once.
-func (r *testRegistry) heartbeat(id string, version uint64, state routing.RunnerState) bool {
+// heartbeat records a heartbeat and reports whether it led to a notification of the routers.
+func (r *testRegistry) heartbeat(id string, sequence uint64, state routing.RunnerState) bool {
 	before := r.notifications
-	r.RecordHeartbeat(routing.Runner{ID: id, Address: id + ":1", State: state, Sequence: version, Slots: 4}, r.now)
+	r.RecordHeartbeat(routing.Runner{ID: id, Address: id + ":1", State: state, Sequence: sequence, Slots: 4}, r.now)
 	return r.notifications > before
 }
 
-// response answers a router that has a version of an epoch.
+// response returns the response to a router that has this version of this epoch.
 func (r *testRegistry) response(epoch, version uint64) *coreapi.HeartbeatResponse {
 	var response coreapi.HeartbeatResponse
 	r.FillResponse(&coreapi.HeartbeatRequest{RunnersWanted: true, RunnersEpoch: epoch, RunnersVersion: version}, &response, r.now)
 	return &response
 }
 
-// state gives a runner's state, "" where it is not known.
+// state returns a runner's state, or "" if the runner is not known.
 func (r *testRegistry) state(id string) routing.RunnerState {
 	for _, runner := range r.List(r.now) {
 		if runner.ID == id {
@@ -54,7 +54,7 @@
 	return ""
 }
 
-// A heartbeat that overtook another is not undone by it, and a repeated one changes nothing.
+// A heartbeat that arrives after a later one does not undo it, and a repeated heartbeat changes nothing.
 func TestLateHeartbeatChangesNothing(t *testing.T) {
 	r := newTestRegistry()
 	if !r.heartbeat("a", 5, routing.RunnerReady) {
@@ -75,15 +75,15 @@
 	}
 }
 
-// A heartbeat that repeats a change is not acknowledged before routers were notified of the change.
+// A heartbeat that repeats a change is not acknowledged before the push of that change has ended.
 func TestRepeatedHeartbeatWaitsForNotification(t *testing.T) {
 	r := newTestRegistry()
 	r.heartbeat("a", 1, routing.RunnerReady)
 	close(r.push)
 	r.heartbeat("a", 2, routing.RunnerDraining)
 	runner := routing.Runner{ID: "a", Address: "a:1", State: routing.RunnerDraining, Sequence: 3, Slots: 4}
-	later, again := r.RecordHeartbeat(runner, r.now), r.RecordHeartbeat(runner, r.now)
-	for _, notified := range []<-chan struct{}{later, again} {
+	later, repeated := r.RecordHeartbeat(runner, r.now), r.RecordHeartbeat(runner, r.now)
+	for _, notified := range []<-chan struct{}{later, repeated} {
 		select {
 		case <-notified:
 			t.Error("got an acknowledgement before the change was pushed, want none")
@@ -92,10 +92,10 @@
 	}
 	close(r.push)
 	<-later
-	<-again
+	<-repeated
 }
 
-// The version goes up with what routers must know, and not with every heartbeat.
+// The version increases with every change that routers need to know about, but not with every heartbeat.
 func TestVersionCountsChanges(t *testing.T) {
 	r := newTestRegistry()
 	runner := routing.Runner{ID: "a", State: routing.RunnerReady, WarmupLeftMs: 900, Slots: 4, Sequence: 1}
@@ -125,8 +125,8 @@
 	}
 }
 
-// A runner without a heartbeat for the timeout is timed out, is back with its next heartbeat, and is forgotten after a
-// minute.
+// A runner without a heartbeat for the timeout is timed out, is ready again with its next heartbeat, and is removed after a
+// minute without one.
 func TestTimeoutAndReturn(t *testing.T) {
 	r := newTestRegistry()
 	r.heartbeat("a", 1, routing.RunnerReady)
@@ -134,7 +134,7 @@
 	known := r.response(1, 0).RunnersVersion
 	r.now = r.now.Add(4 * time.Second)
 	if got := r.state("a"); got != routing.RunnerReady {
-		t.Errorf("got state %q after just the timeout, want %q", got, routing.RunnerReady)
+		t.Errorf("got state %q at exactly the timeout, want %q", got, routing.RunnerReady)
 	}
 	r.now = r.now.Add(200 * time.Millisecond)
 	response := r.response(1, known)
@@ -152,14 +152,14 @@
 	}
 	r.now = r.now.Add(56 * time.Second)
 	if got := r.state("b"); got != "" {
-		t.Errorf("got state %q a minute after the last heartbeat, want the runner forgotten", got)
+		t.Errorf("got state %q a minute after the last heartbeat, want the runner removed", got)
 	}
 	if got := r.state("a"); got != routing.RunnerSilent {
 		t.Errorf("got state %q 56 s after the last heartbeat, want %q", got, routing.RunnerSilent)
 	}
 }
 
-// A runner that has left stays gone, whatever heartbeat of its incarnation comes later.
+// A runner that has left stays gone, even if a later heartbeat with its ID arrives.
 func TestGoneIsFinal(t *testing.T) {
 	r := newTestRegistry()
 	r.heartbeat("a", 1, routing.RunnerReady)
@@ -174,11 +174,11 @@
 		t.Errorf("got state %q half a minute later, want %q", got, routing.RunnerGone)
 	}
 	if !r.heartbeat("b", 1, routing.RunnerGone) || r.state("b") != routing.RunnerGone {
-		t.Error("got an unknown runner that leaves not recorded, want it gone")
+		t.Error("unknown runner that leaves is not recorded as gone")
 	}
 }
 
-// Another epoch starts an empty registry and sends all of it; within one, what changed is sent.
+// Within an epoch only changes are sent. A new epoch starts with an empty registry, and all of it is sent.
 func TestNewEpochStartsEmpty(t *testing.T) {
 	r := newTestRegistry()
 	r.now = r.now.Add(warmupDuration)
@@ -196,22 +196,22 @@
 	}
 	r.StartEpoch(2, r.now, r.now, nil)
 	r.heartbeat("r1", 7, routing.RunnerReady)
-	// The router's version is above the new epoch's: the epoch counts.
-	next := r.response(response.RunnersEpoch, response.RunnersVersion)
-	if next.RunnersEpoch == response.RunnersEpoch || len(next.Runners) != 1 || next.RunnersComplete {
-		t.Errorf("got %+v from a new primary, want another epoch and one runner, not complete", next)
+	// The router's version is above that of the new epoch: the differing epoch decides that all runners are sent.
+	newEpoch := r.response(response.RunnersEpoch, response.RunnersVersion)
+	if newEpoch.RunnersEpoch == response.RunnersEpoch || len(newEpoch.Runners) != 1 || newEpoch.RunnersComplete {
+		t.Errorf("got %+v from a new primary, want another epoch and one runner, not complete", newEpoch)
 	}
 	var none coreapi.HeartbeatResponse
 	r.FillResponse(&coreapi.HeartbeatRequest{}, &none, r.now)
 	if none.RunnersEpoch != 0 || none.Runners != nil {
-		t.Errorf("got %+v for a router that keeps no registry, want nothing", none)
+		t.Errorf("got %+v for a router that wants no runners, want an empty response", none)
 	}
 	if Epoch(7, 1) == Epoch(7, 2) {
 		t.Error("got one epoch for two runs of a primary, want two")
 	}
 }
 
-// Only a list sent once the primary's warm-up is over is complete, and a router that had one before gets it.
+// The list is complete only after the primary's warm-up. A router with a list from the warm-up then gets the complete one.
 func TestListIsCompleteAfterWarmup(t *testing.T) {
 	r := newTestRegistry()
 	r.heartbeat("a", 1, routing.RunnerReady)
@@ -234,8 +234,8 @@
 	}
 }
 
-// A primary whose view changed, but which led all the time, goes on with what it knows. Nobody times out for a heartbeat
-// that was not taken meanwhile, and one that had timed out before stays so.
+// A primary that led without interruption while its view changed keeps its epoch. No runner times out because heartbeats were
+// not accepted during the change, and a runner that had timed out before stays timed out.
 func TestPrimaryResumesItsEpoch(t *testing.T) {
 	r := newTestRegistry()
 	leadingSince := r.now
@@ -257,7 +257,7 @@
 	}
 }
 
-// A frame has room for the registry of ten thousand runners.
+// A complete list of ten thousand runners fits into one frame.
 func TestRegistryFitsAFrame(t *testing.T) {
 	r := newTestRegistry()
 	for i := range 10_000 {
@@ -269,7 +269,7 @@
 	}
 }
 
-// A router that asks for a complete list gets none where it has exactly that, and all once anything differs.
+// A router that asks for a complete list gets none if its own list is equal, and the complete one if anything differs.
 func TestEqualListIsNotSent(t *testing.T) {
 	r := newTestRegistry()
 	r.heartbeat("a", 1, routing.RunnerReady)
@@ -277,41 +277,41 @@
 	r.now = r.now.Add(warmupDuration)
 	r.heartbeat("a", 2, routing.RunnerReady)
 	r.heartbeat("b", 2, routing.RunnerReady)
-	ask := func(epoch uint64, runners []routing.Runner) *coreapi.HeartbeatResponse {
+	request := func(epoch uint64, runners []routing.Runner) *coreapi.HeartbeatResponse {
 		var response coreapi.HeartbeatResponse
-		request := coreapi.HeartbeatRequest{RunnersWanted: true, RunnersEpoch: epoch}
+		heartbeat := coreapi.HeartbeatRequest{RunnersWanted: true, RunnersEpoch: epoch}
 		for _, runner := range runners {
-			request.RunnersDigest ^= runner.Digest()
+			heartbeat.RunnersDigest ^= runner.Digest()
 		}
-		r.FillResponse(&request, &response, r.now)
+		r.FillResponse(&heartbeat, &response, r.now)
 		return &response
 	}
 	current := r.response(0, 0).Runners
-	if response := ask(1, current); len(response.Runners) > 0 || response.RunnersComplete || response.RunnersEpoch != 1 || response.RunnersVersion == 0 {
+	if response := request(1, current); len(response.Runners) > 0 || response.RunnersComplete || response.RunnersEpoch != 1 || response.RunnersVersion == 0 {
 		t.Errorf("got %+v for an equal list, want no runners", response)
 	}
-	r.heartbeat("a", 3, routing.RunnerReady) // a heartbeat alone is nothing that routers must know
-	if response := ask(1, current); len(response.Runners) > 0 {
+	r.heartbeat("a", 3, routing.RunnerReady) // a heartbeat without a change is not sent to routers
+	if response := request(1, current); len(response.Runners) > 0 {
 		t.Errorf("got %+v after a heartbeat without a change, want no runners", response)
 	}
 	for name, response := range map[string]*coreapi.HeartbeatResponse{
-		"another primary's list": ask(7, current),
-		"one runner less":        ask(1, current[:1]),
-		"none":                   ask(1, nil),
+		"another primary's list": request(7, current),
+		"one runner less":        request(1, current[:1]),
+		"none":                   request(1, nil),
 	} {
 		if len(response.Runners) != 2 || !response.RunnersComplete {
 			t.Errorf("%s: got %+v, want both runners, complete", name, response)
 		}
 	}
 	r.heartbeat("a", 4, routing.RunnerDraining)
-	if response := ask(1, current); len(response.Runners) != 2 || !response.RunnersComplete {
+	if response := request(1, current); len(response.Runners) != 2 || !response.RunnersComplete {
 		t.Errorf("got %+v after a change of state, want both runners, complete", response)
 	}
 	current = r.response(0, 0).Runners
 	r.heartbeat("a", 5, routing.RunnerDraining)
 	r.now = r.now.Add(runnerTTL + time.Second)
 	r.heartbeat("a", 6, routing.RunnerDraining)
-	if response := ask(1, current); len(response.Runners) != 1 || !response.RunnersComplete {
-		t.Errorf("got %+v after a runner was forgotten, want one runner, complete", response)
+	if response := request(1, current); len(response.Runners) != 1 || !response.RunnersComplete {
+		t.Errorf("got %+v after a runner was removed, want one runner, complete", response)
 	}
 }
--- a/internal/controlplane/runnerregistry/storage_test.go
+++ b/internal/controlplane/runnerregistry/storage_test.go
@@ -12,13 +12,13 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// operation is a submitted change of the state.
+// operation is a submitted state change.
 type operation struct {
 	apply func(tx *transaction.Tx) error
 	done  chan error
 }
 
-// storedRegistry is a registry with its storage, whose operations are committed by the test.
+// storedRegistry is a registry with a storage whose operations are committed by the test.
 type storedRegistry struct {
 	*Registry
 	Storage
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &storedRegistry{Registry: newQuietRegistry(), committed: committed, submitted: make(chan *operation, 16)}
+	r := &storedRegistry{Registry: newRegistryWithoutPush(), committed: committed, submitted: make(chan *operation, 16)}
 	r.StartEpoch(1, time.Now(), time.Now(), nil)
 	r.Storage = Storage{
 		Committed: func() *store.Store { return committed },
@@ -57,8 +57,8 @@
 	return r
 }
 
-// newQuietRegistry makes a registry that notifies nobody, whose runners time out after four seconds.
-func newQuietRegistry() *Registry {
+// newRegistryWithoutPush returns a registry that sends no notifications and whose runners time out after four seconds.
+func newRegistryWithoutPush() *Registry {
 	return New(4*time.Second, func(routing.Runner) <-chan struct{} { return nil })
 }
 
@@ -75,12 +75,12 @@
 		applied = append(applied, next)
 	}
 	r.append(t, tx)
-	for _, one := range applied {
-		one.done <- nil
+	for _, operation := range applied {
+		operation.done <- nil
 	}
 }
 
-// append commits what a transaction changes, if it does.
+// append commits the mutations of a transaction, if there are any.
 func (r *storedRegistry) append(t *testing.T, tx *transaction.Tx) {
 	t.Helper()
 	if len(tx.Mutations()) == 0 {
@@ -91,7 +91,7 @@
 	}
 }
 
-// heartbeat records and saves a heartbeat of the runner a as the primary does, and commits what that submits.
+// heartbeat records and saves a heartbeat of the runner a like the primary does, and commits the submitted operations.
 func (r *storedRegistry) heartbeat(t *testing.T, state routing.RunnerState, sequence uint64) {
 	t.Helper()
 	r.RecordHeartbeat(routing.Runner{ID: "a", Service: "s", Address: "10.0.0.9:80", State: state, Sequence: sequence}, time.Now())
@@ -108,8 +108,8 @@
 	}
 }
 
-// What the disk has of a runner follows its newest heartbeat: a late one does not bring back one that is draining or gone,
-// and a heartbeat without a change writes nothing.
+// The stored runner follows the newest heartbeat: a late heartbeat does not make a draining or gone runner ready again, and a
+// heartbeat without a change writes nothing.
 func TestStorageFollowsHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newStoredRegistry(t)
@@ -117,7 +117,7 @@
 			state       routing.RunnerState
 			sequence    uint64
 			wantState   routing.RunnerState
-			wantVersion uint64 // of the store: the number of writes
+			wantVersion uint64 // of the store; equals the number of writes
 		}{
 			{routing.RunnerReady, 1, routing.RunnerReady, 1},
 			{routing.RunnerReady, 2, routing.RunnerReady, 1},
@@ -139,12 +139,12 @@
 	})
 }
 
-// A runner that has crashed is not ready again for a primary that starts from the disk, and is once it sends a heartbeat.
+// After a restart from disk, a crashed runner is still timed out, until it sends a heartbeat.
 func TestTimedOutRunnerIsStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newStoredRegistry(t)
 		stateAfterRestart := func() routing.RunnerState {
-			restarted := newQuietRegistry()
+			restarted := newRegistryWithoutPush()
 			restarted.StartEpoch(2, time.Now(), time.Now(), r.LoadAll())
 			runner, _ := restarted.Lookup("a")
 			return runner.State
@@ -176,7 +176,7 @@
 	})
 }
 
-// A runner that was draining and then timed out is still known to drain.
+// A draining runner that times out is still stored as draining.
 func TestTimedOutRunnerStaysDraining(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newStoredRegistry(t)
@@ -191,7 +191,7 @@
 	})
 }
 
-// A runner whose draining is committed between the submission of its timeout and the commit of that is still known to drain.
+// A timeout that is submitted before, but committed after a runner starts draining does not overwrite the draining state.
 func TestDrainingCommittedBeforeTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newStoredRegistry(t)
@@ -210,7 +210,7 @@
 	})
 }
 
-// The stored runners that the registry has forgotten are deleted, the others stay.
+// Stored runners that the registry no longer knows are deleted, the others stay.
 func TestForgottenRunnersAreDeleted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newStoredRegistry(t)
@@ -224,7 +224,7 @@
 		r.DeleteUnknown(r.List(time.Now()))
 		r.commit(t)
 		if stored := r.LoadAll(); len(stored) != 0 {
-			t.Errorf("got stored runners %v after the registry forgot them, want none", stored)
+			t.Errorf("got stored runners %v after the registry removed them, want none", stored)
 		}
 	})
 }
