--- a/internal/controlplane/routerleases/push.go
+++ b/internal/controlplane/routerleases/push.go
@@ -10,16 +10,17 @@
 	"yarrowridge/internal/transport/dissemination"
 )
 
-// PushTimeout is how long a push waits for the routers.
+// PushTimeout is how long a push waits for the routers' responses.
 const PushTimeout = 250 * time.Millisecond
 
-// Caller calls another process. It is called concurrently, and returns by the end of ctx.
+// Caller sends a request to another process. It is called concurrently, and must return once ctx is done.
 type Caller interface {
 	Call(ctx context.Context, addr, kind string, request msgp.Marshaler, response msgp.Unmarshaler) error
 }
 
-// Push hands records to the first perZone routers of every zone, who pass them on, and waits until each has answered or
-// failed, for PushTimeout at most. That a router did not get them is no error: routers repair their copies among themselves.
+// Push sends records to the first perZone routers of every zone, which forward them to the others. It waits until every call
+// has succeeded or failed, but no longer than PushTimeout. Failed calls are ignored: routers exchange missing records among
+// themselves.
 func Push(ctx context.Context, caller Caller, routers []coreapi.Node, perZone int, records []dissemination.Record) {
 	ctx, cancel := context.WithTimeout(ctx, PushTimeout)
 	defer cancel()
@@ -28,7 +29,7 @@
 	done := make(chan struct{}, len(targets))
 	for _, router := range targets {
 		go func() {
-			// The outcome does not matter: see above.
+			// Errors are ignored, see Push.
 			_ = caller.Call(ctx, router.Addr, "node.tell", &update, nil)
 			done <- struct{}{}
 		}()
@@ -42,7 +43,7 @@
 	}
 }
 
-// firstOfEachZone gives the first perZone routers of every zone, in their order.
+// firstOfEachZone returns the first perZone routers of every zone, in the order of routers.
 func firstOfEachZone(routers []coreapi.Node, perZone int) []coreapi.Node {
 	var first []coreapi.Node
 	inZone := map[string]int{}
--- a/internal/controlplane/routerleases/push_test.go
+++ b/internal/controlplane/routerleases/push_test.go
@@ -14,7 +14,7 @@
 	"yarrowridge/internal/transport/dissemination"
 )
 
-// fakeCaller notes which addresses are called. Those in unreachable do not answer before the call's end.
+// fakeCaller records which addresses are called. Calls to those in unreachable block until ctx is done.
 type fakeCaller struct {
 	unreachable map[string]bool
 
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// A push reaches the first routers of every zone, and waits for those that do not answer for PushTimeout at most.
+// A push calls the first routers of every zone, and waits no longer than PushTimeout for those that do not respond.
 func TestPushReachesFirstRoutersOfEachZone(t *testing.T) {
 	routers := []coreapi.Node{
 		{Addr: "a1", Zone: "a"}, {Addr: "b1", Zone: "b"}, {Addr: "a2", Zone: "a"}, {Addr: "a3", Zone: "a"}, {Addr: "b2", Zone: "b"},
@@ -57,12 +57,12 @@
 				started := time.Now()
 				Push(t.Context(), caller, routers, c.perZone, []dissemination.Record{{Key: "k"}})
 				if took := time.Since(started); took != c.wantTook {
-					t.Errorf("got a push of %s, want %s", took, c.wantTook)
+					t.Errorf("got push duration %s, want %s", took, c.wantTook)
 				}
 				synctest.Wait()
 				slices.Sort(caller.called)
 				if !slices.Equal(caller.called, c.want) {
-					t.Errorf("got calls of %v, want %v", caller.called, c.want)
+					t.Errorf("got calls to %v, want %v", caller.called, c.want)
 				}
 			})
 		})
--- a/internal/controlplane/routerleases/table_test.go
+++ b/internal/controlplane/routerleases/table_test.go
@@ -13,7 +13,7 @@
 	"yarrowridge/internal/controlplane/coreapi"
 )
 
-// testTable is a table whose time the test sets, of a primary that started long ago.
+// testTable is a table with a clock set by the test, of a primary that started an hour ago.
 type testTable struct {
 	Table
 	now time.Time
@@ -25,7 +25,7 @@
 	return table
 }
 
-// heartbeat records a heartbeat of a router that must be taken, and reports whether its run was not known.
+// heartbeat records a heartbeat that must be accepted, and reports whether the run of the router was unknown before.
 func (t *testTable) heartbeat(test *testing.T, router coreapi.Node) bool {
 	test.Helper()
 	newRun, err := t.RecordHeartbeat(&coreapi.HeartbeatRequest{Node: router}, t.now)
@@ -35,14 +35,14 @@
 	return newRun
 }
 
-// response answers a router that has a version of the list.
+// response returns the response to a router that has this version of the list.
 func (t *testTable) response(version uint64) *coreapi.HeartbeatResponse {
 	var response coreapi.HeartbeatResponse
 	t.FillResponse(&coreapi.HeartbeatRequest{NodesVersion: version}, &response, t.now)
 	return &response
 }
 
-// The version goes up with what a router's peers must know, and not with every heartbeat.
+// The version increases with every change that a router's peers need to know about, but not with every heartbeat.
 func TestVersionCountsChanges(t *testing.T) {
 	table := newTestTable()
 	router := coreapi.Node{Name: "a", Addr: "10.0.0.1:70", Run: 1}
@@ -72,7 +72,7 @@
 	}
 }
 
-// A lease ends one LeaseTerm after the last heartbeat, and not at that very moment.
+// A lease is still valid exactly LeaseTerm after the last heartbeat, and has expired a moment later.
 func TestLeaseRunsOut(t *testing.T) {
 	table := newTestTable()
 	table.heartbeat(t, coreapi.Node{Name: "b"})
@@ -93,7 +93,7 @@
 	}
 }
 
-// A router that moved gets its name once the lease at its former address has run out, and not sooner.
+// A router that has moved gets its name once the lease of its former address has expired, but not earlier.
 func TestNameIsTakenWhileLeaseRuns(t *testing.T) {
 	table := newTestTable()
 	table.heartbeat(t, coreapi.Node{Name: "a", Addr: "10.0.0.1:70", Run: 1})
@@ -101,18 +101,19 @@
 	table.now = table.now.Add(LeaseTerm)
 	before := table.version
 	if _, err := table.RecordHeartbeat(&coreapi.HeartbeatRequest{Node: moved}, table.now); !errors.Is(err, ErrNameTaken) {
-		t.Errorf("got error %v while the lease runs, want %v", err, ErrNameTaken)
+		t.Errorf("got error %v before the lease expired, want %v", err, ErrNameTaken)
 	}
 	if got := table.List(); len(got) != 1 || got[0].Run != 1 || table.version != before {
 		t.Errorf("got routers %+v at version %d after a rejected heartbeat, want the first run at version %d", got, table.version, before)
 	}
 	table.now = table.now.Add(time.Millisecond)
 	if !table.heartbeat(t, moved) {
-		t.Error("got a known run after the lease, want a new one")
+		t.Error("got a known run after the lease expired, want a new one")
 	}
 }
 
-// A router that leaves is gone at once; a late word of an earlier run that it leaves does not end the lease of a later one.
+// A router that is leaving is removed at once. A delayed message that an earlier run is leaving does not end the lease of a
+// later run.
 func TestLeavingEndsLease(t *testing.T) {
 	table := newTestTable()
 	table.heartbeat(t, coreapi.Node{Name: "a", Run: 2})
@@ -131,13 +132,13 @@
 	}
 }
 
-// Just after its start a primary takes every run for alive, names no routers and says how many there were.
+// Until LeaseTerm after its start, a primary treats every run as alive and sends the number of previous routers, not a list.
 func TestNewPrimaryWaitsForHeartbeats(t *testing.T) {
 	table := newTestTable()
 	table.Start(3, table.now)
 	table.heartbeat(t, coreapi.Node{Name: "a", Run: 1})
 	if !table.MayBeAlive("unknown", 1, table.now) {
-		t.Error("got an unknown run lost just after the start, want it alive")
+		t.Error("got an unknown run not alive just after the start, want it alive")
 	}
 	if got := table.response(0); got.PreviousRouters != 3 || got.NodesChanged {
 		t.Errorf("got %+v just after the start, want 3 previous routers, no list", got)
@@ -145,22 +146,22 @@
 	table.now = table.now.Add(LeaseTerm)
 	table.heartbeat(t, coreapi.Node{Name: "a", Run: 1})
 	if table.MayBeAlive("unknown", 1, table.now) || table.MayBeAlive("a", 2, table.now) || !table.MayBeAlive("a", 1, table.now) {
-		t.Error("got another run than that of the lease alive after the term, want it alone")
+		t.Error("got a run without the lease alive after the term, or the run with it not alive")
 	}
 	table.now = table.now.Add(time.Millisecond)
 	if got := table.response(0); got.PreviousRouters != 0 || !got.NodesChanged || len(got.Nodes) != 1 {
 		t.Errorf("got %+v after the term, want a list of one", got)
 	}
 	if table.HavePeerLists(table.now) {
-		t.Error("got peers' lists known just after the term, want unknown")
+		t.Error("got peer lists received just after the term, want not yet")
 	}
 	table.now = table.now.Add(peerListDelay)
 	if !table.HavePeerLists(table.now) {
-		t.Error("got peers' lists unknown after the delay, want known")
+		t.Error("got peer lists not received after the delay, want received")
 	}
 }
 
-// Only another run at the same name and address shows that one of both has ended.
+// Only another run with the same name and address proves that one of the two has ended.
 func TestHasOtherRun(t *testing.T) {
 	table := newTestTable()
 	table.heartbeat(t, coreapi.Node{Name: "a", Addr: "10.0.0.1:70", Run: 1})
@@ -182,7 +183,7 @@
 	}
 }
 
-// follower is a router that follows the list by heartbeat responses, as package cluster does.
+// follower is a router that updates its peer list from heartbeat responses, like package cluster does.
 type follower struct {
 	epoch, version uint64
 	nodes          map[string]coreapi.Node
@@ -213,9 +214,9 @@
 	}
 }
 
-// Routers that follow changes, however many they miss between two heartbeats and under whichever primary, have the list that a
-// router without any gets.
-func TestFollowedListIsComplete(t *testing.T) {
+// A router that applies changes has the same list as a router that gets a complete one, no matter how many changes happen
+// between its heartbeats and whether the primary changes.
+func TestAppliedChangesMatchCompleteList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		table := &Table{}
@@ -240,21 +241,21 @@
 					_, _ = table.RecordHeartbeat(&coreapi.HeartbeatRequest{Node: node}, now)
 				}
 			case "follow":
-				one := &followers[rapid.IntRange(0, 2).Draw(t, "follower")]
+				router := &followers[rapid.IntRange(0, 2).Draw(t, "follower")]
 				var response, complete coreapi.HeartbeatResponse
-				table.FillResponse(one.request(), &response, now)
-				one.apply(&response)
+				table.FillResponse(router.request(), &response, now)
+				router.apply(&response)
 				table.FillResponse(&coreapi.HeartbeatRequest{NodesVersion: table.version + 1}, &complete, now)
-				if coreapi.NodesDigest(slices.Collect(maps.Values(one.nodes))) != coreapi.NodesDigest(complete.Nodes) {
-					t.Fatalf("got %v, want %v", one.nodes, complete.Nodes)
+				if coreapi.NodesDigest(slices.Collect(maps.Values(router.nodes))) != coreapi.NodesDigest(complete.Nodes) {
+					t.Fatalf("got %v, want %v", router.nodes, complete.Nodes)
 				}
 			}
 		}
 	})
 }
 
-// A router that follows gets what changed, not the whole list; nor does it under a new primary that knows the same routers.
-func TestChangesAreShort(t *testing.T) {
+// A router with a list gets only the changes, and it gets no list from a new primary that knows the same routers.
+func TestOnlyChangesAreSent(t *testing.T) {
 	table := newTestTable()
 	const routers = 50
 	nodes := make([]coreapi.Node, routers)
@@ -262,35 +263,35 @@
 		nodes[i] = coreapi.Node{Name: fmt.Sprint("node", i), Run: 1}
 		table.heartbeat(t, nodes[i])
 	}
-	var one follower
-	one.apply(table.response(0))
+	var router follower
+	router.apply(table.response(0))
 	table.heartbeat(t, coreapi.Node{Name: "new", Run: 1})
 	_, _ = table.RecordHeartbeat(&coreapi.HeartbeatRequest{Node: nodes[0], Leaving: true}, table.now)
 	var response coreapi.HeartbeatResponse
-	table.FillResponse(one.request(), &response, table.now)
+	table.FillResponse(router.request(), &response, table.now)
 	if !response.NodesPartial || len(response.Nodes) != 1 || len(response.NodesRemoved) != 1 {
 		t.Errorf("got %d nodes and %d removed, want 1 and 1", len(response.Nodes), len(response.NodesRemoved))
 	}
-	one.apply(&response)
+	router.apply(&response)
 	next := newTestTable()
-	for _, node := range one.nodes {
+	for _, node := range router.nodes {
 		next.heartbeat(t, node)
 	}
 	response = coreapi.HeartbeatResponse{}
-	next.FillResponse(one.request(), &response, next.now)
+	next.FillResponse(router.request(), &response, next.now)
 	if !response.NodesCurrent || len(response.Nodes) > 0 {
-		t.Errorf("got %d nodes of a new primary that knows the same ones, want none", len(response.Nodes))
+		t.Errorf("got %d nodes from a new primary that knows the same ones, want none", len(response.Nodes))
 	}
 }
 
-// More ended leases than are remembered lead to a complete list.
+// If more leases end than are remembered, routers get a complete list.
 func TestForgottenRemovalsLeadToACompleteList(t *testing.T) {
 	table := newTestTable()
 	table.heartbeat(t, coreapi.Node{Name: "stays", Run: 1})
 	leaves := coreapi.Node{Name: "leaves", Run: 1}
 	table.heartbeat(t, leaves)
-	var one follower
-	one.apply(table.response(0))
+	var router follower
+	router.apply(table.response(0))
 	_, _ = table.RecordHeartbeat(&coreapi.HeartbeatRequest{Node: leaves, Leaving: true}, table.now)
 	for i := range maxRemoved + 1 {
 		node := coreapi.Node{Name: fmt.Sprint("node", i), Run: 1}
@@ -298,9 +299,9 @@
 		_, _ = table.RecordHeartbeat(&coreapi.HeartbeatRequest{Node: node, Leaving: true}, table.now)
 	}
 	var response coreapi.HeartbeatResponse
-	table.FillResponse(one.request(), &response, table.now)
-	one.apply(&response)
-	if len(table.removed) > maxRemoved || len(one.nodes) != 1 {
-		t.Errorf("got %d removals kept and %d nodes, want at most %d and 1", len(table.removed), len(one.nodes), maxRemoved)
+	table.FillResponse(router.request(), &response, table.now)
+	router.apply(&response)
+	if len(table.removed) > maxRemoved || len(router.nodes) != 1 {
+		t.Errorf("got %d remembered removals and %d nodes, want at most %d and 1", len(table.removed), len(router.nodes), maxRemoved)
 	}
 }
