--- a/internal/controlplane/configuration/documents.go
+++ b/internal/controlplane/configuration/documents.go
@@ -1,7 +1,6 @@
-// Package configuration is the state machine of the fleet's stored configuration: the document in force, the older
-// versions that are kept for reading back, and the IDs under which operators wrote, so that a repeated write is applied
-// once. It sees a batch of the core's state and does no I/O; the core submits its operations, commits the batch and
-// publishes the outcome.
+// Package configuration implements the state machine of the fleet's stored configuration: the current document, older
+// versions that can still be read, and the write IDs of operators, so that a repeated write is applied only once. It operates
+// on a batch of the core's state and does no I/O: the core submits the operations, commits the batch and publishes the result.
 package configuration
 
 import (
@@ -17,29 +16,30 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// currentKey is the key of the configuration in force.
+// currentKey is the key of the current configuration.
 const currentKey = "layout"
 
-// Documents judges writes of the configuration and decodes it for those who enforce it. Only the goroutine of the core's
-// run loop may call its methods; the functions of this package that take a committed state are safe for concurrent use.
+// Documents validates and applies writes of the configuration, and decodes it for the code that enforces it. Its methods may be
+// called only by the goroutine of the core's run loop. The functions of this package that take a committed state are safe for
+// concurrent use.
 type Documents struct {
 	codec   Codec
 	decoded decodedDocument
 }
 
-// New makes the state machine of configurations that a codec reads.
+// New returns the state machine for configurations that codec decodes.
 func New(codec Codec) *Documents { return &Documents{codec: codec} }
 
-// decodedDocument is the configuration that was decoded last. Its version does not identify it: one that was never
-// committed may have had the same.
+// decodedDocument caches the configuration that was decoded last. It is identified by its content, not by its version: a
+// configuration that was never committed may have had the same version.
 type decodedDocument struct {
-	record   []byte // as stored, where it was read from the store or a batch
+	record   []byte // the encoded record, if it was read from the store or a batch
 	config   coreapi.StoredConfig
-	document *Document // nil: the codec does not understand it
+	document *Document // nil: the codec rejects it
 }
 
-// InBatch gives the configuration as the batch under way has it. Nil: none was written yet, or the codec does not
-// understand it. It is decoded once, since each transfer of quota units asks for it.
+// InBatch returns the configuration as it is in the current batch. It returns nil if there is none yet, or if the codec
+// rejects it. The result is cached, since every transfer of quota units needs it.
 func (d *Documents) InBatch(tx *transaction.Tx) (*Document, error) {
 	record, ok := tx.Get(currentKey)
 	if !ok {
@@ -48,7 +48,7 @@
 	if transaction.SameRecord(record, d.decoded.record) {
 		return d.decoded.document, nil
 	}
-	config, err := current(tx)
+	config, err := readCurrent(tx)
 	if err != nil {
 		return nil, err
 	}
@@ -57,8 +57,8 @@
 	return document, nil
 }
 
-// Decode decodes a configuration, or gives it as it was decoded last. Nil: none was written yet, or the codec does not
-// understand it.
+// Decode decodes a configuration, or returns the cached result if it was the last one decoded. It returns nil if there is no
+// configuration yet, or if the codec rejects it.
 func (d *Documents) Decode(config coreapi.StoredConfig) *Document {
 	if config.Version == 0 {
 		return nil
@@ -75,17 +75,17 @@
 	return d.decoded.document
 }
 
-// isDecoded reports whether a configuration is the one that was decoded last.
+// isDecoded reports whether the cache holds this configuration.
 func (d *Documents) isDecoded(config coreapi.StoredConfig) bool {
-	known := d.decoded.config
-	if faultinjection.Disabled("config-content") && known.Version == config.Version {
+	cached := d.decoded.config
+	if faultinjection.Disabled("config-content") && cached.Version == config.Version {
 		return true
 	}
-	return known.Raw != nil && bytes.Equal(config.Raw, known.Raw)
+	return cached.Raw != nil && bytes.Equal(config.Raw, cached.Raw)
 }
 
-// MaxFinishedKeys is the most finished keys that a configuration allows. It is asked for with every claim, so the
-// configuration is not decoded anew for it.
+// MaxFinishedKeys returns the maximum number of finished keys that a configuration allows. Every claim needs it, so it uses
+// the cached result of Decode.
 func (d *Documents) MaxFinishedKeys(config coreapi.StoredConfig) int {
 	if document := d.Decode(config); document != nil {
 		return document.Claims.MaxFinishedKeys
@@ -93,25 +93,24 @@
 	return defaultMaxFinishedKeys
 }
 
-// current reads the configuration in force; version 0 before the first.
-func current(tx *transaction.Tx) (config coreapi.StoredConfig, err error) {
+// readCurrent reads the current configuration. Its version is 0 if there is none yet.
+func readCurrent(tx *transaction.Tx) (config coreapi.StoredConfig, err error) {
 	raw, ok := tx.Get(currentKey)
 	if !ok {
 		return config, nil
 	}
 	if _, err := config.UnmarshalMsg(raw); err != nil {
-		return coreapi.StoredConfig{}, eris.Wrap(err, "configuration: decode the configuration in force")
+		return coreapi.StoredConfig{}, eris.Wrap(err, "configuration: decode the current configuration")
 	}
 	return config, nil
 }
 
-// Current reads the configuration in force from a committed state; version 0 before the first.
+// Current reads the current configuration from a committed state. Its version is 0 if there is none yet.
 func Current(committed *store.Store) (coreapi.StoredConfig, error) {
-	return current(transaction.New(committed))
+	return readCurrent(transaction.New(committed))
 }
 
-// Written gives the configuration that a batch puts in force. ok is false where it leaves the one before, or writes one
-// that can't be decoded.
+// Written returns the configuration that a batch writes. ok is false if the batch writes none, or one that can't be decoded.
 func Written(tx *transaction.Tx) (config coreapi.StoredConfig, ok bool) {
 	mutation, ok := tx.LastMutation(currentKey)
 	if !ok {
@@ -121,11 +120,11 @@
 	return config, err == nil
 }
 
-// ReadVersion reads an older configuration from a committed state, in which the newest has the version current. The error
-// is CodeNoSuchVersion where it is not kept.
-func ReadVersion(committed *store.Store, version, current uint64) (*coreapi.StoredConfig, error) {
+// ReadVersion reads an older configuration from a committed state, in which currentVersion is the newest. The error has
+// CodeNoSuchVersion if that version is not stored.
+func ReadVersion(committed *store.Store, version, currentVersion uint64) (*coreapi.StoredConfig, error) {
 	raw, ok := committed.Get(versionKey(version))
-	if !ok || version > current {
+	if !ok || version > currentVersion {
 		return nil, wire.StatusError{Code: coreapi.CodeNoSuchVersion}
 	}
 	var old coreapi.StoredConfig
@@ -135,5 +134,5 @@
 	return &old, nil
 }
 
-// versionKey is the key of the copy of an older configuration.
+// versionKey returns the key of the copy of a configuration that is stored for reading old versions.
 func versionKey(version uint64) string { return "past/" + strconv.FormatUint(version, 10) }
--- a/internal/controlplane/configuration/fleetcodec.go
+++ b/internal/controlplane/configuration/fleetcodec.go
@@ -7,19 +7,19 @@
 	"yarrowridge/internal/model/fleetconfig"
 )
 
-// defaultMaxFinishedKeys is how many finished keys are kept at most where the configuration does not say.
+// defaultMaxFinishedKeys is the maximum number of finished keys stored if the configuration sets none.
 const defaultMaxFinishedKeys = fleetconfig.RanMost
 
-// FleetCodec reads fleet configurations (package fleetconfig). Such a configuration does not number itself: the core counts.
+// FleetCodec decodes fleet configurations (package fleetconfig). They carry no version of their own: the core assigns it.
 type FleetCodec struct{}
 
-// Check decodes a whole configuration.
+// Check implements Codec.
 func (FleetCodec) Check(raw []byte) (Document, []coreapi.ConfigError) {
 	config, errors := fleetconfig.Parse(raw)
 	if len(errors) > 0 {
 		configErrors := make([]coreapi.ConfigError, len(errors))
-		for i, one := range errors {
-			configErrors[i] = coreapi.ConfigError{Path: one.Path, Text: one.Text}
+		for i, problem := range errors {
+			configErrors[i] = coreapi.ConfigError{Path: problem.Path, Text: problem.Text}
 		}
 		return Document{}, configErrors
 	}
@@ -35,10 +35,10 @@
 	return document, nil
 }
 
-// Merge applies a JSON merge patch.
+// Merge implements Codec. The change is a JSON merge patch.
 func (FleetCodec) Merge(current, change []byte) ([]byte, error) {
 	return fleetconfig.Merge(current, change)
 }
 
-// MaxBytes is the size of the largest configuration, in bytes.
+// MaxBytes implements Codec.
 func (FleetCodec) MaxBytes() int { return fleetconfig.MaxBytes }
--- a/internal/controlplane/configuration/history.go
+++ b/internal/controlplane/configuration/history.go
@@ -10,32 +10,32 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// What is kept of older configurations and of write IDs is bounded by counting writes, not by
-// arithmetic on versions, where documents number themselves.
+// How many older configurations and write IDs are stored is limited by the number of writes. Version numbers don't serve for
+// this: documents that carry their own version may skip numbers.
 
 const (
 	historyKey       = "history"
-	writeIDPrefix    = "mark/"   // begins the keys of WriteResult records, by write ID
-	writeCountPrefix = "marked/" // begins the keys of write IDs, by the count of the write
-	maxVersions      = 16        // older configurations kept for reading back
-	maxWriteIDs      = 1000      // write IDs remembered
-	maxLargeVersions = 3         // copies kept of large documents
-	largeDocument    = 64 << 10  // documents above this size are large
-	maxKeptDocument  = 1 << 20   // of documents above this size no copy is kept: a batch has to fit one frame
+	writeIDPrefix    = "mark/"   // key prefix of WriteResult records, followed by the write ID
+	writeCountPrefix = "marked/" // key prefix of write IDs, followed by the number of the write
+	maxVersions      = 16        // copies of configurations stored for reading old versions
+	maxWriteIDs      = 1000      // write IDs stored
+	maxLargeVersions = 3         // copies stored while documents are large and carry their own version
+	largeDocument    = 64 << 10  // in bytes; larger documents count as large
+	maxCopiedBytes   = 1 << 20   // no copy is stored of larger documents: document and copy have to fit one frame
 )
 
-// readHistory reads what is kept of earlier writes. known is false where no document has numbered itself so
-// far, and a write's count is its version.
-func readHistory(tx *transaction.Tx, current uint64) (history History, known bool, err error) {
-	raw, known := tx.Get(historyKey)
-	if known {
+// readHistory reads the history of earlier writes. stored is false if no document has carried its own version so far: the
+// number of a write is then its version, and the history is derived from currentVersion.
+func readHistory(tx *transaction.Tx, currentVersion uint64) (history History, stored bool, err error) {
+	raw, stored := tx.Get(historyKey)
+	if stored {
 		if _, err := history.UnmarshalMsg(raw); err != nil {
-			return History{}, known, eris.Wrap(err, "configuration: decode the history")
+			return History{}, stored, eris.Wrap(err, "configuration: decode the history")
 		}
-		return history, known, nil
+		return history, stored, nil
 	}
-	history.Writes = current
-	for version := current - min(current, maxVersions-1); version <= current; version++ {
+	history.Writes = currentVersion
+	for version := currentVersion - min(currentVersion, maxVersions-1); version <= currentVersion; version++ {
 		if version > 0 {
 			history.KeptVersions = append(history.KeptVersions, version)
 		}
@@ -43,16 +43,16 @@
 	return history, false, nil
 }
 
-// keepVersion keeps a copy of the new configuration for reading back, and drops the oldest copies beyond the bound.
-func keepVersion(tx *transaction.Tx, history *History, config *coreapi.StoredConfig, numbered bool) error {
-	if len(config.Raw) <= maxKeptDocument {
+// storeVersion stores a copy of the new configuration for later reads, and deletes the oldest copies above the limit.
+func storeVersion(tx *transaction.Tx, history *History, config *coreapi.StoredConfig, hasOwnVersion bool) error {
+	if len(config.Raw) <= maxCopiedBytes {
 		if err := tx.Put(versionKey(config.Version), config); err != nil {
 			return err
 		}
 		history.KeptVersions = append(history.KeptVersions, config.Version)
 	}
 	limit := maxVersions
-	if numbered && len(config.Raw) > largeDocument {
+	if hasOwnVersion && len(config.Raw) > largeDocument {
 		limit = maxLargeVersions
 	}
 	for len(history.KeptVersions) > limit {
@@ -62,24 +62,25 @@
 	return nil
 }
 
-// keepWriteID remembers the ID of the write with this count, and forgets the ID of one long ago.
-func keepWriteID(tx *transaction.Tx, count uint64, id string, record WriteResult) error {
+// storeWriteID stores the ID and result of the write with this number, and deletes the ID of the write that is maxWriteIDs
+// older.
+func storeWriteID(tx *transaction.Tx, number uint64, id string, result WriteResult) error {
 	if id != "" && !faultinjection.Disabled("write-id") {
-		if err := tx.Put(writeIDPrefix+id, &record); err != nil {
+		if err := tx.Put(writeIDPrefix+id, &result); err != nil {
 			return err
 		}
-		if err := tx.Put(writeCountPrefix+strconv.FormatUint(count, 10), &coreapi.Claim{Claimant: id}); err != nil {
+		if err := tx.Put(writeCountPrefix+strconv.FormatUint(number, 10), &coreapi.Claim{Claimant: id}); err != nil {
 			return err
 		}
 	}
-	if count <= maxWriteIDs {
+	if number <= maxWriteIDs {
 		return nil
 	}
-	key := writeCountPrefix + strconv.FormatUint(count-maxWriteIDs, 10)
+	key := writeCountPrefix + strconv.FormatUint(number-maxWriteIDs, 10)
 	if raw, ok := tx.Get(key); ok {
-		var written coreapi.Claim // the record of a write ID is a claim of which only the claimant is used
-		if _, err := written.UnmarshalMsg(raw); err == nil {
-			tx.Delete(writeIDPrefix + written.Claimant)
+		var claim coreapi.Claim // a write ID is stored as the claimant of an otherwise empty claim
+		if _, err := claim.UnmarshalMsg(raw); err == nil {
+			tx.Delete(writeIDPrefix + claim.Claimant)
 		}
 		tx.Delete(key)
 	}
