--- a/internal/controlplane/configuration/codec_test.go
+++ b/internal/controlplane/configuration/codec_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// nonEmptyCodec fails the test where it is given an empty document.
+// nonEmptyCodec fails the test if it is given an empty document.
 type nonEmptyCodec struct {
 	FleetCodec
 	t *testing.T
@@ -37,14 +37,14 @@
 	return Document{}, nil
 }
 
-// Before the first configuration there is none to decode.
+// Before the first write, the codec is not called with an empty document.
 func TestNoConfigurationYet(t *testing.T) {
 	documents := New(nonEmptyCodec{t: t})
 	if document := documents.Decode(coreapi.StoredConfig{}); document != nil {
 		t.Errorf("got %+v, want none", document)
 	}
 	if got := documents.MaxFinishedKeys(coreapi.StoredConfig{}); got != defaultMaxFinishedKeys {
-		t.Errorf("got at most %d finished keys, want %d", got, defaultMaxFinishedKeys)
+		t.Errorf("got a maximum of %d finished keys, want %d", got, defaultMaxFinishedKeys)
 	}
 	if document := documents.Decode(coreapi.StoredConfig{Version: 1, Raw: []byte("x")}); document == nil || document.Claims.Retention == 0 {
 		t.Errorf("got %+v, want a document with defaults", document)
--- a/internal/controlplane/configuration/documents_test.go
+++ b/internal/controlplane/configuration/documents_test.go
@@ -10,14 +10,15 @@
 	"yarrowridge/internal/controlplane/transaction"
 )
 
-// lengthCodec accepts any configuration: its document has one tenant whose quota is the length of the text.
+// lengthCodec accepts any document. The result has one tenant, whose quota is the length of the document.
 type lengthCodec struct{ FleetCodec }
 
 func (lengthCodec) Check(raw []byte) (Document, []coreapi.ConfigError) {
 	return Document{Quotas: map[string]int{"t": len(raw)}}, nil
 }
 
-// Each transfer of quota units asks for the configuration: it is decoded once, and anew once it has changed.
+// Every transfer of quota units needs the configuration, so it is decoded only when it has changed. Decoding it for each
+// transfer would allocate far more memory than the limit checked here.
 func TestConfigurationIsDecodedOnce(t *testing.T) {
 	const size = 200_000
 	documents, committed := New(lengthCodec{}), openStore(t)
@@ -43,21 +44,21 @@
 		}
 		runtime.ReadMemStats(&after)
 		if used := after.TotalAlloc - before.TotalAlloc; used > 2*size {
-			t.Errorf("got %d bytes allocated for a configuration of %d asked for 100 times, want at most %d", used, len(raw), 2*size)
+			t.Errorf("got %d bytes allocated for 100 reads of a configuration of %d bytes, want at most %d", used, len(raw), 2*size)
 		}
 	}
 }
 
-// A configuration that was read within a batch and never committed leaves nothing behind: another one that got its
-// version later is read by its own text.
+// A configuration that was read within a batch but never committed must not stay in the cache: another configuration that
+// later gets the same version is decoded from its own content.
 func TestUncommittedConfigurationIsNotReused(t *testing.T) {
 	documents, committed := New(lengthCodec{}), openStore(t)
-	lost := transaction.New(committed)
-	if err := lost.Put(currentKey, &coreapi.StoredConfig{Version: 7, Raw: []byte("lost")}); err != nil {
+	uncommitted := transaction.New(committed)
+	if err := uncommitted.Put(currentKey, &coreapi.StoredConfig{Version: 7, Raw: []byte("lost")}); err != nil {
 		t.Fatal(err)
 	}
-	if document, err := documents.InBatch(lost); err != nil || document.Quotas["t"] != len("lost") {
-		t.Fatalf("got %+v, %v within its batch", document, err)
+	if document, err := documents.InBatch(uncommitted); err != nil || document.Quotas["t"] != len("lost") {
+		t.Fatalf("got %+v, %v within its own batch", document, err)
 	}
 	acknowledged := coreapi.StoredConfig{Version: 7, Raw: []byte("acknowledged")}
 	if document := documents.Decode(acknowledged); document.Quotas["t"] != len("acknowledged") {
--- a/internal/controlplane/configuration/history_test.go
+++ b/internal/controlplane/configuration/history_test.go
@@ -13,7 +13,7 @@
 	"yarrowridge/internal/testing/sim"
 )
 
-// openStore makes an empty committed state.
+// openStore returns an empty committed state.
 func openStore(t *testing.T) *store.Store {
 	t.Helper()
 	opened, err := store.Open(sim.NewDisk().Use(), slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -23,11 +23,11 @@
 	return opened
 }
 
-// writer writes documents one by one into a store, as committed writes.
+// writer commits one document after another to a store.
 type writer struct {
 	t         *testing.T
 	committed *store.Store
-	inForce   coreapi.StoredConfig
+	current   coreapi.StoredConfig
 }
 
 func newWriter(t *testing.T) *writer {
@@ -35,17 +35,17 @@
 	return &writer{t: t, committed: openStore(t)}
 }
 
-func (w *writer) write(version uint64, size int, numbered bool, id string) {
+func (w *writer) write(version uint64, size int, hasOwnVersion bool, id string) {
 	w.t.Helper()
 	tx := transaction.New(w.committed)
 	next := coreapi.StoredConfig{Version: version, Raw: bytes.Repeat([]byte("x"), size)}
-	if err := recordWrite(tx, w.inForce, next, numbered, id, "hash"); err != nil {
+	if err := recordWrite(tx, w.current, next, hasOwnVersion, id, "hash"); err != nil {
 		w.t.Fatal(err)
 	}
 	if err := w.committed.Append(store.Batch{Version: w.committed.Version() + 1, Mutations: tx.Mutations()}); err != nil {
 		w.t.Fatal(err)
 	}
-	w.inForce = next
+	w.current = next
 }
 
 func (w *writer) count(prefix string) int {
@@ -59,9 +59,9 @@
 	return ok
 }
 
-// Documents that the core numbers leave on disk what they always left: sixteen copies and a thousand write IDs, keyed by
-// version, and no count beside them.
-func TestHistoryOfCountedVersions(t *testing.T) {
+// For documents whose version the core assigns, the format on disk is as in earlier releases: sixteen copies and a thousand
+// write IDs, keyed by version, and no history record.
+func TestHistoryOfAssignedVersions(t *testing.T) {
 	w := newWriter(t)
 	for i := uint64(1); i <= 1100; i++ {
 		w.write(i, 10, false, fmt.Sprint("w", i))
@@ -70,15 +70,15 @@
 		t.Errorf("got %d copies, want the newest %d", n, maxVersions)
 	}
 	if n, m := w.count("mark/"), w.count("marked/"); n != maxWriteIDs || m != maxWriteIDs || !w.has("mark/w101") || w.has("mark/w100") || !w.has("marked/101") {
-		t.Errorf("got %d write IDs and %d counts, want the newest %d of each", n, m, maxWriteIDs)
+		t.Errorf("got %d write IDs and %d write numbers, want the newest %d of each", n, m, maxWriteIDs)
 	}
 	if w.has(historyKey) {
-		t.Error("got a history record, want none where the core numbers the documents")
+		t.Error("got a history record, want none if the core assigns the versions")
 	}
 }
 
-// However uneven the versions are that documents give themselves, as many copies and write IDs are kept.
-func TestHistoryOfUnevenVersionsIsBounded(t *testing.T) {
+// The numbers of stored copies and write IDs do not depend on how many versions are skipped by documents that carry their own.
+func TestHistoryWithSkippedVersionsIsBounded(t *testing.T) {
 	w := newWriter(t)
 	version := uint64(0)
 	for i := range uint64(1100) {
@@ -89,11 +89,11 @@
 		t.Errorf("got %d copies, want the newest %d", n, maxVersions)
 	}
 	if n, m := w.count("mark/"), w.count("marked/"); n != maxWriteIDs || m != maxWriteIDs || !w.has("mark/w100") || w.has("mark/w99") {
-		t.Errorf("got %d write IDs and %d counts, want the newest %d of each", n, m, maxWriteIDs)
+		t.Errorf("got %d write IDs and %d write numbers, want the newest %d of each", n, m, maxWriteIDs)
 	}
 }
 
-// A fleet that counted before goes over to documents that number themselves, and back.
+// The limits hold when a fleet changes from versions assigned by the core to documents that carry their own, and back.
 func TestHistoryWhenNumberingChanges(t *testing.T) {
 	w := newWriter(t)
 	for i := uint64(1); i <= 20; i++ {
@@ -109,11 +109,11 @@
 		w.write(10_000+i, 10, false, "")
 	}
 	if n := w.count("past/"); n != maxVersions || !w.has(versionKey(10_015)) || w.has(versionKey(10_014)) {
-		t.Errorf("got %d copies after counting again, want the newest %d", n, maxVersions)
+		t.Errorf("got %d copies after returning to assigned versions, want the newest %d", n, maxVersions)
 	}
 }
 
-// Few copies are kept of large documents, and none of those that would not fit one frame twice.
+// Fewer copies are stored of large documents, and none of documents that don't fit into one frame together with their copy.
 func TestHistoryOfLargeDocuments(t *testing.T) {
 	w := newWriter(t)
 	for i := uint64(1); i <= 10; i++ {
@@ -125,10 +125,10 @@
 	}
 	w.write(2000, 4<<20, true, "")
 	if w.has(versionKey(2000)) || !w.has(versionKey(1000)) {
-		t.Error("a copy of a very large document is kept, or an older one is not")
+		t.Error("a copy of a very large document is stored, or an older copy is not")
 	}
 	w.write(3000, 100, true, "")
 	if !w.has(versionKey(3000)) {
-		t.Error("no copy of a small document after a large one")
+		t.Error("no copy of a small document is stored after a large one")
 	}
 }
--- a/internal/controlplane/configuration/write_test.go
+++ b/internal/controlplane/configuration/write_test.go
@@ -19,7 +19,7 @@
 		code     int
 		version  uint64 // in the response
 		repeated bool
-		written  uint64 // the version put in force; 0: none
+		written  uint64 // the new version; 0: nothing is written
 	}{
 		{"the first", coreapi.WriteRequest{ID: "w1", Raw: []byte(valid)}, http.StatusOK, 1, false, 1},
 		{"the same again", coreapi.WriteRequest{ID: "w1", Raw: []byte(valid)}, http.StatusOK, 1, true, 0},
@@ -38,11 +38,11 @@
 				t.Fatal(err)
 			}
 			if response.Code != c.code || response.Version != c.version || response.Repeated != c.repeated || written.Version != c.written {
-				t.Errorf("got %+v and version %d in force, want code %d, version %d, repeated %t and version %d in force",
+				t.Errorf("got %+v and version %d written, want code %d, version %d, repeated %t and version %d written",
 					response, written.Version, c.code, c.version, c.repeated, c.written)
 			}
-			if inForce, ok := Written(tx); ok != (c.written > 0) || inForce.Version != c.written {
-				t.Errorf("got version %d, %t put in force by the batch, want %d", inForce.Version, ok, c.written)
+			if config, ok := Written(tx); ok != (c.written > 0) || config.Version != c.written {
+				t.Errorf("got version %d, %t written by the batch, want %d", config.Version, ok, c.written)
 			}
 			if c.written > 0 {
 				if err := committed.Append(store.Batch{Version: committed.Version() + 1, Mutations: tx.LastMutations()}); err != nil {
@@ -51,13 +51,13 @@
 			}
 		})
 	}
-	if inForce, err := Current(committed); err != nil || inForce.Version != 3 {
-		t.Errorf("got version %d, %v in force, want 3", inForce.Version, err)
+	if config, err := Current(committed); err != nil || config.Version != 3 {
+		t.Errorf("got current version %d, %v, want 3", config.Version, err)
 	}
 	if old, err := ReadVersion(committed, 1, 3); err != nil || string(old.Raw) != valid {
-		t.Errorf("got %+v, %v for version 1, want it as it was written", old, err)
+		t.Errorf("got %+v, %v for version 1, want the document as written", old, err)
 	}
 	if _, err := ReadVersion(committed, 4, 3); err == nil {
-		t.Error("got a version that was never written")
+		t.Error("got no error for a version that was never written, want one")
 	}
 }
