--- a/internal/controlplane/control/metrics_test.go
+++ b/internal/controlplane/control/metrics_test.go
@@ -10,9 +10,9 @@
 
 // A core's figures stand in its metrics, as they are when they are read.
 func TestMetrics(t *testing.T) {
-	figures := core.Figures{}
-	handler := metricsHandler(func() core.Figures { return figures })
-	figures = core.Figures{Epoch: 7, Members: 5, Primary: true, Ready: true, DiskFailed: true, StoreVersion: 900, ConfigVersion: 41, Nodes: 8, Runners: 12}
+	figures := core.Metrics{}
+	handler := metricsHandler(func() core.Metrics { return figures })
+	figures = core.Metrics{Epoch: 7, Members: 5, Primary: true, Ready: true, DiskFailed: true, StoreVersion: 900, ConfigVersion: 41, Nodes: 8, Runners: 12}
 	page := httptest.NewRecorder()
 	handler.ServeHTTP(page, httptest.NewRequest("GET", "/metrics", nil))
 	for _, want := range []string{"core_epoch 7", "core_members 5", "core_primary 1", "core_ready 1", "core_disk_failed 1",
--- a/internal/controlplane/core/figures.go
+++ b/internal/controlplane/core/figures.go
@@ -1,7 +1,7 @@
 package core
 
-// Figures are what a core counts of itself, for those who watch it. Unlike State they cost little to read.
-type Figures struct {
+// Metrics are what a core counts of itself, for those who watch it. Unlike State they cost little to read.
+type Metrics struct {
 	Epoch         uint64 // of the newest view that it knows; 0: no fleet yet
 	Members       int    // cores that vote in that view
 	Primary       bool   // it leads that epoch, under a lease that stands
@@ -14,11 +14,11 @@
 }
 
 // Figures gives what this core counts of itself now.
-func (s *Server) Figures() Figures {
+func (s *Server) Figures() Metrics {
 	v := s.acceptor.View()
 	status := s.service.Status()
 	primary := s.isPrimary(v)
-	return Figures{
+	return Metrics{
 		Epoch:         v.Epoch,
 		Members:       len(v.Members),
 		Primary:       primary,
