--- a/internal/controlplane/control/node.go
+++ b/internal/controlplane/control/node.go
@@ -64,7 +64,7 @@
 		return err
 	}
 	control.Start()
-	settings.Metrics.Start(process.Ctx, metricsHandler(p.server.Figures))
+	settings.Metrics.Start(process.Ctx, metricsHandler(p.server.Metrics))
 	p.runUntilStopped("internal", settings.InternalAddr, "control", settings.ControlAddr, "zone", process.Ctx.Zone)
 	return nil
 }
--- a/internal/controlplane/core/figures.go
+++ b/internal/controlplane/core/figures.go
@@ -13,8 +13,8 @@
 	Runners       int    // as the primary knows them
 }
 
-// Figures gives what this core counts of itself now.
-func (s *Server) Figures() Metrics {
+// Metrics gives what this core counts of itself now.
+func (s *Server) Metrics() Metrics {
 	v := s.acceptor.View()
 	status := s.service.Status()
 	primary := s.isPrimary(v)
