--- a/internal/controlplane/core/disk.go
+++ b/internal/controlplane/core/disk.go
@@ -21,7 +21,7 @@
 		return opened, err
 	}
 	ctx.Log.Error("State is damaged; set aside. This disk counts as blank.", "error", err.Error())
-	if err := setAside(disk); err != nil {
+	if err := quarantineStoredState(disk); err != nil {
 		return nil, err
 	}
 	if err := acceptor.Reset(); err != nil {
@@ -30,8 +30,8 @@
 	return store.Open(disk, ctx.Log)
 }
 
-// setAside renames the files of the stored state, so that they are read no more but can be looked into.
-func setAside(disk store.Disk) error {
+// quarantineStoredState renames the files of the stored state, so that they are read no more but can be looked into.
+func quarantineStoredState(disk store.Disk) error {
 	names, err := disk.List()
 	if err != nil {
 		return err
@@ -67,17 +67,17 @@
 	}
 }
 
-// host is this process as the host of its replication.Backup.
-type host struct{ s *Server }
+// replicationHost is this process as the replicationHost of its replication.Backup.
+type replicationHost struct{ s *Server }
 
 // Store implements replication.Host.
-func (h host) Store() *store.Store { return h.s.store.Load() }
+func (h replicationHost) Store() *store.Store { return h.s.store.Load() }
 
 // HasDiskFailed implements replication.Host.
-func (h host) HasDiskFailed() bool { return h.s.leadership.HasDiskFailed() }
+func (h replicationHost) HasDiskFailed() bool { return h.s.leadership.HasDiskFailed() }
 
 // FailDisk implements replication.Host.
-func (h host) FailDisk(err error) { h.s.failDisk(err) }
+func (h replicationHost) FailDisk(err error) { h.s.failDisk(err) }
 
 // reopenStore recovers the state from disk, and reports whether it could. Nothing is stored as backup meanwhile.
 func (s *Server) reopenStore() (recovered bool) {
--- a/internal/controlplane/core/lead.go
+++ b/internal/controlplane/core/lead.go
@@ -51,7 +51,7 @@
 	s.finder.PostponeSearch()
 	if ready && s.handover.IsDue(v, primacy, ledSince) {
 		s.handover.FindSuccessor(s.ctx, v, primacy, func(backup view.Member) {
-			s.pipeline.StepLater(func() { s.handOver(v, backup) })
+			s.pipeline.StepLater(func() { s.handOverLease(v, backup) })
 		})
 	}
 	keep := s.backupsToKeep(v, primacy, ready, ledSince)
@@ -88,7 +88,7 @@
 }
 
 // beginLeading records that we lead the view's epoch, once at its beginning, and tells how we stand in it.
-func (s *Server) beginLeading(v view.View) leadership.Standing {
+func (s *Server) beginLeading(v view.View) leadership.State {
 	if began, continued := s.leadership.BeginEpoch(v.Epoch); began {
 		if !continued {
 			s.replicator.Reset()
@@ -97,5 +97,5 @@
 		s.backup.Exclusively(func() {})
 		s.renewer.Renew()
 	}
-	return s.leadership.Standing()
+	return s.leadership.State()
 }
--- a/internal/controlplane/core/primary.go
+++ b/internal/controlplane/core/primary.go
@@ -35,7 +35,7 @@
 
 // becomeReady begins to take writes: the backups are in sync, and the lease is held.
 func (s *Server) becomeReady(v view.View) {
-	version, err := s.service.Start(v.Epoch, s.leadership.Standing().LedSince, func() {
+	version, err := s.service.Start(v.Epoch, s.leadership.State().LedSince, func() {
 		s.predecessor = ""
 		s.leadership.BeginWrites()
 	})
--- a/internal/controlplane/core/server.go
+++ b/internal/controlplane/core/server.go
@@ -94,7 +94,7 @@
 		caller:   wire.NewCaller(ctx.Net),
 		runID:    rand.Uint64() | 1,
 	}
-	s.backup = replication.NewBackup(host{s}, acceptor)
+	s.backup = replication.NewBackup(replicationHost{s}, acceptor)
 	s.replicator = replication.NewReplicator(ctx, acceptor.ID, s.call)
 	s.leadership = leadership.New(settings.LeaseTerm, s.runID, acceptor.View().Epoch)
 	s.detector = failuredetector.New(acceptor, s.call, settings.LeaseTerm)
--- a/internal/controlplane/core/stepdown.go
+++ b/internal/controlplane/core/stepdown.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// handOver gives the lease up for a backup that reaches a majority, where we still reach none. Only the run loop calls it.
-func (s *Server) handOver(v view.View, backup view.Member) {
-	standing := s.leadership.Standing()
+// handOverLease gives the lease up for a backup that reaches a majority, where we still reach none. Only the run loop calls it.
+func (s *Server) handOverLease(v view.View, backup view.Member) {
+	standing := s.leadership.State()
 	if s.acceptor.View().Epoch != v.Epoch || !s.handover.IsDue(v, standing.Lease, standing.LedSince) {
 		return
 	}
--- a/internal/controlplane/leadership/leadership.go
+++ b/internal/controlplane/leadership/leadership.go
@@ -1,5 +1,6 @@
-// Package leadership holds what a process knows of its own primacy: which epoch it leads, by which lease, whether it takes
-// writes, and whether its disk can be relied on, without which it may do neither. It does no I/O.
+// Package leadership holds the leadership state of one process: which epoch it leads, under which lease, whether it accepts
+// writes, and whether its disk has failed. A process with a failed disk neither leads nor accepts writes. The package does
+// no I/O.
 package leadership
 
 import (
@@ -11,42 +12,43 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// Leadership is one process's primacy. All methods may be called concurrently, and none blocks.
+// Leadership is the leadership state of one process. All methods may be called concurrently, and none blocks.
 type Leadership struct {
 	leaseTerm time.Duration
 	runID     uint64
 
 	mu              sync.Mutex   // guards the fields below
-	epoch           uint64       // the one that we lead; 0: none
-	endedEpoch      uint64       // up to here no epoch is ours to lead on: see MayLead
-	ledSince        time.Time    // without a break
-	lease           *lease.Lease // of the epoch that we lead
-	renewalRounds   uint64       // rounds of requests for the lease
-	leaseHeldAt     time.Time    // when the lease was last held, or its loss explained by a lack of contact
-	renewalPausedAt time.Time    // since when we ask for no lease, having failed to get one
-	handedOverAt    time.Time    // when the lease of this epoch was given up for a backup; zero: it was not
-	promisedOther   bool         // an acceptor refused a renewal: it has promised the next epoch to another
-	ready           bool         // writes are taken
+	epoch           uint64       // the epoch that this process leads; 0: none
+	lastEndedEpoch  uint64       // this epoch and all before it must not be led: see MayLead
+	ledSince        time.Time    // start of uninterrupted leadership, which may span several epochs
+	lease           *lease.Lease // of the epoch that this process leads
+	renewalRounds   uint64       // number of the last round of lease requests
+	leaseHeldAt     time.Time    // when the lease was last held, or a majority was last out of contact
+	renewalPausedAt time.Time    // start of the current or last pause in renewals
+	handedOverAt    time.Time    // when the lease of this epoch was released for a backup; zero: it was not
+	promisedOther   bool         // an acceptor refused a renewal because it has promised the next epoch to another proposer
+	ready           bool         // writes are accepted
 	readySince      time.Time
 	diskFailed      bool
 }
 
-// Standing is how a process stands in the epoch that it leads.
-type Standing struct {
+// State is a copy of a process's state in the epoch that it leads.
+type State struct {
 	Lease         *lease.Lease
 	Ready         bool
 	PromisedOther bool // an acceptor has promised the next epoch to another proposer
 	LedSince      time.Time
 }
 
-// New makes the leadership of a process that leads no epoch yet, and none up to endedEpoch. leaseTerm is what acceptors
-// grant. runID is one run of the process; it is random and not zero.
-func New(leaseTerm time.Duration, runID, endedEpoch uint64) *Leadership {
-	return &Leadership{leaseTerm: leaseTerm, runID: runID, endedEpoch: endedEpoch, lease: lease.New(leaseTerm)}
+// New returns the state of a process that leads no epoch yet and may lead only epochs after lastEndedEpoch. leaseTerm is the
+// term that acceptors grant. runID identifies one run of the process; it is random and not zero.
+func New(leaseTerm time.Duration, runID, lastEndedEpoch uint64) *Leadership {
+	return &Leadership{leaseTerm: leaseTerm, runID: runID, lastEndedEpoch: lastEndedEpoch, lease: lease.New(leaseTerm)}
 }
 
-// BeginEpoch records that the process leads an epoch from now on, without writes and without a lease. began is false where
-// it led that epoch already; continued tells that it led the epoch before, so that nobody else can have led in between.
+// BeginEpoch records that the process leads an epoch from now on, at first without writes and without a lease. began is
+// false if the process already led that epoch. continued is true if it led the epoch immediately before, so that no other
+// process can have led in between.
 func (l *Leadership) BeginEpoch(epoch uint64) (began, continued bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,7 +57,7 @@
 	}
 	continued = l.epoch != 0 && l.epoch+1 == epoch
 	if continued {
-		l.lease = l.lease.ForNextEpoch() // who did not answer then still does not
+		l.lease = l.lease.ForNextEpoch() // keeps the contact times: unresponsive members still count as such
 	} else {
 		l.ledSince, l.lease = time.Now(), lease.New(l.leaseTerm)
 	}
@@ -63,57 +65,57 @@
 	return true, continued
 }
 
-// MayLead reports whether an epoch is ours to lead on. One that began before this run of the process, or before the disk
-// was last read, is not: messages of the run before may still be in flight, and are known by their epoch only. Nor is one
-// after which we proposed another view without learning the outcome: that view may be chosen at any time, and its backups
-// do not have what we would acknowledge with ours.
+// MayLead reports whether the process may lead an epoch. It must not lead an epoch that began before this run of the
+// process or before the disk was last read: messages of the previous run may still be in flight, and only their epoch
+// identifies them. It also must not lead an epoch in which it proposed another view without learning the outcome: that view
+// may be chosen at any time, and its backups do not have what would be acknowledged under the current one.
 func (l *Leadership) MayLead(epoch uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return epoch > l.endedEpoch || faultinjection.Disabled("resumed-epoch")
+	return epoch > l.lastEndedEpoch || faultinjection.Disabled("resumed-epoch")
 }
 
-// EndEpoch ends the writes and the leadership of an epoch.
+// EndEpoch stops writes, and rules out leading this epoch or an earlier one.
 func (l *Leadership) EndEpoch(epoch uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ready = false
-	l.endedEpoch = max(l.endedEpoch, epoch)
+	l.lastEndedEpoch = max(l.lastEndedEpoch, epoch)
 }
 
-// Standing is how the process stands in the epoch that it leads.
-func (l *Leadership) Standing() Standing {
+// State returns the process's state in the epoch that it leads.
+func (l *Leadership) State() State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Standing{Lease: l.lease, Ready: l.ready, PromisedOther: l.promisedOther, LedSince: l.ledSince}
+	return State{Lease: l.lease, Ready: l.ready, PromisedOther: l.promisedOther, LedSince: l.ledSince}
 }
 
-// HoldsLease reports whether the process leads a view's epoch, on a sound disk and by the lease of a majority. The caller
-// has to see to it that no newer view is known.
+// HoldsLease reports whether the process leads a view's epoch under a lease from a majority, and its disk has not failed.
+// The caller has to make sure that it knows no newer view.
 func (l *Leadership) HoldsLease(v view.View) bool {
 	l.mu.Lock()
-	held, leads := l.lease, l.epoch == v.Epoch && !l.diskFailed
+	current, leads := l.lease, l.epoch == v.Epoch && !l.diskFailed
 	l.mu.Unlock()
-	return leads && held.IsHeld(v.IsMajority)
+	return leads && current.IsHeld(v.IsMajority)
 }
 
-// BeginWrites has the process take writes.
+// BeginWrites makes the process accept writes.
 func (l *Leadership) BeginWrites() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ready, l.readySince = true, time.Now()
 }
 
-// EndWrites has the process take no writes.
+// EndWrites makes the process reject writes until the next BeginWrites.
 func (l *Leadership) EndWrites() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ready = false
 }
 
-// HandOver gives up the lease of an epoch, and asks for no other one for a term, so that a backup can take over. Grants that
-// are on their way count no longer. round is later than that of any renewal so far: the lease may be released in it. ok is
-// false, and nothing changes, where the process takes no writes in that epoch.
+// HandOver gives up the lease of an epoch and pauses renewals for one term, so that a backup can take over. Grants that are
+// still in flight no longer count. round is later than that of any renewal so far, so a release sent with it covers all of
+// them. If the process does not accept writes in that epoch, ok is false and nothing changes.
 func (l *Leadership) HandOver(epoch uint64) (round uint64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,36 +130,36 @@
 	return l.renewalRounds, true
 }
 
-// IsReady reports whether the process takes writes, for as long as it is primary.
+// IsReady reports whether the process accepts writes. It does not check the lease.
 func (l *Leadership) IsReady() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.ready
 }
 
-// WritableEpoch is the epoch that the process leads, and reports whether it takes writes in it.
+// WritableEpoch returns the epoch that the process leads, and whether it accepts writes in it.
 func (l *Leadership) WritableEpoch() (epoch uint64, ready bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.epoch, l.ready
 }
 
-// ReadySince is when the process last began to take writes.
+// ReadySince returns when the process last began to accept writes.
 func (l *Leadership) ReadySince() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.readySince
 }
 
-// HasDiskFailed reports whether the disk can't be relied on now.
+// HasDiskFailed reports whether the disk has failed and not yet recovered.
 func (l *Leadership) HasDiskFailed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.diskFailed
 }
 
-// FailDisk ends writes and leadership until the disk has recovered. first is false where it had failed already. round is
-// later than that of any renewal so far: the lease may be released in it.
+// FailDisk ends writes and leadership until the disk has recovered. first is false if the disk had already failed. round is
+// later than that of any renewal so far, so a release sent with it covers all of them.
 func (l *Leadership) FailDisk() (first bool, round uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -167,12 +169,12 @@
 	return first, l.renewalRounds
 }
 
-// RecoverDisk records that the state was read anew from disk. Leading starts over, after the current epoch and with fresh
-// snapshots to the backups.
+// RecoverDisk records that the state was reread from disk. The process may lead only epochs after the current one, and sends
+// new snapshots to its backups first.
 func (l *Leadership) RecoverDisk(currentEpoch uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.diskFailed = false
 	l.epoch = 0
-	l.endedEpoch = currentEpoch
+	l.lastEndedEpoch = currentEpoch
 }
--- a/internal/controlplane/leadership/leadership_test.go
+++ b/internal/controlplane/leadership/leadership_test.go
@@ -10,17 +10,17 @@
 
 const testTerm = time.Second
 
-// viewOfThree is an epoch that a leads, with b and c.
+// viewOfThree returns a view with the primary a and the other members b and c.
 func viewOfThree(epoch uint64) view.View {
 	return view.View{Epoch: epoch, Primary: "a", Members: []view.Member{{ID: "a", Addr: "1"}, {ID: "b", Addr: "2"}, {ID: "c", Addr: "3"}}}
 }
 
-// No epoch is led again that began before this run, that was ended, or that was known when the disk was read anew.
+// A process must not lead an epoch that began before this run, that was ended, or that was current when the disk was reread.
 func TestMayLead(t *testing.T) {
 	l := New(testTerm, 1, 4)
 	for _, step := range []struct {
 		name      string
-		do        func()
+		action    func()
 		lastEnded uint64
 	}{
 		{"at the start", func() {}, 4},
@@ -28,7 +28,7 @@
 		{"after an older epoch was ended", func() { l.EndEpoch(5) }, 6},
 		{"after the disk recovered", func() { l.FailDisk(); l.RecoverDisk(8) }, 8},
 	} {
-		step.do()
+		step.action()
 		if l.MayLead(step.lastEnded) || !l.MayLead(step.lastEnded+1) {
 			t.Errorf("%s: may lead epoch %d: %v, epoch %d: %v; want only the latter", step.name,
 				step.lastEnded, l.MayLead(step.lastEnded), step.lastEnded+1, l.MayLead(step.lastEnded+1))
@@ -36,7 +36,7 @@
 	}
 }
 
-// An epoch begins once, without writes and grants. Only one that follows on an epoch led by us continues our leadership.
+// An epoch begins once, without writes. Leadership continues only if the process led the epoch immediately before.
 func TestBeginEpoch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := New(testTerm, 1, 0)
@@ -51,53 +51,54 @@
 				t.Errorf("epoch %d: got began %v, continued %v, want %v, %v", step.epoch, began, continued, step.began, step.continued)
 			}
 			if began && l.IsReady() {
-				t.Errorf("epoch %d begins with writes", step.epoch)
+				t.Errorf("epoch %d began with writes accepted", step.epoch)
 			}
 			l.BeginWrites()
 		}
-		if got, want := l.Standing().LedSince.Sub(start), 400*time.Millisecond; got != want {
+		if got, want := l.State().LedSince.Sub(start), 400*time.Millisecond; got != want {
 			t.Errorf("got leadership since %s, want %s", got, want)
 		}
 	})
 }
 
-// The lease of a majority is held only for the epoch that is led, and on a sound disk.
+// The lease is held only with grants from a majority, for the epoch that the process leads, and while its disk has not failed.
 func TestHoldsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := New(testTerm, 1, 0)
 		l.BeginEpoch(3)
-		standing := l.Standing()
-		standing.Lease.RecordGrant("a", time.Now())
+		state := l.State()
+		state.Lease.RecordGrant("a", time.Now())
 		if l.HoldsLease(viewOfThree(3)) {
-			t.Error("one grant of three: got the lease held, want not")
+			t.Error("got the lease held with one grant of three, want it not held")
 		}
-		standing.Lease.RecordGrant("b", time.Now())
+		state.Lease.RecordGrant("b", time.Now())
 		if !l.HoldsLease(viewOfThree(3)) || l.HoldsLease(viewOfThree(4)) {
 			t.Errorf("got epoch 3 held: %v, epoch 4: %v; want only the former", l.HoldsLease(viewOfThree(3)), l.HoldsLease(viewOfThree(4)))
 		}
 		if first, _ := l.FailDisk(); !first || l.HoldsLease(viewOfThree(3)) || !l.HasDiskFailed() {
-			t.Errorf("after the disk failed first (%v): got the lease held", first)
+			t.Errorf("after the disk failed: got first failure %v, lease held %v, disk failed %v; want true, false, true", first, l.HoldsLease(viewOfThree(3)), l.HasDiskFailed())
 		}
 		if first, _ := l.FailDisk(); first {
-			t.Error("the second failure of the disk counts as the first one")
+			t.Error("a second failure of the disk was reported as the first one")
 		}
 	})
 }
 
-// A primary out of contact with a majority only pings; one in contact that is refused for long pauses, and asks again.
+// A primary out of contact with a majority only pings. One that is in contact but gets no lease for long pauses its renewals,
+// then resumes them.
 func TestNextRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, v := New(testTerm, 7, 0), viewOfThree(3)
 		if _, due := l.NextRenewal(v, "a"); due {
-			t.Error("a renewal is due before the epoch is led")
+			t.Error("a renewal is due before the process leads the epoch")
 		}
 		l.BeginEpoch(3)
 		first, due := l.NextRenewal(v, "a")
 		if !due || !first.InContact || first.Request.PrimaryRun != 7 {
-			t.Errorf("got %+v, due %v, want a request of run 7", first, due)
+			t.Errorf("got %+v, due %v, want a lease request of run 7", first, due)
 		}
 		if _, due := l.NextRenewal(v, "b"); due {
-			t.Error("a renewal is due at a member that is not primary")
+			t.Error("a renewal is due at a member that is not the primary")
 		}
 		time.Sleep(testTerm)
 		second, due := l.NextRenewal(v, "a")
@@ -108,25 +109,26 @@
 		for range 100 {
 			time.Sleep(testTerm / 10)
 			for _, id := range []string{"a", "b"} {
-				l.Standing().Lease.RecordContact(id)
+				l.State().Lease.RecordContact(id)
 			}
 			_, due := l.NextRenewal(v, "a")
 			paused = paused || !due
 			resumed = resumed || paused && due
 		}
 		if !paused || !resumed {
-			t.Errorf("refused for ten terms: got paused %v, resumed %v, want both", paused, resumed)
+			t.Errorf("no lease for ten terms: got paused %v, resumed %v, want both", paused, resumed)
 		}
 	})
 }
 
-// Who hands over acts on no grant, not even one that is on its way, and asks for no other for a term.
+// After a handover the primary uses no grant of its lease, not even one that was in flight, and requests no lease for one
+// term.
 func TestHandOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, v := New(testTerm, 1, 0), viewOfThree(3)
 		l.BeginEpoch(3)
 		if _, ok := l.HandOver(3); ok {
-			t.Error("got a handover of a primary that takes no writes, want none")
+			t.Error("got a handover by a primary that does not accept writes, want none")
 		}
 		l.BeginWrites()
 		renewal, _ := l.NextRenewal(v, "a")
@@ -143,9 +145,9 @@
 		if !ok || round <= renewal.Request.Round {
 			t.Errorf("got handover %t in round %d, want one later than %d", ok, round, renewal.Request.Round)
 		}
-		renewal.Lease.RecordGrant("c", time.Now()) // on its way meanwhile
+		renewal.Lease.RecordGrant("c", time.Now()) // was in flight during the handover
 		if l.HoldsLease(v) || l.IsReady() {
-			t.Errorf("after the handover: got lease held %t, writes taken %t, want neither", l.HoldsLease(v), l.IsReady())
+			t.Errorf("after the handover: got lease held %t, writes accepted %t, want neither", l.HoldsLease(v), l.IsReady())
 		}
 		time.Sleep(testTerm - time.Millisecond)
 		if _, due := l.NextRenewal(v, "a"); due {
--- a/internal/controlplane/leadership/renewal.go
+++ b/internal/controlplane/leadership/renewal.go
@@ -9,18 +9,18 @@
 	"yarrowridge/internal/controlplane/view"
 )
 
-// Renewal is one round of requests to the acceptors.
+// Renewal is one round of lease requests to the acceptors.
 type Renewal struct {
 	Request   paxos.RenewRequest
-	Lease     *lease.Lease // that takes the grants
-	InContact bool         // a majority answers; else acceptors are only pinged, until one does
+	Lease     *lease.Lease // records the grants
+	InContact bool         // a majority responds; otherwise acceptors are only pinged, until a majority does
 }
 
-// NextRenewal begins the next round of requests for the lease of a view, which the process id asks for. It reports false
-// where none is due: the process does not lead that view, or pauses.
+// NextRenewal begins the next round of lease requests by the process id for a view. It returns false if no round is due:
+// the process does not lead that view, or renewals are paused.
 //
-// A primary that no majority answers only pings: a request that arrives, but whose response does not, would keep the
-// acceptors from following another.
+// A primary out of contact with a majority only pings: an acceptor that grants a request follows no other primary until the
+// grant expires, even if its response is lost.
 func (l *Leadership) NextRenewal(v view.View, id string) (Renewal, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -32,8 +32,8 @@
 	return Renewal{Request: request, Lease: l.lease, InContact: inContact}, leads
 }
 
-// isRenewalPaused reports whether the lease is not asked for for a while: a majority answers, but has not granted the lease
-// for long, so too few follow us, and they must not be kept from following another. The caller holds the lock.
+// isRenewalPaused reports whether renewals are paused. They are when a majority responds but has not granted the lease for
+// more than two terms: the acceptors that do grant it must become free to follow another primary. The caller holds the lock.
 func (l *Leadership) isRenewalPaused(v view.View, inContact bool) bool {
 	if !inContact || l.lease.IsHeld(v.IsMajority) {
 		l.leaseHeldAt = time.Now()
@@ -48,7 +48,7 @@
 	return time.Since(l.renewalPausedAt) <= 2*l.leaseTerm+rand.N(l.leaseTerm)
 }
 
-// RecordPromisedOther records that an acceptor refused a renewal since it has promised the next epoch to another.
+// RecordPromisedOther records that an acceptor refused a renewal because it has promised the next epoch to another proposer.
 func (l *Leadership) RecordPromisedOther() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/controlplane/renewal/renewer.go
+++ b/internal/controlplane/renewal/renewer.go
@@ -1,5 +1,5 @@
-// Package renewal asks the acceptors for the primary's lease, round by round, and gives it back. Which rounds are due, and
-// which grants count, is package leadership's.
+// Package renewal requests the primary's lease from the acceptors, round by round, and releases it. Package leadership
+// decides when a round is due and which grants count.
 package renewal
 
 import (
@@ -14,32 +14,32 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// releaseTimeout bounds the call that gives the lease back to one acceptor.
+// releaseTimeout bounds the call that releases the lease at one acceptor.
 const releaseTimeout = 500 * time.Millisecond
 
-// Config is what a Renewer needs of its process. All functions may be called concurrently.
+// Config holds what a Renewer needs from its process. All functions have to be safe for concurrent use.
 type Config struct {
 	Leadership *leadership.Leadership
 	LeaseTerm  time.Duration
 	RunID      uint64           // of this process
 	ID         func() string    // of this process as an acceptor
 	View       func() view.View // the newest one known
-	Call       paxos.CallFunc   // reaches acceptors, also this process's own
-	Learn      func(view.View)  // takes up a chosen view
-	LeaseHeld  func()           // a majority's grants run that did not run before
+	Call       paxos.CallFunc   // calls an acceptor, including this process's own
+	Learn      func(view.View)  // stores a chosen view if it is newer
+	LeaseHeld  func()           // called when a majority's grants make the lease held
 }
 
-// Renewer asks for the lease of the epoch that this process leads. All methods may be called concurrently; none blocks.
+// Renewer requests the lease of the epoch that this process leads. Its methods may be called concurrently, and do not block.
 type Renewer struct {
 	ctx    daemon.Context
 	config Config
 }
 
-// New makes a renewer whose calls end with ctx.
+// New returns a renewer whose calls end with ctx.
 func New(ctx daemon.Context, config Config) *Renewer { return &Renewer{ctx: ctx, config: config} }
 
-// Renew asks all acceptors for the lease, or pings them, where a round is due. It runs beside the run loop, so that a lease
-// goes on while a snapshot or a decision takes its time.
+// Renew requests the lease from all acceptors, or pings them, if a round is due. It is called from outside the run loop, so
+// that the lease is still renewed while the run loop is busy with a snapshot or a proposal.
 func (r *Renewer) Renew() {
 	v := r.config.View()
 	renewal, due := r.config.Leadership.NextRenewal(v, r.config.ID())
@@ -55,24 +55,24 @@
 	}
 }
 
-// renewAt asks one acceptor for the lease.
-func (r *Renewer) renewAt(request paxos.RenewRequest, m view.Member, primacy *lease.Lease) {
+// renewAt requests the lease from one acceptor.
+func (r *Renewer) renewAt(request paxos.RenewRequest, m view.Member, primaryLease *lease.Lease) {
 	ctx, cancel := context.WithTimeout(r.ctx, r.config.LeaseTerm/2)
 	defer cancel()
 	var response paxos.RenewResponse
-	asked := time.Now()
+	requestedAt := time.Now()
 	if r.config.Call(ctx, m.Addr, "view.renew", &request, &response) != nil || response.ID != m.ID {
 		return
 	}
 	if faultinjection.Disabled("grant-from-request") {
-		asked = time.Now()
+		requestedAt = time.Now()
 	}
-	primacy.RecordContact(m.ID)
+	primaryLease.RecordContact(m.ID)
 	switch {
 	case response.Granted:
-		wasHeld := primacy.IsHeld(request.View.IsMajority)
-		primacy.RecordGrant(m.ID, asked)
-		if !wasHeld && primacy.IsHeld(request.View.IsMajority) {
+		wasHeld := primaryLease.IsHeld(request.View.IsMajority)
+		primaryLease.RecordGrant(m.ID, requestedAt)
+		if !wasHeld && primaryLease.IsHeld(request.View.IsMajority) {
 			r.config.LeaseHeld()
 		}
 	case response.View.Epoch > request.View.Epoch:
@@ -82,17 +82,17 @@
 	}
 }
 
-// ping asks one acceptor for its status, and so whether it answers.
-func (r *Renewer) ping(m view.Member, primacy *lease.Lease) {
+// ping queries one acceptor's status, to find out whether it responds and which view it knows.
+func (r *Renewer) ping(m view.Member, primaryLease *lease.Lease) {
 	ctx, cancel := context.WithTimeout(r.ctx, r.config.LeaseTerm/2)
 	defer cancel()
 	if status, err := paxos.QueryStatus(ctx, r.config.Call, m.Addr); err == nil && status.ID == m.ID {
-		primacy.RecordContact(m.ID)
+		primaryLease.RecordContact(m.ID)
 		r.config.Learn(status.View)
 	}
 }
 
-// Release gives our lease back to all acceptors, so that a backup need not wait for its end.
+// Release releases the lease at all acceptors, so that a backup does not have to wait until it expires.
 func (r *Renewer) Release(round uint64) {
 	v := r.config.View()
 	if v.Primary != r.config.ID() {
@@ -103,11 +103,11 @@
 	}
 }
 
-// releaseAt gives our lease back to one acceptor.
+// releaseAt releases the lease at one acceptor.
 func (r *Renewer) releaseAt(m view.Member, request *paxos.ReleaseRequest) {
 	ctx, cancel := context.WithTimeout(r.ctx, releaseTimeout)
 	defer cancel()
 	if err := r.config.Call(ctx, m.Addr, "view.release", request, nil); err != nil {
-		r.ctx.Log.Debug("Lease was not released.", "peer", m.Addr, "epoch", request.Epoch, "error", err.Error())
+		r.ctx.Log.Debug("Lease was not released at a member.", "peer", m.Addr, "epoch", request.Epoch, "error", err.Error())
 	}
 }
--- a/internal/controlplane/renewal/renewer_test.go
+++ b/internal/controlplane/renewal/renewer_test.go
@@ -17,23 +17,23 @@
 
 const testTerm = 600 * time.Millisecond
 
-// newRenewer makes the renewer of the only member of a view, which leads it.
+// newRenewer returns the renewer of a process that leads a view as its only member.
 func newRenewer(t *testing.T, call paxos.CallFunc) (*Renewer, *leadership.Leadership, view.View) {
-	led := leadership.New(testTerm, 1, 0)
+	primary := leadership.New(testTerm, 1, 0)
 	v := view.View{Epoch: 1, Primary: "a", Members: []view.Member{{ID: "a", Addr: "10.0.0.1:1"}}}
-	led.BeginEpoch(v.Epoch)
+	primary.BeginEpoch(v.Epoch)
 	ctx := daemon.Context{Context: t.Context(), Log: slog.New(slog.DiscardHandler)}
-	return New(ctx, Config{Leadership: led, LeaseTerm: testTerm, RunID: 1, ID: func() string { return "a" }, View: func() view.View { return v },
-		Call: call, Learn: func(view.View) {}, LeaseHeld: func() {}}), led, v
+	return New(ctx, Config{Leadership: primary, LeaseTerm: testTerm, RunID: 1, ID: func() string { return "a" }, View: func() view.View { return v },
+		Call: call, Learn: func(view.View) {}, LeaseHeld: func() {}}), primary, v
 }
 
-// An acceptor grants the lease at some moment between the request and its answer. The primary counts from the request: with a
-// slow answer its lease would otherwise outlast the acceptor's grant.
+// An acceptor grants the lease at some moment between the request and its response. The primary counts the term from the
+// request: with a slow response its lease would otherwise outlast the acceptor's grant.
 func TestGrantCountsFromItsRequest(t *testing.T) {
-	const answerTime = 100 * time.Millisecond
+	const responseTime = 100 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		renewer, led, v := newRenewer(t, func(_ context.Context, _, _ string, _ msgp.Marshaler, response msgp.Unmarshaler) error {
-			time.Sleep(answerTime)
+		renewer, primary, v := newRenewer(t, func(_ context.Context, _, _ string, _ msgp.Marshaler, response msgp.Unmarshaler) error {
+			time.Sleep(responseTime)
 			*response.(*paxos.RenewResponse) = paxos.RenewResponse{ID: "a", Granted: true}
 			return nil
 		})
@@ -41,32 +41,32 @@
 		renewer.Renew()
 		want := requestedAt.Add(testTerm - testTerm/10)
 		time.Sleep(time.Until(want) - time.Millisecond)
-		if !led.HoldsLease(v) {
+		if !primary.HoldsLease(v) {
 			t.Error("got no lease a millisecond before it ends, want one")
 		}
 		time.Sleep(time.Millisecond)
-		if led.HoldsLease(v) {
+		if primary.HoldsLease(v) {
 			t.Errorf("got a lease %s after its request, want none", testTerm-testTerm/10)
 		}
 	})
 }
 
-// An answer of another process than the member at that address counts for nothing: neither as a grant nor as contact.
+// If a process other than the member responds at the member's address, its response counts neither as a grant nor as contact.
 func TestAnswerOfAnotherProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		renewer, led, v := newRenewer(t, func(_ context.Context, _, _ string, _ msgp.Marshaler, response msgp.Unmarshaler) error {
+		renewer, primary, v := newRenewer(t, func(_ context.Context, _, _ string, _ msgp.Marshaler, response msgp.Unmarshaler) error {
 			*response.(*paxos.RenewResponse) = paxos.RenewResponse{ID: "b", Granted: true}
 			return nil
 		})
 		renewer.Renew()
 		synctest.Wait()
-		if led.HoldsLease(v) || led.Standing().Lease.IsInContact(v.IsMajority, testTerm) {
-			t.Error("got a grant or contact by another process's answer, want neither")
+		if primary.HoldsLease(v) || primary.State().Lease.IsInContact(v.IsMajority, testTerm) {
+			t.Error("got a grant or contact from another process's response, want neither")
 		}
 	})
 }
 
-// The lease is given back in the name of this run, and only by the primary.
+// A release names this run of the process, and only the primary sends one.
 func TestRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var released []paxos.ReleaseRequest
@@ -84,7 +84,7 @@
 		renewer.Release(8)
 		synctest.Wait()
 		if len(released) != 1 {
-			t.Errorf("got %d releases, want none by a member that is not primary", len(released)-1)
+			t.Errorf("got %d releases, want none from a member that is not the primary", len(released)-1)
 		}
 	})
 }
