--- a/internal/controlplane/core/backups.go
+++ b/internal/controlplane/core/backups.go
@@ -9,10 +9,10 @@
 	"yarrowridge/internal/controlplane/view"
 )
 
-// minReadyTime is how long a primary has been ready before it looks for better placed backups.
+// minReadyTime is how long a primary has to be ready before it moves a backup to a better zone.
 const minReadyTime = 5 * time.Second
 
-// addresses are where identities listen, for the log.
+// addresses returns the addresses of members by their IDs, for the log.
 func addresses(v view.View, ids []string) []string {
 	var out []string
 	for _, id := range ids {
@@ -21,41 +21,42 @@
 	return out
 }
 
-// backupChoice is what we know where we choose backups.
-func (s *Server) backupChoice(v view.View, primacy *lease.Lease) membership.BackupChoice {
+// backupChoice returns what the choice of backups is based on.
+func (s *Server) backupChoice(v view.View, primaryLease *lease.Lease) membership.BackupChoice {
 	return membership.BackupChoice{View: v, Self: s.acceptor.ID(), Zone: s.ctx.Zone, Predecessor: s.predecessor,
-		SinceContact: primacy.TimeSinceContact, FailedWithin: s.replicator.HasFailedWithin, InSync: s.replicator.IsInSync}
+		SinceContact: primaryLease.TimeSinceContact, FailedWithin: s.replicator.HasFailedWithin, InSync: s.replicator.IsInSync}
 }
 
-// backupsToKeep lists the backups that respond, did not fail lately and stand where they should.
-func (s *Server) backupsToKeep(v view.View, primacy *lease.Lease, ready bool, ledSince time.Time) []string {
-	choice := s.backupChoice(v, primacy)
+// backupsToKeep lists the backups that respond and have not failed recently, except, at intervals, one that another member in
+// a better zone should replace.
+func (s *Server) backupsToKeep(v view.View, primaryLease *lease.Lease, ready bool, ledSince time.Time) []string {
+	choice := s.backupChoice(v, primaryLease)
 	keep := choice.Keep(ready, ledSince)
 	if len(keep) < len(v.Backups()) || !s.leadership.IsReady() || time.Since(s.leadership.ReadySince()) <= minReadyTime {
 		return keep
 	}
-	worst := choice.WronglyPlaced()
-	if worst != "" && s.attemptDue(replaceInterval) {
-		keep = slices.DeleteFunc(keep, func(id string) bool { return id == worst })
+	misplaced := choice.WronglyPlaced()
+	if misplaced != "" && s.attemptDue(replaceInterval) {
+		keep = slices.DeleteFunc(keep, func(id string) bool { return id == misplaced })
 	}
 	return keep
 }
 
-// reconcileReplicas sees to it that enough backups are in sync, and reports whether the view names exactly those.
-// Members that are new as backups get a snapshot first; one decision then replaces those that are removed by them. Until
-// then the latter may still lead: they have all that was acknowledged, so that the loss of our own disk meanwhile loses
-// nothing. Nothing is acknowledged in between, so the snapshots are complete.
-func (s *Server) reconcileReplicas(v view.View, primacy *lease.Lease, keep []string) bool {
+// reconcileReplicas brings enough backups in sync, and reports whether the current view then has exactly these backups.
+// New backups receive a snapshot first; then a single decision replaces the removed backups by them. Until that decision the
+// removed backups may still take over. They have everything that was acknowledged, so losing this process's disk in the
+// meantime loses no data. No write is acknowledged in between, so the snapshots are complete.
+func (s *Server) reconcileReplicas(v view.View, primaryLease *lease.Lease, keep []string) bool {
 	s.leadership.EndWrites()
 	missing := s.settings.membershipPolicy().BackupCount(v) - len(keep)
-	chosen := s.backupChoice(v, primacy).Add(keep, missing)
-	if len(chosen) < missing {
+	added := s.backupChoice(v, primaryLease).Add(keep, missing)
+	if len(added) < missing {
 		return false
 	}
-	s.replicator.MarkOutOfSync(chosen)
-	backups := s.replicator.SendSnapshots(v, slices.Concat(keep, chosen), s.store.Load())
+	s.replicator.MarkOutOfSync(added)
+	backups := s.replicator.SendSnapshots(v, slices.Concat(keep, added), s.store.Load())
 	if len(backups) < s.settings.membershipPolicy().BackupCount(v) {
-		s.wakeRunLoop() // those that failed are not chosen again: the next attempt need not wait
+		s.wakeRunLoop() // backups that just failed are not chosen again, so retry at once
 		return false
 	}
 	if sameMembers(backups, v.Backups()) {
@@ -64,7 +65,7 @@
 	return s.decide(v, v.WithBackups(backups), false)
 }
 
-// sameMembers reports whether two lists name the same members, in whatever order.
+// sameMembers reports whether two lists contain the same member IDs in any order.
 func sameMembers(a, b []string) bool {
 	return slices.Equal(slices.Sorted(slices.Values(a)), slices.Sorted(slices.Values(b)))
 }
--- a/internal/controlplane/core/commit.go
+++ b/internal/controlplane/core/commit.go
@@ -15,14 +15,14 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// How long a write may wait.
+// Time limits of a write.
 const (
-	diskTimeout         = 600 * time.Millisecond // for our disk, as for a backup's; a slower one counts as failed
-	replaceTimeout      = 3 * time.Second        // for other backups in place of those that failed
-	replaceStepInterval = 5 * time.Millisecond   // between two checks whether the lease of the new epoch is held
+	diskTimeout         = 600 * time.Millisecond // for this process's disk, as for a backup's; a slower one counts as failed
+	replaceTimeout      = 3 * time.Second        // to replace backups that failed
+	replaceStepInterval = 5 * time.Millisecond   // between two checks whether the new epoch's lease is held
 )
 
-// committer is this process as the committer of its pipeline.
+// committer implements pipeline.Committer.
 type committer struct{ s *Server }
 
 // Begin implements pipeline.Committer.
@@ -36,15 +36,15 @@
 // Commit implements pipeline.Committer.
 func (c committer) Commit(batch pipeline.Batch) error { return c.s.commit(batch.View, batch.Tx) }
 
-// AfterCommit implements pipeline.Committer: it compacts the store where that is due.
+// AfterCommit implements pipeline.Committer: it compacts the store if that is due.
 func (c committer) AfterCommit(batch pipeline.Batch) {
 	if err := batch.Tx.Committed().CompactIfNeeded(); err != nil {
 		c.s.failDisk(err)
 	}
 }
 
-// commit stores the batch on our disk and the backups', and checks the lease once more. Only then is it
-// acknowledged.
+// commit stores the batch on this process's disk and on the backups, then checks the lease once more. The batch may be
+// acknowledged only if it returns no error.
 func (s *Server) commit(v view.View, tx *transaction.Tx) error {
 	outcomeUnknown := wire.StatusError{Code: coreapi.CodeOutcomeUnknown}
 	if len(tx.Mutations()) == 0 {
@@ -54,30 +54,30 @@
 		return nil
 	}
 	batch := store.Batch{Version: tx.Committed().Version() + 1, Mutations: tx.LastMutations()}
-	stored, replicated := make(chan error, 1), make(chan []string, 1)
+	stored, failedBackups := make(chan error, 1), make(chan []string, 1)
 	go func() { stored <- tx.Committed().Append(batch) }()
-	go func() { replicated <- s.replicator.Replicate(v, batch) }()
-	tooSlow := time.NewTimer(diskTimeout)
-	defer tooSlow.Stop()
+	go func() { failedBackups <- s.replicator.Replicate(v, batch) }()
+	timer := time.NewTimer(diskTimeout)
+	defer timer.Stop()
 	select {
 	case err := <-stored:
 		if err != nil {
 			s.failDisk(err)
 			return outcomeUnknown
 		}
-	case <-tooSlow.C:
-		s.failDisk(eris.New("sync takes too long"))
+	case <-timer.C:
+		s.failDisk(eris.Errorf("disk sync took longer than %s", diskTimeout))
 		return outcomeUnknown
 	}
-	if failed := <-replicated; len(failed) > 0 && !faultinjection.Disabled("backup-copy") {
+	if failed := <-failedBackups; len(failed) > 0 && !faultinjection.Disabled("backup-copy") {
 		s.replicator.RecordFailures(failed)
 		if !s.replaceBackups() {
 			return outcomeUnknown
 		}
 	} else if !s.isPrimary(v) {
-		// The batch is on the disks, and what we answer from is that of before it. Should the lease be held again, a
-		// repetition of a write of this batch would be acknowledged beside reads that do not show it.
-		s.ctx.Log.Info("Lease ran out while a batch was stored.", "epoch", v.Epoch)
+		// The batch is on the disks, but this process still answers from the state before it. If the lease were held again,
+		// a retry of a write in this batch would be acknowledged while reads do not show that write.
+		s.ctx.Log.Info("Lease expired while a batch was being stored.", "epoch", v.Epoch)
 		if !faultinjection.Disabled("end-of-writes") {
 			s.leadership.EndWrites()
 		}
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// replaceBackups leads on until enough backups are in sync, the unanswered batch included. Those that failed are replaced
-// where there are others.
+// replaceBackups takes steps as primary until enough backups are in sync, including the batch that is not acknowledged yet.
+// Backups that failed are replaced if other members are available. It reports whether this succeeded in time.
 func (s *Server) replaceBackups() bool {
 	s.leadership.EndWrites()
 	self := s.acceptor.ID()
@@ -103,7 +103,7 @@
 			return true
 		}
 		if next.Epoch != current.Epoch {
-			continue // a step was made, and the next one need not wait
+			continue // the epoch advanced: take the next step at once
 		}
 		if !runloop.Sleep(s.ctx, replaceStepInterval) {
 			return false
--- a/internal/controlplane/core/disk.go
+++ b/internal/controlplane/core/disk.go
@@ -14,7 +14,7 @@
 // recoveryCheckInterval is the time between two attempts to write to a disk that has failed.
 const recoveryCheckInterval = 2 * time.Second
 
-// openStore reads the stored state. Where it is damaged it is set aside, and the acceptor starts blank.
+// openStore reads the stored state. If it is damaged, its files are set aside and the acceptor starts blank.
 func openStore(ctx daemon.Context, disk store.Disk, acceptor *paxos.Acceptor) (*store.Store, error) {
 	opened, err := store.Open(disk, ctx.WithComponent("store").Log)
 	if !errors.Is(err, store.ErrCorrupt) {
@@ -30,7 +30,7 @@
 	return store.Open(disk, ctx.Log)
 }
 
-// quarantineStoredState renames the files of the stored state, so that they are read no more but can be looked into.
+// quarantineStoredState renames the files of the stored state, so that they are no longer read but can be inspected.
 func quarantineStoredState(disk store.Disk) error {
 	names, err := disk.List()
 	if err != nil {
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// failDisk records that our own disk can't be relied on: we stop leading, and store nothing as backup, until the disk has
-// recovered.
+// failDisk records that this process's disk has failed. Until it has recovered, the process neither leads nor stores anything
+// as backup.
 func (s *Server) failDisk(err error) {
 	if first, round := s.leadership.FailDisk(); first {
 		s.renewer.Release(round)
@@ -57,7 +57,7 @@
 	}
 }
 
-// recoverDisk waits until the disk takes a synced file again, then reads all anew from it.
+// recoverDisk waits until a synced write to the disk succeeds again, then rereads the state from disk.
 func (s *Server) recoverDisk() {
 	for runloop.Sleep(s.ctx, recoveryCheckInterval) {
 		if s.disk.Write("probe", []byte("probe")) == nil && s.reopenStore() {
@@ -79,15 +79,15 @@
 // FailDisk implements replication.Host.
 func (h replicationHost) FailDisk(err error) { h.s.failDisk(err) }
 
-// reopenStore recovers the state from disk, and reports whether it could. Nothing is stored as backup meanwhile.
+// reopenStore rereads the state from disk, and reports whether it succeeded. Nothing is stored as backup in the meantime.
 func (s *Server) reopenStore() (recovered bool) {
 	s.backup.Exclusively(func() { recovered = s.reopenStoreLocked() })
 	return recovered
 }
 
-// reopenStoreLocked is reopenStore while nothing is stored as backup.
+// reopenStoreLocked is reopenStore; the caller makes sure that nothing is stored as backup.
 func (s *Server) reopenStoreLocked() bool {
-	s.store.Load().Close() // a write that got stuck must end before the disk is read anew
+	s.store.Load().Close() // a blocked write must end before the disk is reread
 	opened, err := store.Open(s.disk, s.ctx.Log)
 	if err != nil {
 		return false
--- a/internal/controlplane/core/figures.go
+++ b/internal/controlplane/core/figures.go
@@ -1,19 +1,19 @@
 package core
 
-// Metrics are what a core counts of itself, for those who watch it. Unlike State they cost little to read.
+// Metrics holds the values of a core's metrics. Unlike State it is cheap to collect.
 type Metrics struct {
-	Epoch         uint64 // of the newest view that it knows; 0: no fleet yet
-	Members       int    // cores that vote in that view
-	Primary       bool   // it leads that epoch, under a lease that stands
-	Ready         bool   // and takes writes
+	Epoch         uint64 // of the newest known view; 0: no fleet yet
+	Members       int    // voting cores in that view
+	Primary       bool   // whether the core leads that epoch and holds the lease
+	Ready         bool   // whether it is primary and accepts writes
 	DiskFailed    bool
-	StoreVersion  uint64 // the newest write in its store
-	ConfigVersion uint64 // the newest configuration committed, as the primary knows it
-	Nodes         int    // routers whose lease runs, as the primary knows them
-	Runners       int    // as the primary knows them
+	StoreVersion  uint64 // of the last batch in the store
+	ConfigVersion uint64 // of the newest committed configuration, as known to the primary
+	Nodes         int    // routers with an unexpired lease, as known to the primary
+	Runners       int    // as known to the primary
 }
 
-// Metrics gives what this core counts of itself now.
+// Metrics returns the current values of this core's metrics.
 func (s *Server) Metrics() Metrics {
 	v := s.acceptor.View()
 	status := s.service.Status()
--- a/internal/controlplane/core/handlers.go
+++ b/internal/controlplane/core/handlers.go
@@ -14,10 +14,10 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// handleTimeout bounds the work for one call.
+// handleTimeout bounds the handling of one call.
 const handleTimeout = 4 * time.Second
 
-// handleView answers calls about the view. An error of the acceptor's is one of its disk.
+// handleView handles calls about the view. An error of the acceptor that is not a rejection is a disk error.
 func (s *Server) handleView(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 	switch kind {
 	case "view.reach":
@@ -37,13 +37,13 @@
 	return response, err
 }
 
-// isRejection reports whether an error is a response that says no.
+// isRejection reports whether an error is a response to the caller rather than a failure of this process.
 func isRejection(err error) bool {
 	_, ok := err.(wire.StatusError)
 	return ok
 }
 
-// callAcceptor has the acceptor answer a call.
+// callAcceptor passes a call to the acceptor.
 func (s *Server) callAcceptor(kind string, body []byte) (msgp.Marshaler, error) {
 	switch kind {
 	case "view.ask":
@@ -69,7 +69,7 @@
 	return nil, wire.StatusError{Code: wire.CodeUnknownKind}
 }
 
-// handleCore answers calls of routers, clients and other cores.
+// handleCore handles calls from routers, clients and other cores.
 func (s *Server) handleCore(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 	ctx, cancel := context.WithTimeout(ctx, handleTimeout)
 	defer cancel()
@@ -86,7 +86,7 @@
 	return s.service.Handle(ctx, kind, body)
 }
 
-// requirePrimary rejects what only a ready primary may answer.
+// requirePrimary returns an error unless this process is a ready primary, which alone may answer certain calls.
 func (s *Server) requirePrimary() error {
 	v := s.acceptor.View()
 	if v.Primary != s.acceptor.ID() {
--- a/internal/controlplane/core/join.go
+++ b/internal/controlplane/core/join.go
@@ -9,15 +9,15 @@
 	"yarrowridge/internal/controlplane/view"
 )
 
-// About how long it is between two attempts to find the fleet or to join it.
+// Average pauses between two attempts to find or join the fleet; attemptDue randomizes them.
 const (
-	findInterval      = 200 * time.Millisecond // to find one
-	joinInterval      = time.Second            // to join, after a request that was heard
-	joinRetryInterval = 300 * time.Millisecond // to join, after one that was not
+	findInterval      = 200 * time.Millisecond // to find the fleet
+	joinInterval      = time.Second            // to join, after a request that succeeded
+	joinRetryInterval = 300 * time.Millisecond // to join, after a request that failed
 )
 
-// attemptDue reports whether the next attempt may be made, and if so sets the earliest time of the one after it: a random
-// time around the pause from now, so that members that wait for the same don't hinder one another again and again.
+// attemptDue reports whether the next attempt may be made now, and if so schedules the one after it. The pause is randomized
+// between half and one and a half times the given one, so that members with the same goal don't conflict repeatedly.
 func (s *Server) attemptDue(pause time.Duration) bool {
 	if time.Now().Before(s.nextAttempt) {
 		return false
@@ -26,7 +26,7 @@
 	return true
 }
 
-// findFleet looks for the fleet that we may be part of, or founds one where the settings say so.
+// findFleet searches for an existing fleet, or founds one if the settings say so.
 func (s *Server) findFleet() {
 	if !s.attemptDue(findInterval) {
 		return
@@ -36,11 +36,11 @@
 	}
 }
 
-// SetSeeds replaces the addresses at which the fleet is looked for: the settings have changed. Who founds a fleet stays as
-// it was at the start.
+// SetSeeds replaces the seed addresses after a change of the settings. The founding addresses stay as they were at startup.
 func (s *Server) SetSeeds(seeds []string) { s.finder.SetSeeds(seeds) }
 
-// join asks the primary to become a member; where it can't be asked, it asks all who the primary is.
+// join asks the primary to make this process a member. If that fails, it searches for a newer view, which may have another
+// primary.
 func (s *Server) join(v view.View) {
 	if time.Now().Before(s.nextAttempt) {
 		return
@@ -53,7 +53,7 @@
 		s.attemptDue(joinInterval)
 		return
 	}
-	s.ctx.Log.Debug("No answer to our request to join.", "error", err.Error())
+	s.ctx.Log.Debug("Request to join failed.", "error", err.Error())
 	s.attemptDue(joinRetryInterval)
 	s.finder.Search(v)
 }
--- a/internal/controlplane/core/lead.go
+++ b/internal/controlplane/core/lead.go
@@ -11,19 +11,19 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// About how long it is between two proposals of one member: the pauses are random, around these.
+// Average pauses between two proposals of one member; attemptDue randomizes them.
 const (
-	proposeInterval = 300 * time.Millisecond // to lead or to go on leading
-	replaceInterval = 2 * time.Second        // to replace a backup that would stand better elsewhere
+	proposeInterval = 300 * time.Millisecond // to become or stay primary
+	replaceInterval = 2 * time.Second        // to move a backup to a better zone
 )
 
-// watchPrimary takes over from a primary whose lease has run out.
+// watchPrimary takes over from the primary if its lease has expired.
 func (s *Server) watchPrimary(v view.View, self string) {
 	s.predecessor = v.Primary
 	if s.acceptor.HasActiveLease() || faultinjection.Disabled("takeover") {
-		// In turns, so that two backups hinder one another rarely.
-		turn := time.Duration(slices.Index(v.Backups(), self))
-		s.nextAttempt = time.Now().Add(turn*100*time.Millisecond + rand.N(100*time.Millisecond))
+		// Backups attempt a takeover at staggered, random times, so that their proposals rarely conflict.
+		position := time.Duration(slices.Index(v.Backups(), self))
+		s.nextAttempt = time.Now().Add(position*100*time.Millisecond + rand.N(100*time.Millisecond))
 		s.finder.PostponeSearch()
 		return
 	}
@@ -36,40 +36,40 @@
 	}
 }
 
-// lead takes one step towards being a primary that may answer, or one step of its duties.
+// lead takes one step of a primary: towards accepting writes, or of its regular work once it does.
 func (s *Server) lead(v view.View, self string) {
-	standing := s.beginLeading(v)
-	primacy, ready, ledSince := standing.Lease, standing.Ready, standing.LedSince
+	state := s.beginLeading(v)
+	primaryLease, ready, ledSince := state.Lease, state.Ready, state.LedSince
 	switch {
-	case !primacy.IsHeld(v.IsMajority):
-		s.leadWithoutLease(v, standing.PromisedOther)
+	case !primaryLease.IsHeld(v.IsMajority):
+		s.leadWithoutLease(v, state.PromisedOther)
 		return
 	case !s.leadership.MayLead(v.Epoch):
 		s.beginEpoch(v)
 		return
 	}
 	s.finder.PostponeSearch()
-	if ready && s.handover.IsDue(v, primacy, ledSince) {
-		s.handover.FindSuccessor(s.ctx, v, primacy, func(backup view.Member) {
+	if ready && s.handover.IsDue(v, primaryLease, ledSince) {
+		s.handover.FindSuccessor(s.ctx, v, primaryLease, func(backup view.Member) {
 			s.pipeline.StepLater(func() { s.handOverLease(v, backup) })
 		})
 	}
-	keep := s.backupsToKeep(v, primacy, ready, ledSince)
+	keep := s.backupsToKeep(v, primaryLease, ready, ledSince)
 	if !ready || len(keep) < len(v.Backups()) || len(keep) < s.settings.membershipPolicy().BackupCount(v) {
-		if !s.reconcileReplicas(v, primacy, keep) {
-			s.changeMembers(v, self, primacy, ledSince) // newcomers may be what is missing
+		if !s.reconcileReplicas(v, primaryLease, keep) {
+			s.changeMembers(v, self, primaryLease, ledSince) // a new member may become the missing backup
 			return
 		}
 		if s.acceptor.View().Epoch != v.Epoch {
-			return // the next step is that of the new epoch
+			return // the next step continues in the new epoch
 		}
 		s.becomeReady(v)
 	}
-	s.changeMembers(v, self, primacy, ledSince)
+	s.changeMembers(v, self, primaryLease, ledSince)
 	s.service.Sweep()
 }
 
-// beginEpoch decides the next epoch, by our own view or by one that was accepted for it already.
+// beginEpoch proposes the current view for the next epoch. If another view was already accepted for it, that one is decided.
 func (s *Server) beginEpoch(v view.View) {
 	s.leadership.EndWrites()
 	if s.attemptDue(proposeInterval) {
@@ -77,8 +77,8 @@
 	}
 }
 
-// leadWithoutLease is what a primary does while no majority grants it the lease. Where an acceptor has promised the next
-// epoch to another, we propose our own view for it: the promise may be of a proposer that is gone.
+// leadWithoutLease takes a primary's step while no majority grants it the lease. If an acceptor has promised the next epoch
+// to another proposer, this process proposes its own view for that epoch: the other proposer may no longer run.
 func (s *Server) leadWithoutLease(v view.View, promisedOther bool) {
 	s.leadership.EndWrites()
 	s.finder.FindNewerView(v)
@@ -87,13 +87,13 @@
 	}
 }
 
-// beginLeading records that we lead the view's epoch, once at its beginning, and tells how we stand in it.
+// beginLeading records that this process leads the view's epoch, on its first step in it, and returns its leadership state.
 func (s *Server) beginLeading(v view.View) leadership.State {
 	if began, continued := s.leadership.BeginEpoch(v.Epoch); began {
 		if !continued {
 			s.replicator.Reset()
 		}
-		// What a former primary sent is stored wholly or not at all before we lead on.
+		// Wait until a batch or snapshot from a former primary that is being stored is complete.
 		s.backup.Exclusively(func() {})
 		s.renewer.Renew()
 	}
--- a/internal/controlplane/core/members.go
+++ b/internal/controlplane/core/members.go
@@ -11,11 +11,11 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// memberChangePause is how long a change of the members waits after one that was not decided.
+// memberChangePause is the pause after a membership change that was not decided.
 const memberChangePause = 300 * time.Millisecond
 
-// handleJoin records a process that wants to become a member, once it has answered at its address: a delayed request may
-// be that of a process that is gone.
+// handleJoin adds a process to the candidates for membership once it has responded at its address: a delayed request may come
+// from a process that no longer runs.
 func (s *Server) handleJoin(ctx context.Context, request *JoinRequest) (*coreapi.Empty, error) {
 	member := request.Member
 	if v := s.acceptor.View(); v.Primary != s.acceptor.ID() {
@@ -33,27 +33,27 @@
 	return &coreapi.Empty{}, nil
 }
 
-// changeMembers changes the members by one step where that is due.
-func (s *Server) changeMembers(v view.View, self string, primacy *lease.Lease, ledSince time.Time) {
+// changeMembers adds, removes or replaces one member if that is due.
+func (s *Server) changeMembers(v view.View, self string, primaryLease *lease.Lease, ledSince time.Time) {
 	if time.Now().Before(s.nextMemberChange) {
 		return
 	}
-	newcomer := s.candidates.Next(v)
-	silence := func(id string) time.Duration {
+	candidate := s.candidates.Next(v)
+	sinceContact := func(id string) time.Duration {
 		switch id {
 		case self:
 			return 0
 		case s.formerPrimary:
-			return primacy.TimeSinceContact(id, ledSince.Add(-s.settings.LeaseTerm)) // its lease had run out when we took over
+			return primaryLease.TimeSinceContact(id, ledSince.Add(-s.settings.LeaseTerm)) // its lease had expired when this process took over
 		}
-		return primacy.TimeSinceContact(id, ledSince)
+		return primaryLease.TimeSinceContact(id, ledSince)
 	}
-	next, ok := s.settings.membershipPolicy().NextView(v, newcomer, silence)
+	next, ok := s.settings.membershipPolicy().NextView(v, candidate, sinceContact)
 	if !ok {
 		return
 	}
-	if newcomer != nil {
-		primacy.RecordContact(newcomer.Member.ID) // it answered when it asked to join; nobody else has asked it yet
+	if candidate != nil {
+		primaryLease.RecordContact(candidate.Member.ID) // it responded to handleJoin, and has received no lease request yet
 	}
 	s.ctx.Log.Info("Members change.", "from", len(v.Members), "to", len(next.Members))
 	if !s.decide(v, next, false) {
--- a/internal/controlplane/core/msgs.go
+++ b/internal/controlplane/core/msgs.go
@@ -6,10 +6,10 @@
 
 //go:generate go tool msgp -tests=false -io=false -unexported
 
-// A length read from the wire is believed up to this only.
+// Upper limits for lengths read from the wire.
 //msgp:limit arrays:10000000 maps:200000
 
-// JoinRequest is a process that is no member asking to become one.
+// JoinRequest asks the primary to make a process a member.
 type JoinRequest struct {
 	Member view.Member `msg:"w"`
 }
--- a/internal/controlplane/core/primary.go
+++ b/internal/controlplane/core/primary.go
@@ -5,7 +5,7 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// takeStep is the run loop's tick: it does what our place in the view asks for.
+// takeStep is the run loop's tick: it does what this process's role in the view requires.
 func (s *Server) takeStep() {
 	if s.leadership.HasDiskFailed() {
 		return
@@ -21,19 +21,20 @@
 		s.lead(v, self)
 	case v.IsBackup(self) || v.HasMember(self) && faultinjection.Disabled("only-holders-lead"):
 		s.watchPrimary(v, self)
-	case v.Addr(self) != s.settings.Addr: // no member, or one that has moved
+	case v.Addr(self) != s.settings.Addr: // not a member, or a member whose address has changed
 		s.join(v)
 	default:
 		s.finder.FindNewerView(v)
 	}
 }
 
-// isPrimary reports whether we are primary of the epoch now, by a majority's lease.
+// isPrimary reports whether this process is now the primary of a view's epoch: a majority has granted it the lease, and it
+// knows no newer view.
 func (s *Server) isPrimary(v view.View) bool {
 	return s.leadership.HoldsLease(v) && s.acceptor.View().Epoch == v.Epoch
 }
 
-// becomeReady begins to take writes: the backups are in sync, and the lease is held.
+// becomeReady starts accepting writes. It is called once the backups are in sync and the lease is held.
 func (s *Server) becomeReady(v view.View) {
 	version, err := s.service.Start(v.Epoch, s.leadership.State().LedSince, func() {
 		s.predecessor = ""
--- a/internal/controlplane/core/propose.go
+++ b/internal/controlplane/core/propose.go
@@ -10,14 +10,15 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// learn stores a chosen view, if it is newer.
+// learn stores a chosen view if it is newer than the one known.
 func (s *Server) learn(v view.View) {
 	if err := s.acceptor.Learn(v); err != nil {
 		s.failDisk(err)
 	}
 }
 
-// decide proposes the next view, and learns what came of it. unanimous: every current member must promise.
+// decide proposes the next view, and learns the view that is chosen. It reports whether one was, which may be another than
+// next. If unanimous is set, every current member must promise, not only a majority.
 func (s *Server) decide(current, next view.View, unanimous bool) bool {
 	proposer := &paxos.Proposer{
 		ProposerID:    s.acceptor.ID(),
@@ -47,7 +48,7 @@
 	return true
 }
 
-// notifyMembers notifies all other members of a chosen view, and waits for nobody.
+// notifyMembers notifies all other members of a chosen view, without waiting for them.
 func (s *Server) notifyMembers(members []view.Member, decided view.View) {
 	for _, m := range members {
 		if m.ID == s.acceptor.ID() {
--- a/internal/controlplane/core/server.go
+++ b/internal/controlplane/core/server.go
@@ -1,7 +1,7 @@
-// Package core is one process of the control plane. A Server puts together what the packages beside it do: paxos chooses
-// views, leadership and renewal tell whether this process may answer, pipeline and replication make writes durable, and
-// service answers routers, runners and operators. Its run loop's goroutine leads or follows, one step at a time, and applies
-// all writes.
+// Package core implements one process of the control plane. A Server combines the packages beside this one: paxos chooses
+// views, leadership and renewal determine whether this process may answer as primary, pipeline and replication make writes
+// durable, and service answers routers, runners and operators. The run loop's goroutine acts as primary, backup or other
+// member, one step at a time, and applies all writes.
 package core
 
 import (
@@ -29,50 +29,50 @@
 )
 
 const (
-	tickInterval = 50 * time.Millisecond  // between two steps of the run loop, where nothing wakes it
-	stepTimeout  = 500 * time.Millisecond // for one phase of a proposal, and for calls that go with it
+	tickInterval = 50 * time.Millisecond  // between two steps of the run loop, unless it is woken earlier
+	stepTimeout  = 500 * time.Millisecond // for one phase of a proposal, and for related calls to other members
 )
 
 // Server is one core process.
 type Server struct {
 	ctx      daemon.Context
 	settings Settings
-	runID    uint64 // of this process, at random; not zero
+	runID    uint64 // identifies this run of the process; random, not zero
 	handlers wire.Handlers
 	caller   *wire.Caller
 
-	// What is on disk. All methods may be called concurrently.
+	// State on disk. All methods may be called concurrently.
 	disk     store.Disk
 	store    atomic.Pointer[store.Store] // replaced once the disk has recovered
 	acceptor *paxos.Acceptor
 	backup   *replication.Backup
 
-	// Primacy and what needs it. All methods may be called concurrently.
+	// Leadership, and components that depend on it. All methods may be called concurrently.
 	leadership *leadership.Leadership
-	detector   *failuredetector.Detector // of the lease holder's end
+	detector   *failuredetector.Detector // detects that the lease holder has ended
 	renewer    *renewal.Renewer
 	handover   *handover.Coordinator
 	pipeline   pipeline.Pipeline
 	candidates membership.Candidates
-	service    *service.Service // of routers, runners and operators
+	service    *service.Service // for routers, runners and operators
 
 	runLoopState
 }
 
-// runLoopState is what only the run loop's goroutine touches.
+// runLoopState holds fields that only the run loop's goroutine uses.
 type runLoopState struct {
 	replicator *replication.Replicator
-	finder     *discovery.Finder // but SetSeeds
+	finder     *discovery.Finder // SetSeeds may be called from any goroutine
 
-	highestNumber    uint64    // of a proposal seen so far
-	formerPrimary    string    // the primary that we took over from
-	predecessor      string    // the primary that we last followed as backup; "" once we are ready
-	nextMemberChange time.Time // earliest next change of the members
-	nextAttempt      time.Time // earliest next attempt at what attemptDue guards
+	highestNumber    uint64    // the highest proposal number seen so far
+	formerPrimary    string    // the primary that this process took over from
+	predecessor      string    // the primary that this process last followed as backup; "" once it accepts writes itself
+	nextMemberChange time.Time // earliest time of the next membership change
+	nextAttempt      time.Time // earliest time of the next attempt: see attemptDue
 }
 
-// Open recovers a core's state from its disk. A disk whose state is damaged counts as blank: its identity is given up, so
-// that it neither accepts proposals nor leads on what it no longer has. An error is one of the disk.
+// Open recovers a core's state from its disk. A disk with damaged state counts as blank: the process gives up its identity,
+// so that it neither votes nor leads on the basis of state that it has lost. Open returns only disk errors.
 func Open(ctx daemon.Context, settings Settings, disk store.Disk) (*Server, error) {
 	settings = settings.WithDefaults()
 	if err := store.RemoveIncompleteWrites(disk, ctx.Log); err != nil {
@@ -115,7 +115,7 @@
 	return s.handlers.Dispatch(ctx, kind, body)
 }
 
-// Run leads, follows or waits, as the view says, until the context ends.
+// Run leads, follows or waits, depending on the view, until the context ends.
 func (s *Server) Run() {
 	go runloop.Run(s.ctx, nil, s.settings.LeaseTerm/6, func(struct{}) {}, s.renewer.Renew)
 	s.takeStep()
@@ -123,11 +123,11 @@
 	s.caller.Close()
 }
 
-// wakeRunLoop has the run loop take its next step at once, not at the next tick: what that step waited for has come. Where too
-// many steps wait the tick will do.
+// wakeRunLoop makes the run loop take its next step at once instead of at the next tick. If the step queue is full, the step
+// is taken at the next tick.
 func (s *Server) wakeRunLoop() { s.pipeline.StepLater(s.takeStep) }
 
-// call reaches a process of the core by its address; this one without the network.
+// call calls a core process by its address. Calls to this process do not use the network.
 func (s *Server) call(ctx context.Context, addr, kind string, request msgp.Marshaler, response msgp.Unmarshaler) error {
 	if addr != s.settings.Addr {
 		return s.caller.Call(ctx, addr, kind, request, response)
@@ -136,11 +136,11 @@
 	if err != nil {
 		return err
 	}
-	own, err := s.handlers.Dispatch(ctx, kind, body)
+	reply, err := s.handlers.Dispatch(ctx, kind, body)
 	if err != nil || response == nil {
 		return err
 	}
-	raw, err := own.MarshalMsg(nil)
+	raw, err := reply.MarshalMsg(nil)
 	if err != nil {
 		return err
 	}
@@ -148,7 +148,7 @@
 	return err
 }
 
-// UnavailableReason tells why this core is of no use to its fleet now, or "".
+// UnavailableReason returns why this core cannot serve its fleet now, or "".
 func (s *Server) UnavailableReason() string {
 	v := s.acceptor.View()
 	switch {
--- a/internal/controlplane/core/servicehost.go
+++ b/internal/controlplane/core/servicehost.go
@@ -11,7 +11,7 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// serviceHost is this process as the host of its service.
+// serviceHost implements service.Host.
 type serviceHost struct{ s *Server }
 
 // View implements service.Host.
@@ -29,8 +29,8 @@
 // Store implements service.Host.
 func (h serviceHost) Store() *store.Store { return h.s.store.Load() }
 
-// Submit implements service.Host. The code of the error is CodeNotPrimary, CodeNotReady or CodeOverloaded where the operation
-// surely was not and will not be committed, CodeOutcomeUnknown where it may be.
+// Submit implements service.Host. The error has code CodeNotPrimary, CodeNotReady or CodeOverloaded if the operation has not
+// been committed and never will be, and CodeOutcomeUnknown if it may be committed.
 func (h serviceHost) Submit(ctx context.Context, class pipeline.Class, weight int, apply func(*transaction.Tx) error) error {
 	if !h.s.leadership.IsReady() {
 		if v := h.s.acceptor.View(); v.Primary != h.s.acceptor.ID() {
--- a/internal/controlplane/core/settings.go
+++ b/internal/controlplane/core/settings.go
@@ -7,23 +7,23 @@
 	"yarrowridge/internal/controlplane/membership"
 )
 
-// Settings is what a core is told about its place.
+// Settings configures one core.
 type Settings struct {
-	Addr          string        // where this process listens, as the others reach it
+	Addr          string        // address at which other processes reach this one
 	Founders      []string      // addresses of the processes that found the fleet
-	Seeds         []string      // addresses at which the fleet is looked for
-	Bootstrap     bool          // without founders, the seeds found the fleet
-	Losses        int           // disks that may be lost at once: so many backups store a write before it is acknowledged; default 1
-	AllowNoBackup bool          // no loss is to be borne: a fleet's only member needs no backup
-	MaxMembers    int           // the most members; further candidates wait until one is lost; default 9
+	Seeds         []string      // addresses that are searched for the fleet
+	Bootstrap     bool          // if there are no founders, the seeds found the fleet
+	Losses        int           // disks that may be lost at once, and so the number of backups that store a write before it is acknowledged; default 1
+	AllowNoBackup bool          // no disk loss needs to be tolerated: a fleet's only member works without a backup
+	MaxMembers    int           // maximum number of members; further candidates wait until one is lost; default 9
 	LeaseTerm     time.Duration // of the primary's lease; default 1.5 s
-	LostAfter     time.Duration // a member that has not answered for so long may be replaced; default 10 s
+	LostAfter     time.Duration // a member that has not responded for this long may be replaced; default 10 s
 
 	Codec             configuration.Codec // reads the configuration; default: fleet configurations
-	RunnerSilentAfter time.Duration       // a runner without a heartbeat for so long is silent; default 4 s
+	RunnerSilentAfter time.Duration       // a runner without a heartbeat for this long counts as silent; default 4 s
 }
 
-// WithDefaults is the settings with the default of each one that is zero.
+// WithDefaults returns the settings with each zero value replaced by its default.
 func (s Settings) WithDefaults() Settings {
 	if s.LeaseTerm == 0 {
 		s.LeaseTerm = 1500 * time.Millisecond
@@ -46,7 +46,7 @@
 	return s
 }
 
-// membershipPolicy is the part of the settings that decides about members and backups.
+// membershipPolicy returns the settings that govern the choice of members and backups.
 func (s Settings) membershipPolicy() membership.Policy {
 	return membership.Policy{Losses: s.Losses, AllowNoBackup: s.AllowNoBackup, MaxMembers: s.MaxMembers, LostAfter: s.LostAfter}
 }
--- a/internal/controlplane/core/state.go
+++ b/internal/controlplane/core/state.go
@@ -7,7 +7,7 @@
 	"yarrowridge/internal/controlplane/view"
 )
 
-// State tells the core's own state.
+// State returns a summary of this core's state.
 func (s *Server) State() *coreapi.State {
 	committed := s.store.Load()
 	status := s.service.Status()
@@ -21,5 +21,5 @@
 	return state
 }
 
-// View is the newest view that this core knows.
+// View returns the newest view that this core knows.
 func (s *Server) View() view.View { return s.acceptor.View() }
