--- a/internal/controlplane/pipeline/batch.go
+++ b/internal/controlplane/pipeline/batch.go
@@ -8,11 +8,11 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// runBatch takes the operations that wait, the most urgent classes first, commits them as one batch, and then takes the
-// first step that waits. What is left over is for the run loop's next round, so that its ticks come between.
-func (p *Pipeline) runBatch() {
-	p.commitWaiting()
-	if step := p.queues.takeStep(); step != nil {
+// runOnce commits one batch of the waiting operations, the most urgent classes first, and then takes the first waiting step.
+// The rest waits for the run loop's next iteration, so that ticks are handled in between.
+func (p *Pipeline) runOnce() {
+	p.commitNextBatch()
+	if step := p.queues.popStep(); step != nil {
 		step.step()
 		close(step.stepDone)
 	}
@@ -21,15 +21,15 @@
 	}
 }
 
-// commitWaiting commits one batch of the operations that wait.
-func (p *Pipeline) commitWaiting() {
+// commitNextBatch applies and commits one batch of the waiting operations.
+func (p *Pipeline) commitNextBatch() {
 	start := time.Now()
 	var batch Batch
-	var taken []*operation
+	var applied []*operation
 	began := false
 	for class := range Class(classCount) {
 		for weight := 0; weight < maxClassWeight && !(began && batch.Tx.Size() >= maxBatchBytes); {
-			next := p.queues.take(class)
+			next := p.queues.pop(class)
 			if next == nil {
 				break
 			}
@@ -37,25 +37,25 @@
 				batch, began = p.committer.Begin(), true
 			}
 			weight += next.weight
-			if next.run(batch.Tx, batch.Writable) {
-				taken = append(taken, next)
+			if next.applyTo(batch.Tx, batch.Writable) {
+				applied = append(applied, next)
 			}
 		}
 	}
 	if began {
-		p.finish(batch, taken)
-		p.queues.recordBatch(time.Since(start))
+		p.commitAndReply(batch, applied)
+		p.queues.recordBatchTime(time.Since(start))
 	}
 }
 
-// run applies an operation to the batch, and reports whether it is part of it. One that was abandoned is passed over, and
-// one that may not write is rejected.
-func (o *operation) run(tx *transaction.Tx, writable bool) bool {
-	if !o.state.CompareAndSwap(operationWaiting, operationTaken) {
+// applyTo applies an operation to a batch's transaction, and reports whether it is part of the batch. An abandoned operation
+// is skipped. If writes are not accepted, the operation is rejected.
+func (o *operation) applyTo(tx *transaction.Tx, writable bool) bool {
+	if !o.state.CompareAndSwap(operationWaiting, operationStarted) {
 		return false
 	}
 	if !writable {
-		o.done <- wire.StatusError{Code: coreapi.CodeNotReady}
+		o.outcome <- wire.StatusError{Code: coreapi.CodeNotReady}
 		return false
 	}
 	savepoint := tx.Savepoint()
@@ -65,14 +65,14 @@
 	return true
 }
 
-// finish commits a batch and answers its callers.
-func (p *Pipeline) finish(batch Batch, taken []*operation) {
+// commitAndReply commits a batch and sends each operation's outcome to its caller.
+func (p *Pipeline) commitAndReply(batch Batch, applied []*operation) {
 	err := p.committer.Commit(batch)
-	for _, one := range taken {
+	for _, op := range applied {
 		if err != nil {
-			one.done <- err
+			op.outcome <- err
 		} else {
-			one.done <- one.err
+			op.outcome <- op.err
 		}
 	}
 	if err == nil && len(batch.Tx.Mutations()) > 0 {
--- a/internal/controlplane/pipeline/overload_test.go
+++ b/internal/controlplane/pipeline/overload_test.go
@@ -11,8 +11,9 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// A crowd of one class delays an urgent operation by a batch, and does not fill its queue.
-func TestCrowdOfOneClassLeavesRoomForOthers(t *testing.T) {
+// A burst of operations of one class does not fill the queues of more urgent classes, whose operations still join the next
+// batch.
+func TestBurstOfOneClassDoesNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, committer := newPipeline(t)
 		for range classCapacity + 10 {
@@ -26,15 +27,16 @@
 		synctest.Wait()
 		first := committer.batches[0]
 		if first[0].Key != "config" || first[1].Key != "runner" || len(first) != 2+maxClassWeight {
-			t.Errorf("got a first batch of %d that begins with %s and %s, want %d, config and runner", len(first), first[0].Key, first[1].Key, 2+maxClassWeight)
+			t.Errorf("got a first batch of %d mutations that begins with %s and %s, want %d, config and runner", len(first), first[0].Key, first[1].Key, 2+maxClassWeight)
 		}
 		if got, want := len(committer.batches), classCapacity/maxClassWeight; got != want {
-			t.Errorf("got %d batches, want %d: what has no room is rejected", got, want)
+			t.Errorf("got %d batches, want %d: operations beyond the capacity are dropped", got, want)
 		}
 	})
 }
 
-// Within a class the order is kept: what ends a holder of quota units must not overtake its last transfer.
+// Operations of one class stay in order: an operation that ends a holder of quota units must not overtake the holder's last
+// transfer.
 func TestOrderWithinAClass(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, committer := newPipeline(t)
@@ -51,7 +53,7 @@
 	})
 }
 
-// A step of the run loop's own waits for one batch, however many operations wait.
+// A step waits for one batch only, however many operations are queued before it.
 func TestStepWaitsForOneBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, committer := newPipeline(t)
@@ -65,12 +67,12 @@
 		go p.Run(ctx, 0, nil)
 		synctest.Wait()
 		if batches != 1 {
-			t.Errorf("got the step after %d batches, want 1", batches)
+			t.Errorf("step ran after %d batches, want 1", batches)
 		}
 	})
 }
 
-// Heavy operations count for as many as they are worth: a batch stays short.
+// Operations count by their weight, so that a batch of heavy operations stays short.
 func TestBatchIsBoundedByWeight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, committer := newPipeline(t)
@@ -84,13 +86,13 @@
 		go p.Run(ctx, 0, nil)
 		synctest.Wait()
 		if len(committer.batches) != 2 || len(committer.batches[0]) != 4 {
-			t.Errorf("got %d batches, the first of %d, want 2 of 4", len(committer.batches), len(committer.batches[0]))
+			t.Errorf("got %d batches, the first with %d operations, want 2 batches of 4", len(committer.batches), len(committer.batches[0]))
 		}
 	})
 }
 
-// While batches take long, an operation that would wait for more of them than its class allows is rejected at once, surely
-// not carried out; once the queue is short again, operations are taken.
+// While batches are slow, an operation that would wait for longer than maxClassWait is rejected at once and never applied. Once
+// the queue is short again, operations are accepted.
 func TestOperationThatWouldWaitTooLongIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newPipeline(t)
@@ -121,12 +123,12 @@
 		}
 		time.Sleep(10 * batchTime)
 		if err := p.Submit(t.Context(), ClassQuota, 1, put("quota", nil)); err != nil {
-			t.Errorf("got error %v once the queue is empty, want none", err)
+			t.Errorf("got error %v after the queue was empty, want none", err)
 		}
 	})
 }
 
-// Operations that their callers have abandoned make room for others.
+// Operations abandoned by their callers make room for new ones.
 func TestAbandonedOperationsMakeRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, committer := newPipeline(t)
@@ -148,26 +150,26 @@
 		go p.Run(ctx, 0, nil)
 		synctest.Wait()
 		if len(committer.batches) != 1 || len(committer.batches[0]) != 1 || committer.batches[0][0].Key != "taken" {
-			t.Errorf("got batches %v, want one of what was taken", committer.batches)
+			t.Errorf("got batches %v, want one with the key taken", committer.batches)
 		}
 	})
 }
 
-// A batch that waits for other backups says little of those to come.
+// A single slow batch, such as one that waited until backups were replaced, must not dominate the estimate.
 func TestBatchTimeIsBounded(t *testing.T) {
-	var estimate batchTime
-	if got := estimate.of(10); got != 0 {
-		t.Errorf("got %s before any batch, want 0", got)
+	var times batchTime
+	if got := times.estimate(10); got != 0 {
+		t.Errorf("got %s before the first batch, want 0", got)
 	}
-	estimate.record(10 * time.Millisecond)
-	estimate.record(3 * time.Second)
-	if got, most := estimate.of(1), 60*time.Millisecond; got < 10*time.Millisecond || got > most {
-		t.Errorf("got %s after one long batch, want 10ms to %s", got, most)
+	times.record(10 * time.Millisecond)
+	times.record(3 * time.Second)
+	if got, most := times.estimate(1), 60*time.Millisecond; got < 10*time.Millisecond || got > most {
+		t.Errorf("got %s after one slow batch, want 10ms to %s", got, most)
 	}
 	for range 50 {
-		estimate.record(10 * time.Millisecond)
+		times.record(10 * time.Millisecond)
 	}
-	if got := estimate.of(3); got < 29*time.Millisecond || got > 32*time.Millisecond {
+	if got := times.estimate(3); got < 29*time.Millisecond || got > 32*time.Millisecond {
 		t.Errorf("got %s for three batches of 10ms, want about 30ms", got)
 	}
 }
--- a/internal/controlplane/pipeline/pipeline_test.go
+++ b/internal/controlplane/pipeline/pipeline_test.go
@@ -14,16 +14,16 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// errCommit is the error of a committer that commits nothing.
+// errCommit is the error of a failing commit.
 var errCommit = errors.New("not committed")
 
-// recordingCommitter keeps what it was asked to commit.
+// recordingCommitter records the mutations of each batch and commits nothing.
 type recordingCommitter struct {
 	store    *store.Store
 	writable bool
 	err      error
 	batches  [][]store.Mutation
-	after    int
+	after    int // number of calls of AfterCommit
 }
 
 func (c *recordingCommitter) Begin() Batch {
@@ -37,7 +37,7 @@
 
 func (c *recordingCommitter) AfterCommit(Batch) { c.after++ }
 
-// newPipeline is a pipeline whose run loop has not begun, with its committer.
+// newPipeline returns a pipeline whose run loop has not started, and its committer.
 func newPipeline(t *testing.T) (*Pipeline, *recordingCommitter) {
 	t.Helper()
 	disk, err := store.OpenFolder(t.TempDir())
@@ -53,7 +53,7 @@
 	return &p, committer
 }
 
-// put is an operation that sets a key, and ends with an error.
+// put returns an operation that sets a key and returns err.
 func put(key string, err error) Operation {
 	return func(tx *transaction.Tx) error {
 		tx.PutRaw(key, []byte(key))
@@ -61,7 +61,7 @@
 	}
 }
 
-// submitAll submits operations at once, and returns their outcomes in order once the run loop has taken them.
+// submitAll queues operations in order before it starts the run loop, and returns their outcomes in that order.
 func submitAll(t *testing.T, p *Pipeline, operations ...Operation) []error {
 	t.Helper()
 	outcomes := make([]chan error, len(operations))
@@ -81,7 +81,8 @@
 	return errs
 }
 
-// Operations that wait together are one batch. One that fails is rolled back, and does not fail the others.
+// Operations that wait at the same time are committed as one batch. An operation that fails is rolled back and does not affect
+// the others.
 func TestWaitingOperationsAreOneBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, committer := newPipeline(t)
@@ -94,12 +95,12 @@
 			t.Errorf("got batches %v, want one of a and c", committer.batches)
 		}
 		if committer.after != 1 {
-			t.Errorf("got %d calls after a commit, want 1", committer.after)
+			t.Errorf("got %d calls of AfterCommit after a commit, want 1", committer.after)
 		}
 	})
 }
 
-// What a commit ends with is the outcome of each operation of its batch.
+// If a commit fails, every operation of the batch fails with its error, whatever the operation itself returned.
 func TestFailedCommitFailsItsOperations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, committer := newPipeline(t)
@@ -110,12 +111,12 @@
 			}
 		}
 		if committer.after != 0 {
-			t.Errorf("got %d calls after a failed commit, want none", committer.after)
+			t.Errorf("got %d calls of AfterCommit after a failed commit, want none", committer.after)
 		}
 	})
 }
 
-// Where writes are not taken, an operation is rejected before it runs.
+// If writes are not accepted, an operation is rejected without being applied.
 func TestOperationsAreRejectedWhereNotWritable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, committer := newPipeline(t)
@@ -130,21 +131,22 @@
 	})
 }
 
-// An operation whose caller gave up before it was taken is surely not committed; while it commits, its outcome is unknown.
+// If the caller gives up before its operation is started, the operation is never committed. If the caller gives up later, the
+// outcome is unknown.
 func TestOutcomeOfAnAbandonedOperation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, committer := newPipeline(t)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if err := p.Submit(ctx, ClassQuota, 1, put("a", nil)); !wire.HasCode(err, coreapi.CodeNotReady) {
-			t.Errorf("got error %v before it was taken, want code %v", err, coreapi.CodeNotReady)
+			t.Errorf("got error %v before the operation was started, want code %v", err, coreapi.CodeNotReady)
 		}
 		running, stop := context.WithCancel(t.Context())
 		defer stop()
 		go p.Run(running, 0, nil)
 		synctest.Wait()
 		if len(committer.batches) != 1 || len(committer.batches[0]) != 0 {
-			t.Errorf("got batches %v, want an empty one", committer.batches)
+			t.Errorf("got batches %v, want one empty batch", committer.batches)
 		}
 		short, cancelShort := context.WithTimeout(t.Context(), time.Second)
 		defer cancelShort()
@@ -153,13 +155,13 @@
 			return nil
 		}
 		if err := p.Submit(short, ClassQuota, 1, slow); !wire.HasCode(err, coreapi.CodeOutcomeUnknown) {
-			t.Errorf("got error %v while it was applied, want code %v", err, coreapi.CodeOutcomeUnknown)
+			t.Errorf("got error %v while the operation was applied, want code %v", err, coreapi.CodeOutcomeUnknown)
 		}
 		time.Sleep(2 * time.Second)
 	})
 }
 
-// A step of the run loop's own ends the batch before it, and runs after that was committed.
+// A step ends the batch of the operations queued before it, and runs after that batch was committed.
 func TestStepRunsBetweenBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, committer := newPipeline(t)
@@ -170,7 +172,7 @@
 			t.Fatal(errs[0])
 		}
 		if committed != 1 || len(committer.batches) != 2 {
-			t.Errorf("got the step after %d of %d batches, want after 1 of 2", committed, len(committer.batches))
+			t.Errorf("step ran after %d of %d batches, want after 1 of 2", committed, len(committer.batches))
 		}
 	})
 }
--- a/internal/controlplane/pipeline/queue.go
+++ b/internal/controlplane/pipeline/queue.go
@@ -6,76 +6,78 @@
 	"time"
 )
 
-// Class says how urgent an operation is. A batch takes the operations of the first class first; within a class they are
-// taken in the order in which they came.
+// Class is the urgency of an operation. A batch applies the operations of the most urgent class first, and those of one class
+// in the order in which they were queued.
 type Class int
 
-// The classes, most urgent first. Each has a queue of its own, so that a crowd of one class neither fills the queue of
-// another nor delays it by more than one batch.
+// The classes, most urgent first. Each has its own queue, so that a burst of operations of one class neither fills the queue
+// of another nor delays its operations by more than one batch.
 const (
-	ClassConfig Class = iota // operators' changes of the configuration
-	ClassRunner              // runners that come, drain and go
+	ClassConfig Class = iota // configuration changes by operators
+	ClassRunner              // runners that register, drain and leave
 	ClassClaim               // idempotency keys
-	ClassRouter              // routers' addresses, session directory, and what the core tidies up
-	ClassQuota               // all that changes quota pools: the order of transfers and of what ends their holder matters
+	ClassRouter              // router addresses, the session directory, and the core's own cleanup
+	ClassQuota               // all changes of quota pools, since a holder's transfers must stay in order with the operation that ends the holder
 	classCount  = iota
 )
 
-// How much is taken at once, and may wait.
+// Limits of a batch and of the queues.
 const (
-	maxClassWeight = 1024    // of one class in a batch: the next urgent operation waits for a short batch only
-	maxBatchBytes  = 1 << 20 // of keys and values, after which no further operation joins a batch
-	classCapacity  = 4096    // operations of a class that wait; more are rejected
-	stepCapacity   = 64      // steps that wait
+	maxClassWeight = 1024    // weight of one class in a batch; keeps batches short, so that an urgent operation waits only briefly
+	maxBatchBytes  = 1 << 20 // bytes of keys and values, from which on no further operation joins a batch
+	classCapacity  = 4096    // waiting operations of one class; more are rejected
+	stepCapacity   = 64      // waiting steps; more are dropped
 
-	// maxClassWait is how long the batches before an operation's own may take; one that would wait longer is rejected.
+	// maxClassWait bounds the estimated time of the batches before an operation's own. An operation that would wait longer is
+	// rejected.
 	maxClassWait = 500 * time.Millisecond
 )
 
-// classQueue is what waits of one class.
+// classQueue holds the waiting operations of one class.
 type classQueue struct {
 	operations []*operation
-	weight     int // of the operations
+	weight     int // total weight of the operations
 }
 
-// queues holds the operations of each class and the run loop's own steps. Its methods may be called concurrently.
+// queues holds the waiting operations of each class and the waiting steps. Its methods may be called concurrently.
 type queues struct {
-	wakeup chan struct{} // holds one wake-up of the run loop
+	wakeup chan struct{} // buffered; holds at most one pending wake-up of the run loop
 
-	mu         sync.Mutex // guards all below
-	classes    [classCount]classQueue
-	steps      []*operation
-	lastNumber uint64 // of all that was queued
-	batchTime  batchTime
+	mu           sync.Mutex // guards the fields below
+	classes      [classCount]classQueue
+	steps        []*operation
+	lastSequence uint64 // the highest sequence number assigned so far
+	batchTime    batchTime
 }
 
 func newQueues() *queues { return &queues{wakeup: make(chan struct{}, 1)} }
 
-// push queues an operation, and reports whether its class had room. Those that their callers have abandoned make room.
+// push queues an operation, and reports whether its class had room. If the class is full, abandoned operations are removed
+// first.
 func (q *queues) push(class Class, queued *operation) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	waiting := &q.classes[class]
-	if q.isFull(waiting) {
-		waiting.dropAbandoned()
-		if q.isFull(waiting) {
+	queue := &q.classes[class]
+	if q.isFull(queue) {
+		queue.dropAbandoned()
+		if q.isFull(queue) {
 			return false
 		}
 	}
-	waiting.operations = append(waiting.operations, queued)
-	waiting.weight += queued.weight
-	q.number(queued)
+	queue.operations = append(queue.operations, queued)
+	queue.weight += queued.weight
+	q.numberAndWake(queued)
 	return true
 }
 
-// isFull reports whether a class has as many operations as may wait, or as many as would keep another one waiting for longer
+// isFull reports whether a class has as many waiting operations as allowed, or so many that another one would wait for longer
 // than maxClassWait. The caller holds the mutex.
-func (q *queues) isFull(waiting *classQueue) bool {
-	batches := waiting.weight / maxClassWeight // before the one that a newcomer would be in
-	return len(waiting.operations) >= classCapacity || q.batchTime.of(batches) > maxClassWait
+func (q *queues) isFull(queue *classQueue) bool {
+	batches := queue.weight / maxClassWeight // full batches before the one that a new operation would join
+	return len(queue.operations) >= classCapacity || q.batchTime.estimate(batches) > maxClassWait
 }
 
-// dropAbandoned removes the operations that their callers have abandoned.
+// dropAbandoned removes the abandoned operations.
 func (c *classQueue) dropAbandoned() {
 	c.operations = slices.DeleteFunc(c.operations, func(queued *operation) bool {
 		abandoned := queued.state.Load() == operationAbandoned
@@ -86,7 +88,7 @@
 	})
 }
 
-// pushStep queues a step, and reports whether there was room.
+// pushStep queues a step, and reports whether the queue of steps had room.
 func (q *queues) pushStep(step *operation) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -94,18 +96,18 @@
 		return false
 	}
 	q.steps = append(q.steps, step)
-	q.number(step)
+	q.numberAndWake(step)
 	return true
 }
 
-// number numbers what was queued and wakes the run loop. The caller holds the mutex.
-func (q *queues) number(queued *operation) {
-	q.lastNumber++
-	queued.number = q.lastNumber
+// numberAndWake assigns a sequence number to a queued operation or step, and wakes the run loop. The caller holds the mutex.
+func (q *queues) numberAndWake(queued *operation) {
+	q.lastSequence++
+	queued.sequence = q.lastSequence
 	q.wake()
 }
 
-// wake has the run loop look at the queues.
+// wake makes the run loop process the queues.
 func (q *queues) wake() {
 	select {
 	case q.wakeup <- struct{}{}:
@@ -113,26 +115,27 @@
 	}
 }
 
-// take removes the first operation of a class that was queued before the first step that waits; nil where there is none.
-func (q *queues) take(class Class) *operation {
+// pop removes and returns the first operation of a class, unless it was queued after the first waiting step. It returns nil if
+// there is none.
+func (q *queues) pop(class Class) *operation {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	waiting := &q.classes[class]
-	if len(waiting.operations) == 0 {
+	queue := &q.classes[class]
+	if len(queue.operations) == 0 {
 		return nil
 	}
-	first := waiting.operations[0]
-	if len(q.steps) > 0 && q.steps[0].number < first.number {
+	first := queue.operations[0]
+	if len(q.steps) > 0 && q.steps[0].sequence < first.sequence {
 		return nil
 	}
-	waiting.operations[0] = nil
-	waiting.operations = waiting.operations[1:]
-	waiting.weight -= first.weight
+	queue.operations[0] = nil
+	queue.operations = queue.operations[1:]
+	queue.weight -= first.weight
 	return first
 }
 
-// takeStep removes the first step; nil where there is none.
-func (q *queues) takeStep() *operation {
+// popStep removes and returns the first step, or returns nil if there is none.
+func (q *queues) popStep() *operation {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.steps) == 0 {
@@ -144,7 +147,7 @@
 	return first
 }
 
-// isEmpty reports whether nothing waits.
+// isEmpty reports whether no operation and no step is waiting.
 func (q *queues) isEmpty() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -156,8 +159,8 @@
 	return len(q.steps) == 0
 }
 
-// recordBatch notes how long a batch took.
-func (q *queues) recordBatch(took time.Duration) {
+// recordBatchTime records how long a batch took, for later estimates.
+func (q *queues) recordBatchTime(took time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.batchTime.record(took)
