--- a/internal/controlplane/core/bench_test.go
+++ b/internal/controlplane/core/bench_test.go
@@ -23,9 +23,9 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// BenchmarkClaims claims idempotency keys from five cores with real folders over TCP, by 64 callers a processor at once. The
-// batches per claim tell what grouping the syncs saves. The second case has a day of finished keys behind it, at 60 a
-// second: what they cost on disk, in memory and in searching them.
+// BenchmarkClaims measures claims of idempotency keys from five cores that store to real folders and communicate over TCP. The
+// load is 64 concurrent callers per processor. The batches per claim show how much group commit saves. The second case starts
+// with the finished keys of a day at 60 per second, to include their cost on disk, in memory and in lookups.
 func BenchmarkClaims(b *testing.B) {
 	b.Run("fresh", func(b *testing.B) { benchmarkClaims(b, 0) })
 	b.Run("after a day at 60 a second", func(b *testing.B) { benchmarkClaims(b, 60*86400) })
@@ -35,55 +35,55 @@
 	b.Helper()
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
-	all, addrs := startCores(ctx, b, nil, func(disk store.Disk) {
+	cores, addrs := startCores(ctx, b, nil, func(disk store.Disk) {
 		if finishedKeys > 0 {
 			putFinishedKeys(b, disk, finishedKeys)
 		}
 	})
-	c := coreclient.NewClient(daemon.Context{Context: ctx, Net: wire.TCP{}}, wire.NewCaller(wire.TCP{}), addrs)
-	founded := time.Now()
-	up, stop := context.WithTimeout(ctx, 20*time.Second)
-	defer stop()
-	if err := c.Call(up, "core.layout", &coreapi.ConfigRequest{}, &coreapi.StoredConfig{}, true); err != nil {
+	client := coreclient.NewClient(daemon.Context{Context: ctx, Net: wire.TCP{}}, wire.NewCaller(wire.TCP{}), addrs)
+	startedAt := time.Now()
+	startupCtx, cancelStartup := context.WithTimeout(ctx, 20*time.Second)
+	defer cancelStartup()
+	if err := client.Call(startupCtx, "core.layout", &coreapi.ConfigRequest{}, &coreapi.StoredConfig{}, true); err != nil {
 		b.Fatal(err)
 	}
-	ready := time.Since(founded)
-	var n atomic.Uint64
-	lead := all[0]
-	for _, s := range all {
-		if s.State().Ready {
-			lead = s
+	startupTime := time.Since(startedAt)
+	var lastClaim atomic.Uint64
+	primary := cores[0]
+	for _, core := range cores {
+		if core.State().Ready {
+			primary = core
 		}
 	}
-	before := lead.State().StoreVersion
-	if p := lead.State(); p.FinishedKeys > 0 {
-		raw := lead.store.Load().Snapshot()
-		b.Logf("%d finished keys in %d chunks: %.1f MB on disk; founded, copied to the backup and ready in %s", p.FinishedKeys, p.FinishedKeyChunks, float64(raw.Msgsize())/1e6, ready.Round(time.Millisecond))
+	versionBefore := primary.State().StoreVersion
+	if state := primary.State(); state.FinishedKeys > 0 {
+		snapshot := primary.store.Load().Snapshot()
+		b.Logf("%d finished keys in %d chunks: %.1f MB on disk; fleet founded, snapshot sent to the backup and primary ready in %s", state.FinishedKeys, state.FinishedKeyChunks, float64(snapshot.Msgsize())/1e6, startupTime.Round(time.Millisecond))
 	}
 	b.SetParallelism(64)
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			k := n.Add(1)
+			claim := lastClaim.Add(1)
 			var response coreapi.ClaimResponse
-			request := coreapi.ClaimRequest{Key: fmt.Sprintf("t/new%d", k), Claim: coreapi.Claim{RequestHash: "s", Claimant: fmt.Sprint(k), Node: "n"}}
-			one, cancel := context.WithTimeout(ctx, 10*time.Second)
-			err := c.Call(one, "core.take", &request, &response, true)
+			request := coreapi.ClaimRequest{Key: fmt.Sprintf("t/new%d", claim), Claim: coreapi.Claim{RequestHash: "s", Claimant: fmt.Sprint(claim), Node: "n"}}
+			callCtx, cancel := context.WithTimeout(ctx, 10*time.Second)
+			err := client.Call(callCtx, "core.take", &request, &response, true)
 			cancel()
 			if err != nil || !response.Granted {
-				b.Errorf("claim %d: %v %+v", k, err, response)
+				b.Errorf("claim %d: got error %v, response %+v, want it granted", claim, err, response)
 				return
 			}
 		}
 	})
 	b.StopTimer()
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "claims/s")
-	b.ReportMetric(float64(lead.State().StoreVersion-before)/float64(b.N), "batches/claim")
+	b.ReportMetric(float64(primary.State().StoreVersion-versionBefore)/float64(b.N), "batches/claim")
 }
 
-// startCores starts five cores with real folders over TCP, which end with ctx, and returns them with their addresses.
-// prepare is called with each disk first.
-func startCores(ctx context.Context, b *testing.B, codec configuration.Codec, prepare func(disk store.Disk)) (all []*Server, addrs []string) {
+// startCores starts five cores that store to real folders and communicate over TCP, and returns them and their addresses. They
+// run until ctx ends. prepare is called with each disk before its core is opened.
+func startCores(ctx context.Context, b *testing.B, codec configuration.Codec, prepare func(disk store.Disk)) (cores []*Server, addrs []string) {
 	b.Helper()
 	var listeners []net.Listener
 	for range 5 {
@@ -99,19 +99,19 @@
 			b.Fatal(err)
 		}
 		prepare(disk)
-		ec := daemon.Context{Context: ctx, Name: addrs[i], Zone: fmt.Sprint(i), RunID: rand.Uint64(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Net: wire.TCP{}}
-		s, err := Open(ec, Settings{Addr: addrs[i], Founders: addrs, Seeds: addrs, Codec: codec}, disk)
+		coreCtx := daemon.Context{Context: ctx, Name: addrs[i], Zone: fmt.Sprint(i), RunID: rand.Uint64(), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Net: wire.TCP{}}
+		s, err := Open(coreCtx, Settings{Addr: addrs[i], Founders: addrs, Seeds: addrs, Codec: codec}, disk)
 		if err != nil {
 			b.Fatal(err)
 		}
-		all = append(all, s)
+		cores = append(cores, s)
 		go wire.Serve(ctx, l, s.Handle)
 		go s.Run()
 	}
-	return all, addrs
+	return cores, addrs
 }
 
-// putFinishedKeys writes to a disk what sweeps and merges leave of n finished keys: full chunks, and some small ones.
+// putFinishedKeys writes n finished keys to a disk, in chunks as sweeps and merges leave them: mostly full, some small.
 func putFinishedKeys(b *testing.B, disk store.Disk, n int) {
 	b.Helper()
 	opened, err := store.Open(disk, slog.New(slog.DiscardHandler))
@@ -137,14 +137,14 @@
 	}
 }
 
-// The size of a large fleet.
+// Load of a large fleet.
 const (
 	benchmarkRouters   = 291
 	benchmarkTenants   = 190
-	benchmarkTransfers = 6 // of one call
+	benchmarkTransfers = 6 // transfers per call
 )
 
-// tenantCodec reads every document as one with many tenants.
+// tenantCodec decodes every configuration as one with benchmarkTenants tenants.
 type tenantCodec struct{}
 
 func (tenantCodec) Check([]byte) (configuration.Document, []coreapi.ConfigError) {
@@ -159,18 +159,18 @@
 func (tenantCodec) Merge(_, change []byte) ([]byte, error) { return change, nil }
 func (tenantCodec) MaxBytes() int                          { return 1 << 20 }
 
-// BenchmarkTransfers has many routers acquire and return units of many tenants, from five cores with real folders over TCP, one
-// call of each router at a time.
+// BenchmarkTransfers measures quota transfers of many routers and tenants, from five cores that store to real folders and
+// communicate over TCP. Each router makes one call at a time, and alternately acquires and returns units.
 func BenchmarkTransfers(b *testing.B) {
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
 	_, addrs := startCores(ctx, b, tenantCodec{}, func(store.Disk) {})
 	client := coreclient.NewClient(daemon.Context{Context: ctx, Net: wire.TCP{}}, wire.NewCaller(wire.TCP{}), addrs)
-	up, stop := context.WithTimeout(ctx, 20*time.Second)
-	defer stop()
+	startupCtx, cancelStartup := context.WithTimeout(ctx, 20*time.Second)
+	defer cancelStartup()
 	write := coreapi.WriteRequest{AnyVersion: true, Raw: []byte("any")}
 	var written coreapi.WriteResponse
-	if err := client.Call(up, "core.write", &write, &written, true); err != nil || written.Code != http.StatusOK {
+	if err := client.Call(startupCtx, "core.write", &write, &written, true); err != nil || written.Code != http.StatusOK {
 		b.Fatal(err, written)
 	}
 	var calls atomic.Int64
@@ -185,8 +185,8 @@
 					tenant := fmt.Sprint("tenant", (router*7+int(sequence)*benchmarkTransfers+i)%benchmarkTenants)
 					request.Transfers = append(request.Transfers, coreapi.QuotaTransfer{Tenant: tenant, Sequence: sequence, Units: 1, Return: sequence%2 == 0})
 				}
-				one, cancel := context.WithTimeout(ctx, 10*time.Second)
-				if err := client.Call(one, "core.moves", &request, &coreapi.QuotaTransfersResponse{}, true); err != nil {
+				callCtx, cancel := context.WithTimeout(ctx, 10*time.Second)
+				if err := client.Call(callCtx, "core.moves", &request, &coreapi.QuotaTransfersResponse{}, true); err != nil {
 					b.Error(err)
 				}
 				cancel()
--- a/internal/controlplane/core/commit_test.go
+++ b/internal/controlplane/core/commit_test.go
@@ -9,9 +9,9 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// A batch is on all disks, but the lease has run out when they are done. The outcome is unknown, and what the primary answers
-// from is the state before the batch: it answers nothing, should its lease be held again, before it has read its state anew.
-// Else the write, repeated, would be acknowledged beside reads that do not show it.
+// A batch is stored on all disks, but the lease has expired by then. The outcome is unknown, and the primary still answers from
+// the state before the batch. It must not answer again, even if the lease is held again, until it has reread its state:
+// otherwise a retry of the write would be acknowledged while reads do not show the write.
 func TestCommitWithoutLeaseEndsWrites(t *testing.T) {
 	var lost sync.Map
 	cores, v := idleCores(t, 3, &lost)
@@ -21,7 +21,7 @@
 	tx := transaction.New(primary.store.Load())
 	tx.PutRaw("key", []byte("value"))
 	if err := primary.commit(v, tx); !wire.HasCode(err, coreapi.CodeOutcomeUnknown) {
-		t.Fatalf("got error %v of a commit without a lease, want code %v", err, coreapi.CodeOutcomeUnknown)
+		t.Fatalf("got error %v from a commit without a lease, want code %v", err, coreapi.CodeOutcomeUnknown)
 	}
 	for name, core := range map[string]*Server{"primary": primary, "backup": cores[1]} {
 		if _, stored := core.store.Load().Get("key"); !stored {
@@ -29,6 +29,6 @@
 		}
 	}
 	if primary.leadership.IsReady() {
-		t.Error("got a primary that is ready, want one that reads its state anew first")
+		t.Error("the primary still accepts writes, want it to reread its state first")
 	}
 }
--- a/internal/controlplane/core/propose.go
+++ b/internal/controlplane/core/propose.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// decide proposes the next view, and learns the view that is chosen. It reports whether one was, which may be another than
-// next. If unanimous is set, every current member must promise, not only a majority.
+// decide proposes the next view, and learns the view that is chosen, which may be a different one. It reports whether a view
+// is known to be chosen. If unanimous is set, every current member must promise, not only a majority.
 func (s *Server) decide(current, next view.View, unanimous bool) bool {
 	proposer := &paxos.Proposer{
 		ProposerID:    s.acceptor.ID(),
--- a/internal/controlplane/core/propose_test.go
+++ b/internal/controlplane/core/propose_test.go
@@ -17,23 +17,23 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// loopbackNet lets the cores of one test reach one another by names of their own.
+// loopbackNet maps the addresses of one test's cores to listeners on the loopback interface.
 type loopbackNet map[string]net.Listener
 
-// Dial reaches the core with that name.
+// Dial connects to the core with that address.
 func (n loopbackNet) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	return wire.TCP{}.Dial(ctx, n[addr].Addr().String())
 }
 
-// Listen is not called: the listeners are there before the cores.
+// Listen returns the core's listener. No test calls it, since the listeners are opened before the cores.
 func (n loopbackNet) Listen(addr string) (net.Listener, error) { return n[addr], nil }
 
-// idleCores are cores that answer calls and run no loop; the first is primary, the second its backup. The calls of the
-// kinds in lost fail at all but the first, which calls itself without the network; a kind may be limited to the core with
-// one address, as in "view.prep c".
+// idleCores returns cores that answer calls but have no run loop, and their view: the first core is the primary, the second
+// its backup. Calls of the kinds in lost fail; an entry may be limited to one core by its address, as in "view.prep c". The
+// first core's calls to itself never fail, since they do not use the network.
 func idleCores(t *testing.T, count int, lost *sync.Map) ([]*Server, view.View) {
 	t.Helper()
-	reach := loopbackNet{}
+	network := loopbackNet{}
 	var cores []*Server
 	v := view.View{Epoch: 1}
 	for i := range count {
@@ -42,16 +42,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		reach[addr] = listener
-		ctx := daemon.Context{Context: t.Context(), Name: addr, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Net: reach}
+		network[addr] = listener
+		ctx := daemon.Context{Context: t.Context(), Name: addr, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Net: network}
 		core, err := Open(ctx, Settings{Addr: addr, Losses: 1}.WithDefaults(), sim.NewDisk().Use())
 		if err != nil {
 			t.Fatal(err)
 		}
 		go wire.Serve(ctx, listener, func(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
-			_, isLost := lost.Load(kind)
-			_, isLostHere := lost.Load(kind + " " + addr)
-			if isLost || isLostHere {
+			_, lostEverywhere := lost.Load(kind)
+			_, lostHere := lost.Load(kind + " " + addr)
+			if lostEverywhere || lostHere {
 				return nil, wire.StatusError{Code: "lost"}
 			}
 			return core.handlers.Dispatch(ctx, kind, body)
@@ -67,25 +67,26 @@
 	return cores, v
 }
 
-// A primary proposes a view with another backup and does not learn the outcome. That view may be chosen later, and its
-// backup does not have what the primary would acknowledge with the old one.
+// A primary proposes a view with another backup and does not learn the outcome. That view may be chosen later, and its backup
+// would not have the writes that the primary acknowledges with the old backup. So the primary must end its epoch.
 func TestUnknownOutcomeEndsTheEpoch(t *testing.T) {
 	var lost sync.Map
 	cores, v := idleCores(t, 3, &lost)
 	primary := cores[0]
 	primary.leadership.BeginWrites()
-	asked := v.WithBackups([]string{v.Members[2].ID})
+	proposed := v.WithBackups([]string{v.Members[2].ID})
 	lost.Store("view.pick", true)
-	if primary.decide(v, asked, false) {
-		t.Fatal("a view was chosen by one acceptor of three")
+	if primary.decide(v, proposed, false) {
+		t.Fatal("the view was chosen with one acceptor of three")
 	}
 	if primary.leadership.IsReady() || primary.leadership.MayLead(v.Epoch) {
-		t.Errorf("got writes taken %v, epoch %d led on %v; want neither", primary.leadership.IsReady(), v.Epoch, primary.leadership.MayLead(v.Epoch))
+		t.Errorf("got writes accepted %v, may lead epoch %d %v; want neither", primary.leadership.IsReady(), v.Epoch, primary.leadership.MayLead(v.Epoch))
 	}
 	lost.Delete("view.pick")
-	// Only the primary itself has accepted that view. A majority without its promise would not tell of it.
+	// Only the primary itself has accepted that view, so its promise must be part of the majority: c does not promise.
 	lost.Store("view.prep c", true)
-	// The first attempt may fail: where the primary's own promise came last, it has not seen the number that it used.
+	// The first attempt may fail: if the primary's own promise came last, the proposer did not learn that its proposal number
+	// was promised, and uses that number again.
 	for range 3 {
 		primary.nextAttempt = time.Time{}
 		if primary.beginEpoch(v); primary.acceptor.View().Epoch != v.Epoch {
@@ -94,24 +95,25 @@
 	}
 	decided := primary.acceptor.View()
 	if decided.Epoch != v.Epoch+1 || !decided.IsBackup(v.Members[2].ID) {
-		t.Errorf("got epoch %d with backups %v, want epoch %d with the backup of the view that was accepted", decided.Epoch, decided.Backups(), v.Epoch+1)
+		t.Errorf("got epoch %d with backups %v, want epoch %d with the backup of the accepted view", decided.Epoch, decided.Backups(), v.Epoch+1)
 	}
 	if !primary.leadership.MayLead(decided.Epoch) {
-		t.Error("the primary may not lead the epoch that it has decided")
+		t.Error("the primary may not lead the epoch that it decided, want that it may")
 	}
 }
 
-// Where too few acceptors have promised anything, none was asked to accept the view: the primary leads on.
+// If too few acceptors promise, the proposer sends no acceptor the view. So the view cannot be chosen later, and the primary
+// keeps its epoch.
 func TestMissingPromisesDoNotEndTheEpoch(t *testing.T) {
 	var lost sync.Map
 	cores, v := idleCores(t, 3, &lost)
 	primary := cores[0]
-	alone := v
-	alone.Members = append(alone.Members[:1:1], view.Member{ID: "x", Addr: "b"}, view.Member{ID: "y", Addr: "c"})
-	if primary.decide(alone, alone, false) {
-		t.Fatal("a view was chosen by processes that are no members")
+	other := v
+	other.Members = append(other.Members[:1:1], view.Member{ID: "x", Addr: "b"}, view.Member{ID: "y", Addr: "c"})
+	if primary.decide(other, other, false) {
+		t.Fatal("a view was chosen though only one of its members exists")
 	}
 	if !primary.leadership.MayLead(v.Epoch) {
-		t.Error("the primary ended its epoch though nobody was asked to accept another view")
+		t.Error("the primary ended its epoch though no acceptor was sent the view")
 	}
 }
--- a/internal/controlplane/transaction/transaction.go
+++ b/internal/controlplane/transaction/transaction.go
@@ -1,5 +1,5 @@
-// Package transaction holds what an operation on the core's state sees and changes: the committed state with the
-// mutations of the batch under way over it. The primary's run loop makes one Tx for each batch, applies the operations one
+// Package transaction provides the state that operations of the core read and change: the committed state overlaid with the
+// mutations of the current batch. The primary's run loop creates one Tx for each batch, applies the operations to it one
 // after another, and commits their mutations together. A Tx is not safe for concurrent use.
 package transaction
 
@@ -9,30 +9,30 @@
 	"yarrowridge/internal/controlplane/store"
 )
 
-// Tx is one batch under way.
+// Tx collects the mutations of one batch over the committed state.
 type Tx struct {
 	committed *store.Store
 	last      map[string]*store.Mutation // the last mutation of each key
-	mutations []store.Mutation           // in the order in which they were made
-	size      int                        // bytes of keys and values in the last mutations
+	mutations []store.Mutation           // in order
+	size      int                        // bytes of keys and values in the last mutation of each key
 	tags      map[string]bool
 }
 
-// New begins a batch on a committed state.
+// New returns a Tx without mutations on a committed state.
 func New(committed *store.Store) *Tx {
 	return &Tx{committed: committed, last: map[string]*store.Mutation{}}
 }
 
-// Committed is the state that the batch begins with.
+// Committed returns the committed state, without the batch's mutations.
 func (t *Tx) Committed() *store.Store { return t.committed }
 
-// Mutations are all mutations so far, in their order.
+// Mutations returns all mutations so far, in order.
 func (t *Tx) Mutations() []store.Mutation { return t.mutations }
 
-// Size is the number of bytes of keys and values that LastMutations has so far: they have to fit one frame to the backups.
+// Size returns the number of bytes of keys and values in LastMutations, which have to fit into one frame to the backups.
 func (t *Tx) Size() int { return t.size }
 
-// Get reads a key as the batch has it.
+// Get returns the value of a key, including the batch's mutations.
 func (t *Tx) Get(key string) (value []byte, ok bool) {
 	if mutation, ok := t.last[key]; ok {
 		return mutation.Value, !mutation.Deleted
@@ -40,7 +40,7 @@
 	return t.committed.Get(key)
 }
 
-// Put sets a key to an encoded record. The only error is one of encoding.
+// Put encodes a record and sets a key to it. It returns only encoding errors.
 func (t *Tx) Put(key string, record msgp.Marshaler) error {
 	raw, err := record.MarshalMsg(nil)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// PutRaw sets a key to bytes, which must not change any more.
+// PutRaw sets a key to a value, which the caller must not modify afterwards.
 func (t *Tx) PutRaw(key string, value []byte) {
 	t.append(store.Mutation{Key: key, Value: value})
 }
@@ -58,7 +58,7 @@
 // Delete removes a key.
 func (t *Tx) Delete(key string) { t.append(store.Mutation{Key: key, Deleted: true}) }
 
-// LastMutation gives the last mutation that the batch makes of a key.
+// LastMutation returns the batch's last mutation of a key.
 func (t *Tx) LastMutation(key string) (mutation store.Mutation, ok bool) {
 	last, ok := t.last[key]
 	if !ok {
@@ -67,7 +67,7 @@
 	return *last, true
 }
 
-// Tag records that the batch has a kind of mutation, so that its owner need not go through all of them to know.
+// Tag records that the batch contains a kind of mutation, so that HasTag can tell without a search of all mutations.
 func (t *Tx) Tag(kind string) {
 	if t.tags == nil {
 		t.tags = map[string]bool{}
@@ -75,10 +75,11 @@
 	t.tags[kind] = true
 }
 
-// HasTag reports whether the batch was tagged with a kind. A tag outlives the rollback of what it was set for.
+// HasTag reports whether the batch was tagged with a kind. Rollback does not remove tags, so the batch may no longer contain
+// such a mutation.
 func (t *Tx) HasTag(kind string) bool { return t.tags[kind] }
 
-// LastMutations gives the last mutation of each key: what a batch changes several times is stored and sent once.
+// LastMutations returns the last mutation of each key, so that a key that changed several times is stored and sent only once.
 func (t *Tx) LastMutations() []store.Mutation {
 	if len(t.last) == len(t.mutations) {
 		return t.mutations
@@ -96,10 +97,10 @@
 	return last
 }
 
-// Savepoint marks the present end of the batch for Rollback.
+// Savepoint returns the current end of the batch, for Rollback.
 func (t *Tx) Savepoint() int { return len(t.mutations) }
 
-// Rollback removes the mutations made since a savepoint: those of an operation that failed.
+// Rollback removes the mutations since a savepoint. It is used when an operation fails.
 func (t *Tx) Rollback(savepoint int) {
 	if savepoint == len(t.mutations) {
 		return
@@ -117,17 +118,17 @@
 	t.setLast(&mutation)
 }
 
-// setLast notes the last mutation of a key.
+// setLast records the last mutation of a key and updates the size.
 func (t *Tx) setLast(mutation *store.Mutation) {
-	if replaced, ok := t.last[mutation.Key]; ok {
-		t.size -= len(replaced.Key) + len(replaced.Value)
+	if previous, ok := t.last[mutation.Key]; ok {
+		t.size -= len(previous.Key) + len(previous.Value)
 	}
 	t.size += len(mutation.Key) + len(mutation.Value)
 	t.last[mutation.Key] = mutation
 }
 
-// SameRecord reports whether two values read from a state are the same memory: what was decoded from one is good for the
-// other. Values don't change once they are put, so one that was written anew is never the same.
+// SameRecord reports whether two values read from a state share the same memory. If they do, the record decoded from one is
+// valid for the other: values are not modified once they are put, and each write of a key has its own memory.
 func SameRecord(a, b []byte) bool {
 	return len(a) > 0 && len(a) == len(b) && &a[0] == &b[0]
 }
--- a/internal/controlplane/transaction/transaction_test.go
+++ b/internal/controlplane/transaction/transaction_test.go
@@ -8,7 +8,7 @@
 	"yarrowridge/internal/controlplane/store"
 )
 
-// open makes a committed state with one key.
+// open returns a committed state with one key.
 func open(t *testing.T) *store.Store {
 	t.Helper()
 	folder, err := store.OpenFolder(t.TempDir())
@@ -37,7 +37,7 @@
 		t.Error("got a key that the batch has deleted")
 	}
 	if value, ok := tx.Committed().Get("old"); !ok || string(value) != "1" {
-		t.Errorf("got %q, %t of the committed state, want it unchanged", value, ok)
+		t.Errorf("got %q, %t of the committed state, want 1, true", value, ok)
 	}
 }
 
@@ -49,10 +49,10 @@
 	tx.PutRaw("other", []byte("failed"))
 	tx.Rollback(savepoint)
 	if value, _ := tx.Get("old"); string(value) != "kept" {
-		t.Errorf("got %q after the rollback, want the operation before it", value)
+		t.Errorf("got %q after the rollback, want the value from before the savepoint", value)
 	}
 	if _, ok := tx.Get("other"); ok {
-		t.Error("got a key of the operation that was rolled back")
+		t.Error("got a key that was set after the savepoint")
 	}
 	if tx.Size() != size || len(tx.Mutations()) != 1 {
 		t.Errorf("got %d bytes in %d mutations, want %d in 1", tx.Size(), len(tx.Mutations()), size)
@@ -78,8 +78,8 @@
 		want bool
 	}{
 		{"one value read twice", record, record, true},
-		{"a value written anew", record, []byte("abc"), false},
-		{"a part of a value", record, record[:2], false},
+		{"a value written again", record, []byte("abc"), false},
+		{"a prefix of a value", record, record[:2], false},
 		{"no values", nil, nil, false},
 		{"a value and none", record, nil, false},
 	} {
@@ -91,7 +91,7 @@
 	}
 }
 
-// The size is that of what is committed: a key that changes again and again counts once.
+// The size counts each key once, with its last mutation, since only that is committed.
 func TestSizeCountsLastMutations(t *testing.T) {
 	tx := New(nil)
 	tx.PutRaw("key", []byte("one"))
