--- a/internal/controlplane/core/backups.go
+++ b/internal/controlplane/core/backups.go
@@ -27,8 +27,8 @@
 		SinceContact: primaryLease.TimeSinceContact, FailedWithin: s.replicator.HasFailedWithin, InSync: s.replicator.IsInSync}
 }
 
-// backupsToKeep lists the backups that respond and have not failed recently, except, at intervals, one that another member in
-// a better zone should replace.
+// backupsToKeep lists the backups that respond and have not failed recently. From time to time it leaves out a backup that a
+// member in a better zone can replace.
 func (s *Server) backupsToKeep(v view.View, primaryLease *lease.Lease, ready bool, ledSince time.Time) []string {
 	choice := s.backupChoice(v, primaryLease)
 	keep := choice.Keep(ready, ledSince)
--- a/internal/controlplane/core/handlers.go
+++ b/internal/controlplane/core/handlers.go
@@ -86,7 +86,7 @@
 	return s.service.Handle(ctx, kind, body)
 }
 
-// requirePrimary returns an error unless this process is a ready primary, which alone may answer certain calls.
+// requirePrimary returns an error unless this process is the primary, accepts writes and holds the lease.
 func (s *Server) requirePrimary() error {
 	v := s.acceptor.View()
 	if v.Primary != s.acceptor.ID() {
