--- a/internal/controlplane/core/disk.go
+++ b/internal/controlplane/core/disk.go
@@ -81,7 +81,7 @@
 
 // reopenStore recovers the state from disk, and reports whether it could. Nothing is stored as backup meanwhile.
 func (s *Server) reopenStore() (recovered bool) {
-	s.backup.Exclusively(func() { recovered = s.reopenStoreLocked() })
+	s.backup.WithLock(func() { recovered = s.reopenStoreLocked() })
 	return recovered
 }
 
--- a/internal/controlplane/core/lead.go
+++ b/internal/controlplane/core/lead.go
@@ -94,7 +94,7 @@
 			s.replicator.Reset()
 		}
 		// What a former primary sent is stored wholly or not at all before we lead on.
-		s.backup.Exclusively(func() {})
+		s.backup.WithLock(func() {})
 		s.renewer.Renew()
 	}
 	return s.leadership.Standing()
--- a/internal/controlplane/replication/backup.go
+++ b/internal/controlplane/replication/backup.go
@@ -35,8 +35,8 @@
 	return &Backup{host: host, acceptor: acceptor, gate: runloop.NewMutex()}
 }
 
-// Exclusively calls do while nothing is stored for a primary.
-func (b *Backup) Exclusively(do func()) {
+// WithLock calls do while nothing is stored for a primary.
+func (b *Backup) WithLock(do func()) {
 	b.gate.Lock()
 	defer b.gate.Unlock()
 	do()
