--- a/internal/controlplane/store/batchfile.go
+++ b/internal/controlplane/store/batchfile.go
@@ -10,16 +10,16 @@
 	"github.com/rotisserie/eris"
 )
 
-// The names of files are part of the stored format.
+// Prefixes of file names, which are part of the stored format.
 const (
 	batchPrefix           = "v-"    // of a batch
-	pendingSnapshotPrefix = "base-" // of a snapshot that has not replaced the batches before it yet
+	pendingSnapshotPrefix = "base-" // of a snapshot that is written but not yet installed
 )
 
-// fileName is the name of the file of a version. Names sort as the versions do.
+// fileName returns the file name of a version. Names sort in the order of their versions.
 func fileName(version uint64) string { return fmt.Sprintf(batchPrefix+"%016x", version) }
 
-// writeBatch writes and syncs a batch under a name.
+// writeBatch writes and syncs a batch to the file with a name.
 func writeBatch(disk Disk, name string, batch Batch) error {
 	raw, err := batch.MarshalMsg(nil)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return disk.Write(name, AddChecksum(raw))
 }
 
-// readBatches reads the batches among the files, and sorts them by version.
+// readBatches reads those of the named files that are batches, and returns them sorted by version.
 func readBatches(disk Disk, names []string, log *slog.Logger) ([]Batch, error) {
 	var batches []Batch
 	for _, name := range names {
@@ -54,7 +54,7 @@
 	return batches, nil
 }
 
-// removeBatches removes the files of batches whose names are selected.
+// removeBatches removes the batch files for whose names selected returns true.
 func removeBatches(disk Disk, selected func(name string) bool) error {
 	names, err := disk.List()
 	if err != nil {
--- a/internal/controlplane/store/checksum.go
+++ b/internal/controlplane/store/checksum.go
@@ -6,15 +6,15 @@
 	"hash/crc32"
 )
 
-// checksumBytes is the length of the CRC-32 at the end of each file, in bytes.
+// checksumBytes is the size of the CRC-32 at the end of each file.
 const checksumBytes = 4
 
-// AddChecksum returns a file's content with a checksum behind it, by which damage is recognized.
+// AddChecksum returns the content of a file with its checksum appended, so that VerifyChecksum can detect damage.
 func AddChecksum(raw []byte) []byte {
 	return binary.BigEndian.AppendUint32(bytes.Clone(raw), crc32.ChecksumIEEE(raw))
 }
 
-// VerifyChecksum returns a file's content without its checksum, and reports whether that was right.
+// VerifyChecksum returns the content of a file without its checksum, and reports whether the checksum matches.
 func VerifyChecksum(file []byte) ([]byte, bool) {
 	if len(file) < checksumBytes {
 		return nil, false
--- a/internal/controlplane/store/compaction.go
+++ b/internal/controlplane/store/compaction.go
@@ -1,20 +1,21 @@
 package store
 
-// When the store compacts by itself.
+// Thresholds of CompactIfNeeded.
 const (
-	minSnapshotBytes     = 8 << 20 // mutations since the last snapshot that are worth a new one, in bytes
-	minCompactedVersions = 64      // the fewest versions that are compacted into one
+	minSnapshotBytes     = 8 << 20 // bytes of mutations since the last snapshot before a new one is written
+	minCompactedVersions = 64      // fewest versions that are merged into a compacted batch
 )
 
-// CompactIfNeeded keeps the number of files low, since each costs time when a process starts. Versions are compacted into
-// one file, the more versions the more compacted files there are; and once more was written since the last snapshot than
-// that holds, a new one is written. So the bytes written stay within a few times those put, however much the state
-// holds, and the number of files grows as the root of the number of versions. It may take a while: call it after
-// responding. An error is one of the disk, as with Append.
+// CompactIfNeeded limits the number of files, because recovery takes time for each of them. It merges
+// versions into a compacted batch once there are enough of them, and this threshold rises by one with each compacted batch.
+// It writes a snapshot once the mutations since the last one are larger than that snapshot. The bytes written thus stay
+// within a small multiple of the bytes of the mutations, whatever the size of the state, and the number of files grows with
+// the square root of the number of versions. It may take long, so call it after responding. Errors mean the same as those
+// of Append.
 func (s *Store) CompactIfNeeded() error {
 	s.mu.RLock()
 	snapshotDue := s.bytesSinceSnapshot > max(minSnapshotBytes, s.snapshotBytes)
-	compactionDue := s.version-s.compactedUpTo >= uint64(minCompactedVersions+s.compactions)
+	compactionDue := s.version-s.compactedUpTo >= uint64(minCompactedVersions+s.compactedBatches)
 	s.mu.RUnlock()
 	switch {
 	case snapshotDue:
@@ -25,10 +26,11 @@
 	return nil
 }
 
-// Compact writes the versions since the last compaction or snapshot as one, in place of the newest of them.
+// Compact merges the versions since the last compaction or snapshot into one batch. Its file replaces that of the newest of
+// these versions.
 func (s *Store) Compact() error {
-	s.writing.Lock()
-	defer s.writing.Unlock()
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
 	s.mu.RLock()
 	batch := Batch{Version: s.version, FirstVersion: s.compactedUpTo + 1, Mutations: s.uncompacted}
 	s.mu.RUnlock()
@@ -40,7 +42,7 @@
 	}
 	s.mu.Lock()
 	s.compactedUpTo, s.uncompacted = batch.Version, nil
-	s.compactions++
+	s.compactedBatches++
 	s.mu.Unlock()
 	return removeBatches(s.disk, func(name string) bool {
 		return name >= fileName(batch.FirstVersion) && name < fileName(batch.Version)
--- a/internal/controlplane/store/disk.go
+++ b/internal/controlplane/store/disk.go
@@ -1,20 +1,20 @@
 package store
 
-// Disk is one data folder. Its files are small enough to be read and written as a whole. Write and Rename return only once
-// the file would outlive a loss of power under its name. A removal lasts once Sync has returned; until then a loss of power
-// may undo any of them by itself. Any call may block for as long as the disk takes; calls for different files may run
+// Disk is one data folder. Its files are small enough to be read and written in one call. When Write or Rename returns, the
+// file is durable under its name. Removals are durable when Sync has returned; until then a power loss may undo each of them
+// independently of the others. Any call may block for as long as the disk takes. Calls for different files may run
 // concurrently.
 type Disk interface {
-	// Write replaces a file atomically: after a loss of power it has the old content or the new one.
+	// Write creates or replaces a file atomically: after a power loss it has either the old content or the new one.
 	Write(name string, data []byte) error
-	// Read returns a file's content; nil and no error where there is no such file.
+	// Read returns the content of a file. If there is no such file, it returns nil and no error.
 	Read(name string) ([]byte, error)
-	// List names the files, in no order to be relied on.
+	// List returns the names of the files, in no particular order.
 	List() ([]string, error)
-	// Remove deletes a file. It is no error that there is none.
+	// Remove deletes a file. A missing file is not an error.
 	Remove(name string) error
-	// Rename gives a file a name, in place of the file that had it.
+	// Rename renames a file and replaces any file that has the new name.
 	Rename(from, to string) error
-	// Sync makes all removals so far last.
+	// Sync makes all previous removals durable.
 	Sync() error
 }
--- a/internal/controlplane/store/filesystem.go
+++ b/internal/controlplane/store/filesystem.go
@@ -5,25 +5,25 @@
 	"strings"
 )
 
-// fileSystem has the steps on a file system that a Folder is made of. What was written or renamed lasts only once the
-// file, or the folder, was synced. Tests have one that loses its power.
+// fileSystem has the file system operations that Folder uses. Written data is durable only after the file is synced; created,
+// renamed and removed names only after the folder is synced. Tests use an implementation that simulates a power loss.
 type fileSystem interface {
 	create(path string) (file, error)
-	syncDir(path string) error // the folder's names
+	syncDir(path string) error // makes changes of names in the folder durable
 	rename(from, to string) error
 	remove(path string) error
 	read(path string) ([]byte, error)
 	list(path string) ([]string, error)
 }
 
-// file is one being written; *os.File is one.
+// file is a file open for writing, such as an *os.File.
 type file interface {
 	Write(data []byte) (int, error)
 	Sync() error
 	Close() error
 }
 
-// osFileSystem is the operating system's file system.
+// osFileSystem is the file system of the operating system.
 type osFileSystem struct{}
 
 func (osFileSystem) rename(from, to string) error     { return os.Rename(from, to) }
--- a/internal/controlplane/store/folder.go
+++ b/internal/controlplane/store/folder.go
@@ -11,24 +11,24 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// unfinishedSuffix ends the name of a file that is being written and does not have its own name yet.
+// unfinishedSuffix is the suffix of the temporary name of a file while it is written.
 const unfinishedSuffix = ".aside"
 
-// Folder is a Disk on the machine's file system. OpenFolder makes one.
+// Folder is a Disk in a folder of the machine's file system. Create it with OpenFolder.
 type Folder struct {
 	Path string
 	fs   fileSystem
 }
 
-// OpenFolder opens a data folder, and creates it where it is missing.
+// OpenFolder opens a data folder, and creates it if it does not exist.
 func OpenFolder(path string) (Folder, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
-		return Folder{}, eris.Wrapf(err, "store: folder %s", path)
+		return Folder{}, eris.Wrapf(err, "store: create folder %s", path)
 	}
 	return Folder{path, osFileSystem{}}, nil
 }
 
-// Write implements Disk: it writes and syncs a file beside the one to replace, renames it and syncs the folder.
+// Write implements Disk: it writes and syncs a temporary file, renames it and syncs the folder.
 func (d Folder) Write(name string, data []byte) error {
 	if faultinjection.Disabled("disk") && strings.HasPrefix(name, batchPrefix) {
 		return nil
@@ -39,7 +39,7 @@
 	return d.Rename(name+unfinishedSuffix, name)
 }
 
-// writeSynced creates a file and syncs its content, not its name.
+// writeSynced creates a file and syncs its content, but not its name in the folder.
 func (d Folder) writeSynced(name string, data []byte) error {
 	file, err := d.fs.create(filepath.Join(d.Path, name))
 	if err != nil {
@@ -75,7 +75,7 @@
 	return raw, eris.Wrapf(err, "store: read %s", name)
 }
 
-// List implements Disk. Folders and hidden files are left out.
+// List implements Disk. It omits subfolders and hidden files.
 func (d Folder) List() ([]string, error) {
 	names, err := d.fs.list(d.Path)
 	return names, eris.Wrap(err, "store: list folder")
--- a/internal/controlplane/store/recovery.go
+++ b/internal/controlplane/store/recovery.go
@@ -12,10 +12,10 @@
 	"yarrowridge/internal/lib/runloop"
 )
 
-// ErrCorrupt means that a version that was written completely is damaged or missing.
+// ErrCorrupt means that a version that had been written completely is damaged or missing.
 var ErrCorrupt = errors.New("store: a version is damaged or missing")
 
-// RemoveIncompleteWrites removes and logs the files whose writing was interrupted. It is called before Open.
+// RemoveIncompleteWrites removes and logs the files left by interrupted writes. It must be called before Open.
 func RemoveIncompleteWrites(disk Disk, log *slog.Logger) error {
 	names, err := disk.List()
 	if err != nil {
@@ -32,10 +32,10 @@
 	return nil
 }
 
-// Open recovers the state from disk. The error is ErrCorrupt where a version is damaged or missing: the caller must then
-// count this disk as blank. Any other error is one of the disk. Only one store may be open on a disk.
+// Open recovers the state from disk. The error is ErrCorrupt if a version is damaged or missing; the caller must then treat
+// the disk as blank. Any other error comes from the disk itself. Only one store may be open on a disk.
 func Open(disk Disk, log *slog.Logger) (*Store, error) {
-	s := &Store{writing: runloop.NewMutex(), disk: disk, values: map[string][]byte{}}
+	s := &Store{writeMu: runloop.NewMutex(), disk: disk, values: map[string][]byte{}}
 	names, err := installPendingSnapshots(disk)
 	if err != nil {
 		return nil, err
@@ -50,14 +50,14 @@
 			first = batch.Version
 		}
 		if !batch.IsSnapshot && first != s.version+1 {
-			return nil, eris.Wrapf(ErrCorrupt, "version %d missing", s.version+1)
+			return nil, eris.Wrapf(ErrCorrupt, "version %d is missing", s.version+1)
 		}
 		s.apply(batch)
 	}
 	return s, nil
 }
 
-// installPendingSnapshots completes the installation of snapshots that was interrupted, and lists the files after that.
+// installPendingSnapshots completes interrupted installations of snapshots, and then returns the names of the files.
 func installPendingSnapshots(disk Disk) ([]string, error) {
 	names, err := disk.List()
 	if err != nil {
@@ -78,8 +78,8 @@
 	return names, nil
 }
 
-// dropSuperseded leaves out the batches that the newest snapshot, or a compacted batch, has replaced: where their removal
-// was interrupted, some are still on disk.
+// dropSuperseded returns the batches without those replaced by the newest snapshot or by a compacted batch. Replaced batches
+// are still on disk if their removal was interrupted. The batches are sorted by version.
 func dropSuperseded(batches []Batch) []Batch {
 	newestSnapshot := 0
 	for i, batch := range batches {
@@ -87,7 +87,7 @@
 			newestSnapshot = i
 		}
 	}
-	var needed []Batch // the newest first
+	var needed []Batch // in descending order until reversed
 	for _, batch := range slices.Backward(batches[newestSnapshot:]) {
 		if n := len(needed); n > 0 && needed[n-1].FirstVersion > 0 && batch.Version >= needed[n-1].FirstVersion && !batch.IsSnapshot {
 			continue
--- a/internal/controlplane/store/snapshot.go
+++ b/internal/controlplane/store/snapshot.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Snapshot returns the state as a batch that replaces all before it.
+// Snapshot returns the state as a batch that replaces all earlier ones.
 func (s *Store) Snapshot() Batch {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -17,13 +17,13 @@
 	return batch
 }
 
-// WriteSnapshot writes the state as a snapshot in place of the newest version, and removes the older ones.
+// WriteSnapshot replaces the newest version on disk by a snapshot of the state, and removes all older versions.
 func (s *Store) WriteSnapshot() error { return s.Append(s.Snapshot()) }
 
-// appendSnapshot replaces the state by a snapshot. The caller holds s.writing.
+// appendSnapshot replaces the state by a snapshot. The caller holds s.writeMu.
 //
-// The snapshot is complete on disk, beside what it replaces, before any of that is removed: a compacted batch may have
-// what was acknowledged together with what never was.
+// The snapshot is written completely, to a pending file, before any batch is removed: a removed compacted batch may contain
+// acknowledged mutations as well as those that never were.
 func (s *Store) appendSnapshot(batch Batch) error {
 	if err := writeBatch(s.disk, pendingSnapshotPrefix+fileName(batch.Version), batch); err != nil {
 		return err
@@ -35,9 +35,9 @@
 	return removeBatches(s.disk, func(name string) bool { return name < fileName(batch.Version) })
 }
 
-// installSnapshot renames a pending snapshot to its final name. Versions above it belong to a history that was never
-// acknowledged. Their removal lasts before the snapshot is renamed: beside it they would count as what followed, or as
-// a gap.
+// installSnapshot renames a pending snapshot to its final name. Newer versions on disk belong to a history that was never
+// acknowledged. They are removed, and the removal is synced, before the rename: next to the installed snapshot, recovery would
+// apply them or report a gap.
 func installSnapshot(disk Disk, version uint64) error {
 	if err := removeBatches(disk, func(name string) bool { return name > fileName(version) }); err != nil {
 		return err
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -1,6 +1,6 @@
-// Package store keeps a key-value state in memory and its write-ahead log on disk: one file for each batch of mutations
-// that are synced together, numbered by version. Compaction replaces many files by one, and a snapshot replaces all
-// before it. The state after a start is that of the newest snapshot and the batches that follow on it.
+// Package store keeps a key-value state in memory and its write-ahead log on disk. The log has one file, numbered by
+// version, for each batch of mutations that are synced together. Compaction merges many files into one; a snapshot replaces
+// all older files. Recovery applies the newest snapshot and the batches after it.
 package store
 
 import (
@@ -13,37 +13,37 @@
 	"yarrowridge/internal/lib/runloop"
 )
 
-// ErrGap means that a batch does not follow on the newest version.
-var ErrGap = errors.New("store: batch does not follow")
+// ErrGap means that the version of a batch is not the one after the newest version.
+var ErrGap = errors.New("store: batch does not follow the newest version")
 
-// errClosed ends a write to a closed store.
+// errClosed is returned by writes to a closed store.
 var errClosed = errors.New("store: closed")
 
 // Store is the state on one disk. All methods may be called concurrently; reads never wait for the disk.
 type Store struct {
 	disk Disk
 
-	writing runloop.Mutex // held over each write to disk; guards closed
+	writeMu runloop.Mutex // held during each write to disk; guards closed
 	closed  bool
 
-	mu                 sync.RWMutex // guards the fields below; never held over a write to disk
-	version            uint64       // the newest one
+	mu                 sync.RWMutex // guards the fields below; never held during a write to disk
+	version            uint64       // the newest version
 	values             map[string][]byte
-	compactedUpTo      uint64     // the newest version that is in a compacted batch or a snapshot
-	uncompacted        []Mutation // of the versions after that
-	compactions        int        // compacted batches since the last snapshot
-	bytesSinceSnapshot int        // bytes of the mutations since the last snapshot
-	snapshotBytes      int        // bytes of the last snapshot
+	compactedUpTo      uint64     // the newest version in a compacted batch or a snapshot
+	uncompacted        []Mutation // of the versions after compactedUpTo
+	compactedBatches   int        // since the last snapshot
+	bytesSinceSnapshot int        // keys and values of the mutations since the last snapshot
+	snapshotBytes      int        // keys and values of the last snapshot
 }
 
-// Version is the newest version.
+// Version returns the newest version.
 func (s *Store) Version() uint64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.version
 }
 
-// Get reads a key. The value must not be changed.
+// Get returns the value of a key. The caller must not modify it.
 func (s *Store) Get(key string) (value []byte, ok bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -51,7 +51,8 @@
 	return value, ok
 }
 
-// ForEachWithPrefix visits all keys with a prefix, in no order. visit must not call the store, nor change the value.
+// ForEachWithPrefix calls visit for all keys with a prefix, in no particular order. visit must not call the store or modify
+// the value.
 func (s *Store) ForEachWithPrefix(prefix string, visit func(key string, value []byte)) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -62,11 +63,12 @@
 	}
 }
 
-// Append writes and syncs one batch, and then applies it. A batch must follow on the newest version (else ErrGap), or be a
-// snapshot, which replaces all. After any other error it is unknown what is on disk: the caller must stop leading.
+// Append writes and syncs a batch, then applies it. The batch must be the version after the newest one, or a snapshot, which
+// replaces the whole state; otherwise the error is ErrGap. After any other error the contents of the disk are unknown, and a
+// primary must stop leading.
 func (s *Store) Append(batch Batch) error {
-	s.writing.Lock()
-	defer s.writing.Unlock()
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
 	if s.closed {
 		return errClosed
 	}
@@ -74,7 +76,7 @@
 		return s.appendSnapshot(batch)
 	}
 	if current := s.Version(); batch.Version != current+1 {
-		return eris.Wrapf(ErrGap, "have %d, got %d", current, batch.Version)
+		return eris.Wrapf(ErrGap, "newest version is %d, batch has version %d", current, batch.Version)
 	}
 	if err := writeBatch(s.disk, fileName(batch.Version), batch); err != nil {
 		return err
@@ -83,23 +85,23 @@
 	return nil
 }
 
-// Close waits for a write that is under way and rejects all later ones.
+// Close waits for a write in progress and makes all later ones fail.
 func (s *Store) Close() {
-	s.writing.Lock()
-	defer s.writing.Unlock()
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
 	s.closed = true
 }
 
-// apply applies a batch that is on disk to the state in memory.
+// apply applies a batch that is already on disk to the state in memory.
 func (s *Store) apply(batch Batch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if batch.IsSnapshot {
 		s.values = map[string][]byte{}
-		s.bytesSinceSnapshot, s.compactions = 0, 0
+		s.bytesSinceSnapshot, s.compactedBatches = 0, 0
 	}
 	if batch.FirstVersion > 0 {
-		s.compactions++
+		s.compactedBatches++
 	}
 	if batch.IsSnapshot || batch.FirstVersion > 0 {
 		s.compactedUpTo, s.uncompacted = batch.Version, nil
