--- a/internal/controlplane/replication/backup.go
+++ b/internal/controlplane/replication/backup.go
@@ -12,39 +12,40 @@
 
 // Host is the process that a backup runs in. Its methods may be called concurrently and do not block.
 type Host interface {
-	// Store is the open store. It is replaced after the disk failed.
+	// Store returns the open store. Another one is opened when a failed disk has recovered.
 	Store() *store.Store
-	// HasDiskFailed reports whether the disk can't be relied on now.
+	// HasDiskFailed reports whether the disk has failed and has not recovered yet.
 	HasDiskFailed() bool
-	// FailDisk records that the disk can't be relied on.
+	// FailDisk records that the disk has failed.
 	FailDisk(err error)
 }
 
-// Backup stores what the primary sends. Its methods may be called concurrently.
+// Backup stores the batches and snapshots that the primary sends. Its methods may be called concurrently.
 type Backup struct {
 	host     Host
 	acceptor *paxos.Acceptor
 
-	gate         runloop.Mutex     // held while a batch or a snapshot is stored; guards the fields below
-	incoming     *incomingSnapshot // the one of which chunks arrive; nil: none
-	lastSnapshot snapshotNumber    // the newest one begun
+	mu           runloop.Mutex     // held while a batch or a snapshot is stored; guards the fields below
+	incoming     *incomingSnapshot // nil if no snapshot is being received
+	lastSnapshot snapshotNumber    // the newest snapshot of which the first chunk was received
 }
 
-// NewBackup makes the backup's side of a process.
+// NewBackup returns the backup's side of replication in a process.
 func NewBackup(host Host, acceptor *paxos.Acceptor) *Backup {
-	return &Backup{host: host, acceptor: acceptor, gate: runloop.NewMutex()}
+	return &Backup{host: host, acceptor: acceptor, mu: runloop.NewMutex()}
 }
 
-// WithLock calls do while nothing is stored for a primary.
+// WithLock calls do under the lock that is held while a batch or a snapshot is stored for a primary.
 func (b *Backup) WithLock(do func()) {
-	b.gate.Lock()
-	defer b.gate.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	do()
 }
 
-// checkPrimary reports whether we may store state for this view's primary; anything older is rejected. A batch is stored by
-// backups of the view only, a snapshot by any member: it is how one becomes a backup. The caller holds the gate.
-func (b *Backup) checkPrimary(v view.View, primary string, asBackup bool) error {
+// checkPrimary returns an error if this process must not store state for the primary of a view, in particular if it knows a
+// newer view. Batches are stored by backups of the view only (mustBeBackup); snapshots by any member, since a member receives
+// one before it becomes a backup. The caller holds b.mu.
+func (b *Backup) checkPrimary(v view.View, primary string, mustBeBackup bool) error {
 	if b.host.HasDiskFailed() {
 		return wire.StatusError{Code: coreapi.CodeDiskFailed}
 	}
@@ -59,22 +60,22 @@
 		return wire.StatusError{Code: coreapi.CodeStaleEpoch}
 	}
 	id := b.acceptor.ID()
-	if !current.IsBackup(id) && (asBackup || !current.HasMember(id)) {
+	if !current.IsBackup(id) && (mustBeBackup || !current.HasMember(id)) {
 		return wire.StatusError{Code: coreapi.CodeNotBackup}
 	}
 	return nil
 }
 
-// diskError records an error of the disk, and is the response to it.
+// diskError records a disk failure and returns the error for the primary.
 func (b *Backup) diskError(err error) error {
 	b.host.FailDisk(err)
 	return wire.StatusError{Code: coreapi.CodeDiskFailed}
 }
 
-// HandleReplicate stores a batch, which must follow on the newest version. It returns once the batch is synced.
+// HandleReplicate stores a batch, which must be the version after the newest one. It returns once the batch is synced.
 func (b *Backup) HandleReplicate(request *ReplicateRequest) (*ReplicateResponse, error) {
-	b.gate.Lock()
-	defer b.gate.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	if err := b.checkPrimary(request.View, request.Primary, true); err != nil {
 		return nil, err
 	}
@@ -85,23 +86,24 @@
 	if err := replica.Append(request.Batch); err != nil {
 		return nil, b.diskError(err)
 	}
-	go b.compact(replica) // the primary need not wait for it
+	go b.compact(replica) // the primary does not wait for it
 	return &ReplicateResponse{ID: b.acceptor.ID()}, nil
 }
 
-// compact compacts a store where that is due.
+// compact compacts a store if needed.
 func (b *Backup) compact(replica *store.Store) {
-	b.gate.Lock()
-	defer b.gate.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	if err := replica.CompactIfNeeded(); err != nil {
 		b.host.FailDisk(err)
 	}
 }
 
-// HandleSnapshot takes one chunk of the primary's whole state, and with the last one replaces ours by it.
+// HandleSnapshot receives one chunk of a snapshot of the primary's state. The last chunk makes it replace the state of this
+// process.
 func (b *Backup) HandleSnapshot(request *SnapshotRequest) (*ReplicateResponse, error) {
-	b.gate.Lock()
-	defer b.gate.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	if err := b.checkPrimary(request.View, request.Primary, false); err != nil {
 		return nil, err
 	}
@@ -121,10 +123,11 @@
 	return &ReplicateResponse{ID: b.acceptor.ID()}, nil
 }
 
-// incomingFor is the snapshot of which chunks arrive, which a first chunk begins. A snapshot that was begun before the
-// newest one known here was delayed: writes may have been acknowledged since, and must stay. The caller holds the gate.
+// incomingFor returns the snapshot that is being received, which may be another one than that of the request, or nil. The first
+// chunk of a snapshot begins it, unless it is not newer than the newest one received: it was then delayed, and must not
+// replace writes that may have been acknowledged since. The caller holds b.mu.
 func (b *Backup) incomingFor(request *SnapshotRequest) *incomingSnapshot {
-	number := numberOf(request)
+	number := snapshotNumberOf(request)
 	if request.Chunk == 0 && (b.lastSnapshot.before(number) || faultinjection.Disabled("late-snapshot")) {
 		b.incoming, b.lastSnapshot = &incomingSnapshot{number: number}, number
 	}
--- a/internal/controlplane/replication/incoming.go
+++ b/internal/controlplane/replication/incoming.go
@@ -2,30 +2,31 @@
 
 import "yarrowridge/internal/controlplane/store"
 
-// incomingSnapshot is what a backup has of a snapshot whose chunks arrive.
+// incomingSnapshot is a snapshot of which a backup has received some chunks.
 type incomingSnapshot struct {
 	number    snapshotNumber
-	nextChunk int // the one expected
+	nextChunk int // the next expected chunk
 	mutations []store.Mutation
 }
 
-// expects reports whether a chunk is the next one of this snapshot.
+// expects reports whether a request carries the next chunk of this snapshot.
 func (i *incomingSnapshot) expects(request *SnapshotRequest) bool {
-	return i.number == numberOf(request) && i.nextChunk == request.Chunk
+	return i.number == snapshotNumberOf(request) && i.nextChunk == request.Chunk
 }
 
-// snapshotNumber orders the snapshots that a backup is sent: an epoch is led by one run of one process, which counts them.
+// snapshotNumber orders the snapshots sent to a backup. The primary of an epoch is one run of one process, which numbers its
+// snapshots.
 type snapshotNumber struct {
 	epoch    uint64
-	snapshot uint64
+	sequence uint64
 }
 
-// numberOf is the number of the snapshot that a chunk belongs to.
-func numberOf(request *SnapshotRequest) snapshotNumber {
-	return snapshotNumber{epoch: request.View.Epoch, snapshot: request.Snapshot}
+// snapshotNumberOf returns the number of the snapshot that a request's chunk belongs to.
+func snapshotNumberOf(request *SnapshotRequest) snapshotNumber {
+	return snapshotNumber{epoch: request.View.Epoch, sequence: request.Snapshot}
 }
 
-// before reports whether a snapshot was begun before another.
+// before reports whether the snapshot with this number was begun before another one.
 func (n snapshotNumber) before(other snapshotNumber) bool {
-	return n.epoch < other.epoch || n.epoch == other.epoch && n.snapshot < other.snapshot
+	return n.epoch < other.epoch || n.epoch == other.epoch && n.sequence < other.sequence
 }
--- a/internal/controlplane/replication/replicator.go
+++ b/internal/controlplane/replication/replicator.go
@@ -1,6 +1,6 @@
-// Package replication copies the primary's state to its backups: each committed batch, and snapshots of the whole state to
-// members that become backups. Replicator is the primary's side, Backup the other one. Which members are backups is the
-// caller's choice, and that of the view.
+// Package replication replicates the primary's state: it sends each batch to the backups of the view, and snapshots of the
+// whole state to members that are to become backups. Replicator is the primary's side, Backup the receiving side. The caller
+// chooses the members that become backups.
 package replication
 
 import (
@@ -19,53 +19,53 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// How long backups may take. A client's write waits for all of them.
+// Timeouts of requests to backups. A client's write waits for all backups of the view.
 const (
 	snapshotTimeout  = 2 * time.Second        // for one chunk of a snapshot
-	replicateTimeout = 600 * time.Millisecond // for a batch; a backup that is slower is replaced
-	suspectAfter     = 100 * time.Millisecond // a backup that has not stored a batch by then is pinged
-	pingTimeout      = 150 * time.Millisecond // and replaced if it does not answer within this
+	replicateTimeout = 600 * time.Millisecond // for a batch; a slower backup is replaced
+	basePingDelay    = 100 * time.Millisecond // a backup that has not stored a batch after this and sendTime is pinged
+	pingTimeout      = 150 * time.Millisecond // for the ping; a backup that does not answer it is replaced
 )
 
 const (
-	maxChunkBytes         = 1 << 20 // state in one SnapshotRequest
-	assumedBytesPerSecond = 1 << 20 // of the slowest link to a backup
+	snapshotChunkBytes    = 1 << 20 // a SnapshotRequest is sent once its mutations exceed this size
+	assumedBytesPerSecond = 1 << 20 // over the slowest link to a backup
 )
 
-// errBackupSilent ends the wait for a backup that does not answer a ping.
-var errBackupSilent = errors.New("replication: no answer to ping")
+// errPingFailed is the cause with which a request to a backup is canceled if the backup does not answer a ping.
+var errPingFailed = errors.New("replication: backup did not answer a ping")
 
-// Replicator is the primary's side. The run loop's goroutine owns it; only Replicate may run in another one, while the run
-// loop waits for it.
+// Replicator is the primary's side of replication. Only the goroutine of the run loop may call its methods, except for
+// Replicate, which uses no mutable field.
 type Replicator struct {
 	ctx    daemon.Context
-	id     func() string // of this process
+	id     func() string // identity of this process
 	call   paxos.CallFunc
-	inSync map[string]bool // the backups that have all we have, in this run
+	inSync map[string]bool // members known to have the whole state of this process
 
-	snapshots uint64               // begun so far
-	failedAt  map[string]time.Time // members that lately failed as backup
+	lastSnapshot uint64               // number of the last snapshot begun; from 1
+	failedAt     map[string]time.Time // when a member last failed as a backup
 }
 
-// NewReplicator makes a replicator for the process with an identity. Its requests end with ctx.
+// NewReplicator returns a replicator for the process whose identity id returns. Its requests are canceled when ctx ends.
 func NewReplicator(ctx daemon.Context, id func() string, call paxos.CallFunc) *Replicator {
 	return &Replicator{ctx: ctx, id: id, call: call, inSync: map[string]bool{}, failedAt: map[string]time.Time{}}
 }
 
-// IsInSync reports whether a member is known to have all we have.
+// IsInSync reports whether a member is known to have the whole state of this process.
 func (r *Replicator) IsInSync(id string) bool { return r.inSync[id] }
 
-// MarkOutOfSync has members get a snapshot before they count as in sync again.
+// MarkOutOfSync makes members count as out of sync until they have stored a snapshot.
 func (r *Replicator) MarkOutOfSync(ids []string) {
 	for _, id := range ids {
 		delete(r.inSync, id)
 	}
 }
 
-// Reset has all members get a snapshot before they count as in sync again: another process may have led since.
+// Reset marks all members as out of sync, since another process may have been primary in the meantime.
 func (r *Replicator) Reset() { clear(r.inSync) }
 
-// RecordFailures records that members failed as backups, and do not have all we have.
+// RecordFailures records that members failed as backups, and marks them as out of sync.
 func (r *Replicator) RecordFailures(ids []string) {
 	for _, id := range ids {
 		delete(r.inSync, id)
@@ -73,13 +73,13 @@
 	}
 }
 
-// HasFailedWithin reports whether a member failed as backup within the span.
+// HasFailedWithin reports whether a member has failed as a backup less than span ago.
 func (r *Replicator) HasFailedWithin(id string, span time.Duration) bool {
 	return time.Since(r.failedAt[id]) < span
 }
 
-// SendSnapshots brings those of the members that are out of sync to exactly the state of a store, and returns the members
-// that are in sync then.
+// SendSnapshots replaces the state of those of the members that are out of sync by that of a store. It returns the members
+// that are in sync afterwards.
 func (r *Replicator) SendSnapshots(v view.View, ids []string, state *store.Store) []string {
 	var outOfSync []string
 	for _, id := range ids {
@@ -92,8 +92,8 @@
 	}
 	if len(outOfSync) > 0 {
 		snapshot := state.Snapshot()
-		r.snapshots++
-		failed := forAll(outOfSync, func(id string) bool { return r.sendSnapshot(v, id, snapshot, r.snapshots) })
+		r.lastSnapshot++
+		failed := forAll(outOfSync, func(id string) bool { return r.sendSnapshot(v, id, snapshot, r.lastSnapshot) })
 		for _, id := range outOfSync {
 			r.inSync[id] = true
 		}
@@ -108,7 +108,7 @@
 	return inSync
 }
 
-// forAll calls do for all identities at once, and returns those for which it was false.
+// forAll calls do for all identities concurrently, and returns those for which it returned false.
 func forAll(ids []string, do func(id string) bool) []string {
 	var mu sync.Mutex
 	var pending sync.WaitGroup
@@ -126,7 +126,7 @@
 	return failed
 }
 
-// sendSnapshot sends the whole state to one member, in chunks, and reports whether it stored them.
+// sendSnapshot sends a snapshot to one member, in chunks, and reports whether the member stored it.
 func (r *Replicator) sendSnapshot(v view.View, id string, snapshot store.Batch, number uint64) bool {
 	request := SnapshotRequest{View: v, Primary: r.id(), Snapshot: number, Version: snapshot.Version}
 	size := 0
@@ -141,7 +141,7 @@
 	}
 	for _, mutation := range snapshot.Mutations {
 		request.Mutations = append(request.Mutations, mutation)
-		if size += len(mutation.Key) + len(mutation.Value); size > maxChunkBytes && !send() {
+		if size += len(mutation.Key) + len(mutation.Value); size > snapshotChunkBytes && !send() {
 			return false
 		}
 	}
@@ -149,12 +149,12 @@
 	return send()
 }
 
-// Replicate has every backup of the view store a batch, and returns those that did not.
+// Replicate sends a batch to all backups of the view, and returns those that did not store it.
 func (r *Replicator) Replicate(v view.View, batch store.Batch) []string {
 	request := &ReplicateRequest{View: v, Primary: v.Primary, Batch: batch}
-	pingAfter := suspectAfter + sendTime(batch)
+	pingDelay := basePingDelay + sendTime(batch)
 	return forAll(v.Backups(), func(id string) bool {
-		err := r.replicateTo(v, id, request, pingAfter)
+		err := r.replicateTo(v, id, request, pingDelay)
 		if err != nil {
 			r.ctx.Log.Warn("Backup did not store a batch.", "peer", v.Addr(id), "error", err.Error())
 		}
@@ -162,14 +162,14 @@
 	})
 }
 
-// replicateTo has one backup store a batch. All writes wait for it meanwhile, so one that does not even answer a ping is
-// given up sooner than one whose disk is slow.
-func (r *Replicator) replicateTo(v view.View, id string, request *ReplicateRequest, pingAfter time.Duration) error {
+// replicateTo sends a batch to one backup and waits until the backup has stored it. All writes wait meanwhile, so the timeout
+// is shorter for a backup that does not answer a ping than for one whose disk is slow.
+func (r *Replicator) replicateTo(v view.View, id string, request *ReplicateRequest, pingDelay time.Duration) error {
 	ctx, cancel := context.WithCancelCause(r.ctx)
 	defer cancel(nil)
-	ping := time.AfterFunc(pingAfter, func() {
+	ping := time.AfterFunc(pingDelay, func() {
 		if !r.isAlive(ctx, v.Addr(id)) {
-			cancel(errBackupSilent)
+			cancel(errPingFailed)
 		}
 	})
 	defer ping.Stop()
@@ -180,7 +180,7 @@
 	return err
 }
 
-// sendTime is how long a batch may take to be sent: a ping to the backup waits behind it.
+// sendTime returns how long the sending of a batch may take. A ping to the backup is queued behind the batch.
 func sendTime(batch store.Batch) time.Duration {
 	size := 0
 	for _, mutation := range batch.Mutations {
@@ -189,7 +189,7 @@
 	return time.Duration(size) * time.Second / assumedBytesPerSecond
 }
 
-// isAlive reports whether the process at an address answers a ping.
+// isAlive reports whether the process at an address answers a ping within pingTimeout.
 func (r *Replicator) isAlive(ctx context.Context, addr string) bool {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
@@ -197,7 +197,7 @@
 	return err == nil
 }
 
-// callBackup asks a backup to store something. Another process at its address may not answer for it.
+// callBackup sends a request to a backup. It returns an error if a process with another identity answers at its address.
 func (r *Replicator) callBackup(ctx context.Context, v view.View, id, kind string, request msgp.Marshaler, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/controlplane/store/compaction.go
+++ b/internal/controlplane/store/compaction.go
@@ -6,12 +6,11 @@
 	minCompactedVersions = 64      // fewest versions that are merged into a compacted batch
 )
 
-// CompactIfNeeded limits the number of files, because recovery takes time for each of them. It merges
-// versions into a compacted batch once there are enough of them, and this threshold rises by one with each compacted batch.
-// It writes a snapshot once the mutations since the last one are larger than that snapshot. The bytes written thus stay
-// within a small multiple of the bytes of the mutations, whatever the size of the state, and the number of files grows with
-// the square root of the number of versions. It may take long, so call it after responding. Errors mean the same as those
-// of Append.
+// CompactIfNeeded limits the number of files, because recovery takes time for each of them. It merges versions into a
+// compacted batch once there are enough of them; this threshold rises by one with each compacted batch. It writes a snapshot
+// once the mutations since the last one are larger than that snapshot. The bytes written thus stay within a small multiple of
+// the bytes of the mutations, whatever the size of the state, and the number of files grows with the square root of the
+// number of versions. It may take long, so call it after responding. Errors mean the same as those of Append.
 func (s *Store) CompactIfNeeded() error {
 	s.mu.RLock()
 	snapshotDue := s.bytesSinceSnapshot > max(minSnapshotBytes, s.snapshotBytes)
