--- a/internal/controlplane/idempotency/claims.go
+++ b/internal/controlplane/idempotency/claims.go
@@ -1,6 +1,6 @@
-// Package idempotency is the state machine of idempotency keys: who claimed a key, the response with which the claimed
-// request was completed, and, long after that is gone, that the key was used. It sees a batch of the core's state and does
-// no I/O; the core submits its operations and commits the batch.
+// Package idempotency is the state machine of idempotency keys: which claimant a key was granted to, the response with which
+// the claimed request was completed, and, long after that response has expired, that the key was used. It operates on a batch
+// of the core's state and does no I/O; the core submits its operations and commits the batch.
 package idempotency
 
 import (
@@ -13,40 +13,40 @@
 	"yarrowridge/internal/controlplane/transaction"
 )
 
-// claimPrefix begins the keys of claims.
+// claimPrefix is the prefix of the store keys of claims.
 const claimPrefix = "claim/"
 
 // Claims grants, completes, releases and expires claims. Only the goroutine of the core's run loop may call its methods.
 type Claims struct {
-	maxFinishedKeys func() int // by the configuration in force
+	maxFinishedKeys func() int // limit in the current configuration
 	finished        finishedKeys
-	writtenChunks   int                  // chunks of finished keys written by this run of the process
-	firstSeen       map[string]time.Time // by this run of the process: claims, and chunks of the finished keys
+	writtenChunks   int                  // chunks of finished keys written by this run of the process; makes their keys unique
+	firstSeen       map[string]time.Time // when this run of the process first saw a claim or a chunk, by store key
 }
 
-// New makes the state machine. maxFinishedKeys gives the most finished keys that are kept; it is asked only for claims of
-// new keys, within Claim.
+// New returns the state machine. maxFinishedKeys returns the number of finished keys at which no more keys are granted. It is
+// called only by Claim, and only before a key is granted.
 func New(maxFinishedKeys func() int) *Claims {
 	return &Claims{maxFinishedKeys: maxFinishedKeys}
 }
 
-// Load reads what it keeps in memory anew from a committed state: the core begins to lead.
+// Load rebuilds the in-memory state from a committed state. It must be called when this process becomes primary.
 func (c *Claims) Load(committed *store.Store) { c.finished.load(committed) }
 
-// ApplyCommitted follows a batch that was committed.
+// ApplyCommitted updates the in-memory state after a batch was committed.
 func (c *Claims) ApplyCommitted(tx *transaction.Tx) { c.finished.applyAll(tx.Mutations()) }
 
-// Claim grants an idempotency key to the first claimant, and tells the others what became of it. isRunAlive reports
-// whether a run of a node may still be at work on the request that it claimed; it is asked only about a claim that was
-// neither completed nor released.
+// Claim grants an idempotency key to its first claimant; the response to any other claimant has the state of that claim.
+// isRunAlive reports whether a run of a node may still be processing the request that it claimed. It is called only for a claim
+// that is neither completed nor released.
 func (c *Claims) Claim(tx *transaction.Tx, request *coreapi.ClaimRequest, response *coreapi.ClaimResponse, isRunAlive func(node string, run uint64) bool) error {
-	stored, known, err := readClaim(tx, request.Key)
+	stored, found, err := readClaim(tx, request.Key)
 	if err != nil {
 		return err
 	}
 	isOwn := stored.Claimant == request.Claim.Claimant
-	if !known || stored.State == coreapi.ClaimReleased && !isOwn {
-		return c.grantClaim(tx, request, response, known)
+	if !found || stored.State == coreapi.ClaimReleased && !isOwn {
+		return c.grantClaim(tx, request, response, found)
 	}
 	if stored.State == coreapi.ClaimReleased {
 		response.Claim = stored
@@ -63,10 +63,11 @@
 	return nil
 }
 
-// grantClaim grants a key that nobody has claimed, unless it was used before or too many finished keys are kept.
-func (c *Claims) grantClaim(tx *transaction.Tx, request *coreapi.ClaimRequest, response *coreapi.ClaimResponse, known bool) error {
+// grantClaim grants a key that is unclaimed, or that another claimant has released. It does not grant a finished key, or any key
+// while there are too many finished keys.
+func (c *Claims) grantClaim(tx *transaction.Tx, request *coreapi.ClaimRequest, response *coreapi.ClaimResponse, isReleased bool) error {
 	switch {
-	case !known && c.finished.has(tx, keyHash(request.Key)):
+	case !isReleased && c.finished.contains(tx, keyHash(request.Key)):
 		response.AlreadyRan = true
 		return nil
 	case c.finished.count >= c.maxFinishedKeys():
@@ -77,47 +78,47 @@
 	return tx.Put(claimPrefix+request.Key, &request.Claim)
 }
 
-// Complete records the outcome of a claimed request, or releases its key. It changes nothing where the claim is another
-// claimant's, or was completed or released before.
+// Complete records the outcome of a claimed request, or releases its key. It does nothing if the key is claimed by another
+// claimant, or if the claim has already been completed or released.
 func (c *Claims) Complete(tx *transaction.Tx, request *coreapi.CompleteClaimRequest) error {
-	stored, known, err := readClaim(tx, request.Key)
+	stored, found, err := readClaim(tx, request.Key)
 	if err != nil {
 		return err
 	}
-	if known && stored.Claimant != request.Claim.Claimant || stored.State != coreapi.ClaimRunning {
+	if found && stored.Claimant != request.Claim.Claimant || stored.State != coreapi.ClaimRunning {
 		return nil
 	}
 	key := claimPrefix + request.Key
 	switch {
 	case request.Release:
-		// The request for the claim may still be in flight: it must find that the claim was released.
+		// The claim request itself may still be in flight: when it arrives, it must not be granted.
 		return tx.Put(key, &coreapi.Claim{Claimant: request.Claim.Claimant, State: coreapi.ClaimReleased})
-	case known:
+	case found:
 		return tx.Put(key, &request.Claim)
 	}
 	return nil
 }
 
-// readClaim reads the claim of a key. known is false where there is none.
-func readClaim(tx *transaction.Tx, key string) (claim coreapi.Claim, known bool, err error) {
-	raw, known := tx.Get(claimPrefix + key)
-	if !known {
+// readClaim reads the claim of a key. found is false if there is none.
+func readClaim(tx *transaction.Tx, key string) (claim coreapi.Claim, found bool, err error) {
+	raw, found := tx.Get(claimPrefix + key)
+	if !found {
 		return claim, false, nil
 	}
 	if _, err := claim.UnmarshalMsg(raw); err != nil {
-		return claim, true, eris.Wrap(err, "idempotency: decode a claim")
+		return claim, true, eris.Wrap(err, "idempotency: decode claim")
 	}
 	return claim, true, nil
 }
 
-// Counts is how much a committed state keeps of idempotency keys.
+// Counts has the number of records of each kind that a committed state has for idempotency keys.
 type Counts struct {
 	Claims            int
 	FinishedKeys      int
-	FinishedKeyChunks int // records that hold the finished keys
+	FinishedKeyChunks int // records that contain the finished keys
 }
 
-// Count counts what a committed state keeps. It is safe for concurrent use.
+// Count counts the records of idempotency keys in a committed state. It is safe for concurrent use.
 func Count(committed *store.Store) Counts {
 	var counts Counts
 	committed.ForEachWithPrefix(claimPrefix, func(string, []byte) { counts.Claims++ })
--- a/internal/controlplane/idempotency/claims_test.go
+++ b/internal/controlplane/idempotency/claims_test.go
@@ -14,12 +14,12 @@
 	"yarrowridge/internal/testing/sim"
 )
 
-// machine is the state machine over a committed state.
+// machine is the state machine with its committed state.
 type machine struct {
 	*Claims
 	t         *testing.T
 	committed *store.Store
-	alive     bool // what is told of every run
+	alive     bool // what isRunAlive returns
 }
 
 func newMachine(t *testing.T, maxFinishedKeys int) *machine {
@@ -31,7 +31,7 @@
 	return &machine{Claims: New(func() int { return maxFinishedKeys }), t: t, committed: committed}
 }
 
-// run makes operations one batch and commits it.
+// run commits one batch made by operations.
 func (m *machine) run(operations ...func(*transaction.Tx) error) {
 	m.t.Helper()
 	tx := transaction.New(m.committed)
@@ -49,7 +49,7 @@
 	m.ApplyCommitted(tx)
 }
 
-// claim claims a key in a batch of its own.
+// claim claims a key in a separate batch.
 func (m *machine) claim(key, claimant, requestHash string) coreapi.ClaimResponse {
 	m.t.Helper()
 	var response coreapi.ClaimResponse
@@ -61,7 +61,7 @@
 	request := &coreapi.ClaimRequest{Key: key, Claim: coreapi.Claim{Claimant: claimant, RequestHash: requestHash, Node: "n", NodeRun: 1}}
 	return m.Claim(tx, request, response, func(node string, run uint64) bool {
 		if node != "n" || run != 1 {
-			m.t.Errorf("got a question about run %d of node %q, want run 1 of n", run, node)
+			m.t.Errorf("isRunAlive: got run %d of node %q, want run 1 of node n", run, node)
 		}
 		return m.alive
 	})
@@ -80,7 +80,7 @@
 		before                func(m *machine)
 		claimant, requestHash string
 		alive                 bool
-		want                  coreapi.ClaimResponse // of its Claim only claimant and state count
+		want                  coreapi.ClaimResponse // only Claimant and State of its Claim are compared
 	}{
 		{name: "a new key", claimant: "b", requestHash: "h", want: coreapi.ClaimResponse{Granted: true}},
 		{name: "the claimant asks again", before: func(m *machine) { m.claim("k", "a", "h") }, claimant: "a", requestHash: "h", want: coreapi.ClaimResponse{Granted: true}},
@@ -118,7 +118,7 @@
 	}
 }
 
-// A claim expires; that its key was used is kept, and found within the very batch that writes it.
+// The key of an expired claim becomes a finished key, which is found already within the batch that writes it.
 func TestExpiredClaimsLeaveFinishedKeys(t *testing.T) {
 	m := newMachine(t, 2)
 	m.claim("k", "a", "h")
@@ -139,7 +139,7 @@
 		t.Errorf("got %+v in the batch that expires the claim, want AlreadyRan", inBatch)
 	}
 	if got := Count(m.committed); got != (Counts{Claims: 1, FinishedKeys: 1, FinishedKeyChunks: 1}) {
-		t.Errorf("got %+v, want the stream's claim and the key that was not released", got)
+		t.Errorf("got %+v, want the claim of the stream and one finished key, which was not released", got)
 	}
 	if got := m.claim("k", "b", "h"); !got.AlreadyRan {
 		t.Errorf("got %+v for a finished key, want AlreadyRan", got)
@@ -148,12 +148,12 @@
 	restarted.Load(m.committed)
 	m.Claims = restarted
 	if got := m.claim("k", "b", "h"); !got.AlreadyRan {
-		t.Errorf("got %+v for a finished key that was loaded, want AlreadyRan", got)
+		t.Errorf("got %+v for a finished key after Load, want AlreadyRan", got)
 	}
 	m.run(m.Sweep(m.committed, begin, limits)...)
 	m.run(m.Sweep(m.committed, begin.Add(2*time.Hour+1), limits)...)
 	if got := m.claim("k", "b", "h"); !got.Granted {
-		t.Errorf("got %+v after the finished key's retention, want it granted", got)
+		t.Errorf("got %+v after the retention of the finished key, want Granted", got)
 	}
 }
 
@@ -161,7 +161,7 @@
 	m := newMachine(t, 2)
 	m.run(func(tx *transaction.Tx) error { m.RecordFinished(tx, []string{"x", "y", "y"}); return nil })
 	if got := m.claim("k", "a", "h"); !got.TooManyKeys {
-		t.Errorf("got %+v with as many finished keys as are kept, want TooManyKeys", got)
+		t.Errorf("got %+v with the maximum number of finished keys, want TooManyKeys", got)
 	}
 	if got := m.claim("x", "a", "h"); !got.AlreadyRan {
 		t.Errorf("got %+v for a finished key, want AlreadyRan", got)
@@ -170,37 +170,37 @@
 
 func TestSmallChunksOfFinishedKeysAreMerged(t *testing.T) {
 	m := newMachine(t, 1000)
-	for i := range finishedMergeAt {
+	for i := range mergeThreshold {
 		m.run(m.mergeFinishedKeys)
 		m.run(func(tx *transaction.Tx) error {
 			m.RecordFinished(tx, []string{fmt.Sprint(i), fmt.Sprint(-i)})
 			return nil
 		})
 	}
-	keys := 2*finishedMergeAt - 1
-	if got := Count(m.committed); got.FinishedKeyChunks != finishedMergeAt || got.FinishedKeys != keys {
-		t.Fatalf("got %+v, want %d chunks of %d keys", got, finishedMergeAt, keys)
+	keys := 2*mergeThreshold - 1
+	if got := Count(m.committed); got.FinishedKeyChunks != mergeThreshold || got.FinishedKeys != keys {
+		t.Fatalf("got %+v, want %d chunks of %d keys", got, mergeThreshold, keys)
 	}
 	m.run(m.mergeFinishedKeys)
 	if got := Count(m.committed); got.FinishedKeyChunks != 1 || got.FinishedKeys != keys || m.finished.count != keys {
 		t.Errorf("got %+v and %d in memory, want one chunk of %d keys", got, m.finished.count, keys)
 	}
-	for i := range finishedMergeAt {
+	for i := range mergeThreshold {
 		if got := m.claim(fmt.Sprint(-i), "a", "h"); !got.AlreadyRan {
 			t.Errorf("got %+v for a key of a merged chunk, want AlreadyRan", got)
 		}
 	}
 }
 
-// After a hand-over very many claims may expire at once: each operation fits a frame.
+// After a change of primary very many claims may expire at once. They are split so that each batch fits into a frame.
 func TestExpiryIsSplitIntoBatches(t *testing.T) {
 	m := newMachine(t, 10)
 	var keys []string
 	for i := range 5 {
-		keys = append(keys, fmt.Sprintf("%s%0*d", claimPrefix, maxExpiredKeyBytes/2, i))
+		keys = append(keys, fmt.Sprintf("%s%0*d", claimPrefix, expiryBatchBytes/2, i))
 	}
 	if got := len(m.expireInBatches(keys)); got != 3 {
-		t.Errorf("got %d operations for five keys of half the bound, want 3", got)
+		t.Errorf("got %d operations for five keys of half the limit, want 3", got)
 	}
 	if got := len(m.expireInBatches(nil)); got != 0 {
 		t.Errorf("got %d operations for no keys, want none", got)
--- a/internal/controlplane/idempotency/expiry.go
+++ b/internal/controlplane/idempotency/expiry.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	maxExpiredKeyBytes   = 1 << 19   // bytes of the keys of claims that expire in one batch
-	streamClaimRetention = time.Hour // of a claim on a stream, at least: a router that was frozen may ask late
+	expiryBatchBytes     = 1 << 19   // size of the keys of claims after which a batch that expires claims is closed
+	streamClaimRetention = time.Hour // minimum for claims of streams, since a router that was frozen may request one late
 )
 
-// Sweep finds what has expired and returns the operations that remove it, for the core to submit in their order; each
-// applies to the state as its batch finds it. Age is counted from when this run of this process first saw a claim or a
-// chunk of the finished keys: a hand-over only makes them last longer.
+// Sweep finds expired claims and expired chunks of finished keys. It returns the operations that remove them, for the core to
+// submit in this order; each applies to the state as of its batch. Age is counted from when this run of the process first saw
+// a claim or a chunk, so that a change of primary can only prolong their retention.
 func (c *Claims) Sweep(committed *store.Store, now time.Time, limits configuration.ClaimLimits) []func(*transaction.Tx) error {
 	firstSeen := make(map[string]time.Time, len(c.firstSeen))
 	isExpired := func(key string, retention time.Duration) bool {
@@ -57,16 +57,16 @@
 	return append(operations, c.mergeFinishedKeys)
 }
 
-// isStreamClaim reports whether a claim is on the right to resume a stream.
+// isStreamClaim reports whether a store key is that of a claim of the right to resume a stream.
 func isStreamClaim(key string) bool { return strings.HasPrefix(key, claimPrefix+coreapi.StreamPrefix) }
 
-// expireInBatches expires claims in several operations: after a hand-over an hour's claims may expire at once, and a batch
-// has to fit a frame.
+// expireInBatches returns operations that expire the claims. They are split, because after a change of primary the claims of an
+// hour may expire at once, and each batch has to fit into a frame.
 func (c *Claims) expireInBatches(keys []string) []func(*transaction.Tx) error {
 	var operations []func(*transaction.Tx) error
 	for from, i, size := 0, 0, 0; i < len(keys); i++ {
 		size += len(keys[i])
-		if size >= maxExpiredKeyBytes || i == len(keys)-1 {
+		if size >= expiryBatchBytes || i == len(keys)-1 {
 			batch := keys[from : i+1]
 			operations = append(operations, func(tx *transaction.Tx) error { return c.expire(tx, batch) })
 			from, size = i+1, 0
@@ -75,16 +75,16 @@
 	return operations
 }
 
-// expire removes claims, and keeps the hashes of the keys whose requests may have run.
+// expire removes claims, and records the keys as finished whose requests may have run.
 func (c *Claims) expire(tx *transaction.Tx, keys []string) error {
 	var hashes []uint64
 	for _, key := range keys {
 		name := strings.TrimPrefix(key, claimPrefix)
-		claim, known, err := readClaim(tx, name)
+		claim, found, err := readClaim(tx, name)
 		if err != nil {
 			return err
 		}
-		if !known {
+		if !found {
 			continue
 		}
 		if claim.State != coreapi.ClaimReleased && !isStreamClaim(key) {
--- a/internal/controlplane/idempotency/finishedkeys.go
+++ b/internal/controlplane/idempotency/finishedkeys.go
@@ -13,37 +13,38 @@
 	"yarrowridge/internal/controlplane/transaction"
 )
 
-// A claim with its response is kept for the configuration's claim retention (claim_keep_s). That its key was used is kept
-// far longer, as eight bytes of the key's hash: in chunks, each the sorted hashes of one sweep, merged as they become many.
+// A claim and its response are kept for the configured claim retention (claim_keep_s). Afterwards eight bytes of the key's
+// hash are kept for a far longer time, as the record that the key was used. The hashes are stored in sorted chunks, each of
+// those that one operation adds; small chunks are merged when there are many.
 const (
-	finishedPrefix    = "ran/"
-	finishedChunkSize = 1 << 17 // hashes in one chunk, so that a chunk fits into a frame many times over
-	finishedMergeAt   = 16      // chunks of less than half that size before they are merged
-	hashBytes         = 8
+	finishedPrefix = "ran/"  // of the store keys of chunks
+	maxChunkHashes = 1 << 17 // hashes in a merged chunk; a frame has room for several such chunks
+	mergeThreshold = 16      // number of chunks with less than half of maxChunkHashes at which they are merged
+	hashBytes      = 8
 )
 
-// keyHash is what is kept of a finished key.
+// keyHash returns the hash that is kept of a finished key.
 func keyHash(key string) uint64 {
 	sum := sha256.Sum256([]byte(key))
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// finishedKeys is the chunks, as committed.
+// finishedKeys has the committed chunks.
 type finishedKeys struct {
 	chunks []store.Mutation
-	count  int // hashes
+	count  int // hashes in all chunks
 }
 
-// countHashes is how many hashes a chunk has.
+// countHashes returns the number of hashes in a chunk.
 func countHashes(chunk store.Mutation) int { return len(chunk.Value) / hashBytes }
 
-// load reads all chunks anew.
+// load replaces the chunks by those of a committed state.
 func (f *finishedKeys) load(committed *store.Store) {
 	*f = finishedKeys{}
 	committed.ForEachWithPrefix(finishedPrefix, func(key string, raw []byte) { f.apply(store.Mutation{Key: key, Value: raw}) })
 }
 
-// applyAll follows the mutations of a committed batch.
+// applyAll applies the mutations of a committed batch.
 func (f *finishedKeys) applyAll(mutations []store.Mutation) {
 	for _, mutation := range mutations {
 		if strings.HasPrefix(mutation.Key, finishedPrefix) {
@@ -52,13 +53,13 @@
 	}
 }
 
-// apply follows a committed mutation of a chunk.
+// apply applies a committed mutation of a chunk.
 func (f *finishedKeys) apply(mutation store.Mutation) {
-	f.chunks = slices.DeleteFunc(f.chunks, func(known store.Mutation) bool {
-		if known.Key == mutation.Key {
-			f.count -= countHashes(known)
+	f.chunks = slices.DeleteFunc(f.chunks, func(existing store.Mutation) bool {
+		if existing.Key == mutation.Key {
+			f.count -= countHashes(existing)
 		}
-		return known.Key == mutation.Key
+		return existing.Key == mutation.Key
 	})
 	if !mutation.Deleted {
 		f.chunks = append(f.chunks, mutation)
@@ -66,25 +67,25 @@
 	}
 }
 
-// has reports whether a key's hash stands in a chunk, one of the same batch included.
-func (f *finishedKeys) has(tx *transaction.Tx, hash uint64) bool {
+// contains reports whether a key's hash is in a committed chunk or in a chunk that the current batch writes.
+func (f *finishedKeys) contains(tx *transaction.Tx, hash uint64) bool {
 	var want [hashBytes]byte
 	binary.BigEndian.PutUint64(want[:], hash)
-	isIn := func(chunk store.Mutation) bool {
+	isInChunk := func(chunk store.Mutation) bool {
 		_, found := sort.Find(countHashes(chunk), func(i int) int {
 			return bytes.Compare(want[:], chunk.Value[i*hashBytes:(i+1)*hashBytes])
 		})
 		return found
 	}
-	if slices.ContainsFunc(f.chunks, isIn) {
+	if slices.ContainsFunc(f.chunks, isInChunk) {
 		return true
 	}
 	return tx.HasTag(finishedPrefix) && slices.ContainsFunc(tx.Mutations(), func(mutation store.Mutation) bool {
-		return strings.HasPrefix(mutation.Key, finishedPrefix) && isIn(mutation)
+		return strings.HasPrefix(mutation.Key, finishedPrefix) && isInChunk(mutation)
 	})
 }
 
-// RecordFinished records that keys were used, in one chunk.
+// RecordFinished records keys as finished, in one chunk.
 func (c *Claims) RecordFinished(tx *transaction.Tx, keys []string) {
 	hashes := make([]uint64, len(keys))
 	for i, key := range keys {
@@ -93,7 +94,7 @@
 	c.putFinishedKeys(tx, hashes)
 }
 
-// putFinishedKeys adds a chunk to a batch.
+// putFinishedKeys writes a chunk with the hashes. It sorts hashes in place.
 func (c *Claims) putFinishedKeys(tx *transaction.Tx, hashes []uint64) {
 	slices.Sort(hashes)
 	hashes = slices.Compact(hashes)
@@ -107,21 +108,21 @@
 	tx.PutRaw(key, raw)
 }
 
-// mergeFinishedKeys makes one chunk of the smallest ones, once there are many small ones.
+// mergeFinishedKeys merges the smallest chunks into one if there are at least mergeThreshold small ones.
 func (c *Claims) mergeFinishedKeys(tx *transaction.Tx) error {
 	var small []store.Mutation
 	for _, chunk := range c.finished.chunks {
-		if countHashes(chunk) < finishedChunkSize/2 {
+		if countHashes(chunk) < maxChunkHashes/2 {
 			small = append(small, chunk)
 		}
 	}
-	if len(small) < finishedMergeAt {
+	if len(small) < mergeThreshold {
 		return nil
 	}
 	slices.SortFunc(small, func(a, b store.Mutation) int { return len(a.Value) - len(b.Value) })
 	var hashes []uint64
-	for _, chunk := range small[:finishedMergeAt] {
-		if len(hashes)+countHashes(chunk) > finishedChunkSize {
+	for _, chunk := range small[:mergeThreshold] {
+		if len(hashes)+countHashes(chunk) > maxChunkHashes {
 			break
 		}
 		for i := 0; i < len(chunk.Value); i += hashBytes {
--- a/internal/controlplane/replication/backup.go
+++ b/internal/controlplane/replication/backup.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// HandleSnapshot receives one chunk of a snapshot of the primary's state. The last chunk makes it replace the state of this
-// process.
+// HandleSnapshot receives one chunk of a snapshot of the primary's state. After the last chunk, the snapshot replaces the state
+// of this process.
 func (b *Backup) HandleSnapshot(request *SnapshotRequest) (*ReplicateResponse, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -123,9 +123,9 @@
 	return &ReplicateResponse{ID: b.acceptor.ID()}, nil
 }
 
-// incomingFor returns the snapshot that is being received, which may be another one than that of the request, or nil. The first
-// chunk of a snapshot begins it, unless it is not newer than the newest one received: it was then delayed, and must not
-// replace writes that may have been acknowledged since. The caller holds b.mu.
+// incomingFor returns the snapshot that is being received: nil if there is none, and possibly another one than that of the
+// request. A first chunk begins a new one only if its snapshot is newer than b.lastSnapshot. Otherwise the chunk was delayed,
+// and the snapshot could undo writes that have been acknowledged since. The caller holds b.mu.
 func (b *Backup) incomingFor(request *SnapshotRequest) *incomingSnapshot {
 	number := snapshotNumberOf(request)
 	if request.Chunk == 0 && (b.lastSnapshot.before(number) || faultinjection.Disabled("late-snapshot")) {
--- a/internal/controlplane/replication/backup_test.go
+++ b/internal/controlplane/replication/backup_test.go
@@ -13,17 +13,17 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// soundHost is a host whose disk works. An error of the disk fails the test.
-type soundHost struct {
+// healthyHost is a host whose disk works. A reported disk failure fails the test.
+type healthyHost struct {
 	t     *testing.T
 	store *store.Store
 }
 
-func (h soundHost) Store() *store.Store { return h.store }
-func (h soundHost) HasDiskFailed() bool { return false }
-func (h soundHost) FailDisk(err error)  { h.t.Errorf("got an error of the disk: %v", err) }
+func (h healthyHost) Store() *store.Store { return h.store }
+func (h healthyHost) HasDiskFailed() bool { return false }
+func (h healthyHost) FailDisk(err error)  { h.t.Errorf("got a disk failure: %v", err) }
 
-// newBackup is a backup with its store, and a view in which it is the backup of p.
+// newBackup returns a backup, its store, and a view in which it is the backup of primary p.
 func newBackup(t *testing.T) (*Backup, *store.Store, view.View) {
 	t.Helper()
 	disk, err := store.OpenFolder(t.TempDir())
@@ -40,11 +40,11 @@
 		t.Fatal(err)
 	}
 	v := view.View{Epoch: 3, Primary: "p", Members: []view.Member{{ID: "p", Addr: "10.0.0.1:1"}, {ID: acceptor.ID(), Addr: "10.0.0.2:1"}}}
-	return NewBackup(soundHost{t, opened}, acceptor), opened, v.WithBackups([]string{acceptor.ID()})
+	return NewBackup(healthyHost{t, opened}, acceptor), opened, v.WithBackups([]string{acceptor.ID()})
 }
 
-// A snapshot whose sender gave it up arrives after the next one, and after writes that were acknowledged since: the backup
-// keeps those.
+// A delayed snapshot, which the primary has given up, arrives after the next snapshot and after an acknowledged write. The
+// backup must reject it and keep that write.
 func TestDelayedSnapshotIsRejected(t *testing.T) {
 	backup, replica, v := newBackup(t)
 	snapshot := func(number, version uint64) error {
@@ -65,7 +65,7 @@
 		}
 	}
 	if _, ok := replica.Get("acknowledged"); !ok || replica.Version() != 8 {
-		t.Errorf("got version %d, acknowledged write present: %v, want version 8 with it", replica.Version(), ok)
+		t.Errorf("got version %d, acknowledged write present: %v, want version 8, true", replica.Version(), ok)
 	}
 	v.Epoch++
 	if err := snapshot(1, 9); err != nil {
