--- a/internal/controlplane/store/power_test.go
+++ b/internal/controlplane/store/power_test.go
@@ -14,38 +14,40 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// volatile is a file system that loses its power after so many steps. What was not synced is lost, or
-// kept in part: the enumeration decides.
-type volatile struct {
-	steps, last int // steps taken; the last one that still happens
-	names       map[string]*inode
-	pending     []func(map[string]*inode) // changes of names since the folder's sync
-	solid       map[string]*inode         // names as of the folder's sync
+// volatileFileSystem is a file system that loses power after a number of steps. afterPowerLoss returns what may be left of it.
+type volatileFileSystem struct {
+	steps, lastStep int // steps taken; the last one before the power loss
+	names           map[string]*inode
+	unsyncedChanges []func(map[string]*inode) // changes of names since the last sync of the folder
+	syncedNames     map[string]*inode         // names as of the last sync of the folder
 }
 
+// inode is the content of a file, and that content as of the last sync of the file.
 type inode struct{ data, synced []byte }
 
-var errPower = errors.New("no power")
+var errPowerLost = errors.New("power lost")
 
-func (v *volatile) step() error {
-	if v.steps++; v.steps > v.last {
-		return errPower
+// step counts a step, and fails if the power is lost before it.
+func (v *volatileFileSystem) step() error {
+	if v.steps++; v.steps > v.lastStep {
+		return errPowerLost
 	}
 	return nil
 }
 
-func (v *volatile) change(do func(map[string]*inode)) {
-	do(v.names)
-	v.pending = append(v.pending, do)
+func (v *volatileFileSystem) changeNames(change func(map[string]*inode)) {
+	change(v.names)
+	v.unsyncedChanges = append(v.unsyncedChanges, change)
 }
 
+// handle is a file open for writing.
 type handle struct {
-	v *volatile
+	v *volatileFileSystem
 	n *inode
 }
 
 func (h handle) Write(b []byte) (int, error) {
-	for half := range 2 { // a write may reach the cache in parts
+	for half := range 2 { // the power loss may come between the halves of a write
 		if err := h.v.step(); err != nil {
 			return 0, err
 		}
@@ -64,20 +66,20 @@
 
 func (h handle) Close() error { return nil }
 
-func (v *volatile) create(path string) (file, error) {
+func (v *volatileFileSystem) create(path string) (file, error) {
 	n := &inode{}
 	if err := v.step(); err != nil {
 		return nil, err
 	}
-	v.change(func(m map[string]*inode) { m[path] = n })
+	v.changeNames(func(m map[string]*inode) { m[path] = n })
 	return handle{v, n}, nil
 }
 
-func (v *volatile) rename(from, to string) error {
+func (v *volatileFileSystem) rename(from, to string) error {
 	if err := v.step(); err != nil {
 		return err
 	}
-	v.change(func(m map[string]*inode) {
+	v.changeNames(func(m map[string]*inode) {
 		if n := m[from]; n != nil {
 			m[to] = n
 			delete(m, from)
@@ -86,33 +88,33 @@
 	return nil
 }
 
-func (v *volatile) remove(path string) error {
+func (v *volatileFileSystem) remove(path string) error {
 	if v.names[path] == nil {
 		return os.ErrNotExist
 	}
 	if err := v.step(); err != nil {
 		return err
 	}
-	v.change(func(m map[string]*inode) { delete(m, path) })
+	v.changeNames(func(m map[string]*inode) { delete(m, path) })
 	return nil
 }
 
-func (v *volatile) syncDir(string) error {
+func (v *volatileFileSystem) syncDir(string) error {
 	if err := v.step(); err != nil {
 		return err
 	}
-	v.solid, v.pending = maps.Clone(v.names), nil
+	v.syncedNames, v.unsyncedChanges = maps.Clone(v.names), nil
 	return nil
 }
 
-func (v *volatile) read(path string) ([]byte, error) {
+func (v *volatileFileSystem) read(path string) ([]byte, error) {
 	if n := v.names[path]; n != nil {
 		return slices.Clone(n.data), nil
 	}
 	return nil, os.ErrNotExist
 }
 
-func (v *volatile) list(string) (out []string, err error) {
+func (v *volatileFileSystem) list(string) (out []string, err error) {
 	for name := range v.names {
 		out = append(out, strings.TrimPrefix(name, "d/"))
 	}
@@ -120,10 +122,11 @@
 	return out, nil
 }
 
-// subsets are the sets of unsynced changes of names that may outlive a loss of power, as bit masks: each change is kept
-// or lost by itself. Where there are too many, those are left out that keep more than one change but the latest ones.
-func (v *volatile) subsets() []uint64 {
-	n := len(v.pending)
+// subsets returns sets of unsynced changes of names that may survive a power loss, as bit masks: each change survives or is
+// lost independently of the others. With more than seven changes it returns the subsets of the first seven, all prefixes, all
+// suffixes, the sets without one change and the sets of one change.
+func (v *volatileFileSystem) subsets() []uint64 {
+	n := len(v.unsyncedChanges)
 	var masks []uint64
 	for mask := range uint64(1) << min(n, 7) {
 		masks = append(masks, mask)
@@ -131,49 +134,49 @@
 	if n <= 7 {
 		return masks
 	}
-	whole := uint64(1)<<n - 1
+	all := uint64(1)<<n - 1
 	for k := range n {
-		masks = append(masks, whole>>k, whole>>k<<k, whole&^(1<<k), 1<<k)
+		masks = append(masks, all>>k, all>>k<<k, all&^(1<<k), 1<<k)
 	}
 	return masks
 }
 
-// after is what may be found once the power is back: the changes of names in the mask of those not synced, and of
-// bytes not synced none, half or all.
-func (v *volatile) after(names uint64, bytes int) *volatile {
-	out := &volatile{last: 1 << 30, names: map[string]*inode{}}
-	m := maps.Clone(v.solid)
+// afterPowerLoss returns the file system after a restart: with those unsynced changes of names that are in the mask, and with
+// the given number of halves (0 to 2) of the unsynced bytes of each file.
+func (v *volatileFileSystem) afterPowerLoss(mask uint64, halves int) *volatileFileSystem {
+	out := &volatileFileSystem{lastStep: 1 << 30, names: map[string]*inode{}}
+	m := maps.Clone(v.syncedNames)
 	if m == nil {
 		m = map[string]*inode{}
 	}
-	for i, do := range v.pending {
-		if names&(1<<i) != 0 {
-			do(m)
+	for i, change := range v.unsyncedChanges {
+		if mask&(1<<i) != 0 {
+			change(m)
 		}
 	}
 	for k, n := range m {
-		rest := n.data[min(len(n.synced), len(n.data)):]
-		data := append(slices.Clone(n.synced), rest[:len(rest)*bytes/2]...)
+		unsynced := n.data[min(len(n.synced), len(n.data)):]
+		data := append(slices.Clone(n.synced), unsynced[:len(unsynced)*halves/2]...)
 		out.names[k] = &inode{data, slices.Clone(data)}
 	}
-	out.solid = maps.Clone(out.names)
+	out.syncedNames = maps.Clone(out.names)
 	return out
 }
 
-// The power goes at every single step of every write, sync, rename, removal and folder sync, and comes
-// back with every mixture of what was not synced: the state opens, holds all that was acknowledged and at
-// most the one batch that was under way, and the acceptor's state is the last one written or the one before.
+// Power is lost at each step of writes, syncs, renames, removals and folder syncs, and recovery is tried for each combination
+// of unsynced changes that may survive. Recovery must succeed with all acknowledged batches and at most the batch in progress;
+// the ballot file must have the last content written or the one in progress.
 func TestPowerLoss(t *testing.T) {
 	if faultinjection.Disabled("") {
 		t.Fatal("built with a mechanism disabled")
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	mixtures := 0
-	for last := 1; ; last++ {
-		v := &volatile{last: last, names: map[string]*inode{}, solid: map[string]*inode{}}
+	outcomes := 0
+	for lastStep := 1; ; lastStep++ {
+		v := &volatileFileSystem{lastStep: lastStep, names: map[string]*inode{}, syncedNames: map[string]*inode{}}
 		d := Folder{"d", v}
 		acknowledged, lastBallot, attempt := 0, 0, 0
-		var lost []int
+		var discarded []int
 		put := func(n int) []Mutation {
 			return []Mutation{{Key: fmt.Sprint("k", n), Value: []byte(strings.Repeat("v", n))}}
 		}
@@ -198,11 +201,13 @@
 					err = s.Compact()
 				case 9:
 					err = s.WriteSnapshot()
-				case 14: // from another primary, who never heard of the last three: they were not acknowledged
+				case 14: // a snapshot of another primary without the last three versions, which thus do not count as acknowledged
 					batch := s.Snapshot()
 					batch.Version -= 3
-					lost = []int{12, 13, 14}
-					batch.Mutations = slices.DeleteFunc(batch.Mutations, func(change Mutation) bool { return change.Key == "k12" || change.Key == "k13" || change.Key == "k14" })
+					discarded = []int{12, 13, 14}
+					batch.Mutations = slices.DeleteFunc(batch.Mutations, func(mutation Mutation) bool {
+						return mutation.Key == "k12" || mutation.Key == "k13" || mutation.Key == "k14"
+					})
 					err = s.Append(batch)
 				}
 				if err != nil {
@@ -211,29 +216,29 @@
 			}
 			return nil
 		}()
-		for _, names := range v.subsets() {
-			for bytes := range 3 {
-				mixtures++
-				w := Folder{"d", v.after(names, bytes)}
-				if err := RemoveIncompleteWrites(w, log); err != nil {
+		for _, mask := range v.subsets() {
+			for halves := range 3 {
+				outcomes++
+				restarted := Folder{"d", v.afterPowerLoss(mask, halves)}
+				if err := RemoveIncompleteWrites(restarted, log); err != nil {
 					t.Fatal(err)
 				}
-				s, err := Open(w, log)
+				s, err := Open(restarted, log)
 				if err != nil {
-					t.Fatalf("power lost after step %d, names %b and %d halves kept: %v", last, names, bytes, err)
+					t.Fatalf("power lost after step %d, names %b and %d halves survive: %v", lastStep, mask, halves, err)
 				}
 				for n := 1; n <= acknowledged; n++ {
-					if raw, ok := s.Get(fmt.Sprint("k", n)); (!ok || len(raw) != n) && !slices.Contains(lost, n) {
-						t.Fatalf("power lost after step %d, names %b and %d halves kept: acknowledged put %d is lost", last, names, bytes, n)
+					if raw, ok := s.Get(fmt.Sprint("k", n)); (!ok || len(raw) != n) && !slices.Contains(discarded, n) {
+						t.Fatalf("power lost after step %d, names %b and %d halves survive: acknowledged batch %d is lost", lastStep, mask, halves, n)
 					}
 				}
 				if _, ok := s.Get(fmt.Sprint("k", attempt+1)); ok {
-					t.Fatalf("power lost after step %d: a put that was never made", last)
+					t.Fatalf("power lost after step %d: got key k%d, which was never written", lastStep, attempt+1)
 				}
-				raw, _ := w.Read("ballot")
+				raw, _ := restarted.Read("ballot")
 				ballot, ok := VerifyChecksum(raw)
 				if (lastBallot > 0 || raw != nil) && !(ok && (string(ballot) == fmt.Sprint(lastBallot) || string(ballot) == fmt.Sprint(attempt))) {
-					t.Fatalf("power lost after step %d, names %b and %d halves kept: ballot %q, %d was the last", last, names, bytes, ballot, lastBallot)
+					t.Fatalf("power lost after step %d, names %b and %d halves survive: got ballot %q, want %d or %d", lastStep, mask, halves, ballot, lastBallot, attempt)
 				}
 				if err := s.Append(Batch{Version: s.Version() + 1, Mutations: put(99)}); err != nil {
 					t.Fatal(err)
@@ -241,10 +246,10 @@
 			}
 		}
 		if err == nil {
-			t.Logf("power lost at each of %d steps, %d mixtures", last-1, mixtures)
+			t.Logf("power lost at each of %d steps, %d outcomes", lastStep-1, outcomes)
 			return
 		}
-		if !errors.Is(err, errPower) {
+		if !errors.Is(err, errPowerLost) {
 			t.Fatal(err)
 		}
 	}
--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -14,19 +14,19 @@
 	"yarrowridge/internal/testing/sim"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// Batches, snapshots, compactions, full disks, crashes in the middle of a write and recoveries, against a plain map: what
-// was acknowledged is there, and nothing of a batch that was rejected.
+// The store agrees with a map through batches, snapshots, compactions, full disks, crashes during compactions and recoveries:
+// it has all acknowledged mutations, and none of a rejected batch.
 func TestStoreAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		disk := sim.NewDisk()
 		open := func() *store.Store {
-			h := disk.Use()
-			if err := store.RemoveIncompleteWrites(h, quiet); err != nil {
+			handle := disk.Use()
+			if err := store.RemoveIncompleteWrites(handle, discardLog); err != nil {
 				t.Fatal(err)
 			}
-			s, err := store.Open(h, quiet)
+			s, err := store.Open(handle, discardLog)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -55,7 +55,7 @@
 				}
 				model, version = next, version+1
 			case 3:
-				if rapid.Bool().Draw(t, "foreign") { // a snapshot of another's state replaces all
+				if rapid.Bool().Draw(t, "foreign") { // a snapshot of another process's state replaces the whole state
 					version++
 					model = map[string]string{"c/1": "copied"}
 					if err := s.Append(store.Batch{Version: version, IsSnapshot: true, Mutations: []store.Mutation{{Key: "c/1", Value: []byte("copied")}}}); err != nil {
@@ -71,17 +71,17 @@
 			case 4:
 				disk.Full(true)
 				if s.Append(store.Batch{Version: version + 1, Mutations: []store.Mutation{{Key: "a", Value: []byte("lost")}}}) == nil {
-					t.Fatal("a batch on a full disk: got no error")
+					t.Fatal("Append on a full disk: got no error, want one")
 				}
 				disk.Full(false)
-				s = open() // after a refused write the disk is read anew, as core does
+				s = open() // the core also reopens the store after a failed write
 			case 5:
 				if !errors.Is(s.Append(store.Batch{Version: version + 2}), store.ErrGap) {
-					t.Fatal("a batch after a gap: want ErrGap")
+					t.Fatal("Append of a version after a gap: want ErrGap")
 				}
 			case 6:
 				s = open()
-			case 7: // the process ends when the new file is there and the old ones still are
+			case 7: // the process crashes after the new file is written and before the old ones are removed
 				disk.Keep(true)
 				replace := s.Compact
 				if rapid.Bool().Draw(t, "snapshot") {
@@ -105,11 +105,11 @@
 	})
 }
 
-// Every single damaged or missing version is detected.
+// Open detects a damaged version, and a missing one unless it is the newest.
 func TestDamageIsDetected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		disk := sim.NewDisk()
-		s, err := store.Open(disk.Use(), quiet)
+		s, err := store.Open(disk.Use(), discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -120,24 +120,24 @@
 			}
 		}
 		names := disk.Names()
-		which := rapid.IntRange(0, len(names)-1).Draw(t, "which")
-		h := disk.Use()
+		index := rapid.IntRange(0, len(names)-1).Draw(t, "which")
+		handle := disk.Use()
 		if rapid.Bool().Draw(t, "spoil") {
-			disk.Spoil(names[which], rapid.IntRange(0, 200).Draw(t, "at"))
-		} else if which < len(names)-1 { // a missing last version can't be told from one never written
-			if err := h.Remove(names[which]); err != nil {
+			disk.Spoil(names[index], rapid.IntRange(0, 200).Draw(t, "at"))
+		} else if index < len(names)-1 { // a missing newest version looks like one that was never written
+			if err := handle.Remove(names[index]); err != nil {
 				t.Fatal(err)
 			}
 		} else {
 			return
 		}
-		if _, err := store.Open(h, quiet); !errors.Is(err, store.ErrCorrupt) {
-			t.Fatalf("version %s damaged: got error %v, want ErrCorrupt", names[which], err)
+		if _, err := store.Open(handle, discardLog); !errors.Is(err, store.ErrCorrupt) {
+			t.Fatalf("version %s damaged or missing: got error %v, want ErrCorrupt", names[index], err)
 		}
 	})
 }
 
-// The folder on a real file system does what the simulated disk stands in for.
+// A store in a folder of the real file system recovers its state, and the folder can be locked only once.
 func TestFolder(t *testing.T) {
 	d, err := store.OpenFolder(t.TempDir() + "/data")
 	if err != nil {
@@ -153,9 +153,9 @@
 		}
 	})
 	if _, err := store.Lock(d.Path); err == nil {
-		t.Error("a folder was locked twice: got no error")
+		t.Error("second Lock of a folder: got no error, want one")
 	}
-	s, err := store.Open(d, quiet)
+	s, err := store.Open(d, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,19 +170,19 @@
 	if err := s.Append(store.Batch{Version: 4, Mutations: []store.Mutation{{Key: "j"}}}); err != nil {
 		t.Fatal(err)
 	}
-	again, err := store.Open(d, quiet)
+	reopened, err := store.Open(d, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v, ok := again.Get("k"); again.Version() != 4 || !ok || v[0] != 2 {
-		t.Errorf("got version %d with k %v, want version 4 with k 2", again.Version(), v)
+	if v, ok := reopened.Get("k"); reopened.Version() != 4 || !ok || v[0] != 2 {
+		t.Errorf("got version %d with k = %v, want version 4 with k = [2]", reopened.Version(), v)
 	}
 }
 
-// What storing an hour of claims costs: bytes written for each byte put, and files on disk.
+// Limits the cost of storing an hour of claims: the bytes written for each byte of the mutations, and the number of files.
 func TestWriteAmplification(t *testing.T) {
 	disk := sim.NewDisk()
-	s, err := store.Open(disk.Use(), quiet)
+	s, err := store.Open(disk.Use(), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -202,30 +202,30 @@
 		}
 	}
 	cost := float64(disk.Bytes) / float64(put)
-	t.Logf("60,000 claims: %.1f bytes written for each put, %d files at the most", cost, files)
+	t.Logf("60,000 claims: %.1f bytes written for each byte of the mutations, at most %d files", cost, files)
 	if cost > 5 || files > 2000 {
-		t.Errorf("got %.1f bytes written for each put and %d files, want at most 5 and 2000", cost, files)
+		t.Errorf("got %.1f bytes written for each byte of the mutations and %d files, want at most 5 and 2000", cost, files)
 	}
-	again, err := store.Open(disk.Use(), quiet)
-	if err != nil || again.Version() != 60000 {
-		t.Fatalf("opened anew: %v", err)
+	reopened, err := store.Open(disk.Use(), discardLog)
+	if err != nil || reopened.Version() != 60000 {
+		t.Fatalf("reopened: got error %v, want none and version 60000", err)
 	}
 	n := 0
-	again.ForEachWithPrefix("claim/", func(string, []byte) { n++ })
+	reopened.ForEachWithPrefix("claim/", func(string, []byte) { n++ })
 	if n != 60000 {
 		t.Errorf("got %d claims, want 60000", n)
 	}
 }
 
-// Few files are left to read at a start, however many versions were written: each costs time then.
+// Compaction limits the number of files, however many versions are written, because recovery takes time for each of them.
 func TestCompactionKeepsFilesFew(t *testing.T) {
 	disk := sim.NewDisk()
 	handle := disk.Use()
-	s, err := store.Open(handle, quiet)
+	s, err := store.Open(handle, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	most := 0
+	maxFiles := 0
 	for version := uint64(1); version <= 6000; version++ {
 		put := store.Mutation{Key: fmt.Sprintf("k%d", version%50), Value: []byte(fmt.Sprint(version))}
 		if err := s.Append(store.Batch{Version: version, Mutations: []store.Mutation{put}}); err != nil {
@@ -238,16 +238,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		most = max(most, len(names))
+		maxFiles = max(maxFiles, len(names))
 	}
-	if most > 200 {
-		t.Errorf("got %d files, want at most 200", most)
+	if maxFiles > 200 {
+		t.Errorf("got %d files, want at most 200", maxFiles)
 	}
-	again, err := store.Open(disk.Use(), quiet)
+	reopened, err := store.Open(disk.Use(), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if raw, _ := again.Get("k0"); again.Version() != 6000 || string(raw) != "6000" {
-		t.Errorf("got version %d with %q after recovery, want version 6000 with it", again.Version(), raw)
+	if raw, _ := reopened.Get("k0"); reopened.Version() != 6000 || string(raw) != "6000" {
+		t.Errorf("got version %d with k0 = %q after recovery, want version 6000 with 6000", reopened.Version(), raw)
 	}
 }
