--- a/internal/controlplane/idempotency/claims.go
+++ b/internal/controlplane/idempotency/claims.go
@@ -25,7 +25,7 @@
 }
 
 // New returns the state machine. maxFinishedKeys returns the number of finished keys at which no more keys are granted. It is
-// called only by Claim, and only before a key is granted.
+// called only by Claim, and only if the key could otherwise be granted.
 func New(maxFinishedKeys func() int) *Claims {
 	return &Claims{maxFinishedKeys: maxFinishedKeys}
 }
--- a/internal/controlplane/idempotency/expiry.go
+++ b/internal/controlplane/idempotency/expiry.go
@@ -75,7 +75,7 @@
 	return operations
 }
 
-// expire removes claims, and records the keys as finished whose requests may have run.
+// expire removes claims, and records as finished those keys whose requests may have run.
 func (c *Claims) expire(tx *transaction.Tx, keys []string) error {
 	var hashes []uint64
 	for _, key := range keys {
--- a/internal/controlplane/idempotency/finishedkeys.go
+++ b/internal/controlplane/idempotency/finishedkeys.go
@@ -14,10 +14,10 @@
 )
 
 // A claim and its response are kept for the configured claim retention (claim_keep_s). Afterwards eight bytes of the key's
-// hash are kept for a far longer time, as the record that the key was used. The hashes are stored in sorted chunks, each of
-// those that one operation adds; small chunks are merged when there are many.
+// hash are kept for a far longer time, to record that the key was used. Each operation that adds hashes writes them as one
+// sorted chunk; small chunks are merged when there are many.
 const (
-	finishedPrefix = "ran/"  // of the store keys of chunks
+	finishedPrefix = "ran/"  // prefix of the store keys of chunks
 	maxChunkHashes = 1 << 17 // hashes in a merged chunk; a frame has room for several such chunks
 	mergeThreshold = 16      // number of chunks with less than half of maxChunkHashes at which they are merged
 	hashBytes      = 8
--- a/internal/controlplane/replication/replicator.go
+++ b/internal/controlplane/replication/replicator.go
@@ -1,4 +1,4 @@
-// Package replication replicates the primary's state: it sends each batch to the backups of the view, and snapshots of the
+// Package replication copies the primary's state to its backups: each batch to the backups of the view, and snapshots of the
 // whole state to members that are to become backups. Replicator is the primary's side, Backup the receiving side. The caller
 // chooses the members that become backups.
 package replication
@@ -78,8 +78,8 @@
 	return time.Since(r.failedAt[id]) < span
 }
 
-// SendSnapshots replaces the state of those of the members that are out of sync by that of a store. It returns the members
-// that are in sync afterwards.
+// SendSnapshots sends a snapshot of a store to those of the members that are out of sync; it replaces their whole state.
+// SendSnapshots returns the members that are in sync afterwards.
 func (r *Replicator) SendSnapshots(v view.View, ids []string, state *store.Store) []string {
 	var outOfSync []string
 	for _, id := range ids {
--- a/internal/controlplane/store/batchfile.go
+++ b/internal/controlplane/store/batchfile.go
@@ -54,7 +54,7 @@
 	return batches, nil
 }
 
-// removeBatches removes the batch files for whose names selected returns true.
+// removeBatches removes the batch files whose names selected accepts.
 func removeBatches(disk Disk, selected func(name string) bool) error {
 	names, err := disk.List()
 	if err != nil {
--- a/internal/controlplane/store/recovery.go
+++ b/internal/controlplane/store/recovery.go
@@ -15,7 +15,7 @@
 // ErrCorrupt means that a version that had been written completely is damaged or missing.
 var ErrCorrupt = errors.New("store: a version is damaged or missing")
 
-// RemoveIncompleteWrites removes and logs the files left by interrupted writes. It must be called before Open.
+// RemoveIncompleteWrites removes and logs the files left by interrupted writes. Call it before Open.
 func RemoveIncompleteWrites(disk Disk, log *slog.Logger) error {
 	names, err := disk.List()
 	if err != nil {
--- a/internal/controlplane/store/snapshot.go
+++ b/internal/controlplane/store/snapshot.go
@@ -36,8 +36,8 @@
 }
 
 // installSnapshot renames a pending snapshot to its final name. Newer versions on disk belong to a history that was never
-// acknowledged. They are removed, and the removal is synced, before the rename: next to the installed snapshot, recovery would
-// apply them or report a gap.
+// acknowledged. They are removed, and the removal is synced, before the rename; otherwise recovery might apply them after the
+// snapshot, or report a gap.
 func installSnapshot(disk Disk, version uint64) error {
 	if err := removeBatches(disk, func(name string) bool { return name > fileName(version) }); err != nil {
 		return err
