--- a/internal/controlplane/core/disk.go
+++ b/internal/controlplane/core/disk.go
@@ -81,7 +81,7 @@
 
 // reopenStore rereads the state from disk, and reports whether it succeeded. Nothing is stored as backup in the meantime.
 func (s *Server) reopenStore() (recovered bool) {
-	s.backup.Exclusively(func() { recovered = s.reopenStoreLocked() })
+	s.backup.WithLock(func() { recovered = s.reopenStoreLocked() })
 	return recovered
 }
 
--- a/internal/controlplane/core/lead.go
+++ b/internal/controlplane/core/lead.go
@@ -94,7 +94,7 @@
 			s.replicator.Reset()
 		}
 		// Wait until a batch or snapshot from a former primary that is being stored is complete.
-		s.backup.Exclusively(func() {})
+		s.backup.WithLock(func() {})
 		s.renewer.Renew()
 	}
 	return s.leadership.State()
