--- a/internal/controlplane/core/stepdown.go
+++ b/internal/controlplane/core/stepdown.go
@@ -25,7 +25,7 @@
 	if v.Primary != s.acceptor.ID() || !s.leadership.IsReady() {
 		return
 	}
-	next, ok := s.settings.membershipPolicy().AfterLeaving(v)
+	next, ok := s.settings.membershipPolicy().AfterStepDown(v)
 	if !ok {
 		return
 	}
--- a/internal/controlplane/membership/backups.go
+++ b/internal/controlplane/membership/backups.go
@@ -28,9 +28,9 @@
 	return p.Losses
 }
 
-// AfterLeaving is the view once the primary has left as planned. The last but one member gives up its
+// AfterStepDown is the view once the primary has left as planned. The last but one member gives up its
 // place too, where no loss is to be borne: the last one is no majority of two.
-func (p Policy) AfterLeaving(v view.View) (next view.View, ok bool) {
+func (p Policy) AfterStepDown(v view.View) (next view.View, ok bool) {
 	if len(v.Backups()) == 0 {
 		return v, false
 	}
