--- a/internal/controlplane/core/backups.go
+++ b/internal/controlplane/core/backups.go
@@ -34,7 +34,7 @@
 	if len(keep) < len(v.Backups()) || !s.leadership.IsReady() || time.Since(s.leadership.ReadySince()) <= minReadyTime {
 		return keep
 	}
-	worst := choice.WronglyPlaced()
+	worst := choice.MisplacedBackup()
 	if worst != "" && s.attemptDue(replaceInterval) {
 		keep = slices.DeleteFunc(keep, func(id string) bool { return id == worst })
 	}
--- a/internal/controlplane/membership/choice.go
+++ b/internal/controlplane/membership/choice.go
@@ -68,9 +68,9 @@
 	return append(chosen, Spread(lastResort, used, count-len(chosen))...)
 }
 
-// WronglyPlaced is a backup in a zone that has another replica, while a member in a zone without one has answered steadily, or
+// MisplacedBackup is a backup in a zone that has another replica, while a member in a zone without one has answered steadily, or
 // "": a backup there outlives the loss of a zone.
-func (c BackupChoice) WronglyPlaced() string {
+func (c BackupChoice) MisplacedBackup() string {
 	used, worst := map[string]bool{c.Zone: true}, ""
 	for _, id := range c.View.Backups() {
 		if used[c.View.ZoneOf(id)] {
--- a/internal/controlplane/membership/choice_test.go
+++ b/internal/controlplane/membership/choice_test.go
@@ -80,15 +80,15 @@
 // A backup in the primary's own zone is wrongly placed where another zone has a member that answers steadily.
 func TestWronglyPlaced(t *testing.T) {
 	choice, silence, failures := choiceOfFive()
-	if got := choice.WronglyPlaced(); got != "" {
+	if got := choice.MisplacedBackup(); got != "" {
 		t.Errorf("got %q wrongly placed in a zone of its own, want none", got)
 	}
 	choice.Zone, choice.View.Members[0].Zone = "2", "2"
-	if got := choice.WronglyPlaced(); got != "b" {
+	if got := choice.MisplacedBackup(); got != "b" {
 		t.Errorf("got %q wrongly placed, want the backup in the primary's zone", got)
 	}
 	silence["d"], failures["e"] = maxContactAge, minTimeSinceFailure-1
-	if got := choice.WronglyPlaced(); got != "" {
+	if got := choice.MisplacedBackup(); got != "" {
 		t.Errorf("got %q wrongly placed where nobody steady is in another zone, want none", got)
 	}
 }
