--- a/internal/controlplane/core/backups.go
+++ b/internal/controlplane/core/backups.go
@@ -22,8 +22,8 @@
 }
 
 // backupChoice is what we know where we choose backups.
-func (s *Server) backupChoice(v view.View, primacy *lease.Lease) membership.BackupChoice {
-	return membership.BackupChoice{View: v, Self: s.acceptor.ID(), Zone: s.ctx.Zone, Predecessor: s.predecessor,
+func (s *Server) backupChoice(v view.View, primacy *lease.Lease) membership.BackupSelector {
+	return membership.BackupSelector{View: v, Self: s.acceptor.ID(), Zone: s.ctx.Zone, Predecessor: s.predecessor,
 		SinceContact: primacy.TimeSinceContact, FailedWithin: s.replicator.HasFailedWithin, InSync: s.replicator.IsInSync}
 }
 
--- a/internal/controlplane/membership/choice.go
+++ b/internal/controlplane/membership/choice.go
@@ -16,9 +16,9 @@
 	minTimeSinceFailure = 10 * time.Second        // a better placed member must not have failed within this span
 )
 
-// BackupChoice is what a primary knows where it chooses its backups. It is made for one step; neither function may change
+// BackupSelector is what a primary knows where it chooses its backups. It is made for one step; neither function may change
 // anything.
-type BackupChoice struct {
+type BackupSelector struct {
 	View        view.View
 	Self        string // the primary
 	Zone        string // of the primary
@@ -34,7 +34,7 @@
 
 // Keep lists the backups that respond and did not fail lately, for a primary that has led since a time. Until it is ready it
 // keeps its predecessor only where there is nobody else.
-func (c BackupChoice) Keep(ready bool, ledSince time.Time) []string {
+func (c BackupSelector) Keep(ready bool, ledSince time.Time) []string {
 	var keep []string
 	for _, id := range c.View.Backups() {
 		responds := c.SinceContact(id, ledSince) <= backupSilentAfter
@@ -49,7 +49,7 @@
 
 // Add picks members that answer as backups beside those that are kept, zones that have no replica yet first. A member that
 // failed a while ago, and the former primary, are chosen only where there are not enough others.
-func (c BackupChoice) Add(keep []string, count int) []string {
+func (c BackupSelector) Add(keep []string, count int) []string {
 	used := map[string]bool{c.Zone: true}
 	for _, id := range keep {
 		used[c.View.ZoneOf(id)] = true
@@ -70,7 +70,7 @@
 
 // MisplacedBackup is a backup in a zone that has another replica, while a member in a zone without one has answered steadily, or
 // "": a backup there outlives the loss of a zone.
-func (c BackupChoice) MisplacedBackup() string {
+func (c BackupSelector) MisplacedBackup() string {
 	used, worst := map[string]bool{c.Zone: true}, ""
 	for _, id := range c.View.Backups() {
 		if used[c.View.ZoneOf(id)] {
