--- a/internal/controlplane/core/backups.go
+++ b/internal/controlplane/core/backups.go
@@ -30,7 +30,7 @@
 // backupsToKeep lists the backups that respond, did not fail lately and stand where they should.
 func (s *Server) backupsToKeep(v view.View, primacy *lease.Lease, ready bool, ledSince time.Time) []string {
 	choice := s.backupChoice(v, primacy)
-	keep := choice.Keep(ready, ledSince)
+	keep := choice.RetainedBackups(ready, ledSince)
 	if len(keep) < len(v.Backups()) || !s.leadership.IsReady() || time.Since(s.leadership.ReadySince()) <= minReadyTime {
 		return keep
 	}
--- a/internal/controlplane/membership/choice.go
+++ b/internal/controlplane/membership/choice.go
@@ -32,9 +32,9 @@
 	InSync func(id string) bool
 }
 
-// Keep lists the backups that respond and did not fail lately, for a primary that has led since a time. Until it is ready it
+// RetainedBackups lists the backups that respond and did not fail lately, for a primary that has led since a time. Until it is ready it
 // keeps its predecessor only where there is nobody else.
-func (c BackupSelector) Keep(ready bool, ledSince time.Time) []string {
+func (c BackupSelector) RetainedBackups(ready bool, ledSince time.Time) []string {
 	var keep []string
 	for _, id := range c.View.Backups() {
 		responds := c.SinceContact(id, ledSince) <= backupSilentAfter
--- a/internal/controlplane/membership/choice_test.go
+++ b/internal/controlplane/membership/choice_test.go
@@ -43,7 +43,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			choice, silence, failures := choiceOfFive()
 			c.prepare(&choice, silence, failures)
-			if got := choice.Keep(c.ready, time.Time{}); !slices.Equal(got, c.want) {
+			if got := choice.RetainedBackups(c.ready, time.Time{}); !slices.Equal(got, c.want) {
 				t.Errorf("got %v kept, want %v", got, c.want)
 			}
 		})
