--- a/internal/controlplane/core/backups.go
+++ b/internal/controlplane/core/backups.go
@@ -48,7 +48,7 @@
 func (s *Server) reconcileReplicas(v view.View, primacy *lease.Lease, keep []string) bool {
 	s.leadership.EndWrites()
 	missing := s.settings.membershipPolicy().BackupCount(v) - len(keep)
-	chosen := s.backupChoice(v, primacy).Add(keep, missing)
+	chosen := s.backupChoice(v, primacy).AdditionalBackups(keep, missing)
 	if len(chosen) < missing {
 		return false
 	}
--- a/internal/controlplane/membership/choice.go
+++ b/internal/controlplane/membership/choice.go
@@ -47,9 +47,9 @@
 	return keep
 }
 
-// Add picks members that answer as backups beside those that are kept, zones that have no replica yet first. A member that
+// AdditionalBackups picks members that answer as backups beside those that are kept, zones that have no replica yet first. A member that
 // failed a while ago, and the former primary, are chosen only where there are not enough others.
-func (c BackupSelector) Add(keep []string, count int) []string {
+func (c BackupSelector) AdditionalBackups(keep []string, count int) []string {
 	used := map[string]bool{c.Zone: true}
 	for _, id := range keep {
 		used[c.View.ZoneOf(id)] = true
--- a/internal/controlplane/membership/choice_test.go
+++ b/internal/controlplane/membership/choice_test.go
@@ -70,7 +70,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			choice, silence, failures := choiceOfFive()
 			c.prepare(&choice, silence, failures)
-			if got := choice.Add(c.keep, c.count); !slices.Equal(got, c.want) {
+			if got := choice.AdditionalBackups(c.keep, c.count); !slices.Equal(got, c.want) {
 				t.Errorf("got %v added, want %v", got, c.want)
 			}
 		})
