--- a/internal/controlplane/core/join.go
+++ b/internal/controlplane/core/join.go
@@ -32,7 +32,7 @@
 		return
 	}
 	if founders := s.finder.FindFleet(); len(founders) > 0 {
-		s.decide(view.View{Members: founders}, membership.FoundingView(founders, s.settings.Losses), true)
+		s.decide(view.View{Members: founders}, membership.InitialView(founders, s.settings.Losses), true)
 	}
 }
 
--- a/internal/controlplane/membership/backups.go
+++ b/internal/controlplane/membership/backups.go
@@ -54,9 +54,9 @@
 	return out
 }
 
-// FoundingView is the first view: the first member leads, its backups are in other zones than it and one another where
+// InitialView is the first view: the first member leads, its backups are in other zones than it and one another where
 // there are such.
-func FoundingView(founders []view.Member, losses int) view.View {
+func InitialView(founders []view.Member, losses int) view.View {
 	first := view.View{Members: founders, TargetSize: len(founders), Primary: founders[0].ID}
 	used := map[string]bool{founders[0].Zone: true}
 	return first.WithBackups(Spread(founders[1:], used, losses))
