--- a/internal/controlplane/core/handlers.go
+++ b/internal/controlplane/core/handlers.go
@@ -22,7 +22,7 @@
 	switch kind {
 	case "view.reach":
 		return wire.HandleTyped(body, func(request *handover.ReachRequest) (*handover.ReachResponse, error) {
-			return s.handover.Reach(ctx, request, s.acceptor.View()), nil
+			return s.handover.HandleReach(ctx, request, s.acceptor.View()), nil
 		})
 	case "view.relay":
 		return wire.HandleTyped(body, func(request *paxos.ReleaseRequest) (*coreapi.Empty, error) {
--- a/internal/controlplane/handover/handover.go
+++ b/internal/controlplane/handover/handover.go
@@ -83,8 +83,8 @@
 	return c.call(ctx, backup.Addr, "view.relay", release, nil)
 }
 
-// Reach answers a primary's question as a backup that knows a view.
-func (c *Coordinator) Reach(ctx context.Context, request *ReachRequest, v view.View) *ReachResponse {
+// HandleReach answers a primary's question as a backup that knows a view.
+func (c *Coordinator) HandleReach(ctx context.Context, request *ReachRequest, v view.View) *ReachResponse {
 	if request.Epoch != v.Epoch {
 		return &ReachResponse{}
 	}
--- a/internal/controlplane/handover/handover_test.go
+++ b/internal/controlplane/handover/handover_test.go
@@ -116,7 +116,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				begun := time.Now()
-				response := New(reach(c.reached...).call, leaseTerm).Reach(t.Context(), &ReachRequest{Epoch: c.epoch}, viewOfFive())
+				response := New(reach(c.reached...).call, leaseTerm).HandleReach(t.Context(), &ReachRequest{Epoch: c.epoch}, viewOfFive())
 				if response.ReachesMajority != c.want {
 					t.Errorf("got a majority reached: %t, want %t", response.ReachesMajority, c.want)
 				}
