--- a/internal/controlplane/failuredetector/detector.go
+++ b/internal/controlplane/failuredetector/detector.go
@@ -1,11 +1,12 @@
-// Package failuredetector proves that the process which holds the primary's lease has ended, so that a takeover need not wait
-// for the end of the lease. It knows two proofs, and both rest on one process at most listening at an address at any time:
+// Package failuredetector detects that the process that holds the primary's lease has ended, so that a takeover need not wait
+// for the lease to expire. It accepts two proofs; both assume that at most one process listens at an address at any time:
 //
-//   - connections to the primary's address are refused: its machine is up, and nobody listens there;
-//   - another run of a process answers there.
+//   - connections to the primary's address are refused: its machine is up, and no process listens there;
+//   - a process with another run ID answers there.
 //
-// A process that is frozen, partitioned or slow refuses nothing, and neither does a machine without power: silence proves
-// nothing, and the lease runs out as before. A process that is told to stop gives up leading before it stops listening.
+// Missing responses prove nothing, since a process that is frozen, partitioned or slow does not refuse connections, nor does a
+// machine without power. In these cases the takeover waits until the lease expires. A process that shuts down gives up
+// leadership before it stops listening.
 package failuredetector
 
 import (
@@ -21,52 +22,52 @@
 )
 
 const (
-	// probeTimeout bounds one look at the primary's address.
+	// probeTimeout bounds one probe of the primary's address.
 	probeTimeout = 150 * time.Millisecond
-	// silenceDivisor divides the lease's term: a holder is looked for once it has not renewed its lease for this part of it,
-	// half as long again as between two renewals.
-	silenceDivisor = 4
+	// staleGrantDivisor is a fraction of the lease term: the lease holder is probed once it has not renewed its lease for
+	// term/staleGrantDivisor, which is 1.5 times the renewal interval.
+	staleGrantDivisor = 4
 )
 
-// LeaseGrants is the acceptor whose grant may be ended. Its methods may be called concurrently.
+// LeaseGrants gives access to the lease grants of the local acceptor. Its methods may be called concurrently.
 type LeaseGrants interface {
-	// SilentHolder is the run of the primary that holds the lease granted here, where it has not renewed that for a span.
-	SilentHolder(span time.Duration) (run uint64, silent bool)
-	// EndLeaseOf ends the lease that was granted here to a run that has ended.
-	EndLeaseOf(run uint64)
+	// StaleGrant returns a run of the primary whose lease grant is active but has not been renewed for longer than age.
+	StaleGrant(age time.Duration) (run uint64, found bool)
+	// RevokeLease ends the lease granted to a run that has ended.
+	RevokeLease(run uint64)
 }
 
-// Detector looks at the lease holder's address. Its methods may be called concurrently.
+// Detector probes the lease holder's address. Its methods may be called concurrently.
 type Detector struct {
-	grants  LeaseGrants
-	call    paxos.CallFunc
-	silence time.Duration
-	probing atomic.Bool // one look at a time
+	grants     LeaseGrants
+	call       paxos.CallFunc
+	staleAfter time.Duration
+	probing    atomic.Bool // a probe is under way; there is at most one at a time
 }
 
-// New makes a detector for the acceptor of a process. call reaches other processes.
+// New returns a detector for the grants of the local acceptor. call sends requests to other processes.
 func New(grants LeaseGrants, call paxos.CallFunc, leaseTerm time.Duration) *Detector {
-	return &Detector{grants: grants, call: call, silence: leaseTerm / silenceDivisor}
+	return &Detector{grants: grants, call: call, staleAfter: leaseTerm / staleGrantDivisor}
 }
 
-// Check looks, in a goroutine of its own, for the holder of the lease that the acceptor granted to the primary of a view, if
-// it has fallen silent. It ends the lease where that holder has surely ended, and calls ended then. It may wait for a disk
-// write of the acceptor, and for nothing else.
-func (d *Detector) Check(ctx context.Context, v view.View, ended func()) {
-	run, silent := d.grants.SilentHolder(d.silence)
-	if !silent || !d.probing.CompareAndSwap(false, true) {
+// Check starts a probe of the primary's address in a new goroutine if the lease grant of a run of the primary is stale. If
+// the probe proves that this run has ended, it revokes the run's lease and calls onEnded. Check itself blocks at most for a
+// disk write of the acceptor.
+func (d *Detector) Check(ctx context.Context, v view.View, onEnded func()) {
+	run, found := d.grants.StaleGrant(d.staleAfter)
+	if !found || !d.probing.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		defer d.probing.Store(false)
 		if d.hasEnded(ctx, v.Addr(v.Primary), run) {
-			d.grants.EndLeaseOf(run)
-			ended()
+			d.grants.RevokeLease(run)
+			onEnded()
 		}
 	}()
 }
 
-// hasEnded reports whether a run of the process at an address has surely ended.
+// hasEnded reports whether it is proven that a run of the process at an address has ended.
 func (d *Detector) hasEnded(ctx context.Context, addr string, run uint64) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/controlplane/failuredetector/detector_test.go
+++ b/internal/controlplane/failuredetector/detector_test.go
@@ -21,28 +21,28 @@
 	holderRun = 7
 )
 
-// fakeGrants is an acceptor whose lease is held by holderRun.
+// fakeGrants is an acceptor that has granted the lease to holderRun.
 type fakeGrants struct {
-	silentFor time.Duration
-	ended     []uint64
+	grantAge time.Duration // time since the last renewal
+	revoked  []uint64
 }
 
-func (g *fakeGrants) SilentHolder(span time.Duration) (uint64, bool) {
-	return holderRun, g.silentFor > span
+func (g *fakeGrants) StaleGrant(age time.Duration) (uint64, bool) {
+	return holderRun, g.grantAge > age
 }
-func (g *fakeGrants) EndLeaseOf(run uint64) { g.ended = append(g.ended, run) }
+func (g *fakeGrants) RevokeLease(run uint64) { g.revoked = append(g.revoked, run) }
 
-// answering is a call that is answered by a run of a process.
+// answering returns a status query that is answered by the given run of a process.
 func answering(run uint64) func(context.Context) (uint64, error) {
 	return func(context.Context) (uint64, error) { return run, nil }
 }
 
-// failing is a call that ends with an error.
+// failing returns a status query that fails with an error.
 func failing(err error) func(context.Context) (uint64, error) {
 	return func(context.Context) (uint64, error) { return 0, err }
 }
 
-// Only a refused connection and another run at the address prove that the holder has ended; whatever else fails does not.
+// Only a refused connection or another run at the address proves that the lease holder has ended; no other failure does.
 func TestProofOfEnd(t *testing.T) {
 	unanswered := func(ctx context.Context) (uint64, error) {
 		<-ctx.Done()
@@ -50,16 +50,16 @@
 	}
 	refused := &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 	tests := []struct {
-		name      string
-		silentFor time.Duration
-		answer    func(context.Context) (uint64, error)
-		want      bool
+		name     string
+		grantAge time.Duration
+		answer   func(context.Context) (uint64, error)
+		want     bool
 	}{
 		{"refused", leaseTerm, failing(fmt.Errorf("%w: %w", wire.ErrUnsent, refused)), true},
 		{"another run answers", leaseTerm, answering(holderRun + 1), true},
-		{"the holder answers", leaseTerm, answering(holderRun), false},
+		{"the lease holder answers", leaseTerm, answering(holderRun), false},
 		{"an older version answers", leaseTerm, answering(0), false},
-		{"no answer", leaseTerm, unanswered, false},
+		{"no response", leaseTerm, unanswered, false},
 		{"reset", leaseTerm, failing(syscall.ECONNRESET), false},
 		{"no route", leaseTerm, failing(syscall.EHOSTUNREACH), false},
 		{"rejected", leaseTerm, failing(wire.StatusError{Code: "any"}), false},
@@ -68,24 +68,24 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				grants := &fakeGrants{silentFor: test.silentFor}
+				grants := &fakeGrants{grantAge: test.grantAge}
 				call := func(ctx context.Context, _, _ string, _ msgp.Marshaler, response msgp.Unmarshaler) error {
 					run, err := test.answer(ctx)
 					response.(*view.StatusResponse).Run = run
 					return err
 				}
-				woken := 0
+				endedCalls := 0
 				detector := New(grants, call, leaseTerm)
 				for range 3 {
-					detector.Check(t.Context(), view.View{}, func() { woken++ })
+					detector.Check(t.Context(), view.View{}, func() { endedCalls++ })
 				}
 				synctest.Wait()
 				time.Sleep(time.Second)
-				if got := len(grants.ended) > 0; got != test.want || woken != len(grants.ended) {
-					t.Errorf("got the lease ended: %t, and woken %d times; want %t, and as often", got, woken, test.want)
+				if got := len(grants.revoked) > 0; got != test.want || endedCalls != len(grants.revoked) {
+					t.Errorf("got lease revoked: %t, callback called %d times; want %t, and one call per revocation", got, endedCalls, test.want)
 				}
-				if len(grants.ended) > 1 {
-					t.Errorf("got %d looks at once, want one", len(grants.ended))
+				if len(grants.revoked) > 1 {
+					t.Errorf("got %d concurrent probes, want one", len(grants.revoked))
 				}
 			})
 		})
--- a/internal/controlplane/handover/handover.go
+++ b/internal/controlplane/handover/handover.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	// silenceDivisor divides the lease's term: a primary that has heard no majority for this part of it, two rounds of
+	// contactTimeoutDivisor divides the lease's term: a primary that has heard no majority for this part of it, two rounds of
 	// renewals, looks for a backup that does.
-	silenceDivisor = 3
+	contactTimeoutDivisor = 3
 	// callTimeout bounds a question to a backup, and each call that the backup makes for its answer.
 	callTimeout = 150 * time.Millisecond
 )
@@ -30,28 +30,28 @@
 // Coordinator finds the backup to hand over to, and answers for this process as a backup. Its methods may be called
 // concurrently.
 type Coordinator struct {
-	call    paxos.CallFunc
-	silence time.Duration
-	asking  atomic.Bool // one question at a time
+	call           paxos.CallFunc
+	contactTimeout time.Duration
+	querying       atomic.Bool // one question at a time
 }
 
 // New makes a coordinator. call reaches other processes, and this one.
 func New(call paxos.CallFunc, leaseTerm time.Duration) *Coordinator {
-	return &Coordinator{call: call, silence: leaseTerm / silenceDivisor}
+	return &Coordinator{call: call, contactTimeout: leaseTerm / contactTimeoutDivisor}
 }
 
 // IsDue reports whether the primary of a view, which has led since a time, hears no majority and yet a backup.
 func (c *Coordinator) IsDue(v view.View, primacy *lease.Lease, ledSince time.Time) bool {
-	if time.Since(ledSince) < c.silence || primacy.IsInContact(v.IsMajority, c.silence) {
+	if time.Since(ledSince) < c.contactTimeout || primacy.IsInContact(v.IsMajority, c.contactTimeout) {
 		return false
 	}
-	return c.nearestBackup(v, primacy) != nil
+	return c.reachableBackup(v, primacy) != nil
 }
 
-// nearestBackup is the first backup that has answered lately, or nil.
-func (c *Coordinator) nearestBackup(v view.View, primacy *lease.Lease) *view.Member {
+// reachableBackup is the first backup that has answered lately, or nil.
+func (c *Coordinator) reachableBackup(v view.View, primacy *lease.Lease) *view.Member {
 	for _, id := range v.Backups() {
-		if primacy.TimeSinceContact(id, time.Time{}) < c.silence {
+		if primacy.TimeSinceContact(id, time.Time{}) < c.contactTimeout {
 			return &view.Member{ID: id, Addr: v.Addr(id)}
 		}
 	}
@@ -61,12 +61,12 @@
 // FindSuccessor asks, in a goroutine of its own, the backup that answers whether it reaches a majority, and calls found
 // where it does. It asks one backup at a time.
 func (c *Coordinator) FindSuccessor(ctx context.Context, v view.View, primacy *lease.Lease, found func(backup view.Member)) {
-	backup := c.nearestBackup(v, primacy)
-	if backup == nil || !c.asking.CompareAndSwap(false, true) {
+	backup := c.reachableBackup(v, primacy)
+	if backup == nil || !c.querying.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer c.asking.Store(false)
+		defer c.querying.Store(false)
 		ctx, cancel := context.WithTimeout(ctx, 2*callTimeout)
 		defer cancel()
 		var response ReachResponse
--- a/internal/controlplane/membership/backups.go
+++ b/internal/controlplane/membership/backups.go
@@ -41,8 +41,8 @@
 	return next, true
 }
 
-// Spread picks members, those of zones not used yet first, and marks their zones as used.
-func Spread(from []view.Member, used map[string]bool, count int) []string {
+// SpreadAcrossZones picks members, those of zones not used yet first, and marks their zones as used.
+func SpreadAcrossZones(from []view.Member, used map[string]bool, count int) []string {
 	free := slices.SortedFunc(slices.Values(from), func(a, b view.Member) int { return strings.Compare(a.ID, b.ID) })
 	var out []string
 	for len(out) < count && len(free) > 0 {
@@ -59,5 +59,5 @@
 func InitialView(founders []view.Member, losses int) view.View {
 	first := view.View{Members: founders, TargetSize: len(founders), Primary: founders[0].ID}
 	used := map[string]bool{founders[0].Zone: true}
-	return first.WithBackups(Spread(founders[1:], used, losses))
+	return first.WithBackups(SpreadAcrossZones(founders[1:], used, losses))
 }
--- a/internal/controlplane/membership/candidates.go
+++ b/internal/controlplane/membership/candidates.go
@@ -15,9 +15,9 @@
 
 // Candidate is a process that wants to become a member.
 type Candidate struct {
-	Member     view.Member
-	FirstAsked time.Time // it has asked without a break since
-	lastAsked  time.Time
+	Member         view.Member
+	FirstRequestAt time.Time // it has asked without a break since
+	lastRequestAt  time.Time
 }
 
 // Candidates are the processes that ask to become members. The zero value is empty. All methods may be called concurrently.
@@ -35,10 +35,10 @@
 	}
 	now := time.Now()
 	known, ok := c.byID[member.ID]
-	if !ok || now.Sub(known.lastAsked) > candidateTTL {
-		known.FirstAsked = now
+	if !ok || now.Sub(known.lastRequestAt) > candidateTTL {
+		known.FirstRequestAt = now
 	}
-	known.Member, known.lastAsked = member, now
+	known.Member, known.lastRequestAt = member, now
 	c.byID[member.ID] = known
 }
 
@@ -61,7 +61,7 @@
 	var next *Candidate
 	for id, known := range c.byID {
 		switch {
-		case time.Since(known.lastAsked) > candidateTTL || v.Addr(id) == known.Member.Addr:
+		case time.Since(known.lastRequestAt) > candidateTTL || v.Addr(id) == known.Member.Addr:
 			delete(c.byID, id)
 		case next == nil || before(v, known, *next):
 			next = &known
@@ -75,7 +75,7 @@
 	if x, y := supersedes(v, a.Member), supersedes(v, b.Member); x != y {
 		return x
 	}
-	return a.FirstAsked.Before(b.FirstAsked)
+	return a.FirstRequestAt.Before(b.FirstRequestAt)
 }
 
 // supersedes reports whether a candidate proves a member gone, or is that member at a new address.
--- a/internal/controlplane/membership/choice.go
+++ b/internal/controlplane/membership/choice.go
@@ -9,9 +9,9 @@
 
 // How long backups are kept or left out.
 const (
-	backupSilentAfter   = 1500 * time.Millisecond // a backup that has not answered for so long is removed
-	failedTTL           = 5 * time.Second         // a backup that failed is not chosen again for so long where there are others
-	retryFailedAfter    = 500 * time.Millisecond  // and for so long where there are none
+	backupTimeout       = 1500 * time.Millisecond // a backup that has not answered for so long is removed
+	failureCooldown     = 5 * time.Second         // a backup that failed is not chosen again for so long where there are others
+	lastResortCooldown  = 500 * time.Millisecond  // and for so long where there are none
 	maxContactAge       = time.Second             // a member heard within this span can be chosen
 	minTimeSinceFailure = 10 * time.Second        // a better placed member must not have failed within this span
 )
@@ -37,9 +37,9 @@
 func (c BackupSelector) RetainedBackups(ready bool, ledSince time.Time) []string {
 	var keep []string
 	for _, id := range c.View.Backups() {
-		responds := c.SinceContact(id, ledSince) <= backupSilentAfter
+		responds := c.SinceContact(id, ledSince) <= backupTimeout
 		leaves := !ready && id == c.Predecessor
-		failed := !c.InSync(id) && c.FailedWithin(id, failedTTL)
+		failed := !c.InSync(id) && c.FailedWithin(id, failureCooldown)
 		if responds && !leaves && !failed {
 			keep = append(keep, id)
 		}
@@ -58,14 +58,14 @@
 	for _, m := range c.View.Members {
 		switch {
 		case m.ID == c.Self || slices.Contains(keep, m.ID) || c.SinceContact(m.ID, time.Time{}) > maxContactAge:
-		case m.ID != c.Predecessor && !c.FailedWithin(m.ID, failedTTL):
+		case m.ID != c.Predecessor && !c.FailedWithin(m.ID, failureCooldown):
 			free = append(free, m)
-		case !c.FailedWithin(m.ID, retryFailedAfter):
+		case !c.FailedWithin(m.ID, lastResortCooldown):
 			lastResort = append(lastResort, m)
 		}
 	}
-	chosen := Spread(free, used, count)
-	return append(chosen, Spread(lastResort, used, count-len(chosen))...)
+	chosen := SpreadAcrossZones(free, used, count)
+	return append(chosen, SpreadAcrossZones(lastResort, used, count-len(chosen))...)
 }
 
 // MisplacedBackup is a backup in a zone that has another replica, while a member in a zone without one has answered steadily, or
--- a/internal/controlplane/membership/choice_test.go
+++ b/internal/controlplane/membership/choice_test.go
@@ -32,7 +32,7 @@
 		want    []string
 	}{
 		{"a backup that answers", func(*BackupSelector, map[string]time.Duration, map[string]time.Duration) {}, true, []string{"b"}},
-		{"a silent one", func(_ *BackupSelector, silence, _ map[string]time.Duration) { silence["b"] = backupSilentAfter + 1 }, true, nil},
+		{"a silent one", func(_ *BackupSelector, silence, _ map[string]time.Duration) { silence["b"] = backupTimeout + 1 }, true, nil},
 		{"one that failed lately", func(_ *BackupSelector, _, failures map[string]time.Duration) { failures["b"] = time.Second }, true, nil},
 		{"one that failed and has a copy again", func(choice *BackupSelector, _, failures map[string]time.Duration) {
 			failures["b"], choice.InSync = time.Second, func(string) bool { return true }
@@ -63,7 +63,7 @@
 		{"no silent one", func(_ *BackupSelector, silence, _ map[string]time.Duration) { silence["d"] = maxContactAge + 1 }, []string{"b"}, 1, []string{"e"}},
 		{"one that failed only where there is nobody else", func(_ *BackupSelector, _, failures map[string]time.Duration) { failures["d"] = time.Second },
 			[]string{"b"}, 3, []string{"e", "c", "d"}},
-		{"none that has just failed", func(_ *BackupSelector, _, failures map[string]time.Duration) { failures["d"] = retryFailedAfter / 2 },
+		{"none that has just failed", func(_ *BackupSelector, _, failures map[string]time.Duration) { failures["d"] = lastResortCooldown / 2 },
 			[]string{"b"}, 3, []string{"e", "c"}},
 		{"the former primary last", func(choice *BackupSelector, _, _ map[string]time.Duration) { choice.Predecessor = "d" }, []string{"b"}, 3, []string{"e", "c", "d"}},
 	} {
--- a/internal/controlplane/membership/plan.go
+++ b/internal/controlplane/membership/plan.go
@@ -7,8 +7,8 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// silentAfter is how long a member has not answered before it may be gone.
-const silentAfter = 600 * time.Millisecond
+// suspectAfter is how long a member has not answered before it may be gone.
+const suspectAfter = 600 * time.Millisecond
 
 // Policy is what the settings say about members and backups.
 type Policy struct {
@@ -85,9 +85,9 @@
 	live, sure = 1, true
 	for _, m := range v.Members {
 		switch silentFor := silence(m.ID); {
-		case silentFor < time.Since(newcomer.FirstAsked):
+		case silentFor < time.Since(newcomer.FirstRequestAt):
 			live++
-		case silentFor < silentAfter:
+		case silentFor < suspectAfter:
 			sure = false
 		}
 	}
--- a/internal/controlplane/membership/plan_test.go
+++ b/internal/controlplane/membership/plan_test.go
@@ -39,7 +39,7 @@
 // A backup that is silent for long holds all that was acknowledged. It is replaced by a newcomer only where there is no room
 // beside it: the newcomer has no replica yet.
 func TestLostBackupStaysUntilThereIsAnother(t *testing.T) {
-	newcomer := &Candidate{Member: view.Member{ID: "n", Addr: "n:1"}, FirstAsked: time.Now().Add(-time.Second)}
+	newcomer := &Candidate{Member: view.Member{ID: "n", Addr: "n:1"}, FirstRequestAt: time.Now().Add(-time.Second)}
 	for _, test := range []struct {
 		name       string
 		maxMembers int
--- a/internal/controlplane/paxos/acceptor.go
+++ b/internal/controlplane/paxos/acceptor.go
@@ -13,37 +13,38 @@
 	"yarrowridge/internal/lib/runloop"
 )
 
-// Acceptor is one member's acceptor. What it has promised, accepted and learnt is on its disk; the lease that it has
-// granted to the primary is in memory. All methods may be called concurrently.
+// Acceptor is one member's Paxos acceptor. Its promise, the proposal that it accepted and the newest chosen view are stored
+// on disk; the lease that it granted to the primary is kept in memory only. All methods may be called concurrently.
 //
-// Invariants, with the names of "Paxos Made Simple":
+// Invariants (P1a is named as in "Paxos Made Simple"):
 //
 //   - P1a: it accepts a proposal numbered n unless it has promised a number greater than n.
-//   - A promise and an accepted proposal are synced to disk before the response that tells of them.
-//   - While a lease that it granted runs, it promises nothing to anybody but the primary.
-//   - After a restart it promises nothing to another before any lease of the run before has ended.
+//   - A promise or an accepted proposal is synced to disk before the response that reports it is sent.
+//   - While a lease that it granted is active, it makes promises to the primary only.
+//   - After a restart it makes promises to the primary only, until every lease that it may have granted before the restart
+//     has expired.
 type Acceptor struct {
 	disk      store.Disk
 	leaseTerm time.Duration
-	published atomic.Pointer[AcceptorState] // state, for readers without the lock
+	published atomic.Pointer[AcceptorState] // a copy of state for readers that do not take the lock
 
-	mu               runloop.Mutex // guards the fields below; held over a disk write
+	mu               runloop.Mutex // guards the fields below; held during disk writes
 	state            AcceptorState
 	grants           leaseGrants // of the primary's lease
-	lastGrantedRun   uint64      // of the primary's process that the lease was last granted to
-	lastGrantedRound uint64      // of the last grant
+	lastGrantedRun   uint64      // the run of the primary's process that the lease was last granted to
+	lastGrantedRound uint64      // the highest request round granted to lastGrantedRun
 }
 
-// NewID makes a random identity.
+// NewID returns a random identity.
 func NewID() string {
 	var b [8]byte
 	rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// Open reads the acceptor's state, or begins a blank one with a new identity. leaseTerm is the longest lease that any run
-// of this acceptor may have granted: after a restart nothing is promised to another before it has passed, since the
-// grants of the run before are not on disk. An error is one of the disk.
+// Open reads the acceptor's state from disk, or creates an empty state with a new identity. leaseTerm is the longest lease
+// that this acceptor may have granted before a restart. Grants are not stored on disk, so an acceptor with stored state makes
+// promises to the primary only until leaseTerm has passed. Every error comes from the disk.
 func Open(disk store.Disk, leaseTerm time.Duration, log *slog.Logger) (*Acceptor, error) {
 	openedAt := time.Now()
 	state, ok, err := readState(disk, log)
@@ -57,22 +58,23 @@
 	a.state = state
 	a.published.Store(&state)
 	if !faultinjection.Disabled("grant-at-restart") {
-		a.grants.grant(unknownRun, openedAt.Add(leaseTerm)) // to whichever run held the lease before
+		a.grants.grant(unknownRun, openedAt.Add(leaseTerm)) // to whichever run held the lease before the restart
 	}
 	return a, nil
 }
 
-// Reset forgets all and takes a new identity: the replicated state that was stored beside this one is lost.
+// Reset replaces the state with an empty one under a new identity. It is called when the replicated state on the same disk
+// has been lost.
 func (a *Acceptor) Reset() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.persist(AcceptorState{ID: NewID()})
 }
 
-// ID is this acceptor's identity. It does not wait for the disk.
+// ID returns this acceptor's identity. It does not wait for the disk.
 func (a *Acceptor) ID() string { return a.published.Load().ID }
 
-// View is the newest view known here to be chosen. It does not wait for the disk.
+// View returns the newest view that this acceptor knows to be chosen. It does not wait for the disk.
 func (a *Acceptor) View() view.View { return a.published.Load().View }
 
 // Status answers a StatusRequest. It does not wait for the disk.
@@ -81,7 +83,7 @@
 	return &view.StatusResponse{ID: state.ID, Addr: addr, Zone: zone, View: state.View}
 }
 
-// Learn stores a chosen view if it is newer than the one known. An error is one of the disk.
+// Learn stores a chosen view if it is newer than the stored one. Every error comes from the disk.
 func (a *Acceptor) Learn(chosen view.View) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -96,8 +98,8 @@
 	return a.persist(AcceptorState{ID: a.state.ID, View: chosen})
 }
 
-// Prepare answers the first phase of a proposal: with a promise and the proposal accepted so far, or a refusal. An error
-// is one of the disk.
+// Prepare handles the first phase of a proposal. It responds with a promise and the proposal accepted so far, or with a
+// refusal. Every error comes from the disk.
 func (a *Acceptor) Prepare(request *PrepareRequest) (*AcceptorResponse, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -108,7 +110,7 @@
 	if request.Current.Epoch < a.state.View.Epoch {
 		return response, nil
 	}
-	if request.Current.Epoch > 0 && request.Number.Proposer != a.state.View.Primary && a.grants.areActive(time.Now()) && !faultinjection.Disabled("promise-after-grant") {
+	if request.Current.Epoch > 0 && request.Number.Proposer != a.state.View.Primary && a.grants.anyActive(time.Now()) && !faultinjection.Disabled("promise-after-grant") {
 		response.Leased = true
 		return response, nil
 	}
@@ -124,7 +126,7 @@
 	return response, nil
 }
 
-// Accept answers the second phase of a proposal: accepted, or a refusal. An error is one of the disk.
+// Accept handles the second phase of a proposal: it accepts or refuses it. Every error comes from the disk.
 func (a *Acceptor) Accept(request *AcceptRequest) (*AcceptorResponse, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -144,7 +146,7 @@
 	return response, nil
 }
 
-// refusal is a response that agrees to nothing and tells how this acceptor stands. The caller holds the lock.
+// refusal returns a response that refuses the request and reports this acceptor's current state. The caller holds the lock.
 func (a *Acceptor) refusal() *AcceptorResponse {
 	return &AcceptorResponse{View: a.state.View, Promised: a.state.Promised, ID: a.state.ID}
 }
--- a/internal/controlplane/paxos/acceptor_lease.go
+++ b/internal/controlplane/paxos/acceptor_lease.go
@@ -6,8 +6,9 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// Renew grants the primary of a view the master lease for the lease term, counted from now on this clock, unless a newer
-// view is known here, or a promise for the next epoch was given to another. An error is one of the disk.
+// Renew grants the master lease to the primary of a view for the lease term, counted from now on the local clock. It refuses
+// if this acceptor knows a newer view, or has made a promise for the next epoch to another proposer. Every error comes from
+// the disk.
 func (a *Acceptor) Renew(request *RenewRequest) (*RenewResponse, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -30,38 +31,39 @@
 	return response, nil
 }
 
-// Release ends the primary's lease at its own request. A delayed request, after which a newer grant or one to another run
-// was given here, ends nothing.
+// Release ends the primary's lease at the primary's request. It ignores a delayed request: one for another epoch, from
+// another run than the lease was last granted to, or from a round no later than that of the last grant.
 func (a *Acceptor) Release(request *ReleaseRequest) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if request.PrimaryRun != 0 && request.PrimaryRun == a.lastGrantedRun && (request.Round > a.lastGrantedRound || faultinjection.Disabled("release-round")) && request.Epoch == a.state.View.Epoch {
-		a.grants.endAll()
+		a.grants.revokeAll()
 	}
 }
 
-// SilentHolder is the run of the primary that holds the lease granted here, where it has not renewed that for a span. A lease
-// of before this acceptor's start has no known holder.
-func (a *Acceptor) SilentHolder(span time.Duration) (run uint64, silent bool) {
+// StaleGrant returns a run of the primary whose lease grant is active but has not been renewed for longer than age. A lease
+// granted before this acceptor was restarted does not count: its run is unknown.
+func (a *Acceptor) StaleGrant(age time.Duration) (run uint64, found bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.grants.silentRun(time.Now().Add(a.leaseTerm - span))
+	return a.grants.staleRun(time.Now().Add(a.leaseTerm - age))
 }
 
-// EndLeaseOf ends the lease that was granted here to a run of the primary which has surely ended: nobody acts on it any more.
-// A lease that another run holds goes on, whichever of the two was granted last: a renewal of the ended run may have been
-// delayed in the network.
-func (a *Acceptor) EndLeaseOf(run uint64) {
+// RevokeLease ends the lease granted to a run of the primary's process. The caller must have proof that this run has ended,
+// so that no process acts on the lease any more. A grant to another run stays active even if the ended run was granted
+// the lease last, since its renewal may have been delayed in the network.
+func (a *Acceptor) RevokeLease(run uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if run != unknownRun {
-		a.grants.end(run)
+		a.grants.revoke(run)
 	}
 }
 
-// HasActiveLease reports whether a lease granted here to the primary still runs. It may wait for a disk write.
+// HasActiveLease reports whether a lease that this acceptor granted to the primary is still active. It may wait for a disk
+// write.
 func (a *Acceptor) HasActiveLease() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.grants.areActive(time.Now())
+	return a.grants.anyActive(time.Now())
 }
--- a/internal/controlplane/paxos/acceptor_lease_test.go
+++ b/internal/controlplane/paxos/acceptor_lease_test.go
@@ -10,21 +10,20 @@
 	"yarrowridge/internal/controlplane/view"
 )
 
-// memory is a disk without faults.
-type memory map[string][]byte
+// memoryDisk is an in-memory disk without faults.
+type memoryDisk map[string][]byte
 
-func (m memory) Write(name string, data []byte) error { m[name] = data; return nil }
-func (m memory) Read(name string) ([]byte, error)     { return m[name], nil }
-func (m memory) List() ([]string, error)              { return nil, nil }
-func (m memory) Remove(name string) error             { delete(m, name); return nil }
-func (m memory) Sync() error                          { return nil }
-func (m memory) Rename(from, to string) error         { m[to] = m[from]; delete(m, from); return nil }
+func (m memoryDisk) Write(name string, data []byte) error { m[name] = data; return nil }
+func (m memoryDisk) Read(name string) ([]byte, error)     { return m[name], nil }
+func (m memoryDisk) List() ([]string, error)              { return nil, nil }
+func (m memoryDisk) Remove(name string) error             { delete(m, name); return nil }
+func (m memoryDisk) Sync() error                          { return nil }
+func (m memoryDisk) Rename(from, to string) error         { m[to] = m[from]; delete(m, from); return nil }
 
-// A primary gives its lease back at once; a release that is older than a grant, of another run or of
-// another epoch ends nothing.
+// A release ends the lease at once, unless it is no newer than the last grant or belongs to another run or epoch.
 func TestReleaseLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		acceptor, err := Open(memory{}, time.Second, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		acceptor, err := Open(memoryDisk{}, time.Second, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -57,16 +56,16 @@
 		grant(5, 10)
 		grant(5, 8) // delayed
 		if acceptor.Release(&ReleaseRequest{Epoch: 3, PrimaryRun: 5, Round: 9}); !acceptor.HasActiveLease() {
-			t.Error("a release older than the newest grant ended the lease")
+			t.Error("a release older than the last grant ended the lease")
 		}
 	})
 }
 
-// The lease of a run that has surely ended is over at once. That of another run, which was granted meanwhile, goes on.
-func TestLeaseOfARunThatHasEnded(t *testing.T) {
+// Revoking the lease of a run that has ended takes effect at once. The lease granted to another run meanwhile stays active.
+func TestRevokeLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const term = time.Second
-		acceptor, err := Open(memory{}, term, slog.New(slog.DiscardHandler))
+		acceptor, err := Open(memoryDisk{}, term, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -77,43 +76,43 @@
 				t.Fatalf("got %+v, %v, want a grant", response, err)
 			}
 		}
-		if _, silent := acceptor.SilentHolder(0); silent {
-			t.Error("got a silent holder before any grant")
+		if _, found := acceptor.StaleGrant(0); found {
+			t.Error("got a stale grant before any grant")
 		}
 		grant(1)
-		if _, silent := acceptor.SilentHolder(term / 4); silent {
-			t.Error("got a silent holder just after its grant")
+		if _, found := acceptor.StaleGrant(term / 4); found {
+			t.Error("got a stale grant right after it was granted")
 		}
 		time.Sleep(term / 2)
-		if run, silent := acceptor.SilentHolder(term / 4); !silent || run != 1 {
-			t.Errorf("got run %d, silent: %t, want run 1, silent", run, silent)
+		if run, found := acceptor.StaleGrant(term / 4); !found || run != 1 {
+			t.Errorf("got run %d, stale grant found: %t; want run 1, true", run, found)
 		}
 		grant(2)
-		acceptor.EndLeaseOf(1)
+		acceptor.RevokeLease(1)
 		if !acceptor.HasActiveLease() {
-			t.Error("the lease of run 2 was ended with that of run 1")
+			t.Error("revoking the lease of run 1 ended that of run 2")
 		}
-		acceptor.EndLeaseOf(0)
+		acceptor.RevokeLease(0)
 		if !acceptor.HasActiveLease() {
-			t.Error("the lease was ended with that of an unknown run")
+			t.Error("revoking the lease of the unknown run ended that of run 2")
 		}
-		acceptor.EndLeaseOf(2)
+		acceptor.RevokeLease(2)
 		if acceptor.HasActiveLease() {
-			t.Error("the lease of run 2 goes on, though that run has ended")
+			t.Error("the lease of run 2 is active after it was revoked")
 		}
 		time.Sleep(term)
-		if _, silent := acceptor.SilentHolder(term / 4); silent {
-			t.Error("got a silent holder of a lease that is over")
+		if _, found := acceptor.StaleGrant(term / 4); found {
+			t.Error("got a stale grant after the lease expired")
 		}
 	})
 }
 
-// A renewal of a run that has ended may arrive after the first grant of the run that followed it. That the former has ended
-// says nothing of the latter.
-func TestDelayedRenewalOfARunThatHasEnded(t *testing.T) {
+// A delayed renewal of a run that has ended may arrive after its successor was granted the lease. Revoking the lease of the
+// ended run must not end the successor's, although the ended run was granted the lease last.
+func TestDelayedRenewalOfEndedRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const term = time.Second
-		acceptor, err := Open(memory{}, term, slog.New(slog.DiscardHandler))
+		acceptor, err := Open(memoryDisk{}, term, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -123,24 +122,24 @@
 				t.Fatalf("got %+v, %v, want a grant", response, err)
 			}
 		}
-		acceptor.EndLeaseOf(1)
+		acceptor.RevokeLease(1)
 		if !acceptor.HasActiveLease() {
-			t.Error("the lease of run 2 was ended with that of run 1")
+			t.Error("revoking the lease of run 1 ended that of run 2")
 		}
 		time.Sleep(term + time.Nanosecond)
 		if acceptor.HasActiveLease() {
-			t.Error("got a lease after its term, want none")
+			t.Error("the lease is active after its term, want it expired")
 		}
 	})
 }
 
-// An acceptor that has granted the lease promises the next epoch to its primary only, until the grant has run out; one that
-// has promised it to another grants the lease to the primary no more. Else a new primary would answer while the lease of the
-// old one still runs.
+// An acceptor that has granted the lease makes promises for the next epoch to the primary only, until the grant expires. An
+// acceptor that has made a promise to another proposer no longer grants the lease to the primary. Otherwise a new primary
+// could answer while the lease of the old one is still active.
 func TestLeaseAndPromiseExcludeOneAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const term = time.Second
-		acceptor, err := Open(memory{}, term, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		acceptor, err := Open(memoryDisk{}, term, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -162,11 +161,11 @@
 			return response.Agreed
 		}
 		if granted, _ := renew(); !granted {
-			t.Fatal("got no lease from a fresh acceptor, want one")
+			t.Fatal("got no lease from a new acceptor, want one")
 		}
 		time.Sleep(term - time.Millisecond)
 		if promises(1, "b") {
-			t.Error("got a promise to a backup while the primary's grant runs, want none")
+			t.Error("got a promise to a backup while the primary's grant is active, want none")
 		}
 		if !promises(1, "a") {
 			t.Error("got no promise to the primary itself, want one")
@@ -176,7 +175,7 @@
 		}
 		time.Sleep(term)
 		if !promises(2, "b") {
-			t.Fatal("got no promise to a backup once the grant has run out, want one")
+			t.Fatal("got no promise to a backup after the grant expired, want one")
 		}
 		if granted, promisedOther := renew(); granted || !promisedOther {
 			t.Errorf("after a promise to a backup: got granted %v, promised to another %v; want false, true", granted, promisedOther)
--- a/internal/controlplane/paxos/acceptor_state.go
+++ b/internal/controlplane/paxos/acceptor_state.go
@@ -12,23 +12,23 @@
 
 //go:generate go tool msgp -tests=false -io=false
 
-// A length read from disk is believed up to this only.
+// Maximum lengths of arrays and maps that the decoder accepts from disk.
 //msgp:limit arrays:10000000 maps:200000
 
-// stateFile is the name of the file that keeps an acceptor's state. It is part of the stored format.
+// stateFile is the name of the file with the acceptor's state. The name is part of the stored format.
 const stateFile = "ballot"
 
-// AcceptorState is what an acceptor keeps on disk. Promised, Accepted and AcceptedView belong to the epoch after the one
-// of View, and are zero again once a newer View is learnt.
+// AcceptorState is the state that an acceptor stores on disk. Promised, Accepted and AcceptedView belong to the epoch after
+// that of View; they are reset to zero when a newer View is learnt.
 type AcceptorState struct {
 	ID           string         `msg:"i"`
 	View         view.View      `msg:"v"` // the newest view known to be chosen
 	Promised     ProposalNumber `msg:"b"` // no proposal with a lower number is accepted
-	Accepted     ProposalNumber `msg:"a"` // of the proposal with AcceptedView; zero: none was accepted
+	Accepted     ProposalNumber `msg:"a"` // number of the accepted proposal, whose value is AcceptedView; zero if there is none
 	AcceptedView view.View      `msg:"n"`
 }
 
-// readState reads the state from disk. It reports false where there is none, or a damaged one, which is renamed.
+// readState reads the state from disk. ok is false if there is no state, or if it is damaged; a damaged file is renamed.
 func readState(disk store.Disk, log *slog.Logger) (state AcceptorState, ok bool, err error) {
 	raw, err := disk.Read(stateFile)
 	if err != nil {
@@ -44,12 +44,12 @@
 	}
 	log.Error("Acceptor state is damaged and was set aside. This disk counts as blank.", "file", "bad-"+stateFile)
 	if err := disk.Rename(stateFile, "bad-"+stateFile); err != nil {
-		return AcceptorState{}, false, eris.Wrap(err, "paxos: set acceptor state aside")
+		return AcceptorState{}, false, eris.Wrap(err, "paxos: rename damaged acceptor state")
 	}
 	return AcceptorState{}, false, nil
 }
 
-// persist syncs the state to disk before it counts. The caller holds the lock.
+// persist makes state the current one after syncing it to disk. The caller holds the lock.
 func (a *Acceptor) persist(state AcceptorState) error {
 	raw, err := state.MarshalMsg(nil)
 	if err != nil {
--- a/internal/controlplane/paxos/lease_grants.go
+++ b/internal/controlplane/paxos/lease_grants.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// unknownRun stands for the run of the primary that an acceptor had granted the lease before it was restarted.
+// unknownRun stands for the run of the primary to which an acceptor may have granted the lease before its own restart.
 const unknownRun = 0
 
-// leaseGrants is until when an acceptor has granted the lease, by the runs of the primary's process that it was granted to.
-// More than one may have a grant that has not run out: a run that has ended, and the one after it. The zero value has none.
+// leaseGrants maps each run of the primary's process that was granted the lease to the expiry time of its grant. More than
+// one grant may be active: that of a run that has ended and that of its successor. The zero value has no grants.
 type leaseGrants map[uint64]time.Time
 
-// grant grants the lease to a run until a moment.
+// grant grants the lease to a run until the given time, and drops expired grants.
 func (g *leaseGrants) grant(run uint64, until time.Time) {
 	if *g == nil {
 		*g = leaseGrants{}
@@ -22,14 +22,14 @@
 	(*g)[run] = until
 }
 
-// end ends the grant of a run.
-func (g leaseGrants) end(run uint64) { delete(g, run) }
+// revoke removes the grant of a run.
+func (g leaseGrants) revoke(run uint64) { delete(g, run) }
 
-// endAll ends all grants.
-func (g leaseGrants) endAll() { clear(g) }
+// revokeAll removes all grants.
+func (g leaseGrants) revokeAll() { clear(g) }
 
-// areActive reports whether some grant has not run out.
-func (g leaseGrants) areActive(now time.Time) bool {
+// anyActive reports whether at least one grant has not expired.
+func (g leaseGrants) anyActive(now time.Time) bool {
 	for _, end := range g {
 		if now.Before(end) {
 			return true
@@ -38,8 +38,8 @@
 	return false
 }
 
-// silentRun is a known run whose grant has not run out, and runs out before a moment: it has not been renewed for long.
-func (g leaseGrants) silentRun(before time.Time) (run uint64, found bool) {
+// staleRun returns a known run whose grant is active but expires before the given time, because it was not renewed recently.
+func (g leaseGrants) staleRun(before time.Time) (run uint64, found bool) {
 	now := time.Now()
 	for run, end := range g {
 		if run != unknownRun && now.Before(end) && end.Before(before) {
--- a/internal/controlplane/paxos/proposer.go
+++ b/internal/controlplane/paxos/proposer.go
@@ -1,9 +1,10 @@
-// Package paxos chooses the view of each epoch by single-decree Paxos (Lamport, "Paxos Made Simple", 2001): one instance an
-// epoch, whose value is a view.View and whose acceptors are the members of the epoch before. Since a view may change the
-// members, a value is chosen once majorities of the old and of the new members have accepted it.
+// Package paxos chooses the view of each epoch by single-decree Paxos (Lamport, "Paxos Made Simple", 2001). There is one
+// instance per epoch; its value is a view.View and its acceptors are the members of the previous epoch. Since a view may
+// change the members, a value is chosen once a majority of the old members and a majority of the new members have accepted it.
 //
-// Acceptors also grant the primary its master lease (Gray and Cheriton, 1989; Chandra, Griesemer and Redstone, "Paxos Made
-// Live", 2007), since a grant has to hold promises back; the primary's side of it is package lease.
+// Acceptors also grant the primary its master lease (Gray and Cheriton, "Leases", 1989; Chandra, Griesemer and Redstone,
+// "Paxos Made Live", 2007), because an acceptor must withhold promises from other proposers while its grant is active. Package
+// lease implements the primary's side.
 package paxos
 
 import (
@@ -19,35 +20,36 @@
 	"yarrowridge/internal/controlplane/view"
 )
 
-// CallFunc sends a request to the acceptor at an address and waits for its response. It is called concurrently.
+// CallFunc sends a request of a kind to the process at an address and waits for its response. It is called concurrently.
 type CallFunc func(ctx context.Context, addr, kind string, request msgp.Marshaler, response msgp.Unmarshaler) error
 
-// QueryStatus asks the process at an address who it is and which view it knows. The answer does not wait for its disk.
+// QueryStatus asks the process at an address for its identity and the newest view it knows. The process answers without
+// waiting for its disk.
 func QueryStatus(ctx context.Context, call CallFunc, addr string) (status view.StatusResponse, err error) {
 	err = call(ctx, addr, "view.ask", &view.StatusRequest{}, &status)
 	return status, err
 }
 
-// ErrNotChosen means that the proposal is not known to have been chosen: too few acceptors answered, a proposal with a
-// higher number went ahead, or the primary's lease still runs.
+// ErrNotChosen means that no view is known to have been chosen: too few acceptors answered, a proposal with a higher number
+// preempted this one, or the primary's lease is still active.
 var ErrNotChosen = errors.New("paxos: no view chosen")
 
-// ErrOutcomeUnknown means that acceptors were asked to accept a view, and too few are known to have done so: whoever
-// proposes next may find it accepted, and complete it. It is an ErrNotChosen too.
-var ErrOutcomeUnknown = fmt.Errorf("%w, but one may be later", ErrNotChosen)
+// ErrOutcomeUnknown means that acceptors were asked to accept a view but too few are known to have accepted it. The next
+// proposer may find the view accepted by some of them and complete the proposal. It wraps ErrNotChosen.
+var ErrOutcomeUnknown = fmt.Errorf("%w, but the proposed view may still be chosen", ErrNotChosen)
 
-// Proposer makes one proposal for the epoch after Current. It is used by one goroutine, and once.
+// Proposer makes one proposal for the epoch after Current. A Proposer is used only once, by a single goroutine.
 type Proposer struct {
 	ProposerID    string
 	Call          CallFunc
 	Current       view.View
 	Value         view.View
-	Unanimous     bool          // founding: every founder must promise, not only a majority
-	StepTimeout   time.Duration // for each of the two phases
+	Unanimous     bool          // every current member must promise, not only a majority; set for the first epoch
+	StepTimeout   time.Duration // timeout of each of the two phases
 	HighestNumber uint64        // the highest number of a proposal seen so far; Propose raises it
 }
 
-// acceptorResult is what one acceptor answered, or why it did not.
+// acceptorResult is one acceptor's response, or the error of the call.
 type acceptorResult struct {
 	id       string
 	response AcceptorResponse
@@ -57,8 +59,9 @@
 // quorumFunc reports whether the acceptors that agreed are enough.
 type quorumFunc func(agreed map[string]bool) bool
 
-// Propose runs the two phases. It returns the view now chosen for the epoch, which may be another proposer's, or a newer
-// view that an acceptor knew of; ErrNotChosen where nothing was learnt, ErrOutcomeUnknown where acceptors may have accepted.
+// Propose runs the two phases. It returns the view chosen for the epoch, which may be another proposer's, or a newer view
+// that an acceptor reported. It returns ErrNotChosen if the first phase failed and ErrOutcomeUnknown if acceptors may have
+// accepted the proposal.
 func (p *Proposer) Propose(ctx context.Context) (view.View, error) {
 	number := ProposalNumber{Number: p.HighestNumber + 1, Proposer: p.ProposerID}
 	value, newer, err := p.prepare(ctx, number)
@@ -78,9 +81,9 @@
 	return view.View{}, eris.Wrap(ErrOutcomeUnknown, "paxos: accept")
 }
 
-// prepare is the first phase: it asks the current members for their promises. value is the view to propose then, by the
-// paper's P2c: that of the highest-numbered proposal accepted among them, or our own where there is none. newer is the
-// newest chosen view that an acceptor knew of.
+// prepare runs the first phase: it asks the current members for promises. By P2c of the paper, the value to propose in the
+// second phase is that of the highest-numbered proposal that these acceptors have accepted, or p.Value if there is none.
+// newer is the newest chosen view that an acceptor reported, if it is newer than p.Current.
 func (p *Proposer) prepare(ctx context.Context, number ProposalNumber) (value, newer view.View, err error) {
 	value = p.Value
 	value.Epoch = p.Current.Epoch + 1
@@ -100,8 +103,7 @@
 	return value, newer, err
 }
 
-// accept is the second phase: it asks the current and the new members to accept the view. newer is the newest chosen view
-// that an acceptor knew of.
+// accept runs the second phase: it asks the current and the new members to accept the view. newer is as in prepare.
 func (p *Proposer) accept(ctx context.Context, number ProposalNumber, value view.View) (newer view.View, err error) {
 	acceptors := slices.Clone(p.Current.Members)
 	for _, m := range value.Members {
@@ -116,7 +118,7 @@
 	return newer, err
 }
 
-// record keeps the highest number and the newest chosen view seen.
+// record updates the highest proposal number and the newest chosen view seen so far from a response.
 func (p *Proposer) record(response AcceptorResponse, newer *view.View) {
 	p.HighestNumber = max(p.HighestNumber, response.Promised.Number)
 	if response.View.Epoch > p.Current.Epoch && response.View.Epoch > newer.Epoch {
@@ -124,7 +126,8 @@
 	}
 }
 
-// broadcast sends one request to all acceptors, passes each response to observe, and ends once a quorum has agreed.
+// broadcast sends a request to all acceptors and passes each response to observe. It returns nil as soon as a quorum has
+// agreed, and ErrNotChosen if that does not happen within the step timeout.
 func (p *Proposer) broadcast(ctx context.Context, acceptors []view.Member, kind string, request msgp.Marshaler, quorum quorumFunc, observe func(AcceptorResponse)) error {
 	ctx, cancel := context.WithTimeout(ctx, p.StepTimeout)
 	defer cancel()
@@ -137,7 +140,7 @@
 		var result acceptorResult
 		select {
 		case result = <-results:
-		case <-ctx.Done(): // our own acceptor may be stuck at its disk
+		case <-ctx.Done(): // the local acceptor may be blocked on its disk
 			return ErrNotChosen
 		}
 		if result.err != nil {
@@ -154,8 +157,8 @@
 	return ErrNotChosen
 }
 
-// call sends one request to one acceptor. Another process at its address, or one that has lost its disk, may not answer
-// for it.
+// call sends a request to one acceptor. It rejects the response of a process with another identity: another process at the
+// same address, or the same one after it lost its disk.
 func (p *Proposer) call(ctx context.Context, m view.Member, kind string, request msgp.Marshaler) acceptorResult {
 	result := acceptorResult{id: m.ID}
 	result.err = p.Call(ctx, m.Addr, kind, request, &result.response)
