--- a/internal/controlplane/handover/handover_test.go
+++ b/internal/controlplane/handover/handover_test.go
@@ -17,7 +17,7 @@
 
 const leaseTerm = 1500 * time.Millisecond
 
-// viewOfFive is an epoch that a leads with the backup b, beside c, d and e.
+// viewOfFive returns a view with the primary a, the backup b and the other members c, d and e.
 func viewOfFive() view.View {
 	v := view.View{Epoch: 3, Primary: "a", FirstBackup: "b"}
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
@@ -26,16 +26,16 @@
 	return v
 }
 
-// fakeMembers answers calls for the members that are reached, and for none of the others until the caller gives up.
+// fakeMembers answers calls to reachable members. Calls to other members block until their context is done.
 type fakeMembers struct {
-	reached map[string]bool // by address
+	reachable map[string]bool // by address
 
 	mu       sync.Mutex
 	released []paxos.ReleaseRequest // guarded by mu
 }
 
 func (f *fakeMembers) call(ctx context.Context, addr, kind string, request msgp.Marshaler, response msgp.Unmarshaler) error {
-	if !f.reached[addr] {
+	if !f.reachable[addr] {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -60,40 +60,41 @@
 	return f.released
 }
 
-func reach(ids ...string) *fakeMembers {
-	f := &fakeMembers{reached: map[string]bool{}}
-	for _, id := range ids {
-		f.reached["at-"+id] = true
+// newFakeMembers returns fakeMembers of which only the given ones are reachable.
+func newFakeMembers(reachable ...string) *fakeMembers {
+	f := &fakeMembers{reachable: map[string]bool{}}
+	for _, id := range reachable {
+		f.reachable["at-"+id] = true
 	}
 	return f
 }
 
-// A handover is due where no majority has answered for a third of the term, and the backup has: not while a majority
-// answers, not where nobody does, and not before the primary has led for so long.
+// A handover is due if the backup but no majority has answered within the last third of the lease term, and the primary has
+// led for at least that long.
 func TestIsDue(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		heard  []string
-		ledFor time.Duration
-		want   bool
+		name      string
+		contacted []string
+		ledFor    time.Duration
+		want      bool
 	}{
-		{"the backup alone answers", []string{"a", "b"}, time.Minute, true},
+		{"only the backup answers", []string{"a", "b"}, time.Minute, true},
 		{"a majority answers", []string{"a", "b", "c"}, time.Minute, false},
-		{"another member alone answers", []string{"a", "c"}, time.Minute, false},
-		{"nobody answers", []string{"a"}, time.Minute, false},
-		{"the primary has just begun", []string{"a", "b"}, leaseTerm/3 - time.Millisecond, false},
+		{"only a member that is no backup answers", []string{"a", "c"}, time.Minute, false},
+		{"no other member answers", []string{"a"}, time.Minute, false},
+		{"the primary has just begun to lead", []string{"a", "b"}, leaseTerm/3 - time.Millisecond, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				coordinator, primacy := New(nil, leaseTerm), lease.New(leaseTerm)
+				coordinator, primaryLease := New(nil, leaseTerm), lease.New(leaseTerm)
 				for _, id := range []string{"a", "b", "c", "d", "e"} {
-					primacy.RecordContact(id)
+					primaryLease.RecordContact(id)
 				}
 				time.Sleep(leaseTerm / 3)
-				for _, id := range c.heard {
-					primacy.RecordContact(id)
+				for _, id := range c.contacted {
+					primaryLease.RecordContact(id)
 				}
-				if got := coordinator.IsDue(viewOfFive(), primacy, time.Now().Add(-c.ledFor)); got != c.want {
+				if got := coordinator.IsDue(viewOfFive(), primaryLease, time.Now().Add(-c.ledFor)); got != c.want {
 					t.Errorf("got due: %t, want %t", got, c.want)
 				}
 			})
@@ -101,13 +102,13 @@
 	}
 }
 
-// A backup says that it reaches a majority where that answers, for the epoch that it knows only.
-func TestReach(t *testing.T) {
+// A backup reports that it reaches a majority if a majority answers it and the request is for the epoch that it knows.
+func TestHandleReach(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		reached []string
-		epoch   uint64
-		want    bool
+		name      string
+		reachable []string
+		epoch     uint64
+		want      bool
 	}{
 		{"a majority answers", []string{"b", "c", "d"}, 3, true},
 		{"two of five answer", []string{"a", "b"}, 3, false},
@@ -115,36 +116,36 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				begun := time.Now()
-				response := New(reach(c.reached...).call, leaseTerm).HandleReach(t.Context(), &ReachRequest{Epoch: c.epoch}, viewOfFive())
+				start := time.Now()
+				response := New(newFakeMembers(c.reachable...).call, leaseTerm).HandleReach(t.Context(), &ReachRequest{Epoch: c.epoch}, viewOfFive())
 				if response.ReachesMajority != c.want {
-					t.Errorf("got a majority reached: %t, want %t", response.ReachesMajority, c.want)
+					t.Errorf("got majority reached: %t, want %t", response.ReachesMajority, c.want)
 				}
-				if took := time.Since(begun); took > callTimeout || c.want && took > 0 {
-					t.Errorf("got an answer after %s, want one within %s, at once where a majority answers", took, callTimeout)
+				if took := time.Since(start); took > callTimeout || c.want && took > 0 {
+					t.Errorf("got a response after %s, want it within %s, and at once if a majority answers", took, callTimeout)
 				}
 			})
 		})
 	}
 }
 
-// A release goes to all members as it came, and counts as passed on once a majority has it.
+// A release is relayed unchanged to all members, and the relay succeeds once a majority has received it.
 func TestRelayRelease(t *testing.T) {
 	for _, c := range []struct {
-		reached []string
-		want    bool
+		reachable []string
+		want      bool
 	}{{[]string{"b", "c", "d", "e"}, true}, {[]string{"a", "b"}, false}} {
 		synctest.Test(t, func(t *testing.T) {
-			members := reach(c.reached...)
+			members := newFakeMembers(c.reachable...)
 			release := paxos.ReleaseRequest{Epoch: 3, PrimaryRun: 9, Round: 12}
 			if got := New(members.call, leaseTerm).RelayRelease(t.Context(), &release, viewOfFive()); got != c.want {
-				t.Errorf("%v reached: got passed on: %t, want %t", c.reached, got, c.want)
+				t.Errorf("reachable %v: got relay succeeded: %t, want %t", c.reachable, got, c.want)
 			}
 			time.Sleep(callTimeout)
 			synctest.Wait()
 			released := members.releases()
-			if len(released) != len(c.reached) {
-				t.Errorf("%v reached: got %d releases, want one each", c.reached, len(released))
+			if len(released) != len(c.reachable) {
+				t.Errorf("reachable %v: got %d releases, want one for each reachable member", c.reachable, len(released))
 			}
 			for _, got := range released {
 				if got != release {
@@ -155,15 +156,15 @@
 	}
 }
 
-// The backup that answers is asked, once at a time, and found where it reaches a majority.
+// FindSuccessor asks the reachable backup once although it is called three times, and reports it if it reaches a majority.
 func TestFindSuccessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		members := reach("b")
-		coordinator, primacy := New(members.call, leaseTerm), lease.New(leaseTerm)
-		primacy.RecordContact("b")
+		members := newFakeMembers("b")
+		coordinator, primaryLease := New(members.call, leaseTerm), lease.New(leaseTerm)
+		primaryLease.RecordContact("b")
 		var found []string
 		for range 3 {
-			coordinator.FindSuccessor(t.Context(), viewOfFive(), primacy, func(backup view.Member) { found = append(found, backup.Addr) })
+			coordinator.FindSuccessor(t.Context(), viewOfFive(), primaryLease, func(backup view.Member) { found = append(found, backup.Addr) })
 		}
 		synctest.Wait()
 		if len(found) != 1 || found[0] != "at-b" {
--- a/internal/controlplane/handover/messages.go
+++ b/internal/controlplane/handover/messages.go
@@ -2,15 +2,15 @@
 
 //go:generate go tool msgp -tests=false -io=false
 
-// A length read from the wire is believed up to this only.
+// Maximum lengths of arrays and maps that the decoder accepts from the wire.
 //msgp:limit arrays:10000000 maps:200000
 
-// ReachRequest asks a backup whether it reaches a majority of the members of an epoch's view.
+// ReachRequest asks a backup whether it reaches a majority of the members in the view of an epoch.
 type ReachRequest struct {
 	Epoch uint64 `msg:"e"`
 }
 
-// ReachResponse answers a ReachRequest.
+// ReachResponse is the response to a ReachRequest.
 type ReachResponse struct {
 	ReachesMajority bool `msg:"m"`
 }
--- a/internal/controlplane/view/view_test.go
+++ b/internal/controlplane/view/view_test.go
@@ -7,7 +7,7 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// A view stored by a build that knew one backup only is read with that backup.
+// A view stored by an older build, which supported a single backup, is decoded with that backup.
 func TestViewWithOneBackupIsDecoded(t *testing.T) {
 	raw := msgp.AppendMapHeader(nil, 3)
 	raw = msgp.AppendUint64(msgp.AppendString(raw, "e"), 7)
@@ -25,13 +25,14 @@
 	}
 }
 
-// viewOfThree has members a, b and c; a is primary, b and c are its backups.
+// viewOfThree returns a view with the primary a and its backups b and c.
 func viewOfThree() View {
 	members := []Member{{ID: "a", Addr: "1"}, {ID: "b", Addr: "2"}, {ID: "c", Addr: "3"}}
 	return View{Members: members, Primary: "a"}.WithBackups([]string{"b", "c"})
 }
 
-// The first backup stands where builds that know one look for it, and a removed member is no backup.
+// FirstBackup, which older builds read, is the first of the backups, and removing a member removes it from the backups. The
+// original view does not change.
 func TestRemovedMemberIsNoBackup(t *testing.T) {
 	v := viewOfThree()
 	if v.FirstBackup != "b" || !v.IsBackup("c") || v.IsBackup("a") {
