--- a/internal/controlplane/membership/backups.go
+++ b/internal/controlplane/membership/backups.go
@@ -8,9 +8,10 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// WithPrimary is the view in which a backup leads. The other backups stay, and the former primary becomes one: each
-// has every write acknowledged so far, so that one of them can lead where the new primary's disk is lost before it
-// has sent its state to anybody. It acknowledges nothing before every backup of its view has that.
+// WithPrimary returns the view in which a backup takes over as primary. The other backups remain, and the former primary
+// becomes a backup if it is still a member. Each of them stores every write acknowledged so far, so that one of them can take
+// over if the new primary's disk is lost before it has sent its state to any backup. The new primary acknowledges no write
+// before all backups of its view have that state.
 func WithPrimary(v view.View, id string) view.View {
 	next := v.WithoutBackup(id)
 	if v.HasMember(v.Primary) && !faultinjection.Disabled("former-primary") {
@@ -20,7 +21,7 @@
 	return next
 }
 
-// BackupCount is how many members beside the primary store a write before it is acknowledged.
+// BackupCount returns how many backups must store a write before it is acknowledged.
 func (p Policy) BackupCount(v view.View) int {
 	if p.AllowNoBackup {
 		return min(p.Losses, len(v.Members)-1)
@@ -28,8 +29,9 @@
 	return p.Losses
 }
 
-// AfterStepDown is the view once the primary has left as planned. The last but one member gives up its
-// place too, where no loss is to be borne: the last one is no majority of two.
+// AfterStepDown returns the view after a planned stop of the primary: the first backup takes over. ok is false if there is no
+// backup. With AllowNoBackup, if there are only two members, the former primary is also removed from the members: otherwise
+// the remaining member would not be a majority.
 func (p Policy) AfterStepDown(v view.View) (next view.View, ok bool) {
 	if len(v.Backups()) == 0 {
 		return v, false
@@ -41,23 +43,24 @@
 	return next, true
 }
 
-// SpreadAcrossZones picks members, those of zones not used yet first, and marks their zones as used.
-func SpreadAcrossZones(from []view.Member, used map[string]bool, count int) []string {
-	free := slices.SortedFunc(slices.Values(from), func(a, b view.Member) int { return strings.Compare(a.ID, b.ID) })
-	var out []string
-	for len(out) < count && len(free) > 0 {
-		best := max(0, slices.IndexFunc(free, func(m view.Member) bool { return !used[m.Zone] }))
-		out = append(out, free[best].ID)
-		used[free[best].Zone] = true
-		free = slices.Delete(free, best, best+1)
+// SpreadAcrossZones selects up to count of the given members. It prefers members in zones that are not used yet and marks
+// the zones of the selected members as used. The result does not depend on the order of the members.
+func SpreadAcrossZones(members []view.Member, usedZones map[string]bool, count int) []string {
+	remaining := slices.SortedFunc(slices.Values(members), func(a, b view.Member) int { return strings.Compare(a.ID, b.ID) })
+	var selected []string
+	for len(selected) < count && len(remaining) > 0 {
+		best := max(0, slices.IndexFunc(remaining, func(m view.Member) bool { return !usedZones[m.Zone] }))
+		selected = append(selected, remaining[best].ID)
+		usedZones[remaining[best].Zone] = true
+		remaining = slices.Delete(remaining, best, best+1)
 	}
-	return out
+	return selected
 }
 
-// InitialView is the first view: the first member leads, its backups are in other zones than it and one another where
-// there are such.
+// InitialView returns the first view. The first founder is the primary. Its backups are, as far as possible, in different
+// zones from the primary and from each other.
 func InitialView(founders []view.Member, losses int) view.View {
-	first := view.View{Members: founders, TargetSize: len(founders), Primary: founders[0].ID}
-	used := map[string]bool{founders[0].Zone: true}
-	return first.WithBackups(SpreadAcrossZones(founders[1:], used, losses))
+	v := view.View{Members: founders, TargetSize: len(founders), Primary: founders[0].ID}
+	usedZones := map[string]bool{founders[0].Zone: true}
+	return v.WithBackups(SpreadAcrossZones(founders[1:], usedZones, losses))
 }
--- a/internal/controlplane/membership/candidates_test.go
+++ b/internal/controlplane/membership/candidates_test.go
@@ -8,8 +8,8 @@
 	"yarrowridge/internal/controlplane/view"
 )
 
-// The candidate that replaces a member comes first, then the one that asked first. One that asks no more, or has become a
-// member, is forgotten.
+// A candidate that supersedes a member comes first, then the one with the earliest request. Candidates whose last request has
+// expired or that have become members are dropped.
 func TestNextCandidate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := membersOf(3)
@@ -29,11 +29,11 @@
 		time.Sleep(time.Second)
 		candidates.Add(view.Member{ID: "y", Addr: "y:1"})
 		expect("x")
-		candidates.Add(view.Member{ID: "z", Addr: "c:1"}) // where c was
+		candidates.Add(view.Member{ID: "z", Addr: "c:1"}) // at the address of member c
 		expect("z")
 		v = v.WithMember(view.Member{ID: "z", Addr: "c:1"})
 		time.Sleep(candidateTTL - time.Millisecond)
-		expect("y") // x asks no more
+		expect("y") // the request of x has expired, z is a member
 		if got := len(candidates.Members()); got != 1 {
 			t.Errorf("got %d candidates, want 1", got)
 		}
--- a/internal/controlplane/membership/plan_test.go
+++ b/internal/controlplane/membership/plan_test.go
@@ -8,8 +8,8 @@
 	"yarrowridge/internal/controlplane/view"
 )
 
-// nextView is the view after one, where some members have been silent for long. What the policy leaves out is as by default.
-func nextView(t *testing.T, policy Policy, v view.View, newcomer *Candidate, lost ...string) (next view.View, ok bool) {
+// nextView plans the change of a view in which the given members are lost. It fills in defaults for missing policy settings.
+func nextView(t *testing.T, policy Policy, v view.View, candidate *Candidate, lost ...string) (next view.View, ok bool) {
 	t.Helper()
 	policy.LostAfter = 10 * time.Second
 	if policy.Losses == 0 {
@@ -18,7 +18,7 @@
 	if policy.MaxMembers == 0 {
 		policy.MaxMembers = 9
 	}
-	return policy.NextView(v, newcomer, func(id string) time.Duration {
+	return policy.NextView(v, candidate, func(id string) time.Duration {
 		if slices.Contains(lost, id) {
 			return time.Minute
 		}
@@ -26,7 +26,7 @@
 	})
 }
 
-// membersOf is a view of members a, b, … whose primary is a and whose backup is b.
+// membersOf returns a view with count members a, b, …, the primary a and the backup b.
 func membersOf(count int) view.View {
 	v := view.View{Epoch: 1, Primary: "a", TargetSize: count}
 	for i := range count {
@@ -36,32 +36,32 @@
 	return v.WithBackups([]string{"b"})
 }
 
-// A backup that is silent for long holds all that was acknowledged. It is replaced by a newcomer only where there is no room
-// beside it: the newcomer has no replica yet.
+// A lost backup stores every acknowledged write, and a candidate has no replica yet. So the candidate replaces the backup only
+// if the view already has the maximum number of members.
 func TestLostBackupStaysUntilThereIsAnother(t *testing.T) {
-	newcomer := &Candidate{Member: view.Member{ID: "n", Addr: "n:1"}, FirstRequestAt: time.Now().Add(-time.Second)}
+	candidate := &Candidate{Member: view.Member{ID: "n", Addr: "n:1"}, FirstRequestAt: time.Now().Add(-time.Second)}
 	for _, test := range []struct {
 		name       string
 		maxMembers int
 		lost       []string
-		stays      string
-		gone       string
+		retained   string
+		removed    string
 	}{
-		{"beside a lost backup", 9, []string{"b"}, "b", ""},
-		{"in place of a lost member, not of the backup", 9, []string{"b", "c"}, "b", "c"},
-		{"where there is no room", 3, []string{"b"}, "a", "b"},
+		{"added beside a lost backup", 9, []string{"b"}, "b", ""},
+		{"replaces a lost member, not the lost backup", 9, []string{"b", "c"}, "b", "c"},
+		{"replaces the lost backup if no member can be added", 3, []string{"b"}, "a", "b"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			next, ok := nextView(t, Policy{MaxMembers: test.maxMembers}, membersOf(3), newcomer, test.lost...)
-			if !ok || !next.HasMember("n") || !next.HasMember(test.stays) || next.HasMember(test.gone) {
-				t.Errorf("got members %+v, backups %v, change due %v; want n and %s, without %q", next.Members, next.Backups(), ok, test.stays, test.gone)
+			next, ok := nextView(t, Policy{MaxMembers: test.maxMembers}, membersOf(3), candidate, test.lost...)
+			if !ok || !next.HasMember("n") || !next.HasMember(test.retained) || next.HasMember(test.removed) {
+				t.Errorf("got members %+v, backups %v, change due %v; want members n and %s but not %q", next.Members, next.Backups(), ok, test.retained, test.removed)
 			}
 		})
 	}
 }
 
-// A member that is lost for long counts no more where fewer are a majority without it, and never so that too few are left.
-func TestLostMemberThatRaisesTheMajority(t *testing.T) {
+// A lost member is removed if its removal lowers the majority, unless too few members would remain to tolerate the losses.
+func TestLostMemberRemovedToLowerMajority(t *testing.T) {
 	for _, test := range []struct {
 		members, losses int
 		removed         bool
@@ -73,7 +73,7 @@
 		}
 		next, ok := nextView(t, Policy{Losses: test.losses}, v, nil, last)
 		if ok != test.removed || ok && next.HasMember(last) {
-			t.Errorf("%d members, %d losses: got a removal %v of %d members, want %v", test.members, test.losses, ok, len(next.Members), test.removed)
+			t.Errorf("%d members, %d losses: got removal %v, %d members in the view, want removal %v", test.members, test.losses, ok, len(next.Members), test.removed)
 		}
 	}
 }
