--- a/internal/controlplane/failuredetector/detector.go
+++ b/internal/controlplane/failuredetector/detector.go
@@ -24,7 +24,7 @@
 const (
 	// probeTimeout bounds one probe of the primary's address.
 	probeTimeout = 150 * time.Millisecond
-	// staleGrantDivisor is a fraction of the lease term: the lease holder is probed once it has not renewed its lease for
+	// staleGrantDivisor divides the lease term: the lease holder is probed once it has not renewed its lease for
 	// term/staleGrantDivisor, which is 1.5 times the renewal interval.
 	staleGrantDivisor = 4
 )
--- a/internal/controlplane/handover/handover.go
+++ b/internal/controlplane/handover/handover.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// contactTimeoutDivisor is a fraction of the lease term: a primary that has had no contact with a majority for
+	// contactTimeoutDivisor divides the lease term: a primary that has had no contact with a majority for
 	// term/contactTimeoutDivisor, which is two renewal rounds, looks for a backup that reaches one.
 	contactTimeoutDivisor = 3
 	// callTimeout bounds each call that a backup makes to a member. A call from the primary to a backup may take twice as long.
