--- a/internal/controlplane/core/backups.go
+++ b/internal/controlplane/core/backups.go
@@ -22,8 +22,8 @@
 }
 
 // backupChoice returns what the choice of backups is based on.
-func (s *Server) backupChoice(v view.View, primaryLease *lease.Lease) membership.BackupChoice {
-	return membership.BackupChoice{View: v, Self: s.acceptor.ID(), Zone: s.ctx.Zone, Predecessor: s.predecessor,
+func (s *Server) backupChoice(v view.View, primaryLease *lease.Lease) membership.BackupSelector {
+	return membership.BackupSelector{View: v, Self: s.acceptor.ID(), Zone: s.ctx.Zone, Predecessor: s.predecessor,
 		SinceContact: primaryLease.TimeSinceContact, FailedWithin: s.replicator.HasFailedWithin, InSync: s.replicator.IsInSync}
 }
 
@@ -31,11 +31,11 @@
 // member in a better zone can replace.
 func (s *Server) backupsToKeep(v view.View, primaryLease *lease.Lease, ready bool, ledSince time.Time) []string {
 	choice := s.backupChoice(v, primaryLease)
-	keep := choice.Keep(ready, ledSince)
+	keep := choice.RetainedBackups(ready, ledSince)
 	if len(keep) < len(v.Backups()) || !s.leadership.IsReady() || time.Since(s.leadership.ReadySince()) <= minReadyTime {
 		return keep
 	}
-	misplaced := choice.WronglyPlaced()
+	misplaced := choice.MisplacedBackup()
 	if misplaced != "" && s.attemptDue(replaceInterval) {
 		keep = slices.DeleteFunc(keep, func(id string) bool { return id == misplaced })
 	}
@@ -49,7 +49,7 @@
 func (s *Server) reconcileReplicas(v view.View, primaryLease *lease.Lease, keep []string) bool {
 	s.leadership.EndWrites()
 	missing := s.settings.membershipPolicy().BackupCount(v) - len(keep)
-	added := s.backupChoice(v, primaryLease).Add(keep, missing)
+	added := s.backupChoice(v, primaryLease).AdditionalBackups(keep, missing)
 	if len(added) < missing {
 		return false
 	}
