--- a/internal/controlplane/coreapi/heartbeat.go
+++ b/internal/controlplane/coreapi/heartbeat.go
@@ -92,8 +92,8 @@
 
 // FailingRunner is a runner that lately failed a large share of the attempts of all routers.
 type FailingRunner struct {
-	ID    string  `msg:"i"`
-	Share float64 `msg:"s"` // from 0 to 1
+	ID           string  `msg:"i"`
+	FailureRatio float64 `msg:"s"` // from 0 to 1
 }
 
 // RunnerHeartbeat is a runner's heartbeat.
--- a/internal/controlplane/coreapi/heartbeat_gen.go
+++ b/internal/controlplane/coreapi/heartbeat_gen.go
@@ -23,7 +23,7 @@
 	o = msgp.AppendString(o, z.ID)
 	// string "s"
 	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendFloat64(o, z.Share)
+	o = msgp.AppendFloat64(o, z.FailureRatio)
 	return
 }
 
@@ -56,9 +56,9 @@
 				return
 			}
 		case "s":
-			z.Share, bts, err = msgp.ReadFloat64Bytes(bts)
+			z.FailureRatio, bts, err = msgp.ReadFloat64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Share")
+				err = msgp.WrapError(err, "FailureRatio")
 				return
 			}
 		default:
@@ -434,7 +434,7 @@
 			o = msgp.AppendString(o, z.Failing[za0005].ID)
 			// string "s"
 			o = append(o, 0xa1, 0x73)
-			o = msgp.AppendFloat64(o, z.Failing[za0005].Share)
+			o = msgp.AppendFloat64(o, z.Failing[za0005].FailureRatio)
 		}
 		// string "rc"
 		o = append(o, 0xa2, 0x72, 0x63)
@@ -680,9 +680,9 @@
 							return
 						}
 					case "s":
-						z.Failing[za0005].Share, bts, err = msgp.ReadFloat64Bytes(bts)
+						z.Failing[za0005].FailureRatio, bts, err = msgp.ReadFloat64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Failing", za0005, "Share")
+							err = msgp.WrapError(err, "Failing", za0005, "FailureRatio")
 							return
 						}
 					default:
--- a/internal/controlplane/runnerregistry/outliers.go
+++ b/internal/controlplane/runnerregistry/outliers.go
@@ -46,7 +46,7 @@
 			continue
 		}
 		if ratio := sum.mean(); sum.amount >= minFailures && ratio >= minFailureRatio {
-			failing = append(failing, coreapi.FailingRunner{ID: id, Share: ratio})
+			failing = append(failing, coreapi.FailingRunner{ID: id, FailureRatio: ratio})
 		}
 	}
 	slices.SortFunc(failing, func(a, b coreapi.FailingRunner) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/controlplane/runnerregistry/outliers_test.go
+++ b/internal/controlplane/runnerregistry/outliers_test.go
@@ -18,7 +18,7 @@
 	}, now)
 	detector.Record([]coreapi.RunnerStats{{ID: "unhealthy", Attempts: 1, Failures: 1}, {ID: "half", Attempts: 1}}, now.Add(100*time.Millisecond))
 	failing := detector.Failing(now.Add(200 * time.Millisecond))
-	if len(failing) != 1 || failing[0].ID != "unhealthy" || failing[0].Share < 0.99 {
+	if len(failing) != 1 || failing[0].ID != "unhealthy" || failing[0].FailureRatio < 0.99 {
 		t.Errorf("got failing runners %+v, want unhealthy alone", failing)
 	}
 	if failing = detector.Failing(now.Add(2 * time.Second)); len(failing) != 0 {
--- a/internal/dataplane/router/gatewayhealth.go
+++ b/internal/dataplane/router/gatewayhealth.go
@@ -19,7 +19,7 @@
 func (g *Gateway) applyFindings(findings cluster.RunnerFindings) {
 	shares := make(map[string]float64, len(findings.Failing))
 	for _, runner := range findings.Failing {
-		shares[runner.ID] = runner.Share
+		shares[runner.ID] = runner.FailureRatio
 	}
 	g.Balancer.SetFailureShares(shares)
 	g.Balancer.SetLowLatency(findings.LowLatency)
