--- a/internal/controlplane/core/members.go
+++ b/internal/controlplane/core/members.go
@@ -27,7 +27,7 @@
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	if status, err := paxos.QueryStatus(ctx, s.call, member.Addr); err != nil || status.ID != member.ID {
-		return nil, wire.StatusError{Code: coreapi.CodeNotReached}
+		return nil, wire.StatusError{Code: coreapi.CodeUnreachable}
 	}
 	s.candidates.Add(member)
 	return &coreapi.Empty{}, nil
--- a/internal/controlplane/core/stepdown.go
+++ b/internal/controlplane/core/stepdown.go
@@ -58,7 +58,7 @@
 // relayRelease passes the primary's release of its lease on to those that it can't reach, and takes over.
 func (s *Server) relayRelease(ctx context.Context, release *paxos.ReleaseRequest) (*coreapi.Empty, error) {
 	if !s.handover.RelayRelease(ctx, release, s.acceptor.View()) {
-		return nil, wire.StatusError{Code: coreapi.CodeNotReached}
+		return nil, wire.StatusError{Code: coreapi.CodeUnreachable}
 	}
 	s.pipeline.StepLater(func() {
 		s.nextAttempt = time.Time{} // it is our turn: nobody else was asked
--- a/internal/controlplane/coreapi/codes.go
+++ b/internal/controlplane/coreapi/codes.go
@@ -27,7 +27,7 @@
 	CodeBehind           wire.Code = "behind"           // batches before this one are missing: a snapshot is needed
 	CodeSnapshotMismatch wire.Code = "copy-out-of-step" // a snapshot's chunk is not the one that follows
 	CodeOwnAddress       wire.Code = "own-address"      // a core that joins gave the primary's own address
-	CodeNotReached       wire.Code = "not-reached"      // a core that joins was not reached at the address it gave
+	CodeUnreachable      wire.Code = "not-reached"      // a core that joins was not reached at the address it gave
 )
 
 // IsOutcomeUnknown reports whether a call that ended in err may yet take effect.
