--- a/internal/controlplane/coreapi/codes.go
+++ b/internal/controlplane/coreapi/codes.go
@@ -24,7 +24,7 @@
 const (
 	CodeStaleEpoch       wire.Code = "old-epoch"        // the caller's epoch is over: a newer view is in force
 	CodeNotBackup        wire.Code = "not-backup"       // this core is no backup in the caller's epoch
-	CodeBehind           wire.Code = "behind"           // batches before this one are missing: a snapshot is needed
+	CodeMissingBatches   wire.Code = "behind"           // batches before this one are missing: a snapshot is needed
 	CodeSnapshotMismatch wire.Code = "copy-out-of-step" // a snapshot's chunk is not the one that follows
 	CodeOwnAddress       wire.Code = "own-address"      // a core that joins gave the primary's own address
 	CodeUnreachable      wire.Code = "not-reached"      // a core that joins was not reached at the address it gave
--- a/internal/controlplane/replication/backup.go
+++ b/internal/controlplane/replication/backup.go
@@ -80,7 +80,7 @@
 	}
 	replica := b.host.Store()
 	if request.Batch.IsSnapshot || request.Batch.Version != replica.Version()+1 {
-		return nil, wire.StatusError{Code: coreapi.CodeBehind}
+		return nil, wire.StatusError{Code: coreapi.CodeMissingBatches}
 	}
 	if err := replica.Append(request.Batch); err != nil {
 		return nil, b.diskError(err)
