--- a/internal/controlplane/coreapi/quota.go
+++ b/internal/controlplane/coreapi/quota.go
@@ -20,8 +20,8 @@
 
 // QuotaTransferResult says what the holder has after the transfer.
 type QuotaTransferResult struct {
-	Held  int `msg:"h"`
-	Limit int `msg:"u"` // the units of all holders, or the quota if larger
+	HeldUnits int `msg:"h"`
+	Limit     int `msg:"u"` // the units of all holders, or the quota if larger
 }
 
 // QuotaTransfersRequest is transfers of one holder, of as many tenants as it has some for: one call and one
--- a/internal/controlplane/coreapi/quota_gen.go
+++ b/internal/controlplane/coreapi/quota_gen.go
@@ -237,7 +237,7 @@
 	// map header, size 2
 	// string "h"
 	o = append(o, 0x82, 0xa1, 0x68)
-	o = msgp.AppendInt(o, z.Held)
+	o = msgp.AppendInt(o, z.HeldUnits)
 	// string "u"
 	o = append(o, 0xa1, 0x75)
 	o = msgp.AppendInt(o, z.Limit)
@@ -267,9 +267,9 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "h":
-			z.Held, bts, err = msgp.ReadIntBytes(bts)
+			z.HeldUnits, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Held")
+				err = msgp.WrapError(err, "HeldUnits")
 				return
 			}
 		case "u":
@@ -399,7 +399,7 @@
 		// map header, size 2
 		// string "h"
 		o = append(o, 0x82, 0xa1, 0x68)
-		o = msgp.AppendInt(o, z.Results[za0001].Held)
+		o = msgp.AppendInt(o, z.Results[za0001].HeldUnits)
 		// string "u"
 		o = append(o, 0xa1, 0x75)
 		o = msgp.AppendInt(o, z.Results[za0001].Limit)
@@ -465,9 +465,9 @@
 					}
 					switch msgp.UnsafeString(field) {
 					case "h":
-						z.Results[za0001].Held, bts, err = msgp.ReadIntBytes(bts)
+						z.Results[za0001].HeldUnits, bts, err = msgp.ReadIntBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Results", za0001, "Held")
+							err = msgp.WrapError(err, "Results", za0001, "HeldUnits")
 							return
 						}
 					case "u":
--- a/internal/controlplane/quotapool/pools.go
+++ b/internal/controlplane/quotapool/pools.go
@@ -42,14 +42,14 @@
 	limit, tolerance := document.Quotas[transfer.Tenant], document.Tolerances[transfer.Tenant]
 	var changed bool
 	if transfer.Return {
-		result.Held, changed = pool.Return(holder, transfer.Sequence, transfer.Units)
+		result.HeldUnits, changed = pool.Return(holder, transfer.Sequence, transfer.Units)
 	} else {
 		before := pool.Allocations[holder].Units
 		free := max(0, pool.MaxAllocated(limit, tolerance)-pool.AllocatedUnits())
 		units, unmet := p.allocate(transfer, free, limit)
-		result.Held, changed = pool.AcquireWithTolerance(holder, transfer.Sequence, units, limit, tolerance, p.currentChargeID(transfer.Tenant))
-		demand = Demand{Tenant: transfer.Tenant, Units: transfer.Units, Unmet: unmet || result.Held == before, UnevenCosts: len(transfer.Costs) > 0,
-			Quota: limit, Free: free - (result.Held - before)}
+		result.HeldUnits, changed = pool.AcquireWithTolerance(holder, transfer.Sequence, units, limit, tolerance, p.currentChargeID(transfer.Tenant))
+		demand = Demand{Tenant: transfer.Tenant, Units: transfer.Units, Unmet: unmet || result.HeldUnits == before, UnevenCosts: len(transfer.Costs) > 0,
+			Quota: limit, Free: free - (result.HeldUnits - before)}
 	}
 	result.Limit = pool.LimitBase(limit)
 	if changed {
--- a/internal/controlplane/quotapool/pools_test.go
+++ b/internal/controlplane/quotapool/pools_test.go
@@ -50,7 +50,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return out.Held
+		return out.HeldUnits
 	}
 	commit := func(tx *transaction.Tx) {
 		if err := committed.Append(store.Batch{Version: committed.Version() + 1, Mutations: tx.LastMutations()}); err != nil {
@@ -101,7 +101,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		acquired += out.Held
+		acquired += out.HeldUnits
 		share := quota.NewShare()
 		share.SetLimit(10, time.Minute)
 		share.Enqueue(1)
@@ -109,7 +109,7 @@
 		if !ok {
 			t.Fatal("got no acquire, want one")
 		}
-		share.Apply(turn, out.Held, out.Limit)
+		share.Apply(turn, out.HeldUnits, out.Limit)
 		for {
 			if ok, _ := share.Reserve(1); !ok {
 				break
--- a/internal/controlplane/replacedruns/tracker_test.go
+++ b/internal/controlplane/replacedruns/tracker_test.go
@@ -56,7 +56,7 @@
 		if err != nil {
 			r.t.Fatal(err)
 		}
-		units = limit - result.Held
+		units = limit - result.HeldUnits
 	}
 	return units
 }
--- a/internal/dataplane/router/transfers.go
+++ b/internal/dataplane/router/transfers.go
@@ -59,7 +59,7 @@
 	q.enqueue(queued)
 	select {
 	case result := <-queued.done:
-		return result.response.Held, result.response.Limit, result.err
+		return result.response.HeldUnits, result.response.Limit, result.err
 	case <-ctx.Done():
 		return 0, 0, ctx.Err()
 	}
--- a/internal/dataplane/router/transfers_test.go
+++ b/internal/dataplane/router/transfers_test.go
@@ -35,7 +35,7 @@
 		return ctx.Err()
 	}
 	for _, move := range request.Transfers {
-		response.Results = append(response.Results, coreapi.QuotaTransferResult{Held: move.Units, Limit: 100})
+		response.Results = append(response.Results, coreapi.QuotaTransferResult{HeldUnits: move.Units, Limit: 100})
 	}
 	if c.drop {
 		response.Results = response.Results[1:]
--- a/internal/testing/modelcheck/draws_test.go
+++ b/internal/testing/modelcheck/draws_test.go
@@ -128,5 +128,5 @@
 	if h.client.Call(ctx, "core.moves", request, &response, true) != nil || len(response.Results) != 1 {
 		return moved{}
 	}
-	return moved{known: true, held: response.Results[0].Held}
+	return moved{known: true, held: response.Results[0].HeldUnits}
 }
--- a/internal/testing/modelcheck/quotarouter_test.go
+++ b/internal/testing/modelcheck/quotarouter_test.go
@@ -166,7 +166,7 @@
 		if err := member.Core.Call(ctx, "core.moves", request, &response, true); err != nil {
 			return 0, 0, err
 		}
-		return response.Results[0].Held, response.Results[0].Limit, nil
+		return response.Results[0].HeldUnits, response.Results[0].Limit, nil
 	}
 }
 
--- a/internal/testing/sim/document_test.go
+++ b/internal/testing/sim/document_test.go
@@ -134,8 +134,8 @@
 				t.Fatal(err)
 			}
 		}
-		if moved.Held != 10 {
-			t.Errorf("%d of 10 units drawn", moved.Held)
+		if moved.HeldUnits != 10 {
+			t.Errorf("%d of 10 units drawn", moved.HeldUnits)
 		}
 
 		// Large ones in quick succession, across the fall of a primary.
--- a/internal/testing/sim/quota_test.go
+++ b/internal/testing/sim/quota_test.go
@@ -54,7 +54,7 @@
 	if err := r.operator.cli.Call(r.ctx, "core.move", transfer, &result, true); err != nil {
 		r.t.Fatal(err)
 	}
-	return result.Held
+	return result.HeldUnits
 }
 
 // sendLateHeartbeat has the heartbeat of the ended run arrive now.
