--- a/internal/controlplane/core/server.go
+++ b/internal/controlplane/core/server.go
@@ -104,7 +104,7 @@
 	s.pipeline = pipeline.New(committer{s})
 	search := discovery.Config{Addr: settings.Addr, Founders: settings.Founders, Seeds: settings.Seeds, Bootstrap: settings.Bootstrap, LeaseTerm: settings.LeaseTerm}
 	s.finder = discovery.NewFinder(ctx, search, acceptor, s.call, s.learn)
-	s.service = service.New(ctx, service.Settings{Codec: settings.Codec, RunnerSilentAfter: settings.RunnerSilentAfter}, serviceHost{s}, s.caller)
+	s.service = service.New(ctx, service.Settings{Codec: settings.Codec, RunnerTimeout: settings.RunnerSilentAfter}, serviceHost{s}, s.caller)
 	s.store.Store(opened)
 	s.handlers = wire.Handlers{"view": s.handleView, "core": s.handleCore}
 	return s, nil
--- a/internal/controlplane/service/fakehost_test.go
+++ b/internal/controlplane/service/fakehost_test.go
@@ -66,5 +66,5 @@
 	network, crash := sim.NewWorld(1).Net("10.0.0.1:1")
 	t.Cleanup(crash)
 	ctx := daemon.Context{Context: t.Context(), Name: "core", Log: slog.New(slog.DiscardHandler), Net: network}
-	return New(ctx, Settings{Codec: configuration.FleetCodec{}, RunnerSilentAfter: time.Second}, host, wire.NewCaller(network)), host
+	return New(ctx, Settings{Codec: configuration.FleetCodec{}, RunnerTimeout: time.Second}, host, wire.NewCaller(network)), host
 }
--- a/internal/controlplane/service/service.go
+++ b/internal/controlplane/service/service.go
@@ -45,8 +45,8 @@
 
 // Settings are what a service is told.
 type Settings struct {
-	Codec             configuration.Codec // reads the configuration
-	RunnerSilentAfter time.Duration       // a runner without a heartbeat for so long is silent
+	Codec         configuration.Codec // reads the configuration
+	RunnerTimeout time.Duration       // a runner without a heartbeat for so long is silent
 }
 
 // Service answers the callers of one core process. Its methods may be called concurrently, but for those that say that the run
@@ -90,7 +90,7 @@
 	s.documents, s.pools = configuration.New(settings.Codec), quotapool.New()
 	s.routerAddresses = discovery.RouterDirectory{Committed: host.Store, SubmitLater: s.submitLater(pipeline.ClassRouter), Notify: s.announceTo}
 	s.claims = idempotency.New(func() int { return s.documents.MaxFinishedKeys(s.committedConfig()) })
-	s.registry = runnerregistry.New(settings.RunnerSilentAfter, runnerregistry.NewNotifier(s.pushRunners).Notify)
+	s.registry = runnerregistry.New(settings.RunnerTimeout, runnerregistry.NewNotifier(s.pushRunners).Notify)
 	s.runnerStorage = runnerregistry.Storage{Committed: host.Store, Submit: s.submitRunner, SubmitLater: s.submitLater(pipeline.ClassRunner)}
 	s.replacedRuns = replacedruns.New(ctx, s.pools, s.routerRunAt, s.submitLater(pipeline.ClassQuota))
 	return s
