--- a/internal/controlplane/core/figures.go
+++ b/internal/controlplane/core/figures.go
@@ -22,7 +22,7 @@
 		Epoch:         v.Epoch,
 		Members:       len(v.Members),
 		Primary:       primary,
-		Ready:         status.TakesWrites && primary,
+		Ready:         status.AcceptsWrites && primary,
 		DiskFailed:    s.leadership.HasDiskFailed(),
 		StoreVersion:  s.store.Load().Version(),
 		ConfigVersion: status.ConfigVersion,
--- a/internal/controlplane/core/servicehost.go
+++ b/internal/controlplane/core/servicehost.go
@@ -20,8 +20,8 @@
 // IsPrimary implements service.Host.
 func (h serviceHost) IsPrimary() bool { return h.s.isPrimary(h.s.acceptor.View()) }
 
-// TakesWrites implements service.Host.
-func (h serviceHost) TakesWrites() bool { return h.s.leadership.IsReady() }
+// AcceptsWrites implements service.Host.
+func (h serviceHost) AcceptsWrites() bool { return h.s.leadership.IsReady() }
 
 // RequirePrimary implements service.Host.
 func (h serviceHost) RequirePrimary() error { return h.s.requirePrimary() }
--- a/internal/controlplane/core/state.go
+++ b/internal/controlplane/core/state.go
@@ -12,7 +12,7 @@
 	committed := s.store.Load()
 	status := s.service.Status()
 	state := &coreapi.State{View: s.acceptor.View(), ID: s.acceptor.ID(), StoreVersion: committed.Version()}
-	state.Ready, state.ConfigVersion, state.DiskFailed = status.TakesWrites, status.ConfigVersion, s.leadership.HasDiskFailed()
+	state.Ready, state.ConfigVersion, state.DiskFailed = status.AcceptsWrites, status.ConfigVersion, s.leadership.HasDiskFailed()
 	state.Nodes = status.Routers
 	state.Candidates = s.candidates.Members()
 	counts := idempotency.Count(committed)
--- a/internal/controlplane/service/fakehost_test.go
+++ b/internal/controlplane/service/fakehost_test.go
@@ -27,7 +27,7 @@
 
 func (h *fakeHost) View() view.View     { return view.View{Epoch: 1} }
 func (h *fakeHost) IsPrimary() bool     { return true }
-func (h *fakeHost) TakesWrites() bool   { return h.takesWrites }
+func (h *fakeHost) AcceptsWrites() bool { return h.takesWrites }
 func (h *fakeHost) Store() *store.Store { return h.committed }
 
 func (h *fakeHost) RequirePrimary() error {
--- a/internal/controlplane/service/service.go
+++ b/internal/controlplane/service/service.go
@@ -30,8 +30,8 @@
 	View() view.View
 	// IsPrimary reports whether the process leads the newest view by a majority's lease.
 	IsPrimary() bool
-	// TakesWrites reports whether the process has begun to take writes, for as long as it is primary.
-	TakesWrites() bool
+	// AcceptsWrites reports whether the process has begun to take writes, for as long as it is primary.
+	AcceptsWrites() bool
 	// RequirePrimary is the error, with a code, where the process is no primary that may answer now.
 	RequirePrimary() error
 	// Store is the committed state.
@@ -127,7 +127,7 @@
 
 // Status is what the service knows at one moment.
 type Status struct {
-	TakesWrites   bool
+	AcceptsWrites bool
 	ConfigVersion uint64         // of the newest configuration committed
 	Routers       []coreapi.Node // whose lease runs, sorted by name
 	Runners       int
@@ -139,5 +139,5 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.routers.Expire(time.Now())
-	return Status{TakesWrites: s.host.TakesWrites(), ConfigVersion: s.config.Version, Routers: s.routers.List(), Runners: runners}
+	return Status{AcceptsWrites: s.host.AcceptsWrites(), ConfigVersion: s.config.Version, Routers: s.routers.List(), Runners: runners}
 }
--- a/internal/controlplane/service/service_test.go
+++ b/internal/controlplane/service/service_test.go
@@ -35,7 +35,7 @@
 		if err != nil || version != written.Version {
 			t.Errorf("got configuration %d, error %v, want %d", version, err, written.Version)
 		}
-		if status := s.Status(); !status.TakesWrites || status.ConfigVersion != written.Version || len(status.Routers) != 0 {
+		if status := s.Status(); !status.AcceptsWrites || status.ConfigVersion != written.Version || len(status.Routers) != 0 {
 			t.Errorf("got %+v after the start, want configuration %d and no routers", status, written.Version)
 		}
 	})
--- a/internal/controlplane/service/sweep.go
+++ b/internal/controlplane/service/sweep.go
@@ -26,7 +26,7 @@
 	}
 	s.sweptAt = time.Now()
 	s.mu.Lock()
-	ready, config := s.host.TakesWrites(), s.config
+	ready, config := s.host.AcceptsWrites(), s.config
 	live := s.liveHolders()
 	s.mu.Unlock()
 	if !ready {
