--- a/internal/controlplane/service/announce.go
+++ b/internal/controlplane/service/announce.go
@@ -7,14 +7,14 @@
 	"yarrowridge/internal/controlplane/view"
 )
 
-// announceTimeout is how long a router may take to answer when it is told the view.
+// announceTimeout bounds the call that sends the view to a router.
 const announceTimeout = 500 * time.Millisecond
 
-// announceTo tells the view to the router at an address. Whether it answers does not matter: it is told again.
+// announceTo sends the view to the router at an address. A failure is only logged, since the view is sent again later.
 func (s *Service) announceTo(addr string, v view.View) {
 	ctx, cancel := context.WithTimeout(s.ctx, announceTimeout)
 	defer cancel()
 	if err := s.caller.Call(ctx, addr, "node.view", &view.LearnRequest{View: v}, nil); err != nil {
-		s.ctx.Log.Debug("Silent router was not told the view.", "peer", addr, "error", err.Error())
+		s.ctx.Log.Debug("View not sent to a router without a lease.", "peer", addr, "error", err.Error())
 	}
 }
--- a/internal/controlplane/service/claims.go
+++ b/internal/controlplane/service/claims.go
@@ -10,7 +10,7 @@
 	"yarrowridge/internal/controlplane/transaction"
 )
 
-// claimKey answers a claim of an idempotency key.
+// claimKey handles a request to claim an idempotency key.
 func (s *Service) claimKey(ctx context.Context, request *coreapi.ClaimRequest) (*coreapi.ClaimResponse, error) {
 	response := &coreapi.ClaimResponse{}
 	err := s.host.Submit(ctx, pipeline.ClassClaim, 1, func(tx *transaction.Tx) error { return s.claims.Claim(tx, request, response, s.isRunAlive) })
@@ -25,7 +25,7 @@
 	return &coreapi.Empty{}, s.host.Submit(ctx, pipeline.ClassClaim, 1, func(tx *transaction.Tx) error { return s.claims.Complete(tx, request) })
 }
 
-// isRunAlive reports whether a run of a node may be alive. Just after a hand-over every one counts as alive until it has
+// isRunAlive reports whether a run of a node may be alive. After a change of primary, every run counts as alive until it has
 // had time to send a heartbeat.
 func (s *Service) isRunAlive(node string, run uint64) bool {
 	s.mu.Lock()
@@ -33,7 +33,7 @@
 	return s.routers.MayBeAlive(node, run, time.Now())
 }
 
-// sweepClaims removes the idempotency records that have expired.
+// sweepClaims schedules the removal of expired idempotency records.
 func (s *Service) sweepClaims(now time.Time, limits configuration.ClaimLimits) {
 	for _, operation := range s.claims.Sweep(s.host.Store(), now, limits) {
 		s.host.SubmitLater(pipeline.ClassClaim, operation)
--- a/internal/controlplane/service/configuration.go
+++ b/internal/controlplane/service/configuration.go
@@ -12,7 +12,7 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// readConfig gives the configuration in force, or an older one that is still kept.
+// readConfig returns the configuration in force, or an older version that is still retained.
 func (s *Service) readConfig(request *coreapi.ConfigRequest) (*coreapi.StoredConfig, error) {
 	if err := s.host.RequirePrimary(); err != nil {
 		return nil, err
@@ -24,15 +24,15 @@
 	return configuration.ReadVersion(s.host.Store(), request.Version, current.Version)
 }
 
-// committedConfig is the newest configuration committed.
+// committedConfig returns the newest committed configuration.
 func (s *Service) committedConfig() coreapi.StoredConfig {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.config
 }
 
-// writeConfig checks and applies an operator's change. It is answered once the disks hold it and each
-// zone's first relays have it, or a short time for that has passed.
+// writeConfig validates and applies an operator's change. It responds once the change is committed and pushed to the first
+// routers of every zone, or once that push has timed out.
 func (s *Service) writeConfig(ctx context.Context, request *coreapi.WriteRequest) (*coreapi.WriteResponse, error) {
 	if len(request.Raw) > s.codec.MaxBytes() {
 		return &coreapi.WriteResponse{Code: http.StatusRequestEntityTooLarge}, nil
--- a/internal/controlplane/service/fakehost_test.go
+++ b/internal/controlplane/service/fakehost_test.go
@@ -17,21 +17,21 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// fakeHost is a core process of its own, which commits each operation at once. It is used by one goroutine.
+// fakeHost is the only core process of a fleet. It commits each operation immediately, and is used by one goroutine.
 type fakeHost struct {
-	t           *testing.T
-	committed   *store.Store
-	takesWrites bool
-	later       []pipeline.Class // of the operations that were submitted for later
+	t             *testing.T
+	committed     *store.Store
+	acceptsWrites bool
+	later         []pipeline.Class // of the operations passed to SubmitLater
 }
 
 func (h *fakeHost) View() view.View     { return view.View{Epoch: 1} }
 func (h *fakeHost) IsPrimary() bool     { return true }
-func (h *fakeHost) AcceptsWrites() bool { return h.takesWrites }
+func (h *fakeHost) AcceptsWrites() bool { return h.acceptsWrites }
 func (h *fakeHost) Store() *store.Store { return h.committed }
 
 func (h *fakeHost) RequirePrimary() error {
-	if !h.takesWrites {
+	if !h.acceptsWrites {
 		return wire.StatusError{Code: coreapi.CodeNotReady}
 	}
 	return nil
@@ -55,7 +55,7 @@
 	}
 }
 
-// newService makes a service on an empty store, of a process that takes no writes yet.
+// newService returns a service with an empty store. Its process does not accept writes yet.
 func newService(t *testing.T) (*Service, *fakeHost) {
 	t.Helper()
 	committed, err := store.Open(sim.NewDisk().Use(), slog.New(slog.DiscardHandler))
--- a/internal/controlplane/service/handlers.go
+++ b/internal/controlplane/service/handlers.go
@@ -9,7 +9,8 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// Handle answers a call of a router, a runner or an operator. Its error is wire.CodeUnknownKind where the kind is none of these.
+// Handle dispatches a call from a router, a runner or an operator to its handler, and returns the response. For a kind that
+// the service does not implement, the error has wire.CodeUnknownKind.
 func (s *Service) Handle(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 	switch kind {
 	case "core.beat":
@@ -33,7 +34,9 @@
 			return s.completeClaim(ctx, request)
 		})
 	case "core.move":
-		return wire.HandleTyped(body, func(move *coreapi.QuotaTransfer) (*coreapi.QuotaTransferResult, error) { return s.transfer(ctx, move) })
+		return wire.HandleTyped(body, func(request *coreapi.QuotaTransfer) (*coreapi.QuotaTransferResult, error) {
+			return s.transfer(ctx, request)
+		})
 	case "core.moves":
 		return wire.HandleTyped(body, func(request *coreapi.QuotaTransfersRequest) (*coreapi.QuotaTransfersResponse, error) {
 			return s.transferAll(ctx, request)
--- a/internal/controlplane/service/push.go
+++ b/internal/controlplane/service/push.go
@@ -7,15 +7,15 @@
 	"yarrowridge/internal/transport/dissemination"
 )
 
-// routersPerZone is how many routers of every zone are handed an update. They pass it on to the others.
+// routersPerZone is the number of routers in each zone that an update is pushed to. They forward it to the others.
 const routersPerZone = 2
 
-// push hands records to the first routers of every zone and waits for routerleases.PushTimeout at most, so that the records
-// outlive this process once it has responded.
+// push sends records to the first routers of every zone and waits for them, for at most routerleases.PushTimeout, so that the
+// records survive a crash of this process once it has responded.
 func (s *Service) push(records ...dissemination.Record) { s.pushTo(routersPerZone, records) }
 
-// pushRunners is push for runners. A primary that has just started has named no routers yet: those that have no list from
-// before cannot pass records on, so all are handed them.
+// pushRunners is like push, for records of runners. A primary that has just started has not sent out a list of routers yet.
+// Routers without a list from the previous primary cannot forward records, so the records are sent to all routers.
 func (s *Service) pushRunners(records ...dissemination.Record) {
 	perZone := routersPerZone
 	s.mu.Lock()
@@ -26,7 +26,7 @@
 	s.pushTo(perZone, records)
 }
 
-// pushTo hands records to the first perZone routers of every zone.
+// pushTo sends records to the first perZone routers of every zone.
 func (s *Service) pushTo(perZone int, records []dissemination.Record) {
 	s.mu.Lock()
 	routers := s.routers.List()
--- a/internal/controlplane/service/quota.go
+++ b/internal/controlplane/service/quota.go
@@ -10,16 +10,16 @@
 	"yarrowridge/internal/controlplane/transaction"
 )
 
-// transfer acquires or returns units of one tenant.
-func (s *Service) transfer(ctx context.Context, move *coreapi.QuotaTransfer) (*coreapi.QuotaTransferResult, error) {
-	all, err := s.transferAll(ctx, &coreapi.QuotaTransfersRequest{Holder: move.Holder, Transfers: []coreapi.QuotaTransfer{*move}})
+// transfer acquires or returns units of one tenant's quota.
+func (s *Service) transfer(ctx context.Context, request *coreapi.QuotaTransfer) (*coreapi.QuotaTransferResult, error) {
+	response, err := s.transferAll(ctx, &coreapi.QuotaTransfersRequest{Holder: request.Holder, Transfers: []coreapi.QuotaTransfer{*request}})
 	if err != nil {
 		return nil, err
 	}
-	return &all.Results[0], nil
+	return &response.Results[0], nil
 }
 
-// transferAll makes all transfers of one holder in one write.
+// transferAll applies all transfers of one holder in a single write.
 func (s *Service) transferAll(ctx context.Context, request *coreapi.QuotaTransfersRequest) (*coreapi.QuotaTransfersResponse, error) {
 	response := &coreapi.QuotaTransfersResponse{}
 	err := s.host.Submit(ctx, pipeline.ClassQuota, max(1, len(request.Transfers)), func(tx *transaction.Tx) error {
@@ -34,7 +34,7 @@
 		for i := range request.Transfers {
 			var demand quotapool.Demand
 			response.Results[i], demand, err = s.pools.Transfer(tx, request.Holder, &request.Transfers[i], document)
-			s.markScarcity(demand)
+			s.recordDemand(demand)
 			if err != nil {
 				return err
 			}
@@ -47,8 +47,8 @@
 	return response, nil
 }
 
-// markScarcity has the routers told where idle units are wanted back after an acquire.
-func (s *Service) markScarcity(demand quotapool.Demand) {
+// recordDemand records an acquire, so that routers are asked to return idle units of the tenant if its units are scarce.
+func (s *Service) recordDemand(demand quotapool.Demand) {
 	if demand.Units <= 0 {
 		return
 	}
@@ -57,13 +57,13 @@
 	s.scarcity.Record(demand, s.routers.Len())
 }
 
-// coolHolder has a holder's units cool: its process is surely gone.
-func (s *Service) coolHolder(ctx context.Context, holder string) error {
+// startCooling starts the cooling period of the units of a holder whose process has certainly ended.
+func (s *Service) startCooling(ctx context.Context, holder string) error {
 	return s.host.Submit(ctx, pipeline.ClassQuota, 1, func(tx *transaction.Tx) error { return s.pools.StartCooling(tx, holder) })
 }
 
-// sweepQuotas has the run loop make the changes of quota pools that are due, and the runs of routers confirmed beside which
-// others hold units.
+// sweepQuotas schedules the changes of the quota pools that are due. It also adds the routers at whose address another run
+// has units to replacedRuns, which finds out whether that other run has ended.
 func (s *Service) sweepQuotas(document *configuration.Document, live quotapool.LiveHolders) {
 	operation, successors := s.pools.Sweep(s.host.Store(), document, live)
 	if operation != nil {
--- a/internal/controlplane/service/routerheartbeat.go
+++ b/internal/controlplane/service/routerheartbeat.go
@@ -9,10 +9,11 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// runQueryTimeout is how long a router may take to say which run of it there is.
+// runQueryTimeout bounds the query for the run of the router at an address.
 const runQueryTimeout = 250 * time.Millisecond
 
-// handleRouterHeartbeat renews a router's lease, or ends it, and responds with what has changed.
+// handleRouterHeartbeat renews a router's lease, or ends it if the router is leaving, and responds with what has changed since
+// the state that the router has.
 func (s *Service) handleRouterHeartbeat(ctx context.Context, request *coreapi.HeartbeatRequest) (*coreapi.HeartbeatResponse, error) {
 	if err := s.host.RequirePrimary(); err != nil {
 		return nil, err
@@ -26,7 +27,7 @@
 		return nil, err
 	}
 	if request.Leaving {
-		if err := s.coolHolder(ctx, coreapi.Holder(router)); err != nil {
+		if err := s.startCooling(ctx, coreapi.Holder(router)); err != nil {
 			return nil, err
 		}
 		return response, nil
@@ -38,8 +39,9 @@
 	return response, nil
 }
 
-// hasRunEnded reports whether a heartbeat is of a run that another one at the same address has replaced: it was delayed in
-// the network. Whoever listens there says which run it is; where nobody answers, the heartbeat is taken.
+// hasRunEnded reports whether a heartbeat comes from a run that another run at the same address has replaced, because the
+// heartbeat was delayed in the network. It asks the process that listens at the address for its run. If there is no response,
+// the heartbeat is accepted.
 func (s *Service) hasRunEnded(ctx context.Context, router coreapi.Node) bool {
 	s.mu.Lock()
 	hasOtherRun := s.routers.HasOtherRun(router)
@@ -47,20 +49,21 @@
 	if !hasOtherRun || faultinjection.Disabled("run-query") {
 		return false
 	}
-	run, err := s.routerRunAt(ctx, router.Addr)
+	run, err := s.queryRun(ctx, router.Addr)
 	return err == nil && run != router.Run
 }
 
-// routerRunAt asks the router that listens at an address which run of it there is. It waits for runQueryTimeout at most.
-func (s *Service) routerRunAt(ctx context.Context, addr string) (run uint64, err error) {
+// queryRun asks the router that listens at an address for its run. It waits for at most runQueryTimeout.
+func (s *Service) queryRun(ctx context.Context, addr string) (run uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, runQueryTimeout)
 	defer cancel()
-	var listening coreapi.Node
-	err = s.caller.Call(ctx, addr, "node.run", &coreapi.Empty{}, &listening)
-	return listening.Run, err
+	var router coreapi.Node
+	err = s.caller.Call(ctx, addr, "node.run", &coreapi.Empty{}, &router)
+	return router.Run, err
 }
 
-// fillScarceTenants puts the scarce tenants into the response, unless the router has this very list. The caller holds s.mu.
+// fillScarceTenants adds the list of scarce tenants to the response, unless the router already has this version. The caller
+// must hold s.mu.
 func (s *Service) fillScarceTenants(request *coreapi.HeartbeatRequest, response *coreapi.HeartbeatResponse) {
 	tenants, version := s.scarcity.Snapshot()
 	response.ScarceVersion = version
@@ -71,9 +74,9 @@
 	response.ScarceTenants = tenants
 }
 
-// recordHeartbeat records a router's heartbeat and makes the response, one consistent picture under the server's lock. The
-// locks of the registry and of the runners' statistics are taken within it. newRun reports whether the router's run was not
-// known. The only error is routerleases.ErrNameTaken.
+// recordHeartbeat records a router's heartbeat and returns the response. The response is a consistent snapshot since s.mu is
+// held throughout; the locks of the registry and of the runners' statistics are acquired while it is held. newRun reports
+// whether the router's run was unknown before. The only error is routerleases.ErrNameTaken.
 func (s *Service) recordHeartbeat(request *coreapi.HeartbeatRequest) (response *coreapi.HeartbeatResponse, newRun bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/service/routerheartbeat_test.go
+++ b/internal/controlplane/service/routerheartbeat_test.go
@@ -11,9 +11,9 @@
 	"yarrowridge/internal/controlplane/store"
 )
 
-// A primary that has just started names no routers, but says how many its disk knows: without that, each router of a fleet
-// that lost all power takes itself for one of many.
-func TestNewPrimarySaysHowManyRoutersThereWere(t *testing.T) {
+// A primary that has just started sends no list of routers, but the number of routers that its disk knows. After a restart of
+// the whole fleet each router would otherwise assume a default number of routers, and compute its share of each quota from it.
+func TestNewPrimaryReportsStoredRouterCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, host := newService(t)
 		var puts []store.Mutation
@@ -35,12 +35,12 @@
 		var early, late coreapi.HeartbeatResponse
 		s.routers.FillResponse(&coreapi.HeartbeatRequest{}, &early, time.Now())
 		if early.PreviousRouters != 3 || early.NodesChanged {
-			t.Errorf("got %d previous routers, list of routers %t from a new primary, want 3, no list", early.PreviousRouters, early.NodesChanged)
+			t.Errorf("got %d previous routers, list sent: %t from a new primary, want 3 and no list", early.PreviousRouters, early.NodesChanged)
 		}
 		time.Sleep(routerleases.LeaseTerm + time.Millisecond)
 		s.routers.FillResponse(&coreapi.HeartbeatRequest{}, &late, time.Now())
 		if late.PreviousRouters != 0 || !late.NodesChanged || len(late.Nodes) != 1 {
-			t.Errorf("got %+v from a primary that knows its routers, want a list of one", late)
+			t.Errorf("got %+v from a primary that knows its routers, want a list of one router", late)
 		}
 	})
 }
--- a/internal/controlplane/service/runnerheartbeat.go
+++ b/internal/controlplane/service/runnerheartbeat.go
@@ -11,8 +11,8 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// handleRunnerHeartbeat takes a runner's heartbeat. A change of its state is pushed to the first routers of every zone before it is
-// acknowledged, so that it outlives this process.
+// handleRunnerHeartbeat records a runner's heartbeat. A change of the runner's state is pushed to the first routers of every
+// zone before the heartbeat is acknowledged, so that it survives a crash of this process.
 func (s *Service) handleRunnerHeartbeat(ctx context.Context, request *coreapi.RunnerHeartbeat) (*coreapi.Empty, error) {
 	if err := s.host.RequirePrimary(); err != nil {
 		return nil, err
@@ -21,7 +21,7 @@
 		return nil, wire.StatusError{Code: coreapi.CodeInvalidRunner}
 	}
 	notified := s.registry.RecordHeartbeat(request.Runner, time.Now())
-	// What is stored is the registry's newest: this heartbeat may have been overtaken by a later one.
+	// The registry's newest state is stored, since a later heartbeat may have overtaken this one.
 	newest, _ := s.registry.Lookup(request.Runner.ID)
 	if err := s.runnerStorage.Save(ctx, newest); err != nil {
 		return nil, err
@@ -32,12 +32,12 @@
 	return &coreapi.Empty{}, nil
 }
 
-// submitRunner is Submit of what is stored of a runner.
+// submitRunner submits an operation on stored runners and waits until it is committed.
 func (s *Service) submitRunner(ctx context.Context, apply func(*transaction.Tx) error) error {
 	return s.host.Submit(ctx, pipeline.ClassRunner, 1, apply)
 }
 
-// isValidHeartbeat reports whether a runner has a name and is in a state that runners say of themselves.
+// isValidHeartbeat reports whether a runner has an ID and a state that a runner can report itself.
 func isValidHeartbeat(runner routing.Runner) bool {
 	switch runner.State {
 	case routing.RunnerReady, routing.RunnerDraining, routing.RunnerGone:
--- a/internal/controlplane/service/service.go
+++ b/internal/controlplane/service/service.go
@@ -1,6 +1,6 @@
-// Package service answers what routers, runners and operators ask of the primary: configurations, idempotency keys, quota
-// units, heartbeats and the session directory. What has to last it writes through the core's pipeline; leases of routers,
-// runners and their statistics are in memory, and begin anew with each primary.
+// Package service implements the calls that routers, runners and operators make to the primary: configurations, idempotency
+// keys, quota units, heartbeats and the session directory. Durable state is written through the core's pipeline. Router leases,
+// the runner registry and the runners' statistics are kept in memory, and each new primary rebuilds them.
 package service
 
 import (
@@ -24,40 +24,40 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// Host is the core process, as its service sees it. All methods may be called concurrently; none but Submit blocks.
+// Host is the service's interface to the core process. All methods are safe for concurrent use, and only Submit blocks.
 type Host interface {
-	// View is the newest view that the process knows.
+	// View returns the newest view that the process knows.
 	View() view.View
-	// IsPrimary reports whether the process leads the newest view by a majority's lease.
+	// IsPrimary reports whether the process is the primary of the newest view and has a lease from a majority.
 	IsPrimary() bool
-	// AcceptsWrites reports whether the process has begun to take writes, for as long as it is primary.
+	// AcceptsWrites reports whether the process is primary and has started to accept writes.
 	AcceptsWrites() bool
-	// RequirePrimary is the error, with a code, where the process is no primary that may answer now.
+	// RequirePrimary returns an error with a code of coreapi unless the process is a primary that may respond now.
 	RequirePrimary() error
-	// Store is the committed state.
+	// Store returns the committed state.
 	Store() *store.Store
-	// Submit has the run loop apply an operation that is as much work as some others (weight), and waits until it is
-	// committed. Its error has a code of coreapi. The run loop must not call it.
+	// Submit applies an operation on the run loop and waits until it is committed. weight is the number of ordinary operations
+	// that it counts as. The error has a code of coreapi. The run loop itself must not call Submit.
 	Submit(ctx context.Context, class pipeline.Class, weight int, apply func(*transaction.Tx) error) error
-	// SubmitLater has the run loop apply an operation, or drops it where its class has no room.
+	// SubmitLater schedules an operation on the run loop, or drops it if the queue of its class is full.
 	SubmitLater(class pipeline.Class, apply pipeline.Operation)
 }
 
-// Settings are what a service is told.
+// Settings configure a service.
 type Settings struct {
-	Codec         configuration.Codec // reads the configuration
-	RunnerTimeout time.Duration       // a runner without a heartbeat for so long is silent
+	Codec         configuration.Codec // decodes and validates the configuration
+	RunnerTimeout time.Duration       // a runner times out if it sends no heartbeat for this long
 }
 
-// Service answers the callers of one core process. Its methods may be called concurrently, but for those that say that the run
-// loop calls them.
+// Service serves the callers of one core process. Its methods are safe for concurrent use, except those documented as
+// called only by the run loop.
 type Service struct {
 	ctx    daemon.Context
 	host   Host
 	codec  configuration.Codec
 	caller *wire.Caller
 
-	routerAddresses discovery.RouterDirectory // the run loop calls Announce
+	routerAddresses discovery.RouterDirectory // only the run loop calls Announce
 	registry        *runnerregistry.Registry
 	runnerStorage   runnerregistry.Storage
 	runnerOutliers  runnerregistry.OutlierDetector
@@ -66,25 +66,25 @@
 
 	runLoopState
 
-	mu       sync.Mutex           // guards the fields below; taken before any lock of the host's or the registry's
-	config   coreapi.StoredConfig // the newest one committed; here, since it is set and read together with whether writes are taken
-	routers  routerleases.Table   // the routers whose lease runs
-	scarcity quotapool.Scarcity   // tenants whose idle units are wanted back
+	mu       sync.Mutex           // guards the fields below; acquired before any lock of the host or the registry
+	config   coreapi.StoredConfig // the newest committed one; guarded by mu since it is set and read together with Host.AcceptsWrites
+	routers  routerleases.Table   // routers with an active lease
+	scarcity quotapool.Scarcity   // tenants whose idle units routers are asked to return
 }
 
-// runLoopState is what only the run loop's goroutine touches.
+// runLoopState is state that only the run loop's goroutine uses.
 type runLoopState struct {
-	// State machines of what is stored.
+	// State machines of the stored state.
 	documents *configuration.Documents
 	claims    *idempotency.Claims
 	pools     *quotapool.Pools
 
 	sweptAt       time.Time
 	claimsSweptAt time.Time
-	announcedAt   time.Time // when silent routers were last told the view
+	announcedAt   time.Time // when the view was last sent to routers without a lease
 }
 
-// New makes the service of a process. caller reaches other processes; it is the process's to close.
+// New returns a service that calls other processes through caller. The owner of caller closes it.
 func New(ctx daemon.Context, settings Settings, host Host, caller *wire.Caller) *Service {
 	s := &Service{ctx: ctx, host: host, codec: settings.Codec, caller: caller}
 	s.documents, s.pools = configuration.New(settings.Codec), quotapool.New()
@@ -92,14 +92,14 @@
 	s.claims = idempotency.New(func() int { return s.documents.MaxFinishedKeys(s.committedConfig()) })
 	s.registry = runnerregistry.New(settings.RunnerTimeout, runnerregistry.NewNotifier(s.pushRunners).Notify)
 	s.runnerStorage = runnerregistry.Storage{Committed: host.Store, Submit: s.submitRunner, SubmitLater: s.submitLater(pipeline.ClassRunner)}
-	s.replacedRuns = replacedruns.New(ctx, s.pools, s.routerRunAt, s.submitLater(pipeline.ClassQuota))
+	s.replacedRuns = replacedruns.New(ctx, s.pools, s.queryRun, s.submitLater(pipeline.ClassQuota))
 	return s
 }
 
-// Start begins to serve as primary of an epoch that the process has led since a time: it reads the committed state, and calls
-// beginWrites once all else is there. Whoever sees that writes are taken, and then asks the service, gets what was read. The
-// run loop calls it. An error means that the stored configuration can't be read; nothing has begun then.
-func (s *Service) Start(epoch uint64, ledSince time.Time, beginWrites func()) (configVersion uint64, err error) {
+// Start starts serving as primary of an epoch; leadingSince is when the process became its primary. It loads the committed
+// state and then calls acceptWrites, so that a caller that finds writes accepted also gets the loaded state. Only the run loop
+// calls it. It fails if the stored configuration can't be read; in that case nothing was started.
+func (s *Service) Start(epoch uint64, leadingSince time.Time, acceptWrites func()) (configVersion uint64, err error) {
 	config, err := configuration.Current(s.host.Store())
 	if err != nil {
 		return 0, err
@@ -107,15 +107,15 @@
 	s.claims.Load(s.host.Store())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.registry.StartEpoch(runnerregistry.Epoch(epoch, s.ctx.RunID), ledSince, time.Now(), s.runnerStorage.LoadAll())
+	s.registry.StartEpoch(runnerregistry.Epoch(epoch, s.ctx.RunID), leadingSince, time.Now(), s.runnerStorage.LoadAll())
 	s.config = config
 	s.routers.Start(s.routerAddresses.Count(), time.Now())
-	beginWrites()
+	acceptWrites()
 	return config.Version, nil
 }
 
-// ApplyCommitted takes up what a committed batch says: the configuration that nodes are told of, and the finished keys. The
-// run loop calls it.
+// ApplyCommitted updates the state in memory from a committed batch: the configuration that nodes are notified of, and the
+// finished keys. Only the run loop calls it.
 func (s *Service) ApplyCommitted(tx *transaction.Tx) {
 	s.claims.ApplyCommitted(tx)
 	if config, ok := configuration.Written(tx); ok {
@@ -125,15 +125,15 @@
 	}
 }
 
-// Status is what the service knows at one moment.
+// Status is a snapshot of the service's state.
 type Status struct {
 	AcceptsWrites bool
-	ConfigVersion uint64         // of the newest configuration committed
-	Routers       []coreapi.Node // whose lease runs, sorted by name
+	ConfigVersion uint64         // of the newest committed configuration
+	Routers       []coreapi.Node // with an active lease, sorted by name
 	Runners       int
 }
 
-// Status tells what the service knows now.
+// Status returns the current state. It first ends the leases that have expired.
 func (s *Service) Status() Status {
 	runners := len(s.registry.List(time.Now()))
 	s.mu.Lock()
--- a/internal/controlplane/service/sessions.go
+++ b/internal/controlplane/service/sessions.go
@@ -9,14 +9,14 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// sessionsKey is the key of the routers' session directory. It is on disk so that sessions keep their runners
-// after the loss of all routers; the core does not decode it.
+// sessionsKey is the key of the routers' session directory. It is stored on disk so that sessions remain assigned to their
+// runners after the loss of all routers. The core does not decode it.
 const sessionsKey = "sessions"
 
-// maxSessionsBytes is the size of the largest directory that is stored, in bytes.
+// maxSessionsBytes is the maximum size of a stored directory.
 const maxSessionsBytes = 1 << 20
 
-// storeSessions stores the directory in place of the one before.
+// storeSessions replaces the stored directory.
 func (s *Service) storeSessions(ctx context.Context, directory *coreapi.SessionDirectory) (*coreapi.Empty, error) {
 	if len(directory.Batch) > maxSessionsBytes {
 		return nil, wire.StatusError{Code: coreapi.CodeTooLarge}
@@ -28,7 +28,7 @@
 	return &coreapi.Empty{}, nil
 }
 
-// readSessions gives the directory that was stored last.
+// readSessions returns the stored directory, or an empty one if none was stored.
 func (s *Service) readSessions() (*coreapi.SessionDirectory, error) {
 	if err := s.host.RequirePrimary(); err != nil {
 		return nil, err
--- a/internal/controlplane/service/sweep.go
+++ b/internal/controlplane/service/sweep.go
@@ -9,16 +9,17 @@
 	"yarrowridge/internal/controlplane/transaction"
 )
 
-// How often the run loop looks for what has expired.
+// Intervals at which the run loop looks for expired state.
 const (
 	sweepInterval        = 500 * time.Millisecond
-	coolingSweepInterval = 100 * time.Millisecond // while units of quota pools cool
+	coolingSweepInterval = 100 * time.Millisecond // while quota pools have cooling units
 	announceInterval     = time.Second
-	claimsSweepInterval  = 10 * time.Second // there may be very many claims, and their retention is not kept to the second
+	claimsSweepInterval  = 10 * time.Second // longer, since there may be very many claims and their retention needs no precision
 )
 
-// Sweep removes what has expired: cooled units, claims, silent nodes and runners. Time is counted from when this
-// run of this process first saw them, so a restart only makes them last longer. Only the run loop calls it.
+// Sweep removes expired state: units whose cooling period is over, claims, and routers and runners that have sent no
+// heartbeat for too long. Periods are counted from when this run of the process first saw an entry, so a restart only
+// extends them. Only the run loop calls it.
 func (s *Service) Sweep() {
 	since := time.Since(s.sweptAt)
 	if since < sweepInterval && !(s.pools.HasCooling() && since >= coolingSweepInterval) {
@@ -26,10 +27,10 @@
 	}
 	s.sweptAt = time.Now()
 	s.mu.Lock()
-	ready, config := s.host.AcceptsWrites(), s.config
+	acceptsWrites, config := s.host.AcceptsWrites(), s.config
 	live := s.liveHolders()
 	s.mu.Unlock()
-	if !ready {
+	if !acceptsWrites {
 		return
 	}
 	document := s.documents.Decode(config)
@@ -50,7 +51,7 @@
 	s.sweepQuotas(document, live)
 }
 
-// liveHolders gives the nodes whose lease runs, as holders of quota units and by their addresses. The caller holds s.mu.
+// liveHolders returns the routers with an active lease, as holders of quota units and by address. The caller must hold s.mu.
 func (s *Service) liveHolders() quotapool.LiveHolders {
 	s.routers.Expire(time.Now())
 	live := quotapool.LiveHolders{Holders: map[string]bool{}, Addresses: map[string]coreapi.Node{}}
@@ -61,8 +62,8 @@
 	return live
 }
 
-// submitLater returns a function that submits operations of the core's own and does not wait for them. Where their class has
-// no room they are dropped: a later sweep finds again what is due.
+// submitLater returns a function that schedules the core's own operations without waiting for them. If the queue of their
+// class is full, they are dropped, and a later sweep submits them again.
 func (s *Service) submitLater(class pipeline.Class) func(func(tx *transaction.Tx) error) {
 	return func(apply func(tx *transaction.Tx) error) { s.host.SubmitLater(class, apply) }
 }
