--- a/internal/controlplane/coreapi/coreapi_test.go
+++ b/internal/controlplane/coreapi/coreapi_test.go
@@ -14,9 +14,9 @@
 		err  error
 		want bool
 	}{
-		{"the core does not know", wire.StatusError{Code: CodeOutcomeUnknown}, true},
-		{"the call was sent and not answered", fmt.Errorf("call: %w", wire.ErrOutcomeUnknown), true},
-		{"the core refused", wire.StatusError{Code: CodeNotReady}, false},
+		{"the core reports an unknown outcome", wire.StatusError{Code: CodeOutcomeUnknown}, true},
+		{"the call was sent and got no response", fmt.Errorf("call: %w", wire.ErrOutcomeUnknown), true},
+		{"the core rejected the call", wire.StatusError{Code: CodeNotReady}, false},
 		{"the call was not sent", fmt.Errorf("call: %w", wire.ErrUnsent), false},
 		{"another error", errors.New("x"), false},
 		{"no error", nil, false},
@@ -29,7 +29,7 @@
 	}
 }
 
-// The name is stored with the units: another form would lose the units of runs that an older version wrote.
+// The holder's name is stored with its units. With another format, units stored by an older version would lose their holder.
 func TestHolder(t *testing.T) {
 	if got, want := Holder(Node{Name: "edge", Addr: "10.0.0.1:70", Run: 255}), "edge@10.0.0.1:70/ff"; got != want {
 		t.Errorf("got %q, want %q", got, want)
--- a/internal/controlplane/coreapi/messages.go
+++ b/internal/controlplane/coreapi/messages.go
@@ -1,17 +1,17 @@
-// Package coreapi holds the messages and codes with which routers, operators' clients and other cores talk to the core.
-// The msgp tags are the names on the wire; Claim, StoredConfig and SessionDirectory are stored on the core's disk in the
-// same form.
+// Package coreapi defines the messages and error codes of the API that a core provides to routers, to the operators' API and
+// to other cores. The msgp tags are the field names on the wire. Claim, StoredConfig, SessionDirectory and Node are also stored
+// on the core's disk in this encoding.
 package coreapi
 
 //go:generate go tool msgp -tests=false -io=false
 
-// A length read from the wire is believed up to this only.
+// Limits on lengths read from the wire, which bound the memory that a malformed message can allocate.
 //msgp:limit arrays:10000000 maps:200000
 
-// SessionDirectory is the routers' session directory as they keep it at the core, in their own form.
+// SessionDirectory is the session directory that routers store at the core. The core does not decode Batch.
 type SessionDirectory struct {
 	Batch []byte `msg:"b"`
 }
 
-// Empty is the response of a call that only succeeds or fails.
+// Empty is a message without content, such as the response to a call that only succeeds or fails.
 type Empty struct{}
--- a/internal/controlplane/coreapi/nodesdigest.go
+++ b/internal/controlplane/coreapi/nodesdigest.go
@@ -7,12 +7,13 @@
 	"yarrowridge/internal/lib/hashing"
 )
 
-// Digest hashes what a node's peers must know of it: all but the version of its configuration, which changes all the time.
-// The hash is mixed, since digests are added up: of FNV alone, two nodes that both get ready could change by opposite amounts.
+// Digest returns a hash of the fields that a node's peers must know: all except ConfigVersion, which changes often. The FNV
+// hash is mixed, since NodesDigest adds digests up: without mixing, two nodes that become ready could change their hashes by
+// opposite amounts, which would leave the sum unchanged.
 func (n Node) Digest() uint64 {
 	hash := fnv.New64a()
 	for _, text := range []string{n.Name, n.Zone, n.Addr, n.ClientAddr} {
-		_, _ = hash.Write([]byte(text)) // a hash never fails
+		_, _ = hash.Write([]byte(text)) // never fails
 		_, _ = hash.Write([]byte{0})
 	}
 	var fixed [9]byte
@@ -24,7 +25,7 @@
 	return hashing.Mix(hash.Sum64())
 }
 
-// NodesDigest is the digest of a list of nodes, whatever its order. It is not 0.
+// NodesDigest returns the digest of a list of nodes. It does not depend on their order and is never 0.
 func NodesDigest(nodes []Node) uint64 {
 	digest := uint64(1)
 	for _, node := range nodes {
--- a/internal/controlplane/coreapi/nodesdigest_test.go
+++ b/internal/controlplane/coreapi/nodesdigest_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Lists that differ in what peers must know have different digests, also where two of their nodes differ in the same way.
+// Lists that differ in fields that peers must know have different digests, even if two nodes change in the same way.
 func TestNodesDigest(t *testing.T) {
 	seen := map[uint64]string{}
 	add := func(nodes ...Node) {
@@ -31,9 +31,9 @@
 		}
 	}
 	if first, second := NodesDigest(nodes[:2]), NodesDigest([]Node{nodes[1], nodes[0]}); first != second {
-		t.Errorf("got digests %x and %x of one list in two orders, want one", first, second)
+		t.Errorf("got digests %x and %x of one list in two orders, want equal ones", first, second)
 	}
 	if NodesDigest(nil) == 0 {
-		t.Error("got digest 0 of no nodes, want another: 0 stands for no list")
+		t.Error("got digest 0 of an empty list, want another value: 0 means that there is no list")
 	}
 }
--- a/internal/controlplane/coreapi/quota.go
+++ b/internal/controlplane/coreapi/quota.go
@@ -2,36 +2,35 @@
 
 //go:generate go tool msgp -tests=false -io=false
 
-// A length read from the wire is believed up to this only.
+// Limits on lengths read from the wire, which bound the memory that a malformed message can allocate.
 //msgp:limit arrays:10000000 maps:200000
 
 // QuotaTransfer acquires or returns units of a tenant's quota.
 type QuotaTransfer struct {
 	Tenant   string `msg:"t"`
-	Holder   string `msg:"n"`
-	Sequence uint64 `msg:"k"`
+	Holder   string `msg:"n"` // see the function Holder
+	Sequence uint64 `msg:"k"` // goes up with each transfer; an old or repeated one changes nothing
 	Units    int    `msg:"u"`
-	Return   bool   `msg:"g"`
+	Return   bool   `msg:"g"` // false: acquire
 
-	// Costs, in units, are those of the requests that wait for an acquire, where they differ: each gets all of its units or none. The
-	// rest of Units is kept in reserve.
+	// Costs are the costs, in units, of the requests that wait for an acquire, if they differ. Each request gets either all of its
+	// units or none. The rest of Units is a reserve.
 	Costs []int `msg:"c,omitempty"`
 }
 
-// QuotaTransferResult says what the holder has after the transfer.
+// QuotaTransferResult reports the holder's units after a transfer.
 type QuotaTransferResult struct {
 	HeldUnits int `msg:"h"`
-	Limit     int `msg:"u"` // the units of all holders, or the quota if larger
+	Limit     int `msg:"u"` // units of all holders together, or the quota if that is larger
 }
 
-// QuotaTransfersRequest is transfers of one holder, of as many tenants as it has some for: one call and one
-// write carry them all.
+// QuotaTransfersRequest contains transfers of one holder, for any number of tenants, which the core applies in one write.
 type QuotaTransfersRequest struct {
 	Holder    string          `msg:"n"`
-	Transfers []QuotaTransfer `msg:"l"` // their Holder is empty
+	Transfers []QuotaTransfer `msg:"l"` // with an empty Holder
 }
 
-// QuotaTransfersResponse answers QuotaTransfersRequest, in the order of its transfers.
+// QuotaTransfersResponse is the response to a QuotaTransfersRequest, with the results in the order of its transfers.
 type QuotaTransfersResponse struct {
 	Results []QuotaTransferResult `msg:"l"`
 }
--- a/internal/controlplane/coreapi/state.go
+++ b/internal/controlplane/coreapi/state.go
@@ -4,13 +4,13 @@
 
 //go:generate go tool msgp -tests=false -io=false
 
-// A length read from the wire is believed up to this only.
+// Limits on lengths read from the wire, which bound the memory that a malformed message can allocate.
 //msgp:limit arrays:10000000 maps:200000
 
-// StateRequest asks for the fleet's state.
+// StateRequest requests the state of a core and its fleet.
 type StateRequest struct{}
 
-// State is what a core reports of itself and, where it is primary, of its fleet.
+// State describes a core and, if it is the primary, its fleet.
 type State struct {
 	View              view.View     `msg:"v" json:"view"`
 	ID                string        `msg:"m" json:"id"`
