--- a/internal/controlplane/coreapi/heartbeat.go
+++ b/internal/controlplane/coreapi/heartbeat.go
@@ -59,8 +59,8 @@
 	View          view.View `msg:"v"`            // epoch 0: the node already knows the view
 	ConfigVersion uint64    `msg:"s"`            // of the newest configuration
 	NodesVersion  uint64    `msg:"r"`            // of the node list
-	Nodes         []Node    `msg:"n"`            // all live nodes or the changed ones; see NodesChanged and NodesPartial
-	NodesChanged  bool      `msg:"w"`            // Nodes is the complete list
+	Nodes         []Node    `msg:"n"`            // all live nodes or the changed ones; see NodesComplete and NodesPartial
+	NodesComplete bool      `msg:"w"`            // Nodes is the complete list
 	NodesEpoch    uint64    `msg:"ne,omitempty"` // identifies the primary that counts NodesVersion; 0: unknown
 	NodesPartial  bool      `msg:"np,omitempty"` // Nodes and NodesRemoved are the changes since the version that the node has
 	NodesRemoved  []string  `msg:"nr,omitempty"` // names
--- a/internal/controlplane/coreapi/heartbeat_gen.go
+++ b/internal/controlplane/coreapi/heartbeat_gen.go
@@ -362,7 +362,7 @@
 		}
 		// string "w"
 		o = append(o, 0xa1, 0x77)
-		o = msgp.AppendBool(o, z.NodesChanged)
+		o = msgp.AppendBool(o, z.NodesComplete)
 		if (zb0001Mask & 0x20) == 0 { // if not omitted
 			// string "ne"
 			o = append(o, 0xa2, 0x6e, 0x65)
@@ -510,9 +510,9 @@
 				}
 			}
 		case "w":
-			z.NodesChanged, bts, err = msgp.ReadBoolBytes(bts)
+			z.NodesComplete, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "NodesChanged")
+				err = msgp.WrapError(err, "NodesComplete")
 				return
 			}
 		case "ne":
--- a/internal/controlplane/routerleases/table.go
+++ b/internal/controlplane/routerleases/table.go
@@ -144,7 +144,7 @@
 	case request.NodesEpoch != 0 && request.NodesDigest == t.currentPeers().digest:
 		response.NodesCurrent = true
 	case request.NodesVersion != t.version || request.NodesEpoch != 0 && request.NodesEpoch != t.epoch:
-		response.NodesChanged = true
+		response.NodesComplete = true
 		response.Nodes = t.currentPeers().routers
 	}
 }
--- a/internal/controlplane/routerleases/table_test.go
+++ b/internal/controlplane/routerleases/table_test.go
@@ -66,7 +66,7 @@
 		if got := table.version > before; got != step.wantChange {
 			t.Errorf("%s: got a higher version %t, want %t", step.name, got, step.wantChange)
 		}
-		if got := table.response(before).NodesChanged; got != step.wantChange {
+		if got := table.response(before).NodesComplete; got != step.wantChange {
 			t.Errorf("%s: got a list %t, want %t", step.name, got, step.wantChange)
 		}
 	}
@@ -139,7 +139,7 @@
 	if !table.MayBeAlive("unknown", 1, table.now) {
 		t.Error("got an unknown run lost just after the start, want it alive")
 	}
-	if got := table.response(0); got.PreviousRouters != 3 || got.NodesChanged {
+	if got := table.response(0); got.PreviousRouters != 3 || got.NodesComplete {
 		t.Errorf("got %+v just after the start, want 3 previous routers, no list", got)
 	}
 	table.now = table.now.Add(LeaseTerm)
@@ -148,7 +148,7 @@
 		t.Error("got another run than that of the lease alive after the term, want it alone")
 	}
 	table.now = table.now.Add(time.Millisecond)
-	if got := table.response(0); got.PreviousRouters != 0 || !got.NodesChanged || len(got.Nodes) != 1 {
+	if got := table.response(0); got.PreviousRouters != 0 || !got.NodesComplete || len(got.Nodes) != 1 {
 		t.Errorf("got %+v after the term, want a list of one", got)
 	}
 	if table.HavePeerLists(table.now) {
@@ -197,10 +197,10 @@
 }
 
 func (f *follower) apply(response *coreapi.HeartbeatResponse) {
-	if response.NodesChanged {
+	if response.NodesComplete {
 		f.nodes = map[string]coreapi.Node{}
 	}
-	if response.NodesChanged || response.NodesPartial {
+	if response.NodesComplete || response.NodesPartial {
 		for _, node := range response.Nodes {
 			f.nodes[node.Name] = node
 		}
@@ -208,7 +208,7 @@
 			delete(f.nodes, name)
 		}
 	}
-	if response.NodesChanged || response.NodesPartial || response.NodesCurrent {
+	if response.NodesComplete || response.NodesPartial || response.NodesCurrent {
 		f.epoch, f.version = response.NodesEpoch, response.NodesVersion
 	}
 }
--- a/internal/controlplane/service/routerheartbeat_test.go
+++ b/internal/controlplane/service/routerheartbeat_test.go
@@ -34,12 +34,12 @@
 		}
 		var early, late coreapi.HeartbeatResponse
 		s.routers.FillResponse(&coreapi.HeartbeatRequest{}, &early, time.Now())
-		if early.PreviousRouters != 3 || early.NodesChanged {
-			t.Errorf("got %d previous routers, list sent: %t from a new primary, want 3 and no list", early.PreviousRouters, early.NodesChanged)
+		if early.PreviousRouters != 3 || early.NodesComplete {
+			t.Errorf("got %d previous routers, list sent: %t from a new primary, want 3 and no list", early.PreviousRouters, early.NodesComplete)
 		}
 		time.Sleep(routerleases.LeaseTerm + time.Millisecond)
 		s.routers.FillResponse(&coreapi.HeartbeatRequest{}, &late, time.Now())
-		if late.PreviousRouters != 0 || !late.NodesChanged || len(late.Nodes) != 1 {
+		if late.PreviousRouters != 0 || !late.NodesComplete || len(late.Nodes) != 1 {
 			t.Errorf("got %+v from a primary that knows its routers, want a list of one router", late)
 		}
 	})
--- a/internal/dataplane/cluster/peers.go
+++ b/internal/dataplane/cluster/peers.go
@@ -39,7 +39,7 @@
 	defer d.mu.Unlock()
 	d.previous = response.PreviousRouters
 	switch {
-	case response.NodesChanged:
+	case response.NodesComplete:
 		d.set(response.Nodes)
 	case response.NodesPartial && response.NodesEpoch == d.epoch:
 		d.set(merge(d.nodes, response.Nodes, response.NodesRemoved))
--- a/internal/dataplane/cluster/peers_test.go
+++ b/internal/dataplane/cluster/peers_test.go
@@ -28,7 +28,7 @@
 		want        []string
 		wantVersion uint64
 	}{
-		{"complete", coreapi.HeartbeatResponse{NodesEpoch: 7, NodesVersion: 2, NodesChanged: true, Nodes: []coreapi.Node{a, b}}, []string{"a", "b"}, 2},
+		{"complete", coreapi.HeartbeatResponse{NodesEpoch: 7, NodesVersion: 2, NodesComplete: true, Nodes: []coreapi.Node{a, b}}, []string{"a", "b"}, 2},
 		{"one more", coreapi.HeartbeatResponse{NodesEpoch: 7, NodesVersion: 3, NodesPartial: true, Nodes: []coreapi.Node{c}}, []string{"a", "b", "c"}, 3},
 		{"nothing", coreapi.HeartbeatResponse{NodesEpoch: 7, NodesVersion: 3}, []string{"a", "b", "c"}, 3},
 		{"one gone, one changed", coreapi.HeartbeatResponse{NodesEpoch: 7, NodesVersion: 5, NodesPartial: true, Nodes: []coreapi.Node{newA}, NodesRemoved: []string{"c"}},
