--- a/internal/controlplane/coreclient/backoff.go
+++ b/internal/controlplane/coreclient/backoff.go
@@ -7,63 +7,63 @@
 )
 
 const (
-	// minBackoff is between two searches, and between two calls of the primary that is known.
+	// minBackoff is the minimum delay between two searches, and between two calls to the known primary.
 	minBackoff = 50 * time.Millisecond
-	// maxBackoff bounds the backoff that grows while no call succeeds.
+	// maxBackoff is the maximum delay, before jitter, while no call succeeds.
 	maxBackoff = time.Second
-	// outageDivisor divides the time for which no call has succeeded: the backoff is this part of it, so that an outage seems
-	// longer by no more than that, while a crowd of clients calls ever less often.
+	// outageDivisor sets the backoff as a fraction of the duration of the outage so far. A call thus notices the end of
+	// the outage late by about this fraction only, while a large number of clients call less and less often.
 	outageDivisor = 10
-	// minOverloadBackoff is after the first call that an overloaded primary has rejected.
+	// minOverloadBackoff is the delay after the first call that an overloaded primary rejects.
 	minOverloadBackoff = 100 * time.Millisecond
-	// maxOverloadBackoff bounds the backoff that doubles with each further one.
+	// maxOverloadBackoff is the maximum, before jitter, of this delay, which doubles with each further rejection.
 	maxOverloadBackoff = 2 * time.Second
 )
 
-// backoff is how long a client's calls wait before they are made again. All calls of a client share it: they go to one
-// primary. Its methods may be called concurrently.
+// backoff computes how long a client's calls wait before they are retried. All calls of a client share one backoff, since they
+// go to the same primary. Its methods are safe for concurrent use.
 type backoff struct {
-	mu        sync.Mutex
-	failingAt time.Time     // when a call first failed since the last one that succeeded; zero: none has
-	overload  time.Duration // the next wait after a rejection for overload; 0: none was rejected since the last success
+	mu            sync.Mutex
+	failingSince  time.Time     // first failure since the last successful call; zero: none
+	overloadDelay time.Duration // delay after the last rejection for overload; 0: none since the last successful call
 }
 
-// recordSuccess ends both backoffs.
+// recordSuccess resets both backoffs.
 func (b *backoff) recordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.failingAt, b.overload = time.Time{}, 0
+	b.failingSince, b.overloadDelay = time.Time{}, 0
 }
 
-// recordNewPrimary ends the backoff of an outage: another primary is to be called at once.
+// recordNewPrimary resets the backoff of an outage, so that a new primary is called immediately.
 func (b *backoff) recordNewPrimary() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.failingAt = time.Time{}
+	b.failingSince = time.Time{}
 }
 
-// afterFailure is the wait after a failed call or search.
+// afterFailure returns the delay after a failed call or search.
 func (b *backoff) afterFailure(now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.failingAt.IsZero() {
-		b.failingAt = now
+	if b.failingSince.IsZero() {
+		b.failingSince = now
 	}
-	wait := min(now.Sub(b.failingAt)/outageDivisor, maxBackoff)
-	if wait <= minBackoff {
+	delay := min(now.Sub(b.failingSince)/outageDivisor, maxBackoff)
+	if delay <= minBackoff {
 		return minBackoff
 	}
-	return jitter(wait)
+	return jitter(delay)
 }
 
-// afterOverload is the wait after a call that was rejected for overload.
+// afterOverload returns the delay after a call that was rejected for overload.
 func (b *backoff) afterOverload() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.overload = min(max(2*b.overload, minOverloadBackoff), maxOverloadBackoff)
-	return jitter(b.overload)
+	b.overloadDelay = min(max(2*b.overloadDelay, minOverloadBackoff), maxOverloadBackoff)
+	return jitter(b.overloadDelay)
 }
 
-// jitter is a duration drawn at random from half to one and a half of another: clients that failed together do not come back
-// together.
+// jitter returns a random duration from 0.5 to 1.5 times the given one, so that clients that failed at the same time do not
+// retry at the same time.
 func jitter(duration time.Duration) time.Duration { return duration/2 + rand.N(duration) }
--- a/internal/controlplane/coreclient/retry.go
+++ b/internal/controlplane/coreclient/retry.go
@@ -13,21 +13,22 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// How long a primary that does not respond is waited for.
+// Time-outs for a primary that does not respond.
 const (
-	// primaryTimeout is when the fleet is asked, beside the call, whether there is another primary: long before the usual
-	// caller's deadline, so that not each call in turn spends all its time on a machine that has gone.
-	primaryTimeout = 300 * time.Millisecond
-	// maxAttemptTimeout bounds one attempt at an idempotent call: a frozen primary must not use up the whole time of a
-	// longer one.
+	// hedgeDelay is how long a call is in progress before the client concurrently searches for another primary. It is much
+	// shorter than the deadline of a typical caller, so that a call does not spend all of its time on a machine that is gone.
+	hedgeDelay = 300 * time.Millisecond
+	// maxAttemptTimeout bounds one attempt of an idempotent call, so that a primary that hangs does not use up all of the time
+	// of a call with a longer deadline.
 	maxAttemptTimeout = 1500 * time.Millisecond
 )
 
-// Call calls the primary, and searches for it and retries until the call succeeds, is rejected or ctx ends. idempotent says
-// that the call may be made again while its outcome is unknown: it names its own turn, ID or version.
+// Call calls the primary. It searches for the primary and retries until the call succeeds, is rejected or ctx ends. idempotent
+// means that the call may be repeated while its outcome is unknown, since the request carries its own sequence number, ID or
+// version.
 //
-// The error is one of the package comment's three. Where attempts ended differently it is the worst of them: outcome
-// unknown as soon as one attempt's was.
+// The error has one of the three outcomes in the package comment. If attempts ended differently, it is the worst of them: the
+// outcome is unknown if that of any attempt is.
 func (c *Client) Call(ctx context.Context, kind string, request msgp.Marshaler, response msgp.Unmarshaler, idempotent bool) error {
 	var last error
 	for {
@@ -46,11 +47,11 @@
 				if !runloop.Sleep(ctx, c.backoff.afterOverload()) {
 					break
 				}
-				continue // no search: the primary is there
+				continue // no search is needed, since the primary responded
 			}
 		}
 		if next := c.View(); ctx.Err() == nil && next.Addr(next.Primary) != v.Addr(v.Primary) {
-			continue // another primary was found meanwhile
+			continue // another primary was found in the meantime
 		}
 		if ctx.Err() != nil || !c.waitForSearch(ctx) {
 			break
@@ -62,7 +63,7 @@
 	return last
 }
 
-// worstError gives the error that the caller must know of: the first that leaves the outcome unknown, or else the newest.
+// worstError returns the error to report to the caller: the first one that leaves the outcome unknown, or else the newest.
 func worstError(last, newest error) error {
 	if last != nil && coreapi.IsOutcomeUnknown(last) {
 		return last
@@ -70,7 +71,7 @@
 	return newest
 }
 
-// isRetryable reports whether a call that ended in err may be made again and may end otherwise.
+// isRetryable reports whether a call that returned err may be repeated and could then end differently.
 func isRetryable(err error, idempotent bool) bool {
 	if wire.HasCode(err, coreapi.CodeOverloaded) || wire.HasCode(err, coreapi.CodeNotPrimary) || wire.HasCode(err, coreapi.CodeNotReady) || errors.Is(err, wire.ErrUnsent) {
 		return true
@@ -78,8 +79,8 @@
 	return coreapi.IsOutcomeUnknown(err) && idempotent
 }
 
-// callPrimary makes one attempt at the primary that is known. After primaryTimeout it searches for another one beside the
-// attempt; an idempotent call is given up once there is one.
+// callPrimary makes one attempt to call the known primary. After hedgeDelay it concurrently searches for another primary. An
+// attempt of an idempotent call is cancelled once another primary is found.
 func (c *Client) callPrimary(ctx context.Context, primary, kind string, request msgp.Marshaler, response msgp.Unmarshaler, idempotent bool) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -88,7 +89,7 @@
 		ctx, cancelTimeout = context.WithTimeout(ctx, maxAttemptTimeout)
 		defer cancelTimeout()
 	}
-	hedgedSearch := time.AfterFunc(primaryTimeout, func() {
+	hedgedSearch := time.AfterFunc(hedgeDelay, func() {
 		if next := c.searchView(ctx); idempotent && next.Addr(next.Primary) != primary {
 			cancel()
 		}
--- a/internal/controlplane/coreclient/retry_test.go
+++ b/internal/controlplane/coreclient/retry_test.go
@@ -8,12 +8,12 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// A call that was surely not carried out is always retried, one whose outcome is unknown only where it is idempotent.
+// A call that was not applied is always retried. A call whose outcome is unknown is retried only if it is idempotent.
 func TestIsRetryable(t *testing.T) {
 	for _, c := range []struct {
-		name                            string
-		err                             error
-		wantOtherwise, wantIfIdempotent bool
+		name                              string
+		err                               error
+		wantNotIdempotent, wantIdempotent bool
 	}{
 		{"not primary", wire.StatusError{Code: coreapi.CodeNotPrimary}, true, true},
 		{"not ready", wire.StatusError{Code: coreapi.CodeNotReady}, true, true},
@@ -23,17 +23,17 @@
 		{"rejected", wire.StatusError{Code: coreapi.CodeNameTaken}, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := isRetryable(c.err, false); got != c.wantOtherwise {
-				t.Errorf("got %t for a call that is not idempotent, want %t", got, c.wantOtherwise)
+			if got := isRetryable(c.err, false); got != c.wantNotIdempotent {
+				t.Errorf("got %t for a call that is not idempotent, want %t", got, c.wantNotIdempotent)
 			}
-			if got := isRetryable(c.err, true); got != c.wantIfIdempotent {
-				t.Errorf("got %t for an idempotent call, want %t", got, c.wantIfIdempotent)
+			if got := isRetryable(c.err, true); got != c.wantIdempotent {
+				t.Errorf("got %t for an idempotent call, want %t", got, c.wantIdempotent)
 			}
 		})
 	}
 }
 
-// The caller is told of an unknown outcome, whatever later attempts ended in.
+// An unknown outcome is reported to the caller regardless of the errors of later attempts.
 func TestWorstError(t *testing.T) {
 	notReady := wire.StatusError{Code: coreapi.CodeNotReady}
 	for _, c := range []struct {
@@ -41,7 +41,7 @@
 		last, newest, want error
 	}{
 		{"first attempt", nil, wire.ErrUnsent, wire.ErrUnsent},
-		{"newest of those not carried out", wire.ErrUnsent, notReady, notReady},
+		{"newest of two that were not applied", wire.ErrUnsent, notReady, notReady},
 		{"newest is unknown", wire.ErrUnsent, wire.ErrOutcomeUnknown, wire.ErrOutcomeUnknown},
 		{"earlier one is unknown", wire.ErrOutcomeUnknown, wire.ErrUnsent, wire.ErrOutcomeUnknown},
 	} {
--- a/internal/controlplane/coreclient/search.go
+++ b/internal/controlplane/coreclient/search.go
@@ -11,25 +11,25 @@
 	"yarrowridge/internal/lib/runloop"
 )
 
-// How the primary is searched for.
+// Limits of a search for the primary.
 const (
-	searchTimeout  = 400 * time.Millisecond // of one search
-	maxSearchPeers = 6                      // peers that are asked beside seeds and members
-	firstSearch    = 4                      // addresses that a first search asks; each further one asks twice as many
-	maxWidening    = 8                      // times that it doubles: by then it asks all
-	viewTTL        = 5 * time.Second        // a client that makes calls asks for the view once it was learned so long ago
+	searchTimeout     = 400 * time.Millisecond // time-out of the queries of one search
+	maxSearchPeers    = 6                      // peers that are queried in addition to seeds and members
+	initialSearchSize = 4                      // addresses that the first search queries; each further search queries twice as many
+	maxDoublings      = 8                      // of initialSearchSize; by then all addresses are queried
+	viewTTL           = 5 * time.Second        // a client that makes calls refreshes a view that is older
 )
 
-// waitForSearch searches for a primary until a newer view is known or the search has ended, for the backoff at most: the
-// known primary may be called again then, and machines that do not answer must not hold up those that do. It reports
-// whether ctx still runs.
+// waitForSearch searches for a primary until a newer view is known, the search has ended or the backoff has elapsed. After the
+// backoff the known primary may be called again, so that machines that do not respond do not delay the call to one that does.
+// It returns false if ctx ended.
 func (c *Client) waitForSearch(ctx context.Context) bool {
 	timer := time.NewTimer(c.backoff.afterFailure(time.Now()))
 	defer timer.Stop()
 	return c.waitForSearchUntil(ctx, timer.C)
 }
 
-// waitForSearchUntil is waitForSearch that ends with its backoff. A nil backoff never ends the wait.
+// waitForSearchUntil is like waitForSearch, with a channel that ends the wait after the backoff. A nil channel never ends it.
 func (c *Client) waitForSearchUntil(ctx context.Context, backoff <-chan time.Time) bool {
 	ended, newer := c.joinSearch()
 	select {
@@ -44,8 +44,8 @@
 	}
 }
 
-// joinSearch joins the search under way, or begins one: however many calls wait for a primary, the fleet is asked as for
-// one. It gives what is closed once the search has ended, and what is closed once a newer view is known.
+// joinSearch joins the search in progress or starts one, so that any number of waiting calls cause only one search. It returns
+// a channel that is closed when the search has ended and one that is closed when a newer view is known.
 func (c *Client) joinSearch() (ended, newer <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,18 +56,18 @@
 	return c.searchEnded, c.viewChanged
 }
 
-// search asks the fleet for its view, and lets the next search begin after the backoff. It closes ended then.
+// search queries the fleet for its view, and waits for the backoff before it closes ended and allows the next search.
 //
-// All clients of a primary that is lost search at once, and most of them have no connections to the other cores: a crowd that
-// asks everybody keeps the cores from choosing another primary. So a search begins with those who know first, and widens
-// while no newer view is found.
+// All clients of a failed primary search at the same time, and most of them have no connections to the other cores. If all of
+// them queried all addresses, the load would keep the cores from electing another primary. The first search therefore queries
+// only a few addresses, those most likely to know a newer view, and further searches query more until one is found.
 func (c *Client) search(ended chan struct{}) {
 	c.mu.Lock()
-	count := firstSearch << min(c.searches, maxWidening)
+	count := initialSearchSize << min(c.searches, maxDoublings)
 	c.searches++
 	c.mu.Unlock()
 	addrs := c.searchAddrs()
-	c.askForView(c.ctx, addrs[:min(count, len(addrs))])
+	c.queryViews(c.ctx, addrs[:min(count, len(addrs))])
 	runloop.Sleep(c.ctx, c.backoff.afterFailure(time.Now()))
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,32 +75,32 @@
 	close(ended)
 }
 
-// askForView asks processes at some addresses which view they know, and learns those.
-func (c *Client) askForView(ctx context.Context, addrs []string) {
+// queryViews queries the processes at some addresses for the views that they know, and learns these.
+func (c *Client) queryViews(ctx context.Context, addrs []string) {
 	ctx, cancel := context.WithTimeout(ctx, searchTimeout)
 	defer cancel()
-	var all sync.WaitGroup
+	var queries sync.WaitGroup
 	for _, addr := range addrs {
-		all.Go(func() {
+		queries.Go(func() {
 			var status view.StatusResponse
 			if c.caller.Call(ctx, addr, "view.ask", &view.StatusRequest{}, &status) == nil {
 				c.Learn(status.View)
 			}
 		})
 	}
-	all.Wait()
+	queries.Wait()
 }
 
-// searchAddrs lists the addresses that are asked for the view, each once: the backups, one of which is the next primary, then
-// members, seeds and some peers in any order, and last the primary that does not answer.
+// searchAddrs returns the addresses to query for the view, without duplicates: first the backups, one of which becomes the next
+// primary, then members, seeds and some peers in random order, and last the primary, which does not respond.
 func (c *Client) searchAddrs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var first, others []string
+	var backups, others []string
 	for _, m := range c.view.Members {
 		switch {
 		case c.view.IsBackup(m.ID):
-			first = append(first, m.Addr)
+			backups = append(backups, m.Addr)
 		case m.ID != c.view.Primary:
 			others = append(others, m.Addr)
 		}
@@ -109,20 +109,20 @@
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	seen := map[string]bool{}
 	primary := c.view.Addr(c.view.Primary)
-	return slices.DeleteFunc(slices.Concat(first, others, []string{primary}), func(addr string) bool {
-		isRepeated := addr == "" || seen[addr]
+	return slices.DeleteFunc(slices.Concat(backups, others, []string{primary}), func(addr string) bool {
+		isSkipped := addr == "" || seen[addr]
 		seen[addr] = true
-		return isRepeated
+		return isSkipped
 	})
 }
 
-// searchView searches until a newer view is known or the search or ctx has ended, and gives the newest view known.
+// searchView searches until a newer view is known, the search has ended or ctx ends, and returns the newest view known.
 func (c *Client) searchView(ctx context.Context) view.View {
 	c.waitForSearchUntil(ctx, nil)
 	return c.View()
 }
 
-// recordSuccess notes that the primary has carried out a call.
+// recordSuccess records that a call to the primary succeeded: it resets the backoffs and the size of searches.
 func (c *Client) recordSuccess() {
 	c.backoff.recordSuccess()
 	c.mu.Lock()
@@ -131,13 +131,14 @@
 	c.refreshView()
 }
 
-// refreshView begins a search where no view was learned for viewTTL. A primary may stay while all others that the client
-// knows are replaced: after its loss nobody would be left to ask. Routers learn the view by their heartbeats.
+// refreshView starts a search if no view was learned for viewTTL. Otherwise, all other cores that the client knows could be
+// replaced while the primary stays, and after the loss of that primary the client would have no address left to query. Routers
+// learn the view from the responses to their heartbeats instead.
 func (c *Client) refreshView() {
 	c.mu.Lock()
-	isOld := time.Since(c.learnedAt) > viewTTL
+	isExpired := time.Since(c.learnedAt) > viewTTL
 	c.mu.Unlock()
-	if isOld {
+	if isExpired {
 		c.joinSearch()
 	}
 }
