--- a/internal/controlplane/discovery/finder.go
+++ b/internal/controlplane/discovery/finder.go
@@ -1,5 +1,6 @@
-// Package discovery finds the fleet's core and its newest view from the addresses that a process knows, and lets routers
-// find it: it keeps the addresses where they have been, and announces the view there.
+// Package discovery lets cores and routers find the fleet. A Finder searches for the fleet's core and its newest view at the
+// addresses that a process knows. A RouterDirectory stores the addresses of routers and sends the view to routers that do not
+// know the core.
 package discovery
 
 import (
@@ -14,39 +15,39 @@
 	"yarrowridge/internal/controlplane/view"
 )
 
-// queryTimeout is how long processes are waited for when they are asked for their status.
+// queryTimeout bounds a round of status queries.
 const queryTimeout = 500 * time.Millisecond
 
-// Config is what a Finder is told about its process.
+// Config configures a Finder.
 type Config struct {
-	Addr      string        // where the process listens
-	Founders  []string      // the addresses of those that found the fleet
-	Seeds     []string      // where the fleet is looked for besides
-	Bootstrap bool          // without founders, the seeds found the fleet
+	Addr      string        // address of this process
+	Founders  []string      // addresses of the cores that found the fleet
+	Seeds     []string      // further addresses at which to look for the fleet
+	Bootstrap bool          // without Founders, the seeds found the fleet
 	LeaseTerm time.Duration // of the primary's lease
 }
 
-// Finder looks for the fleet and for views newer than the one known. The run loop's goroutine owns it; SetSeeds may be
-// called concurrently.
+// Finder searches for the fleet, and for views that are newer than the known one. Only the run loop's goroutine may use it,
+// except for SetSeeds, which is safe for concurrent use.
 type Finder struct {
 	ctx        context.Context
 	config     Config
-	founding   []string // the addresses that found the fleet, sorted
+	founding   []string // addresses of the cores that found the fleet, sorted
 	acceptor   *paxos.Acceptor
 	call       paxos.CallFunc
 	learn      func(view.View)
 	seeds      atomic.Pointer[[]string]
-	nextSearch time.Time // earliest next search for a newer view
+	nextSearch time.Time // earliest time of the next search for a newer view
 }
 
-// NewFinder makes a finder whose requests end with ctx. learn stores a view that was found, if it is newer.
+// NewFinder returns a finder whose queries are cancelled with ctx. learn stores a found view if it is newer than the known one.
 func NewFinder(ctx context.Context, config Config, acceptor *paxos.Acceptor, call paxos.CallFunc, learn func(view.View)) *Finder {
 	f := &Finder{ctx: ctx, config: config, founding: foundingAddrs(config), acceptor: acceptor, call: call, learn: learn}
 	f.SetSeeds(config.Seeds)
 	return f
 }
 
-// foundingAddrs are the addresses that found the fleet, without duplicates, the lowest first.
+// foundingAddrs returns the addresses of the cores that found the fleet, sorted and without duplicates.
 func foundingAddrs(config Config) []string {
 	addrs := slices.Clone(config.Founders)
 	if len(addrs) == 0 && config.Bootstrap {
@@ -56,12 +57,11 @@
 	return slices.Compact(addrs)
 }
 
-// SetSeeds replaces the addresses at which the fleet is looked for: the settings have changed. Who founds a fleet stays as
-// it was at the start.
+// SetSeeds replaces the seeds after a change of the settings. It does not change which cores found a fleet.
 func (f *Finder) SetSeeds(seeds []string) { f.seeds.Store(&seeds) }
 
-// FindFleet looks for a fleet that exists and learns its view. Where there is none, and this process is the one to found
-// it, it returns the founders, else nil.
+// FindFleet searches for an existing fleet and learns its view. If there is none and this process has to found it, FindFleet
+// returns the founders. Otherwise it returns nil.
 func (f *Finder) FindFleet() []view.Member {
 	statuses := f.queryAll(append(slices.Clone(f.founding), *f.seeds.Load()...))
 	for _, status := range statuses {
@@ -83,11 +83,12 @@
 	return founders
 }
 
-// PostponeSearch has no search for a newer view begin within two lease terms: the view known is in force.
+// PostponeSearch postpones the next search for a newer view by two lease terms. It is called while the known view is in force.
 func (f *Finder) PostponeSearch() { f.nextSearch = time.Now().Add(2 * f.config.LeaseTerm) }
 
-// FindNewerView searches for a newer view where no lease of the primary has run here for long: we may have been removed
-// while we were partitioned. It is called again and again, and searches about once in a lease term.
+// FindNewerView searches for a newer view if no primary's lease has been active here for two lease terms, since this process
+// may have been removed from the fleet while it was partitioned. It is called periodically, and searches about once per lease
+// term.
 func (f *Finder) FindNewerView(v view.View) {
 	if f.acceptor.HasActiveLease() {
 		f.PostponeSearch()
@@ -100,7 +101,7 @@
 	f.Search(v)
 }
 
-// Search asks seeds, members and founders which view they know, and learns the newest.
+// Search queries seeds, members and founders for their views, and learns the newest.
 func (f *Finder) Search(v view.View) {
 	addrs := slices.Clone(*f.seeds.Load())
 	for _, m := range v.Members {
@@ -111,20 +112,20 @@
 	}
 }
 
-// queryAll asks every address for its status, and returns those that answered in time.
+// queryAll queries the addresses for their status. It returns the responses by address, without those that took too long.
 func (f *Finder) queryAll(addrs []string) map[string]view.StatusResponse {
 	ctx, cancel := context.WithTimeout(f.ctx, queryTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	statuses := map[string]view.StatusResponse{}
-	asked := map[string]bool{}
-	var pending sync.WaitGroup
+	queried := map[string]bool{}
+	var queries sync.WaitGroup
 	for _, addr := range addrs {
-		if asked[addr] {
+		if queried[addr] {
 			continue
 		}
-		asked[addr] = true
-		pending.Go(func() {
+		queried[addr] = true
+		queries.Go(func() {
 			if status, err := paxos.QueryStatus(ctx, f.call, addr); err == nil {
 				mu.Lock()
 				defer mu.Unlock()
@@ -132,6 +133,6 @@
 			}
 		})
 	}
-	pending.Wait()
+	queries.Wait()
 	return statuses
 }
--- a/internal/controlplane/discovery/finder_test.go
+++ b/internal/controlplane/discovery/finder_test.go
@@ -15,10 +15,10 @@
 	"yarrowridge/internal/controlplane/view"
 )
 
-// errUnreachable is the error of a call to an address where nobody listens.
+// errUnreachable is returned by calls to an address at which no process listens.
 var errUnreachable = errors.New("unreachable")
 
-// newFinder is a finder at address a, in a world where the processes at some addresses answer with their status.
+// newFinder returns a finder of the process at address a. The processes at the given addresses respond with their status.
 func newFinder(t *testing.T, config Config, statuses map[string]view.StatusResponse) *Finder {
 	t.Helper()
 	disk, err := store.OpenFolder(t.TempDir())
@@ -50,7 +50,7 @@
 	return NewFinder(t.Context(), config, acceptor, call, learn)
 }
 
-// A fleet is founded once, by the founder with the lowest address, and only once all founders are there.
+// A fleet is founded by the founder with the lowest address, and only if all founders respond and none knows a fleet.
 func TestFindFleet(t *testing.T) {
 	blank := func(id string) view.StatusResponse { return view.StatusResponse{ID: id} }
 	for _, test := range []struct {
@@ -60,12 +60,12 @@
 		wantFounders []string
 		wantEpoch    uint64
 	}{
-		{"all founders are there", Config{Founders: []string{"b", "a", "b"}}, map[string]view.StatusResponse{"a": blank("1"), "b": blank("2")}, []string{"1", "2"}, 0},
+		{"all founders respond", Config{Founders: []string{"b", "a", "b"}}, map[string]view.StatusResponse{"a": blank("1"), "b": blank("2")}, []string{"1", "2"}, 0},
 		{"the seeds found the fleet", Config{Seeds: []string{"b", "a"}, Bootstrap: true}, map[string]view.StatusResponse{"a": blank("1"), "b": blank("2")}, []string{"1", "2"}, 0},
-		{"seeds found nothing by themselves", Config{Seeds: []string{"a", "b"}}, map[string]view.StatusResponse{"a": blank("1"), "b": blank("2")}, nil, 0},
-		{"a founder is missing", Config{Founders: []string{"a", "b"}}, map[string]view.StatusResponse{"a": blank("1")}, nil, 0},
+		{"the seeds do not found the fleet without Bootstrap", Config{Seeds: []string{"a", "b"}}, map[string]view.StatusResponse{"a": blank("1"), "b": blank("2")}, nil, 0},
+		{"a founder does not respond", Config{Founders: []string{"a", "b"}}, map[string]view.StatusResponse{"a": blank("1")}, nil, 0},
 		{"a founder has no identity", Config{Founders: []string{"a", "b"}}, map[string]view.StatusResponse{"a": blank("1"), "b": blank("")}, nil, 0},
-		{"another founder is to found it", Config{Founders: []string{"A", "a"}}, map[string]view.StatusResponse{"A": blank("1"), "a": blank("2")}, nil, 0},
+		{"another founder has the lowest address", Config{Founders: []string{"A", "a"}}, map[string]view.StatusResponse{"A": blank("1"), "a": blank("2")}, nil, 0},
 		{"a seed knows the fleet", Config{Founders: []string{"a"}, Seeds: []string{"s"}}, map[string]view.StatusResponse{"a": blank("1"), "s": {ID: "9", View: view.View{Epoch: 4}}}, nil, 4},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -84,7 +84,7 @@
 	}
 }
 
-// A search asks seeds, members and founders, and learns the newest view; none begins while it is postponed.
+// A search queries seeds and members and learns the newest view. No search starts while searches are postponed.
 func TestFindNewerView(t *testing.T) {
 	old := view.View{Epoch: 2, Members: []view.Member{{ID: "2", Addr: "m"}}}
 	statuses := map[string]view.StatusResponse{"m": {ID: "2", View: view.View{Epoch: 5}}, "s": {ID: "3", View: view.View{Epoch: 4}}}
--- a/internal/controlplane/discovery/routers.go
+++ b/internal/controlplane/discovery/routers.go
@@ -12,24 +12,24 @@
 
 const (
 	routerKeyPrefix = "place/"       // part of the stored format
-	routerTTL       = 24 * time.Hour // a router silent for so long is forgotten
+	routerTTL       = 24 * time.Hour // a router without heartbeats for this long is removed
 )
 
-// RouterKey is the key under which a router's address is stored.
+// RouterKey returns the key under which a router is stored.
 func RouterKey(addr string) string { return routerKeyPrefix + addr }
 
-// RouterDirectory keeps on disk where routers have been, so that a router which starts again with seeds that name machines
-// long gone is found by the core, if it can't find the core itself. Remember and Count may be called concurrently; the run
-// loop's goroutine calls Announce.
+// RouterDirectory stores the addresses of routers on disk. If a router restarts with seeds that no longer exist, it can't find
+// the core, but the core sends it the view. Remember and Count are safe for concurrent use; only the run loop's goroutine
+// calls Announce.
 type RouterDirectory struct {
-	Committed   func() *store.Store
-	SubmitLater func(func(*transaction.Tx) error) // has the run loop apply an operation
-	Notify      func(addr string, v view.View)    // tells the router at an address the view; in a goroutine of its own
+	Committed   func() *store.Store               // returns the committed state
+	SubmitLater func(func(*transaction.Tx) error) // schedules an operation on the run loop, or drops it
+	Notify      func(addr string, v view.View)    // sends the view to the router at an address; called in a new goroutine
 
-	silentSince map[string]time.Time // by key: routers that send no heartbeats
+	inactiveSince map[string]time.Time // by key, of routers that send no heartbeats
 }
 
-// Remember stores a router's address, once for each address.
+// Remember stores a router unless its address is already stored.
 func (d *RouterDirectory) Remember(router coreapi.Node) {
 	key := RouterKey(router.Addr)
 	if _, ok := d.Committed().Get(key); ok {
@@ -43,31 +43,31 @@
 	})
 }
 
-// Count is the number of routers whose address is on disk.
+// Count returns the number of stored routers.
 func (d *RouterDirectory) Count() int {
 	count := 0
 	d.Committed().ForEachWithPrefix(routerKeyPrefix, func(string, []byte) { count++ })
 	return count
 }
 
-// Announce tells the view to each router that sends no heartbeats; live are those that do, by their addresses. Routers silent for long
-// are forgotten. Time is counted from when this process first saw them silent.
+// Announce sends the view to each stored router that sends no heartbeats. live contains those that do, by address. Routers that
+// have sent none for routerTTL are removed. That period is counted from when this process first found a router inactive.
 func (d *RouterDirectory) Announce(v view.View, live map[string]coreapi.Node) {
-	if d.silentSince == nil {
-		d.silentSince = map[string]time.Time{}
+	if d.inactiveSince == nil {
+		d.inactiveSince = map[string]time.Time{}
 	}
-	silent := map[string]bool{}
+	inactive := map[string]bool{}
 	var expired []string
 	d.Committed().ForEachWithPrefix(routerKeyPrefix, func(key string, _ []byte) {
 		addr := strings.TrimPrefix(key, routerKeyPrefix)
-		if _, sends := live[addr]; sends {
+		if _, isLive := live[addr]; isLive {
 			return
 		}
-		silent[key] = true
-		since, ok := d.silentSince[key]
+		inactive[key] = true
+		since, ok := d.inactiveSince[key]
 		if !ok {
 			since = time.Now()
-			d.silentSince[key] = since
+			d.inactiveSince[key] = since
 		}
 		if time.Since(since) > routerTTL {
 			expired = append(expired, key)
@@ -75,9 +75,9 @@
 		}
 		go d.Notify(addr, v)
 	})
-	for key := range d.silentSince {
-		if !silent[key] {
-			delete(d.silentSince, key)
+	for key := range d.inactiveSince {
+		if !inactive[key] {
+			delete(d.inactiveSince, key)
 		}
 	}
 	if len(expired) == 0 {
