--- a/internal/controlplane/control/main.go
+++ b/internal/controlplane/control/main.go
@@ -1,5 +1,4 @@
-// Package control puts the components of a core together: Main those of the core program, RunNode those of the platform's
-// role.
+// Package control assembles and runs a core: Main as the core program, and RunNode in the core role of the platform program.
 package control
 
 import (
@@ -15,7 +14,7 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// operatorDrainTimeout is how long the end of a core waits for operators' requests in flight.
+// operatorDrainTimeout bounds how long a stopping core waits for operators' requests in flight.
 const operatorDrainTimeout = time.Second
 
 // Main runs a core and returns its exit code.
@@ -23,26 +22,26 @@
 	return daemon.Main("core", Items, args, out, run, checkSettings)
 }
 
-// run runs a core until the process is told to stop.
+// run runs a core until the process is stopped.
 func run(process *daemon.Process) error {
-	set := process.Settings
-	disk, err := store.OpenFolder(set["data"])
+	values := process.Settings
+	disk, err := store.OpenFolder(values["data"])
 	if err != nil {
 		return err
 	}
-	lock, err := store.Lock(set["data"])
+	lock, err := store.Lock(values["data"])
 	if err != nil {
 		return err
 	}
 	defer func() { _ = lock.Close() }()
-	p, err := openProcess(process, set.ValueOr("listen", "addr"), core.Settings{
-		Addr: set["addr"], Founders: set.Addrs("founders"), Seeds: set.Addrs("seeds"), LostAfter: set.Duration("lost"),
-		Bootstrap: set["bootstrap"] == "true", Losses: parseNumber(set, "losses"), MaxMembers: parseNumber(set, "max-members")}, disk)
+	p, err := openProcess(process, values.ValueOr("listen", "addr"), core.Settings{
+		Addr: values["addr"], Founders: values.Addrs("founders"), Seeds: values.Addrs("seeds"), LostAfter: values.Duration("lost"),
+		Bootstrap: values["bootstrap"] == "true", Losses: parseNumber(values, "losses"), MaxMembers: parseNumber(values, "max-members")}, disk)
 	if err != nil {
 		return err
 	}
 	defer p.caller.Close()
-	if addr := set["operator"]; addr != "" {
+	if addr := values["operator"]; addr != "" {
 		operators, err := p.listenForOperators(addr)
 		if err != nil {
 			return err
@@ -51,14 +50,14 @@
 		defer func() {
 			ctx, cancel := context.WithTimeout(context.Background(), operatorDrainTimeout)
 			defer cancel()
-			_ = operators.Drain(ctx) // who still waits by then is not waited for
+			_ = operators.Drain(ctx) // requests that are still in flight after the time-out are abandoned
 		}()
 	}
-	p.runUntilStopped("addr", set["addr"], "hall", process.Ctx.Zone)
+	p.runUntilStopped("addr", values["addr"], "hall", process.Ctx.Zone)
 	return nil
 }
 
-// listenForOperators binds the operators' listener.
+// listenForOperators binds the listener of the operators' API.
 func (p *coreProcess) listenForOperators(addr string) (*web.Server, error) {
 	api := &operator.API{Ctx: p.Ctx.WithComponent("operator"), KeyHash: func() string { return p.Setting("operator-key-hash") },
 		Core: p.client, Ready: p.server.UnavailableReason,
--- a/internal/controlplane/control/main_test.go
+++ b/internal/controlplane/control/main_test.go
@@ -10,8 +10,8 @@
 	"yarrowridge/internal/lib/daemon"
 )
 
-// Invalid settings are printed by name, value and what was expected, all at once, and end the program with their own exit
-// code.
+// All invalid settings are printed with name, value and what was expected. The program then exits with the code for usage
+// errors.
 func TestSettings(t *testing.T) {
 	good := []string{"-name", "c1", "-hall", "east", "-addr", "127.0.0.1:7401", "-data", t.TempDir(), "-founders", "127.0.0.1:7401,127.0.0.1:7402,127.0.0.1:7403"}
 	file := func(raw string) string {
@@ -24,7 +24,7 @@
 	for _, c := range []struct {
 		args []string
 		code int
-		want []string // in what is printed
+		want []string // parts of the output
 	}{
 		{append(good, "-check"), daemon.ExitOK, []string{"settings hold"}},
 		{[]string{"-version"}, daemon.ExitOK, []string{daemon.Version}},
--- a/internal/controlplane/control/metrics.go
+++ b/internal/controlplane/control/metrics.go
@@ -9,7 +9,7 @@
 	"yarrowridge/internal/lib/metrics"
 )
 
-// coreGauge is one of a core's figures, as a metric.
+// coreGauge is a gauge with one of a core's figures as its value.
 type coreGauge struct {
 	description *prometheus.Desc
 	value       func(core.Figures) float64
@@ -31,17 +31,17 @@
 	newCoreGauge("yarrowridge_runners", func(f core.Figures) float64 { return float64(f.Runners) }),
 }
 
-// figuresCollector gives a core's figures as metrics. They are read once for each page, so that all are of one moment.
+// figuresCollector collects a core's figures as metrics. All of them are read once per scrape, so that they are consistent.
 type figuresCollector func() core.Figures
 
-// Describe names the metrics, as prometheus asks for.
+// Describe implements prometheus.Collector.
 func (read figuresCollector) Describe(out chan<- *prometheus.Desc) {
 	for _, gauge := range coreGauges {
 		out <- gauge.description
 	}
 }
 
-// Collect reads the figures, as prometheus asks for.
+// Collect implements prometheus.Collector.
 func (read figuresCollector) Collect(out chan<- prometheus.Metric) {
 	figures := read()
 	for _, gauge := range coreGauges {
@@ -49,7 +49,7 @@
 	}
 }
 
-// metricsHandler serves a core's own figures.
+// metricsHandler returns a handler that serves a core's figures as metrics.
 func metricsHandler(figures func() core.Figures) http.Handler {
 	return metrics.NewHandler(nil, figuresCollector(figures))
 }
--- a/internal/controlplane/control/metrics_test.go
+++ b/internal/controlplane/control/metrics_test.go
@@ -8,7 +8,7 @@
 	"yarrowridge/internal/controlplane/core"
 )
 
-// A core's figures stand in its metrics, as they are when they are read.
+// The metrics contain the core's current figures at the time of the scrape.
 func TestMetrics(t *testing.T) {
 	figures := core.Figures{}
 	handler := metricsHandler(func() core.Figures { return figures })
@@ -18,7 +18,7 @@
 	for _, want := range []string{"core_epoch 7", "core_members 5", "core_primary 1", "core_ready 1", "core_disk_failed 1",
 		"core_store_version 900", "config_version 41", "core_nodes 8", "runners 12"} {
 		if !strings.Contains(page.Body.String(), "\nyarrowridge_"+want+"\n") {
-			t.Errorf("got metrics\n%s\nwant %q among them", page.Body, want)
+			t.Errorf("got metrics\n%s\nwant them to contain %q", page.Body, want)
 		}
 	}
 }
--- a/internal/controlplane/control/node.go
+++ b/internal/controlplane/control/node.go
@@ -15,34 +15,34 @@
 	"yarrowridge/internal/lib/web"
 )
 
-// NodeSettings are the settings of a core in the platform's role, whose operators' and runners' API is not ours.
+// NodeSettings configure a core in the core role of the platform program, which provides the API for operators and runners
+// itself (see Handler).
 type NodeSettings struct {
 	InternalAddr  string          // ip:port where other processes reach it
 	ControlAddr   string          // ip:port of the listener for runners and operators
-	DataDir       string          // data folder
-	Seeds         []string        // ip:port of some cores
-	SeedUpdates   <-chan []string // the seeds after a change of the settings
+	DataDir       string          // directory of the stored state
+	Seeds         []string        // ip:port of some processes of the fleet
+	SeedUpdates   <-chan []string // receives the new seeds after a change of the settings
 	Bootstrap     bool            // the seeds found the fleet
-	Losses        int             // machines with a disk that may be lost at once
-	AllowNoBackup bool            // no disk may be lost: a fleet's only core needs no backup
-	LostAfter     time.Duration   // silence after which a member may be replaced by a newcomer
-	LeaseTerm     time.Duration   // lease of the primacy; 0: the default
+	Losses        int             // number of disks that may be lost at the same time
+	AllowNoBackup bool            // no loss of a disk is tolerated, so that the only core of a fleet needs no backup
+	LostAfter     time.Duration   // a member without contact for this long may be replaced by a joining core
+	LeaseTerm     time.Duration   // term of the primary's lease; 0: the default
 	MemoryLimit   int64           // bytes; 0: none
 	Codec         configuration.Codec
 	Metrics       metrics.Endpoint                                          // where the core's own figures are served
 	Handler       func(primary *coreclient.Forwarder) (http.Handler, error) // serves ControlAddr
 }
 
-// garbagePercent is how much garbage may lie beside the live heap, in hundredths of it, before it is collected. A
-// core's heap is a few MB while the time of its commits is that of all requests that wait for quota units: memory
-// is the cheaper of the two. The memory limit still holds.
-const garbagePercent = 400
+// gcPercent is the garbage collector's target percentage (see debug.SetGCPercent). It is above the default since a core's heap
+// is only a few MB, while a delayed commit delays all requests that wait for quota units. The memory limit still applies.
+const gcPercent = 400
 
-// RunNode runs a core in the platform's role until the process is told to stop.
+// RunNode runs a core in the core role of the platform program until the process is stopped.
 func RunNode(process *daemon.Process, settings NodeSettings) error {
 	if settings.MemoryLimit > 0 {
 		daemon.SetMemoryLimit(settings.MemoryLimit)
-		debug.SetGCPercent(garbagePercent)
+		debug.SetGCPercent(gcPercent)
 	}
 	disk, err := store.OpenFolder(settings.DataDir)
 	if err != nil {
--- a/internal/controlplane/control/process.go
+++ b/internal/controlplane/control/process.go
@@ -10,15 +10,15 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// coreProcess is the components that a core has in both programs.
+// coreProcess contains the components of a core that both programs need.
 type coreProcess struct {
 	*daemon.Process
 	server *core.Server
-	caller *wire.Caller       // to be closed by whoever opened the process
-	client *coreclient.Client // of the fleet's primary, which may be this core
+	caller *wire.Caller       // closed by the caller of openProcess
+	client *coreclient.Client // calls the fleet's primary, which may be this core
 }
 
-// openProcess opens a core on its disk and serves other processes at an address.
+// openProcess opens a core with its disk and serves calls from other processes at listenAddr.
 func openProcess(process *daemon.Process, listenAddr string, settings core.Settings, disk store.Disk) (*coreProcess, error) {
 	server, err := core.Open(process.Ctx.WithComponent("core"), settings, disk)
 	if err != nil {
@@ -34,14 +34,14 @@
 	return &coreProcess{Process: process, server: server, caller: caller, client: client}, nil
 }
 
-// setSeeds replaces the seeds after a change of the settings.
+// setSeeds replaces the seeds after a change of the settings. addr is the core's own address.
 func (p *coreProcess) setSeeds(addr string, seeds []string) {
 	p.server.SetSeeds(seeds)
 	p.client.SetSeeds(append([]string{addr}, seeds...))
 }
 
-// runUntilStopped runs the core until the process is told to stop, then hands the primacy over and ends all components.
-// addresses are pairs for the log line that the core is up.
+// runUntilStopped runs the core until the process is stopped. It then hands over to another primary, if the core is primary,
+// and stops all components. addresses are key-value pairs for the log line at the start.
 func (p *coreProcess) runUntilStopped(addresses ...any) {
 	done := make(chan struct{})
 	go func() {
--- a/internal/controlplane/control/settings.go
+++ b/internal/controlplane/control/settings.go
@@ -26,53 +26,53 @@
 	{Name: "log", Kind: settings.Level, Reloadable: true, Default: "info", Help: "debug, info, warn or error"},
 }
 
-// checkSettings judges the settings against one another.
-func checkSettings(set settings.Values) settings.Problems {
-	bad := checkFounders(set)
+// checkSettings checks ranges and combinations of settings.
+func checkSettings(values settings.Values) settings.Problems {
+	problems := checkFounders(values)
 	for _, n := range []struct {
-		name        string
-		least, most int
+		name            string
+		lowest, highest int
 	}{{"losses", 1, 4}, {"max-members", 3, 15}} {
-		if got, err := strconv.Atoi(set[n.name]); err != nil || got < n.least || got > n.most {
-			bad = append(bad, fmt.Sprintf("setting %q: value %q: a number from %d to %d expected", n.name, set[n.name], n.least, n.most))
+		if got, err := strconv.Atoi(values[n.name]); err != nil || got < n.lowest || got > n.highest {
+			problems = append(problems, fmt.Sprintf("setting %q: value %q: a number from %d to %d expected", n.name, values[n.name], n.lowest, n.highest))
 		}
 	}
-	if v := set["bootstrap"]; v != "true" && v != "false" {
-		bad = append(bad, fmt.Sprintf("setting \"bootstrap\": value %q: true or false expected", v))
-	} else if v == "true" && set["founders"] != "" {
-		bad = append(bad, "setting \"bootstrap\": value \"true\": no founders expected beside it")
+	if v := values["bootstrap"]; v != "true" && v != "false" {
+		problems = append(problems, fmt.Sprintf("setting \"bootstrap\": value %q: true or false expected", v))
+	} else if v == "true" && values["founders"] != "" {
+		problems = append(problems, "setting \"bootstrap\": value \"true\": no founders expected beside it")
 	}
-	return bad
+	return problems
 }
 
-// parseNumber reads a setting that checkSettings has accepted.
-func parseNumber(set settings.Values, name string) int {
-	n, _ := strconv.Atoi(set[name])
+// parseNumber parses a setting that checkSettings has accepted.
+func parseNumber(values settings.Values, name string) int {
+	n, _ := strconv.Atoi(values[name])
 	return n
 }
 
-// checkFounders judges whether the founders, or without any the seeds, can found the fleet.
-func checkFounders(set settings.Values) settings.Problems {
-	all := set.Addrs("founders")
-	if len(all) == 0 {
-		if len(set.Addrs("seeds")) == 0 {
+// checkFounders checks that the founders can found the fleet. If none are set, it checks that there are seeds.
+func checkFounders(values settings.Values) settings.Problems {
+	founders := values.Addrs("founders")
+	if len(founders) == 0 {
+		if len(values.Addrs("seeds")) == 0 {
 			return settings.Problems{`setting "seeds": value "": addresses of living processes expected, since no founders are set`}
 		}
 		return nil
 	}
-	var bad settings.Problems
-	if n := len(all); n < 3 || n%2 == 0 {
-		bad = append(bad, fmt.Sprintf("setting \"founders\": %d addresses: an odd number of at least three expected", n))
+	var problems settings.Problems
+	if n := len(founders); n < 3 || n%2 == 0 {
+		problems = append(problems, fmt.Sprintf("setting \"founders\": %d addresses: an odd number of at least three expected", n))
 	}
 	seen := map[string]bool{}
-	for _, a := range all {
-		if seen[a] {
-			bad = append(bad, fmt.Sprintf("setting \"founders\": value %q: stands there twice", a))
+	for _, addr := range founders {
+		if seen[addr] {
+			problems = append(problems, fmt.Sprintf("setting \"founders\": value %q: stands there twice", addr))
 		}
-		seen[a] = true
+		seen[addr] = true
 	}
-	if !seen[set["addr"]] {
-		bad = append(bad, fmt.Sprintf("setting \"founders\": this core's own addr %q expected among them", set["addr"]))
+	if !seen[values["addr"]] {
+		problems = append(problems, fmt.Sprintf("setting \"founders\": this core's own addr %q expected among them", values["addr"]))
 	}
-	return bad
+	return problems
 }
