--- a/internal/controlplane/control/node.go
+++ b/internal/controlplane/control/node.go
@@ -30,7 +30,7 @@
 	LeaseTerm     time.Duration   // term of the primary's lease; 0: the default
 	MemoryLimit   int64           // bytes; 0: none
 	Codec         configuration.Codec
-	Metrics       metrics.Endpoint                                          // where the core's own figures are served
+	Metrics       metrics.Endpoint                                          // where the core's metrics are served
 	Handler       func(primary *coreclient.Forwarder) (http.Handler, error) // serves ControlAddr
 }
 
--- a/internal/controlplane/coreapi/claims.go
+++ b/internal/controlplane/coreapi/claims.go
@@ -39,7 +39,7 @@
 	Claim Claim  `msg:"c"`
 }
 
-// ClaimResponse answers ClaimRequest.
+// ClaimResponse is the response to a ClaimRequest.
 type ClaimResponse struct {
 	Granted     bool  `msg:"g"`
 	Conflict    bool  `msg:"x"` // the key was claimed for a request with another hash
--- a/internal/controlplane/service/claims.go
+++ b/internal/controlplane/service/claims.go
@@ -13,7 +13,7 @@
 // claimKey handles a request to claim an idempotency key.
 func (s *Service) claimKey(ctx context.Context, request *coreapi.ClaimRequest) (*coreapi.ClaimResponse, error) {
 	response := &coreapi.ClaimResponse{}
-	err := s.host.Submit(ctx, pipeline.ClassClaim, 1, func(tx *transaction.Tx) error { return s.claims.Claim(tx, request, response, s.isRunAlive) })
+	err := s.host.Submit(ctx, pipeline.ClassClaim, 1, func(tx *transaction.Tx) error { return s.claims.Claim(tx, request, response, s.mayRunBeAlive) })
 	if err != nil {
 		return nil, err
 	}
@@ -25,9 +25,9 @@
 	return &coreapi.Empty{}, s.host.Submit(ctx, pipeline.ClassClaim, 1, func(tx *transaction.Tx) error { return s.claims.Complete(tx, request) })
 }
 
-// isRunAlive reports whether a run of a node may be alive. After a change of primary, every run counts as alive until it has
+// mayRunBeAlive reports whether a run of a node may be alive. After a change of primary, every run counts as alive until it has
 // had time to send a heartbeat.
-func (s *Service) isRunAlive(node string, run uint64) bool {
+func (s *Service) mayRunBeAlive(node string, run uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.routers.MayBeAlive(node, run, time.Now())
--- a/internal/controlplane/service/routerheartbeat.go
+++ b/internal/controlplane/service/routerheartbeat.go
@@ -9,11 +9,11 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// runQueryTimeout bounds the query for the run of the router at an address.
+// runQueryTimeout bounds a query to a router for its run.
 const runQueryTimeout = 250 * time.Millisecond
 
-// handleRouterHeartbeat renews a router's lease, or ends it if the router is leaving, and responds with what has changed since
-// the state that the router has.
+// handleRouterHeartbeat renews a router's lease, or ends it if the router is leaving. It responds with the shared state that the
+// router does not have yet.
 func (s *Service) handleRouterHeartbeat(ctx context.Context, request *coreapi.HeartbeatRequest) (*coreapi.HeartbeatResponse, error) {
 	if err := s.host.RequirePrimary(); err != nil {
 		return nil, err
@@ -39,9 +39,9 @@
 	return response, nil
 }
 
-// hasRunEnded reports whether a heartbeat comes from a run that another run at the same address has replaced, because the
-// heartbeat was delayed in the network. It asks the process that listens at the address for its run. If there is no response,
-// the heartbeat is accepted.
+// hasRunEnded reports whether a heartbeat comes from a run that another run at the same address has already replaced, which is
+// the case if the heartbeat was delayed in the network. To find out, it asks the process that listens at the address for its
+// run. It returns false if that process does not respond, so that the heartbeat is accepted.
 func (s *Service) hasRunEnded(ctx context.Context, router coreapi.Node) bool {
 	s.mu.Lock()
 	hasOtherRun := s.routers.HasOtherRun(router)
--- a/internal/controlplane/service/service.go
+++ b/internal/controlplane/service/service.go
@@ -30,14 +30,14 @@
 	View() view.View
 	// IsPrimary reports whether the process is the primary of the newest view and has a lease from a majority.
 	IsPrimary() bool
-	// AcceptsWrites reports whether the process is primary and has started to accept writes.
+	// AcceptsWrites reports whether the process accepts writes as long as it is primary. Whether it still is, IsPrimary reports.
 	AcceptsWrites() bool
 	// RequirePrimary returns an error with a code of coreapi unless the process is a primary that may respond now.
 	RequirePrimary() error
 	// Store returns the committed state.
 	Store() *store.Store
 	// Submit applies an operation on the run loop and waits until it is committed. weight is the number of ordinary operations
-	// that it counts as. The error has a code of coreapi. The run loop itself must not call Submit.
+	// that it counts as. The error is that of apply, or has a code of coreapi. The run loop itself must not call Submit.
 	Submit(ctx context.Context, class pipeline.Class, weight int, apply func(*transaction.Tx) error) error
 	// SubmitLater schedules an operation on the run loop, or drops it if the queue of its class is full.
 	SubmitLater(class pipeline.Class, apply pipeline.Operation)
