--- a/internal/controlplane/coreapi/nodesdigest.go
+++ b/internal/controlplane/coreapi/nodesdigest.go
@@ -8,8 +8,8 @@
 )
 
 // Digest returns a hash of the fields that a node's peers must know: all except ConfigVersion, which changes often. The FNV
-// hash is mixed, since NodesDigest adds digests up: without mixing, two nodes that become ready could change
-// their hashes by opposite amounts, which would leave the sum unchanged.
+// hash is mixed, since NodesDigest adds digests up: without mixing, two nodes that become ready could change their hashes by
+// opposite amounts, which would leave the sum unchanged.
 func (n Node) Digest() uint64 {
 	hash := fnv.New64a()
 	for _, text := range []string{n.Name, n.Zone, n.Addr, n.ClientAddr} {
