--- a/internal/controlplane/core/stepdown.go
+++ b/internal/controlplane/core/stepdown.go
@@ -60,7 +60,7 @@
 // as primary.
 func (s *Server) relayRelease(ctx context.Context, release *paxos.ReleaseRequest) (*coreapi.Empty, error) {
 	if !s.handover.RelayRelease(ctx, release, s.acceptor.View()) {
-		return nil, wire.StatusError{Code: coreapi.CodeNotReached}
+		return nil, wire.StatusError{Code: coreapi.CodeUnreachable}
 	}
 	s.pipeline.StepLater(func() {
 		s.nextAttempt = time.Time{} // take over at once: no other backup was asked to
