--- a/internal/dataplane/clientapi/admission.go
+++ b/internal/dataplane/clientapi/admission.go
@@ -75,7 +75,7 @@
 	// Routers that queue for the same runners drain alike, so beside each token ahead here
 	// others go ahead elsewhere, as far as there are any.
 	ahead := e.server.Scheduler.TokensAhead(e.queueKind, e.class.Priority, e.tenantIndex)
-	elsewhere, routers := e.server.Runners.Waiting(e.queueKind)
+	elsewhere, routers := e.server.Runners.RemoteQueuedTokens(e.queueKind)
 	waiting = float64(ahead + min(elsewhere, ahead*routers))
 	for _, instance := range e.eligibleRunners() {
 		if instance.Health() == "" {
--- a/internal/dataplane/runner/remotework.go
+++ b/internal/dataplane/runner/remotework.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// Waiting is what other routers hold in their queues for a kind of work, in output tokens, and how
+// RemoteQueuedTokens is what other routers hold in their queues for a kind of work, in output tokens, and how
 // many of them hold any.
-func (p *Pool) Waiting(kind string) (sum, routers int) {
+func (p *Pool) RemoteQueuedTokens(kind string) (sum, routers int) {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 	for _, remote := range p.work {
