--- a/internal/dataplane/router/gateway.go
+++ b/internal/dataplane/router/gateway.go
@@ -25,7 +25,7 @@
 	Balancer    *balance.Balancer
 	QuotaShares *quota.Shares
 	Pool        *upstream.Pool
-	Front       *gateway.Gateway
+	ClientHandler       *gateway.Gateway
 
 	ctx      daemon.Context
 	settings GatewaySettings
@@ -50,7 +50,7 @@
 	g.Cluster.RegisterHandler("session", g.sessions.handle)
 	g.QuotaShares = quota.NewShares(ctx.WithComponent("share"), quota.Config{Transfer: newTransferQueue(ctx, g.Cluster).transfer, Nodes: func() int { return len(g.Cluster.Nodes()) },
 		ScarceTenants: g.Cluster.ScarceTenants, Rules: g.quotaRules, RecentContact: g.Cluster.CoreResponsive, InContact: func() bool { return !g.Cluster.CoreSilent() }, Margin: quotaMargin})
-	g.Front = gateway.New(gateway.Options{Dialect: settings.Dialect, Table: g.table.Load, NotReadyReason: g.unavailableReason, Balancer: g.Balancer,
+	g.ClientHandler = gateway.New(gateway.Options{Dialect: settings.Dialect, Table: g.table.Load, NotReadyReason: g.unavailableReason, Balancer: g.Balancer,
 		Pool: g.Pool, Quotas: quotas{g.QuotaShares}, Retries: settings.Retries, LocalShare: g.localShare,
 		Keys: gateway.KeyBounds{RevocationTerm: settings.RevocationTerm, ConfirmedAt: g.Cluster.ConfirmedAt}, Log: ctx.WithComponent("gateway").Log})
 	return g
@@ -76,5 +76,5 @@
 	go g.sessions.run()
 	go g.Cluster.Run()
 	go runloop.Run(g.ctx, g.settings.SeedUpdates, 0, g.Cluster.SetSeeds, nil)
-	go runloop.Run(g.ctx, nil, reportInterval, func(struct{}) {}, g.Front.Report)
+	go runloop.Run(g.ctx, nil, reportInterval, func(struct{}) {}, g.ClientHandler.Report)
 }
--- a/internal/dataplane/router/gatewayreadiness.go
+++ b/internal/dataplane/router/gatewayreadiness.go
@@ -26,7 +26,7 @@
 	if len(g.Registry.List()) == 0 {
 		return "no runner is known yet"
 	}
-	if g.Front.Keys.Stale(time.Now()) {
+	if g.ClientHandler.Keys.Stale(time.Now()) {
 		return "the keys may have been taken away"
 	}
 	return ""
--- a/internal/dataplane/router/gatewayrun.go
+++ b/internal/dataplane/router/gatewayrun.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return eris.Wrap(err, "router: clients' listener")
 	}
-	server := gateway.NewServer(data, g.Front, clientLimits)
+	server := gateway.NewServer(data, g.ClientHandler, clientLimits)
 	go func() { _ = server.Run() }()                // if its listener fails, requests in flight are still finished
 	settings.Metrics.Start(ctx, g.metricsHandler()) // last: it must not take a port that the others need
 	<-process.Stop
@@ -60,15 +60,15 @@
 
 // shutDown shuts the router down gracefully: it finishes the requests in flight and leaves the fleet, within the grace period.
 func (g *Gateway) shutDown(ctx daemon.Context, server *gateway.Server) {
-	ctx.Log.Info("Router leaves. Requests in flight are finished.", slog.Int("open", g.Front.InFlight()))
+	ctx.Log.Info("Router leaves. Requests in flight are finished.", slog.Int("open", g.ClientHandler.InFlight()))
 	startedAt := time.Now()
 	g.Cluster.StartDraining()
-	g.Front.Drain()
+	g.ClientHandler.Drain()
 	runloop.Sleep(ctx, g.settings.DrainNotice)
 	draining, cancel := context.WithTimeout(ctx, g.settings.GracePeriod-time.Since(startedAt)-leaveReserve)
 	defer cancel()
 	if err := server.Drain(draining); err != nil {
-		ctx.Log.Warn("The grace ended before the requests did.", slog.Int("open", g.Front.InFlight()))
+		ctx.Log.Warn("The grace ended before the requests did.", slog.Int("open", g.ClientHandler.InFlight()))
 	}
 	leave(ctx, startedAt.Add(g.settings.GracePeriod-exitReserve), g.sessions.handOver, g.Cluster.Leave)
 	g.Pool.Close()
