--- a/internal/dataplane/runner/api.go
+++ b/internal/dataplane/runner/api.go
@@ -15,23 +15,23 @@
 	"yarrowridge/internal/transport/dissemination"
 )
 
-// API is the runners' listener: where they send heartbeats.
+// API is the HTTP API for runners, which send their heartbeats to it.
 type API struct {
 	Cluster *cluster.Member
-	KeyHash func() string // hex SHA-256 of the runners' key; "" takes heartbeats without one
+	KeyHash func() string // hex SHA-256 of the runners' key; "": heartbeats need no key
 }
 
-// HeartbeatAck acknowledges a runner's heartbeat.
+// HeartbeatAck is the response to an accepted heartbeat.
 type HeartbeatAck struct {
 	Taken bool `json:"taken"`
 }
 
-// Handler makes the API's routes.
+// Handler returns the handler of the API's routes.
 func (api *API) Handler() (http.Handler, error) {
 	return web.Handler([]rest.Route{{Method: "POST", Path: "/v1/runners/beat", Handler: api.Heartbeat}}, nil)
 }
 
-// Heartbeat takes one heartbeat.
+// Heartbeat serves one heartbeat: it checks the key and broadcasts the runner's record to the other routers.
 func (api *API) Heartbeat(w http.ResponseWriter, r *http.Request) {
 	if hash := api.KeyHash(); hash != "" {
 		key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -45,22 +45,23 @@
 		web.WriteError(w, http.StatusBadRequest, "body-unread", "The beat broke off.")
 		return
 	}
-	report, turn, bad := ParseHeartbeat(raw)
-	if len(bad) > 0 {
-		web.WriteError(w, http.StatusBadRequest, "bad-beat", strings.Join(bad, "; "))
+	report, sequence, problems := ParseHeartbeat(raw)
+	if len(problems) > 0 {
+		web.WriteError(w, http.StatusBadRequest, "bad-beat", strings.Join(problems, "; "))
 		return
 	}
 	if report.Zone == "" {
 		report.Zone = api.Cluster.Self().Zone
 	}
-	record, fresh := NextRecord(api.Cluster.Records, report, turn)
-	recs := []dissemination.Record{record}
-	api.Cluster.Broadcast(dissemination.Update{Records: recs})
-	// A word of leaving, or any change of state, must outlive this router before we say it is taken.
-	if fresh {
-		ctx, end := context.WithTimeout(r.Context(), time.Second)
-		defer end()
-		if !api.Cluster.BroadcastToAll(ctx, recs) && report.State == "leaving" {
+	record, changed := NextRecord(api.Cluster.Records, report, sequence)
+	records := []dissemination.Record{record}
+	api.Cluster.Broadcast(dissemination.Update{Records: records})
+	// A change of state must be replicated to another router before it is acknowledged, so that it survives the loss of
+	// this router. Only for the state "leaving" is failing to do so an error.
+	if changed {
+		ctx, cancel := context.WithTimeout(r.Context(), time.Second)
+		defer cancel()
+		if !api.Cluster.BroadcastToAll(ctx, records) && report.State == "leaving" {
 			w.Header().Set("Retry-After", "1")
 			web.WriteError(w, http.StatusServiceUnavailable, "not-spread", "No other router could be told yet. Beat again.")
 			return
--- a/internal/dataplane/runner/api_test.go
+++ b/internal/dataplane/runner/api_test.go
@@ -8,67 +8,69 @@
 	"yarrowridge/internal/transport/dissemination"
 )
 
-// A heartbeat long under way does not undo a later word of leaving; another run at the address does.
-func TestLateBeat(t *testing.T) {
-	var yard *Pool
-	store := dissemination.NewStore(func(record dissemination.Record) { yard.Apply(record) })
-	yard = NewPool("r1", func() {})
-	word := func(born, state string, turn uint64) {
-		record, _ := NextRecord(store, Report{Name: "a", Address: "10.0.0.1:1", RunID: born, State: state}, turn)
+// A delayed heartbeat must not replace a later one, such as one that reports the state "leaving". A heartbeat of another
+// run at the same address does replace it.
+func TestDelayedHeartbeat(t *testing.T) {
+	var pool *Pool
+	store := dissemination.NewStore(func(record dissemination.Record) { pool.Apply(record) })
+	pool = NewPool("r1", func() {})
+	report := func(runID, state string, sequence uint64) {
+		record, _ := NextRecord(store, Report{Name: "a", Address: "10.0.0.1:1", RunID: runID, State: state}, sequence)
 		store.Merge([]dissemination.Record{record})
 	}
-	state := func() string { return yard.List()[0].Health() }
-	word("1", "ready", 4)
-	word("1", "leaving", 6)
-	word("1", "ready", 5)
-	if s := state(); s != "leaving" {
-		t.Errorf("standing %q after a late beat, leaving expected", s)
+	health := func() string { return pool.List()[0].Health() }
+	report("1", "ready", 4)
+	report("1", "leaving", 6)
+	report("1", "ready", 5)
+	if got := health(); got != "leaving" {
+		t.Errorf("after a delayed heartbeat: got health %q, want %q", got, "leaving")
 	}
-	word("1", "ready", 7)
-	if s := state(); s != "" {
-		t.Errorf("standing %q after a later beat, ready expected", s)
+	report("1", "ready", 7)
+	if got := health(); got != "" {
+		t.Errorf("after a later heartbeat: got health %q, want %q", got, "")
 	}
-	old := yard.List()[0]
-	word("2", "ready", 1)
-	if s := state(); s != "" || old.Health() != "replaced" || yard.List()[0] == old {
-		t.Errorf("another run: standing %q, the old run %q", s, old.Health())
+	old := pool.List()[0]
+	report("2", "ready", 1)
+	if got := health(); got != "" || old.Health() != "replaced" || pool.List()[0] == old {
+		t.Errorf("after a heartbeat of another run: got health %q, and %q of the old run, want %q and %q", got, old.Health(), "", "replaced")
 	}
 }
 
-// Whatever bytes a runner sends, a heartbeat is read or rejected with a reason, and never both.
-func FuzzParseBeat(f *testing.F) {
+// Any input is either parsed as a valid report or rejected with a list of problems.
+func FuzzParseHeartbeat(f *testing.F) {
 	f.Add([]byte(`{"name":"a","addr":"10.0.0.1:1","born":"1","state":"ready","room":4,"labels":{"a":"b"}}`))
 	f.Add([]byte(`{"name":1,"addr":"nowhere","labels":[],"fill":7}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		report, _, bad := ParseHeartbeat(raw)
-		if len(bad) == 0 && (report.Name == "" || report.Address == "" || report.Capacity < 0 || !strings.Contains("starting ready leaving", report.State)) {
-			t.Errorf("%s was taken as %+v", raw, report)
+		report, _, problems := ParseHeartbeat(raw)
+		if len(problems) == 0 && (report.Name == "" || report.Address == "" || report.Capacity < 0 || !strings.Contains("starting ready leaving", report.State)) {
+			t.Errorf("%s: got report %+v, want problems", raw, report)
 		}
 	})
 }
 
-// A failing runner is barred for longer each time, and tried with one request before it counts again.
-func TestFailingRunner(t *testing.T) {
-	instance := &Instance{Address: "10.0.0.1:1", report: Report{State: "ready", Capacity: 9}, heardAt: time.Now()}
-	seat := func() bool { return instance.Acquire(1, 0) != nil }
-	leave := func(ok bool) { instance.slots[0].Release(ok) }
-	if !seat() {
-		t.Fatal("a ready runner takes no query")
+// A runner that failed is ejected for a while. Then a single request is sent as a probe, and only its success ends the
+// ejection.
+func TestFailingRunnerIsEjectedAndProbed(t *testing.T) {
+	instance := &Instance{Address: "10.0.0.1:1", report: Report{State: "ready", Capacity: 9}, heartbeatAt: time.Now()}
+	acquire := func() bool { return instance.Acquire(1, 0) != nil }
+	release := func(ok bool) { instance.slots[0].Release(ok) }
+	if !acquire() {
+		t.Fatal("ready runner: got no slot, want one")
 	}
 	instance.RecordFailure()
-	leave(false)
-	if seat() {
-		t.Error("a runner that has just failed takes a query")
+	release(false)
+	if acquire() {
+		t.Error("runner that has just failed: got a slot, want none")
 	}
-	instance.ejectedUntil = time.Time{} // its time is over
-	if !seat() {
-		t.Error("after its time no trial is made")
+	instance.ejectedUntil = time.Time{} // the backoff is over
+	if !acquire() {
+		t.Error("after the backoff: got no slot for the probe, want one")
 	}
-	if seat() {
-		t.Error("two queries at once on trial")
+	if acquire() {
+		t.Error("during the probe: got a second slot, want none")
 	}
-	leave(true)
-	if first, second := seat(), seat(); !first || !second {
-		t.Error("after a good trial the runner is not back")
+	release(true)
+	if first, second := acquire(), acquire(); !first || !second {
+		t.Errorf("after a successful probe: got %t and %t for two slots, want both", first, second)
 	}
 }
--- a/internal/dataplane/runner/health.go
+++ b/internal/dataplane/runner/health.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Health is "" where the runner may get new requests, and else why not, as operators read it.
+// Health returns "" if the runner can be sent new requests, else the reason why not, in the words shown to operators.
 func (instance *Instance) Health() string {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
@@ -17,7 +17,7 @@
 		return "replaced"
 	case instance.report.State != "ready":
 		return instance.report.State
-	case now.Sub(instance.heardAt) > HeartbeatTimeout:
+	case now.Sub(instance.heartbeatAt) > HeartbeatTimeout:
 		return "silent"
 	case now.Sub(instance.progressAt) > StallTimeout && instance.overdue(now):
 		return "stuck"
@@ -29,8 +29,8 @@
 	return ""
 }
 
-// overdue reports whether a request under way should have sent something by now. A whole response says
-// nothing until it is finished, so its time is that of the length asked for.
+// overdue reports whether a request in flight should have received something by now. A response that is not streamed sends
+// nothing until it is complete, so its limit allows for the time that the requested length takes.
 func (instance *Instance) overdue(now time.Time) bool {
 	for _, slot := range instance.slots {
 		if now.After(slot.stalledAt) {
@@ -40,8 +40,8 @@
 	return false
 }
 
-// RecordFailure records that a request failed by the runner's fault. The runner is ejected: it gets no new requests for a
-// while, twice as long each time, and then one request as a probe.
+// RecordFailure records that the runner failed a request. The runner is ejected: it is sent no new requests for a backoff
+// that doubles with each consecutive failure, and then a single request as a probe.
 func (instance *Instance) RecordFailure() {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
--- a/internal/dataplane/runner/instance.go
+++ b/internal/dataplane/runner/instance.go
@@ -7,36 +7,36 @@
 	"yarrowridge/internal/model/fleetconfig"
 )
 
-// Instance is one run of one runner, with what this router has sent to it.
+// Instance is one run of a runner, from its start until it ends or restarts, with this router's requests in flight at it.
 type Instance struct {
-	Index      int
+	Index      int // unique in the pool, in the order in which the runs became known
 	Address    string
 	generation uint64
 
-	mu            sync.Mutex
+	mu            sync.Mutex // guards the fields below
 	report        Report
-	heardAt       time.Time
-	reportedAt    time.Time // last late report
-	replaced      bool
-	slots         []*Slot   // our requests on it
-	progressAt    time.Time // last byte from it, or start of work after idling
-	failures      int
+	heartbeatAt   time.Time
+	reportedAt    time.Time // when the report's queued tokens were received
+	replaced      bool      // by another run at its address, or removed from the pool
+	slots         []*Slot   // this router's requests in flight
+	progressAt    time.Time // when output was last received, or the first request was sent after an idle time
+	failures      int       // consecutive
 	ejectedUntil  time.Time // no new requests before
-	probing       bool      // one request is out to see whether it serves again
+	probing       bool      // the probe after an ejection is in flight
 	speed         speed
-	remoteLoad    Load // what other routers say they have sent
-	remoteRate    float64
-	remoteRouters int // other routers that lately had streams on it
+	remoteLoad    Load    // reported by the other routers, in total
+	remoteRate    float64 // mean of the rates that other routers reported; 0: none did
+	remoteRouters int     // other routers that recently had streams on it
 }
 
-// Report is what the runner last said.
+// Report returns the last report of the runner.
 func (instance *Instance) Report() Report {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
 	return instance.report
 }
 
-// Serves reports whether the runner is of the kind asked for, whatever its health.
+// Serves reports whether the runner matches a selector, a model ("": any) and an output length, regardless of its health.
 func (instance *Instance) Serves(selector fleetconfig.Selector, model string, tokens int) bool {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
@@ -46,7 +46,7 @@
 	return (instance.report.MaxTokens == 0 || tokens <= instance.report.MaxTokens) && selector.Match(instance.report.Labels)
 }
 
-// Zone is where the runner stands.
+// Zone returns the runner's zone.
 func (instance *Instance) Zone() string {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
--- a/internal/dataplane/runner/pool.go
+++ b/internal/dataplane/runner/pool.go
@@ -1,5 +1,5 @@
-// Package runner keeps track of the model runners, and of other back ends that send the same
-// heartbeats: their last reports, their health and measured speed, and the requests sent to them.
+// Package runner tracks the model runners, and other backends that send the same heartbeats: their last reports, their
+// health and measured speed, and the requests in flight at them.
 package runner
 
 import (
@@ -12,39 +12,39 @@
 	"yarrowridge/internal/transport/dissemination"
 )
 
-// Bounds that decide a runner's health.
+// Timeouts and backoffs that determine a runner's health, and for how long other routers' reports count.
 const (
-	HeartbeatTimeout = 5 * time.Second  // without a heartbeat: silent
-	StallTimeout     = 10 * time.Second // requests in flight and not a byte: stuck
-	minEjection      = time.Second
-	maxEjection      = 16 * time.Second
-	recentUseTTL     = 2 * time.Second // a router that had streams on a runner so lately counts as using it
-	remoteWorkTTL    = 3 * time.Second // a router's report of its work older than this does not count
+	HeartbeatTimeout = 5 * time.Second  // a runner without a heartbeat for so long is "silent"
+	StallTimeout     = 10 * time.Second // a runner that sends no byte for so long while a request is overdue is "stuck"
+	minEjection      = time.Second      // backoff after the first failure
+	maxEjection      = 16 * time.Second // upper bound of the backoff
+	recentUseTTL     = 2 * time.Second  // a router uses a runner if it reported streams there within this time
+	remoteWorkTTL    = 3 * time.Second  // age from which on a router's report of its work is ignored
 )
 
-// Pool is all runners known to this router.
+// Pool holds all runners known to this router.
 type Pool struct {
-	routerName string // this router's name
-	mu         sync.RWMutex
-	instances  []*Instance
-	byAddress  map[string]*Instance
-	work       map[string]remoteWork
-	lastUsed   map[[2]string]time.Time // router and runner: when streams were last told of
-	wake       func()
+	routerName string                  // this router's name
+	mu         sync.RWMutex            // guards the fields below except wake
+	instances  []*Instance             // by Index, including replaced ones
+	byAddress  map[string]*Instance    // the current run at each address
+	work       map[string]remoteWork   // by router name
+	lastUsed   map[[2]string]time.Time // by router name and runner address: when the router last reported streams there
+	wake       func()                  // called when a runner may have become available
 }
 
-// NewPool makes the empty pool of a router; wake is called when a runner may have become free.
-func NewPool(me string, wake func()) *Pool {
-	return &Pool{routerName: me, byAddress: map[string]*Instance{}, work: map[string]remoteWork{}, lastUsed: map[[2]string]time.Time{}, wake: wake}
+// NewPool returns the empty pool of a router. wake is called when a runner may have become available.
+func NewPool(routerName string, wake func()) *Pool {
+	return &Pool{routerName: routerName, byAddress: map[string]*Instance{}, work: map[string]remoteWork{}, lastUsed: map[[2]string]time.Time{}, wake: wake}
 }
 
-// Prefixes of the keys under which runners and routers' work stand among the disseminated records.
+// Prefixes of the keys of the disseminated records with runners' reports and with routers' work.
 const (
 	KeyPrefix  = "runner/"
 	WorkPrefix = "work/"
 )
 
-// Apply takes a disseminated record; others than those of runners and of routers' work are passed over.
+// Apply applies a disseminated record with a runner's report or a router's work. It ignores all other records.
 func (p *Pool) Apply(record dissemination.Record) {
 	switch {
 	case strings.HasPrefix(record.Key, KeyPrefix):
@@ -58,7 +58,7 @@
 		p.mu.Lock()
 		instance := p.byAddress[report.Address]
 		if instance == nil || instance.generation != record.Generation {
-			// Another run at a known address is another runner: nothing of the old counts for it.
+			// A new run at a known address counts as a new runner: the health, speed and slots of the old run do not carry over.
 			if instance != nil {
 				instance.mu.Lock()
 				instance.replaced = true
@@ -70,10 +70,10 @@
 		}
 		p.mu.Unlock()
 		instance.mu.Lock()
-		instance.report, instance.heardAt, instance.reportedAt = report, time.Now(), time.Now()
+		instance.report, instance.heartbeatAt, instance.reportedAt = report, time.Now(), time.Now()
 		instance.mu.Unlock()
 		p.wake()
-	case record.Key == WorkPrefix+p.routerName: // our own report, come back to us
+	case record.Key == WorkPrefix+p.routerName: // this router's own report, received back from another one
 	case strings.HasPrefix(record.Key, WorkPrefix):
 		var work Work
 		if _, err := work.UnmarshalMsg(record.Body); err != nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-// List gives all runs that are not known to be gone, in a steady order.
+// List returns the current run at each address, in the order in which the runs became known.
 func (p *Pool) List() []*Instance {
 	p.mu.RLock()
 	out := make([]*Instance, 0, len(p.byAddress))
@@ -98,13 +98,13 @@
 	return out
 }
 
-// RemoveExpired removes runners that were not heard for longer than a duration and have no request of ours.
-func (p *Pool) RemoveExpired(duration time.Duration) {
+// RemoveExpired removes runners whose last heartbeat is older than ttl, unless they have requests of this router in flight.
+func (p *Pool) RemoveExpired(ttl time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, instance := range p.byAddress {
 		instance.mu.Lock()
-		if time.Since(instance.heardAt) > duration && len(instance.slots) == 0 {
+		if time.Since(instance.heartbeatAt) > ttl && len(instance.slots) == 0 {
 			instance.replaced = true
 			delete(p.byAddress, addr)
 		}
--- a/internal/dataplane/runner/remotework.go
+++ b/internal/dataplane/runner/remotework.go
@@ -4,34 +4,35 @@
 	"time"
 )
 
-// remoteWork is what another router last reported of its work.
+// remoteWork is the last report of another router's work.
 type remoteWork struct {
 	work Work
-	at   time.Time
+	at   time.Time // when it was received
 }
 
-// AggregateRemoteWork sums up what the other routers have in flight, leaving out those not heard of lately.
+// AggregateRemoteWork sums up the work that the other routers have in flight at each runner. Reports older than
+// remoteWorkTTL are dropped.
 func (p *Pool) AggregateRemoteWork() {
 	p.mu.Lock()
-	sum := map[string]Load{}
-	rate := map[string]float64{}
-	rated, busy := map[string]int{}, map[string]int{}
+	totals := map[string]Load{}
+	rateSums := map[string]float64{}
+	rateCounts, users := map[string]int{}, map[string]int{}
 	for router, remote := range p.work {
 		if time.Since(remote.at) > remoteWorkTTL {
 			delete(p.work, router)
 			continue
 		}
 		for addr, load := range remote.work.Runners {
-			total := sum[addr]
+			total := totals[addr]
 			total.Streams += load.Streams
 			total.Tokens += load.Tokens
-			sum[addr] = total
+			totals[addr] = total
 			if load.Streams > 0 {
 				p.lastUsed[[2]string{router, addr}] = remote.at
 			}
 			if load.Rate > 0 {
-				rate[addr] += load.Rate
-				rated[addr]++
+				rateSums[addr] += load.Rate
+				rateCounts[addr]++
 			}
 		}
 	}
@@ -39,42 +40,42 @@
 		if time.Since(at) > recentUseTTL {
 			delete(p.lastUsed, pair)
 		} else {
-			busy[pair[1]]++
+			users[pair[1]]++
 		}
 	}
-	all := make([]*Instance, 0, len(p.byAddress))
+	instances := make([]*Instance, 0, len(p.byAddress))
 	for _, instance := range p.byAddress {
-		all = append(all, instance)
+		instances = append(instances, instance)
 	}
 	p.mu.Unlock()
 	now := time.Now()
-	for _, instance := range all {
+	for _, instance := range instances {
 		instance.mu.Lock()
 		instance.speed.advance(now, instance.streams())
-		instance.remoteLoad, instance.remoteRouters = sum[instance.Address], busy[instance.Address]
+		instance.remoteLoad, instance.remoteRouters = totals[instance.Address], users[instance.Address]
 		instance.remoteRate = 0
-		if rated[instance.Address] > 0 {
-			instance.remoteRate = rate[instance.Address] / float64(rated[instance.Address])
+		if rateCounts[instance.Address] > 0 {
+			instance.remoteRate = rateSums[instance.Address] / float64(rateCounts[instance.Address])
 		}
 		instance.mu.Unlock()
 	}
 }
 
-// RemoteQueuedTokens is what other routers hold in their queues for a kind of work, in output tokens, and how
-// many of them hold any.
-func (p *Pool) RemoteQueuedTokens(kind string) (sum, routers int) {
+// RemoteQueuedTokens returns the output tokens that other routers have queued in a kind of queue, and how many of those
+// routers have any.
+func (p *Pool) RemoteQueuedTokens(queueKind string) (tokens, routers int) {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 	for _, remote := range p.work {
-		if n := remote.work.Queued[kind]; n > 0 && time.Since(remote.at) <= remoteWorkTTL {
-			sum += n
+		if n := remote.work.Queued[queueKind]; n > 0 && time.Since(remote.at) <= remoteWorkTTL {
+			tokens += n
 			routers++
 		}
 	}
-	return sum, routers
+	return tokens, routers
 }
 
-// OwnWork is the report of our own work for the other routers.
+// OwnWork returns this router's own work at its runners, for the report to the other routers. Queued is left empty.
 func (p *Pool) OwnWork() Work {
 	work := Work{Runners: map[string]Load{}, Queued: map[string]int{}}
 	for _, instance := range p.List() {
--- a/internal/dataplane/runner/send_test.go
+++ b/internal/dataplane/runner/send_test.go
@@ -15,168 +15,170 @@
 	"testing"
 )
 
-// raw is a runner of bare sockets: it keeps the bytes of each request it reads.
-type raw struct {
-	l    net.Listener
-	seen chan string
+// rawRunner is a runner on a plain TCP listener. It records the bytes of each request that it receives.
+type rawRunner struct {
+	listener net.Listener
+	received chan string
 }
 
-// listen answers the n-th request with what say gives; "" closes the connection without a word.
-func listen(t *testing.T, say func(n int) string) *raw {
+// startRawRunner starts a runner that sends respond(n) as the response to its n-th request, counted from 1 over all
+// connections. "" closes the connection without a response.
+func startRawRunner(t *testing.T, respond func(n int) string) *rawRunner {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &raw{l, make(chan string, 64)}
-	t.Cleanup(func() { _ = l.Close() })
+	r := &rawRunner{listener, make(chan string, 64)}
+	t.Cleanup(func() { _ = listener.Close() })
 	n := 0
 	go func() {
 		for {
-			con, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			in := bufio.NewReader(con)
+			reader := bufio.NewReader(conn)
 			for {
-				var b bytes.Buffer
-				req, err := http.ReadRequest(bufio.NewReader(io.TeeReader(in, &b)))
+				var raw bytes.Buffer
+				request, err := http.ReadRequest(bufio.NewReader(io.TeeReader(reader, &raw)))
 				if err != nil {
 					break
 				}
-				_, _ = io.Copy(io.Discard, req.Body)
-				r.seen <- b.String()
+				_, _ = io.Copy(io.Discard, request.Body)
+				r.received <- raw.String()
 				n++
-				ans := say(n)
-				if ans == "" {
+				response := respond(n)
+				if response == "" {
 					break
 				}
-				_, _ = io.WriteString(con, ans)
+				_, _ = io.WriteString(conn, response)
 			}
-			_ = con.Close()
+			_ = conn.Close()
 		}
 	}()
 	return r
 }
 
-const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// A runner that closes a kept-alive connection upon our second request sees that request once only:
-// net/http would resend a GET, and whatever bears an Idempotency-Key, by itself.
-func TestNeverResent(t *testing.T) {
+// A runner that closes a reused connection on the second request receives that request only once. By default, net/http
+// would resend a GET request, and any request with an Idempotency-Key.
+func TestRequestIsNeverResent(t *testing.T) {
 	for _, c := range []Request{
 		{Method: "GET", Path: "/v1/status/1", Header: http.Header{}},
 		{Method: "POST", Path: "/v1/notes", Header: http.Header{"Idempotency-Key": {"k"}}, Body: []byte(`{"a":1}`)},
 		{Method: "POST", Path: "/v1/notes", Header: http.Header{"Idempotency-Key": {"k"}}},
 	} {
 		t.Run(fmt.Sprintf("%s-%d", c.Method, len(c.Body)), func(t *testing.T) {
-			r := listen(t, func(n int) string {
+			r := startRawRunner(t, func(n int) string {
 				if n == 1 {
-					return ok
+					return okResponse
 				}
 				return ""
 			})
 			s := NewSender(nil)
-			ans, left, err := s.Send(t.Context(), r.l.Addr().String(), c)
-			if err != nil || !left {
-				t.Fatalf("first: %v", err)
+			response, sent, err := s.Send(t.Context(), r.listener.Addr().String(), c)
+			if err != nil || !sent {
+				t.Fatalf("first request: got sent %t, error %v, want it sent", sent, err)
 			}
-			_, _ = io.Copy(io.Discard, ans.Body)
-			_ = ans.Body.Close()
-			if _, left, err := s.Send(t.Context(), r.l.Addr().String(), c); err == nil || !left {
-				t.Errorf("second: left %v, error %v; a break after leaving expected", left, err)
+			_, _ = io.Copy(io.Discard, response.Body)
+			_ = response.Body.Close()
+			if _, sent, err := s.Send(t.Context(), r.listener.Addr().String(), c); err == nil || !sent {
+				t.Errorf("second request: got sent %t, error %v, want it sent and an error", sent, err)
 			}
 			s.Close()
-			if n := len(r.seen); n != 2 {
-				t.Errorf("the runner saw %d queries, 2 expected", n)
+			if n := len(r.received); n != 2 {
+				t.Errorf("got %d requests at the runner, want 2", n)
 			}
 		})
 	}
 }
 
-// The bytes that leave: the body as it came, our two headers, and nothing we can't name.
+// The runner receives the client's body byte for byte, the forwarded headers, the router's own two headers, and nothing that
+// net/http adds except the length.
 func TestBytesOnTheWire(t *testing.T) {
-	r := listen(t, func(int) string { return ok })
+	r := startRawRunner(t, func(int) string { return okResponse })
 	s := NewSender(nil)
 	body := []byte("{ \"model\" : \"m\",\t\"max_tokens\":1e0 }\n")
-	head := http.Header{"Content-Type": {"application/json"}, "Authorization": {"Bearer secret"}, "Connection": {"keep-alive, X-Hop"}, "X-Hop": {"1"},
+	header := http.Header{"Content-Type": {"application/json"}, "Authorization": {"Bearer secret"}, "Connection": {"keep-alive, X-Hop"}, "X-Hop": {"1"},
 		"X-Yarrowridge-Tenant": {"liar"}, "X_yarrowridge_tenant": {"liar"}, "X-Tenant": {"liar"}, "Te": {"trailers"}, "X-Own": {"a", "b"}, "Expect": {"100-continue"}}
-	ans, _, err := s.Send(t.Context(), r.l.Addr().String(), Request{Method: "POST", Path: "/v1/a%2Fb?x=1;y=%20", Header: head, Body: body, Tenant: "desk", ID: "q1"})
+	response, _, err := s.Send(t.Context(), r.listener.Addr().String(), Request{Method: "POST", Path: "/v1/a%2Fb?x=1;y=%20", Header: header, Body: body, Tenant: "desk", ID: "q1"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = ans.Body.Close()
-	got := <-r.seen
-	want := "POST /v1/a%2Fb?x=1;y=%20 HTTP/1.1\r\nHost: " + r.l.Addr().String() + "\r\n" +
+	_ = response.Body.Close()
+	got := <-r.received
+	want := "POST /v1/a%2Fb?x=1;y=%20 HTTP/1.1\r\nHost: " + r.listener.Addr().String() + "\r\n" +
 		fmt.Sprintf("Content-Length: %d\r\nContent-Type: application/json\r\nX-Own: a\r\nX-Own: b\r\nX-Yarrowridge-Query: q1\r\nX-Yarrowridge-Tenant: desk\r\n\r\n", len(body)) + string(body)
 	if got != want {
-		t.Errorf("the runner read\n%q\nexpected\n%q", got, want)
+		t.Errorf("got at the runner\n%q\nwant\n%q", got, want)
 	}
 }
 
-// Redirects are not followed, zipped answers not unzipped, the environment's proxy not asked.
-func TestAnswersAsTheyAre(t *testing.T) {
+// The sender does not follow redirects, does not decompress responses, and does not use the proxy of the environment.
+func TestResponseIsUnmodified(t *testing.T) {
 	t.Setenv("HTTP_PROXY", "http://127.0.0.1:1")
 	t.Setenv("http_proxy", "http://127.0.0.1:1")
-	var zip bytes.Buffer
-	z := gzip.NewWriter(&zip)
-	_, _ = z.Write([]byte("hello"))
-	_ = z.Close()
-	r := listen(t, func(n int) string {
+	var compressed bytes.Buffer
+	writer := gzip.NewWriter(&compressed)
+	_, _ = writer.Write([]byte("hello"))
+	_ = writer.Close()
+	r := startRawRunner(t, func(n int) string {
 		if n == 1 {
 			return "HTTP/1.1 302 Found\r\nLocation: /elsewhere\r\nContent-Length: 0\r\n\r\n"
 		}
-		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Encoding: gzip\r\nContent-Length: %d\r\n\r\n%s", zip.Len(), zip.String())
+		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Encoding: gzip\r\nContent-Length: %d\r\n\r\n%s", compressed.Len(), compressed.String())
 	})
 	s := NewSender(nil)
 	send := func() *http.Response {
-		ans, _, err := s.Send(t.Context(), r.l.Addr().String(), Request{Method: "GET", Path: "/", Header: http.Header{}})
+		response, _, err := s.Send(t.Context(), r.listener.Addr().String(), Request{Method: "GET", Path: "/", Header: http.Header{}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return ans
+		return response
 	}
-	if ans := send(); ans.StatusCode != 302 {
-		t.Errorf("status %d, 302 expected", ans.StatusCode)
+	if response := send(); response.StatusCode != 302 {
+		t.Errorf("got status %d, want 302", response.StatusCode)
 	}
-	ans := send()
-	if got, _ := io.ReadAll(ans.Body); !bytes.Equal(got, zip.Bytes()) {
-		t.Error("a zipped answer was changed")
+	response := send()
+	if got, _ := io.ReadAll(response.Body); !bytes.Equal(got, compressed.Bytes()) {
+		t.Error("got a modified body of a compressed response, want it unmodified")
 	}
-	if first := <-r.seen; strings.Contains(first, "Accept-Encoding") || strings.Contains(first, "User-Agent") {
-		t.Errorf("a header was added: %q", first)
+	if first := <-r.received; strings.Contains(first, "Accept-Encoding") || strings.Contains(first, "User-Agent") {
+		t.Errorf("got request %q, want it without added headers", first)
 	}
 }
 
-// Only a request of which no byte has left may be sent again.
-func TestLeft(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// Send reports whether any byte of a failed request may have been sent: if not, the caller may send it again.
+func TestSendReportsWhetherSent(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := l.Addr().String()
-	_ = l.Close()
+	addr := listener.Addr().String()
+	_ = listener.Close()
 	s := NewSender(nil)
-	if _, left, err := s.Send(t.Context(), addr, Request{Method: "GET", Path: "/", Header: http.Header{}}); err == nil || left {
-		t.Errorf("nobody listens: left %v, error %v", left, err)
+	if _, sent, err := s.Send(t.Context(), addr, Request{Method: "GET", Path: "/", Header: http.Header{}}); err == nil || sent {
+		t.Errorf("no listener: got sent %t, error %v, want it not sent and an error", sent, err)
 	}
-	r := listen(t, func(int) string { return "" })
-	if _, left, err := s.Send(context.Background(), r.l.Addr().String(), Request{Method: "POST", Path: "/", Header: http.Header{}, Body: []byte("x")}); err == nil || !left {
-		t.Errorf("closed upon the query: left %v, error %v", left, err)
+	r := startRawRunner(t, func(int) string { return "" })
+	if _, sent, err := s.Send(context.Background(), r.listener.Addr().String(), Request{Method: "POST", Path: "/", Header: http.Header{}, Body: []byte("x")}); err == nil || !sent {
+		t.Errorf("connection closed on the request: got sent %t, error %v, want it sent and an error", sent, err)
 	}
 }
 
-// A request that is given up aborts its connection, so that nothing of it is delivered after a network partition.
-func TestGivenUpRequestAbortsItsConnection(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// Cancelling a request resets its connection, so that the request is not delivered after a network partition heals.
+func TestCancelledRequestResetsConnection(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.Close() })
+	t.Cleanup(func() { _ = listener.Close() })
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() {
-		conn, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			ended <- err
 			return
@@ -190,10 +192,10 @@
 		_, err = io.Copy(io.Discard, conn)
 		ended <- err
 	}()
-	if _, _, err := NewSender(nil).Send(ctx, l.Addr().String(), Request{Method: "GET", Path: "/", Header: http.Header{}}); err == nil {
+	if _, _, err := NewSender(nil).Send(ctx, listener.Addr().String(), Request{Method: "GET", Path: "/", Header: http.Header{}}); err == nil {
 		t.Fatal("got a response to a cancelled request")
 	}
 	if err := <-ended; !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("got %v at the runner, want %v", err, syscall.ECONNRESET)
+		t.Errorf("reading at the runner: got error %v, want %v", err, syscall.ECONNRESET)
 	}
 }
--- a/internal/dataplane/runner/slot.go
+++ b/internal/dataplane/runner/slot.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Slot is one request's slot on a runner.
+// Slot is the capacity that one request occupies on a runner.
 type Slot struct {
 	*Instance
-	takenAt            time.Time
-	fillSecondsAtStart float64 // of the runner's fill over time, when the place was taken
-	expectedTokens     int     // output promised
-	receivedTokens     int
-	stalledAt          time.Time // by when it should have sent something
+	acquiredAt           time.Time
+	streamSecondsAtStart float64 // the runner's streamSeconds when the slot was acquired
+	expectedTokens       int     // the maximum output that was requested
+	receivedTokens       int
+	stalledAt            time.Time // the request is overdue from then on
 }
 
-// Acquire takes a slot on the runner for one request, if it may have one now; nil if not. untilFirstByte is how long
-// its response takes before anything of it is sent: zero for one that comes piece by piece.
+// Acquire acquires a slot for a request of up to tokens of output. It returns nil if the runner is unhealthy or has no
+// capacity. untilFirstByte is the expected time until the first byte of the response, zero for a streamed one.
 func (instance *Instance) Acquire(tokens int, untilFirstByte time.Duration) *Slot {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
@@ -31,12 +31,12 @@
 		instance.progressAt = now
 	}
 	instance.speed.advance(now, instance.streams())
-	slot := &Slot{Instance: instance, takenAt: now, fillSecondsAtStart: instance.speed.fillSeconds, expectedTokens: tokens, stalledAt: now.Add(StallTimeout + untilFirstByte)}
+	slot := &Slot{Instance: instance, acquiredAt: now, streamSecondsAtStart: instance.speed.streamSeconds, expectedTokens: tokens, stalledAt: now.Add(StallTimeout + untilFirstByte)}
 	instance.slots = append(instance.slots, slot)
 	return slot
 }
 
-// AddTokens records output that has come.
+// AddTokens counts n received output tokens.
 func (slot *Slot) AddTokens(n int) {
 	slot.mu.Lock()
 	defer slot.mu.Unlock()
@@ -44,18 +44,19 @@
 	slot.progressAt = time.Now()
 }
 
-// Release gives a request's slot back; ok says whether the runner answered in full. received is the output there was.
+// Release releases the slot and returns the number of output tokens received. ok reports whether the response was complete;
+// only then does it count for the runner's measured speed.
 func (slot *Slot) Release(ok bool) (received int) {
 	slot.mu.Lock()
 	defer slot.mu.Unlock()
 	now := time.Now()
 	slot.speed.advance(now, slot.streams())
-	slot.slots = slices.DeleteFunc(slot.slots, func(o *Slot) bool { return o == slot })
+	slot.slots = slices.DeleteFunc(slot.slots, func(other *Slot) bool { return other == slot })
 	slot.probing = false
 	if ok {
 		slot.failures = 0
 		slot.progressAt = now
-		slot.speed.add(slot.receivedTokens, now.Sub(slot.takenAt), slot.speed.fillSeconds-slot.fillSecondsAtStart)
+		slot.speed.add(slot.receivedTokens, now.Sub(slot.acquiredAt), slot.speed.streamSeconds-slot.streamSecondsAtStart)
 		if slot.receivedTokens > 0 {
 			slot.speed.lengths.Add(slot.expectedTokens, slot.receivedTokens)
 		}
@@ -63,18 +64,19 @@
 	return slot.receivedTokens
 }
 
-// streams is how many streams are on the runner by all accounts.
+// streams returns the number of streams on the runner: this router's, and those that the other routers reported.
 func (instance *Instance) streams() int { return len(instance.slots) + instance.remoteLoad.Streams }
 
-// capacity is how many streams run at once when all places are taken.
+// capacity returns the number of streams that the runner takes at once. If it reported none, a size in the largest
+// bucket of its measured speed is assumed.
 func (instance *Instance) capacity() int {
 	if instance.report.Capacity <= 0 {
-		return 1 << len(instance.speed.byFill)
+		return 1 << len(instance.speed.byBatchSize)
 	}
 	return instance.report.Capacity
 }
 
-// ownQueuedTokens is the output that our requests on the runner still have to come.
+// ownQueuedTokens returns the output that is still to come for this router's requests on the runner.
 func (instance *Instance) ownQueuedTokens() (n int) {
 	for _, slot := range instance.slots {
 		n += max(0, slot.expectedTokens-slot.receivedTokens)
--- a/internal/dataplane/runner/speed.go
+++ b/internal/dataplane/runner/speed.go
@@ -9,78 +9,84 @@
 	"yarrowridge/internal/dataplane/allow"
 )
 
-// speed is a runner's measured speed, taken from our responses: tokens over the seconds they took, apart
-// for each fill of its batch, since a runner in a full batch makes more in all and less for each.
+// speed is a runner's output rate, measured from the responses to this router's requests. It is kept by batch size, which
+// is the number of concurrent streams on the runner: in a larger batch a runner generates more tokens in total, but fewer
+// per stream.
 type speed struct {
-	since       time.Time
-	fillSeconds float64        // fill times seconds
-	byFill      [12]fillBucket // by the fill's power of two
-	lengths     allow.LengthRatio
+	since         time.Time       // until when streamSeconds is counted; zero: not started
+	streamSeconds float64         // concurrent streams integrated over time
+	byBatchSize   [12]batchBucket // by the power of two of the batch size
+	lengths       allow.LengthRatio
 }
 
-type fillBucket struct{ runs, tokens, seconds, fills float64 }
+// batchBucket sums up the responses that were measured at similar batch sizes.
+type batchBucket struct{ responses, tokens, seconds, streamSeconds float64 }
 
-// maxBucketRuns is how many responses a bucket counts before the weight of older ones is halved.
-const maxBucketRuns = 64
+// maxBucketResponses is the number of responses at which all sums of a bucket are halved, so that older responses lose weight.
+const maxBucketResponses = 64
 
-func (s *speed) advance(now time.Time, fill int) {
+// advance counts the time since the last call with a number of concurrent streams. It is called before that number changes.
+func (s *speed) advance(now time.Time, streams int) {
 	if !s.since.IsZero() {
-		s.fillSeconds += float64(fill) * now.Sub(s.since).Seconds()
+		s.streamSeconds += float64(streams) * now.Sub(s.since).Seconds()
 	}
 	s.since = now
 }
 
-// add counts a response, or what there is of one, that took so long while area was what its runner's fill
-// added up to.
-func (s *speed) add(tokens int, took time.Duration, area float64) {
-	if tokens <= 0 || took <= 0 {
+// add counts a complete or partial response. streamSeconds is the integral of the runner's concurrent streams over the
+// response's duration; their quotient is the mean batch size.
+func (s *speed) add(tokens int, duration time.Duration, streamSeconds float64) {
+	if tokens <= 0 || duration <= 0 {
 		return
 	}
-	current := &s.byFill[s.bucketOf(int(area/took.Seconds()+0.5))]
-	if current.runs >= maxBucketRuns {
-		*current = fillBucket{current.runs / 2, current.tokens / 2, current.seconds / 2, current.fills / 2}
+	current := &s.byBatchSize[s.bucketOf(int(streamSeconds/duration.Seconds()+0.5))]
+	if current.responses >= maxBucketResponses {
+		*current = batchBucket{current.responses / 2, current.tokens / 2, current.seconds / 2, current.streamSeconds / 2}
 	}
-	current.runs++
+	current.responses++
 	current.tokens += float64(tokens)
-	current.seconds += took.Seconds()
-	current.fills += area
+	current.seconds += duration.Seconds()
+	current.streamSeconds += streamSeconds
 }
 
-// bucketOf finds the bucket of a fill.
-func (s *speed) bucketOf(fill int) int { return min(bits.Len(uint(max(1, fill))), len(s.byFill)) - 1 }
+// bucketOf returns the index of the bucket for a batch size.
+func (s *speed) bucketOf(batchSize int) int {
+	return min(bits.Len(uint(max(1, batchSize))), len(s.byBatchSize)) - 1
+}
 
-// rate is the runner's whole output a second with so many streams on it: by the fullest batch that was
-// measured up to that, else by the next above. A batch fuller than any measured makes more, but not as many
-// times more as it is fuller: until it is measured, the root of that. 0 where nothing was measured.
-func (s *speed) rate(fill int) float64 {
-	wanted := s.bucketOf(fill)
-	i := wanted
-	for i >= 0 && s.byFill[i].runs == 0 {
+// rate returns the runner's total output in tokens per second at a batch size, 0 if nothing was measured. It uses the
+// bucket of that size, else the next smaller one that was measured, else the next larger one. Below the bucket's mean size,
+// the rate is proportional to the size. Above it, the rate is constant within the bucket, and beyond the bucket it grows
+// with the square root of the size, because throughput grows less than the batch does.
+func (s *speed) rate(batchSize int) float64 {
+	target := s.bucketOf(batchSize)
+	i := target
+	for i >= 0 && s.byBatchSize[i].responses == 0 {
 		i--
 	}
 	if i < 0 {
-		i = wanted + 1 + slices.IndexFunc(s.byFill[wanted+1:], func(current fillBucket) bool { return current.runs > 0 })
+		i = target + 1 + slices.IndexFunc(s.byBatchSize[target+1:], func(current batchBucket) bool { return current.responses > 0 })
 	}
-	current := s.byFill[i]
-	if current.runs == 0 {
+	current := s.byBatchSize[i]
+	if current.responses == 0 {
 		return 0
 	}
-	had, want := current.fills/current.seconds, float64(fill)
-	if i == wanted || want < had {
-		return current.tokens / current.seconds * min(want, had)
+	measured, requested := current.streamSeconds/current.seconds, float64(batchSize)
+	if i == target || requested < measured {
+		return current.tokens / current.seconds * min(requested, measured)
 	}
-	return current.tokens / current.seconds * had * math.Sqrt(want/had)
+	return current.tokens / current.seconds * measured * math.Sqrt(requested/measured)
 }
 
-// rate is the speed at a fill, what has come of the responses under way included.
-func (instance *Instance) rate(fill int) float64 {
+// rate returns the total output rate at a batch size. It also counts the partial responses of requests in flight.
+func (instance *Instance) rate(batchSize int) float64 {
 	measured, now := instance.speed, time.Now()
 	if measured.since.IsZero() {
 		return 0
 	}
 	measured.advance(now, instance.streams())
 	for _, slot := range instance.slots {
-		measured.add(slot.receivedTokens, now.Sub(slot.takenAt), measured.fillSeconds-slot.fillSecondsAtStart)
+		measured.add(slot.receivedTokens, now.Sub(slot.acquiredAt), measured.streamSeconds-slot.streamSecondsAtStart)
 	}
-	return measured.rate(fill)
+	return measured.rate(batchSize)
 }
