--- a/internal/dataplane/router/gateway.go
+++ b/internal/dataplane/router/gateway.go
@@ -18,14 +18,15 @@
 	"yarrowridge/internal/transport/dissemination"
 )
 
-// Gateway is the components of a router in the platform's role. They are set by NewGateway and must not be replaced.
+// Gateway holds the components of a router in the platform's router role. They are set by NewGateway and must not be
+// replaced.
 type Gateway struct {
-	Cluster     *cluster.Member
-	Registry    *registry.Registry
-	Balancer    *balance.Balancer
-	QuotaShares *quota.Shares
-	Pool        *upstream.Pool
-	ClientHandler       *gateway.Gateway
+	Cluster       *cluster.Member
+	Registry      *registry.Registry
+	Balancer      *balance.Balancer
+	QuotaShares   *quota.Shares
+	Pool          *upstream.Pool
+	ClientHandler *gateway.Gateway
 
 	ctx      daemon.Context
 	settings GatewaySettings
@@ -33,13 +34,13 @@
 	table    atomic.Pointer[routing.Table]
 }
 
-// quotaMargin is added to a quota's window: it covers the time that a request takes to reach its runner.
+// quotaMargin is added to the window of a quota, to cover the time that a request takes to reach its runner.
 const quotaMargin = 50 * time.Millisecond
 
-// reportInterval is how often the log counts how requests ended.
+// reportInterval is the interval of the log entries that count requests by how they ended.
 const reportInterval = 5 * time.Second
 
-// NewGateway puts a gateway together.
+// NewGateway assembles a gateway.
 func NewGateway(ctx daemon.Context, settings GatewaySettings) *Gateway {
 	g := &Gateway{ctx: ctx, settings: settings, Balancer: balance.New(ctx.Zone)}
 	g.Pool = upstream.New(upstream.Options{Dial: settings.Dial})
@@ -56,10 +57,10 @@
 	return g
 }
 
-// applyRecord takes records that are neither a configuration nor a runner.
+// applyRecord applies a disseminated record that holds neither the configuration nor a runner.
 func (g *Gateway) applyRecord(record dissemination.Record) { g.sessions.applyRecord(record) }
 
-// applyTable puts a newer configuration's routing table in force.
+// applyTable parses a newer configuration and applies its routing table. A configuration with flaws is rejected.
 func (g *Gateway) applyTable(version uint64, raw []byte) error {
 	table, flaws := g.settings.ParseTable(raw)
 	if len(flaws) > 0 {
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// Start starts all components but the clients' listener; they end with the context.
+// Start starts all components except the listener for clients. They stop when the context ends.
 func (g *Gateway) Start() {
 	go g.QuotaShares.Run()
 	go g.sessions.run()
--- a/internal/dataplane/router/gatewayhealth.go
+++ b/internal/dataplane/router/gatewayhealth.go
@@ -5,7 +5,7 @@
 	"yarrowridge/internal/dataplane/cluster"
 )
 
-// runnerStats returns how attempts at runners ended since the last heartbeat, for the core.
+// runnerStats returns the outcomes of the attempts at each runner since the last heartbeat, which reports them to the core.
 func (g *Gateway) runnerStats() []coreapi.RunnerStats {
 	var stats []coreapi.RunnerStats
 	for id, tally := range g.Balancer.DrainTally() {
@@ -15,12 +15,12 @@
 	return stats
 }
 
-// applyFindings passes to the balancer what the core concludes of runners.
+// applyFindings passes the core's findings about runners on to the balancer.
 func (g *Gateway) applyFindings(findings cluster.RunnerFindings) {
-	shares := make(map[string]float64, len(findings.Failing))
+	failureRates := make(map[string]float64, len(findings.Failing))
 	for _, runner := range findings.Failing {
-		shares[runner.ID] = runner.Share
+		failureRates[runner.ID] = runner.Share
 	}
-	g.Balancer.SetFailureRates(shares)
+	g.Balancer.SetFailureRates(failureRates)
 	g.Balancer.SetLowLatency(findings.LowLatency)
 }
--- a/internal/dataplane/router/gatewaymetrics.go
+++ b/internal/dataplane/router/gatewaymetrics.go
@@ -6,7 +6,7 @@
 	"yarrowridge/internal/lib/metrics"
 )
 
-// metricsHandler serves a gateway's own figures.
+// metricsHandler returns the handler that serves the gateway's metrics.
 func (g *Gateway) metricsHandler() http.Handler {
 	return metrics.NewHandler(metrics.Gauges{
 		"yarrowridge_requests_open":  func() float64 { return float64(g.ClientHandler.InFlight()) },
--- a/internal/dataplane/router/gatewayquota.go
+++ b/internal/dataplane/router/gatewayquota.go
@@ -7,11 +7,11 @@
 	"yarrowridge/internal/model/quota"
 )
 
-// assumedRouters is how many routers are assumed where neither the peers are known nor how many there were.
+// assumedRouters is the number of routers that is assumed if neither the current nor the previous number is known.
 const assumedRouters = 16
 
-// previousRouters returns how many routers share a total while the peers are not known yet, for the first seconds of a new
-// primary. reported is how many there were before it; 0: it did not say.
+// previousRouters returns the number of routers among which a total is split while the peers are unknown, which is the case
+// in the first seconds of a new primary. reported is the number of routers before that primary, 0 if it reported none.
 func previousRouters(reported int) int {
 	if reported > 0 {
 		return reported
@@ -19,7 +19,7 @@
 	return assumedRouters
 }
 
-// localShare is this router's share of a total that all routers share, one at least.
+// localShare returns this router's share of a total that is split among all routers, at least 1.
 func (g *Gateway) localShare(total int) int {
 	if len(g.Cluster.Nodes()) == 0 {
 		return max(1, total/previousRouters(g.Cluster.PreviousRouters()))
@@ -27,7 +27,7 @@
 	return max(1, g.Cluster.Share(total))
 }
 
-// quotaRules returns the quotas of the routing table in force.
+// quotaRules returns the quotas in the current routing table.
 func (g *Gateway) quotaRules() []quota.Rule {
 	table := g.table.Load()
 	if table == nil {
@@ -43,22 +43,22 @@
 	return rules
 }
 
-// quotas spends tenants' quotas from this router's shares of them.
+// quotas implements gateway.Quotas with this router's shares of the tenants' quotas.
 type quotas struct{ quotaShares *quota.Shares }
 
-// Reserve implements gateway.Quotas: it reserves units of a quota.
+// Reserve reserves units of a quota.
 func (q quotas) Reserve(ctx context.Context, quota string, units int) (bool, time.Duration) {
 	return q.quotaShares.Reserve(ctx, quota, units)
 }
 
-// Spend implements gateway.Quotas: it turns a reservation into spent units.
+// Spend commits a reservation, whose units are then spent.
 func (q quotas) Spend(quota string, units int) { q.quotaShares.For(quota).Commit(units) }
 
-// Release implements gateway.Quotas: it ends a reservation unspent.
+// Release cancels a reservation, so that its units can be reserved again.
 func (q quotas) Release(quota string, units int) { q.quotaShares.For(quota).Cancel(units) }
 
-// Unanswered implements gateway.Quotas: it reports whether the core was asked for units of the quota and has not answered.
+// Unanswered reports whether a request to the core for units of the quota has not been answered.
 func (q quotas) Unanswered(quota string) bool { return q.quotaShares.For(quota).Unanswered() }
 
-// Scarce implements gateway.Quotas: it reports whether the core lately had too little left of the quota.
+// Scarce reports whether the core recently had too few units of the quota left.
 func (q quotas) Scarce(quota string) bool { return q.quotaShares.For(quota).Scarce() }
--- a/internal/dataplane/router/gatewayquota_test.go
+++ b/internal/dataplane/router/gatewayquota_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Before the peers are known a router takes its share of a fleet as large as it was.
+// While the peers are unknown, the number of routers before the current primary is used, or a constant if it is unknown too.
 func TestPreviousRouters(t *testing.T) {
 	for reported, want := range map[int]int{0: assumedRouters, 4: 4, 200: 200} {
 		if got := previousRouters(reported); got != want {
--- a/internal/dataplane/router/gatewayreadiness.go
+++ b/internal/dataplane/router/gatewayreadiness.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// unavailableReason says why this router can serve no request, or "".
+// unavailableReason returns the reason why this router cannot serve requests, or "" if it can.
 func (g *Gateway) unavailableReason() string {
 	if g.table.Load() == nil {
 		return "no configuration yet"
@@ -18,7 +18,7 @@
 	return ""
 }
 
-// notReadyReason says why no new clients should be sent to this router, or "".
+// notReadyReason returns the reason why new clients should not be sent to this router, or "" if they should.
 func (g *Gateway) notReadyReason() string {
 	if reason := g.Cluster.NotReadyReason(); reason != "" {
 		return reason
--- a/internal/dataplane/router/gatewayrun.go
+++ b/internal/dataplane/router/gatewayrun.go
@@ -15,10 +15,10 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// clientLimits bound what clients may send. They hold from before the first configuration is known.
+// clientLimits limits requests and connections of clients. They also apply before the first configuration is known.
 var clientLimits = routing.Limits{HeaderBytes: 16 << 10, HeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second}
 
-// RunGateway runs a router in the platform's role until the process is told to stop.
+// RunGateway runs a router in the platform's router role until the process receives the signal to stop.
 func RunGateway(process *daemon.Process, settings GatewaySettings) error {
 	daemon.SetMemoryLimit(settings.MemoryLimit)
 	ctx := process.Ctx
@@ -46,41 +46,42 @@
 		return eris.Wrap(err, "router: clients' listener")
 	}
 	server := gateway.NewServer(data, g.ClientHandler, clientLimits)
-	go func() { _ = server.Run() }()                // if its listener fails, requests in flight are still finished
-	settings.Metrics.Start(ctx, g.metricsHandler()) // last: it must not take a port that the others need
+	go func() { _ = server.Run() }()                // if its listener fails, requests in flight still complete
+	settings.Metrics.Start(ctx, g.metricsHandler()) // last, so that it does not take a port that the other listeners need
 	<-process.Stop
 	g.shutDown(ctx, server)
 	return nil
 }
 
 const (
-	leaveReserve = time.Second            // of the grace period, for the hand-over and the lease after the last request
-	exitReserve  = 200 * time.Millisecond // of the grace period, for the end of the process itself
+	leaveReserve = time.Second            // of the grace period: to hand over session entries and release the lease after the last request
+	exitReserve  = 200 * time.Millisecond // of the grace period: for the process to exit
 )
 
-// shutDown shuts the router down gracefully: it finishes the requests in flight and leaves the fleet, within the grace period.
+// shutDown shuts the router down gracefully within the grace period: the requests in flight complete, and the router leaves
+// the fleet.
 func (g *Gateway) shutDown(ctx daemon.Context, server *gateway.Server) {
-	ctx.Log.Info("Router leaves. Requests in flight are finished.", slog.Int("open", g.ClientHandler.InFlight()))
+	ctx.Log.Info("Router is shutting down. Requests in flight complete first.", slog.Int("open", g.ClientHandler.InFlight()))
 	startedAt := time.Now()
 	g.Cluster.StartDraining()
 	g.ClientHandler.Drain()
 	runloop.Sleep(ctx, g.settings.DrainNotice)
-	draining, cancel := context.WithTimeout(ctx, g.settings.GracePeriod-time.Since(startedAt)-leaveReserve)
+	drainCtx, cancel := context.WithTimeout(ctx, g.settings.GracePeriod-time.Since(startedAt)-leaveReserve)
 	defer cancel()
-	if err := server.Drain(draining); err != nil {
+	if err := server.Drain(drainCtx); err != nil {
 		ctx.Log.Warn("The grace ended before the requests did.", slog.Int("open", g.ClientHandler.InFlight()))
 	}
-	leave(ctx, startedAt.Add(g.settings.GracePeriod-exitReserve), g.sessions.handOver, g.Cluster.Leave)
+	leaveFleet(ctx, startedAt.Add(g.settings.GracePeriod-exitReserve), g.sessions.handOver, g.Cluster.Leave)
 	g.Pool.Close()
 }
 
-// leave hands over the last session entries and releases the lease, both before a deadline: where no peer answers, the
-// process must still end by itself. The hand-over has half of the time.
-func leave(ctx context.Context, deadline time.Time, handOver, releaseLease func(context.Context)) {
-	within, cancel := context.WithDeadline(ctx, deadline)
+// leaveFleet hands over the last session entries and releases the lease, both before a deadline: even if no peer answers,
+// the process must exit by itself before it is killed. The hand-over may take half of the remaining time.
+func leaveFleet(ctx context.Context, deadline time.Time, handOver, releaseLease func(context.Context)) {
+	leaveCtx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	half, cancelHalf := context.WithTimeout(within, time.Until(deadline)/2)
-	defer cancelHalf()
-	handOver(half)
-	releaseLease(within)
+	handOverCtx, cancelHandOver := context.WithTimeout(leaveCtx, time.Until(deadline)/2)
+	defer cancelHandOver()
+	handOver(handOverCtx)
+	releaseLease(leaveCtx)
 }
--- a/internal/dataplane/router/gatewaysettings.go
+++ b/internal/dataplane/router/gatewaysettings.go
@@ -11,26 +11,26 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// GatewaySettings are the settings of a router in the platform's role.
+// GatewaySettings are the settings of a router in the platform's router role.
 type GatewaySettings struct {
-	InternalAddr     string            // ip:port where other processes reach it
+	InternalAddr     string            // ip:port for other processes of the fleet
 	ClientAddr       string            // ip:port of the clients' listener
 	ReadinessAddr    string            // ip:port of the readiness listener; "": none
 	Seeds            []string          // ip:port of some cores
-	SeedUpdates      <-chan []string   // the seeds after a change of the settings
-	Quota            routing.QuotaRule // how tenants' rates are limited
+	SeedUpdates      <-chan []string   // the new seeds after each change of the settings
+	Quota            routing.QuotaRule // converts tenants' rates to quotas
 	Retries          gateway.RetryBounds
-	RevocationTerm   time.Duration // within which a revoked key is of no use at any router; 0: only at those that learn of it
-	DrainNotice      time.Duration // how long a shutdown accepts requests after readiness has ended
-	GracePeriod      time.Duration // from the stop signal to the kill
+	RevocationTerm   time.Duration // within which all routers reject a revoked key; 0: only routers that learn of the revocation do
+	DrainNotice      time.Duration // for which a shutdown still accepts requests after the router stops being ready
+	GracePeriod      time.Duration // from the stop signal until the process is killed
 	MemoryLimit      int64         // bytes; 0: none
 	Dialect          gateway.Dialect
 	ParseTable       func(raw []byte) (*routing.Table, []routing.Flaw)
-	ReadinessHandler func(why func() string) (http.Handler, error) // answers readiness probes
-	Metrics          metrics.Endpoint                              // where the router's own figures are served
+	ReadinessHandler func(notReadyReason func() string) (http.Handler, error) // for readiness probes
+	Metrics          metrics.Endpoint                                         // where the router's metrics are served
 
-	Dial   func(ctx context.Context, address string) (net.Conn, error) // reaches runners; nil: TCP
-	Listen func(address string) (net.Listener, error)                  // for clients and probes; nil: TCP
+	Dial   func(ctx context.Context, address string) (net.Conn, error) // opens connections to runners; nil: over TCP
+	Listen func(address string) (net.Listener, error)                  // for clients and probes; nil: over TCP
 }
 
 // listen binds an address for clients or probes.
--- a/internal/dataplane/router/listen.go
+++ b/internal/dataplane/router/listen.go
@@ -12,8 +12,8 @@
 	"yarrowridge/internal/transport/operator"
 )
 
-// listen serves the APIs of clients, runners and operators, as far as they have an address. Where one of them fails, those
-// before it go on; the process ends with the error.
+// listen starts the servers of the APIs for clients, runners and operators, except those without an address. If one fails to
+// start, those started before it keep running; the process exits with the error.
 func (r *Router) listen(process *daemon.Process) ([]*web.Server, error) {
 	clients, err := web.Handler([]rest.Route{
 		{Method: "GET", Path: "/alive", Handler: writeAlive},
@@ -51,5 +51,5 @@
 
 // writeAlive answers the liveness probe.
 func writeAlive(w http.ResponseWriter, _ *http.Request) {
-	_, _ = io.WriteString(w, "{\"alive\":true}\n") // a probe that has gone needs no answer
+	_, _ = io.WriteString(w, "{\"alive\":true}\n") // a probe that has disconnected needs no response
 }
--- a/internal/dataplane/router/main.go
+++ b/internal/dataplane/router/main.go
@@ -1,5 +1,5 @@
-// Package router puts the components of a router together: Router those of the router program, which knows prompts and their
-// lanes, Gateway those of the platform's role, which forwards opaque requests.
+// Package router assembles the components of a router. Router is for the router program, which understands prompts and
+// their lanes. Gateway is for the router role of the platform program, which forwards opaque requests.
 package router
 
 import (
@@ -17,7 +17,7 @@
 	return daemon.Main("router", Items, args, out, run)
 }
 
-// run runs a router until the process is told to stop.
+// run runs a router until the process receives the signal to stop.
 func run(process *daemon.Process) error {
 	ctx := process.Ctx
 	router := New(ctx, process.Settings["addr"], process.Settings["origin"], process.Settings.Addrs("seeds"), runner.DialFrom(process.Settings["from"]))
--- a/internal/dataplane/router/router.go
+++ b/internal/dataplane/router/router.go
@@ -15,7 +15,7 @@
 	"yarrowridge/internal/model/quota"
 )
 
-// Router is the components of a router of prompts. They are set by New and must not be replaced.
+// Router holds the components of a router for prompts. They are set by New and must not be replaced.
 type Router struct {
 	Cluster     *cluster.Member
 	Runners     *runner.Pool
@@ -32,12 +32,13 @@
 }
 
 const (
-	prefixIndexSize    = 1 << 18 // prefixes remembered
-	requestLogSize     = 256     // requests that ended badly
-	workReportInterval = 250 * time.Millisecond
+	prefixIndexSize    = 1 << 18                // entries of the prefix index
+	requestLogSize     = 256                    // failed requests in the log
+	workReportInterval = 250 * time.Millisecond // between reports of this router's work to the other routers
 )
 
-// New puts a router together. Other processes reach it at addr, clients at clientAddr; dial is how it reaches runners (nil: TCP).
+// New assembles a router. addr and clientAddr are its addresses for other processes and for clients, seeds are the addresses
+// of processes through which it joins the fleet, and dial opens connections to runners (nil: over TCP).
 func New(ctx daemon.Context, addr, clientAddr string, seeds []string, dial runner.Dial) *Router {
 	r := &Router{ctx: ctx, Scheduler: place.NewScheduler(ctx.Zone, place.NewPrefixIndex(prefixIndexSize)), RequestLog: request.NewLog(requestLogSize), sender: runner.NewSender(dial)}
 	r.Runners = runner.NewPool(ctx.Name, r.Scheduler.Wake)
@@ -57,7 +58,7 @@
 	return r
 }
 
-// Start starts all components; they end with the context.
+// Start starts all components. They stop when the context ends.
 func (r *Router) Start() {
 	go r.Scheduler.Run(r.ctx)
 	go r.QuotaShares.Run()
@@ -66,17 +67,18 @@
 	go runloop.Run(r.ctx, nil, workReportInterval, func(struct{}) {}, newWorkReporter(r).report)
 }
 
-// quotaRules returns the function that reads the quotas of the configuration in force. A tenant without a quota has none.
+// quotaRules returns a function that returns the quotas in the member's current configuration. Tenants without a quota have
+// no rule.
 func quotaRules(member *cluster.Member) func() []quota.Rule {
 	return func() []quota.Rule {
-		var out []quota.Rule
+		var rules []quota.Rule
 		if config := member.Config(); config != nil {
 			for _, tenant := range config.Tenants {
 				if tenant.Quota.Units > 0 {
-					out = append(out, quota.Rule{Tenant: tenant.Name, Units: tenant.Quota.Units, Window: tenant.Quota.Window})
+					rules = append(rules, quota.Rule{Tenant: tenant.Name, Units: tenant.Quota.Units, Window: tenant.Quota.Window})
 				}
 			}
 		}
-		return out
+		return rules
 	}
 }
--- a/internal/dataplane/router/sessionfetch.go
+++ b/internal/dataplane/router/sessionfetch.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	sessionCallTimeout = time.Second
-	maxFetchedEntries  = 1 << 13                // asked of another router
-	maxFetchAttempts   = 5                      // routers asked until one has answered
-	fetchRetryInterval = 20 * time.Millisecond  // while nothing was fetched
-	maxFetchDelay      = 150 * time.Millisecond // for which requests wait for the directory
+	sessionCallTimeout = time.Second            // of one round of fetching, and of a call to persist the directory
+	maxFetchedEntries  = 1 << 13                // requested from another router
+	maxFetchAttempts   = 5                      // at other routers; more only while nothing has been fetched
+	fetchRetryInterval = 20 * time.Millisecond  // while nothing has been fetched
+	maxFetchDelay      = 150 * time.Millisecond // for which requests wait for the directory at most
 
-	persistInterval     = 3 * time.Second
+	persistInterval     = 3 * time.Second // minimum between two writes of the directory to the core
 	maxPersistedEntries = 1 << 12
 )
 
-// isAwaited reports whether requests should wait for the directory: for 150 ms from when they could be served.
+// isAwaited reports whether requests should wait for the directory. They wait for at most maxFetchDelay, counted from the
+// first call, when nothing else prevents this router from serving them.
 func (s *sessionSync) isAwaited() bool {
 	if s.fetched.Load() {
 		return false
@@ -30,8 +31,8 @@
 	return time.Since(*s.servableSince.Load()) < maxFetchDelay
 }
 
-// fetch asks the core for what was persisted, which is all that there is after the loss of all routers, and another router
-// for its directory, which is newer. One answer is enough to begin with.
+// fetch fetches the persisted directory from the core, which is the only copy after the loss of all routers, and the
+// directory of another router, which is newer. Requests can be served as soon as one of the two has answered.
 func (s *sessionSync) fetch() {
 	ctx, cancel := context.WithTimeout(s.ctx, sessionCallTimeout)
 	defer cancel()
@@ -50,7 +51,8 @@
 	}
 }
 
-// fetchFromRouter reports whether a router has answered that has fetched the directory itself.
+// fetchFromRouter merges the directory of another router, and reports whether it was complete: a router that has not fetched
+// the directory itself returns a partial one.
 func (s *sessionSync) fetchFromRouter(ctx context.Context, nodes []coreapi.Node) bool {
 	node, found := s.choosePeer(nodes)
 	if !found {
@@ -65,8 +67,8 @@
 	return !batch.Partial
 }
 
-// choosePeer chooses another ready router at random, one of this router's zone where there is any.
-func (s *sessionSync) choosePeer(nodes []coreapi.Node) (best coreapi.Node, found bool) {
+// choosePeer chooses another ready router at random, in this router's zone if there is one.
+func (s *sessionSync) choosePeer(nodes []coreapi.Node) (peer coreapi.Node, found bool) {
 	for _, i := range rand.Perm(len(nodes)) {
 		node := nodes[i]
 		if node.Name == s.ctx.Name || !node.Ready {
@@ -75,12 +77,12 @@
 		if node.Zone == s.ctx.Zone {
 			return node, true
 		}
-		best, found = node, true
+		peer, found = node, true
 	}
-	return best, found
+	return peer, found
 }
 
-// fetchFromCore reports whether the core has answered.
+// fetchFromCore merges the directory that is persisted at the core, and reports whether the core has answered.
 func (s *sessionSync) fetchFromCore(ctx context.Context) bool {
 	var persisted coreapi.SessionDirectory
 	if err := s.callCore(ctx, "core.sessions", &coreapi.ConfigRequest{}, &persisted, true); err != nil {
@@ -97,8 +99,8 @@
 	return true
 }
 
-// persist stores the directory at the core if it has changed, every three seconds at most. The first router of the peer
-// directory does it for all.
+// persist writes the directory to the core if it has changed, at most once per persistInterval. Only the first router in the
+// list of routers does so.
 func (s *sessionSync) persist() {
 	nodes := s.nodes()
 	changes := s.directory.Changes()
--- a/internal/dataplane/router/sessionsync.go
+++ b/internal/dataplane/router/sessionsync.go
@@ -21,33 +21,33 @@
 )
 
 const (
-	sessionKeyPrefix    = "sessions/" // begins the key of a record with entries of the session directory
-	sessionSlots        = 8           // keys that a router's records take in turn; by then the tree has carried the older one
+	sessionKeyPrefix    = "sessions/" // of the keys of records with session entries
+	sessionSlots        = 8           // keys that a router's records take in turn; a key is reused once its older record has been disseminated
 	sessionSyncInterval = 300 * time.Millisecond
-	sessionSyncJitter   = 200 * time.Millisecond // at random, so that of routers that find the same, one sends it
-	runnerAddedJitter   = 30 * time.Millisecond  // the same for the round that an added runner starts at once
+	sessionSyncJitter   = 200 * time.Millisecond // random, so that of several routers with the same new entry only the first broadcasts it
+	runnerAddedJitter   = 30 * time.Millisecond  // the same for the round that starts when a runner is added
 )
 
-// sessionSync replicates the session directory: it broadcasts the entries that this router made, fetches another router's
-// directory and the one at the core when this router starts, and persists the directory at the core.
+// sessionSync replicates the session directory. It broadcasts this router's new entries, fetches the directory from the core
+// and another router when this router starts, and persists it at the core.
 type sessionSync struct {
 	ctx            daemon.Context
 	balancer       *balance.Balancer
 	directory      *session.Directory
 	broadcast      func(dissemination.Update)
-	broadcastToAll func(context.Context, []dissemination.Record) bool // beside the dissemination tree
+	broadcastToAll func(context.Context, []dissemination.Record) bool // sends directly, without the dissemination tree
 	nodes          func() []coreapi.Node
 	call           func(ctx context.Context, addr, kind string, request msgp.Marshaler, response msgp.Unmarshaler) error
 	callCore       func(ctx context.Context, kind string, request msgp.Marshaler, response msgp.Unmarshaler, idempotent bool) error
 
-	fetched       atomic.Bool               // from the core, or from a router that has fetched it
-	servableSince atomic.Pointer[time.Time] // when requests could be served first but for the directory; nil: not yet
-	sequence      atomic.Uint64             // of the last record
+	fetched       atomic.Bool               // the directory was fetched, from the core or from a router that had fetched it
+	servableSince atomic.Pointer[time.Time] // when the directory became the only thing that requests wait for; nil: not yet
+	sequence      atomic.Uint64             // version of the last record
 
-	// Only the goroutine of run touches these.
+	// Used only by the goroutine of run.
 	fetchAttempts    int       // at other routers
-	persistedChanges uint64    // changes of the directory that the core has
-	persistedAt      time.Time // when it was last sent to the core
+	persistedChanges uint64    // count of directory changes at the last write to the core
+	persistedAt      time.Time // when the directory was last sent to the core
 }
 
 func newSessionSync(g *Gateway) *sessionSync {
@@ -55,7 +55,7 @@
 		broadcastToAll: g.Cluster.BroadcastToAll, nodes: g.Cluster.Nodes, call: g.Cluster.Call, callCore: g.Cluster.Core.Call}
 }
 
-// run sends, fetches and persists until the context ends.
+// run runs a round of replication at a time until the context ends.
 func (s *sessionSync) run() {
 	for s.awaitNextRound() {
 		if !s.fetched.Load() || s.fetchAttempts < maxFetchAttempts {
@@ -67,8 +67,9 @@
 	}
 }
 
-// awaitNextRound waits for the next round and reports whether there is one: soon where nothing was fetched yet or a runner
-// was added, since then other routers may send sessions away from their runners.
+// awaitNextRound waits until the next round is due, and returns false when the context has ended. The wait is short while
+// nothing has been fetched, and after a runner was added: until they get the entries, other routers may send sessions away
+// from their runners.
 func (s *sessionSync) awaitNextRound() bool {
 	if !s.fetched.Load() {
 		return runloop.Sleep(s.ctx, fetchRetryInterval)
@@ -85,7 +86,7 @@
 	}
 }
 
-// sendUpdates broadcasts the entries that are new. Where there are none, nothing is sent.
+// sendUpdates broadcasts the new entries, if there are any.
 func (s *sessionSync) sendUpdates() {
 	entries := s.directory.DrainUpdates()
 	if len(entries) == 0 {
@@ -96,8 +97,8 @@
 	}
 }
 
-// handOver sends the last new entries to the other routers directly: the part of the dissemination tree that leads through
-// this router must not be what others depend on once it is gone.
+// handOver sends the last new entries directly to all other routers. Over the dissemination tree they could be lost, because
+// routers below this one would depend on it while it shuts down.
 func (s *sessionSync) handOver(ctx context.Context) {
 	entries := s.directory.DrainUpdates()
 	if record, ok := s.nextRecord(entries); ok && len(entries) > 0 {
@@ -105,7 +106,7 @@
 	}
 }
 
-// nextRecord makes the next record. It replaces an older one, which the tree has carried to all routers by then.
+// nextRecord returns the next record. It replaces the record sessionSlots before it, which has reached all routers by then.
 func (s *sessionSync) nextRecord(entries []session.Entry) (dissemination.Record, bool) {
 	body, err := session.Pack(entries).MarshalMsg(nil)
 	if err != nil {
@@ -117,7 +118,7 @@
 	return dissemination.Record{Key: key, Version: sequence, Body: body}, true
 }
 
-// applyRecord merges a record that dissemination brought. Records of other kinds are ignored.
+// applyRecord merges the session entries of a disseminated record. Other records are ignored.
 func (s *sessionSync) applyRecord(record dissemination.Record) {
 	if !strings.HasPrefix(record.Key, sessionKeyPrefix) {
 		return
@@ -130,7 +131,7 @@
 	s.directory.Merge(batch.Unpack())
 }
 
-// handle is the wire.Handler of other routers' calls about the session directory.
+// handle is the wire.Handler for other routers' calls that fetch the session directory.
 func (s *sessionSync) handle(_ context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 	if kind != "session.fetch" {
 		return nil, eris.Errorf("router: unknown kind of message %q", kind)
--- a/internal/dataplane/router/sessionsync_test.go
+++ b/internal/dataplane/router/sessionsync_test.go
@@ -19,15 +19,16 @@
 	"yarrowridge/internal/transport/dissemination"
 )
 
-// syncFleet is the session sync of some routers, joined without a network, and a core that persists the directory.
+// syncFleet connects the session syncs of several routers without a network, and simulates a core that persists the
+// directory.
 type syncFleet struct {
 	*testing.T
 	routers   []*sessionSync
-	broadcast int // records
-	direct    int // records that were sent beside the dissemination tree
-	persists  int // calls
-	persisted []byte
-	coreDown  bool
+	broadcast int    // number of records sent over the dissemination tree
+	direct    int    // number of records sent directly
+	persists  int    // number of calls to the core to persist the directory
+	persisted []byte // the directory at the core
+	coreDown  bool   // calls to the core fail
 }
 
 func newSyncFleet(t *testing.T, names ...string) *syncFleet {
@@ -39,7 +40,7 @@
 	return f
 }
 
-// start starts a router; one of the same name is replaced.
+// start starts a router. It replaces a router with the same name.
 func (f *syncFleet) start(name string) *sessionSync {
 	ctx := daemon.Context{Context: f.Context(), Name: name, Zone: "east", RunID: uint64(len(f.routers) + 1), Log: slog.New(slog.DiscardHandler)}
 	balancer := balance.New("east")
@@ -63,7 +64,7 @@
 	return s
 }
 
-// deliver brings records to all routers.
+// deliver delivers records to all routers.
 func (f *syncFleet) deliver(records []dissemination.Record) {
 	for _, router := range f.routers {
 		for _, record := range records {
@@ -80,8 +81,8 @@
 	return out
 }
 
-// transfer carries a message as the wire does.
-func transfer(from msgp.Marshaler, to msgp.Unmarshaler) error {
+// transcode encodes a message and decodes it into another one, as a call over the network does.
+func transcode(from msgp.Marshaler, to msgp.Unmarshaler) error {
 	raw, err := from.MarshalMsg(nil)
 	if err == nil {
 		_, err = to.UnmarshalMsg(raw)
@@ -89,7 +90,7 @@
 	return err
 }
 
-// call is a router's call to another one.
+// call is a call from a router to another one.
 func (f *syncFleet) call(ctx context.Context, addr, kind string, request msgp.Marshaler, response msgp.Unmarshaler) error {
 	for _, router := range f.routers {
 		if router.ctx.Name != addr {
@@ -99,16 +100,16 @@
 		if err != nil {
 			return err
 		}
-		answer, err := router.handle(ctx, kind, raw)
+		result, err := router.handle(ctx, kind, raw)
 		if err != nil {
 			return err
 		}
-		return transfer(answer, response)
+		return transcode(result, response)
 	}
 	return errors.New("no such router")
 }
 
-// callCore is a router's call to the core.
+// callCore is a call from a router to the core.
 func (f *syncFleet) callCore(_ context.Context, kind string, request msgp.Marshaler, response msgp.Unmarshaler, _ bool) error {
 	if f.coreDown {
 		return errors.New("no core")
@@ -118,10 +119,10 @@
 		f.persisted = request.(*coreapi.SessionDirectory).Batch
 		return nil
 	}
-	return transfer(&coreapi.SessionDirectory{Batch: f.persisted}, response)
+	return transcode(&coreapi.SessionDirectory{Batch: f.persisted}, response)
 }
 
-// round is one round of all routers, one after the other.
+// round runs one round of each router in turn.
 func (f *syncFleet) round() {
 	for _, router := range f.routers {
 		if !router.fetched.Load() {
@@ -150,7 +151,7 @@
 	}
 }
 
-// Only a directory that has changed is persisted at the core, by one router, and not all the time.
+// The directory is persisted at the core only if it has changed, by a single router, and at most once per persistInterval.
 func TestDirectoryIsPersistedAtCore(t *testing.T) {
 	f := newSyncFleet(t, "a", "b")
 	f.round()
@@ -166,17 +167,18 @@
 	f.routers[0].persistedAt = time.Now().Add(-persistInterval)
 	f.round()
 	if f.persists != 2 {
-		t.Errorf("got %d calls, want 2: the first change, and all others", f.persists)
+		t.Errorf("got %d calls, want 2: one for the first change, and one for all others", f.persists)
 	}
 }
 
-// After the loss of all routers the directory at the core is the start; without a core another router's is.
+// A starting router fetches the directory from another router if the core is unreachable, and from the core if all routers
+// were lost.
 func TestStartingRouterFetches(t *testing.T) {
 	f := newSyncFleet(t, "a", "b")
 	f.round()
 	f.routers[1].directory.Record(7, "runner")
 	f.round()
-	f.round() // the first router, which had its round before the update came, persists it
+	f.round() // the first router, whose round was before the update, persists it now
 	starting := f.start("b")
 	f.coreDown = true
 	starting.fetch()
@@ -194,19 +196,19 @@
 	}
 }
 
-// With neither a core nor a router that has fetched anything, requests wait for a moment only.
+// If neither the core nor a router with the directory can be reached, requests wait for at most maxFetchDelay.
 func TestRequestsWaitBriefly(t *testing.T) {
 	f := newSyncFleet(t, "a", "b")
 	f.coreDown = true
 	s := f.routers[0]
 	if !s.isAwaited() {
-		t.Error("got requests that do not wait, want them to wait for the directory")
+		t.Error("got requests that do not wait, want them to wait for the directory at first")
 	}
 	for range 10 {
 		s.fetch()
 	}
 	if s.fetched.Load() {
-		t.Error("got the directory fetched from a router that has fetched nothing")
+		t.Error("got a fetched directory, want none from a router that has fetched nothing itself")
 	}
 	past := time.Now().Add(-maxFetchDelay)
 	s.servableSince.Store(&past)
@@ -215,18 +217,18 @@
 	}
 }
 
-// A router that shuts down hands over the entries that it has not sent yet, to all directly.
+// A router that shuts down sends the entries that it has not broadcast yet directly to all other routers.
 func TestHandOver(t *testing.T) {
 	f := newSyncFleet(t, "a", "b", "c")
 	f.round()
 	f.routers[0].handOver(t.Context())
 	if f.direct != 0 {
-		t.Errorf("got %d records though nothing was new, want none", f.direct)
+		t.Errorf("got %d records without new entries, want none", f.direct)
 	}
 	f.routers[0].directory.Record(7, "runner")
 	f.routers[0].handOver(t.Context())
 	if _, known := f.routers[2].directory.Lookup(7); !known {
-		t.Error("got no entry of the router that shut down, want its last one")
+		t.Error("got no entry from the router that shuts down, want its last one")
 	}
 }
 
@@ -238,11 +240,12 @@
 	}
 	f.deliver([]dissemination.Record{{Key: "other/a", Version: 1, Body: body}, {Key: sessionKeyPrefix + "x/1/1", Version: 1, Body: []byte("no batch")}})
 	if got := f.routers[0].directory.Len(); got != 0 {
-		t.Errorf("got %d entries from records that are none of the session directory's, want none", got)
+		t.Errorf("got %d entries from records that hold no session entries, want none", got)
 	}
 }
 
-// The keys of records are used again; a router that starts anew uses others, since its sequence begins anew.
+// A router reuses the keys of its records. After a restart it uses other keys, because its versions start from 1 again and
+// would be older than those of the previous run.
 func TestRecordKeysAreReused(t *testing.T) {
 	f := newSyncFleet(t, "a")
 	keys := map[string]bool{}
@@ -257,11 +260,11 @@
 		t.Errorf("got %d keys, want %d", len(keys), sessionSlots)
 	}
 	if record, _ := f.start("a").nextRecord(nil); keys[record.Key] {
-		t.Errorf("got key %s after a new start, want one not used before", record.Key)
+		t.Errorf("got key %s after a restart, want one not used before", record.Key)
 	}
 }
 
-// The hand-over of a router that shuts down goes on beside its rounds: no two records get one version.
+// The hand-over at shutdown runs concurrently with the rounds. No two records may get the same version.
 func TestRecordsHaveDistinctVersions(t *testing.T) {
 	const count = 200
 	s := newSyncFleet(t, "a").routers[0]
@@ -282,7 +285,7 @@
 	}
 }
 
-// A runner that is added starts a round at once.
+// Adding a runner starts a round without waiting for the interval.
 func TestAddedRunnerStartsRound(t *testing.T) {
 	f := newSyncFleet(t, "a")
 	s := f.routers[0]
@@ -290,6 +293,6 @@
 	s.balancer.Update([]routing.Runner{{ID: "r", Service: "s", State: routing.RunnerReady}})
 	startedAt := time.Now()
 	if !s.awaitNextRound() || time.Since(startedAt) > sessionSyncInterval {
-		t.Errorf("got the next round after %s, want it at once", time.Since(startedAt))
+		t.Errorf("got the next round after %s, want it before the interval has passed", time.Since(startedAt))
 	}
 }
--- a/internal/dataplane/router/status_test.go
+++ b/internal/dataplane/router/status_test.go
@@ -12,15 +12,15 @@
 	"yarrowridge/internal/transport/dissemination"
 )
 
-// While configurations come in quick succession, the version and the hash that a router shows are of one of them: an
-// operator who compares them with what was acknowledged must not see a configuration that never was.
-func TestStatusIsOfOneConfiguration(t *testing.T) {
+// While new configurations arrive, the version and the hash in the status must belong to the same one. Otherwise operators
+// who compare them with the acknowledged configuration would see one that never existed.
+func TestStatusShowsMatchingVersionAndHash(t *testing.T) {
 	text := func(version uint64) string { return fmt.Sprint("configuration ", version) }
 	ctx := daemon.Context{Context: t.Context(), Name: "north1", Log: slog.New(slog.DiscardHandler)}
 	member := cluster.NewMember(ctx, "10.0.0.1:1", "10.0.0.1:2", nil, func(dissemination.Record) {}, cluster.WithDocument(func(uint64, []byte) error { return nil }))
 	r := &Router{Cluster: member}
-	var writing sync.WaitGroup
-	writing.Go(func() {
+	var writer sync.WaitGroup
+	writer.Go(func() {
 		for version := uint64(1); version <= 3000; version++ {
 			member.Records.Merge([]dissemination.Record{dissemination.ConfigRecord(version, []byte(text(version)))})
 		}
@@ -31,5 +31,5 @@
 			t.Fatalf("version %d: got the hash of another configuration", seen)
 		}
 	}
-	writing.Wait()
+	writer.Wait()
 }
--- a/internal/dataplane/router/transfers.go
+++ b/internal/dataplane/router/transfers.go
@@ -13,25 +13,25 @@
 	"yarrowridge/internal/model/quota"
 )
 
-// transferCallTimeout is how long one call with transfers may take; its transfers are repeated after it.
+// transferCallTimeout is the timeout of one call with transfers. The caller of transfer retries them afterwards.
 const transferCallTimeout = 5 * time.Second
 
-// transferQueue carries transfers of quota units to the core. One call is in flight at a time; the transfers that come
-// meanwhile go with the next one, so that a busy core is asked in fewer and larger calls.
+// transferQueue sends transfers of quota units to the core. One call is in flight at a time; transfers queued meanwhile are
+// batched in the next call, so that a busy core receives fewer and larger calls.
 type transferQueue struct {
-	ctx    daemon.Context // ends the calls
+	ctx    daemon.Context // the calls end with it
 	call   func(ctx context.Context, request *coreapi.QuotaTransfersRequest, response *coreapi.QuotaTransfersResponse) error
-	holder func() string // the name under which this run holds units
+	holder func() string // returns the name under which the core allocates units to this run of the router
 
 	mu      sync.Mutex        // guards the fields below
-	queued  []*queuedTransfer // for the next call
-	sending bool              // a goroutine runs send
+	queued  []*queuedTransfer // to be sent with the next call
+	sending bool              // a goroutine is running send
 }
 
-// queuedTransfer is a transfer that waits for the core's answer.
+// queuedTransfer is a transfer that waits for the core's response.
 type queuedTransfer struct {
 	request coreapi.QuotaTransfer
-	done    chan transferResult // takes the one result without a receiver
+	done    chan transferResult // buffered: receives the single result even if the caller has stopped waiting
 }
 
 type transferResult struct {
@@ -39,7 +39,7 @@
 	err      error
 }
 
-// newTransferQueue makes a queue to the core that the member finds.
+// newTransferQueue returns a queue that sends to the core through the member's client.
 func newTransferQueue(ctx daemon.Context, member *cluster.Member) *transferQueue {
 	return &transferQueue{ctx: ctx, holder: func() string { return coreapi.Holder(member.Self()) },
 		call: func(ctx context.Context, request *coreapi.QuotaTransfersRequest, response *coreapi.QuotaTransfersResponse) error {
@@ -47,10 +47,10 @@
 		}}
 }
 
-// transfer is the quota.TransferFunc: it has the core apply one transfer, and returns how many units are held after it and
-// their limit base. It blocks until the core has answered or ctx has ended. In the latter case, as after any other error, the
-// core may have applied the transfer; repeated with its sequence number it counts once.
-func (q *transferQueue) transfer(ctx context.Context, transfer quota.Transfer) (held, limitBase int, err error) {
+// transfer implements quota.TransferFunc. It sends one transfer to the core, and returns the units allocated to this router
+// after it and their limit base. It blocks until the core has responded or ctx has ended. After an error the core may still
+// have applied the transfer; a retry with the same sequence number is applied only once.
+func (q *transferQueue) transfer(ctx context.Context, transfer quota.Transfer) (allocated, limitBase int, err error) {
 	queued := &queuedTransfer{
 		request: coreapi.QuotaTransfer{Tenant: transfer.Tenant, Sequence: transfer.Sequence, Units: transfer.Units,
 			Costs: transfer.Costs, Return: transfer.Return},
@@ -65,7 +65,7 @@
 	}
 }
 
-// enqueue queues a transfer for the next call, and starts sending unless a goroutine does.
+// enqueue adds a transfer to the next call, and starts a goroutine to send it unless one is running.
 func (q *transferQueue) enqueue(queued *queuedTransfer) {
 	q.mu.Lock()
 	q.queued = append(q.queued, queued)
@@ -77,7 +77,7 @@
 	}
 }
 
-// send makes calls until no transfer is queued.
+// send sends calls until no transfer is queued.
 func (q *transferQueue) send() {
 	for {
 		q.mu.Lock()
@@ -92,7 +92,7 @@
 	}
 }
 
-// sendBatch makes one call, and gives each transfer of the batch its result: the call's error, or what the core has answered.
+// sendBatch sends one call, and passes each transfer of the batch its result: the error of the call, or the core's result.
 func (q *transferQueue) sendBatch(batch []*queuedTransfer) {
 	ctx, cancel := context.WithTimeout(q.ctx, transferCallTimeout)
 	defer cancel()
@@ -103,7 +103,7 @@
 	var response coreapi.QuotaTransfersResponse
 	err := q.call(ctx, &request, &response)
 	if err == nil && len(response.Results) != len(batch) {
-		err = eris.Errorf("router: %d answers to %d transfers of quota units", len(response.Results), len(batch))
+		err = eris.Errorf("router: got %d results for %d quota transfers", len(response.Results), len(batch))
 	}
 	for i, queued := range batch {
 		result := transferResult{err: err}
--- a/internal/dataplane/router/transfers_test.go
+++ b/internal/dataplane/router/transfers_test.go
@@ -14,12 +14,12 @@
 	"yarrowridge/internal/model/quota"
 )
 
-// fakeCore answers calls with transfers after a second each: units held are those asked for, the limit base is 100.
+// fakeCore responds to each call with transfers after a second. It allocates the requested units, with a limit base of 100.
 type fakeCore struct {
 	mu    sync.Mutex
 	calls [][]coreapi.QuotaTransfer
 	err   error
-	drop  bool // the last result of each response
+	drop  bool // leave the first result out of each response
 }
 
 func (c *fakeCore) call(ctx context.Context, request *coreapi.QuotaTransfersRequest, response *coreapi.QuotaTransfersResponse) error {
@@ -34,8 +34,8 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	for _, move := range request.Transfers {
-		response.Results = append(response.Results, coreapi.QuotaTransferResult{Held: move.Units, Limit: 100})
+	for _, transfer := range request.Transfers {
+		response.Results = append(response.Results, coreapi.QuotaTransferResult{Held: transfer.Units, Limit: 100})
 	}
 	if c.drop {
 		response.Results = response.Results[1:]
@@ -47,17 +47,17 @@
 	return &transferQueue{ctx: daemon.Context{Context: ctx}, holder: func() string { return "holder" }, call: c.call}
 }
 
-// One call is in flight at a time; what comes meanwhile goes with the next one, and each transfer gets its own result.
-func TestTransfersGatheredWhileCallInFlight(t *testing.T) {
+// One call is in flight at a time. Transfers queued meanwhile are batched in the next call, and each gets its own result.
+func TestTransfersAreBatchedWhileCallInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core := &fakeCore{}
 		queue := core.queue(t.Context())
 		var running sync.WaitGroup
 		for units := 1; units <= 4; units++ {
 			running.Go(func() {
-				held, limitBase, err := queue.transfer(t.Context(), quota.Transfer{Tenant: "t", Sequence: uint64(units), Units: units})
-				if held != units || limitBase != 100 || err != nil {
-					t.Errorf("transfer of %d units: got %d, %d, %v, want %d, 100, nil", units, held, limitBase, err, units)
+				allocated, limitBase, err := queue.transfer(t.Context(), quota.Transfer{Tenant: "t", Sequence: uint64(units), Units: units})
+				if allocated != units || limitBase != 100 || err != nil {
+					t.Errorf("transfer of %d units: got %d, %d, %v, want %d, 100, nil", units, allocated, limitBase, err, units)
 				}
 			})
 			synctest.Wait()
@@ -69,8 +69,8 @@
 	})
 }
 
-// All that a transfer says reaches the core.
-func TestTransferIsSentWhole(t *testing.T) {
+// All fields of a transfer are sent to the core.
+func TestTransferIsSentWithAllFields(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core := &fakeCore{}
 		transfer := quota.Transfer{Tenant: "t", Sequence: 7, Units: 5, Costs: []int{2, 3}, Return: true}
@@ -90,8 +90,8 @@
 		name    string
 		core    fakeCore
 		timeout time.Duration // of the transfer
-		cancel  bool          // the queue's context has ended
-		want    error         // nil: any
+		cancel  bool          // end the queue's context before the transfer
+		want    error         // nil: any error
 	}{
 		{"the call fails", fakeCore{err: failed}, time.Minute, false, failed},
 		{"too few results", fakeCore{drop: true}, time.Minute, false, nil},
@@ -109,12 +109,12 @@
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), test.timeout)
 				defer cancel()
-				held, limitBase, err := test.core.queue(queueCtx).transfer(ctx, quota.Transfer{Tenant: "t", Sequence: 1, Units: 1})
+				allocated, limitBase, err := test.core.queue(queueCtx).transfer(ctx, quota.Transfer{Tenant: "t", Sequence: 1, Units: 1})
 				if err == nil || test.want != nil && !errors.Is(err, test.want) {
 					t.Errorf("transfer: got error %v, want %v", err, test.want)
 				}
-				if held != 0 || limitBase != 0 {
-					t.Errorf("transfer: got %d, %d with an error, want 0, 0", held, limitBase)
+				if allocated != 0 || limitBase != 0 {
+					t.Errorf("transfer: got %d, %d with an error, want 0, 0", allocated, limitBase)
 				}
 			})
 		})
--- a/internal/dataplane/router/views.go
+++ b/internal/dataplane/router/views.go
@@ -39,7 +39,7 @@
 	SpentInWindow int `json:"spent_in_window"`
 }
 
-// views are what operators may read of this router, by path.
+// views returns the views that operators can read, by path.
 func (r *Router) views() map[string]func() any {
 	return map[string]func() any{
 		"/v1/standing": func() any { return r.statusView() },
@@ -51,7 +51,8 @@
 	}
 }
 
-// statusView has the version and the hash of one configuration, also while configurations come in quick succession.
+// statusView returns the status. Its configuration version and hash always belong together, even while new configurations
+// arrive.
 func (r *Router) statusView() statusView {
 	version, hash := r.Cluster.ConfigInForce()
 	own := r.Cluster.Self()
@@ -63,13 +64,13 @@
 	views := []runnerView{}
 	for _, instance := range r.Runners.List() {
 		load, capacity := instance.Load()
-		queued, more := instance.QueuedTokens()
+		queued, excess := instance.QueuedTokens()
 		_, rate := instance.Estimate(false)
 		health := instance.Health()
 		if health == "" {
 			health = "ready"
 		}
-		views = append(views, runnerView{Report: instance.Report(), Health: health, Load: load, Capacity: capacity, QueuedTokens: int(queued + more), Rate: rate})
+		views = append(views, runnerView{Report: instance.Report(), Health: health, Load: load, Capacity: capacity, QueuedTokens: int(queued + excess), Rate: rate})
 	}
 	return views
 }
--- a/internal/dataplane/runner/send_test.go
+++ b/internal/dataplane/runner/send_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// The runner receives the client's body byte for byte, the forwarded headers, the router's own two headers, and nothing that
-// net/http adds except the length.
+// The runner receives the client's body byte for byte, the forwarded headers, the router's own two headers, and of those
+// that net/http adds only Host and Content-Length.
 func TestBytesOnTheWire(t *testing.T) {
 	r := startRawRunner(t, func(int) string { return okResponse })
 	s := NewSender(nil)
