--- a/internal/dataplane/runner/headers.go
+++ b/internal/dataplane/runner/headers.go
@@ -16,8 +16,9 @@
 	RequestHeader   = "X-Yarrowridge-Query"
 )
 
-// ForwardedHeader returns a copy of the headers of a request or response without those that are not forwarded: the hop-by-hop
-// headers, those listed in Connection, and all that could be mistaken for a router's own headers or for a tenant's name.
+// ForwardedHeader returns a copy of the headers of a request or response without those that are not forwarded: the
+// hop-by-hop headers, those listed in Connection, and all that could be mistaken for a router's own headers or for a
+// tenant's name.
 func ForwardedHeader(in http.Header) http.Header {
 	out := in.Clone()
 	for _, list := range in.Values("Connection") {
--- a/internal/dataplane/runner/speed.go
+++ b/internal/dataplane/runner/speed.go
@@ -22,7 +22,8 @@
 // batchBucket sums up the responses that were measured at similar batch sizes.
 type batchBucket struct{ responses, tokens, seconds, streamSeconds float64 }
 
-// maxBucketResponses is the number of responses at which all sums of a bucket are halved, so that older responses lose weight.
+// maxBucketResponses is the number of responses at which all sums of a bucket are halved, so that older responses lose
+// weight.
 const maxBucketResponses = 64
 
 // advance counts the time since the last call with a number of concurrent streams. It is called before that number changes.
