--- a/internal/dataplane/router/gatewayreadiness.go
+++ b/internal/dataplane/router/gatewayreadiness.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// unavailableReason says why this router can serve no request, or "".
+// unavailableReason returns the reason why this router cannot serve requests, or "" if it can.
 func (g *Gateway) unavailableReason() string {
 	if g.table.Load() == nil {
 		return "no configuration yet"
@@ -18,7 +18,7 @@
 	return ""
 }
 
-// notReadyReason says why no new clients should be sent to this router, or "".
+// notReadyReason returns the reason why new clients should not be sent to this router, or "" if they should.
 func (g *Gateway) notReadyReason() string {
 	if reason := g.Cluster.NotReadyReason(); reason != "" {
 		return reason
@@ -26,7 +26,7 @@
 	if len(g.Registry.List()) == 0 {
 		return "no runner is known yet"
 	}
-	if g.Front.Keys.Stale(time.Now()) {
+	if g.ClientHandler.Keys.Stale(time.Now()) {
 		return "the keys may have been taken away"
 	}
 	return ""
