--- a/internal/dataplane/clientapi/retryrun.go
+++ b/internal/dataplane/clientapi/retryrun.go
@@ -126,5 +126,5 @@
 	return err
 }
 
-// Open counts the requests in flight.
-func (s *Server) Open() int { return int(s.open.Load()) }
+// InFlight counts the requests in flight.
+func (s *Server) InFlight() int { return int(s.open.Load()) }
--- a/internal/dataplane/router/drain.go
+++ b/internal/dataplane/router/drain.go
@@ -31,7 +31,7 @@
 		}
 	}
 	for draining := true; draining; {
-		draining = r.Claims.PendingCompletions()+r.Clients.Open() > 0 && runloop.Sleep(within, drainPollInterval)
+		draining = r.Claims.PendingCompletions()+r.Clients.InFlight() > 0 && runloop.Sleep(within, drainPollInterval)
 	}
 	r.Cluster.Leave(ctx)
 	r.sender.Close()
