--- a/internal/dataplane/clientapi/admission.go
+++ b/internal/dataplane/clientapi/admission.go
@@ -11,7 +11,7 @@
 	"yarrowridge/internal/dataplane/runner"
 )
 
-// releaseUnits gives back the units that were reserved and not spent.
+// releaseUnits cancels the reservation of quota units that were not spent.
 func (e *exchange) releaseUnits() {
 	if e.reservedUnits > 0 {
 		e.server.QuotaShares.For(e.tenant.Name).Cancel(e.reservedUnits)
@@ -19,26 +19,27 @@
 	}
 }
 
-// eligibleRunners lists the runners that serve what is asked, whatever their health.
+// eligibleRunners returns the runners that serve the request's pool, model and output length, healthy or not.
 func (e *exchange) eligibleRunners() []*runner.Instance {
-	var out []*runner.Instance
+	var eligible []*runner.Instance
 	for _, instance := range e.server.Runners.List() {
 		if instance.Serves(e.pool.Select, e.model, e.maxTokens) {
-			out = append(out, instance)
+			eligible = append(eligible, instance)
 		}
 	}
-	return out
+	return eligible
 }
 
-// admit judges the free output allowance once, and reserves the tenant's quota.
+// admit applies the free output allowance and reserves units of the tenant's quota. The rerun of a lost stream only reserves
+// units.
 func (e *exchange) admit() error {
 	note := ""
 	if !e.class.WithoutPrompt {
-		verdict, err := e.judgeAllowance()
+		decision, err := e.decideAllowance()
 		if err != nil {
 			return err
 		}
-		note = fmt.Sprintf("%s, allowance %d, wait %.1f s", verdict.Outcome, verdict.Allowance, verdict.Wait.Seconds())
+		note = fmt.Sprintf("%s, allowance %d, wait %.1f s", decision.Outcome, decision.Allowance, decision.Wait.Seconds())
 	}
 	if err := e.reserveUnits(); err != nil {
 		return err
@@ -46,34 +47,34 @@
 	return e.request.Advance(request.Admitted, note)
 }
 
-// judgeAllowance holds the output asked for against the free output allowance, and lowers it where the
-// client lets us.
-func (e *exchange) judgeAllowance() (allow.Decision, error) {
+// decideAllowance compares the requested output with the free output allowance, and lowers max_tokens to the allowance if the
+// client permits it.
+func (e *exchange) decideAllowance() (allow.Decision, error) {
 	waiting, estimates := e.workAhead()
 	demand := allow.Demand{Funded: e.tenant.Funded, Tokens: e.maxTokens, MayLower: gjson.GetBytes(e.body, "allow_downgrade").Bool()}
-	verdict := allow.Decide(e.config.Allowance, demand, estimates, waiting)
-	e.estimatedWait = verdict.Wait
-	e.server.Metrics.AllowanceDecisions.WithLabelValues(e.tenantKind(), string(verdict.Outcome), allow.Bucket(e.maxTokens), allow.Bucket(verdict.Allowance)).Inc()
-	e.server.Metrics.AllowanceWait.WithLabelValues(e.tenantKind()).Observe(verdict.Wait.Seconds())
-	switch verdict.Outcome {
+	decision := allow.Decide(e.config.Allowance, demand, estimates, waiting)
+	e.estimatedWait = decision.Wait
+	e.server.Metrics.AllowanceDecisions.WithLabelValues(e.tenantKind(), string(decision.Outcome), allow.Bucket(e.maxTokens), allow.Bucket(decision.Allowance)).Inc()
+	e.server.Metrics.AllowanceWait.WithLabelValues(e.tenantKind()).Observe(decision.Wait.Seconds())
+	switch decision.Outcome {
 	case allow.NoFunds:
-		return verdict, &Rejection{Status: 402, Code: CodeAllowanceExceeded, RetryAfter: e.retryAfter(),
-			Message: fmt.Sprintf("The free output allowance is %d tokens now; %d were asked for. Ask for less, or later, or use funds.", verdict.Allowance, e.maxTokens)}
+		return decision, &Rejection{Status: 402, Code: CodeAllowanceExceeded, RetryAfter: e.retryAfter(),
+			Message: fmt.Sprintf("The free output allowance is %d tokens now; %d were asked for. Ask for less, or later, or use funds.", decision.Allowance, e.maxTokens)}
 	case allow.NoRunner:
-		return verdict, &Rejection{Status: 503, Code: CodeNoRunner, RetryAfter: 5 * time.Second,
+		return decision, &Rejection{Status: 503, Code: CodeNoRunner, RetryAfter: 5 * time.Second,
 			Message: fmt.Sprintf("No runner that is ready serves model %s with %d tokens of output.", e.model, e.maxTokens)}
 	case allow.Lowered:
-		e.loweredTo = verdict.Tokens
+		e.loweredTo = decision.Tokens
 		e.lowerMaxTokens()
 	}
-	return verdict, nil
+	return decision, nil
 }
 
-// workAhead is the output waiting in queues ahead of the request, and what is known of the healthy runners
-// that could serve it.
+// workAhead returns the output tokens queued ahead of the request, and load estimates of the healthy runners that could serve
+// it.
 func (e *exchange) workAhead() (waiting float64, estimates []allow.Estimate) {
-	// Routers that queue for the same runners drain alike, so beside each token ahead here
-	// others go ahead elsewhere, as far as there are any.
+	// Routers that queue for the same runners drain at the same pace: for each token ahead here, each other router also
+	// dispatches one, as long as it has any queued.
 	ahead := e.server.Scheduler.TokensAhead(e.queueKind, e.class.Priority, e.tenantIndex)
 	elsewhere, routers := e.server.Runners.Waiting(e.queueKind)
 	waiting = float64(ahead + min(elsewhere, ahead*routers))
@@ -86,7 +87,7 @@
 	return waiting, estimates
 }
 
-// reserveUnits reserves the units of the tenant's quota that this run costs.
+// reserveUnits reserves the quota units that this run costs. It rejects the request if they are not available.
 func (e *exchange) reserveUnits() error {
 	if quota := e.tenant.Quota; quota.Units > 0 {
 		cost := 1
@@ -97,19 +98,19 @@
 			return &Rejection{Status: 429, Code: CodeOverQuota, Message: fmt.Sprintf("This query costs %d units; the quota is %d.", cost, quota.Units)}
 		}
 		e.server.QuotaShares.For(e.tenant.Name).SetLimit(quota.Units, quota.Window)
-		ok, again := e.server.QuotaShares.Reserve(e.incoming.Context(), e.tenant.Name, cost)
+		ok, retryAfter := e.server.QuotaShares.Reserve(e.incoming.Context(), e.tenant.Name, cost)
 		if !ok && e.server.QuotaShares.For(e.tenant.Name).Unanswered() {
-			return &Rejection{Status: 503, Code: CodeQuotaUnknown, RetryAfter: again, Message: "Whether the tenant's quota is spent is not known now."}
+			return &Rejection{Status: 503, Code: CodeQuotaUnknown, RetryAfter: retryAfter, Message: "Whether the tenant's quota is spent is not known now."}
 		}
 		if !ok {
-			return &Rejection{Status: 429, Code: CodeQuotaSpent, RetryAfter: again, Message: "The tenant's quota is spent for now."}
+			return &Rejection{Status: 429, Code: CodeQuotaSpent, RetryAfter: retryAfter, Message: "The tenant's quota is spent for now."}
 		}
 		e.reservedUnits = cost
 	}
 	return nil
 }
 
-// tenantKind tells how a tenant pays, for the metrics.
+// tenantKind returns the metrics label for whether the tenant pays.
 func (e *exchange) tenantKind() string {
 	if e.tenant.Funded {
 		return "funded"
@@ -117,7 +118,8 @@
 	return "unfunded"
 }
 
-// retryAfter is when to come back: once the work ahead should have fallen by half, within a minute.
+// retryAfter returns the Retry-After delay of a rejection: half of the estimated wait, by when about half of the work ahead is
+// done, but at least a second and at most a minute.
 func (e *exchange) retryAfter() time.Duration {
 	return min(max(e.estimatedWait/2, time.Second), time.Minute)
 }
--- a/internal/dataplane/clientapi/body.go
+++ b/internal/dataplane/clientapi/body.go
@@ -15,17 +15,17 @@
 	"yarrowridge/internal/lib/web"
 )
 
-// readBody takes the body in, within its bounds of size and time.
+// readBody reads the whole body, within the configured limits of size and time.
 func (e *exchange) readBody() error {
-	limit, wait := e.config.Limits.BodyBytes, e.config.Limits.BodyTimeout
+	limit, timeout := e.config.Limits.BodyBytes, e.config.Limits.BodyTimeout
 	control := web.ResponseController(e.writer, e.incoming)
-	_ = control.SetReadDeadline(time.Now().Add(wait))
+	_ = control.SetReadDeadline(time.Now().Add(timeout))
 	raw, err := io.ReadAll(io.LimitReader(e.incoming.Body, int64(limit)+1))
 	switch {
 	case len(raw) > limit:
 		return &Rejection{Status: 413, Code: CodeBodyTooLarge, Message: fmt.Sprintf("A body of at most %d bytes is taken.", limit)}
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return &Rejection{Status: 408, Code: CodeBodySlow, Message: fmt.Sprintf("The body is expected whole within %s.", wait)}
+		return &Rejection{Status: 408, Code: CodeBodySlow, Message: fmt.Sprintf("The body is expected whole within %s.", timeout)}
 	case err != nil:
 		return &Rejection{Status: 400, Code: CodeBodyIncomplete, Message: "The body broke off before its end."}
 	}
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// parseBody reads what a prompt asks for.
+// parseBody validates a prompt's JSON body and extracts the fields that routing and admission need.
 func (e *exchange) parseBody() error {
 	if mediaType, _, err := mime.ParseMediaType(e.incoming.Header.Get("Content-Type")); err != nil || mediaType != "application/json" {
 		return &Rejection{Status: 415, Code: CodeBadType, Message: "Content-Type application/json is expected."}
@@ -46,15 +46,15 @@
 	if !gjson.ValidBytes(e.body) || !doc.IsObject() {
 		return &Rejection{Status: 400, Code: CodeBadJSON, Message: "A JSON object is expected."}
 	}
-	bad := func(what string) error {
-		return &Rejection{Status: 400, Code: CodeBadPrompt, Message: what}
+	badPrompt := func(message string) error {
+		return &Rejection{Status: 400, Code: CodeBadPrompt, Message: message}
 	}
-	if twice := repeatedField(doc); twice != "" {
-		return bad("The field " + strconv.Quote(twice) + " stands there twice.")
+	if repeated := repeatedField(doc); repeated != "" {
+		return badPrompt("The field " + strconv.Quote(repeated) + " stands there twice.")
 	}
 	model := doc.Get("model")
 	if model.Type != gjson.String || model.Str == "" {
-		return bad("model: a string is expected.")
+		return badPrompt("model: a string is expected.")
 	}
 	e.model = model.Str
 	messages, prompt := doc.Get("messages"), doc.Get("prompt")
@@ -64,14 +64,14 @@
 	case prompt.Type == gjson.String && !messages.Exists():
 		e.prompt = prompt.Str
 	default:
-		return bad("Either prompt, a string, or messages, a list, is expected.")
+		return badPrompt("Either prompt, a string, or messages, a list, is expected.")
 	}
 	if flag := doc.Get("stream"); flag.Exists() && !flag.IsBool() {
-		return bad("stream: true or false is expected.")
+		return badPrompt("stream: true or false is expected.")
 	}
 	e.wantsStream = doc.Get("stream").Bool()
 	if flag := doc.Get("allow_downgrade"); flag.Exists() && !flag.IsBool() {
-		return bad("allow_downgrade: true or false is expected.")
+		return badPrompt("allow_downgrade: true or false is expected.")
 	}
 	tokens := doc.Get("max_tokens")
 	if tokens.Type != gjson.Number || tokens.Num != math.Trunc(tokens.Num) || tokens.Num < 1 || tokens.Num > float64(e.config.Limits.Tokens) {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// repeatedField names a field that an object has twice, or "".
+// repeatedField returns the name of a field that occurs more than once in an object, or "".
 func repeatedField(object gjson.Result) string {
 	seen := map[string]bool{}
 	repeated := ""
@@ -95,12 +95,12 @@
 	return repeated
 }
 
-// lowerMaxTokens changes max_tokens in the body, and not a byte besides.
+// lowerMaxTokens replaces the value of max_tokens in the body by loweredTo and leaves every other byte as it was.
 func (e *exchange) lowerMaxTokens() {
 	tokens := gjson.GetBytes(e.body, "max_tokens")
-	next := make([]byte, 0, len(e.body))
-	next = append(next, e.body[:tokens.Index]...)
-	next = strconv.AppendInt(next, int64(e.loweredTo), 10)
-	e.body = append(next, e.body[tokens.Index+len(tokens.Raw):]...)
+	body := make([]byte, 0, len(e.body))
+	body = append(body, e.body[:tokens.Index]...)
+	body = strconv.AppendInt(body, int64(e.loweredTo), 10)
+	e.body = append(body, e.body[tokens.Index+len(tokens.Raw):]...)
 	e.maxTokens = e.loweredTo
 }
--- a/internal/dataplane/clientapi/clientwriter.go
+++ b/internal/dataplane/clientapi/clientwriter.go
@@ -7,11 +7,11 @@
 	"yarrowridge/internal/lib/web"
 )
 
-// clientWriteTimeout is how long a client may take nothing of its response before it counts as gone.
+// clientWriteTimeout is how long a write to a client may make no progress before the client counts as disconnected.
 const clientWriteTimeout = 5 * time.Second
 
-// clientWriter is the client's end of a response. Nobody waits for a client for longer than
-// clientWriteTimeout: its runner and the replica at the standby go on without it.
+// clientWriter writes a response to the client. A write blocks for at most clientWriteTimeout: after that the client counts as
+// disconnected, and the runner and the replication to the standby continue without it.
 type clientWriter struct {
 	writer  http.ResponseWriter
 	control *http.ResponseController
@@ -22,7 +22,7 @@
 	return &clientWriter{writer: e.writer, control: web.ResponseController(e.writer, e.incoming)}
 }
 
-// write hands bytes over, and reports whether the client is still there.
+// write sends data to the client and flushes it. It reports whether the client is still connected.
 func (c *clientWriter) write(data []byte) bool {
 	for len(data) > 0 && !c.closed {
 		n := min(len(data), 64<<10)
--- a/internal/dataplane/clientapi/codes_test.go
+++ b/internal/dataplane/clientapi/codes_test.go
@@ -10,10 +10,11 @@
 	"testing"
 )
 
-// logOnly are codes that no client gets: they stand in the log and in metrics.
+// logOnly contains the codes that need no documentation for clients: those that occur only in logs and metrics, and
+// CodeInternal.
 var logOnly = map[Code]bool{CodeClientLeft: true, CodeResumed: true, CodeReplayed: true, CodeTakenOver: true, CodeInternal: true}
 
-// Operators and clients look codes up on two pages: each code that a client can get is on one of them.
+// Operators and clients look codes up on two pages. Each code that a client can receive must be on one of them.
 func TestPageListsEachCode(t *testing.T) {
 	var pages []byte
 	for _, name := range []string{"operators/day-two.md", "streams.md"} {
@@ -25,7 +26,7 @@
 	}
 	codes := declaredCodes(t)
 	if len(codes) < 40 {
-		t.Fatalf("got %d codes in codes.go, want at least 40: the parser has missed the table", len(codes))
+		t.Fatalf("got %d codes in codes.go, want at least 40: the parser missed most of the table", len(codes))
 	}
 	for _, code := range codes {
 		if !logOnly[code] && !strings.Contains(string(pages), "`"+string(code)+"`") {
@@ -34,7 +35,7 @@
 	}
 }
 
-// declaredCodes reads the texts of the table in codes.go.
+// declaredCodes returns the string literals in codes.go without its import paths.
 func declaredCodes(t *testing.T) []Code {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), "codes.go", nil, 0)
@@ -51,7 +52,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !strings.Contains(text, "/") { // no import path
+		if !strings.Contains(text, "/") { // not an import path
 			codes = append(codes, Code(text))
 		}
 		return true
--- a/internal/dataplane/clientapi/dispatch.go
+++ b/internal/dataplane/clientapi/dispatch.go
@@ -8,7 +8,8 @@
 	"yarrowridge/internal/dataplane/request"
 )
 
-// serve queues, chooses a runner and sends. It tries another runner only while no byte can have left.
+// serve queues the request until a runner has capacity, and sends it to that runner. It tries another runner only if no byte
+// of the request can have been sent.
 func (e *exchange) serve() error {
 	if e.attemptedRunners == nil {
 		e.attemptedRunners = map[int]bool{}
@@ -16,19 +17,19 @@
 	if e.wantsStream && e.resumable == nil {
 		e.resumable = e.newResumableStream()
 	}
-	until := time.Now().Add(e.class.QueueTimeout)
+	deadline := time.Now().Add(e.class.QueueTimeout)
 	service := e.config.Services[e.pool.Service]
 	ctx := e.incoming.Context()
-	if e.isRetry {
-		ctx = e.resumable.ctx // its client may be on its way back
+	if e.isRerun {
+		ctx = e.resumable.ctx // the client may have disconnected and come back to resume the stream
 	}
-	keys := place.PrefixHashes(e.tenantIndex, e.prompt)
-	for try := 0; ; try++ {
+	prefixHashes := place.PrefixHashes(e.tenantIndex, e.prompt)
+	for attempt := 0; ; attempt++ {
 		if err := e.request.Advance(request.Queued, e.queueKind); err != nil {
 			return err
 		}
-		wait := &place.Waiter{Kind: e.queueKind, Priority: e.class.Priority, Tenant: e.tenantIndex, Tokens: e.maxTokens, Lane: e.class.Name, UntilFirstByte: e.untilFirstByte(), PrefixHashes: keys, Eligible: e.eligibleRunners, Excluded: e.attemptedRunners, Recheck: e.checkConfig}
-		slot, err := e.server.Scheduler.Acquire(ctx, wait, time.Until(until), e.config.Limits.Queue)
+		waiter := &place.Waiter{Kind: e.queueKind, Priority: e.class.Priority, Tenant: e.tenantIndex, Tokens: e.maxTokens, Lane: e.class.Name, UntilFirstByte: e.untilFirstByte(), PrefixHashes: prefixHashes, Eligible: e.eligibleRunners, Excluded: e.attemptedRunners, Recheck: e.checkConfig}
+		slot, err := e.server.Scheduler.Acquire(ctx, waiter, time.Until(deadline), e.config.Limits.Queue)
 		var rejection *Rejection
 		switch {
 		case errors.As(err, &rejection):
@@ -43,12 +44,12 @@
 		if err := e.request.Advance(request.Chosen, slot.Address); err != nil {
 			return err
 		}
-		if try == 0 && !e.isRetry {
+		if attempt == 0 && !e.isRerun {
 			e.server.Metrics.DispatchWait.WithLabelValues(e.tenantKind()).Observe(e.request.Age().Seconds())
 			e.server.Retries.CountFirstAttempt(service, e.server.Cluster.Share(service.MinRetries))
 		}
-		left, err := e.send(slot)
-		if err == nil || left || errors.As(err, &rejection) {
+		maybeSent, err := e.send(slot)
+		if err == nil || maybeSent || errors.As(err, &rejection) {
 			return err
 		}
 		e.attemptedRunners[slot.Index] = true
--- a/internal/dataplane/clientapi/events.go
+++ b/internal/dataplane/clientapi/events.go
@@ -11,12 +11,12 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// readEvent reads one server-sent event, its blank line included.
+// readEvent reads one server-sent event, including the blank line that ends it.
 func readEvent(in *bufio.Reader) ([]byte, error) {
 	var out []byte
-	for line := 0; ; { // where the present line begins: a long one comes in several reads
-		part, err := in.ReadSlice('\n')
-		out = append(out, part...)
+	for lineStart := 0; ; { // offset of the current line; a line longer than the buffer takes several reads
+		fragment, err := in.ReadSlice('\n')
+		out = append(out, fragment...)
 		if err != nil && err != bufio.ErrBufferFull {
 			return out, err
 		}
@@ -26,52 +26,52 @@
 		if err != nil {
 			continue
 		}
-		if len(bytes.TrimRight(out[line:], "\r\n")) == 0 {
+		if len(bytes.TrimRight(out[lineStart:], "\r\n")) == 0 {
 			return out, nil
 		}
-		line = len(out)
+		lineStart = len(out)
 	}
 }
 
 var errEventTooLarge = &Rejection{Status: 502, Code: CodeEventTooLarge, OutcomeUnknown: true, Message: "A piece of the runner's stream is too large."}
 
-// isLastEvent reports whether an event is the one by which a runner says that the stream is complete.
+// isLastEvent reports whether an event is the one with which a runner marks its stream as complete.
 func isLastEvent(event []byte) bool { return bytes.HasPrefix(event, []byte("data: [DONE]")) }
 
-// endEvent tells a client that a stream is complete.
+// endEvent is the event that marks a stream as complete.
 const endEvent = "data: [DONE]\n\n"
 
-// numberEvent puts a chunk's number into its event, after any the runner set.
+// numberEvent adds a chunk's number to its event as the id field, after any id that the runner set: the last one counts.
 func numberEvent(event []byte, number int) []byte {
 	out := append([]byte{}, bytes.TrimRight(event, "\r\n")...)
 	return append(out, fmt.Sprintf("\nid: %d\n\n", number)...)
 }
 
-// errorEvent is the event that ends a stream explicitly.
+// errorEvent returns the event that ends a stream with an error.
 func errorEvent(code Code, text, id string) []byte {
 	raw, _ := json.Marshal(RejectionBody{RejectionError{Code: code, Message: text, RequestID: id, Run: "unknown"}})
 	return append(append([]byte("event: trouble\ndata: "), raw...), '\n', '\n')
 }
 
-// eventReader reads the events of one run, and compares them with those of an earlier run.
+// eventReader reads the events of one run and compares them with those recorded of earlier runs.
 type eventReader struct {
 	in       *bufio.Reader
-	recorded int // events that an earlier run gave
-	received int // events of this run
-	complete bool
+	recorded int  // events recorded of earlier runs
+	received int  // events of this run so far, without the end event
+	complete bool // the end event was received
 }
 
-// maxBatchEvents is how many events are replicated and forwarded together at the most.
+// maxBatchEvents limits how many events are replicated and forwarded together.
 const maxBatchEvents = 64
 
-// next reads the events that are there now, at least one. batch has those that no earlier run gave, with
-// their numbers; count is of all. Beside an error there may be events that came before it.
+// next waits for an event and reads it and those already buffered. batch contains the new events, beyond the recorded ones,
+// with their numbers; count includes the recorded ones. Events read before an error are returned with the error.
 func (e *eventReader) next(stream *streamstore.Stream) (batch [][]byte, count int, err error) {
 	for {
 		event, err := readEvent(e.in)
 		if err != nil || e.complete && len(event) > 0 {
 			if len(event) > 0 {
-				err = io.ErrUnexpectedEOF // half an event, or one after the end
+				err = io.ErrUnexpectedEOF // an incomplete event, or one after the end event
 			}
 			return batch, count, err
 		}
--- a/internal/dataplane/clientapi/rejection.go
+++ b/internal/dataplane/clientapi/rejection.go
@@ -12,16 +12,17 @@
 	"yarrowridge/internal/lib/web"
 )
 
-// Rejection is a "no" to a client: what code, at which step, and whether the request ran.
+// Rejection is the error with which a request ends that gets no complete response. If Status is zero, no error response is
+// sent.
 type Rejection struct {
 	Status         int
 	Code           Code
 	Message        string
-	RetryAfter     time.Duration // zero: none
-	OutcomeUnknown bool          // it may have run, or may be running
+	RetryAfter     time.Duration // zero: no Retry-After header
+	OutcomeUnknown bool          // the request may have run, or may still be running
 }
 
-// Error gives the code.
+// Error returns the code.
 func (r *Rejection) Error() string { return string(r.Code) }
 
 // RejectionBody is the JSON body of a rejection, and the data of the event that ends a stream early.
@@ -29,7 +30,7 @@
 	Error RejectionError `json:"error"`
 }
 
-// RejectionError tells a client what went wrong and whether its request ran.
+// RejectionError describes an error to a client, and whether its request ran.
 type RejectionError struct {
 	Code      Code          `json:"code"`
 	Message   string        `json:"message"`
@@ -38,7 +39,8 @@
 	Step      request.State `json:"step,omitempty"`
 }
 
-// reject answers a request that went wrong before anything was written to the client.
+// reject ends a request with an error, sends the error response, if any, and returns the code for log and metrics. If it sends
+// one, nothing was written to the client before.
 func (e *exchange) reject(err error) string {
 	var rejection *Rejection
 	if !errors.As(err, &rejection) {
@@ -50,12 +52,13 @@
 		e.claim.release(rejection.OutcomeUnknown)
 	}
 	if rejection.Status == 0 {
-		// Nobody to answer, or answered already. An unanswered handler would be taken for an empty 200.
+		// The client is gone or has its response already. If a handler returns without a response, net/http sends an empty 200:
+		// for a client that left, the connection is closed instead.
 		e.abortConnection = e.abortConnection || rejection.Code == CodeClientLeft
 		return string(rejection.Code)
 	}
 	if !e.bodyRead {
-		// The rest of an unread body delays neither the response nor a graceful shutdown.
+		// net/http reads the rest of the body. The deadline keeps that from delaying the response or a graceful shutdown.
 		_ = web.ResponseController(e.writer, e.incoming).SetReadDeadline(time.Now().Add(bodyDrainTimeout))
 	}
 	header := e.writer.Header()
@@ -78,13 +81,13 @@
 	return string(rejection.Code)
 }
 
-// finishFailed ends a request that came to no complete response, by its code, and returns how far it had come.
+// finishFailed records that a request ended without a complete response, and returns its state before.
 func (e *exchange) finishFailed(code Code) request.State {
-	at := e.request.State()
-	if at == request.Sent || at == request.Responding {
+	state := e.request.State()
+	if state == request.Sent || state == request.Responding {
 		_ = e.request.Advance(request.Failed, string(code))
 	} else {
 		_ = e.request.Advance(request.Rejected, string(code))
 	}
-	return at
+	return state
 }
--- a/internal/dataplane/clientapi/response.go
+++ b/internal/dataplane/clientapi/response.go
@@ -18,13 +18,14 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// send sends the request to one runner and forwards its response. left reports whether a byte may have left: only where it has not may the request be sent again.
-func (e *exchange) send(slot *runner.Slot) (left bool, err error) {
-	answered := false
+// send sends the request to one runner and forwards its response. maybeSent reports whether a byte of the request may have
+// been sent: only if it is false may the request be sent again.
+func (e *exchange) send(slot *runner.Slot) (maybeSent bool, err error) {
+	completed := false
 	ctx, cancel := e.runContext()
 	defer func() {
 		cancel(nil)
-		if received := slot.Release(answered); answered && received > 0 {
+		if received := slot.Release(completed); completed && received > 0 {
 			e.server.Scheduler.Lengths.Add(e.class.Name, e.maxTokens, received)
 		}
 		e.server.Scheduler.Wake()
@@ -34,29 +35,29 @@
 	}
 	watchdog := time.AfterFunc(e.class.StallTimeout+e.untilFirstByte(), func() { cancel(errRunnerStalled) })
 	defer watchdog.Stop()
-	response, left, err := e.server.Sender.Send(ctx, slot.Address, runner.Request{Method: e.incoming.Method, Path: e.incoming.URL.RequestURI(), Header: e.incoming.Header, Body: e.body, Tenant: e.tenant.Name, ID: e.request.ID})
-	if err != nil && !left {
+	response, maybeSent, err := e.server.Sender.Send(ctx, slot.Address, runner.Request{Method: e.incoming.Method, Path: e.incoming.URL.RequestURI(), Header: e.incoming.Header, Body: e.body, Tenant: e.tenant.Name, ID: e.request.ID})
+	if err != nil && !maybeSent {
 		return false, e.notSent(ctx, slot, err)
 	}
-	// The units were reserved until now, so counting their window from here only makes it longer.
+	// Until now the units were reserved, so starting their quota window only here can't exceed the quota.
 	if e.reservedUnits > 0 {
 		e.server.QuotaShares.For(e.tenant.Name).Commit(e.reservedUnits)
 		e.reservedUnits = 0
 	}
-	if advanced := e.request.Advance(request.Sent, slot.Address); advanced != nil {
-		return true, advanced
+	if advanceErr := e.request.Advance(request.Sent, slot.Address); advanceErr != nil {
+		return true, advanceErr
 	}
 	if err != nil {
 		return true, e.runnerFailed(ctx, slot, err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	err = e.forwardResponse(ctx, slot, response, watchdog)
-	answered = err == nil
+	completed = err == nil
 	return true, err
 }
 
-// runContext is the context of one run. A request that may run only once, or whose stream may be resumed,
-// runs on without its client.
+// runContext returns the context of one run. A request that may run only once, or whose stream may be resumed, continues after
+// its client has disconnected.
 func (e *exchange) runContext() (context.Context, context.CancelCauseFunc) {
 	switch {
 	case e.resumable != nil:
@@ -67,7 +68,8 @@
 	return context.WithCancelCause(e.incoming.Context())
 }
 
-// notSent says why a request did not leave us.
+// notSent returns the error for a request of which nothing was sent. It records a failure of the runner, unless the run was
+// cancelled.
 func (e *exchange) notSent(ctx context.Context, slot *runner.Slot, err error) error {
 	if context.Cause(ctx) == errKeyWithdrawn {
 		return &Rejection{Status: 401, Code: CodeUnknownKey, Message: "The key was withdrawn before the query was sent."}
@@ -96,13 +98,13 @@
 		}
 		return e.forwardStream(ctx, slot, response, watchdog)
 	case e.resumable != nil && e.resumable.stored != nil:
-		return e.runnerFailed(ctx, slot, errNoStream) // a retry that is no stream continues nothing
+		return e.runnerFailed(ctx, slot, errNotAStream) // the rerun's response can't continue the stream
 	}
 	return e.forwardBuffered(ctx, slot, response, watchdog)
 }
 
-// untilFirstByte is how long the response may take before anything of it is sent. A buffered response is generated before
-// it is sent, at the pace that the allowance assumes of a runner it knows nothing about.
+// untilFirstByte returns how long the response may take before its first byte: zero for a stream. A runner generates any other
+// response completely before it sends it, assumed at the rate that the allowance assumes for a runner without measurements.
 func (e *exchange) untilFirstByte() time.Duration {
 	if e.wantsStream {
 		return 0
@@ -113,10 +115,10 @@
 var (
 	errRunnerStalled = errors.New("silent")
 	errKeyWithdrawn  = errors.New("key withdrawn")
-	errNoStream      = errors.New("the answer is no stream")
+	errNotAStream    = errors.New("response is not an event stream")
 )
 
-// watchKey ends what runs under a key that a new config no longer knows.
+// watchKey cancels a run once a new config no longer contains its key.
 func (e *exchange) watchKey(ctx context.Context, cancel context.CancelCauseFunc) {
 	for {
 		changed := e.server.Cluster.ConfigChanged()
@@ -132,7 +134,7 @@
 	}
 }
 
-// keyWithdrawn reports whether the config in force no longer knows the key that this request came with.
+// keyWithdrawn reports whether the current config no longer contains the key of this request.
 func (e *exchange) keyWithdrawn() bool {
 	_, ok := e.findTenant(e.server.Cluster.Config())
 	return !ok
@@ -140,7 +142,8 @@
 
 var errKeyWithdrawnRejection = &Rejection{Status: 401, Code: CodeKeyWithdrawn, OutcomeUnknown: true, Message: "The key was withdrawn while the query ran."}
 
-// runnerFailed says what became of a request whose runner broke off.
+// runnerFailed returns the error for a request whose runner failed after the request was sent. It records a failure of the
+// runner, unless the key was withdrawn or the client left.
 func (e *exchange) runnerFailed(ctx context.Context, slot *runner.Slot, err error) error {
 	if context.Cause(ctx) == errKeyWithdrawn {
 		return errKeyWithdrawnRejection
@@ -157,7 +160,7 @@
 	return &Rejection{Status: 502, Code: CodeRunnerLost, OutcomeUnknown: !faultinjection.Disabled("unknown"), Message: "The runner broke off before its answer was whole."}
 }
 
-// copyHeader copies the runner's headers for the client.
+// copyHeader copies the runner's response headers to the client's response, and adds the router's own.
 func (e *exchange) copyHeader(response *http.Response) {
 	for name, values := range runner.ForwardedHeader(response.Header) {
 		e.writer.Header()[name] = values
@@ -168,7 +171,8 @@
 	}
 }
 
-// forwardBuffered reads the response to its framed end before a byte of it is forwarded.
+// forwardBuffered reads a response to its end, by Content-Length or last chunk, before it forwards any of it. So an incomplete
+// response is never forwarded.
 func (e *exchange) forwardBuffered(ctx context.Context, slot *runner.Slot, response *http.Response, watchdog *time.Timer) (err error) {
 	var raw []byte
 	buf := make([]byte, 32<<10)
@@ -190,7 +194,7 @@
 	if !e.class.WithoutPrompt {
 		n := int(gjson.GetBytes(raw, "usage.completion_tokens").Int())
 		if n <= 0 || n > e.maxTokens {
-			n = min(e.maxTokens, len(raw)/4) // the runner does not say: about four bytes a token
+			n = min(e.maxTokens, len(raw)/4) // the runner did not report usage: about four bytes per token
 		}
 		slot.AddTokens(n)
 	}
@@ -201,7 +205,7 @@
 		e.claim.complete(response.StatusCode, response.Header.Get("Content-Type"), raw)
 	}
 	if e.keyWithdrawn() {
-		return errKeyWithdrawnRejection // what became of it is known, but not for this client
+		return errKeyWithdrawnRejection // the response is complete, but this client may no longer have it
 	}
 	if err := e.request.Advance(request.Done, ""); err != nil {
 		return err
--- a/internal/dataplane/clientapi/resumable.go
+++ b/internal/dataplane/clientapi/resumable.go
@@ -9,42 +9,43 @@
 	"yarrowridge/internal/dataplane/streamstore"
 )
 
-// resumableStream is what the runs of one stream have in common: its chunks, and the client that it is sent to. Only the
-// goroutine of its request uses it.
+// resumableStream is what the first run and the reruns of one stream share: the stored chunks and the connection to the
+// client. Only the goroutine of the request uses it.
 type resumableStream struct {
-	id              string // of the stream: the first run's request
-	stored          *streamstore.Stream
-	client          *clientWriter   // nil where the client resumes it by itself
-	ctx             context.Context // of all runs
+	id              string              // of the stream: the request ID of the first run
+	stored          *streamstore.Stream // nil until the first response begins
+	client          *clientWriter       // nil after a takeover: the client resumes the stream by itself
+	ctx             context.Context     // of all runs
 	cancel          context.CancelCauseFunc
-	clientGoneTimer *time.Timer // runs once the client is gone
+	clientGoneTimer *time.Timer // cancels ctx some time after the client has disconnected; nil while it is connected
 }
 
 func (e *exchange) newResumableStream() *resumableStream {
 	resumable := &resumableStream{id: e.request.ID, client: e.newClientWriter()}
-	resumable.ctx, resumable.cancel = context.WithCancelCause(e.server.Ctx) // it runs on without its client, not without its router
+	resumable.ctx, resumable.cancel = context.WithCancelCause(e.server.Ctx) // ends with the router, not with the client's connection
 	return resumable
 }
 
-// open begins the stream with its first run's headers.
-func (c *resumableStream) begin(e *exchange, response *http.Response) {
+// begin opens the stream in the store and sends the headers of the first run's response to the client.
+func (r *resumableStream) begin(e *exchange, response *http.Response) {
 	var saved *streamstore.SavedRequest
 	if e.class.RepeatLostStreams {
 		header := runner.ForwardedHeader(e.incoming.Header)
 		header.Del("Authorization")
 		saved = &streamstore.SavedRequest{Method: e.incoming.Method, Path: e.incoming.URL.RequestURI(), Header: header, Body: e.body, KeyHash: e.keyHash}
 	}
-	c.stored = e.server.Streams.Open(c.id, e.request.Tenant, saved)
+	r.stored = e.server.Streams.Open(r.id, e.request.Tenant, saved)
 	e.copyHeader(response)
-	e.writer.Header().Set(runner.RequestHeader, c.id)
-	e.writer.Header().Del("Content-Length") // chunks get their numbers
+	e.writer.Header().Set(runner.RequestHeader, r.id)
+	e.writer.Header().Del("Content-Length") // the numbers added to the events make the response longer
 	e.writer.WriteHeader(http.StatusOK)
 }
 
-// write sends bytes to the client, if it is there. One that is gone may resume the stream for a while.
-func (c *resumableStream) write(data []byte) {
-	if c.client != nil && c.clientGoneTimer == nil && !c.client.write(data) {
-		c.clientGoneTimer = time.AfterFunc(clientReturnTimeout, func() { c.cancel(errClientLeft) })
+// write sends data to the client if it is connected. After a disconnect the stream goes on for clientReturnTimeout, so that
+// the client can resume it.
+func (r *resumableStream) write(data []byte) {
+	if r.client != nil && r.clientGoneTimer == nil && !r.client.write(data) {
+		r.clientGoneTimer = time.AfterFunc(clientReturnTimeout, func() { r.cancel(errClientLeft) })
 	}
 }
 
--- a/internal/dataplane/clientapi/resume.go
+++ b/internal/dataplane/clientapi/resume.go
@@ -12,20 +12,19 @@
 	"yarrowridge/internal/lib/runloop"
 )
 
-// resumeTimeout is how long a resumed stream is waited for while nothing new comes and nobody says that it has ended: the
-// longest stall time-out that any traffic class may have.
+// resumeTimeout is how long resume waits for a new chunk or the end of a stream. It equals the longest stall time-out that a
+// traffic class may have.
 const resumeTimeout = time.Hour
 
-// A stream that no router has is asked for so often before it counts as lost.
 const (
-	maxMisses   = 3
-	missBackoff = 200 * time.Millisecond
+	maxMisses   = 3                      // consecutive reads that find the stream at no router before it counts as lost
+	missBackoff = 200 * time.Millisecond // between two such reads
 )
 
-// StreamPath is where a stream is resumed.
+// StreamPath is the path prefix at which clients resume streams; the stream's ID follows it.
 const StreamPath = "/v1/streams/"
 
-// resumeAfter is the number of the last chunk that the client has.
+// resumeAfter returns the number of the last chunk that the client has; 0 if it has none.
 func (e *exchange) resumeAfter() (int, error) {
 	text := e.incoming.Header.Get("Last-Event-ID")
 	if after := e.incoming.URL.Query().Get("after"); after != "" {
@@ -41,7 +40,7 @@
 	return after, nil
 }
 
-// resume sends a stream from the chunk after the one that the client names, through any router.
+// resume sends the client a stream from the chunk after the last one that it has, whichever router serves the stream.
 func (e *exchange) resume() error {
 	id := strings.TrimPrefix(e.incoming.URL.Path, StreamPath)
 	if e.incoming.Method != http.MethodGet {
@@ -57,41 +56,41 @@
 	defer cancel(nil)
 	go e.watchKey(ctx, cancel)
 	started := false
-	until := time.Now().Add(resumeTimeout)
+	deadline := time.Now().Add(resumeTimeout)
 	misses := 0
 	for !client.closed && e.incoming.Context().Err() == nil {
-		chunk, err := e.server.Streams.Resume(ctx, id, e.tenant.Name, after)
+		response, err := e.server.Streams.Resume(ctx, id, e.tenant.Name, after)
 		if misses++; err == nil {
 			misses = 0
 		}
 		switch {
 		case context.Cause(ctx) == errKeyWithdrawn:
-			chunk = &streamstore.ReadResponse{Failure: string(errKeyWithdrawnRejection.Code)}
+			response = &streamstore.ReadResponse{Failure: string(errKeyWithdrawnRejection.Code)}
 		case err != nil && misses < maxMisses && runloop.Sleep(ctx, missBackoff):
-			continue // it may just have been passed on from one router to the next
+			continue // another router may be taking it over right now
 		case err != nil && !started:
 			return &Rejection{Status: 404, Code: CodeNoStream, OutcomeUnknown: true, Message: "No router within reach holds this stream for this tenant."}
-		case err != nil || time.Now().After(until):
-			chunk = &streamstore.ReadResponse{Failure: streamstore.CodeRouterLost}
+		case err != nil || time.Now().After(deadline):
+			response = &streamstore.ReadResponse{Failure: streamstore.CodeRouterLost}
 		}
 		if !started {
 			started = true
 			e.writer.Header().Set("Content-Type", "text/event-stream")
 			e.writer.WriteHeader(http.StatusOK)
 		}
-		after += len(chunk.Chunks)
-		client.write(bytes.Join(chunk.Chunks, nil))
+		after += len(response.Chunks)
+		client.write(bytes.Join(response.Chunks, nil))
 		switch {
-		case chunk.Complete:
+		case response.Complete:
 			client.write([]byte(endEvent))
 			return &Rejection{Code: CodeResumed}
-		case chunk.Failure != "":
-			client.write(errorEvent(Code(chunk.Failure), "The run behind this stream was lost, or its key withdrawn.", id))
+		case response.Failure != "":
+			client.write(errorEvent(Code(response.Failure), "The run behind this stream was lost, or its key withdrawn.", id))
 			e.abortConnection = true
-			return &Rejection{Code: Code(chunk.Failure), OutcomeUnknown: true}
+			return &Rejection{Code: Code(response.Failure), OutcomeUnknown: true}
 		}
-		if len(chunk.Chunks) > 0 {
-			until = time.Now().Add(resumeTimeout)
+		if len(response.Chunks) > 0 {
+			deadline = time.Now().Add(resumeTimeout)
 		}
 	}
 	return &Rejection{Code: CodeClientLeft, OutcomeUnknown: true}
--- a/internal/dataplane/clientapi/retryrun.go
+++ b/internal/dataplane/clientapi/retryrun.go
@@ -10,8 +10,8 @@
 	"yarrowridge/internal/lib/runloop"
 )
 
-// continueStream makes second runs in place of a lost one, as far as the traffic class allows them, and ends the
-// stream.
+// continueStream reruns the request of a stream whose run was lost, as often as needed and as the traffic class and the retry
+// budget allow. If no run completes the stream, it ends the stream with an error event. err is how the first run ended.
 func (e *exchange) continueStream(err error) error {
 	resumable := e.resumable
 	defer resumable.cancel(nil)
@@ -20,24 +20,24 @@
 			resumable.clientGoneTimer.Stop()
 		}
 	}()
-	for runnerWasLost(err) {
-		made, next := e.retryRun()
-		if !made {
+	for isRunLost(err) {
+		started, rerunErr := e.rerun()
+		if !started {
 			break
 		}
-		// What the first run ended in says more than why there is no second one.
-		if rejection := rejectionOf(next); rejection.Status != 0 && !rejection.OutcomeUnknown {
+		// The rerun was rejected before it ran. The failure of the previous run says more about the stream.
+		if rejection := rejectionOf(rerunErr); rejection.Status != 0 && !rejection.OutcomeUnknown {
 			break
 		}
-		err = next
+		err = rerunErr
 	}
 	if err == nil || resumable.stored == nil {
 		return err
 	}
 	rejection := rejectionOf(err)
 	if rejection != errTakenOver {
-		// Where another router serves the stream now, the connection breaks without an event, and the client asks for
-		// the rest by its number.
+		// If another router serves the stream now, the connection is closed without an error event, and the client resumes
+		// after the last event that it has.
 		if e.server.Streams.Close(resumable.ctx, resumable.stored, string(rejection.Code)) == nil {
 			resumable.write(errorEvent(rejection.Code, rejection.Message, resumable.id))
 		}
@@ -46,60 +46,60 @@
 	return &Rejection{Code: rejection.Code, OutcomeUnknown: true}
 }
 
-// rejectionOf is the rejection that an error carries, or "internal" where it is none.
+// rejectionOf returns the Rejection in an error's chain, or one with CodeInternal if there is none.
 func rejectionOf(err error) *Rejection {
 	rejection := &Rejection{Code: CodeInternal}
 	errors.As(err, &rejection)
 	return rejection
 }
 
-// runnerWasLost reports whether a run ended by the runner's loss, so that a second one may take its place.
-func runnerWasLost(err error) bool {
+// isRunLost reports whether a run ended because its runner or router was lost, so that a rerun may replace it.
+func isRunLost(err error) bool {
 	return slices.Contains([]Code{CodeRunnerLost, CodeRunnerStalled, CodeRouterLost}, rejectionOf(err).Code)
 }
 
-// retryRun makes a second run: a request of its own, with its own log record, units and runner, that obeys the
-// config in force. made is false where none may be made; err is what the run ended with.
-func (e *exchange) retryRun() (made bool, err error) {
-	again := *e
-	if again.applyConfig(e.server.Cluster.Config()) != nil || !again.class.RepeatLostStreams {
+// rerun runs the request once more, under the current config, as a request with its own ID, log record, quota units and
+// runner. started is false if no rerun is allowed; err is how the rerun ended.
+func (e *exchange) rerun() (started bool, err error) {
+	next := *e
+	if next.applyConfig(e.server.Cluster.Config()) != nil || !next.class.RepeatLostStreams {
 		return false, nil
 	}
-	if stored := again.resumable.stored; stored != nil {
+	if stored := next.resumable.stored; stored != nil {
 		if _, ok := stored.Replayable(); !ok {
 			return false, nil
 		}
 	}
-	if !again.awaitRetryBudget() {
+	if !next.awaitRetryBudget() {
 		return false, nil
 	}
-	again.request, again.isRetry, again.reservedUnits = request.New(), true, 0
-	again.request.Tenant, again.request.Lane = e.request.Tenant, again.class.Name
-	_ = e.request.Advance(request.Failed, "a second run follows: "+again.request.ID)
-	return true, again.serveRetry("second run of " + again.resumable.id)
+	next.request, next.isRerun, next.reservedUnits = request.New(), true, 0
+	next.request.Tenant, next.request.Lane = e.request.Tenant, next.class.Name
+	_ = e.request.Advance(request.Failed, "a second run follows: "+next.request.ID)
+	return true, next.serveRerun("second run of " + next.resumable.id)
 }
 
-// awaitRetryBudget waits until a retry may be made, for as long as the request would wait for a runner: where a router
-// fails, many streams want one at once, and first attempts earn more every moment.
+// awaitRetryBudget waits until the budget allows a retry, for at most the queue time-out, and reports whether it does. When a
+// router fails, many streams need a retry at once, while first attempts earn further retries only over time.
 func (e *exchange) awaitRetryBudget() bool {
-	for until := time.Now().Add(e.class.QueueTimeout); ; {
+	for deadline := time.Now().Add(e.class.QueueTimeout); ; {
 		if !slices.ContainsFunc(e.eligibleRunners(), func(instance *runner.Instance) bool { return !e.attemptedRunners[instance.Index] }) {
-			return false // nowhere else to run
+			return false // every eligible runner was tried
 		}
 		if e.server.Retries.Allow(e.config.Services[e.pool.Service]) {
 			return true
 		}
-		if time.Now().After(until) || !runloop.Sleep(e.resumable.ctx, retryBudgetPoll) {
+		if time.Now().After(deadline) || !runloop.Sleep(e.resumable.ctx, retryBudgetPoll) {
 			return false
 		}
 	}
 }
 
-// retryBudgetPoll is how often a second run asks whether it may be made.
+// retryBudgetPoll is the interval at which awaitRetryBudget checks the budget.
 const retryBudgetPoll = 100 * time.Millisecond
 
-// serveRetry takes a second run through all steps after the reading of its body.
-func (e *exchange) serveRetry(note string) error {
+// serveRerun processes a rerun: the steps of a request after its body is parsed, without the allowance.
+func (e *exchange) serveRerun(note string) error {
 	err := e.request.Advance(request.Identified, note)
 	if err == nil {
 		err = e.request.Advance(request.Routed, e.incoming.URL.Path)
@@ -126,5 +126,5 @@
 	return err
 }
 
-// InFlight counts the requests in flight.
-func (s *Server) InFlight() int { return int(s.open.Load()) }
+// InFlight returns how many requests of known tenants are in flight, including streams taken over from another router.
+func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
--- a/internal/dataplane/clientapi/route.go
+++ b/internal/dataplane/clientapi/route.go
@@ -8,10 +8,10 @@
 	"yarrowridge/internal/model/fleetconfig"
 )
 
-// authenticate finds the tenant by the headers alone.
+// authenticate finds the tenant by the API key in the Authorization header. The body is not read yet.
 func (e *exchange) authenticate() error {
-	if why := e.server.Cluster.UnavailableReason(); why != "" {
-		return &Rejection{Status: 503, Code: CodeNotReady, Message: "This router is not ready: " + why + ".", RetryAfter: time.Second}
+	if reason := e.server.Cluster.UnavailableReason(); reason != "" {
+		return &Rejection{Status: 503, Code: CodeNotReady, Message: "This router is not ready: " + reason + ".", RetryAfter: time.Second}
 	}
 	e.config = e.server.Cluster.Config()
 	key, ok := strings.CutPrefix(e.incoming.Header.Get("Authorization"), "Bearer ")
@@ -27,7 +27,7 @@
 	return e.request.Advance(request.Identified, "")
 }
 
-// route finds the lane and the pool that the request belongs to, and reads its body.
+// route finds the traffic class and the pool of the request, and reads and parses its body.
 func (e *exchange) route() error {
 	route, known := e.config.FindRoute(e.incoming.Method, e.incoming.URL.Path, e.incoming.Header.Get)
 	switch {
@@ -56,29 +56,29 @@
 	return e.request.Advance(request.Routed, route.Path)
 }
 
-// checkConfig holds a waiting request against the config in force, if that is no longer the one it came
-// under: its key, its route, its lane's doors. The pool's selector counts as it is now.
+// checkConfig checks a queued request against the current config, if that has changed since the request came in: its key, its
+// route, and whether the traffic class still admits the tenant. The pool's selector is taken from the current config.
 func (e *exchange) checkConfig() error {
 	config := e.server.Cluster.Config()
 	if config.Version == e.config.Version {
 		return nil
 	}
-	pool := e.pool.Name
+	previousPool := e.pool.Name
 	switch rejection := e.applyConfig(config); {
 	case rejection == errKeyWithdrawnRejection:
 		return &Rejection{Status: 401, Code: CodeUnknownKey, Message: "The key was withdrawn while the query waited."}
 	case rejection != nil:
 		return rejection
-	case e.pool.Name != pool:
-		return rejectConfigChanged
+	case e.pool.Name != previousPool:
+		return errConfigChanged
 	}
 	return nil
 }
 
-var rejectConfigChanged = &Rejection{Status: 503, Code: CodeConfigChanged, Message: "The layout leads this query elsewhere by now. Ask again.", RetryAfter: time.Second}
+var errConfigChanged = &Rejection{Status: 503, Code: CodeConfigChanged, Message: "The layout leads this query elsewhere by now. Ask again.", RetryAfter: time.Second}
 
-// applyConfig takes tenant, lane and pool anew from a config, by the key's hash and the route. The lane has
-// to stay the one it was, if there was one.
+// applyConfig sets tenant, traffic class and pool from a config, by the key's hash and the route. If the request already has a
+// traffic class, the config must give it the same one.
 func (e *exchange) applyConfig(config *fleetconfig.Config) *Rejection {
 	tenant, ok := e.findTenant(config)
 	if !ok {
@@ -86,15 +86,15 @@
 	}
 	route, _ := config.FindRoute(e.incoming.Method, e.incoming.URL.Path, e.incoming.Header.Get)
 	if route == nil || !config.TrafficClasses[route.TrafficClass].Admits(tenant) || e.class != nil && config.TrafficClasses[route.TrafficClass].Name != e.class.Name {
-		return rejectConfigChanged
+		return errConfigChanged
 	}
 	e.config, e.tenantIndex, e.tenant = config, tenant, &config.Tenants[tenant]
 	e.class, e.pool = &config.TrafficClasses[route.TrafficClass], &config.Pools[route.Pool]
 	return nil
 }
 
-// findTenant finds the request's tenant in a config by its key. ok is false where the key is another's by now,
-// or nobody's.
+// findTenant finds the request's tenant in a config by its key. ok is false if the key now belongs to another tenant or to
+// none.
 func (e *exchange) findTenant(config *fleetconfig.Config) (tenant int, ok bool) {
 	tenant, ok = config.TenantByHash(e.keyHash)
 	return tenant, ok && config.Tenants[tenant].Name == e.request.Tenant
--- a/internal/dataplane/clientapi/server.go
+++ b/internal/dataplane/clientapi/server.go
@@ -1,5 +1,5 @@
-// Package clientapi serves the clients' HTTP API: it takes each request from its reading to its response,
-// by way of authentication, routing, admission, the choice of a runner and, where one was lost, a second run.
+// Package clientapi serves the HTTP API for clients. Each request is authenticated, routed, admitted, queued for a runner and
+// forwarded to it. A stream whose runner or router is lost may be continued by a rerun of its request.
 package clientapi
 
 import (
@@ -20,15 +20,14 @@
 	"yarrowridge/internal/model/quota"
 )
 
-// Responses are buffered completely before a success is written, so they are bounded.
 const (
-	maxResponseBytes    = 8 << 20
-	maxEventBytes       = 1 << 20
-	maxFirstByteTimeout = time.Hour              // no response is awaited longer than this for its length
-	bodyDrainTimeout    = 500 * time.Millisecond // for the rest of a body, once its request was rejected
+	maxResponseBytes    = 8 << 20                // of a response that is not a stream: it is buffered before any of it is forwarded
+	maxEventBytes       = 1 << 20                // of one event of a stream
+	maxFirstByteTimeout = time.Hour              // upper limit of untilFirstByte
+	bodyDrainTimeout    = 500 * time.Millisecond // for reading the rest of a rejected request's body
 )
 
-// Server answers clients.
+// Server handles the requests of clients.
 type Server struct {
 	Ctx         daemon.Context
 	Cluster     *cluster.Member
@@ -43,10 +42,10 @@
 	Streams     *streamstore.Store
 	Tracer      *tracing.Tracer
 
-	open atomic.Int64 // known tenants' requests in flight
+	inFlight atomic.Int64 // requests of known tenants, including streams taken over from another router
 }
 
-// exchange is one request with all that its steps need.
+// exchange is the state of one request while it is processed.
 type exchange struct {
 	server           *Server
 	request          *request.Request
@@ -59,24 +58,24 @@
 	pool             *fleetconfig.Pool
 	body             []byte
 	bodyRead         bool         // the body was read completely
-	keyHash          string       // hash of the key it came with
-	attemptedRunners map[int]bool // runs of runners that were attempted already
+	keyHash          string       // hash of the client's API key
+	attemptedRunners map[int]bool // runners that are not tried again, by Instance.Index
 	resumable        *resumableStream
-	isRetry          bool // it is a second run of a stream
+	isRerun          bool // this run continues a lost stream
 
-	wantsStream     bool // it asks for a stream
+	wantsStream     bool // the client asked for a stream
 	model           string
 	prompt          string
-	maxTokens       int // output that it may have; 0 in classes without prompts
-	loweredTo       int // what it was lowered to, if it was
+	maxTokens       int // limit of the output; 0 in traffic classes without prompts
+	loweredTo       int // maxTokens after the allowance lowered it; 0: not lowered
 	reservedUnits   int // quota units reserved
 	claim           *idempotencyClaim
-	estimatedWait   time.Duration // for a runner, as the allowance judged it
-	queueKind       string
-	abortConnection bool // the response ends without its frame
+	estimatedWait   time.Duration // for a runner, as estimated for the allowance
+	queueKind       string        // pool, and model if the traffic class has prompts
+	abortConnection bool          // close the connection without completing the response
 }
 
-// ServeHTTP serves one request from its headers to its end.
+// ServeHTTP handles one request.
 func (s *Server) ServeHTTP(writer http.ResponseWriter, incoming *http.Request) {
 	e := &exchange{server: s, request: request.New(), writer: writer, incoming: incoming}
 	writer.Header().Set(runner.RequestHeader, e.request.ID)
@@ -90,26 +89,26 @@
 	s.Tracer.Export(e.request, code)
 	s.Metrics.Requests.WithLabelValues(e.request.Lane, code).Inc()
 	if e.abortConnection {
-		// The frame of a stream that ended with an error is never closed as if it were complete.
+		// Returning normally would complete the chunked encoding, and a stream that failed would look complete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// run takes the request through its steps; the first error ends it.
+// run processes the request up to its response. The first step that fails ends it.
 func (e *exchange) run() error {
 	if err := e.authenticate(); err != nil {
 		return err
 	}
-	// Unknown keys were rejected by their headers and do not count; the bodies of known tenants are read only within the
-	// bound, so that a flood of requests costs no memory.
-	defer e.server.open.Add(-1)
-	if int(e.server.open.Add(1)) > e.config.Limits.OpenRequests {
+	// Requests with unknown keys were rejected already and do not count. Bodies are read only below the limit of requests in
+	// flight, so that a flood of requests cannot exhaust memory.
+	defer e.server.inFlight.Add(-1)
+	if int(e.server.inFlight.Add(1)) > e.config.Limits.OpenRequests {
 		return &Rejection{Status: 503, Code: CodeTooManyRequests, Message: "Too many queries are under way.", RetryAfter: time.Second}
 	}
 	if strings.HasPrefix(e.incoming.URL.Path, StreamPath) {
 		return e.resume()
 	}
-	for _, step := range []func() error{e.route, e.admit, e.takeClaim} {
+	for _, step := range []func() error{e.route, e.admit, e.acquireClaim} {
 		if err := step(); err != nil {
 			return err
 		}
--- a/internal/dataplane/clientapi/stream.go
+++ b/internal/dataplane/clientapi/stream.go
@@ -13,12 +13,12 @@
 	"yarrowridge/internal/dataplane/runner"
 )
 
-// clientReturnTimeout is how long a stream runs on for a client that may come back.
+// clientReturnTimeout is how long a stream continues after its client has disconnected, so that the client can resume it.
 const clientReturnTimeout = 30 * time.Second
 
-// forwardStream forwards one run of a stream chunk by chunk: each is numbered, replicated to the standby, and only then
-// sent to the client. A second run has to repeat, byte for byte, what is replicated, before it adds to it. The end event is
-// forwarded only after the runner's own end has been read to its frame.
+// forwardStream forwards one run of a stream: each chunk is numbered, replicated to the standby, and only then sent to the
+// client. A rerun must first repeat the recorded chunks byte for byte before it adds new ones. The end event is sent to the
+// client only after both the runner's end event and the end of its response body have been read.
 func (e *exchange) forwardStream(ctx context.Context, slot *runner.Slot, response *http.Response, watchdog *time.Timer) error {
 	resumable := e.resumable
 	if resumable.stored == nil {
@@ -65,4 +65,4 @@
 	return nil
 }
 
-var errClientLeft = errors.New("the origin left")
+var errClientLeft = errors.New("client disconnected")
--- a/internal/dataplane/clientapi/takeover.go
+++ b/internal/dataplane/clientapi/takeover.go
@@ -8,10 +8,11 @@
 	"yarrowridge/internal/dataplane/streamstore"
 )
 
-// TakeOver serves a stream whose router is gone: the same request again, from what is replicated of it and its response. Clients read it by its id.
+// TakeOver continues a stream whose owner is gone, from the replica and the saved request, by a rerun of the request. Clients
+// resume the stream by its ID.
 func (s *Server) TakeOver(stream *streamstore.Stream, saved *streamstore.SavedRequest) {
-	s.open.Add(1)
-	defer s.open.Add(-1)
+	s.inFlight.Add(1)
+	defer s.inFlight.Add(-1)
 	e := &exchange{server: s, request: request.New(), body: saved.Body, bodyRead: true, keyHash: saved.KeyHash, attemptedRunners: map[int]bool{}}
 	if err := e.restore(stream, saved); err != nil {
 		_ = s.Streams.Close(s.Ctx, stream, string(rejectionOf(err).Code))
@@ -25,7 +26,7 @@
 	}
 }
 
-// restore brings a request that another router read to where it would be queued.
+// restore parses and routes a request that another router received, up to the point where it would be queued.
 func (e *exchange) restore(stream *streamstore.Stream, saved *streamstore.SavedRequest) error {
 	incoming, err := http.NewRequestWithContext(e.server.Ctx, saved.Method, saved.Path, nil)
 	if err != nil {
