--- a/internal/dataplane/place/choose.go
+++ b/internal/dataplane/place/choose.go
@@ -5,26 +5,26 @@
 	"yarrowridge/internal/lib/hashing"
 )
 
-// Candidate is a runner that could take the prompt, as the choice sees it.
+// Candidate is a runner that can serve the prompt, with what Choose needs to compare it.
 type Candidate struct {
 	Instance *runner.Instance
 	Index    int
 	Address  string
-	SameZone bool // in our own zone
-	Load     int  // streams on it, by all accounts
-	Capacity int  // streams that it takes at once; 0: not known
+	SameZone bool // in the router's own zone
+	Load     int  // streams on it, as far as this router knows
+	Capacity int  // maximum of concurrent streams; 0: unknown
 }
 
-// isFull reports whether the runner takes no more streams. A capacity of 0 is not known, and never full.
+// isFull reports whether the runner is at its capacity. A runner of unknown capacity is never full.
 func (c Candidate) isFull() bool { return c.Capacity > 0 && c.Load >= c.Capacity }
 
-// MaxLoadFactor is how far above the mean load a runner may stand and still be chosen for its prefix cache, as in consistent
-// hashing with bounded loads (Mirrokni et al. 2018).
+// MaxLoadFactor is the highest ratio of a runner's load to the mean load at which the runner may still be chosen, as in
+// consistent hashing with bounded loads (Mirrokni et al. 2018).
 const MaxLoadFactor = 1.25
 
-// Choose returns the index of the runner that most likely has the prompt's longest prefix in its cache, among those whose
-// load is within the bound. A prefix that nobody has goes by rendezvous hash, so that all routers choose alike; the own
-// zone goes first among equals. It returns -1 where no runner has capacity.
+// Choose returns the position in candidates of the runner that most likely has the longest prefix of the prompt in its cache,
+// among those within the load limit. Among equals it prefers the router's own zone, then the highest rendezvous weight for the
+// prefix, so that all routers of a zone choose the same runner. It returns -1 if no runner has capacity.
 func Choose(keys []uint64, candidates []Candidate, depth map[int]int) int {
 	loadSum, available := 0, 0
 	for _, candidate := range candidates {
@@ -51,14 +51,14 @@
 	return best
 }
 
-// comparison orders candidates for one prompt.
+// comparison ranks candidates for one prompt.
 type comparison struct {
-	depth  map[int]int // leading blocks in the prefix cache, by runner index
-	hasKey bool
-	key    uint64 // the prefix by which runners are ranked where nobody has it
+	depth  map[int]int // leading blocks of the prompt in the runner's prefix cache, by runner index
+	hasKey bool        // the prompt has a complete block; otherwise the load decides
+	key    uint64      // the prefix hash for the rendezvous weight
 }
 
-// newComparison ranks by the prompt's second block where it has one: first blocks are often the same for many prompts.
+// newComparison takes the rendezvous key from the prompt's second block if it has one: many prompts share their first block.
 func newComparison(keys []uint64, depth map[int]int) comparison {
 	if len(keys) == 0 {
 		return comparison{depth: depth}
@@ -66,7 +66,7 @@
 	return comparison{depth: depth, hasKey: true, key: keys[min(1, len(keys)-1)]}
 }
 
-// better reports whether a should be chosen rather than b.
+// better reports whether a is to be preferred to b.
 func (c comparison) better(a, b Candidate) bool {
 	if depthA, depthB := c.depth[a.Index], c.depth[b.Index]; depthA != depthB {
 		return depthA > depthB
--- a/internal/dataplane/place/dispatch.go
+++ b/internal/dataplane/place/dispatch.go
@@ -4,12 +4,12 @@
 	"yarrowridge/internal/dataplane/runner"
 )
 
-// dispatch assigns runners to those who wait: by priority, and round robin between the tenants of a priority.
+// dispatch assigns runners to waiting requests, by priority, and round robin between the tenants of a queue.
 func (s *Scheduler) dispatch() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// A runner found full counts as full for all of this round: were it looked at again, capacity that has just become
-	// free would go to a lower priority than the one that found none.
+	// A runner found full counts as full until this call ends. If it were checked again, capacity that becomes free meanwhile
+	// would go to a request of lower priority than one that found none.
 	full := map[int]bool{}
 	for _, queue := range append([]*queue(nil), s.queues...) {
 		for misses := 0; len(queue.tenantOrder) > 0 && misses < len(queue.tenantOrder); {
@@ -39,7 +39,8 @@
 	}
 }
 
-// acquireSlot takes a slot on the runner chosen for a waiter, if any has capacity; full has those that have none.
+// acquireSlot acquires a slot on the best runner for a waiter, or returns nil if no eligible runner has capacity. It skips the
+// runners in full, by runner index, and adds those that it finds unhealthy or without capacity.
 func (s *Scheduler) acquireSlot(waiter *Waiter, full map[int]bool) *runner.Slot {
 	var candidates []Candidate
 	for _, instance := range waiter.Eligible() {
--- a/internal/dataplane/place/prefix.go
+++ b/internal/dataplane/place/prefix.go
@@ -1,5 +1,5 @@
-// Package place schedules prompts: the queue of those that wait, by priority and in turns between tenants, and the choice of
-// the runner that most likely has a prompt's prefix in its cache.
+// Package place schedules requests. It queues them by priority and round robin between tenants, and chooses for each prompt
+// the runner that most likely has the longest prefix of it in its cache.
 package place
 
 import (
@@ -9,112 +9,113 @@
 	"sync"
 )
 
-// BlockSize is how many bytes of a prompt share one hash.
+// BlockSize is the size in bytes of the blocks in which prompts are hashed.
 const BlockSize = 256
 
-// PrefixHashes hashes a prompt's prefixes, one hash a block, salted by the tenant so that nothing about
-// one tenant's prompts can be told from how another's are placed.
+// PrefixHashes returns a hash for each prefix of a prompt that consists of complete blocks, the shortest first. The hashes are
+// salted with the tenant, so that the placement of one tenant's prompts reveals nothing about another's.
 func PrefixHashes(tenant int, prompt string) []uint64 {
-	var out []uint64
+	var hashes []uint64
 	hash := fnv.New64a()
 	var salt [8]byte
 	binary.LittleEndian.PutUint64(salt[:], uint64(tenant)+1)
 	hash.Write(salt[:])
-	for from := 0; from < len(prompt) && len(out) < maxBlocks; from += BlockSize {
-		hash.Write([]byte(prompt[from:min(from+BlockSize, len(prompt))]))
-		if from+BlockSize > len(prompt) {
-			break // a part of a block is in no prefix cache
+	for offset := 0; offset < len(prompt) && len(hashes) < maxBlocks; offset += BlockSize {
+		hash.Write([]byte(prompt[offset:min(offset+BlockSize, len(prompt))]))
+		if offset+BlockSize > len(prompt) {
+			break // an incomplete block has no hash
 		}
-		out = append(out, hash.Sum64())
+		hashes = append(hashes, hash.Sum64())
 	}
-	return out
+	return hashes
 }
 
 const (
 	shardCount          = 16
-	maxBlocks           = 256 // hashed of one prompt
-	maxRunnersPerPrefix = 4
+	maxBlocks           = 256 // per prompt; later blocks are not hashed
+	maxRunnersPerPrefix = 4   // the runners that received it last
 )
 
-// PrefixIndex records which runs of runners lately got which prefixes, in shards with a mutex each. It may be used
-// concurrently; the least recently used prefixes of a shard are dropped.
+// PrefixIndex records which runners recently received which prefixes. It consists of shards with a mutex each; a full shard
+// drops its least recently recorded prefix. Its methods may be called concurrently.
 type PrefixIndex struct {
 	maxPerShard int
 	shards      [shardCount]struct {
-		mu  sync.Mutex
-		by  map[uint64]*list.Element
-		old *list.List
+		mu      sync.Mutex
+		byKey   map[uint64]*list.Element
+		entries *list.List // of *prefixEntry, most recently recorded first
 	}
 }
 
 type prefixEntry struct {
 	key     uint64
-	runners []int // dense runner indices, newest last
+	runners []int // runner indices, most recent last
 }
 
-// NewPrefixIndex makes an index of at most n prefixes.
+// NewPrefixIndex returns an empty index for at most n prefixes.
 func NewPrefixIndex(n int) *PrefixIndex {
-	m := &PrefixIndex{maxPerShard: max(1, n/shardCount)}
-	for i := range m.shards {
-		m.shards[i].by = map[uint64]*list.Element{}
-		m.shards[i].old = list.New()
+	x := &PrefixIndex{maxPerShard: max(1, n/shardCount)}
+	for i := range x.shards {
+		x.shards[i].byKey = map[uint64]*list.Element{}
+		x.shards[i].entries = list.New()
 	}
-	return m
+	return x
 }
 
-// Record records that a runner got a prompt with these blocks.
-func (m *PrefixIndex) Record(keys []uint64, runner int) {
+// Record records that a runner received a prompt with these prefix hashes.
+func (x *PrefixIndex) Record(keys []uint64, runner int) {
 	for _, key := range keys {
-		s := &m.shards[key%shardCount]
-		s.mu.Lock()
-		element := s.by[key]
+		shard := &x.shards[key%shardCount]
+		shard.mu.Lock()
+		element := shard.byKey[key]
 		if element == nil {
-			if s.old.Len() >= m.maxPerShard {
-				last := s.old.Back()
-				delete(s.by, last.Value.(*prefixEntry).key)
-				s.old.Remove(last)
+			if shard.entries.Len() >= x.maxPerShard {
+				oldest := shard.entries.Back()
+				delete(shard.byKey, oldest.Value.(*prefixEntry).key)
+				shard.entries.Remove(oldest)
 			}
-			element = s.old.PushFront(&prefixEntry{key: key})
-			s.by[key] = element
+			element = shard.entries.PushFront(&prefixEntry{key: key})
+			shard.byKey[key] = element
 		} else {
-			s.old.MoveToFront(element)
+			shard.entries.MoveToFront(element)
 		}
-		v := element.Value.(*prefixEntry)
+		entry := element.Value.(*prefixEntry)
 		next := make([]int, 0, maxRunnersPerPrefix)
-		for _, w := range v.runners {
-			if w != runner {
-				next = append(next, w)
+		for _, other := range entry.runners {
+			if other != runner {
+				next = append(next, other)
 			}
 		}
 		if len(next) >= maxRunnersPerPrefix {
 			next = next[1:]
 		}
-		v.runners = append(next, runner)
-		s.mu.Unlock()
+		entry.runners = append(next, runner)
+		shard.mu.Unlock()
 	}
 }
 
-// Match counts, for each runner, how many leading blocks it lately got.
-func (m *PrefixIndex) Match(keys []uint64) map[int]int {
-	out := map[int]int{}
+// Match returns how many leading blocks of the prompt each runner recently received, by runner index. Runners that received
+// none are not included.
+func (x *PrefixIndex) Match(keys []uint64) map[int]int {
+	depth := map[int]int{}
 	for i, key := range keys {
-		s := &m.shards[key%shardCount]
-		s.mu.Lock()
+		shard := &x.shards[key%shardCount]
+		shard.mu.Lock()
 		var runners []int
-		if element := s.by[key]; element != nil {
+		if element := shard.byKey[key]; element != nil {
 			runners = element.Value.(*prefixEntry).runners
 		}
-		s.mu.Unlock()
-		hit := false
-		for _, w := range runners {
-			if out[w] == i {
-				out[w] = i + 1
-				hit = true
+		shard.mu.Unlock()
+		found := false
+		for _, other := range runners {
+			if depth[other] == i {
+				depth[other] = i + 1
+				found = true
 			}
 		}
-		if !hit {
+		if !found {
 			break
 		}
 	}
-	return out
+	return depth
 }
--- a/internal/dataplane/place/queue.go
+++ b/internal/dataplane/place/queue.go
@@ -4,15 +4,15 @@
 	"sort"
 )
 
-// queue is one kind's queue of one priority: first in first out for a tenant, round robin between tenants.
+// queue contains the waiters of one kind and priority: first in, first out for each tenant, round robin between tenants.
 type queue struct {
 	priority    int
 	kind        string
-	byTenant    map[int][]*Waiter
-	tenantOrder []int
+	byTenant    map[int][]*Waiter // without tenants that have no waiters
+	tenantOrder []int             // the tenants in byTenant; the first is next
 }
 
-// queueOf finds or makes a queue; the caller holds the mutex.
+// queueOf returns the queue of a priority and kind, and creates it if there is none. The caller holds the mutex.
 func (s *Scheduler) queueOf(priority int, kind string) *queue {
 	i := sort.Search(len(s.queues), func(i int) bool {
 		queue := s.queues[i]
@@ -28,7 +28,7 @@
 	return queue
 }
 
-// enqueue adds a waiter at the end of its tenant's queue; the caller holds the mutex.
+// enqueue adds a waiter at the end of its tenant's queue. The caller holds the mutex.
 func (s *Scheduler) enqueue(waiter *Waiter) {
 	queue := s.queueOf(waiter.Priority, waiter.Kind)
 	if len(queue.byTenant[waiter.Tenant]) == 0 {
@@ -38,7 +38,7 @@
 	s.waiting++
 }
 
-// dequeue takes a waiter out of its queue; the caller holds the mutex.
+// dequeue removes a waiter from its queue, and the queue if that is then empty. The caller holds the mutex.
 func (s *Scheduler) dequeue(waiter *Waiter) {
 	queue := s.queueOf(waiter.Priority, waiter.Kind)
 	waiters := queue.byTenant[waiter.Tenant]
@@ -69,8 +69,8 @@
 	waiter.done = true
 }
 
-// evictBelow rejects the newest waiter of the lowest priority, if that is below the newcomer's, and reports whether there
-// was one; the caller holds the mutex.
+// evictBelow rejects one waiter of the lowest priority, if that is below the given one: the newest of the tenant with the most
+// waiters in that queue. It reports whether there was one. The caller holds the mutex.
 func (s *Scheduler) evictBelow(priority int) bool {
 	for i := len(s.queues) - 1; i >= 0; i-- {
 		queue := s.queues[i]
--- a/internal/dataplane/place/waiter.go
+++ b/internal/dataplane/place/waiter.go
@@ -8,33 +8,33 @@
 	"yarrowridge/internal/dataplane/runner"
 )
 
-// Why a wait ended without a runner.
+// The errors with which Acquire fails, beside those of Waiter.Recheck.
 var (
 	ErrWaitTimeout = errors.New("place: timed out in the queue")
 	ErrQueueFull   = errors.New("place: queue is full")
-	ErrClientGone  = errors.New("place: the client left")
+	ErrClientGone  = errors.New("place: client disconnected")
 )
 
-// Waiter is one request that waits for a runner.
+// Waiter is a request that waits for a runner.
 type Waiter struct {
-	Kind           string // pool and model
-	Lane           string
-	Priority       int
-	Tenant         int
-	Tokens         int
-	UntilFirstByte time.Duration // how long its response takes before anything of it is sent
+	Kind           string        // pool, and model if the request has a prompt
+	Lane           string        // name of the traffic class
+	Priority       int           // the lowest number is dispatched first
+	Tenant         int           // index of the tenant
+	Tokens         int           // limit of the output
+	UntilFirstByte time.Duration // how long the response may take before its first byte
 	PrefixHashes   []uint64
-	Eligible       func() []*runner.Instance // runners that serve this request
-	Excluded       map[int]bool              // runs attempted already
-	Recheck        func() error              // asked again before it goes; an error ends the wait
+	Eligible       func() []*runner.Instance // the runners that serve this request, healthy or not
+	Excluded       map[int]bool              // runners that were tried already, by index
+	Recheck        func() error              // optional; called before a runner is assigned, an error ends the wait
 
 	granted chan *runner.Slot
-	done    bool // set under the scheduler's lock: given a runner, or ended
-	err     error
+	done    bool  // removed from its queue
+	err     error // why granted was closed without a slot
 }
 
-// Acquire waits for a runner, for at most timeout. maxWaiting bounds all queues of this router together:
-// beyond it the newest of the lowest priority is rejected, be it this one or another.
+// Acquire waits for a slot on a runner, for at most timeout. maxWaiting limits the waiting requests of this router over all
+// queues: if it is reached, a waiter of lower priority is rejected to make room, or this one if there is none.
 func (s *Scheduler) Acquire(ctx context.Context, waiter *Waiter, timeout time.Duration, maxWaiting int) (*runner.Slot, error) {
 	waiter.granted = make(chan *runner.Slot, 1)
 	waiter.done, waiter.err = false, nil
