--- a/internal/dataplane/place/place_test.go
+++ b/internal/dataplane/place/place_test.go
@@ -196,9 +196,9 @@
 // policy chooses a runner for a prompt by its prefix hashes and the number of streams on each runner.
 type policy func(keys []uint64, load []int) int
 
-// simulate places n generated prompts by a policy: about a third of them share one hot document, runners slow down under load, and
-// caches never evict. It returns the ratio of blocks found in a cache, and the ratio of the busiest runner's prompts to the
-// mean.
+// simulate places n generated prompts by a policy. About a third of them share one hot document, runners slow down under load,
+// and caches never evict. It returns the ratio of blocks found in a cache, and the ratio of the busiest runner's prompts to
+// the mean.
 func simulate(choose policy, record func(keys []uint64, runner int), n int) (hitRatio, imbalance float64) {
 	const runners = 8
 	rnd := rand.New(rand.NewPCG(1, 2))
