--- a/internal/dataplane/clientapi/dispatch.go
+++ b/internal/dataplane/clientapi/dispatch.go
@@ -28,7 +28,7 @@
 		if err := e.request.Advance(request.Queued, e.queueKind); err != nil {
 			return err
 		}
-		waiter := &place.Waiter{Kind: e.queueKind, Priority: e.class.Priority, Tenant: e.tenantIndex, Tokens: e.maxTokens, Lane: e.class.Name, UntilFirstByte: e.untilFirstByte(), PrefixHashes: prefixHashes, Eligible: e.eligibleRunners, Excluded: e.attemptedRunners, Recheck: e.checkConfig}
+		waiter := &place.Waiter{Kind: e.queueKind, Priority: e.class.Priority, Tenant: e.tenantIndex, Tokens: e.maxTokens, TrafficClass: e.class.Name, UntilFirstByte: e.untilFirstByte(), PrefixHashes: prefixHashes, Eligible: e.eligibleRunners, Excluded: e.attemptedRunners, Recheck: e.checkConfig}
 		slot, err := e.server.Scheduler.Acquire(ctx, waiter, time.Until(deadline), e.config.Limits.Queue)
 		var rejection *Rejection
 		switch {
--- a/internal/dataplane/place/scheduler.go
+++ b/internal/dataplane/place/scheduler.go
@@ -51,7 +51,7 @@
 	for _, queue := range s.queues {
 		for _, waiters := range queue.byTenant {
 			for _, waiter := range waiters {
-				tokens[queue.kind] += s.Lengths.ExpectedTokens(waiter.Lane, waiter.Tokens)
+				tokens[queue.kind] += s.Lengths.ExpectedTokens(waiter.TrafficClass, waiter.Tokens)
 			}
 		}
 	}
@@ -73,7 +73,7 @@
 		for other, waiters := range queue.byTenant {
 			for i, waiter := range waiters {
 				if queue.priority < priority || other == tenant || i < rounds {
-					tokens += s.Lengths.ExpectedTokens(waiter.Lane, waiter.Tokens)
+					tokens += s.Lengths.ExpectedTokens(waiter.TrafficClass, waiter.Tokens)
 				}
 			}
 		}
--- a/internal/dataplane/place/waiter.go
+++ b/internal/dataplane/place/waiter.go
@@ -18,7 +18,7 @@
 // Waiter is a request that waits for a runner.
 type Waiter struct {
 	Kind           string        // pool, and model if the request has a prompt
-	Lane           string        // name of the traffic class
+	TrafficClass   string        // its name
 	Priority       int           // the lowest number is dispatched first
 	Tenant         int           // index of the tenant
 	Tokens         int           // limit of the output
