--- a/internal/dataplane/streamstore/codes.go
+++ b/internal/dataplane/streamstore/codes.go
@@ -2,12 +2,12 @@
 
 import "yarrowridge/internal/transport/wire"
 
-// The codes with which a standby rejects chunks of a stream.
+// The codes with which a standby rejects a change of a stream.
 const (
-	codeGap     wire.Code = "gap"      // chunks before the offset are missing
-	codeFull    wire.Code = "full"     // no memory is left for replicas
-	codeGivenUp wire.Code = "given-up" // the sender no longer owns this stream
+	codeGap     wire.Code = "gap"      // the replica lacks chunks before the offset
+	codeFull    wire.Code = "full"     // the store has no memory left for the change
+	codeGivenUp wire.Code = "given-up" // the sender no longer owns this stream, or the standby has recorded its failure
 )
 
-// CodeRouterLost is the failure of a stream whose router is gone and which nobody can continue.
+// CodeRouterLost is the failure of a stream whose owner is gone and which no router can continue.
 const CodeRouterLost = "router-lost"
--- a/internal/dataplane/streamstore/list.go
+++ b/internal/dataplane/streamstore/list.go
@@ -2,20 +2,20 @@
 
 import "sort"
 
-// Info is one stream as operators read it.
+// Info describes one stream to operators.
 type Info struct {
 	RequestID  string `json:"query"`
 	Tenant     string `json:"tenant"`
 	Router     string `json:"router"`     // name of the owner
-	Own        bool   `json:"mine"`       // this router is the owner, else it is the standby
-	Idempotent bool   `json:"repeatable"` // a further run is allowed
-	Term       int    `json:"turn"`       // standbys the stream has had
+	Own        bool   `json:"mine"`       // this router is the owner; if false, it has the standby's replica
+	Idempotent bool   `json:"repeatable"` // a rerun of the request is allowed
+	Term       int    `json:"turn"`       // term of the standby, counted over all owners of the stream
 	Chunks     int    `json:"pieces"`
-	Ended      bool   `json:"ended"`          // completely
-	Failure    string `json:"lost,omitempty"` // error code of a stream that ended without being complete
+	Ended      bool   `json:"ended"`          // the stream is complete
+	Failure    string `json:"lost,omitempty"` // error code with which the stream ended; "": none
 }
 
-// List returns all streams kept here, sorted by ID.
+// List returns all streams in the store, sorted by request ID.
 func (s *Store) List() []Info {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dataplane/streamstore/owner.go
+++ b/internal/dataplane/streamstore/owner.go
@@ -6,11 +6,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrServedElsewhere means that another router serves the stream now, or may do so: nothing more of it may be shown to a
-// client here.
+// ErrServedElsewhere means that another router serves the stream, or may do so. This router must send no more of it to a
+// client.
 var ErrServedElsewhere = eris.New("streamstore: another router serves the stream")
 
-// Open begins a stream that this router owns. request is what a further run needs; nil where none is allowed.
+// Open adds a new stream that this router owns. request is saved for a rerun; nil: a rerun is not allowed.
 func (s *Store) Open(id, tenant string, request *SavedRequest) *Stream {
 	stream := newStream(id, tenant)
 	stream.request = request
@@ -20,20 +20,20 @@
 	return stream
 }
 
-// Append adds chunks to a stream and replicates them to the standby. They may be shown to the client only after it has
-// returned nil; the error is ErrServedElsewhere. A stream that outgrows its bounds goes on, but is no longer kept.
+// Append adds chunks to a stream and replicates them to the standby. They may be sent to the client only after it has returned
+// nil; its only error is ErrServedElsewhere. A stream that exceeds the size limits goes on, but is no longer stored.
 func (s *Store) Append(ctx context.Context, stream *Stream, chunks [][]byte) error {
-	n := totalBytes(chunks)
+	size := totalBytes(chunks)
 	stream.mu.Lock()
-	over := stream.tooLarge || stream.size+n > MaxStreamBytes
+	tooLarge := stream.tooLarge || stream.size+size > MaxStreamBytes
 	offset := len(stream.chunks)
 	stream.mu.Unlock()
-	if over || !s.reserveBytes(n) {
+	if tooLarge || !s.reserveBytes(size) {
 		return s.abandon(ctx, stream)
 	}
 	stream.mu.Lock()
 	stream.chunks = append(stream.chunks, chunks...)
-	stream.size += n
+	stream.size += size
 	stream.mu.Unlock()
 	if err := s.replicate(ctx, stream, ReplicateRequest{Offset: offset, Chunks: chunks}); err != nil {
 		return err
@@ -42,13 +42,13 @@
 	return nil
 }
 
-// abandon gives up keeping a stream that has outgrown its bounds.
+// abandon removes a stream that exceeds the size limits from the store. The stream itself goes on.
 func (s *Store) abandon(ctx context.Context, stream *Stream) error {
 	if stream.tooLarge {
 		return nil
 	}
 	s.ctx.Log.Warn("Stream exceeds its size limit. It can't be resumed.", "request_id", stream.ID)
-	// The standby must not continue from its replica: the client sees more from now on.
+	// The standby must not continue the stream: from now on the client receives chunks that the replica lacks.
 	if err := s.revokeStandby(ctx, stream); err != nil {
 		return err
 	}
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// Close ends a stream: completely where failure is "", else with that error code. It fails with ErrServedElsewhere.
+// Close ends a stream: as complete if failure is "", otherwise with that error code. Its only error is ErrServedElsewhere.
 func (s *Store) Close(ctx context.Context, stream *Stream, failure string) error {
 	chunks, _ := stream.Replayable()
 	if err := s.replicate(ctx, stream, ReplicateRequest{Offset: chunks, Complete: failure == "", Failure: failure}); err != nil {
--- a/internal/dataplane/streamstore/read.go
+++ b/internal/dataplane/streamstore/read.go
@@ -12,13 +12,13 @@
 
 const (
 	resumeWait    = 700 * time.Millisecond  // for a new chunk
-	resumeTimeout = 1500 * time.Millisecond // for other routers' answers
+	resumeTimeout = 1500 * time.Millisecond // for other routers' responses, which may take resumeWait
 )
 
 // ErrNotFound means that no router within reach has the stream for this tenant.
 var ErrNotFound = eris.New("streamstore: no such stream")
 
-// handle is the wire.Handler of other routers' calls about streams.
+// handle is the wire.Handler for other routers' calls about streams.
 func (s *Store) handle(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 	switch kind {
 	case "stream.copy":
@@ -29,7 +29,7 @@
 	return nil, wire.StatusError{Code: wire.CodeUnknownKind}
 }
 
-// read returns the readable chunks from an offset on, and waits for one where there is none.
+// read returns the readable chunks from an offset on. If there is none, it waits for one, the end or the time-out.
 func (s *Store) read(ctx context.Context, request *ReadRequest) *ReadResponse {
 	stream := s.find(request.ID)
 	if stream == nil || stream.Tenant != request.Tenant {
@@ -52,7 +52,7 @@
 	}
 }
 
-// readFrom returns what is readable now. changed is closed by the next change.
+// readFrom returns the chunks that are readable now, from an offset on. changed is closed by the stream's next change.
 func (stream *Stream) readFrom(offset int) (response *ReadResponse, changed <-chan struct{}) {
 	stream.mu.Lock()
 	defer stream.mu.Unlock()
@@ -63,9 +63,9 @@
 	return response, stream.changed
 }
 
-// Resume returns a stream's chunks from an offset on, wherever it is kept, and waits up to 700 ms for new ones. Where this
-// router is not the owner it asks all others, since the owner has more than its standby, and takes the first answer with
-// chunks or the end. It fails with ErrNotFound.
+// Resume returns a stream's chunks from an offset on, from whichever router has it, and waits up to 700 ms for new ones. A
+// router that is not the owner reads from all others, since the owner may have more chunks than its standby, and returns the
+// first response with chunks or the end. Its only error is ErrNotFound.
 func (s *Store) Resume(ctx context.Context, id, tenant string, offset int) (*ReadResponse, error) {
 	request := &ReadRequest{ID: id, Tenant: tenant, Offset: offset, WaitMs: int(resumeWait.Milliseconds())}
 	stream := s.find(id)
@@ -95,8 +95,8 @@
 	return best, nil
 }
 
-// readFromPeers reads a stream at all other routers, and here if we have a replica. The channel gets a response from each of
-// the count of them, an empty one from those that do not answer.
+// readFromPeers reads a stream from all other routers, and from the replica here if there is one. The channel receives count
+// responses, with an empty one for each router that does not respond.
 func (s *Store) readFromPeers(ctx context.Context, replica *Stream, request *ReadRequest) (responses <-chan *ReadResponse, count int) {
 	nodes := s.cluster.Nodes()
 	all := make(chan *ReadResponse, len(nodes)+1)
--- a/internal/dataplane/streamstore/replica.go
+++ b/internal/dataplane/streamstore/replica.go
@@ -5,7 +5,7 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// handleReplicate stores an owner's change as its standby.
+// handleReplicate applies an owner's change to the replica on this standby.
 func (s *Store) handleReplicate(change *ReplicateRequest) (*coreapi.Empty, error) {
 	size := totalBytes(change.Chunks)
 	if change.Request != nil {
@@ -23,11 +23,12 @@
 	stream.update(func() { added, err = stream.applyReplication(change) })
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.size -= size - added // reserved, and not needed after all
+	s.size -= size - added // release what was reserved and not used
 	return &coreapi.Empty{}, err
 }
 
-// replicaFor returns the replica that a change is for, and begins it with its first one; nil where that was missed.
+// replicaFor returns the replica that a change is for. It creates the replica if the change begins with the first chunk, and
+// returns nil if there is no replica otherwise.
 func (s *Store) replicaFor(change *ReplicateRequest) *Stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,19 +41,20 @@
 	return stream
 }
 
-// applyReplication adds what is new in a change, and returns how many bytes that are. The caller holds the stream's lock.
+// applyReplication adds the chunks and the saved request that are new in a change, and returns their size in bytes. The caller
+// holds the stream's lock.
 func (stream *Stream) applyReplication(change *ReplicateRequest) (added int, err error) {
-	have := len(stream.chunks)
+	count := len(stream.chunks)
 	switch {
 	case stream.ownerName == "" || change.Term < stream.term:
-		return 0, wire.StatusError{Code: codeGivenUp} // we own it now, or a later owner than the sender does
+		return 0, wire.StatusError{Code: codeGivenUp} // this router owns the stream now, or the change is of an earlier term
 	case stream.failure != "":
 		return 0, wire.StatusError{Code: codeGivenUp} // a client may have seen the failure
-	case change.Offset > have:
+	case change.Offset > count:
 		return 0, wire.StatusError{Code: codeGap}
 	}
 	for i, chunk := range change.Chunks {
-		if change.Offset+i >= have {
+		if change.Offset+i >= count {
 			stream.chunks = append(stream.chunks, chunk)
 			added += len(chunk)
 		}
--- a/internal/dataplane/streamstore/replica_test.go
+++ b/internal/dataplane/streamstore/replica_test.go
@@ -7,7 +7,8 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// A standby takes what is new of a change, and rejects one that leaves a gap or whose sender no longer owns the stream.
+// A standby applies what is new in a change. It rejects a change that leaves a gap, and one whose sender no longer owns the
+// stream.
 func TestApplyReplication(t *testing.T) {
 	replica := func(change func(*Stream)) *Stream {
 		stream := newStream("q1", "tenant")
@@ -22,7 +23,7 @@
 		name     string
 		stream   *Stream
 		change   ReplicateRequest
-		want     string // all chunks after it
+		want     string // all chunks after the change, joined
 		added    int    // bytes
 		wantCode wire.Code
 	}{
--- a/internal/dataplane/streamstore/replication.go
+++ b/internal/dataplane/streamstore/replication.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	replicateTimeout   = 400 * time.Millisecond // of one call to a standby
-	maxStandbyAttempts = 3                      // standbys that may fail before a stream goes on without one
+	replicateTimeout   = 400 * time.Millisecond // of one call to a standby, and of an owner check
+	maxStandbyAttempts = 3                      // standbys that may fail before a stream continues without one
 )
 
-// AssignStandby gives a stream that was taken over a standby, before its next run. It fails with ErrServedElsewhere.
+// AssignStandby assigns a standby to a stream that was taken over, before its rerun. Its only error is ErrServedElsewhere.
 func (s *Store) AssignStandby(ctx context.Context, stream *Stream) error {
 	chunks, _ := stream.Replayable()
 	return s.replicate(ctx, stream, ReplicateRequest{Offset: chunks})
 }
 
-// revokeStandby makes sure that the present standby does not take the stream over, by claiming its term. It fails with
+// revokeStandby claims the current standby's term, so that the standby cannot take the stream over. Its only error is
 // ErrServedElsewhere.
 func (s *Store) revokeStandby(ctx context.Context, stream *Stream) error {
 	if stream.standbyName == "" || stream.request == nil {
-		return nil // there is none, or it has no right to
+		return nil // there is no standby, or it has no saved request and can't take over
 	}
 	granted, err := s.claimTerm(ctx, stream.ID, stream.term)
 	if err != nil || !granted {
 		s.ctx.Log.Warn("Another router may serve the stream. Ours ends.", "request_id", stream.ID)
-		s.drop(stream) // whoever asks us for it is to ask the others
+		s.drop(stream) // a router that resumes the stream must find it at its new owner, not here
 		return ErrServedElsewhere
 	}
 	stream.mu.Lock()
@@ -34,10 +34,12 @@
 	return nil
 }
 
-// replicate sends a change to the standby; a new standby gets the whole stream. Where a further run is allowed, a standby
-// that did not answer may believe us gone: before anything is shown without it, its term has to be ours. A new one is called
-// first without the saved request, which alone gives the right to take over: one that is out of reach costs no term, so
-// that a zone cut off from the core serves on.
+// replicate sends a change to the standby, or the whole stream to a new standby. Its only error is ErrServedElsewhere.
+//
+// If a rerun is allowed, a standby that did not acknowledge a change may take the stream over. So the owner must claim its
+// term before it sends the client anything that this standby lacks. A new standby is first called without the saved request,
+// which it needs to take over. So an unreachable new standby requires no claim, and a zone cut off from the core continues to
+// serve.
 func (s *Store) replicate(ctx context.Context, stream *Stream, change ReplicateRequest) error {
 	if stream.tooLarge {
 		return nil
@@ -64,34 +66,34 @@
 	return nil
 }
 
-// replicateTo sends a change to the chosen standby. mayTakeOver: the standby may have got the right to take the stream over,
-// though err says that it did not acknowledge.
+// replicateTo sends a change to the chosen standby. If it fails, mayTakeOver reports whether the standby may have received the
+// saved request, if there is one, and so may take the stream over.
 func (s *Store) replicateTo(ctx context.Context, stream *Stream, change ReplicateRequest, isNew bool) (mayTakeOver bool, err error) {
-	next := change
+	request := change
 	stream.mu.Lock()
-	next.Term = stream.term
+	request.Term = stream.term
 	if isNew {
-		next.Offset, next.Chunks, next.Request = 0, stream.chunks, stream.request
+		request.Offset, request.Chunks, request.Request = 0, stream.chunks, stream.request
 	}
 	stream.mu.Unlock()
-	if isNew && next.Request != nil {
-		first := ReplicateRequest{ID: change.ID, Tenant: change.Tenant, Owner: change.Owner, OwnerAddr: change.OwnerAddr, Term: next.Term}
+	if isNew && request.Request != nil {
+		first := ReplicateRequest{ID: change.ID, Tenant: change.Tenant, Owner: change.Owner, OwnerAddr: change.OwnerAddr, Term: request.Term}
 		if err := s.sendToStandby(ctx, stream, &first); err != nil {
 			return false, err
 		}
 	}
-	return true, s.sendToStandby(ctx, stream, &next)
+	return true, s.sendToStandby(ctx, stream, &request)
 }
 
-// sendToStandby makes one call to the standby. It does not end with ctx: a call under way is finished.
+// sendToStandby makes one call to the standby. It is not cancelled with ctx: a call in progress is completed.
 func (s *Store) sendToStandby(ctx context.Context, stream *Stream, change *ReplicateRequest) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), replicateTimeout)
 	defer cancel()
 	return s.cluster.Call(ctx, stream.standbyAddr, "stream.copy", change, nil)
 }
 
-// chooseStandby chooses a ready router in another zone, by a hash of the stream's ID. It reports whether there is one;
-// without one the stream goes on unreplicated.
+// chooseStandby chooses a ready router in another zone by a hash of the stream's ID, other than the last one chosen. It
+// reports whether there is one; without one the stream continues unreplicated.
 func (s *Store) chooseStandby(stream *Stream) bool {
 	nodes := s.cluster.Nodes()
 	hash := 0
--- a/internal/dataplane/streamstore/store.go
+++ b/internal/dataplane/streamstore/store.go
@@ -1,9 +1,9 @@
-// Package streamstore keeps response streams as numbered chunks on the router that serves them, its owner, and on a standby
-// router in another zone, so that a client can resume its stream through any router. Where the request is idempotent, the
+// Package streamstore stores response streams as numbered chunks, on the router that serves the stream (its owner) and on a
+// standby router in another zone, so that a client can resume its stream through any router. If the request is idempotent, the
 // standby takes the stream over once its owner is gone.
 //
-// Who may continue a stream is decided at the core: each standby has a term, which either the standby claims to take the
-// stream over, or the owner to replace the standby, and only one of them is granted it.
+// The core decides which router may continue a stream. Each standby has a term. The standby claims the term to take the stream
+// over, the owner claims it to replace the standby, and the core grants it to only one of them.
 package streamstore
 
 import (
@@ -16,32 +16,32 @@
 )
 
 const (
-	// MaxStreamBytes is the size of a stream beyond which it is neither replicated nor resumed.
+	// MaxStreamBytes limits the size of a stream. A larger one is neither replicated nor can it be resumed.
 	MaxStreamBytes = 8 << 20
-	// MaxTotalBytes is the size of all streams on one router, its own and replicas.
+	// MaxTotalBytes limits the size of all streams on one router, owned ones and replicas.
 	MaxTotalBytes = 128 << 20
-	// EndedTTL is how long a stream can be resumed after its last change.
+	// EndedTTL is how long an ended stream, or a replica without changes, can be resumed after its last change.
 	EndedTTL = 60 * time.Second
 
 	sweepInterval = time.Second
 )
 
-// Store keeps all streams of one router. Its methods may be called concurrently, but for one stream's Append, Close and
-// AssignStandby, which only the goroutine that serves the stream calls.
+// Store holds all streams of one router. Its methods may be called concurrently, except that Append, Close and AssignStandby
+// must be called for a stream only by the goroutine that serves it.
 type Store struct {
-	// OnTakeover continues a stream whose owner is gone, in a goroutine of its own. It is set before Run; if it is nil,
-	// such a stream ends with CodeRouterLost.
+	// OnTakeover continues a stream that was taken over. It is called in a goroutine of its own and must be set before Run. If
+	// it is nil, a stream whose owner is gone ends with CodeRouterLost.
 	OnTakeover func(stream *Stream, request *SavedRequest)
 
 	ctx     daemon.Context
 	cluster *cluster.Member
 
-	mu   sync.Mutex // guards the fields below; a stream's lock may be taken under it, never the other way round
+	mu   sync.Mutex // guards the fields below; lock order: mu before a stream's mu
 	byID map[string]*Stream
-	size int // bytes reserved, of all streams
+	size int // bytes reserved for all streams
 }
 
-// New makes an empty store and registers it for other routers' calls about streams.
+// New returns an empty store and registers it as the handler of other routers' calls about streams.
 func New(ctx daemon.Context, member *cluster.Member) *Store {
 	s := &Store{ctx: ctx, cluster: member, byID: map[string]*Stream{}}
 	member.RegisterHandler("stream", s.handle)
@@ -70,14 +70,14 @@
 	}
 }
 
-// find returns the stream with an ID; nil: it is not here.
+// find returns the stream with an ID, or nil if it is not in the store.
 func (s *Store) find(id string) *Stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.byID[id]
 }
 
-// drop removes a stream and frees its bytes.
+// drop removes a stream and releases its bytes.
 func (s *Store) drop(stream *Stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,8 +89,8 @@
 	}
 }
 
-// reserveBytes reserves memory, and drops ended streams for it, the one that changed longest ago first. It reports whether
-// there was enough.
+// reserveBytes reserves n bytes. If necessary it drops ended streams, the least recently changed first. It reports whether
+// there was enough memory.
 func (s *Store) reserveBytes(n int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +113,7 @@
 	return true
 }
 
-// totalBytes sums the chunks' sizes.
+// totalBytes returns the total size of chunks.
 func totalBytes(chunks [][]byte) int {
 	n := 0
 	for _, chunk := range chunks {
--- a/internal/dataplane/streamstore/takeover.go
+++ b/internal/dataplane/streamstore/takeover.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	ownerTimeout = 3 * time.Second // a replica unchanged for longer has its owner checked
-	claimTimeout = 3 * time.Second
+	ownerTimeout = 3 * time.Second // time without a change of a replica after which its owner is checked
+	claimTimeout = 3 * time.Second // for the core to decide a claim
 
-	// beyondEnd is an offset that no stream reaches: a read there only asks whether the stream is there.
+	// beyondEnd is an offset that no stream reaches. A read from there returns no chunks, only whether the stream is found.
 	beyondEnd = 1 << 30
 )
 
-// checkOwner finds out whether a silent owner is gone, and if so takes its stream over, or ends it with CodeRouterLost. The
-// peer directory alone does not decide it: while the core is out of reach it says nothing.
+// checkOwner calls the owner of a replica without recent changes. If the owner does not have the stream or does not respond,
+// it takes the stream over or, if a rerun is not allowed, ends it with CodeRouterLost. The peer directory can't replace this
+// check: it is not updated while the core is out of reach.
 func (s *Store) checkOwner(stream *Stream) {
 	ownerAddr, request, ok := stream.startOwnerCheck()
 	if !ok {
@@ -30,7 +31,7 @@
 	switch {
 	case err == nil && response.Found:
 		stream.mu.Lock()
-		stream.changedAt = time.Now() // the owner lives, if silently: its stream is kept
+		stream.changedAt = time.Now() // the owner still serves the stream: the replica must not expire
 		stream.mu.Unlock()
 	case request != nil && s.OnTakeover != nil:
 		s.takeOver(stream, request)
@@ -43,17 +44,17 @@
 	stream.checkingOwner = false
 }
 
-// startOwnerCheck reports whether the owner has to be checked now, and notes that a check is under way.
+// startOwnerCheck reports whether the owner must be checked now, and if so marks the check as running.
 func (stream *Stream) startOwnerCheck() (ownerAddr string, request *SavedRequest, ok bool) {
 	stream.mu.Lock()
 	defer stream.mu.Unlock()
-	silent := stream.ownerName != "" && !stream.checkingOwner && !stream.complete && stream.failure == "" && time.Since(stream.changedAt) > ownerTimeout
-	stream.checkingOwner = stream.checkingOwner || silent
-	return stream.ownerAddr, stream.request, silent
+	due := stream.ownerName != "" && !stream.checkingOwner && !stream.complete && stream.failure == "" && time.Since(stream.changedAt) > ownerTimeout
+	stream.checkingOwner = stream.checkingOwner || due
+	return stream.ownerAddr, stream.request, due
 }
 
-// takeOver makes this router the owner of a replica, if the core grants it: the term can be claimed by the owner, which would
-// then choose another standby, or by us, and by nobody else.
+// takeOver makes this router the owner of a replica, if the core grants it the term. If the owner has claimed the term, it has
+// replaced this standby, and the replica is dropped.
 func (s *Store) takeOver(stream *Stream, request *SavedRequest) {
 	stream.mu.Lock()
 	term := stream.term
@@ -82,7 +83,7 @@
 	}
 }
 
-// claimTerm claims a term of a stream at the core, and reports whether it is ours. It does not end with ctx.
+// claimTerm claims a term of a stream at the core, and reports whether it was granted. It is not cancelled with ctx.
 func (s *Store) claimTerm(ctx context.Context, id string, term int) (bool, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), claimTimeout)
 	defer cancel()
