--- a/internal/dataplane/tracing/tracing.go
+++ b/internal/dataplane/tracing/tracing.go
@@ -1,5 +1,5 @@
-// Package tracing exports each request of a router as a trace, in OpenTelemetry's JSON form, to a file. It is off unless
-// set, and no trace context is sent to runners.
+// Package tracing appends a trace of each request of a router to a file, in the JSON format of OpenTelemetry's stdouttrace
+// exporter. It is off by default. No trace context is sent to runners.
 package tracing
 
 import (
@@ -19,18 +19,18 @@
 
 const (
 	serviceName  = "yarrowridge-router"
-	closeTimeout = time.Second // for traces that are not in the file yet
+	closeTimeout = time.Second // for writing the remaining traces
 )
 
-// Tracer exports traces. A nil Tracer exports none. Export may be called concurrently, and not after Close.
+// Tracer exports traces. A nil Tracer exports none. Export may be called concurrently, but not after Close.
 type Tracer struct {
 	file     *os.File
 	provider *sdk.TracerProvider
 	tracer   trace.Tracer
 }
 
-// Open returns a tracer of the router named instance that appends to the file at path. For an empty path it returns nil,
-// which exports nothing.
+// Open returns a tracer for the router named instance that appends to the file at path. If path is empty, it returns a nil
+// Tracer.
 func Open(path, instance string) (*Tracer, error) {
 	if path == "" {
 		return nil, nil
@@ -41,16 +41,16 @@
 	}
 	exporter, err := stdouttrace.New(stdouttrace.WithWriter(file))
 	if err != nil {
-		_ = file.Close() // nothing was written
-		return nil, eris.Wrap(err, "tracing: exporter")
+		_ = file.Close() // nothing was written to it
+		return nil, eris.Wrap(err, "tracing: create exporter")
 	}
 	service := resource.NewSchemaless(attribute.String("service.name", serviceName), attribute.String("service.instance.id", instance))
 	provider := sdk.NewTracerProvider(sdk.WithBatcher(exporter), sdk.WithResource(service))
 	return &Tracer{file, provider, provider.Tracer("yarrowridge")}, nil
 }
 
-// Export exports a request that has ended with a code: one span, with an event for each of its states. Neither key, prompt
-// nor response is in it. It does not wait for the file.
+// Export exports an ended request and its code as one span, with an event for each state of the request. The span contains
+// neither the API key nor the prompt nor the response. Export does not wait until the span is written.
 func (t *Tracer) Export(request *request.Request, code string) {
 	if t == nil {
 		return
@@ -67,8 +67,8 @@
 	span.End(trace.WithTimestamp(end))
 }
 
-// Close writes what was exported to the file, for a second at most, and closes it. It returns no error: traces that cannot
-// be written are lost rather than hold up the end of the process.
+// Close writes the remaining traces, for at most closeTimeout, and closes the file. It returns no error: traces that cannot be
+// written are dropped, so that they do not delay the shutdown.
 func (t *Tracer) Close() {
 	if t == nil {
 		return
--- a/internal/dataplane/tracing/tracing_test.go
+++ b/internal/dataplane/tracing/tracing_test.go
@@ -10,7 +10,7 @@
 	"yarrowridge/internal/dataplane/request"
 )
 
-// A request's states are in the file as events of one span, in order; a nil Tracer exports nothing.
+// The states of a request are written to the file as events of one span, in order. A nil Tracer exports nothing.
 func TestExport(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "traces.json")
 	tracer, err := Open(path, "north1")
@@ -37,7 +37,7 @@
 	if got := span.Get(`Attributes.#(Key=="yarrowridge.code").Value.Value`).Str; got != "lane-closed" {
 		t.Errorf("got code %q in %s, want lane-closed", got, raw)
 	}
-	var off *Tracer
-	off.Export(rejected, "")
-	off.Close()
+	var disabled *Tracer
+	disabled.Export(rejected, "")
+	disabled.Close()
 }
