--- a/internal/dataplane/clientapi/events.go
+++ b/internal/dataplane/clientapi/events.go
@@ -13,23 +13,23 @@
 
 // readEvent reads one server-sent event, including the blank line that ends it.
 func readEvent(in *bufio.Reader) ([]byte, error) {
-	var out []byte
+	var event []byte
 	for lineStart := 0; ; { // offset of the current line; a line longer than the buffer takes several reads
 		fragment, err := in.ReadSlice('\n')
-		out = append(out, fragment...)
+		event = append(event, fragment...)
 		if err != nil && err != bufio.ErrBufferFull {
-			return out, err
+			return event, err
 		}
-		if len(out) > maxEventBytes {
+		if len(event) > maxEventBytes {
 			return nil, errEventTooLarge
 		}
 		if err != nil {
 			continue
 		}
-		if len(bytes.TrimRight(out[lineStart:], "\r\n")) == 0 {
-			return out, nil
+		if len(bytes.TrimRight(event[lineStart:], "\r\n")) == 0 {
+			return event, nil
 		}
-		lineStart = len(out)
+		lineStart = len(event)
 	}
 }
 
@@ -43,13 +43,13 @@
 
 // numberEvent adds a chunk's number to its event as the id field, after any id that the runner set: the last one counts.
 func numberEvent(event []byte, number int) []byte {
-	out := append([]byte{}, bytes.TrimRight(event, "\r\n")...)
-	return append(out, fmt.Sprintf("\nid: %d\n\n", number)...)
+	numbered := append([]byte{}, bytes.TrimRight(event, "\r\n")...)
+	return append(numbered, fmt.Sprintf("\nid: %d\n\n", number)...)
 }
 
 // errorEvent returns the event that ends a stream with an error.
-func errorEvent(code Code, text, id string) []byte {
-	raw, _ := json.Marshal(RejectionBody{RejectionError{Code: code, Message: text, RequestID: id, Run: "unknown"}})
+func errorEvent(code Code, message, id string) []byte {
+	raw, _ := json.Marshal(RejectionBody{RejectionError{Code: code, Message: message, RequestID: id, Run: "unknown"}})
 	return append(append([]byte("event: trouble\ndata: "), raw...), '\n', '\n')
 }
 
