--- a/internal/dataplane/place/choose.go
+++ b/internal/dataplane/place/choose.go
@@ -66,7 +66,7 @@
 	return comparison{depth: depth, hasKey: true, key: keys[min(1, len(keys)-1)]}
 }
 
-// better reports whether a is to be preferred to b.
+// better reports whether a is a better choice than b.
 func (c comparison) better(a, b Candidate) bool {
 	if depthA, depthB := c.depth[a.Index], c.depth[b.Index]; depthA != depthB {
 		return depthA > depthB
--- a/internal/dataplane/place/prefix.go
+++ b/internal/dataplane/place/prefix.go
@@ -23,7 +23,7 @@
 	for offset := 0; offset < len(prompt) && len(hashes) < maxBlocks; offset += BlockSize {
 		hash.Write([]byte(prompt[offset:min(offset+BlockSize, len(prompt))]))
 		if offset+BlockSize > len(prompt) {
-			break // an incomplete block has no hash
+			break // no prefix cache contains an incomplete block
 		}
 		hashes = append(hashes, hash.Sum64())
 	}
@@ -49,7 +49,7 @@
 
 type prefixEntry struct {
 	key     uint64
-	runners []int // runner indices, most recent last
+	runners []int // dense runner indices (Instance.Index), most recent last
 }
 
 // NewPrefixIndex returns an empty index for at most n prefixes.
@@ -107,9 +107,9 @@
 		}
 		shard.mu.Unlock()
 		found := false
-		for _, other := range runners {
-			if depth[other] == i {
-				depth[other] = i + 1
+		for _, runner := range runners {
+			if depth[runner] == i {
+				depth[runner] = i + 1
 				found = true
 			}
 		}
