--- a/internal/dataplane/cluster/lease.go
+++ b/internal/dataplane/cluster/lease.go
@@ -58,8 +58,8 @@
 	return time.Since(l.renewedAt)
 }
 
-// CoreSilent reports whether the core has not answered for three seconds: the configuration in force may be outdated.
-func (m *Member) CoreSilent() bool { return m.lease.sinceRenewal() > coreTimeout }
+// CoreTimedOut reports whether the core has not answered for three seconds: the configuration in force may be outdated.
+func (m *Member) CoreTimedOut() bool { return m.lease.sinceRenewal() > coreTimeout }
 
 // CoreResponsive reports whether the core has answered one of the last two heartbeats.
 func (m *Member) CoreResponsive() bool {
--- a/internal/dataplane/router/gateway.go
+++ b/internal/dataplane/router/gateway.go
@@ -49,7 +49,7 @@
 	g.sessions = newSessionSync(g)
 	g.Cluster.RegisterHandler("session", g.sessions.handle)
 	g.QuotaShares = quota.NewShares(ctx.WithComponent("share"), quota.Config{Transfer: newTransferQueue(ctx, g.Cluster).transfer, Nodes: func() int { return len(g.Cluster.Nodes()) },
-		ScarceTenants: g.Cluster.ScarceTenants, Rules: g.quotaRules, RecentContact: g.Cluster.CoreResponsive, InContact: func() bool { return !g.Cluster.CoreSilent() }, Margin: quotaMargin})
+		ScarceTenants: g.Cluster.ScarceTenants, Rules: g.quotaRules, RecentContact: g.Cluster.CoreResponsive, InContact: func() bool { return !g.Cluster.CoreTimedOut() }, Margin: quotaMargin})
 	g.Front = gateway.New(gateway.Options{Dialect: settings.Dialect, Table: g.table.Load, NotReadyReason: g.unavailableReason, Balancer: g.Balancer,
 		Pool: g.Pool, Quotas: quotas{g.QuotaShares}, Retries: settings.Retries, LocalShare: g.localShare,
 		Keys: gateway.KeyBounds{RevocationTerm: settings.RevocationTerm, ConfirmedAt: g.Cluster.ConfirmedAt}, Log: ctx.WithComponent("gateway").Log})
--- a/internal/dataplane/router/gatewaymetrics.go
+++ b/internal/dataplane/router/gatewaymetrics.go
@@ -13,7 +13,7 @@
 		"yarrowridge_config_version": func() float64 { return float64(g.Cluster.ConfigVersion()) },
 		"yarrowridge_runners":        func() float64 { return float64(len(g.Registry.List())) },
 		"yarrowridge_routers":        func() float64 { return float64(len(g.Cluster.Nodes())) },
-		"yarrowridge_stale":          func() float64 { return metrics.FlagValue(g.Cluster.CoreSilent()) },
+		"yarrowridge_stale":          func() float64 { return metrics.FlagValue(g.Cluster.CoreTimedOut()) },
 		"yarrowridge_ready":          func() float64 { return metrics.FlagValue(g.notReadyReason() == "") },
 	}, g.Front.Counts())
 }
--- a/internal/dataplane/router/router.go
+++ b/internal/dataplane/router/router.go
@@ -45,10 +45,10 @@
 	r.Metrics = metrics.New(metrics.Gauges{
 		"yarrowridge_queued":          func() float64 { n, _ := r.Scheduler.Waiting(); return float64(n) },
 		"yarrowridge_layout_sequence": func() float64 { return float64(r.Cluster.Self().ConfigVersion) },
-		"yarrowridge_stale":           func() float64 { return metrics.FlagValue(r.Cluster.CoreSilent()) },
+		"yarrowridge_stale":           func() float64 { return metrics.FlagValue(r.Cluster.CoreTimedOut()) },
 	})
 	r.QuotaShares = quota.NewShares(ctx.WithComponent("share"), quota.Config{Transfer: newTransferQueue(ctx, r.Cluster).transfer, Nodes: func() int { return len(r.Cluster.Nodes()) },
-		ScarceTenants: r.Cluster.ScarceTenants, Rules: quotaRules(r.Cluster), RecentContact: r.Cluster.CoreResponsive, InContact: func() bool { return !r.Cluster.CoreSilent() }})
+		ScarceTenants: r.Cluster.ScarceTenants, Rules: quotaRules(r.Cluster), RecentContact: r.Cluster.CoreResponsive, InContact: func() bool { return !r.Cluster.CoreTimedOut() }})
 	r.Claims = clientapi.NewClaims(ctx.WithComponent("claim"), r.Cluster)
 	r.Streams = streamstore.New(ctx.WithComponent("stream"), r.Cluster)
 	r.Clients = &clientapi.Server{Ctx: ctx.WithComponent("origin"), Cluster: r.Cluster, Runners: r.Runners, Scheduler: r.Scheduler, Sender: r.sender,
--- a/internal/dataplane/router/views.go
+++ b/internal/dataplane/router/views.go
@@ -56,7 +56,7 @@
 	version, hash := r.Cluster.ConfigInForce()
 	own := r.Cluster.Self()
 	own.ConfigVersion = version
-	return statusView{ConfigHash: hash, Node: own, Stale: r.Cluster.CoreSilent(), View: r.Cluster.Core.View(), WhyNotReady: r.Cluster.NotReadyReason()}
+	return statusView{ConfigHash: hash, Node: own, Stale: r.Cluster.CoreTimedOut(), View: r.Cluster.Core.View(), WhyNotReady: r.Cluster.NotReadyReason()}
 }
 
 func (r *Router) runnerViews() []runnerView {
--- a/internal/testing/modelcheck/quotarouter_test.go
+++ b/internal/testing/modelcheck/quotarouter_test.go
@@ -146,7 +146,7 @@
 	go wire.Serve(ctx, listener, member.Serve)
 	go member.Run()
 	shares := quota.NewShares(where, quota.Config{Transfer: transferVia(member), Nodes: func() int { return len(member.Nodes()) },
-		ScarceTenants: member.ScarceTenants, RecentContact: member.CoreResponsive, InContact: func() bool { return !member.CoreSilent() },
+		ScarceTenants: member.ScarceTenants, RecentContact: member.CoreResponsive, InContact: func() bool { return !member.CoreTimedOut() },
 		Rules: func() []quota.Rule {
 			return []quota.Rule{{Tenant: spentTenant, Units: int(limit.Load()), Window: spentWindow}}
 		}})
--- a/internal/testing/sim/core_test.go
+++ b/internal/testing/sim/core_test.go
@@ -194,7 +194,7 @@
 		}
 		f.within(2*time.Second, "routers follow to the new machines", func() bool {
 			for _, r := range f.routers {
-				if lay := r.hub.Config(); lay == nil || lay.Version != p.seq || r.hub.CoreSilent() {
+				if lay := r.hub.Config(); lay == nil || lay.Version != p.seq || r.hub.CoreTimedOut() {
 					return false
 				}
 			}
--- a/internal/testing/sim/promise_test.go
+++ b/internal/testing/sim/promise_test.go
@@ -263,8 +263,8 @@
 			time.Sleep(time.Duration(w.chance(50)) * time.Second)
 		}
 		for _, r := range w.full {
-			if r.r.Cluster.CoreSilent() != inside[r.zone] {
-				t.Errorf("%s: stale %v", r.name, r.r.Cluster.CoreSilent())
+			if r.r.Cluster.CoreTimedOut() != inside[r.zone] {
+				t.Errorf("%s: stale %v", r.name, r.r.Cluster.CoreTimedOut())
 			}
 		}
 		o := w.operator()
@@ -275,7 +275,7 @@
 		w.w.Heal()
 		w.within(2*time.Second, "all obey the newest layout", func() bool {
 			for _, r := range w.full {
-				if r.r.Cluster.Config().Version < p.seq || r.r.Cluster.CoreSilent() {
+				if r.r.Cluster.Config().Version < p.seq || r.r.Cluster.CoreTimedOut() {
 					return false
 				}
 			}
