--- a/internal/dataplane/cluster/config.go
+++ b/internal/dataplane/cluster/config.go
@@ -82,9 +82,9 @@
 	return 0
 }
 
-// ConfigInForce is the version of the configuration in force and the hex SHA-256 of its bytes as they were written, both of
+// ConfigVersionAndHash is the version of the configuration in force and the hex SHA-256 of its bytes as they were written, both of
 // one configuration however fast they change; 0 and "" before the first.
-func (m *Member) ConfigInForce() (version uint64, hash string) {
+func (m *Member) ConfigVersionAndHash() (version uint64, hash string) {
 	if c := m.config.current.Load(); c != nil {
 		return c.version, fleetconfig.HashKey(string(c.raw))
 	}
--- a/internal/dataplane/router/views.go
+++ b/internal/dataplane/router/views.go
@@ -53,7 +53,7 @@
 
 // statusView has the version and the hash of one configuration, also while configurations come in quick succession.
 func (r *Router) statusView() statusView {
-	version, hash := r.Cluster.ConfigInForce()
+	version, hash := r.Cluster.ConfigVersionAndHash()
 	own := r.Cluster.Self()
 	own.ConfigVersion = version
 	return statusView{ConfigHash: hash, Node: own, Stale: r.Cluster.CoreTimedOut(), View: r.Cluster.Core.View(), WhyNotReady: r.Cluster.NotReadyReason()}
--- a/internal/testing/sim/document_test.go
+++ b/internal/testing/sim/document_test.go
@@ -188,10 +188,10 @@
 		}
 
 		// One that routers don't understand: the old one stays in force, the next is taken.
-		_, hash := r.hub.ConfigInForce()
+		_, hash := r.hub.ConfigVersionAndHash()
 		write(coreapi.WriteRequest{AnyVersion: true, Raw: whole(last+2, "strange")}, 200, last+2)
 		time.Sleep(time.Second)
-		if version, now := r.hub.ConfigInForce(); version != last+1 || now != hash || r.hub.NotReadyReason() != "" {
+		if version, now := r.hub.ConfigVersionAndHash(); version != last+1 || now != hash || r.hub.NotReadyReason() != "" {
 			t.Errorf("after a strange document the router is at %d, %q", r.hub.ConfigVersion(), r.hub.NotReadyReason())
 		}
 		write(coreapi.WriteRequest{AnyVersion: true, Raw: whole(last+3, "a 10")}, 200, last+3)
