--- a/internal/dataplane/cluster/config.go
+++ b/internal/dataplane/cluster/config.go
@@ -37,7 +37,7 @@
 	close(*a.changed.Swap(&next))
 }
 
-// applyDocument passes a configuration to WithDocument's function and puts it in force if that accepts it.
+// applyDocument passes a configuration to WithConfigHandler's function and puts it in force if that accepts it.
 func (m *Member) applyDocument(record dissemination.Record) {
 	if err := m.onDocument(record.Version, record.Body); err != nil {
 		m.ctx.Log.Error("Configuration from the core is not understood. The old one stays.", "version", record.Version, "error", err.Error())
--- a/internal/dataplane/cluster/member.go
+++ b/internal/dataplane/cluster/member.go
@@ -65,9 +65,9 @@
 // Option sets what NewMember leaves out by default.
 type Option func(*Member)
 
-// WithDocument has the member pass configurations to apply as they are, in place of parsing them. apply is called for each
+// WithConfigHandler has the member pass configurations to apply as they are, in place of parsing them. apply is called for each
 // newer one, in order, under a lock of Records, which it must not use. If it fails, the configuration in force stays.
-func WithDocument(apply func(version uint64, raw []byte) error) Option {
+func WithConfigHandler(apply func(version uint64, raw []byte) error) Option {
 	return func(m *Member) { m.onDocument = apply }
 }
 
--- a/internal/dataplane/router/gateway.go
+++ b/internal/dataplane/router/gateway.go
@@ -45,7 +45,7 @@
 	g.Pool = upstream.New(upstream.Options{Dial: settings.Dial})
 	g.Registry = registry.New(g.Balancer.Update)
 	g.Cluster = cluster.NewMember(ctx.WithComponent("node"), settings.InternalAddr, settings.ClientAddr, settings.Seeds, g.applyRecord,
-		cluster.WithDocument(g.applyTable), cluster.WithRegistry(g.Registry), cluster.WithRunnerStats(g.runnerStats, g.applyFindings))
+		cluster.WithConfigHandler(g.applyTable), cluster.WithRegistry(g.Registry), cluster.WithRunnerStats(g.runnerStats, g.applyFindings))
 	g.sessions = newSessionSync(g)
 	g.Cluster.RegisterHandler("session", g.sessions.handle)
 	g.QuotaShares = quota.NewShares(ctx.WithComponent("share"), quota.Config{Transfer: newTransferQueue(ctx, g.Cluster).transfer, Nodes: func() int { return len(g.Cluster.Nodes()) },
--- a/internal/dataplane/router/status_test.go
+++ b/internal/dataplane/router/status_test.go
@@ -17,7 +17,7 @@
 func TestStatusIsOfOneConfiguration(t *testing.T) {
 	text := func(version uint64) string { return fmt.Sprint("configuration ", version) }
 	ctx := daemon.Context{Context: t.Context(), Name: "north1", Log: slog.New(slog.DiscardHandler)}
-	member := cluster.NewMember(ctx, "10.0.0.1:1", "10.0.0.1:2", nil, func(dissemination.Record) {}, cluster.WithDocument(func(uint64, []byte) error { return nil }))
+	member := cluster.NewMember(ctx, "10.0.0.1:1", "10.0.0.1:2", nil, func(dissemination.Record) {}, cluster.WithConfigHandler(func(uint64, []byte) error { return nil }))
 	r := &Router{Cluster: member}
 	var writing sync.WaitGroup
 	writing.Go(func() {
--- a/internal/testing/modelcheck/quotarouter_test.go
+++ b/internal/testing/modelcheck/quotarouter_test.go
@@ -138,7 +138,7 @@
 		return
 	}
 	var limit atomic.Int64 // by the configuration in force; 0: none yet
-	member := cluster.NewMember(where, r.addr(), r.addr(), r.fleet.seeds(), nil, cluster.WithDocument(func(_ uint64, raw []byte) error {
+	member := cluster.NewMember(where, r.addr(), r.addr(), r.fleet.seeds(), nil, cluster.WithConfigHandler(func(_ uint64, raw []byte) error {
 		document, _ := toleranceCodec{}.Check(raw)
 		limit.Store(int64(document.Quotas[spentTenant]))
 		return nil
--- a/internal/testing/sim/document_test.go
+++ b/internal/testing/sim/document_test.go
@@ -58,7 +58,7 @@
 		f.options = func(r *routerProc) []cluster.Option {
 			mine := &taken{}
 			got[r.name] = mine
-			return []cluster.Option{cluster.WithDocument(func(sequence uint64, raw []byte) error {
+			return []cluster.Option{cluster.WithConfigHandler(func(sequence uint64, raw []byte) error {
 				mine.mu.Lock()
 				defer mine.mu.Unlock()
 				if n := len(mine.all); n > 0 && mine.all[n-1] >= sequence {
