--- a/internal/dataplane/balance/session_test.go
+++ b/internal/dataplane/balance/session_test.go
@@ -228,7 +228,7 @@
 	f.add("e")
 	newRouter := New("east")
 	newRouter.Update(f.runners)
-	newRouter.Sessions.Merge(f.routers[0].Sessions.Newest(maxDirectorySessions))
+	newRouter.Sessions.Merge(f.routers[0].Sessions.MostRecentlyUsed(maxDirectorySessions))
 	f.routers = append(f.routers, newRouter)
 	if moved := f.moved(1, served); moved > 0 {
 		t.Errorf("%d sessions moved", moved)
--- a/internal/dataplane/router/sessionfetch.go
+++ b/internal/dataplane/router/sessionfetch.go
@@ -106,7 +106,7 @@
 		return
 	}
 	s.persistedAt = time.Now()
-	body, err := session.Pack(s.directory.Newest(maxPersistedEntries)).MarshalMsg(nil)
+	body, err := session.Pack(s.directory.MostRecentlyUsed(maxPersistedEntries)).MarshalMsg(nil)
 	if err != nil {
 		s.ctx.Log.Error("Session directory could not be encoded.", "error", err.Error())
 		return
--- a/internal/dataplane/router/sessionsync.go
+++ b/internal/dataplane/router/sessionsync.go
@@ -136,7 +136,7 @@
 		return nil, eris.Errorf("router: unknown kind of message %q", kind)
 	}
 	return wire.HandleTyped(body, func(request *session.FetchRequest) (*session.Batch, error) {
-		batch := session.Pack(s.directory.Newest(min(request.Limit, maxFetchedEntries)))
+		batch := session.Pack(s.directory.MostRecentlyUsed(min(request.Limit, maxFetchedEntries)))
 		batch.Partial = !s.fetched.Load()
 		return batch, nil
 	})
--- a/internal/dataplane/session/directory_bench_test.go
+++ b/internal/dataplane/session/directory_bench_test.go
@@ -29,7 +29,7 @@
 			b.Fatalf("got %d updates, want %d", sent, entries)
 		}
 		b.ReportMetric(float64(heap()-before)/entries, "B/entry")
-		raw, err := Pack(d.Newest(1000)).MarshalMsg(nil)
+		raw, err := Pack(d.MostRecentlyUsed(1000)).MarshalMsg(nil)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/dataplane/session/directory_test.go
+++ b/internal/dataplane/session/directory_test.go
@@ -20,7 +20,7 @@
 
 // contents returns all entries of a directory, in the order of their sessions.
 func contents(d *Directory) []Entry {
-	entries := d.Newest(1 << 20)
+	entries := d.MostRecentlyUsed(1 << 20)
 	slices.SortFunc(entries, func(a, b Entry) int {
 		if a.Session < b.Session {
 			return -1
@@ -127,7 +127,7 @@
 	}
 	old.Lookup(0)
 	fresh := New(4)
-	batch := Pack(old.Newest(4))
+	batch := Pack(old.MostRecentlyUsed(4))
 	raw, err := batch.MarshalMsg(nil)
 	if err != nil {
 		t.Fatal(err)
@@ -137,7 +137,7 @@
 		t.Fatal(err)
 	}
 	fresh.Merge(read.Unpack())
-	if got, want := fresh.Newest(4), old.Newest(4); !reflect.DeepEqual(got, want) {
+	if got, want := fresh.MostRecentlyUsed(4), old.MostRecentlyUsed(4); !reflect.DeepEqual(got, want) {
 		t.Errorf("got entries %v, want %v", got, want)
 	}
 	if size := len(raw) / 4; size > 40 {
--- a/internal/dataplane/session/lru.go
+++ b/internal/dataplane/session/lru.go
@@ -32,9 +32,9 @@
 	d.recent.Remove(element)
 }
 
-// Newest returns the entries used last, at most limit of them, of these the one used longest ago first: a router that merges
+// MostRecentlyUsed returns the entries used last, at most limit of them, of these the one used longest ago first: a router that merges
 // them in this order drops the same ones as this router.
-func (d *Directory) Newest(limit int) []Entry {
+func (d *Directory) MostRecentlyUsed(limit int) []Entry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := make([]Entry, 0, max(0, min(limit, d.recent.Len())))
