--- a/internal/dataplane/cluster/antientropy.go
+++ b/internal/dataplane/cluster/antientropy.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	repairTimeout     = 500 * time.Millisecond // of one exchange
-	maxRepairAttempts = 3                      // routers asked in one round until one has answered
+	repairTimeout     = 500 * time.Millisecond // for one request to one router
+	maxRepairAttempts = 3                      // per round: other routers are tried until one answers
 )
 
-// repair is one round of anti-entropy: it compares our records by digests with those of one neighbour, or every other time
-// with those of any router.
+// repair runs one round of anti-entropy: it compares this router's records by digests with those of a random neighbour or,
+// with a probability of one half, of a random router.
 func (m *Member) repair() {
 	m.Records.Expire(recordTTL)
 	neighbours := m.Neighbours()
 	nodes := m.Nodes()
-	// A neighbour that does not answer may be what an update is stuck behind: another is asked at once.
+	// A neighbour that does not answer may be the reason why an update is missing here, so another router is tried at once.
 	for range maxRepairAttempts {
 		addr := ""
 		if len(neighbours) > 0 && rand.N(2) > 0 {
@@ -39,7 +39,8 @@
 	}
 }
 
-// repairWith compares our records with one router's, and exchanges what differs. It reports whether the router answered.
+// repairWith compares this router's records with another one's and exchanges the differences. It reports whether that router
+// answered.
 func (m *Member) repairWith(ctx context.Context, addr string) bool {
 	digests := m.Records.Digests(m.ctx.Name)
 	var difference dissemination.Difference
--- a/internal/dataplane/cluster/bootstrap.go
+++ b/internal/dataplane/cluster/bootstrap.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	zoneBootstrapDelay   = 2 * time.Second // from the start: only the core is asked until then
+	zoneBootstrapDelay   = 2 * time.Second // since the start of the process; before that, only the core is asked
 	zoneBootstrapTimeout = time.Second
 )
 
-// bootstrapFromZone is how a router that the core has never answered gets a configuration: from all routers of its zone that
-// it reaches.
+// bootstrapFromZone gets a configuration for a router that the core has never answered: from all routers of its zone that it
+// reaches.
 func (m *Member) bootstrapFromZone() {
 	if m.readiness.isSynced() || time.Since(m.startedAt) < zoneBootstrapDelay {
 		return
@@ -33,12 +33,12 @@
 		return
 	}
 	m.ctx.Log.Warn("No core to be found. Serving with the zone's configuration.")
-	// The peers come first: who finds this router ready finds them as well.
+	// The peers are set first, so that a caller for which this router is ready also sees its peers.
 	m.peers.setIfEmpty(nodes, coreapi.Node{Name: m.ctx.Name, Zone: m.ctx.Zone, Addr: m.addr, Run: m.ctx.RunID})
 	m.readiness.setSynced()
 }
 
-// nodesFromSeeds asks all seeds for their peer directory and returns the longest one.
+// nodesFromSeeds requests the peer directories of all seeds and returns the longest one.
 func (m *Member) nodesFromSeeds(ctx context.Context) []coreapi.Node {
 	var longest []coreapi.Node
 	for _, addr := range *m.seeds.Load() {
--- a/internal/dataplane/cluster/broadcast.go
+++ b/internal/dataplane/cluster/broadcast.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	updateTimeout = time.Second            // of one update to one router
-	broadcastWait = 250 * time.Millisecond // for all routers to acknowledge
+	updateTimeout = time.Second            // for sending one update to one router
+	broadcastWait = 250 * time.Millisecond // for the acknowledgements of all routers
 )
 
-// applyRecord hands one newer record to the owner of its kind. It runs under a lock of Records, for one key from older to
-// newer.
+// applyRecord dispatches one newer record to the handler of its kind. It runs under a lock of Records, for one key from
+// older to newer.
 func (m *Member) applyRecord(record dissemination.Record) {
 	switch {
-	case record.Key == dissemination.ConfigKey && m.onDocument != nil:
-		m.applyDocument(record)
+	case record.Key == dissemination.ConfigKey && m.configHandler != nil:
+		m.applyRawConfig(record)
 	case record.Key == dissemination.ConfigKey:
 		m.applyConfig(record)
 	case m.runners != nil && registry.IsRunnerRecord(record):
@@ -28,8 +28,8 @@
 	}
 }
 
-// Broadcast merges an update's records and queues those that were new for the neighbours in the dissemination tree, except
-// for the one that the update came from. It does not block: if the queue is full, anti-entropy spreads them.
+// Broadcast merges an update's records and queues the new ones for the neighbours in the dissemination tree, except for the
+// neighbour that sent the update. It does not block: if the queue is full, anti-entropy spreads the records.
 func (m *Member) Broadcast(update dissemination.Update) {
 	changed := m.Records.Merge(update.Records)
 	if len(changed) == 0 {
@@ -37,11 +37,11 @@
 	}
 	select {
 	case m.outbox <- dissemination.Update{From: update.From, Records: changed}:
-	default: // anti-entropy will find the difference
+	default: // anti-entropy repairs the difference
 	}
 }
 
-// forward sends an update to all neighbours but the one that it came from.
+// forward sends an update to all neighbours except the one that sent it.
 func (m *Member) forward(update dissemination.Update) {
 	outgoing := &dissemination.Update{From: m.ctx.Name, Records: update.Records}
 	for _, n := range m.Neighbours() {
@@ -51,18 +51,18 @@
 	}
 }
 
-// sendUpdate sends an update to one router and reports whether that has acknowledged it. One that is lost is found again by
-// anti-entropy.
+// sendUpdate sends an update to one router and reports whether that router has acknowledged it. Anti-entropy repairs lost
+// updates.
 func (m *Member) sendUpdate(addr string, update *dissemination.Update) bool {
 	ctx, cancel := context.WithTimeout(m.ctx, updateTimeout)
 	defer cancel()
 	return m.caller.Call(ctx, addr, "node.tell", update, nil) == nil
 }
 
-// BroadcastToAll sends records to every router directly, beside the dissemination tree, and reports whether at least one
-// has acknowledged them. It waits until all have answered, or for 250 ms, and beyond that for the first acknowledgement
-// only, until the context ends: if this router is gone right after, the tree that led through it must not be what others
-// depend on.
+// BroadcastToAll sends records to every other router directly, bypassing the dissemination tree, and reports whether at
+// least one has acknowledged them. It waits until all have answered or 250 ms have passed, and then, without an
+// acknowledgement yet, for the first one until the context ends. The tree is bypassed so that the records spread even if
+// this router, a node of the tree, stops right afterwards.
 func (m *Member) BroadcastToAll(ctx context.Context, records []dissemination.Record) bool {
 	results, pending := m.sendToAll(records)
 	timer := time.NewTimer(broadcastWait)
@@ -81,7 +81,7 @@
 			if acknowledged {
 				return true
 			}
-			deadline = nil // none yet: wait for the first
+			deadline = nil // no acknowledgement yet: wait for the first
 		case <-ctx.Done():
 			return acknowledged
 		}
@@ -89,7 +89,7 @@
 	return acknowledged
 }
 
-// sendToAll sends records to all other routers. The channel gets a result from each of the count of them: whether it has
+// sendToAll sends records to all other routers and returns their number. For each of them, results receives whether it has
 // acknowledged the records.
 func (m *Member) sendToAll(records []dissemination.Record) (results <-chan bool, count int) {
 	nodes := m.Nodes()
--- a/internal/dataplane/cluster/config.go
+++ b/internal/dataplane/cluster/config.go
@@ -9,17 +9,17 @@
 	"yarrowridge/internal/transport/dissemination"
 )
 
-// configuration is one version of what the core has configured.
+// configuration is one version of the fleet configuration.
 type configuration struct {
 	version uint64
 	raw     []byte
-	config  *fleetconfig.Config // nil where the configuration is another document
+	config  *fleetconfig.Config // nil if a handler applied it in its encoded form
 }
 
-// activeConfig is the configuration in force. It needs no lock: each configuration is put in force as a whole.
+// activeConfig is the active configuration. It needs no lock: a configuration is replaced as a whole.
 type activeConfig struct {
-	current atomic.Pointer[configuration] // nil before the first
-	changed atomic.Pointer[chan struct{}] // closed by the next configuration
+	current atomic.Pointer[configuration] // nil before the first configuration
+	changed atomic.Pointer[chan struct{}] // closed when the next configuration becomes active
 }
 
 func (a *activeConfig) init() {
@@ -27,19 +27,19 @@
 	a.changed.Store(&next)
 }
 
-// isLoaded reports whether any configuration is in force.
+// isLoaded reports whether any configuration is active.
 func (a *activeConfig) isLoaded() bool { return a.current.Load() != nil }
 
-// activate puts a configuration in force and wakes those who wait for the next.
+// activate makes a configuration the active one and wakes the goroutines that wait for a change.
 func (a *activeConfig) activate(c *configuration) {
 	a.current.Store(c)
 	next := make(chan struct{})
 	close(*a.changed.Swap(&next))
 }
 
-// applyDocument passes a configuration to WithConfigHandler's function and puts it in force if that accepts it.
-func (m *Member) applyDocument(record dissemination.Record) {
-	if err := m.onDocument(record.Version, record.Body); err != nil {
+// applyRawConfig passes a configuration to the function of WithConfigHandler, and activates it if that returns no error.
+func (m *Member) applyRawConfig(record dissemination.Record) {
+	if err := m.configHandler(record.Version, record.Body); err != nil {
 		m.ctx.Log.Error("Configuration from the core is not understood. The old one stays.", "version", record.Version, "error", err.Error())
 		return
 	}
@@ -47,7 +47,7 @@
 	m.ctx.Log.Info("Configuration taken up.", "version", record.Version)
 }
 
-// applyConfig parses a configuration and puts it in force.
+// applyConfig parses a configuration and activates it if it is valid.
 func (m *Member) applyConfig(record dissemination.Record) {
 	config, flaws := fleetconfig.Parse(record.Body)
 	if len(flaws) > 0 {
@@ -66,7 +66,7 @@
 	m.ctx.Log.Info("Configuration taken up.", "version", record.Version)
 }
 
-// Config is the configuration in force; nil before the first, and where it is another document.
+// Config returns the active configuration. It is nil before the first one, and always with WithConfigHandler.
 func (m *Member) Config() *fleetconfig.Config {
 	if c := m.config.current.Load(); c != nil {
 		return c.config
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// ConfigVersion is the version of the configuration in force; 0 before the first.
+// ConfigVersion returns the version of the active configuration; 0 before the first.
 func (m *Member) ConfigVersion() uint64 {
 	if c := m.config.current.Load(); c != nil {
 		return c.version
@@ -82,8 +82,8 @@
 	return 0
 }
 
-// ConfigVersionAndHash is the version of the configuration in force and the hex SHA-256 of its bytes as they were written, both of
-// one configuration however fast they change; 0 and "" before the first.
+// ConfigVersionAndHash returns the version of the active configuration and the hex SHA-256 of its encoded form, both from
+// the same configuration even if it changes concurrently; 0 and "" before the first.
 func (m *Member) ConfigVersionAndHash() (version uint64, hash string) {
 	if c := m.config.current.Load(); c != nil {
 		return c.version, fleetconfig.HashKey(string(c.raw))
@@ -91,5 +91,6 @@
 	return 0, ""
 }
 
-// ConfigChanged is closed once a newer configuration is in force. Ask for it before Config, so as to miss none.
+// ConfigChanged returns a channel that is closed when the next configuration becomes active. To miss no change, call it
+// before Config.
 func (m *Member) ConfigChanged() <-chan struct{} { return *m.config.changed.Load() }
--- a/internal/dataplane/cluster/confirmation.go
+++ b/internal/dataplane/cluster/confirmation.go
@@ -7,17 +7,18 @@
 	"yarrowridge/internal/transport/dissemination"
 )
 
-// clockDriftDivisor is the part of an age by which two machines' monotonic clocks may differ over it.
+// clockDriftDivisor bounds clock drift: over a duration d, the monotonic clocks of two machines differ by at most
+// d/clockDriftDivisor.
 const clockDriftDivisor = 10
 
-// confirmation is the latest moment up to which the configuration in force is known to be the newest acknowledged one, by
-// our own monotonic clock. Keys that were revoked before it are of no use here. Its mutex guards it.
+// confirmation is the latest time up to which the active configuration is known to be the newest acknowledged one, by this
+// process's monotonic clock. API keys that were revoked before that time are rejected here. Its mutex guards it.
 type confirmation struct {
 	mu sync.Mutex
 	at time.Time // zero: never confirmed
 }
 
-// advance moves the moment on; it never moves back.
+// advance moves the time forward; an earlier time is ignored.
 func (c *confirmation) advance(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -32,8 +33,8 @@
 	return c.at
 }
 
-// recordConfirmed notes that every configuration acknowledged before a moment has that version at most. If it is newer than
-// the one in force, it confirms nothing: what it changed does not hold here yet.
+// recordConfirmed records that no configuration acknowledged before a time has a version above the given one. A version
+// newer than the active one confirms nothing, since its changes are not applied here yet.
 func (m *Member) recordConfirmed(version uint64, at time.Time) {
 	if version > m.ConfigVersion() {
 		return
@@ -41,12 +42,12 @@
 	m.confirmation.advance(at)
 }
 
-// ConfirmedAt is the latest moment of which it is known that each configuration acknowledged before it is in force here,
-// or a newer one: by our own monotonic clock, from when the primary was asked under its lease, by us or by a router that
-// passed its confirmation on; zero where it never was.
+// ConfirmedAt returns the latest time up to which the active configuration is known to be at least as new as every
+// acknowledged one, by this process's monotonic clock. It is based on when this router, or another one that passed its
+// confirmation on, asked the primary under the primary's lease. It is zero if there was no confirmation yet.
 func (m *Member) ConfirmedAt() time.Time { return m.confirmation.latest() }
 
-// reportConfirmed adds the confirmation of the configuration in force to an answer to another router.
+// reportConfirmed adds the confirmation of the active configuration to a response to another router.
 func (m *Member) reportConfirmed(difference *dissemination.Difference) {
 	version, at := m.ConfigVersion(), m.ConfirmedAt()
 	if at.IsZero() {
@@ -56,8 +57,8 @@
 	difference.ConfirmedAgeMs = int(time.Since(at).Milliseconds()) + 1
 }
 
-// learnConfirmed takes over another router's confirmation from its answer to a request sent at a moment. The answer was made
-// after that moment, so that the age in it, counted back from there, errs towards an earlier confirmation.
+// learnConfirmed applies another router's confirmation from its response to a request sent at requestedAt. The response was
+// made after that time, so subtracting the age in it from requestedAt errs on the early side.
 func (m *Member) learnConfirmed(difference *dissemination.Difference, requestedAt time.Time) {
 	if !difference.Confirmed || difference.ConfirmedAgeMs < 0 {
 		return
--- a/internal/dataplane/cluster/confirmation_test.go
+++ b/internal/dataplane/cluster/confirmation_test.go
@@ -8,21 +8,21 @@
 	"yarrowridge/internal/transport/dissemination"
 )
 
-// newMemberAt makes a member with a version of the configuration in force.
+// newMemberAt returns a member whose active configuration has the given version.
 func newMemberAt(version uint64) *Member {
 	m := &Member{}
 	m.config.current.Store(&configuration{version: version})
 	return m
 }
 
-// The confirmation of a version that is not in force here counts for nothing, and an earlier one does not replace a later.
+// A confirmation of a version newer than the active one is ignored, and an earlier confirmation does not replace a later one.
 func TestConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMemberAt(5)
 		now := time.Now()
 		m.recordConfirmed(6, now)
 		if got := m.ConfirmedAt(); !got.IsZero() {
-			t.Errorf("got confirmed at %s by a version that is not in force, want never", got)
+			t.Errorf("got confirmed at %s by a version that is not active, want never", got)
 		}
 		m.recordConfirmed(5, now)
 		m.recordConfirmed(4, now.Add(-time.Second))
@@ -32,8 +32,8 @@
 	})
 }
 
-// A confirmation that is passed on never becomes later than the original, however long the messages take: each hop adds to
-// its age.
+// A confirmation that another router passes on is never later than the original, however long the messages take, and a router
+// without a confirmation passes none on.
 func TestConfirmationIsPassedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, second := newMemberAt(5), newMemberAt(5)
@@ -47,10 +47,10 @@
 		first.recordConfirmed(5, original)
 		time.Sleep(time.Second)
 		requestedAt := time.Now()
-		time.Sleep(200 * time.Millisecond) // the request's way
+		time.Sleep(200 * time.Millisecond) // the request's latency
 		var response dissemination.Difference
 		first.reportConfirmed(&response)
-		time.Sleep(700 * time.Millisecond) // the response's way
+		time.Sleep(700 * time.Millisecond) // the response's latency
 		second.learnConfirmed(&response, requestedAt)
 		got := second.ConfirmedAt()
 		if got.IsZero() || got.After(original) || original.Sub(got) > 500*time.Millisecond {
--- a/internal/dataplane/cluster/heartbeat.go
+++ b/internal/dataplane/cluster/heartbeat.go
@@ -10,15 +10,16 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// heartbeatTimeout bounds one heartbeat, with the search for a primary and the fetch of a configuration.
+// heartbeatTimeout bounds one heartbeat, including the search for a primary and the fetch of a configuration.
 const heartbeatTimeout = 1500 * time.Millisecond
 
-// timedHeartbeat is a heartbeat that states this process's age as of each time that it is sent: the call may look for a
-// primary for long, and the quota units of earlier processes at our address are free the sooner the older we are.
+// timedHeartbeat is a heartbeat request that is encoded with this process's age at each attempt: the search for a primary
+// may take long, and the older this process is, the sooner the core frees the quota units of earlier processes at its
+// address.
 type timedHeartbeat struct {
 	coreapi.HeartbeatRequest
 	startedAt time.Time
-	sentAt    time.Time // the last time
+	sentAt    time.Time // at the last attempt
 }
 
 // MarshalMsg implements msgp.Marshaler.
@@ -28,8 +29,8 @@
 	return t.HeartbeatRequest.MarshalMsg(raw)
 }
 
-// sendHeartbeats sends one heartbeat after the other until the context ends. Nothing is served before the core was asked,
-// so a router that starts does not wait for its turn.
+// sendHeartbeats sends one heartbeat after the other until the context ends. The first one is sent without a random delay,
+// since a router serves no requests before it has asked the core.
 func (m *Member) sendHeartbeats() {
 	for !m.sendHeartbeat() {
 		if !runloop.Sleep(m.ctx, firstHeartbeatRetry) {
@@ -39,7 +40,8 @@
 	m.runEvery(heartbeatInterval, func() { m.sendHeartbeat() })
 }
 
-// sendHeartbeat renews our lease at the core and applies what has changed. It reports whether the core has answered.
+// sendHeartbeat renews the lease at the core and applies the changes in the response. It returns false if the core has not
+// answered.
 func (m *Member) sendHeartbeat() bool {
 	if m.lease.isReleased() {
 		return true
@@ -61,13 +63,14 @@
 	m.fetchConfig(ctx, response.ConfigVersion)
 	m.recordConfirmed(response.ConfigVersion, request.sentAt)
 	if !m.config.isLoaded() || m.ConfigVersion() < response.ConfigVersion {
-		return true // answered, but the configuration is still missing
+		return true // the core has answered, but its configuration is not active yet
 	}
 	m.readiness.setSynced()
 	return true
 }
 
-// makeHeartbeat states what this router is, what it has already, and how its attempts at runners ended.
+// makeHeartbeat returns a request with this router's description, the versions of the state that it already has, and its
+// runner statistics.
 func (m *Member) makeHeartbeat() coreapi.HeartbeatRequest {
 	request := coreapi.HeartbeatRequest{Node: m.Self(), ViewEpoch: m.Core.View().Epoch, ScarceVersion: m.lease.currentScarceVersion()}
 	m.peers.fillRequest(&request)
@@ -84,12 +87,12 @@
 	return request
 }
 
-// applyHeartbeatResponse applies the view, the peers and the runners of the core's answer. The peers come before the lease:
-// who finds the core responsive finds the peers of that answer as well.
+// applyHeartbeatResponse applies the view, the peers, the lease and the runners of the core's response. The peers are
+// applied before the lease, so that a caller for which the core is responsive also sees the peers of that response.
 func (m *Member) applyHeartbeatResponse(response *coreapi.HeartbeatResponse) {
 	m.Core.Learn(response.View)
 	m.peers.apply(response)
-	if wasSilent := m.lease.renew(response); wasSilent {
+	if hadTimedOut := m.lease.renew(response); hadTimedOut {
 		m.ctx.Log.Info("The core is heard again.")
 	}
 	if m.runners != nil {
@@ -100,9 +103,10 @@
 	}
 }
 
-// fetchConfig fetches the configuration of a version that the core has named, if it is not here yet. One that could not be
-// parsed is not fetched again and again. A new one is on its way by dissemination: it is fetched only if it was missing for
-// a whole heartbeat, else a large part of the fleet would ask the primary at once.
+// fetchConfig fetches the configuration from the core if its version is newer than the active one. A configuration that has
+// arrived but could not be parsed is not fetched again. A new configuration usually arrives by dissemination; it is fetched
+// only if it is still missing at the next heartbeat, because otherwise a large part of the fleet would ask the primary at
+// once.
 func (m *Member) fetchConfig(ctx context.Context, version uint64) {
 	record, _, _ := m.Records.Get(dissemination.ConfigKey)
 	overdue := m.ConfigVersion() == 0 || record.Version < m.announcedVersion
--- a/internal/dataplane/cluster/heartbeat_test.go
+++ b/internal/dataplane/cluster/heartbeat_test.go
@@ -8,7 +8,7 @@
 	"yarrowridge/internal/controlplane/coreapi"
 )
 
-// A heartbeat that is sent again and again until a primary takes it states the age as of each attempt.
+// A heartbeat that is retried until a primary accepts it contains the process's age as of each attempt.
 func TestHeartbeatStatesAgeWhenSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		heartbeat := timedHeartbeat{startedAt: time.Now()}
--- a/internal/dataplane/cluster/lease.go
+++ b/internal/dataplane/cluster/lease.go
@@ -8,31 +8,32 @@
 	"yarrowridge/internal/controlplane/coreapi"
 )
 
-// releaseTimeout bounds the call that gives the lease up.
+// releaseTimeout bounds the call that releases the lease.
 const releaseTimeout = time.Second
 
-// lease is what this router knows of its lease at the core. Its mutex guards all of it.
+// lease is this router's view of its lease at the core. Its mutex guards all fields.
 type lease struct {
 	mu            sync.Mutex
-	renewedAt     time.Time // the core's last answer; zero: none yet
-	released      bool      // given up for good: no more heartbeats
+	renewedAt     time.Time // when the core last answered; zero: never
+	released      bool      // permanently: no more heartbeats are sent
 	scarceTenants []string
-	scarceVersion uint64 // of scarceTenants; 0: none, or an older core's
+	scarceVersion uint64 // of scarceTenants; 0: no list yet, or an older core
 }
 
-// renew notes an answer of the core, and reports whether the core had been silent for longer than coreTimeout before it.
-func (l *lease) renew(response *coreapi.HeartbeatResponse) (wasSilent bool) {
+// renew applies a response of the core. It reports whether the core had timed out before it: no response for longer than
+// coreTimeout.
+func (l *lease) renew(response *coreapi.HeartbeatResponse) (hadTimedOut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	wasSilent = time.Since(l.renewedAt) > coreTimeout && !l.renewedAt.IsZero()
+	hadTimedOut = time.Since(l.renewedAt) > coreTimeout && !l.renewedAt.IsZero()
 	l.renewedAt = time.Now()
 	if !response.ScarceUnchanged {
 		l.scarceTenants, l.scarceVersion = response.ScarceTenants, response.ScarceVersion
 	}
-	return wasSilent
+	return hadTimedOut
 }
 
-// currentScarceVersion is the version of the list of scarce tenants that is kept here.
+// currentScarceVersion returns the version of the list of scarce tenants.
 func (l *lease) currentScarceVersion() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,14 +52,15 @@
 	return l.released
 }
 
-// sinceRenewal is how long ago the core last answered.
+// sinceRenewal returns the time since the core last answered.
 func (l *lease) sinceRenewal() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Since(l.renewedAt)
 }
 
-// CoreTimedOut reports whether the core has not answered for three seconds: the configuration in force may be outdated.
+// CoreTimedOut reports whether the core has not answered for longer than three seconds, so that the active configuration
+// may be outdated.
 func (m *Member) CoreTimedOut() bool { return m.lease.sinceRenewal() > coreTimeout }
 
 // CoreResponsive reports whether the core has answered one of the last two heartbeats.
@@ -66,15 +68,15 @@
 	return m.lease.sinceRenewal() < 2*heartbeatInterval+heartbeatInterval/2
 }
 
-// ScarceTenants lists the tenants whose idle quota units the core wants back.
+// ScarceTenants returns the tenants whose idle quota units the core wants back.
 func (m *Member) ScarceTenants() []string {
 	m.lease.mu.Lock()
 	defer m.lease.mu.Unlock()
 	return m.lease.scarceTenants
 }
 
-// Leave gives up the lease: the core lists this router no more, and its quota units become free after their cool-down.
-// Requests under way go on meanwhile. It returns after a second at most, and when the context ends.
+// Leave releases the lease: the core no longer lists this router, and its quota units become free after their cool-down.
+// Requests in progress continue. Leave returns after one second at most, or earlier if the context ends.
 func (m *Member) Leave(ctx context.Context) {
 	m.lease.release()
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
--- a/internal/dataplane/cluster/member.go
+++ b/internal/dataplane/cluster/member.go
@@ -1,6 +1,6 @@
-// Package cluster is a router's membership in the fleet. A Member renews the router's lease at the core by heartbeats and
-// keeps what they and the other routers bring: the peer directory, the configuration in force, the records that routers
-// disseminate among each other, and since when that configuration is known to be the newest one.
+// Package cluster implements a router's membership in the fleet. A Member renews the router's lease at the core by
+// heartbeats. From the core's responses and from other routers it maintains the peer directory, the active configuration,
+// the time up to which that configuration is known to be the newest, and the disseminated records.
 package cluster
 
 import (
@@ -20,37 +20,38 @@
 const (
 	heartbeatInterval = 400 * time.Millisecond
 	repairInterval    = 300 * time.Millisecond
-	coreTimeout       = 3 * time.Second  // without an answer for longer, the core counts as silent
-	recordTTL         = 60 * time.Second // a record that nobody has renewed for so long is dropped
-	outboxCapacity    = 1024             // updates that wait to be forwarded; more are left to anti-entropy
+	coreTimeout       = 3 * time.Second  // without a response for longer, the core has timed out
+	recordTTL         = 60 * time.Second // a record that has not been renewed for so long expires
+	outboxCapacity    = 1024             // updates waiting to be forwarded; further ones are left to anti-entropy
 
-	// firstHeartbeatRetry is between the heartbeats of a router that the core has not answered yet. Each of them looks
-	// for a primary itself.
+	// firstHeartbeatRetry is the delay between heartbeats until the core has answered one. Each heartbeat itself includes
+	// a search for the primary.
 	firstHeartbeatRetry = 50 * time.Millisecond
 )
 
-// Member is one router's membership in the fleet. Its methods may be called concurrently, but for RegisterHandler and Run.
-// Its state is split by concern: each part guards itself, and no part's lock is held while another's is taken.
+// Member is one router's membership in the fleet. Its methods may be called concurrently, except RegisterHandler and Run.
+// Its state is split by concern into structs that each have their own synchronization. No two of their locks are held at
+// once.
 type Member struct {
-	// Core calls the core. It is set by NewMember and must not be replaced.
+	// Core is the client for calls to the core. It is set by NewMember and must not be replaced.
 	Core *coreclient.Client
-	// Records are what this router has of the fleet's records. It is set by NewMember and must not be replaced.
+	// Records is this router's replica of the disseminated records. It is set by NewMember and must not be replaced.
 	Records *dissemination.Store
 
-	// These are not changed after NewMember.
-	ctx         daemon.Context
-	addr        string // where other processes reach this router
-	clientAddr  string // where clients reach it
-	startedAt   time.Time
-	caller      *wire.Caller
-	outbox      chan dissemination.Update
-	onRecord    func(dissemination.Record)
-	onDocument  func(version uint64, raw []byte) error // nil: configurations are parsed here
-	runners     *registry.Registry                     // nil: none is kept
-	runnerStats func() []coreapi.RunnerStats           // nil: none are reported
-	onFindings  func(RunnerFindings)
-
-	handlers map[string]wire.Handler // not changed once calls are served
+	// The following fields do not change after NewMember.
+	ctx           daemon.Context
+	addr          string // for other processes of the fleet
+	clientAddr    string // for clients
+	startedAt     time.Time
+	caller        *wire.Caller
+	outbox        chan dissemination.Update
+	onRecord      func(dissemination.Record)
+	configHandler func(version uint64, raw []byte) error // nil: configurations are parsed by the member
+	runners       *registry.Registry                     // nil: no replica of the registry is kept
+	runnerStats   func() []coreapi.RunnerStats           // nil: no statistics are reported
+	onFindings    func(RunnerFindings)
+
+	handlers map[string]wire.Handler // by the name before the dot of a message kind; does not change once calls are served
 	seeds    atomic.Pointer[[]string]
 
 	config       activeConfig
@@ -59,38 +60,39 @@
 	lease        lease
 	readiness    readiness
 
-	announcedVersion uint64 // the configuration that the core last named; only the heartbeats' goroutine touches it
+	announcedVersion uint64 // of the configuration in the core's last response; used by the heartbeat goroutine only
 }
 
-// Option sets what NewMember leaves out by default.
+// Option configures an optional feature of a Member.
 type Option func(*Member)
 
-// WithConfigHandler has the member pass configurations to apply as they are, in place of parsing them. apply is called for each
-// newer one, in order, under a lock of Records, which it must not use. If it fails, the configuration in force stays.
+// WithConfigHandler passes configurations to apply in their encoded form instead of parsing them. apply is called for each
+// newer configuration, in order. It runs under a lock of Records and must not use Records. If it returns an error, the
+// active configuration stays.
 func WithConfigHandler(apply func(version uint64, raw []byte) error) Option {
-	return func(m *Member) { m.onDocument = apply }
+	return func(m *Member) { m.configHandler = apply }
 }
 
-// WithRegistry has the member keep a replica of the core's registry of runners.
+// WithRegistry keeps runners up to date as a replica of the core's registry of runners.
 func WithRegistry(runners *registry.Registry) Option {
 	return func(m *Member) { m.runners = runners }
 }
 
-// RunnerFindings are what the core concludes of runners from what all routers observed.
+// RunnerFindings are the core's conclusions about runners from the observations of all routers.
 type RunnerFindings struct {
 	Failing    []coreapi.FailingRunner
 	LowLatency []string // IDs of the runners whose streams have the shortest gaps between tokens
 }
 
-// WithRunnerStats has each heartbeat report what was observed of runners since the last one, and passes the core's findings
-// on. Both functions are called by the heartbeats' goroutine only, one at a time.
+// WithRunnerStats reports in each heartbeat the runner statistics since the previous one, and passes the core's findings to
+// onFindings. Both functions are called by the heartbeat goroutine only.
 func WithRunnerStats(stats func() []coreapi.RunnerStats, onFindings func(RunnerFindings)) Option {
 	return func(m *Member) { m.runnerStats, m.onFindings = stats, onFindings }
 }
 
-// NewMember makes a member that is reached at addr by other processes and at clientAddr by clients. onRecord (may be nil)
-// is called for every newer record besides the configuration and the registered runners, for one key from older to newer,
-// under a lock of Records, which it must not use.
+// NewMember returns a member that other processes reach at addr and clients at clientAddr. onRecord, which may be nil, is
+// called for every newer record that the member does not handle itself (configurations, and with WithRegistry registered
+// runners), for one key from older to newer. It runs under a lock of Records and must not use Records.
 func NewMember(ctx daemon.Context, addr, clientAddr string, seeds []string, onRecord func(dissemination.Record), options ...Option) *Member {
 	m := &Member{ctx: ctx, addr: addr, clientAddr: clientAddr, caller: wire.NewCaller(ctx.Net), onRecord: onRecord,
 		outbox: make(chan dissemination.Update, outboxCapacity), startedAt: time.Now(), handlers: map[string]wire.Handler{}}
@@ -105,13 +107,13 @@
 	return m
 }
 
-// SetSeeds replaces the seeds after a change of the settings.
+// SetSeeds replaces the addresses of the seeds after a change of the settings.
 func (m *Member) SetSeeds(seeds []string) {
 	m.seeds.Store(&seeds)
 	m.Core.SetSeeds(seeds)
 }
 
-// Run sends heartbeats, forwards updates and runs anti-entropy until the context ends. It is called once.
+// Run sends heartbeats, forwards updates and runs anti-entropy until the context ends. It must be called only once.
 func (m *Member) Run() {
 	go m.sendHeartbeats()
 	go m.runEvery(repairInterval, m.repair)
@@ -119,8 +121,8 @@
 	m.caller.Close()
 }
 
-// runEvery calls do at an interval until the context ends. The first call is at a random time within it, so that routers
-// that started together do not all call the core at one moment.
+// runEvery calls do at an interval until the context ends. The first call comes after a random part of the interval, so
+// that routers that started together do not all call the core at the same moment.
 func (m *Member) runEvery(interval time.Duration, do func()) {
 	if runloop.Sleep(m.ctx, rand.N(interval)) {
 		do()
--- a/internal/dataplane/cluster/messages.go
+++ b/internal/dataplane/cluster/messages.go
@@ -4,7 +4,7 @@
 
 //go:generate go tool msgp -tests=false -io=false
 
-// A length read from the wire is believed up to this only.
+// Longer arrays and maps on the wire are rejected.
 //msgp:limit arrays:10000000 maps:200000
 
 // NodeList is a router's peer directory.
@@ -12,5 +12,5 @@
 	Nodes []coreapi.Node `msg:"n"`
 }
 
-// NodeListRequest asks for a NodeList.
+// NodeListRequest asks a router for its NodeList.
 type NodeListRequest struct{}
--- a/internal/dataplane/cluster/peers.go
+++ b/internal/dataplane/cluster/peers.go
@@ -9,21 +9,21 @@
 	"yarrowridge/internal/transport/dissemination"
 )
 
-// peerDirectory is the fleet's routers as the core last listed them, this one among them. Its mutex guards all but self and
-// setCorePeers, which do not change.
+// peerDirectory is the core's last list of the fleet's routers, including this one. Its mutex guards all fields except self
+// and setCorePeers, which do not change.
 type peerDirectory struct {
-	self         string               // this router's name
-	setCorePeers func(addrs []string) // gives the core's client the other routers, to ask them for the primary
-	mu           sync.Mutex           // also held over setCorePeers, so that the last list wins there as well
-	epoch        uint64               // of the version: which primary's it is; 0: none, or an older core's
-	version      uint64               // of the core's list
-	nodes        []coreapi.Node       // sorted by name; replaced, never changed
-	digest       uint64               // of nodes
-	neighbours   []dissemination.Node // in the dissemination tree of nodes
-	previous     int                  // see PreviousRouters
+	self            string               // this router's name
+	setCorePeers    func(addrs []string) // passes the other routers to the core's client, which asks them for the primary
+	mu              sync.Mutex           // also held during setCorePeers, so that the client gets the lists in order
+	epoch           uint64               // of the primary that counts version; 0: no list yet, or an older core
+	version         uint64               // of the core's list
+	nodes           []coreapi.Node       // sorted by name; replaced as a whole, never modified
+	digest          uint64               // of nodes
+	neighbours      []dissemination.Node // in the dissemination tree over nodes
+	previousRouters int                  // see PreviousRouters
 }
 
-// fillRequest states in a heartbeat which list is kept here.
+// fillRequest sets the fields of a heartbeat that identify this router's list.
 func (d *peerDirectory) fillRequest(request *coreapi.HeartbeatRequest) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -33,34 +33,34 @@
 	}
 }
 
-// apply takes what a heartbeat's answer has of the core's list.
+// apply applies the core's list, or the changes to it, from a heartbeat response.
 func (d *peerDirectory) apply(response *coreapi.HeartbeatResponse) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.previous = response.PreviousRouters
+	d.previousRouters = response.PreviousRouters
 	switch {
 	case response.NodesChanged:
 		d.set(response.Nodes)
 	case response.NodesPartial && response.NodesEpoch == d.epoch:
-		d.set(merge(d.nodes, response.Nodes, response.NodesRemoved))
+		d.set(mergeNodes(d.nodes, response.Nodes, response.NodesRemoved))
 	case !response.NodesCurrent:
 		return
 	}
 	d.version, d.epoch = response.NodesVersion, response.NodesEpoch
 }
 
-// merge gives a list of nodes with some replaced or added and some removed, sorted by name.
-func merge(nodes, changed []coreapi.Node, removed []string) []coreapi.Node {
-	gone := make(map[string]bool, len(changed)+len(removed))
+// mergeNodes returns nodes with the changed ones replaced or added and the removed ones left out, sorted by name.
+func mergeNodes(nodes, changed []coreapi.Node, removed []string) []coreapi.Node {
+	replacedOrRemoved := make(map[string]bool, len(changed)+len(removed))
 	for _, node := range changed {
-		gone[node.Name] = true
+		replacedOrRemoved[node.Name] = true
 	}
 	for _, name := range removed {
-		gone[name] = true
+		replacedOrRemoved[name] = true
 	}
 	merged := slices.Clone(changed)
 	for _, node := range nodes {
-		if !gone[node.Name] {
+		if !replacedOrRemoved[node.Name] {
 			merged = append(merged, node)
 		}
 	}
@@ -68,7 +68,7 @@
 	return merged
 }
 
-// setIfEmpty takes the other routers and this one if the core has named none yet.
+// setIfEmpty sets the list to the other routers and this one if the core has sent no list yet.
 func (d *peerDirectory) setIfEmpty(others []coreapi.Node, self coreapi.Node) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -77,7 +77,7 @@
 	}
 }
 
-// set replaces the list; the caller holds the lock.
+// set replaces the list. The caller holds the lock.
 func (d *peerDirectory) set(nodes []coreapi.Node) {
 	d.nodes, d.digest = nodes, coreapi.NodesDigest(nodes)
 	var tree []dissemination.Node
@@ -92,7 +92,7 @@
 	d.setCorePeers(addrs)
 }
 
-// Self is this router as its peers know it.
+// Self returns the description of this router that its peers get.
 func (m *Member) Self() coreapi.Node {
 	n := coreapi.Node{Name: m.ctx.Name, Zone: m.ctx.Zone, Addr: m.addr, ClientAddr: m.clientAddr, Run: m.ctx.RunID}
 	n.ConfigVersion = m.ConfigVersion()
@@ -100,26 +100,26 @@
 	return n
 }
 
-// Addr is the address where other processes of the fleet reach this router.
+// Addr returns the address at which other processes of the fleet reach this router.
 func (m *Member) Addr() string { return m.addr }
 
-// Nodes lists the fleet's routers as the core last named them, this one among them; empty before the first answer. The list
-// is shared: it must not be changed.
+// Nodes returns the core's last list of the fleet's routers, including this one. It is empty before the first list. The
+// slice is shared and must not be modified.
 func (m *Member) Nodes() []coreapi.Node {
 	m.peers.mu.Lock()
 	defer m.peers.mu.Unlock()
 	return m.peers.nodes
 }
 
-// Neighbours lists this router's neighbours in the dissemination tree. The list is shared: it must not be changed.
+// Neighbours returns this router's neighbours in the dissemination tree. The slice is shared and must not be modified.
 func (m *Member) Neighbours() []dissemination.Node {
 	m.peers.mu.Lock()
 	defer m.peers.mu.Unlock()
 	return m.peers.neighbours
 }
 
-// Share splits a total between the routers that the core last named and returns this router's share, 0 if it is not among
-// them. With the same list everywhere, the shares add up to the total.
+// Share splits a total evenly between the routers of the core's last list and returns this router's share, or 0 if it is not
+// in the list. If all routers have the same list, their shares add up to the total.
 func (m *Member) Share(total int) int {
 	m.peers.mu.Lock()
 	defer m.peers.mu.Unlock()
@@ -136,10 +136,10 @@
 	return 0
 }
 
-// PreviousRouters is how many routers there were before the primary's term, where the primary does not know yet which of
-// them live; 0: it did not say.
+// PreviousRouters returns the number of routers before the primary's term while the primary does not know yet which of them
+// are alive. It is 0 if the core has sent no such number.
 func (m *Member) PreviousRouters() int {
 	m.peers.mu.Lock()
 	defer m.peers.mu.Unlock()
-	return m.peers.previous
+	return m.peers.previousRouters
 }
--- a/internal/dataplane/cluster/peers_test.go
+++ b/internal/dataplane/cluster/peers_test.go
@@ -7,7 +7,7 @@
 	"yarrowridge/internal/controlplane/coreapi"
 )
 
-// names are the names of a list of nodes, in its order.
+// names returns the names of nodes, in their order.
 func names(nodes []coreapi.Node) []string {
 	var all []string
 	for _, node := range nodes {
@@ -16,8 +16,8 @@
 	return all
 }
 
-// The list follows what the core sends: complete, changed in part, or the same under another primary. Changes of another
-// primary's list are not applied.
+// The list is updated by complete lists, by partial changes, and by a new primary's confirmation that the list is current.
+// Partial changes to another primary's list are not applied.
 func TestPeersFollowTheCore(t *testing.T) {
 	d := &peerDirectory{self: "b", setCorePeers: func([]string) {}}
 	a, b, c := coreapi.Node{Name: "a", Run: 1}, coreapi.Node{Name: "b", Run: 1}, coreapi.Node{Name: "c", Run: 1}
@@ -44,7 +44,7 @@
 		}
 	}
 	if d.nodes[0].Run != newA.Run {
-		t.Errorf("got run %d of a, want its newest, %d", d.nodes[0].Run, newA.Run)
+		t.Errorf("got run %d of a, want the newest, %d", d.nodes[0].Run, newA.Run)
 	}
 	var request coreapi.HeartbeatRequest
 	d.fillRequest(&request)
--- a/internal/dataplane/cluster/readiness.go
+++ b/internal/dataplane/cluster/readiness.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// readiness is whether clients should be sent to this router. Its mutex guards all of it.
+// readiness is the state that decides whether clients should be sent to this router. Its mutex guards all fields.
 type readiness struct {
 	mu       sync.Mutex
-	synced   bool // the core, or failing that every router of the zone that answers, was asked for the configuration
-	draining bool // clients should go elsewhere
+	synced   bool // the configuration was compared with the core's or, if no core answered, with those of the zone's routers
+	draining bool // graceful shutdown has begun
 }
 
 func (r *readiness) setSynced() {
@@ -27,14 +27,14 @@
 	return r.draining
 }
 
-// StartDraining begins the graceful shutdown: this router is no longer ready, but serves the requests that still come.
+// StartDraining begins the graceful shutdown: this router is no longer ready, but still serves the requests that arrive.
 func (m *Member) StartDraining() {
 	m.readiness.mu.Lock()
 	defer m.readiness.mu.Unlock()
 	m.readiness.draining = true
 }
 
-// NotReadyReason says why no new clients should be sent to this router, or "".
+// NotReadyReason returns why no new clients should be sent to this router, or "" if it is ready.
 func (m *Member) NotReadyReason() string {
 	if m.readiness.isDraining() {
 		return "leaving"
@@ -42,7 +42,7 @@
 	return m.UnavailableReason()
 }
 
-// UnavailableReason says why this router can serve no request at all yet, or "".
+// UnavailableReason returns why this router cannot serve any request yet, or "" if it can.
 func (m *Member) UnavailableReason() string {
 	m.readiness.mu.Lock()
 	defer m.readiness.mu.Unlock()
--- a/internal/dataplane/cluster/serve.go
+++ b/internal/dataplane/cluster/serve.go
@@ -11,10 +11,10 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// RegisterHandler adds a handler for the message kinds that begin with name and a dot. It must not be called once Serve is.
+// RegisterHandler adds a handler for the message kinds that begin with name and a dot. It must be called before Serve.
 func (m *Member) RegisterHandler(name string, handler wire.Handler) { m.handlers[name] = handler }
 
-// Serve is the wire.Handler for other processes' calls.
+// Serve handles the calls of other processes. It is a wire.Handler.
 func (m *Member) Serve(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 	switch kind {
 	case "view.ask":
@@ -49,7 +49,7 @@
 	return wire.Handlers(m.handlers).Dispatch(ctx, kind, body)
 }
 
-// Call sends a request to another process of the fleet and decodes its response, which may be nil to ignore it.
+// Call sends a request to another process of the fleet and decodes its response into response, or ignores it if that is nil.
 func (m *Member) Call(ctx context.Context, addr, kind string, request msgp.Marshaler, response msgp.Unmarshaler) error {
 	return m.caller.Call(ctx, addr, kind, request, response)
 }
