--- a/internal/dataplane/registry/merge.go
+++ b/internal/dataplane/registry/merge.go
@@ -6,15 +6,15 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// pushGracePeriod is how long a report that dissemination brought is not undone by the core's registry, whose answer may
-// have been made before it.
+// pushGracePeriod is how long a report that arrived by dissemination takes precedence over the core's registry, since the
+// core's response may have been made before the report.
 const pushGracePeriod = 2 * time.Second
 
-// isFresh reports whether dissemination has brought a report just now.
+// isFresh reports whether a report has arrived by dissemination within the pushGracePeriod.
 func (known entry) isFresh() bool { return time.Since(known.pushedAt) <= pushGracePeriod }
 
-// merge accepts a runner's report if it is newer than the one known, and reports whether it changes anything for routers.
-// A new primary sends every runner's report anew: hardly one of them does. The caller holds the lock.
+// merge accepts a runner's report if it supersedes the known one. changed reports whether the accepted report differs for
+// routers: a new primary resends the reports of all runners, and hardly any of them does. The caller holds the lock.
 func (r *Registry) merge(runner routing.Runner) (accepted, changed bool) {
 	old, known := r.runners[runner.ID]
 	if known && !supersedes(runner, old) {
@@ -24,9 +24,9 @@
 	return true, !known || !old.runner.SaysSame(runner)
 }
 
-// supersedes reports whether a report of a runner replaces the known one. A runner that has left stays gone. Silent is the
-// core's own finding, with the last heartbeat that it received or has on disk: that may be an older one than we know, but
-// does not count where a push has just brought a newer one.
+// supersedes reports whether a report of a runner replaces the known one. RunnerGone is final. RunnerSilent is set by the
+// core, with the sequence number of the last heartbeat that it received or has on disk. That number may be lower than the
+// one known here; the report is then accepted only if no report has just arrived by dissemination.
 func supersedes(next routing.Runner, known entry) bool {
 	switch {
 	case known.runner.State == routing.RunnerGone:
@@ -38,8 +38,8 @@
 	return next.Sequence > known.runner.Sequence
 }
 
-// dropUnlisted drops the runners that the whole registry does not list, and reports whether there were any. The caller
-// holds the lock.
+// dropUnlisted drops the runners that are not in the core's complete list, except fresh ones, and reports whether it dropped
+// any. The caller holds the lock.
 func (r *Registry) dropUnlisted(listed []routing.Runner) (dropped bool) {
 	keep := make(map[string]bool, len(listed))
 	for _, runner := range listed {
--- a/internal/dataplane/registry/registry.go
+++ b/internal/dataplane/registry/registry.go
@@ -1,5 +1,5 @@
-// Package registry is a router's replica of the core's registry of runners. The core sends its changes with each heartbeat's
-// answer; changes of state also come by dissemination between routers, which is sooner.
+// Package registry implements a router's replica of the core's registry of runners. The core sends changes in its heartbeat
+// responses. Changes of a runner's state also arrive by dissemination between routers, which is faster.
 package registry
 
 import (
@@ -13,37 +13,37 @@
 	"yarrowridge/internal/transport/dissemination"
 )
 
-// fullSyncInterval is how often the whole registry is asked for, so that any difference to it is repaired.
+// fullSyncInterval is the interval of full synchronizations with the core's registry, which repair any difference.
 const fullSyncInterval = 10 * time.Second
 
-// Registry has the newest report of each runner. Its methods may be called concurrently.
+// Registry holds the newest report of each runner. Its methods may be called concurrently.
 type Registry struct {
 	onChange func([]routing.Runner)
 	snapshot atomic.Pointer[[]routing.Runner]
 
-	mu         sync.Mutex // guards the fields below, and is held over onChange
-	epoch      uint64     // of the primary whose registry we follow
-	version    uint64     // up to which we have that registry's changes
-	fullSyncAt time.Time  // when the whole registry was last asked for
+	mu         sync.Mutex // guards the fields below, and is held during onChange
+	epoch      uint64     // of the primary whose registry is replicated
+	version    uint64     // of that registry, up to which its changes are applied here
+	fullSyncAt time.Time  // when a full synchronization was last requested
 	runners    map[string]entry
 }
 
-// entry is what is known of one runner.
+// entry is the accepted report of one runner.
 type entry struct {
 	runner   routing.Runner
-	pushedAt time.Time // when dissemination last brought a report; zero: never
+	pushedAt time.Time // when a report last arrived by dissemination; zero: never
 }
 
-// New makes an empty registry. onChange (may be nil) gets the list after every change, in order. It runs under the
-// registry's lock: of the registry it may call List only.
+// New returns an empty registry. onChange, which may be nil, is called with the list after every change, in order. It runs
+// under the registry's lock and may call no method of the registry other than List.
 func New(onChange func([]routing.Runner)) *Registry {
 	r := &Registry{onChange: onChange, runners: map[string]entry{}}
 	r.snapshot.Store(&[]routing.Runner{})
 	return r
 }
 
-// Position is up to where we have the primary's registry, for the next heartbeat. Every ten seconds the version is 0, which
-// asks for the whole registry.
+// Position returns the primary's epoch and the registry version up to which this replica is current, for the next heartbeat.
+// Every ten seconds the version is 0, which requests a full synchronization.
 func (r *Registry) Position() (epoch, version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,8 +54,8 @@
 	return r.epoch, r.version
 }
 
-// Digest covers all runners known here, for a heartbeat that asks for the whole registry: one with an equal digest is not
-// sent.
+// Digest returns the digest of all listed runners. A heartbeat that requests a full synchronization includes it, so that the
+// core need not send a registry with the same digest.
 func (r *Registry) Digest() uint64 {
 	digest := uint64(0)
 	for _, runner := range r.List() {
@@ -69,7 +69,8 @@
 	return strings.HasPrefix(record.Key, dissemination.RunnerPrefix)
 }
 
-// ApplyRecord applies a report that dissemination brought. One that cannot be decoded is ignored.
+// ApplyRecord applies a report that arrived by dissemination. A record that cannot be decoded, or whose key does not match
+// the runner's ID, is ignored.
 func (r *Registry) ApplyRecord(record dissemination.Record) {
 	var runner routing.Runner
 	if _, err := runner.UnmarshalMsg(record.Body); err != nil || dissemination.RunnerPrefix+runner.ID != record.Key {
@@ -86,7 +87,7 @@
 	}
 }
 
-// Apply applies the core's answer to a heartbeat.
+// Apply applies the core's response to a heartbeat.
 func (r *Registry) Apply(response *coreapi.HeartbeatResponse) {
 	if response.RunnersEpoch == 0 {
 		return // a core without a registry
--- a/internal/dataplane/registry/registry_test.go
+++ b/internal/dataplane/registry/registry_test.go
@@ -15,7 +15,7 @@
 	return routing.Runner{ID: id, Sequence: sequence, State: state}
 }
 
-// record makes the record by which routers pass a runner's report on.
+// record returns the record by which routers disseminate a runner's report.
 func record(t *testing.T, r routing.Runner) dissemination.Record {
 	t.Helper()
 	body, err := r.MarshalMsg(nil)
@@ -25,7 +25,7 @@
 	return dissemination.Record{Key: dissemination.RunnerPrefix + r.ID, Version: r.Sequence, Body: body}
 }
 
-// states lists all runners with their states.
+// states returns all runners with their states.
 func states(r *Registry) string {
 	out := ""
 	for _, one := range r.List() {
@@ -34,8 +34,8 @@
 	return out
 }
 
-// The newest report counts, whichever way it came; silence ends with a later report, departure never.
-func TestNewestReportCounts(t *testing.T) {
+// The report with the highest sequence number wins. A later report replaces the state silent, but none replaces gone.
+func TestNewestReportWins(t *testing.T) {
 	reg := New(nil)
 	for _, step := range []struct {
 		report routing.Runner
@@ -66,7 +66,7 @@
 	}
 }
 
-// onChange gets the list after every change, sorted, and nothing where nothing changed.
+// onChange is called with the sorted list after every change, and not for a response without changes.
 func TestOnChange(t *testing.T) {
 	var lists [][]routing.Runner
 	reg := New(func(list []routing.Runner) { lists = append(lists, list) })
@@ -82,7 +82,7 @@
 	}
 }
 
-// Only the whole registry drops a runner, and not one that dissemination brought while the answer was under way.
+// Only a full synchronization drops runners, except those that arrived by dissemination while the response was in transit.
 func TestOnlyFullSyncDrops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reg := New(nil)
@@ -112,7 +112,7 @@
 	})
 }
 
-// A replica's digest is that of the runners it lists, whatever their order and their heartbeats' numbers.
+// A replica's digest depends on its runners, but not on their order of arrival nor on their sequence numbers.
 func TestDigest(t *testing.T) {
 	one, other := New(nil), New(nil)
 	if got := one.Digest(); got != 0 {
@@ -122,7 +122,7 @@
 	one.ApplyRecord(record(t, runner("b", 1, routing.RunnerDraining)))
 	other.ApplyRecord(record(t, runner("b", 4, routing.RunnerDraining)))
 	if one.Digest() == other.Digest() {
-		t.Errorf("got digest %x for a replica that lacks a runner as well, want another", one.Digest())
+		t.Errorf("got digest %x also for a replica that lacks a runner, want a different one", one.Digest())
 	}
 	other.ApplyRecord(record(t, runner("a", 9, routing.RunnerReady)))
 	if got, want := other.Digest(), one.Digest(); got != want {
@@ -130,7 +130,7 @@
 	}
 }
 
-// A report that says the same again, as a new primary sends of every runner, is accepted but is no change.
+// A newer report with the same content is accepted but is no change. A new primary sends such reports of all runners.
 func TestSameReportIsNoChange(t *testing.T) {
 	changes := 0
 	reg := New(func([]routing.Runner) { changes++ })
@@ -149,7 +149,7 @@
 	}
 	reg.Apply(response)
 	if changes > 0 {
-		t.Errorf("got %d changes of 600 reports that say the same, want none", changes)
+		t.Errorf("got %d changes by 600 reports with the same content, want none", changes)
 	}
 	reg.ApplyRecord(record(t, runner("r007", 1, routing.RunnerDraining)))
 	if got := reg.List()[7].State; changes > 0 || got != routing.RunnerReady {
@@ -161,7 +161,7 @@
 	}
 }
 
-// The list stays sorted, complete and without duplicates, in whatever order runners come.
+// The list stays sorted, complete and without duplicates, in whatever order reports arrive.
 func TestListAfterSingleChanges(t *testing.T) {
 	reg := New(nil)
 	for i := range 500 {
@@ -183,8 +183,8 @@
 	}
 }
 
-// BenchmarkManyNew is what it takes to learn of 600 runners one by one.
-func BenchmarkManyNew(b *testing.B) {
+// BenchmarkApplyNewRunners measures applying the first reports of 600 runners one by one.
+func BenchmarkApplyNewRunners(b *testing.B) {
 	for b.Loop() {
 		reg := New(nil)
 		for i := range 600 {
@@ -198,8 +198,8 @@
 	}
 }
 
-// A new primary finds a runner silent by the heartbeat that it has on disk, which is an older one than routers
-// know. The runner counts as silent until its next heartbeat; a report that was just pushed is not undone.
+// A new primary may report a runner as silent with the sequence number of the heartbeat that it has on disk, which is lower
+// than the one that routers know. The report is accepted, unless a newer one has just arrived by dissemination.
 func TestSilentByOlderHeartbeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reg := New(nil)
--- a/internal/dataplane/registry/snapshot.go
+++ b/internal/dataplane/registry/snapshot.go
@@ -8,11 +8,11 @@
 	"yarrowridge/internal/model/routing"
 )
 
-// List returns the runners sorted by ID, each by its newest report that changed anything for routers. The list is shared:
-// it must not be changed.
+// List returns the runners sorted by ID. Of each it has the newest report that changed anything for routers. The slice is
+// shared and must not be modified.
 func (r *Registry) List() []routing.Runner { return *r.snapshot.Load() }
 
-// publish makes a new list of all runners. The caller holds the lock.
+// publish replaces the list by a new one of all runners. The caller holds the lock.
 func (r *Registry) publish() {
 	list := make([]routing.Runner, 0, len(r.runners))
 	for _, known := range r.runners {
@@ -22,8 +22,8 @@
 	r.replaceSnapshot(list)
 }
 
-// publishOne makes a new list where one runner has changed or is new, from the old one: many such changes may follow one
-// another. The caller holds the lock.
+// publishOne replaces the list by a copy with one runner changed or added. It does not sort all runners again as publish
+// does, because many such changes may come in quick succession. The caller holds the lock.
 func (r *Registry) publishOne(runner routing.Runner) {
 	old := r.List()
 	index, known := slices.BinarySearchFunc(old, runner.ID, func(one routing.Runner, id string) int { return strings.Compare(one.ID, id) })
@@ -35,7 +35,7 @@
 	r.replaceSnapshot(append(list, old[index:]...))
 }
 
-// replaceSnapshot puts a list in place of the one that is read. The caller holds the lock.
+// replaceSnapshot replaces the list that List returns and calls onChange. The caller holds the lock.
 func (r *Registry) replaceSnapshot(list []routing.Runner) {
 	r.snapshot.Store(&list)
 	if r.onChange != nil {
