--- a/internal/dataplane/session/batch.go
+++ b/internal/dataplane/session/batch.go
@@ -1,6 +1,6 @@
 package session
 
-// Pack makes a batch of entries.
+// Pack encodes entries as a batch in which each runner ID occurs once.
 func Pack(entries []Entry) *Batch {
 	batch := &Batch{Entries: make([]PackedEntry, 0, len(entries))}
 	indexes := map[string]int{}
@@ -20,7 +20,7 @@
 	return batch
 }
 
-// Unpack returns the entries of a batch. Indexes out of range are left out.
+// Unpack returns the entries of a batch. Runner indexes that are out of range are ignored.
 func (b *Batch) Unpack() []Entry {
 	entries := make([]Entry, 0, len(b.Entries))
 	for _, packed := range b.Entries {
--- a/internal/dataplane/session/departed.go
+++ b/internal/dataplane/session/departed.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// maxDeparted is how many departed runners are remembered.
+// maxDeparted is the maximum number of departed runners that are remembered.
 const maxDeparted = 1024
 
-// departedRunners are the runners that have left for good, so that late entries do not name them again. The directory's
-// lock guards it.
+// departedRunners is the set of runners that have left permanently. It prevents delayed entries from adding them again. The
+// directory's lock guards it.
 type departedRunners struct {
 	ids   map[string]struct{}
-	order []string // the same, the oldest first
+	order []string // the same IDs, the oldest first
 }
 
 func newDepartedRunners() departedRunners { return departedRunners{ids: map[string]struct{}{}} }
 
-// add remembers runners, and reports whether any of them was not known as departed.
+// add adds runners to the set and reports whether any of them was new.
 func (r *departedRunners) add(runners []string) (changed bool) {
 	for _, runner := range runners {
 		if _, known := r.ids[runner]; known {
@@ -27,7 +27,7 @@
 	return changed
 }
 
-// trim forgets the oldest where there are too many.
+// trim removes the oldest runners beyond maxDeparted.
 func (r *departedRunners) trim() {
 	for len(r.order) > maxDeparted {
 		delete(r.ids, r.order[0])
@@ -35,8 +35,8 @@
 	}
 }
 
-// without returns the runners that have not departed, each once and MaxRunners at most.
-func (r *departedRunners) without(runners []string) []string {
+// filterOut returns the given runners without the departed ones and without duplicates, MaxRunners at most.
+func (r *departedRunners) filterOut(runners []string) []string {
 	var out []string
 	for _, runner := range runners {
 		if _, departed := r.ids[runner]; !departed && len(out) < MaxRunners && !slices.Contains(out, runner) {
--- a/internal/dataplane/session/directory.go
+++ b/internal/dataplane/session/directory.go
@@ -1,7 +1,7 @@
-// Package session keeps the session directory: which runners have a session's context cached (its KV cache), where that is
-// not what every router finds anyway by rendezvous hashing. Each router has a replica of the directory and sends the others
-// its changes; of two entries of one session the one with the higher version stands. What is kept here decides only which
-// runner is asked first, never whether a request may be sent.
+// Package session implements the session directory: which runners have a session's context in their KV cache, for sessions
+// whose runners differ from those that every router computes by rendezvous hashing. Each router has a replica of the
+// directory and sends its changes to the others. Of two entries of one session the one with the higher version wins. The
+// directory decides only which runner is tried first, never whether a request may be sent.
 package session
 
 import (
@@ -13,26 +13,26 @@
 
 // Directory is one router's replica of the session directory. Its methods may be called concurrently.
 type Directory struct {
-	capacity int              // entries
+	capacity int              // maximum number of entries
 	now      func() time.Time // monotonic
 
 	mu         sync.Mutex // guards the fields below
 	entries    map[uint64]*list.Element
-	recent     *list.List           // of Entry, the one used last in front
-	changedAt  map[uint64]time.Time // when a session's entry came to stand here
+	recent     *list.List           // of Entry, the most recently used one in front
+	changedAt  map[uint64]time.Time // by session, when its entry was last stored
 	updates    updateQueue
 	departed   departedRunners
-	maxVersion uint64 // seen so far, of any session
-	changes    uint64
+	maxVersion uint64 // highest version of any entry stored so far
+	changes    uint64 // see Changes
 }
 
-// New makes an empty directory of at most capacity sessions; beyond it the one used longest ago is dropped.
+// New returns an empty directory of at most capacity sessions. Beyond that it evicts the least recently used one.
 func New(capacity int) *Directory {
 	return &Directory{capacity: capacity, now: time.Now, entries: map[uint64]*list.Element{}, recent: list.New(),
 		changedAt: map[uint64]time.Time{}, updates: newUpdateQueue(), departed: newDepartedRunners()}
 }
 
-// Lookup returns the entry of a session and counts as its use.
+// Lookup returns the entry of a session and marks it as the most recently used one.
 func (d *Directory) Lookup(session uint64) (Entry, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -44,33 +44,33 @@
 	return element.Value.(Entry), true
 }
 
-// Age is how long ago a session's entry came to stand in this replica.
+// Age returns the time since a session's entry was last stored in this replica.
 func (d *Directory) Age(session uint64) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.now().Sub(d.changedAt[session])
 }
 
-// Len counts the sessions that have an entry.
+// Len returns the number of entries.
 func (d *Directory) Len() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.recent.Len()
 }
 
-// Changes counts the changes so far: who remembers the count can tell later whether anything has changed since.
+// Changes returns how many times an entry was stored or dropped. Callers compare two counts to detect changes in between.
 func (d *Directory) Changes() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.changes
 }
 
-// Record notes what this router found: these runners have the session's context, the last one first. The entry is queued
-// for the other routers, unless it is known already.
+// Record stores this router's observation that runners have the session's context cached, the one that got it last first.
+// Unless the directory has the same entry already, it is queued for the other routers.
 func (d *Directory) Record(session uint64, runners ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	runners = d.departed.without(runners)
+	runners = d.departed.filterOut(runners)
 	if len(runners) == 0 {
 		return
 	}
@@ -86,7 +86,7 @@
 	d.updates.add(session, replaced)
 }
 
-// Merge takes entries of other routers, and returns how many of them were new.
+// Merge applies entries of other routers and returns how many of them it stored.
 func (d *Directory) Merge(entries []Entry) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -99,20 +99,20 @@
 	return merged
 }
 
-// merge takes one entry of another router and reports whether it was new. The caller holds the lock.
+// merge applies one entry of another router and reports whether it was stored. The caller holds the lock.
 func (d *Directory) merge(entry Entry) bool {
-	entry.Runners = d.departed.without(entry.Runners)
+	entry.Runners = d.departed.filterOut(entry.Runners)
 	if len(entry.Runners) == 0 {
 		return false
 	}
 	if element := d.entries[entry.Session]; element != nil {
 		known := element.Value.(Entry)
-		replaced, isPending := d.updates.pendingVersion(entry.Session)
-		// Where another router has sent the same before us, its entry replaces ours, which is still pending: unless we
-		// have passed over a newer one for the sake of ours.
-		isSame := isPending && entry.Version > replaced && slices.Equal(known.Runners, entry.Runners)
-		if !isSame && !newer(entry, known) {
-			d.updates.passOver(entry.Session, entry.Version)
+		replaced, isPending := d.updates.replacedVersion(entry.Session)
+		// If another router has already sent the runners of our pending entry, its entry replaces ours, which need not be
+		// sent. This does not hold if ours has won against an entry that is at least as new as that one.
+		isDuplicate := isPending && entry.Version > replaced && slices.Equal(known.Runners, entry.Runners)
+		if !isDuplicate && !newer(entry, known) {
+			d.updates.recordRejected(entry.Session, entry.Version)
 			return false
 		}
 	}
@@ -121,7 +121,7 @@
 	return true
 }
 
-// RemoveRunners takes runners that have left for good out of all entries. A runner's ID is never used again.
+// RemoveRunners removes runners that have left permanently from all entries. Runner IDs are never reused.
 func (d *Directory) RemoveRunners(runners ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -132,7 +132,7 @@
 		element := next
 		next = next.Next()
 		entry := element.Value.(Entry)
-		if entry.Runners = d.departed.without(entry.Runners); len(entry.Runners) == 0 {
+		if entry.Runners = d.departed.filterOut(entry.Runners); len(entry.Runners) == 0 {
 			d.drop(element)
 			continue
 		}
@@ -141,8 +141,8 @@
 	d.departed.trim()
 }
 
-// DrainUpdates returns the entries to send to the other routers now, in the order in which they came, and takes them out of
-// the queue. There may be more: it returns 1024 at most.
+// DrainUpdates removes the oldest pending entries from the queue and returns them, to be sent to the other routers. It
+// returns 1024 entries at most, so that more may be pending.
 func (d *Directory) DrainUpdates() []Entry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dataplane/session/directory_bench_test.go
+++ b/internal/dataplane/session/directory_bench_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// BenchmarkMemory tells how many bytes a router keeps for each entry with two runners, and how many an entry
-// takes on the wire.
+// BenchmarkMemory measures the bytes of memory and the bytes on the wire for each entry with two runners.
 //
 //	go test ./internal/dataplane/session -run XXX -bench Memory -benchtime 1x
 func BenchmarkMemory(b *testing.B) {
@@ -38,7 +37,7 @@
 	}
 }
 
-// BenchmarkLookup is what each choice of a runner costs at the directory.
+// BenchmarkLookup measures the directory lookup that each choice of a runner includes.
 func BenchmarkLookup(b *testing.B) {
 	d := New(1 << 15)
 	for i := range uint64(1 << 15) {
@@ -51,7 +50,7 @@
 	}
 }
 
-// heap is how many bytes live objects take.
+// heap returns the bytes of live objects on the heap.
 func heap() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
--- a/internal/dataplane/session/directory_test.go
+++ b/internal/dataplane/session/directory_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// checkRunners checks which runners a directory names for a session.
+// checkRunners checks which runners a directory has for a session.
 func checkRunners(t *testing.T, d *Directory, session uint64, want ...string) {
 	t.Helper()
 	if entry, _ := d.Lookup(session); !slices.Equal(entry.Runners, want) {
@@ -18,7 +18,7 @@
 	}
 }
 
-// contents returns all entries of a directory, in the order of their sessions.
+// contents returns all entries of a directory, sorted by session.
 func contents(d *Directory) []Entry {
 	entries := d.MostRecentlyUsed(1 << 20)
 	slices.SortFunc(entries, func(a, b Entry) int {
@@ -30,8 +30,8 @@
 	return entries
 }
 
-// Of two entries of one session the later one stands, and neither is sent twice.
-func TestNewestEntryStands(t *testing.T) {
+// Of two entries of one session the newer one wins, and neither is sent twice.
+func TestNewestEntryWins(t *testing.T) {
 	one, two := New(10), New(10)
 	one.Record(1, "a")
 	first := one.DrainUpdates()
@@ -39,7 +39,7 @@
 	two.Record(1, "b", "a")
 	second := two.DrainUpdates()
 	one.Merge(second)
-	one.Merge(first) // once more, late
+	one.Merge(first) // delayed duplicate
 	checkRunners(t, one, 1, "b", "a")
 	checkRunners(t, two, 1, "b", "a")
 	if again := append(one.DrainUpdates(), two.DrainUpdates()...); len(again) != 0 {
@@ -51,7 +51,7 @@
 	}
 }
 
-// A clock that lags does not make a later entry older.
+// Clock skew between routers does not affect which entry is newer.
 func TestLaggingClock(t *testing.T) {
 	ahead, behind := New(10), New(10)
 	ahead.now = func() time.Time { return time.Now().Add(time.Hour) }
@@ -63,7 +63,7 @@
 	checkRunners(t, behind, 1, "b")
 }
 
-// Of several routers that find the same at once, one sends it.
+// If several routers record the same entry concurrently, only one of them sends it.
 func TestSameEntryIsSentOnce(t *testing.T) {
 	one, two := New(10), New(10)
 	one.Record(1, "a")
@@ -77,7 +77,7 @@
 	}
 }
 
-// A departed runner is taken out of all entries, and late ones do not bring it back.
+// A departed runner is removed from all entries, and delayed entries do not add it again.
 func TestDepartedRunners(t *testing.T) {
 	d := New(10)
 	d.Record(1, "a", "b")
@@ -95,12 +95,12 @@
 	}
 }
 
-// The directory keeps the entries used last, and of departed runners the last ones.
+// The directory keeps the most recently used entries and remembers the last departed runners, up to its limits.
 func TestBounds(t *testing.T) {
 	d := New(100)
 	for session := range uint64(1000) {
 		d.Record(session, "a", "b", "c")
-		d.Lookup(0) // in use all the time
+		d.Lookup(0) // keeps session 0 the most recently used
 	}
 	if d.Len() != 100 {
 		t.Errorf("got %d entries, want 100", d.Len())
@@ -109,7 +109,7 @@
 	checkRunners(t, d, 1)
 	checkRunners(t, d, 999, "a", "b")
 	if updates := d.DrainUpdates(); len(updates) != 100 {
-		t.Errorf("got %d updates, want 100: those of the entries that are kept", len(updates))
+		t.Errorf("got %d updates, want 100: those of the entries that were not evicted", len(updates))
 	}
 	for i := range 3 * maxDeparted {
 		d.RemoveRunners(fmt.Sprint("runner ", i))
@@ -119,7 +119,7 @@
 	}
 }
 
-// A router that fetches another one's entries has the same, and drops the same first.
+// A router that fetches another one's entries has the same ones and evicts them in the same order.
 func TestFetchedEntries(t *testing.T) {
 	old := New(10)
 	for session := range uint64(10) {
@@ -141,12 +141,12 @@
 		t.Errorf("got entries %v, want %v", got, want)
 	}
 	if size := len(raw) / 4; size > 40 {
-		t.Errorf("got %d bytes an entry, want 40 at most", size)
+		t.Errorf("got %d bytes per entry, want 40 at most", size)
 	}
 	checkRunners(t, fresh, 0, "a")
 }
 
-// Indexes that are out of a batch's range are left out.
+// Runner indexes that are out of a batch's range are ignored.
 func TestDamagedBatch(t *testing.T) {
 	batch := Batch{Runners: []string{"a"}, Entries: []PackedEntry{{Session: 1, Version: 1, Runners: []int{7, 0, -1}}, {Session: 2, Version: 1, Runners: []int{1}}}}
 	d := New(10)
@@ -156,14 +156,14 @@
 	checkRunners(t, d, 1, "a")
 }
 
-// announcement is what one router sent, and which routers have received it.
+// announcement is a message with one router's updates, and the routers that have received it.
 type announcement struct {
 	entries  []Entry
 	received map[int]bool
 }
 
-// Whatever routers find, and in whatever order and however often they receive it from one another, once all have received
-// everything all have the same: for each session the entry that was sent with the highest version.
+// Routers converge: once all of them have received all updates, in any order and any number of times, each has the same
+// entry for a session, which is the newest one that was sent.
 func TestRoutersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := make([]*Directory, rapid.IntRange(2, 5).Draw(t, "routers"))
@@ -217,7 +217,7 @@
 	})
 }
 
-// newestOf returns what all should have once they have received everything.
+// newestOf returns the contents of a directory that has received all announcements.
 func newestOf(sent []announcement) []Entry {
 	all := New(1000)
 	for _, one := range sent {
--- a/internal/dataplane/session/lru.go
+++ b/internal/dataplane/session/lru.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// put stores an entry as the one used last, and drops the ones used longest ago where there are too many. The caller holds
-// the lock.
+// put stores an entry as the most recently used one and evicts the least recently used ones beyond the capacity. The caller
+// holds the lock.
 func (d *Directory) put(entry Entry) {
 	d.changes++
 	d.maxVersion = max(d.maxVersion, entry.Version)
@@ -32,8 +32,8 @@
 	d.recent.Remove(element)
 }
 
-// MostRecentlyUsed returns the entries used last, at most limit of them, of these the one used longest ago first: a router that merges
-// them in this order drops the same ones as this router.
+// MostRecentlyUsed returns up to limit of the most recently used entries, the least recently used of them first. A router
+// that merges them in this order evicts entries in the same order as this one.
 func (d *Directory) MostRecentlyUsed(limit int) []Entry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
