--- a/internal/dataplane/cluster/broadcast.go
+++ b/internal/dataplane/cluster/broadcast.go
@@ -60,9 +60,9 @@
 }
 
 // BroadcastToAll sends records to every other router directly, bypassing the dissemination tree, and reports whether at
-// least one has acknowledged them. It waits until all have answered or 250 ms have passed, and then, without an
-// acknowledgement yet, for the first one until the context ends. The tree is bypassed so that the records spread even if
-// this router, a node of the tree, stops right afterwards.
+// least one has acknowledged them or there is no other router. It waits until all have answered or 250 ms have passed. If
+// there is no acknowledgement by then, it waits for the first one until the context ends. The tree is bypassed so that the
+// records spread even if this router, a node of the tree, stops right afterwards.
 func (m *Member) BroadcastToAll(ctx context.Context, records []dissemination.Record) bool {
 	results, pending := m.sendToAll(records)
 	timer := time.NewTimer(broadcastWait)
--- a/internal/dataplane/cluster/heartbeat.go
+++ b/internal/dataplane/cluster/heartbeat.go
@@ -104,9 +104,9 @@
 }
 
 // fetchConfig fetches the configuration from the core if its version is newer than the active one. A configuration that has
-// arrived but could not be parsed is not fetched again. A new configuration usually arrives by dissemination; it is fetched
-// only if it is still missing at the next heartbeat, because otherwise a large part of the fleet would ask the primary at
-// once.
+// arrived but could not be parsed is not fetched again. A new configuration usually arrives by dissemination. It is fetched
+// at once only if no configuration is active, otherwise only if it is still missing at the next heartbeat: a large part of
+// the fleet would ask the primary at the same time.
 func (m *Member) fetchConfig(ctx context.Context, version uint64) {
 	record, _, _ := m.Records.Get(dissemination.ConfigKey)
 	overdue := m.ConfigVersion() == 0 || record.Version < m.announcedVersion
--- a/internal/dataplane/cluster/peers.go
+++ b/internal/dataplane/cluster/peers.go
@@ -17,7 +17,7 @@
 	mu              sync.Mutex           // also held during setCorePeers, so that the client gets the lists in order
 	epoch           uint64               // of the primary that counts version; 0: no list yet, or an older core
 	version         uint64               // of the core's list
-	nodes           []coreapi.Node       // sorted by name; replaced as a whole, never modified
+	nodes           []coreapi.Node       // sorted by name if from the core; replaced as a whole, never modified
 	digest          uint64               // of nodes
 	neighbours      []dissemination.Node // in the dissemination tree over nodes
 	previousRouters int                  // see PreviousRouters
--- a/internal/dataplane/registry/merge.go
+++ b/internal/dataplane/registry/merge.go
@@ -13,8 +13,8 @@
 // isFresh reports whether a report has arrived by dissemination within the pushGracePeriod.
 func (known entry) isFresh() bool { return time.Since(known.pushedAt) <= pushGracePeriod }
 
-// merge accepts a runner's report if it supersedes the known one. changed reports whether the accepted report differs for
-// routers: a new primary resends the reports of all runners, and hardly any of them does. The caller holds the lock.
+// merge accepts a runner's report if it supersedes the known one. changed reports whether it also changes anything for
+// routers: most reports that a new primary resends do not. The caller holds the lock.
 func (r *Registry) merge(runner routing.Runner) (accepted, changed bool) {
 	old, known := r.runners[runner.ID]
 	if known && !supersedes(runner, old) {
