--- a/internal/dataplane/router/views.go
+++ b/internal/dataplane/router/views.go
@@ -54,10 +54,10 @@
 // statusView returns the status. Its configuration version and hash always belong together, even while new configurations
 // arrive.
 func (r *Router) statusView() statusView {
-	version, hash := r.Cluster.ConfigInForce()
+	version, hash := r.Cluster.ConfigVersionAndHash()
 	own := r.Cluster.Self()
 	own.ConfigVersion = version
-	return statusView{ConfigHash: hash, Node: own, Stale: r.Cluster.CoreSilent(), View: r.Cluster.Core.View(), WhyNotReady: r.Cluster.NotReadyReason()}
+	return statusView{ConfigHash: hash, Node: own, Stale: r.Cluster.CoreTimedOut(), View: r.Cluster.Core.View(), WhyNotReady: r.Cluster.NotReadyReason()}
 }
 
 func (r *Router) runnerViews() []runnerView {
--- a/internal/testing/modelcheck/quotarouter_test.go
+++ b/internal/testing/modelcheck/quotarouter_test.go
@@ -138,7 +138,7 @@
 		return
 	}
 	var limit atomic.Int64 // by the configuration in force; 0: none yet
-	member := cluster.NewMember(where, r.addr(), r.addr(), r.fleet.seeds(), nil, cluster.WithDocument(func(_ uint64, raw []byte) error {
+	member := cluster.NewMember(where, r.addr(), r.addr(), r.fleet.seeds(), nil, cluster.WithConfigHandler(func(_ uint64, raw []byte) error {
 		document, _ := toleranceCodec{}.Check(raw)
 		limit.Store(int64(document.Quotas[spentTenant]))
 		return nil
@@ -146,7 +146,7 @@
 	go wire.Serve(ctx, listener, member.Serve)
 	go member.Run()
 	shares := quota.NewShares(where, quota.Config{Transfer: transferVia(member), Nodes: func() int { return len(member.Nodes()) },
-		ScarceTenants: member.ScarceTenants, RecentContact: member.CoreResponsive, InContact: func() bool { return !member.CoreSilent() },
+		ScarceTenants: member.ScarceTenants, RecentContact: member.CoreResponsive, InContact: func() bool { return !member.CoreTimedOut() },
 		Rules: func() []quota.Rule {
 			return []quota.Rule{{Tenant: spentTenant, Units: int(limit.Load()), Window: spentWindow}}
 		}})
