--- a/internal/controlplane/runnerregistry/registry_test.go
+++ b/internal/controlplane/runnerregistry/registry_test.go
@@ -264,8 +264,8 @@
 		r.RecordHeartbeat(routing.Runner{ID: fmt.Sprintf("runner-%032d", i), Address: "10.100.100.100:10000", Zone: "zone", Service: "service-name", State: routing.RunnerReady, Sequence: 1}, r.now)
 	}
 	response := r.response(0, 0)
-	if size := response.Msgsize(); size > wire.MaxFrameBytes {
-		t.Errorf("got %d bytes for ten thousand runners, want %d at most", size, wire.MaxFrameBytes)
+	if size := response.Msgsize(); size > wire.MaxBodyBytes {
+		t.Errorf("got %d bytes for ten thousand runners, want %d at most", size, wire.MaxBodyBytes)
 	}
 }
 
--- a/internal/transport/wire/compression.go
+++ b/internal/transport/wire/compression.go
@@ -28,8 +28,8 @@
 	if err != nil {
 		return eris.Wrap(err, "wire: decompress body")
 	}
-	if size > MaxFrameBytes {
-		return eris.Errorf("wire: compressed body of %d bytes is above the limit of %d", size, MaxFrameBytes)
+	if size > MaxBodyBytes {
+		return eris.Errorf("wire: compressed body of %d bytes is above the limit of %d", size, MaxBodyBytes)
 	}
 	if f.Body, err = s2.Decode(nil, f.Body); err != nil {
 		return eris.Wrap(err, "wire: decompress body")
--- a/internal/transport/wire/compression_test.go
+++ b/internal/transport/wire/compression_test.go
@@ -105,7 +105,7 @@
 	if f.compress(); f.Compressed {
 		t.Error("got noise compressed, want it left alone: it does not get smaller")
 	}
-	for _, body := range [][]byte{nil, {0xff}, s2.Encode(nil, make([]byte, MaxFrameBytes+1)), s2.Encode(nil, bytes.Repeat([]byte("x"), 9000))[:9]} {
+	for _, body := range [][]byte{nil, {0xff}, s2.Encode(nil, make([]byte, MaxBodyBytes+1)), s2.Encode(nil, bytes.Repeat([]byte("x"), 9000))[:9]} {
 		f := Frame{Format: FormatVersion, Body: body, Compressed: true}
 		var b bytes.Buffer
 		if err := writeFrame(&b, &f); err != nil {
--- a/internal/transport/wire/frame.go
+++ b/internal/transport/wire/frame.go
@@ -7,8 +7,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// MaxFrameBytes is the size of the largest body that is read, in bytes.
-const MaxFrameBytes = 8 << 20
+// MaxBodyBytes is the size of the largest body that is read, in bytes.
+const MaxBodyBytes = 8 << 20
 
 const (
 	// lengthBytes is the size of a frame's prefix: the length of what follows, in big-endian order.
@@ -38,8 +38,8 @@
 		return err
 	}
 	n := binary.BigEndian.Uint32(prefix[:])
-	if n > MaxFrameBytes+maxEnvelopeBytes {
-		return eris.Errorf("wire: frame of %d bytes is above the limit of %d", n, MaxFrameBytes)
+	if n > MaxBodyBytes+maxEnvelopeBytes {
+		return eris.Errorf("wire: frame of %d bytes is above the limit of %d", n, MaxBodyBytes)
 	}
 	f.wireBytes = len(prefix) + int(n)
 	buf := make([]byte, n)
--- a/internal/transport/wire/frame_test.go
+++ b/internal/transport/wire/frame_test.go
@@ -47,8 +47,8 @@
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var out Frame
-		if err := readFrame(bytes.NewReader(raw), &out); err == nil && len(out.Body) > MaxFrameBytes+1024 {
-			t.Errorf("got a body of %d bytes, want at most %d", len(out.Body), MaxFrameBytes+1024)
+		if err := readFrame(bytes.NewReader(raw), &out); err == nil && len(out.Body) > MaxBodyBytes+1024 {
+			t.Errorf("got a body of %d bytes, want at most %d", len(out.Body), MaxBodyBytes+1024)
 		}
 	})
 }
