--- a/internal/dataplane/router/listen.go
+++ b/internal/dataplane/router/listen.go
@@ -17,7 +17,7 @@
 func (r *Router) listen(process *daemon.Process) ([]*web.Server, error) {
 	clients, err := web.Handler([]rest.Route{
 		{Method: "GET", Path: "/alive", Handler: writeAlive},
-		{Method: "GET", Path: "/ready", Handler: operator.Ready(r.Cluster.NotReadyReason)},
+		{Method: "GET", Path: "/ready", Handler: operator.ReadyHandler(r.Cluster.NotReadyReason)},
 	}, r.Clients)
 	if err != nil {
 		return nil, err
--- a/internal/transport/operator/api.go
+++ b/internal/transport/operator/api.go
@@ -37,7 +37,7 @@
 		routes = append(routes, rest.Route{Method: method, Path: path, Handler: handler})
 	}
 	add(http.MethodGet, "/alive", alive)
-	add(http.MethodGet, "/ready", Ready(api.Ready))
+	add(http.MethodGet, "/ready", ReadyHandler(api.Ready))
 	if api.Metrics != nil {
 		add(http.MethodGet, "/metrics", api.Metrics.ServeHTTP)
 	}
--- a/internal/transport/operator/health.go
+++ b/internal/transport/operator/health.go
@@ -14,9 +14,9 @@
 	web.WriteJSON(w, http.StatusOK, AliveResponse{Alive: true})
 }
 
-// Ready returns a handler that answers 200 where notReadyReason returns "", and else 503 with the reason.
+// ReadyHandler returns a handler that answers 200 where notReadyReason returns "", and else 503 with the reason.
 // notReadyReason is called concurrently.
-func Ready(notReadyReason func() string) http.HandlerFunc {
+func ReadyHandler(notReadyReason func() string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if reason := notReadyReason(); reason != "" {
 			w.Header().Set("Retry-After", retryAfterSeconds)
