--- a/internal/controlplane/control/main.go
+++ b/internal/controlplane/control/main.go
@@ -61,7 +61,7 @@
 // listenForOperators binds the operators' listener.
 func (p *coreProcess) listenForOperators(addr string) (*web.Server, error) {
 	api := &operator.API{Ctx: p.Ctx.WithComponent("operator"), KeyHash: func() string { return p.Setting("operator-key-hash") },
-		Core: p.client, Ready: p.server.UnavailableReason,
+		Core: p.client, NotReadyReason: p.server.UnavailableReason,
 		Views: map[string]func() any{
 			"/v1/standing": func() any { return p.server.State() },
 			"/v1/traffic":  func() any { return wire.TrafficByKind() }}}
--- a/internal/transport/operator/api.go
+++ b/internal/transport/operator/api.go
@@ -22,12 +22,12 @@
 
 // API serves the operators of a router or a core. Its functions are called concurrently.
 type API struct {
-	Ctx     daemon.Context
-	Core    *coreclient.Client
-	KeyHash func() string         // the SHA-256 of the operators' key, in hex
-	Ready   func() string         // why the process is not ready, or ""
-	Views   map[string]func() any // what else operators can read, by path; answered as JSON
-	Metrics http.Handler          // GET /metrics; nil: not served
+	Ctx            daemon.Context
+	Core           *coreclient.Client
+	KeyHash        func() string         // the SHA-256 of the operators' key, in hex
+	NotReadyReason func() string         // why the process is not ready, or ""
+	Views          map[string]func() any // what else operators can read, by path; answered as JSON
+	Metrics        http.Handler          // GET /metrics; nil: not served
 }
 
 // Handler returns the handler of the API's routes. /alive, /ready and /metrics need no key.
@@ -37,7 +37,7 @@
 		routes = append(routes, rest.Route{Method: method, Path: path, Handler: handler})
 	}
 	add(http.MethodGet, "/alive", alive)
-	add(http.MethodGet, "/ready", ReadyHandler(api.Ready))
+	add(http.MethodGet, "/ready", ReadyHandler(api.NotReadyReason))
 	if api.Metrics != nil {
 		add(http.MethodGet, "/metrics", api.Metrics.ServeHTTP)
 	}
