--- a/internal/controlplane/control/main.go
+++ b/internal/controlplane/control/main.go
@@ -62,7 +62,7 @@
 func (p *coreProcess) listenForOperators(addr string) (*web.Server, error) {
 	api := &operator.API{Ctx: p.Ctx.WithComponent("operator"), KeyHash: func() string { return p.Setting("operator-key-hash") },
 		Core: p.client, NotReadyReason: p.server.UnavailableReason,
-		Views: map[string]func() any{
+		JSONRoutes: map[string]func() any{
 			"/v1/standing": func() any { return p.server.State() },
 			"/v1/traffic":  func() any { return wire.TrafficByKind() }}}
 	handler, err := api.Handler()
--- a/internal/dataplane/router/listen.go
+++ b/internal/dataplane/router/listen.go
@@ -27,7 +27,7 @@
 		return nil, err
 	}
 	operators, err := (&operator.API{Ctx: r.ctx.WithComponent("operator"), Core: r.Cluster.Core, KeyHash: func() string { return process.Setting("operator-key-hash") },
-		NotReadyReason: r.Cluster.NotReadyReason, Metrics: r.Metrics.Handler(), Views: r.views()}).Handler()
+		NotReadyReason: r.Cluster.NotReadyReason, Metrics: r.Metrics.Handler(), JSONRoutes: r.views()}).Handler()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/transport/operator/api.go
+++ b/internal/transport/operator/api.go
@@ -26,7 +26,7 @@
 	Core           *coreclient.Client
 	KeyHash        func() string         // the SHA-256 of the operators' key, in hex
 	NotReadyReason func() string         // why the process is not ready, or ""
-	Views          map[string]func() any // what else operators can read, by path; answered as JSON
+	JSONRoutes     map[string]func() any // what else operators can read, by path; answered as JSON
 	Metrics        http.Handler          // GET /metrics; nil: not served
 }
 
@@ -45,7 +45,7 @@
 	add(http.MethodPut, "/v1/layout", api.authenticated(api.putConfig))
 	add(http.MethodPatch, "/v1/layout", api.authenticated(api.putConfig))
 	add(http.MethodGet, "/v1/fleet", api.authenticated(api.getFleet))
-	for path, view := range api.Views {
+	for path, view := range api.JSONRoutes {
 		add(http.MethodGet, path, api.authenticated(func(w http.ResponseWriter, _ *http.Request) {
 			web.WriteJSON(w, http.StatusOK, view())
 		}))
