--- a/internal/controlplane/runnerregistry/notifier.go
+++ b/internal/controlplane/runnerregistry/notifier.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil
 	}
-	return n.add(dissemination.Record{Key: dissemination.RunnerPrefix + runner.ID, Version: runner.Sequence, Body: body})
+	return n.add(dissemination.Record{Key: dissemination.RunnerKeyPrefix + runner.ID, Version: runner.Sequence, Body: body})
 }
 
 // add adds a record to the pending batch, starting one if there is none.
--- a/internal/dataplane/registry/registry.go
+++ b/internal/dataplane/registry/registry.go
@@ -66,13 +66,13 @@
 
 // IsRunnerRecord reports whether a record is a report of a registered runner.
 func IsRunnerRecord(record dissemination.Record) bool {
-	return strings.HasPrefix(record.Key, dissemination.RunnerPrefix)
+	return strings.HasPrefix(record.Key, dissemination.RunnerKeyPrefix)
 }
 
 // ApplyRecord applies a report that dissemination brought. One that cannot be decoded is ignored.
 func (r *Registry) ApplyRecord(record dissemination.Record) {
 	var runner routing.Runner
-	if _, err := runner.UnmarshalMsg(record.Body); err != nil || dissemination.RunnerPrefix+runner.ID != record.Key {
+	if _, err := runner.UnmarshalMsg(record.Body); err != nil || dissemination.RunnerKeyPrefix+runner.ID != record.Key {
 		return
 	}
 	r.mu.Lock()
--- a/internal/dataplane/registry/registry_test.go
+++ b/internal/dataplane/registry/registry_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return dissemination.Record{Key: dissemination.RunnerPrefix + r.ID, Version: r.Sequence, Body: body}
+	return dissemination.Record{Key: dissemination.RunnerKeyPrefix + r.ID, Version: r.Sequence, Body: body}
 }
 
 // states lists all runners with their states.
@@ -57,9 +57,9 @@
 			t.Errorf("after %s %d: got %q, want %q", step.report.State, step.report.Sequence, got, step.want)
 		}
 	}
-	reg.ApplyRecord(dissemination.Record{Key: dissemination.RunnerPrefix + "b", Body: []byte("no record")})
+	reg.ApplyRecord(dissemination.Record{Key: dissemination.RunnerKeyPrefix + "b", Body: []byte("no record")})
 	wrong := record(t, runner("c", 1, routing.RunnerReady))
-	wrong.Key = dissemination.RunnerPrefix + "d"
+	wrong.Key = dissemination.RunnerKeyPrefix + "d"
 	reg.ApplyRecord(wrong)
 	if got := states(reg); got != "a:gone " {
 		t.Errorf("after records that cannot be decoded: got %q, want %q", got, "a:gone ")
@@ -193,7 +193,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			reg.ApplyRecord(dissemination.Record{Key: dissemination.RunnerPrefix + report.ID, Version: 1, Body: body})
+			reg.ApplyRecord(dissemination.Record{Key: dissemination.RunnerKeyPrefix + report.ID, Version: 1, Body: body})
 		}
 	}
 }
--- a/internal/transport/dissemination/record.go
+++ b/internal/transport/dissemination/record.go
@@ -3,8 +3,8 @@
 // ConfigKey is the key of the fleet configuration's record. That record never expires.
 const ConfigKey = "layout"
 
-// RunnerPrefix begins the key of a registered runner's record; the runner's ID follows.
-const RunnerPrefix = "runners/"
+// RunnerKeyPrefix begins the key of a registered runner's record; the runner's ID follows.
+const RunnerKeyPrefix = "runners/"
 
 // ConfigRecord returns the record of a version of the fleet configuration, in its encoded form.
 func ConfigRecord(version uint64, raw []byte) Record {
