--- a/internal/transport/wire/caller.go
+++ b/internal/transport/wire/caller.go
@@ -8,22 +8,22 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// Caller makes calls over one open connection for each address. Its methods may be called concurrently.
+// Caller makes calls to other processes, over one connection per address. It is safe for concurrent use.
 type Caller struct {
 	network Network
 
-	mu          sync.Mutex // guards what follows; taken before a connection's, and not held while one is dialled
+	mu          sync.Mutex // guards the fields below; locked before a connection's mu, and not held during a dial
 	connections map[string]*connection
 	dials       map[string]*pendingDial
 	closed      bool
 }
 
-// NewCaller returns a Caller over a network. The caller of NewCaller closes it.
+// NewCaller returns a Caller that dials through network. Close it after use.
 func NewCaller(network Network) *Caller {
 	return &Caller{network: network, connections: map[string]*connection{}, dials: map[string]*pendingDial{}}
 }
 
-// Close closes all connections. Calls under way end with ErrOutcomeUnknown, and no connection is opened from then on.
+// Close closes all connections. Pending calls fail with ErrOutcomeUnknown, and no new connection is opened.
 func (c *Caller) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -34,11 +34,10 @@
 	}
 }
 
-// Call sends request to addr and decodes the response into response; nil stands for an empty message. It blocks until
-// the response is there, the connection failed or ctx ended. Without a deadline only the dial and the write are bounded.
+// Call sends request to addr and decodes the response into response; a nil message is an empty one. It blocks until the
+// response arrives, the connection fails or ctx is done. If ctx has no deadline, only the dial and the write are bounded.
 //
-// Except where request cannot be encoded, the error is a *CallError that is ErrUnsent, ErrOutcomeUnknown or a
-// StatusError.
+// The error is a *CallError that wraps ErrUnsent, ErrOutcomeUnknown or a StatusError, unless request cannot be encoded.
 func (c *Caller) Call(ctx context.Context, addr, kind string, request msgp.Marshaler, response msgp.Unmarshaler) error {
 	call := Frame{Format: FormatVersion, Kind: kind, AcceptsCompressed: true}
 	if request != nil {
@@ -49,7 +48,7 @@
 	}
 	conn, err := c.connection(ctx, addr)
 	if err != nil {
-		return unsent(kind, addr, err)
+		return unsentError(kind, addr, err)
 	}
 	if conn.peerAcceptsCompressed.Load() {
 		call.compress()
@@ -59,7 +58,7 @@
 		return &CallError{Kind: kind, Peer: addr, Err: ErrUnsent}
 	}
 	if err != nil {
-		return outcomeUnknown(kind, addr, "", err)
+		return outcomeUnknownError(kind, addr, "", err)
 	}
 	select {
 	case frame, ok := <-responses:
@@ -68,12 +67,12 @@
 		}
 		return decodeResponse(addr, kind, &frame, response)
 	case <-ctx.Done():
-		conn.forget(call.ID)
-		return outcomeUnknown(kind, addr, "", ctx.Err())
+		conn.abandon(call.ID)
+		return outcomeUnknownError(kind, addr, "", ctx.Err())
 	}
 }
 
-// decodeResponse decodes the response of a call to addr into a message, where one is wanted.
+// decodeResponse decodes the response frame of a call into response, which may be nil.
 func decodeResponse(addr, kind string, frame *Frame, response msgp.Unmarshaler) error {
 	if frame.ErrorCode != "" {
 		return &CallError{Kind: kind, Peer: addr, Err: StatusError{Code: Code(frame.ErrorCode)}}
@@ -82,7 +81,7 @@
 		return nil
 	}
 	if _, err := response.UnmarshalMsg(frame.Body); err != nil {
-		return outcomeUnknown(kind, addr, "decode response", err)
+		return outcomeUnknownError(kind, addr, "decode response", err)
 	}
 	return nil
 }
--- a/internal/transport/wire/caller_test.go
+++ b/internal/transport/wire/caller_test.go
@@ -8,8 +8,8 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// What the error of a call tells its caller: not carried out, perhaps carried out, or rejected.
-func TestCallErrorsTellOutcome(t *testing.T) {
+// The error of a call distinguishes calls that were not executed, may have been executed, or were rejected.
+func TestCallErrorsDistinguishOutcomes(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	listener := listen(t)
@@ -32,16 +32,16 @@
 	abandoned, abandon := context.WithCancel(ctx)
 	go abandon()
 	if err := caller.Call(abandoned, addr, "a.blocked", nil, nil); !errors.Is(err, ErrOutcomeUnknown) && !errors.Is(err, ErrUnsent) {
-		t.Errorf("call given up: got %v, want ErrOutcomeUnknown or ErrUnsent", err)
+		t.Errorf("abandoned call: got %v, want ErrOutcomeUnknown or ErrUnsent", err)
 	}
 	done := make(chan error, 1)
 	go func() { done <- caller.Call(ctx, addr, "a.blocked", nil, nil) }()
 	cancel()
 	if err := <-done; !errors.Is(err, ErrOutcomeUnknown) && !errors.Is(err, ErrUnsent) {
-		t.Errorf("call on a connection that broke: got %v, want ErrOutcomeUnknown or ErrUnsent", err)
+		t.Errorf("call on a lost connection: got %v, want ErrOutcomeUnknown or ErrUnsent", err)
 	}
 	closeQuietly(listener)
-	<-served // until then the system accepts connections
+	<-served // the kernel accepts connections until Serve's Accept has returned
 	if err := newCaller(t, TCP{}).Call(t.Context(), addr, "a.rejected", nil, nil); !errors.Is(err, ErrUnsent) {
 		t.Errorf("call to a port without a listener: got %v, want ErrUnsent", err)
 	}
--- a/internal/transport/wire/compression.go
+++ b/internal/transport/wire/compression.go
@@ -5,11 +5,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// compressAboveBytes is the size above which a body is compressed.
+// compressAboveBytes is the body size above which compression is attempted.
 const compressAboveBytes = 4 << 10
 
-// compress compresses a large body where that saves an eighth of it at least. Only a peer that has said that it accepts
-// compressed bodies can read the frame then.
+// compress compresses a large body if that saves more than an eighth of its size. The frame must then go only to a peer
+// that has announced AcceptsCompressed.
 func (f *Frame) compress() {
 	if len(f.Body) <= compressAboveBytes {
 		return
@@ -19,7 +19,7 @@
 	}
 }
 
-// decompress restores a compressed body. The size that the body claims is checked before memory is allocated for it.
+// decompress decompresses a compressed body. It checks the size in the body's header before it allocates memory for it.
 func (f *Frame) decompress() error {
 	if !f.Compressed {
 		return nil
@@ -29,7 +29,7 @@
 		return eris.Wrap(err, "wire: decompress body")
 	}
 	if size > MaxBodyBytes {
-		return eris.Errorf("wire: compressed body of %d bytes is above the limit of %d", size, MaxBodyBytes)
+		return eris.Errorf("wire: decompressed body of %d bytes exceeds the limit of %d", size, MaxBodyBytes)
 	}
 	if f.Body, err = s2.Decode(nil, f.Body); err != nil {
 		return eris.Wrap(err, "wire: decompress body")
--- a/internal/transport/wire/concurrency_test.go
+++ b/internal/transport/wire/concurrency_test.go
@@ -12,33 +12,33 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// echoed is a call's body that comes back as its response.
-type echoed = msgp.Raw
+// rawMessage is a msgp-encoded body, which the echo handler returns unchanged.
+type rawMessage = msgp.Raw
 
-// Many calls share a connection, are answered in any order, and some are given up before their response comes: none ever
-// gets the response of another one.
+// Many calls share a connection, their responses arrive in any order, and some calls are abandoned before that. No call may
+// receive the response of another.
 func TestLateResponsesReachNoOtherCall(t *testing.T) {
 	listener := listen(t)
 	echo := func(_ context.Context, _ string, body []byte) (msgp.Marshaler, error) {
 		time.Sleep(rand.N(6 * time.Millisecond))
-		return echoed(body), nil
+		return rawMessage(body), nil
 	}
 	go Serve(t.Context(), listener, echo)
 	caller := newCaller(t, TCP{})
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	answered, givenUp := 0, 0
+	answered, abandoned := 0, 0
 	for i := range 2000 {
 		all.Go(func() {
 			time.Sleep(rand.N(200 * time.Millisecond))
 			ctx, cancel := context.WithTimeout(t.Context(), rand.N(8*time.Millisecond)+time.Millisecond)
 			defer cancel()
-			var got echoed
-			err := caller.Call(ctx, listener.Addr().String(), "test.echo", echoed(msgp.AppendInt(nil, i)), &got)
+			var got rawMessage
+			err := caller.Call(ctx, listener.Addr().String(), "test.echo", rawMessage(msgp.AppendInt(nil, i)), &got)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				givenUp++
+				abandoned++
 				if !errors.Is(err, ErrOutcomeUnknown) && !errors.Is(err, ErrUnsent) {
 					t.Errorf("call %d: got error %v, want ErrOutcomeUnknown or ErrUnsent", i, err)
 				}
@@ -51,17 +51,17 @@
 		})
 	}
 	all.Wait()
-	if answered == 0 || givenUp == 0 {
-		t.Errorf("got %d calls answered and %d given up, want some of both", answered, givenUp)
+	if answered == 0 || abandoned == 0 {
+		t.Errorf("got %d calls answered and %d abandoned, want some of both", answered, abandoned)
 	}
 }
 
-// The outcome of a call whose connection is reset after it was sent is unknown, and it is not sent again: the server sees
-// each call once at most.
+// If the connection is reset after a call was sent, the call's outcome is unknown. It is not sent again: the server receives
+// each call at most once.
 func TestResetCallIsNotRetransmitted(t *testing.T) {
 	listener := listen(t)
 	var mu sync.Mutex
-	seen := map[int]int{}
+	received := map[int]int{}
 	go func() {
 		for {
 			connection, err := listener.Accept()
@@ -70,16 +70,16 @@
 			}
 			go func() {
 				var call Frame
-				for range 3 { // three calls, then a reset without a response
+				for range 3 { // reads up to three calls and then resets the connection without a response
 					if readFrame(connection, &call) != nil {
 						break
 					}
 					number, _, _ := msgp.ReadIntBytes(call.Body)
 					mu.Lock()
-					seen[number]++
+					received[number]++
 					mu.Unlock()
 				}
-				_ = connection.(*net.TCPConn).SetLinger(0) // without it the connection is closed and not reset
+				_ = connection.(*net.TCPConn).SetLinger(0) // makes Close reset the connection
 				closeQuietly(connection)
 			}()
 		}
@@ -90,11 +90,11 @@
 		all.Go(func() {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
-			err := caller.Call(ctx, listener.Addr().String(), "test.once", echoed(msgp.AppendInt(nil, i)), nil)
+			err := caller.Call(ctx, listener.Addr().String(), "test.once", rawMessage(msgp.AppendInt(nil, i)), nil)
 			mu.Lock()
 			defer mu.Unlock()
-			if err == nil || seen[i] > 1 || seen[i] == 1 && !errors.Is(err, ErrOutcomeUnknown) {
-				t.Errorf("call %d: got error %v, seen %d times; want an error, ErrOutcomeUnknown where seen, and seen once at most", i, err, seen[i])
+			if err == nil || received[i] > 1 || received[i] == 1 && !errors.Is(err, ErrOutcomeUnknown) {
+				t.Errorf("call %d: got error %v, received %d times; want an error, which is ErrOutcomeUnknown if it was received, and at most one receipt", i, err, received[i])
 			}
 		})
 	}
--- a/internal/transport/wire/connection.go
+++ b/internal/transport/wire/connection.go
@@ -8,51 +8,52 @@
 	"time"
 )
 
-// writeTimeout bounds the writing of a response, and of a call whose context has no deadline.
+// writeTimeout bounds the write of a response, and of a call whose context has no deadline.
 const writeTimeout = 5 * time.Second
 
-// connection is a caller's open connection to one address. Many calls may be under way on it.
+// connection is a Caller's connection to one address. It carries many concurrent calls.
 //
-// Each call under way has a channel in pending, which exactly one of three takes out: readLoop with the response, forget
-// when the caller gives up, or close. So a call gets one response at most, a channel is closed once at most, and a
-// response that finds no channel is late and is dropped.
+// Each pending call has a channel in the map pending. Exactly one of three functions removes it: readLoop when the
+// response arrives, abandon when the call's context is done, or close. So each call receives at most one response, each
+// channel is closed at most once, and a response without a channel is late and is dropped.
 type connection struct {
 	conn     net.Conn
-	lastUsed time.Time // when a call last asked for the connection; guarded by the Caller's mu
+	lastUsed time.Time // when a call last obtained the connection; guarded by the Caller's mu
 
 	mu      sync.Mutex // guards lastID and pending, and is held while a call is written
-	lastID  uint64     // of the calls so far; none is used twice
+	lastID  uint64     // the ID of the latest call; IDs are never reused
 	pending map[uint64]chan Frame
 
-	closed                atomic.Bool // set under mu; read without it, since a slow write may hold it
-	peerAcceptsCompressed atomic.Bool // the peer's last response said so
+	closed                atomic.Bool // set under mu; read without it, because a slow write may hold mu
+	peerAcceptsCompressed atomic.Bool // as announced in the peer's latest response
 }
 
-// idle reports whether no call is under way.
+// idle reports whether there is no pending call.
 func (c *connection) idle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.pending) == 0
 }
 
-// close closes the connection and ends the calls under way without a response. Further calls of it do nothing.
+// close closes the connection and ends its pending calls without a response. It is idempotent.
 func (c *connection) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed.Swap(true) {
 		return
 	}
-	_ = c.conn.Close() // whatever failed, nothing more is sent or read
+	_ = c.conn.Close() // an error does not matter: nothing more is sent or read
 	for _, responses := range c.pending {
 		close(responses)
 	}
 	c.pending = nil
 }
 
-// send gives the call its ID and writes it. The channel gets its response, or is closed with the connection. The error
-// is ErrUnsent where the connection was closed already; after any other one some bytes may have left.
+// send assigns the call its ID and writes it. The returned channel receives the response, or is closed if the connection
+// closes. The error is ErrUnsent if the connection was already closed; after any other error some bytes may have been
+// sent.
 func (c *connection) send(ctx context.Context, call *Frame) (<-chan Frame, error) {
-	responses := make(chan Frame, 1) // readLoop must not wait for a caller that gave up
+	responses := make(chan Frame, 1) // readLoop must not block on an abandoned call
 	c.mu.Lock()
 	if c.closed.Load() {
 		c.mu.Unlock()
@@ -67,26 +68,26 @@
 	} else {
 		deadline = time.Now().Add(writeTimeout)
 	}
-	_ = c.conn.SetWriteDeadline(deadline) // it fails on a closed connection only, and so does the write
+	_ = c.conn.SetWriteDeadline(deadline) // fails only on a closed connection, on which the write fails too
 	err := writeFrame(c.conn, call)
 	c.mu.Unlock()
 	if err != nil {
-		c.close() // half a frame may have left: nothing can follow it
+		c.close() // a partial frame may have been sent, so no other can follow
 		return nil, err
 	}
 	traffic.forKind(call.Kind).callsSent.add(call.wireBytes)
 	return responses, nil
 }
 
-// forget gives a call up: its response is dropped.
-func (c *connection) forget(id uint64) {
+// abandon removes a pending call; its response is dropped if it still arrives.
+func (c *connection) abandon(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.pending, id)
 }
 
-// readLoop hands each response to its call, until the connection fails or is closed. It runs once, in a goroutine that
-// the Caller starts with the connection and that ends with it.
+// readLoop delivers each response to its call until the connection fails or is closed. The Caller runs it in one
+// goroutine per connection.
 func (c *connection) readLoop() {
 	for {
 		var response Frame
--- a/internal/transport/wire/deadline_test.go
+++ b/internal/transport/wire/deadline_test.go
@@ -10,19 +10,19 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// A handler's context ends when its caller gives up; where the caller sets no time, it goes on.
+// A handler's context ends at its caller's deadline, and has no deadline if the caller has none.
 func TestDeadlineReachesTheHandler(t *testing.T) {
 	listener := listen(t)
 	deadlines := make(chan bool, 2)
 	ended := make(chan error, 2)
-	givenUp := make(chan struct{}) // closed once the caller has given up: an answer that comes at that moment may still count
+	abandoned := make(chan struct{}) // closed after the call has failed; a response at the deadline itself could still be accepted
 	handler := func(ctx context.Context, _ string, _ []byte) (msgp.Marshaler, error) {
 		_, bounded := ctx.Deadline()
 		deadlines <- bounded
 		if bounded {
 			<-ctx.Done()
 			ended <- ctx.Err()
-			<-givenUp
+			<-abandoned
 		}
 		return nil, nil
 	}
@@ -31,26 +31,26 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	if err := caller.Call(ctx, listener.Addr().String(), "test.wait", nil, nil); !errors.Is(err, ErrOutcomeUnknown) {
-		t.Errorf("got error %v of a call that was given up, want ErrOutcomeUnknown", err)
+		t.Errorf("call past its deadline: got error %v, want ErrOutcomeUnknown", err)
 	}
-	close(givenUp)
+	close(abandoned)
 	if bounded := <-deadlines; !bounded {
-		t.Fatal("got a handler without deadline, want the caller's")
+		t.Fatal("got a handler context without a deadline, want the caller's")
 	}
 	if err := <-ended; !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("got a context that ended with %v, want its deadline", err)
+		t.Errorf("got a context that ended with %v, want DeadlineExceeded", err)
 	}
 	if err := caller.Call(t.Context(), listener.Addr().String(), "test.wait", nil, nil); err != nil {
 		t.Error(err)
 	}
 	if bounded := <-deadlines; bounded {
-		t.Error("got a deadline of a call without one, want none")
+		t.Error("call without a deadline: got a handler context with one, want none")
 	}
 }
 
-// A handler that fails for want of time is no rejection: the outcome of the call is unknown, also where the server's clock
-// runs ahead of the caller's.
-func TestFailureAfterTheDeadlineIsNoRejection(t *testing.T) {
+// An error of a handler after the call's deadline is not sent to the caller, which would take it for a rejection. The outcome
+// is unknown, even if the deadline passes on the server first.
+func TestHandlerErrorAfterDeadlineIsNotSent(t *testing.T) {
 	listener := listen(t)
 	handler := func(ctx context.Context, _ string, _ []byte) (msgp.Marshaler, error) {
 		<-ctx.Done()
@@ -68,10 +68,10 @@
 	s := &connectionServer{handler: handler, conn: nil}
 	call := Frame{TimeoutMs: 1}
 	call.setDeadline(time.Now())
-	s.handleCall(t.Context(), &call) // it would write to no connection
+	s.handleCall(t.Context(), &call) // a response would panic, because conn is nil
 }
 
-// A call whose caller has given up before a goroutine took it up is not carried out.
+// A call whose deadline has passed before it reaches the handler is not executed.
 func TestExpiredCallIsDropped(t *testing.T) {
 	handled := 0
 	s := &connectionServer{handler: func(context.Context, string, []byte) (msgp.Marshaler, error) {
@@ -82,7 +82,7 @@
 	call.setDeadline(time.Now().Add(-time.Second))
 	s.handleCall(t.Context(), &call)
 	if handled != 0 {
-		t.Errorf("got %d calls carried out, want none", handled)
+		t.Errorf("got %d calls executed, want none", handled)
 	}
 }
 
--- a/internal/transport/wire/dial.go
+++ b/internal/transport/wire/dial.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection, all attempts included. A machine that is down must not use up a
-	// caller's time: there may be another to ask.
+	// dialTimeout bounds a dial with all its attempts. A machine that is down must not use up a call's deadline, because
+	// the caller may have another peer to try.
 	dialTimeout = 250 * time.Millisecond
 
-	// dialAttemptInterval is between the attempts of one dial, which run side by side. The opening packet to a machine
-	// that is just starting is lost, and the system retransmits it after a second only; the next attempt comes sooner.
+	// dialAttemptInterval is the time between the starts of a dial's concurrent attempts. A machine that is still booting
+	// loses the SYN, and the kernel retransmits it only after a second; a new attempt is sooner.
 	dialAttemptInterval = 50 * time.Millisecond
 
-	// idleTimeout is how long a connection stays open unused once others are opened. Digests go to random nodes:
-	// without a bound every router would in time hold a connection to every other.
+	// idleTimeout is the time after which an unused connection may be closed, which happens when another one is opened.
+	// Digests go to random nodes: without a timeout every router would end up connected to every other.
 	idleTimeout = 10 * time.Second
 )
 
-// pendingDial is a connection being opened, for all calls that wait for it.
+// pendingDial is a dial in progress, shared by all calls that wait for it.
 type pendingDial struct {
 	done       chan struct{} // closed once the fields below are set
 	connection *connection
 	err        error
 }
 
-// connection returns the open connection to an address, or dials it. However many calls want one, one dial is under way
-// at a time; it goes on when the call that began it gives up.
+// connection returns the open connection to addr, or dials one. Concurrent calls share one dial per address, which
+// continues if the call that started it gives up.
 func (c *Caller) connection(ctx context.Context, addr string) (*connection, error) {
 	c.mu.Lock()
 	if conn := c.connections[addr]; conn != nil && !conn.closed.Load() {
@@ -51,11 +51,11 @@
 	}
 }
 
-// connect dials an address and opens the connection for those who wait for it.
+// connect dials addr, registers the connection and completes dial for all calls that wait for it.
 func (c *Caller) connect(ctx context.Context, addr string, dial *pendingDial) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	conn, err := c.dialWithRetries(ctx, addr)
+	conn, err := c.dialConcurrently(ctx, addr)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err == nil && c.closed {
@@ -72,15 +72,15 @@
 	close(dial.done)
 }
 
-// dialResult is the result of one attempt.
+// dialResult is the result of one attempt of a dial.
 type dialResult struct {
 	conn net.Conn
 	err  error
 }
 
-// dialWithRetries starts attempts until one of them has ended, and returns its result: one that was refused has met a
-// machine that is up. Attempts that end later close what they opened.
-func (c *Caller) dialWithRetries(ctx context.Context, addr string) (net.Conn, error) {
+// dialConcurrently starts another attempt every dialAttemptInterval until one completes, and returns that one's result.
+// A refused connection counts too, because it shows that the machine is up. Later attempts close their connections.
+func (c *Caller) dialConcurrently(ctx context.Context, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	results := make(chan dialResult)
@@ -109,8 +109,8 @@
 	}
 }
 
-// closeIdleConnections closes connections that were not used for long, and forgets broken ones. The caller holds c.mu.
-// A call that asked for a connection has set its lastUsed under c.mu, so none meets one that is closed under it.
+// closeIdleConnections closes connections that have been unused for idleTimeout, and removes closed ones. The caller
+// holds c.mu. A call that has just obtained a connection set its lastUsed under c.mu, so that connection stays open.
 func (c *Caller) closeIdleConnections() {
 	for addr, conn := range c.connections {
 		if conn.closed.Load() || time.Since(conn.lastUsed) > idleTimeout && conn.idle() {
--- a/internal/transport/wire/dial_test.go
+++ b/internal/transport/wire/dial_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// startingNetwork leads to a machine that is down until a moment: a dial before it is lost, as the opening packet to a
-// machine without power is.
+// startingNetwork connects to a machine that is down until upAt. A dial before that blocks, because the SYN to a machine
+// without power is lost.
 type startingNetwork struct {
 	upAt     time.Time
-	refuses  bool // there is no process yet
+	refuses  bool // no process listens there
 	attempts atomic.Int32
 	open     atomic.Int32
 }
@@ -32,16 +32,16 @@
 		return nil, errors.New("refused")
 	}
 	n.open.Add(1)
-	near, far := net.Pipe()
+	client, server := net.Pipe()
 	go func() {
-		_, _ = far.Read(make([]byte, 1)) // blocks until the near end is closed
+		_, _ = server.Read(make([]byte, 1)) // blocks until the client end is closed
 		n.open.Add(-1)
 	}()
-	return near, nil
+	return client, nil
 }
 
-// A machine that starts while it is dialled is reached, or refuses, soon after it is up, and a machine that stays down
-// takes dialTimeout and no longer. Later attempts leave no connection open.
+// A dial to a machine that starts meanwhile connects, or is refused, soon after the machine is up. A dial to a machine that
+// stays down fails after dialTimeout. Surplus attempts leave no connection open.
 func TestDialReachesAStartingMachine(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -66,7 +66,7 @@
 				}
 				time.Sleep(time.Second)
 				if left := n.open.Load(); left > 1 || !c.reached && left > 0 {
-					t.Errorf("got %d open connections after %d attempts, want at most one, and none to a machine that was not reached", left, n.attempts.Load())
+					t.Errorf("got %d open connections after %d attempts, want at most one, and none if the dial failed", left, n.attempts.Load())
 				}
 				caller.Close()
 				synctest.Wait()
--- a/internal/transport/wire/doc.go
+++ b/internal/transport/wire/doc.go
@@ -1,15 +1,15 @@
-// Package wire carries calls between yarrowridge's own processes: msgp frames over one TCP connection for each pair of
-// caller and address, with many calls under way on it at a time.
+// Package wire implements remote procedure calls between yarrowridge's own processes: msgp frames over one TCP
+// connection per [Caller] and address, which carries many concurrent calls.
 //
-// It knows nothing of what the frames mean. The part of a call's kind before the dot names the API that serves it
-// ([Handlers]); each API owns its messages and its codes ([Code]).
+// The package does not interpret the messages. A call's kind has the form API.name: the part before the first dot selects
+// the API that serves it ([Handlers]). Each API defines its own messages and error codes ([Code]).
 //
-// What a caller may rely on:
+// Guarantees:
 //
-//   - A call is written once at most. The package never sends it again; whether that is safe is the caller's decision,
-//     by [ErrUnsent] and [ErrOutcomeUnknown].
-//   - A response reaches the call with its ID on its connection or nobody. IDs are not used twice on a connection, so a
-//     response that comes after its caller gave up is dropped.
-//   - Processes whose formats differ by one talk to each other ([FormatVersion]): a release is rolled out and back
-//     process by process.
+//   - A call is written at most once and never retried by the package. Callers decide by [ErrUnsent] and
+//     [ErrOutcomeUnknown] whether a retry is safe.
+//   - A response is delivered only to the call with its ID on the same connection. IDs are not reused on a connection, so
+//     a response to an abandoned call is dropped.
+//   - Processes whose frame formats differ by one are compatible ([FormatVersion]), so that a release can be rolled out
+//     and rolled back process by process.
 package wire
--- a/internal/transport/wire/errors_test.go
+++ b/internal/transport/wire/errors_test.go
@@ -8,14 +8,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// The error of a call reads as one that eris wrapped, and errors.Is and HasCode find in it what they find there.
-func TestCallErrorReadsAsWrapped(t *testing.T) {
+// A CallError has the same text as an error wrapped by eris, and errors.Is and HasCode give the same results for both.
+func TestCallErrorMatchesWrappedError(t *testing.T) {
 	for _, c := range []struct {
 		got  error
 		want error
 	}{
-		{unsent("core.beat", "a:1", context.Canceled), eris.Wrapf(errors.Join(ErrUnsent, context.Canceled), "%s to %s", "core.beat", "a:1")},
-		{outcomeUnknown("core.beat", "a:1", "", context.DeadlineExceeded), eris.Wrapf(errors.Join(ErrOutcomeUnknown, context.DeadlineExceeded), "%s to %s", "core.beat", "a:1")},
+		{unsentError("core.beat", "a:1", context.Canceled), eris.Wrapf(errors.Join(ErrUnsent, context.Canceled), "%s to %s", "core.beat", "a:1")},
+		{outcomeUnknownError("core.beat", "a:1", "", context.DeadlineExceeded), eris.Wrapf(errors.Join(ErrOutcomeUnknown, context.DeadlineExceeded), "%s to %s", "core.beat", "a:1")},
 		{&CallError{"core.beat", "a:1", "connection lost", ErrOutcomeUnknown}, eris.Wrapf(ErrOutcomeUnknown, "%s to %s: connection lost", "core.beat", "a:1")},
 		{&CallError{"core.beat", "a:1", "", StatusError{"lost"}}, eris.Wrapf(StatusError{"lost"}, "%s to %s", "core.beat", "a:1")},
 	} {
--- a/internal/transport/wire/format.go
+++ b/internal/transport/wire/format.go
@@ -2,5 +2,5 @@
 
 package wire
 
-// FormatVersion is the format this build writes. Frames of the format one below or above are read too.
+// FormatVersion is the frame format that this build writes. It also reads frames of the previous and the next format.
 const FormatVersion = 1
--- a/internal/transport/wire/format_next.go
+++ b/internal/transport/wire/format_next.go
@@ -2,5 +2,5 @@
 
 package wire
 
-// FormatVersion of a build one format up, with which the tests roll a fleet to a next release and back.
+// FormatVersion is the next frame format. Tests use this build to roll a fleet to the next release and back.
 const FormatVersion = 2
--- a/internal/transport/wire/frame.go
+++ b/internal/transport/wire/frame.go
@@ -7,17 +7,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// MaxBodyBytes is the size of the largest body that is read, in bytes.
+// MaxBodyBytes is the maximum size of a frame's body in bytes, both as sent and decompressed.
 const MaxBodyBytes = 8 << 20
 
 const (
-	// lengthBytes is the size of a frame's prefix: the length of what follows, in big-endian order.
+	// lengthBytes is the size of a frame's length prefix, which is in big-endian order and does not count itself.
 	lengthBytes = 4
-	// maxEnvelopeBytes is what a frame's other fields may take beside its body.
+	// maxEnvelopeBytes is the maximum size of a frame's fields other than its body.
 	maxEnvelopeBytes = 1024
 )
 
-// writeFrame writes a frame in one Write and notes its size on the wire.
+// writeFrame writes a frame in a single Write and sets its wireBytes.
 func writeFrame(w io.Writer, f *Frame) error {
 	buf := make([]byte, lengthBytes, 64+len(f.Body))
 	buf, err := f.MarshalMsg(buf)
@@ -30,8 +30,8 @@
 	return err
 }
 
-// readFrame reads the next frame and decompresses its body. After an error the reader's position in the stream is
-// unknown, and nothing more may be read from it.
+// readFrame reads the next frame and decompresses its body. After an error the position in the stream is undefined, and
+// r must not be read again.
 func readFrame(r io.Reader, f *Frame) error {
 	var prefix [lengthBytes]byte
 	if _, err := io.ReadFull(r, prefix[:]); err != nil {
@@ -39,7 +39,7 @@
 	}
 	n := binary.BigEndian.Uint32(prefix[:])
 	if n > MaxBodyBytes+maxEnvelopeBytes {
-		return eris.Errorf("wire: frame of %d bytes is above the limit of %d", n, MaxBodyBytes)
+		return eris.Errorf("wire: frame of %d bytes exceeds the limits of %d for the body and %d for the other fields", n, MaxBodyBytes, maxEnvelopeBytes)
 	}
 	f.wireBytes = len(prefix) + int(n)
 	buf := make([]byte, n)
@@ -50,7 +50,7 @@
 		return eris.Wrap(err, "wire: decode frame")
 	}
 	if f.Format+1 < FormatVersion || f.Format > FormatVersion+1 {
-		return eris.Errorf("wire: frame of format %d, only %d to %d are read", f.Format, FormatVersion-1, FormatVersion+1)
+		return eris.Errorf("wire: frame format %d is not supported, only %d to %d", f.Format, FormatVersion-1, FormatVersion+1)
 	}
 	return f.decompress()
 }
--- a/internal/transport/wire/handlers.go
+++ b/internal/transport/wire/handlers.go
@@ -7,10 +7,10 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// Handlers are the handlers of a process's APIs by name, which is the part of a kind before its first dot.
+// Handlers maps the names of a process's APIs to their handlers. The name is the part of a kind before its first dot.
 type Handlers map[string]Handler
 
-// Dispatch is a Handler that passes each call to the handler of its API. It rejects calls of others with
+// Dispatch is a Handler that passes each call to the handler of its API. It rejects calls to unknown APIs with
 // CodeUnknownKind.
 func (h Handlers) Dispatch(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 	if api, _, ok := strings.Cut(kind, "."); ok {
@@ -21,8 +21,8 @@
 	return nil, StatusError{Code: CodeUnknownKind}
 }
 
-// HandleTyped decodes a call's body into a new request and returns the response of handle. It rejects a body that
-// is no such request with CodeInvalidBody.
+// HandleTyped decodes a call's body into a Request and returns the result of handle. It rejects a body that cannot be
+// decoded with CodeInvalidBody.
 func HandleTyped[Request any, PointerToRequest interface {
 	*Request
 	msgp.Unmarshaler
--- a/internal/transport/wire/helpers_test.go
+++ b/internal/transport/wire/helpers_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// listen returns a TCP listener of this machine that is closed with the test.
+// listen returns a TCP listener on the loopback interface, which is closed when the test ends.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := TCP{}.Listen("127.0.0.1:0")
@@ -17,7 +17,7 @@
 	return listener
 }
 
-// newCaller returns a Caller that is closed with the test.
+// newCaller returns a Caller that is closed when the test ends.
 func newCaller(t *testing.T, network Network) *Caller {
 	t.Helper()
 	caller := NewCaller(network)
@@ -25,5 +25,5 @@
 	return caller
 }
 
-// closeQuietly closes what a test has no more use for and may have closed already.
+// closeQuietly closes c and ignores the error, because a test may have closed it already.
 func closeQuietly(c io.Closer) { _ = c.Close() }
--- a/internal/transport/wire/msgs.go
+++ b/internal/transport/wire/msgs.go
@@ -4,25 +4,25 @@
 
 //go:generate go tool msgp -tests=false -io=false
 
-// No length read from the wire is trusted beyond these.
+// Limits on lengths that are read from the wire.
 //msgp:limit arrays:10000000 maps:200000
 
-// Frame is what goes over the wire: one call or one response. Unknown fields are skipped and missing ones are zero, so
-// that formats one apart understand each other.
+// Frame is one call or one response on the wire. The decoder skips unknown fields and leaves missing ones zero, so that
+// adjacent formats are compatible.
 type Frame struct {
-	Format    uint8  `msg:"f"` // the FormatVersion of the sender
-	ID        uint64 `msg:"i"` // of the call on its connection, from 1 on; a response carries its call's
-	Kind      string `msg:"k"` // which call, as API.name; a response carries its call's
-	ErrorCode string `msg:"e"` // of a response: the Code of a call that failed; else empty
-	Body      []byte `msg:"b"` // the message, in msgp
+	Format    uint8  `msg:"f"` // the sender's FormatVersion
+	ID        uint64 `msg:"i"` // identifies the call on its connection, starting at 1; a response has its call's ID
+	Kind      string `msg:"k"` // the kind of call, as API.name; a response has its call's kind
+	ErrorCode string `msg:"e"` // response only: the Code of a failed call; empty on success
+	Body      []byte `msg:"b"` // the msgp-encoded message
 
-	// TimeoutMs is of a call: how long its caller still waits for the response, in milliseconds from when the call was
-	// written; 0: for as long as it takes. Older peers neither write nor read it.
+	// TimeoutMs, of a call only, is the time from the write of the call to the caller's deadline, in milliseconds; 0
+	// means no deadline. Older peers do not support it: they neither write nor read it.
 	TimeoutMs uint32 `msg:"t,omitempty"`
 
-	Compressed        bool `msg:"z"` // Body is compressed by S2
-	AcceptsCompressed bool `msg:"u"` // the sender reads compressed bodies; a build that does not skips this field
+	Compressed        bool `msg:"z"` // Body is compressed with S2
+	AcceptsCompressed bool `msg:"u"` // the sender can read compressed bodies; a build that cannot skips this field
 
-	deadline  time.Time `msg:"-"` // of a call that was read: when its caller gives up; zero: never
-	wireBytes int       `msg:"-"` // size on the wire with its length prefix, known once the frame was written or read
+	deadline  time.Time `msg:"-"` // set when a call is read: its caller's deadline, or zero for none
+	wireBytes int       `msg:"-"` // size on the wire including the length prefix; set when the frame is written or read
 }
--- a/internal/transport/wire/network.go
+++ b/internal/transport/wire/network.go
@@ -8,16 +8,16 @@
 	"yarrowridge/internal/transport/tcp"
 )
 
-// unacknowledgedTimeout is how long bytes may stay unacknowledged before TCP gives a connection up. A machine that lost
-// power knows nothing of its connections once it is back, and says so only to the next byte: TCP retransmits at
-// intervals that double, so that a peer back after 1.7 s would be reached 3 s after the first lost byte.
+// unacknowledgedTimeout is the time after which TCP fails a connection with unacknowledged bytes. A machine that lost
+// power resets its old connections only when the next segment arrives after its restart. TCP doubles the interval between
+// retransmissions, so a peer that is back after 1.7 s would be reached only 3 s after the first lost byte.
 const unacknowledgedTimeout = time.Second
 
-// tcpDialTimeout bounds a dial of TCP whose context has no earlier deadline.
+// tcpDialTimeout bounds a TCP dial whose context has no earlier deadline.
 const tcpDialTimeout = 2 * time.Second
 
-// Network dials and listens. The daemons use TCP; the simulated fleet uses memory. Both methods may be called
-// concurrently; Dial blocks until the connection is open, it failed or ctx ended.
+// Network dials and listens. The daemons use TCP; the simulated fleet uses an in-memory network. Implementations are safe
+// for concurrent use. Dial blocks until the connection is established, the dial fails or ctx is done.
 type Network interface {
 	Dial(ctx context.Context, addr string) (net.Conn, error)
 	Listen(addr string) (net.Listener, error)
@@ -25,18 +25,19 @@
 
 // TCP is the Network of the daemons.
 type TCP struct {
-	LocalIP string // the IP address to dial from; empty: the system's choice
+	LocalIP string // the source address of dials; if empty, the system chooses
 }
 
-// Dial opens a connection within two seconds. The connection fails once a byte of it was not acknowledged for a second.
+// Dial opens a connection within tcpDialTimeout. The connection fails if sent bytes stay unacknowledged for
+// unacknowledgedTimeout.
 func (t TCP) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	dialer := NewDialer(t.LocalIP, tcpDialTimeout)
 	dialer.Control = tcp.UserTimeoutControl(unacknowledgedTimeout)
 	return dialer.DialContext(ctx, "tcp", addr)
 }
 
-// NewDialer returns a dialer with a time-out that dials from localIP, or from an address of the system's choice where
-// localIP is empty.
+// NewDialer returns a dialer with the given timeout and source address. If localIP is not an IP address, such as an empty
+// string, the system chooses the source address.
 func NewDialer(localIP string, timeout time.Duration) *net.Dialer {
 	dialer := &net.Dialer{Timeout: timeout}
 	if ip := net.ParseIP(localIP); ip != nil {
@@ -45,5 +46,5 @@
 	return dialer
 }
 
-// Listen binds addr.
+// Listen listens on addr.
 func (TCP) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
--- a/internal/transport/wire/network_test.go
+++ b/internal/transport/wire/network_test.go
@@ -9,9 +9,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// A machine that loses power says nothing of the connections it had, and TCP retransmits at ever longer intervals: a
-// peer that is back after 1.7 s would be reached 3 s after the first lost byte. TCP_USER_TIMEOUT makes it fail sooner.
-func TestUnacknowledgedBytesEndAConnection(t *testing.T) {
+// A machine that loses power does not reset its connections, and TCP doubles the interval between retransmissions: a peer
+// that is back after 1.7 s would be reached only 3 s after the first lost byte. TCP_USER_TIMEOUT fails the connection
+// sooner.
+func TestDialSetsUserTimeout(t *testing.T) {
 	listener := listen(t)
 	conn, err := TCP{LocalIP: "127.0.0.1"}.Dial(t.Context(), listener.Addr().String())
 	if err != nil {
@@ -22,16 +23,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var limit int
+	var userTimeoutMs int
 	if err := raw.Control(func(descriptor uintptr) {
-		limit, err = syscall.GetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
+		userTimeoutMs, err = syscall.GetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 	}); err != nil {
 		t.Fatal(err)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	if most := time.Second; limit <= 0 || limit > int(most.Milliseconds()) {
-		t.Errorf("got TCP_USER_TIMEOUT %d ms, want above 0 and at most %s", limit, most)
+	if limit := time.Second; userTimeoutMs <= 0 || userTimeoutMs > int(limit.Milliseconds()) {
+		t.Errorf("got TCP_USER_TIMEOUT %d ms, want above 0 and at most %s", userTimeoutMs, limit)
 	}
 }
--- a/internal/transport/wire/server.go
+++ b/internal/transport/wire/server.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// acceptRetryDelay is the delay after a failed accept, as of a process without free descriptors.
+	// acceptRetryDelay is the pause after a failed accept, for example when the process is out of file descriptors.
 	acceptRetryDelay = 20 * time.Millisecond
 
-	// maxIdleWorkers is how many goroutines of one connection wait for its next calls.
+	// maxIdleWorkers is the maximum number of idle goroutines per connection that wait for its next calls.
 	maxIdleWorkers = 8
 )
 
-// Handler carries out one call: its kind and body in, the response or an error out. It is called concurrently, also for
-// calls of one connection. Its context ends with the server's, with the connection, and when the caller gives up: work that
-// has not begun by then is of no use to anybody. An error that is a StatusError
-// reaches the caller as such; any other one as CodeInternal.
+// Handler executes one call and returns its response or an error. It is called concurrently, also for calls on the same
+// connection. Its context ends with the server's context, with the connection, and at the caller's deadline, after which
+// its response is discarded. An error that wraps a StatusError is sent to the caller with its code, any other error with
+// CodeInternal.
 type Handler func(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error)
 
-// Serve accepts connections on l and carries out their calls, each in a goroutine of its own, until ctx ends or l is
-// closed. It closes l when ctx ends, and returns once no call is read any more; handlers may still be running then, with
-// a context that has ended.
+// Serve accepts connections on l and executes their calls concurrently until ctx is done or l is closed. When ctx is done,
+// it closes l and returns after it has stopped reading calls; handlers may still be running then, with a done context. If
+// l is closed first, Serve returns at once, and its open connections are served until ctx is done.
 func Serve(ctx context.Context, l net.Listener, handler Handler) {
-	stop := context.AfterFunc(ctx, func() { _ = l.Close() }) // the process is done with it, whatever the error
+	stop := context.AfterFunc(ctx, func() { _ = l.Close() }) // an error does not matter: l is not used any more
 	defer stop()
 	var connections sync.WaitGroup
 	for {
@@ -51,11 +51,11 @@
 	}
 }
 
-// serveConnection reads calls until the connection fails or ctx ends, and closes it.
+// serveConnection serves the calls of a connection until it fails or ctx is done, and then closes it.
 func serveConnection(ctx context.Context, conn net.Conn, handler Handler) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	closeConn := func() { _ = conn.Close() } // nothing more is read or written, whatever the error
+	closeConn := func() { _ = conn.Close() } // an error does not matter: nothing more is read or written
 	stop := context.AfterFunc(ctx, closeConn)
 	defer stop()
 	defer closeConn()
@@ -71,23 +71,23 @@
 		select {
 		case calls <- call:
 		default:
-			go s.work(ctx, call, calls)
+			go s.runWorker(ctx, call, calls)
 		}
 	}
 }
 
-// connectionServer carries out the calls of one connection.
+// connectionServer executes the calls of one connection.
 type connectionServer struct {
 	conn        net.Conn
 	handler     Handler
-	idleWorkers chan struct{} // one entry for each idle worker
+	idleWorkers chan struct{} // a semaphore: one element per idle worker
 
-	mu sync.Mutex // held while a response is written: frames must not mix
+	mu sync.Mutex // held while a response is written, so that frames do not interleave
 }
 
-// work carries out a call, and then as many more as come while it is idle. A goroutine that has carried out a call has
-// a stack that is large enough for the next one; a new one would have to grow its own. Where enough are idle, it ends.
-func (s *connectionServer) work(ctx context.Context, call Frame, calls <-chan Frame) {
+// runWorker executes call and then the calls that arrive while it is idle. A reused goroutine has already grown its stack,
+// which a new one would have to do again. It returns if maxIdleWorkers others are idle.
+func (s *connectionServer) runWorker(ctx context.Context, call Frame, calls <-chan Frame) {
 	for {
 		s.handleCall(ctx, &call)
 		select {
@@ -104,9 +104,9 @@
 	}
 }
 
-// handleCall carries out one call and writes its response. A call that has waited here for so long that its caller has given
-// up is dropped. Nor is one answered that failed after that: its handler may have failed for want of time, which is no
-// rejection. The caller's own clock tells it that the outcome is unknown.
+// handleCall executes one call and writes its response. A call whose deadline passed while it was queued here is dropped.
+// A call that fails after its deadline gets no response either: the handler may have failed only because its context
+// ended, and the caller must not take that for a rejection. The caller's own timeout reports the outcome as unknown.
 func (s *connectionServer) handleCall(ctx context.Context, call *Frame) {
 	ctx, cancel := call.withDeadline(ctx)
 	defer cancel()
@@ -130,13 +130,14 @@
 	s.write(&response)
 }
 
-// write writes a response. Half a frame may have left when it fails: nothing can follow it, and the connection closes.
+// write writes a response. If that fails, it closes the connection: a partial frame may have been sent, so no other can
+// follow.
 func (s *connectionServer) write(response *Frame) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_ = s.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // it fails on a closed connection only, and so does the write
+	_ = s.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection, on which the write fails too
 	if writeFrame(s.conn, response) != nil {
-		_ = s.conn.Close() // the write's failure is the one that counts
+		_ = s.conn.Close() // the connection has failed already
 		return
 	}
 	traffic.forKind(response.Kind).responsesSent.add(response.wireBytes)
--- a/internal/transport/wire/traffic.go
+++ b/internal/transport/wire/traffic.go
@@ -5,13 +5,13 @@
 	"sync/atomic"
 )
 
-// Count is a number of frames and their size on the wire in bytes, length prefixes included.
+// Count is a number of frames and their total size on the wire in bytes, including length prefixes.
 type Count struct {
 	Frames uint64 `json:"frames"`
 	Bytes  uint64 `json:"bytes"`
 }
 
-// Traffic is what this process has sent and received of one kind of call.
+// Traffic counts the frames of one kind of call that this process has sent and received.
 type Traffic struct {
 	CallsSent         Count `json:"calls_sent"`
 	ResponsesReceived Count `json:"answers_received"`
@@ -19,13 +19,13 @@
 	ResponsesSent     Count `json:"answers_sent"`
 }
 
-// Sent returns what left this process, calls and responses.
+// Sent returns the total of sent calls and responses.
 func (t Traffic) Sent() Count { return t.CallsSent.plus(t.ResponsesSent) }
 
-// Received returns what came to this process, calls and responses.
+// Received returns the total of received calls and responses.
 func (t Traffic) Received() Count { return t.CallsReceived.plus(t.ResponsesReceived) }
 
-// Minus returns the traffic since an earlier reading.
+// Minus returns the traffic since an earlier measurement.
 func (t Traffic) Minus(earlier Traffic) Traffic {
 	return Traffic{t.CallsSent.minus(earlier.CallsSent), t.ResponsesReceived.minus(earlier.ResponsesReceived),
 		t.CallsReceived.minus(earlier.CallsReceived), t.ResponsesSent.minus(earlier.ResponsesSent)}
@@ -34,10 +34,10 @@
 func (c Count) plus(d Count) Count  { return Count{c.Frames + d.Frames, c.Bytes + d.Bytes} }
 func (c Count) minus(d Count) Count { return Count{c.Frames - d.Frames, c.Bytes - d.Bytes} }
 
-// maxKinds bounds how many kinds are counted one by one: a kind comes from a peer, which may be faulty.
+// maxKinds bounds the number of kinds with their own counters, because a faulty peer could send any number of kinds.
 const maxKinds = 100
 
-// otherKinds is the kind under which those beyond maxKinds are counted together.
+// otherKinds is the key under which all kinds beyond maxKinds are counted together.
 const otherKinds = "other"
 
 // counter counts the frames of one kind and direction.
@@ -55,22 +55,22 @@
 	callsSent, responsesReceived, callsReceived, responsesSent counter
 }
 
-// trafficCounters are the counters of a process, by kind.
+// trafficCounters holds a process's counters by kind.
 type trafficCounters struct {
 	mu    sync.RWMutex // guards the map; the counters in it are atomic
 	kinds map[string]*kindCounters
 }
 
-// traffic counts all frames of this process.
+// traffic counts all frames that this process sends and receives.
 var traffic = &trafficCounters{kinds: map[string]*kindCounters{}}
 
-// forKind returns the counters of a kind.
+// forKind returns the counters of a kind, or the shared ones of otherKinds beyond maxKinds.
 func (t *trafficCounters) forKind(kind string) *kindCounters {
 	t.mu.RLock()
-	known := t.kinds[kind]
+	counters := t.kinds[kind]
 	t.mu.RUnlock()
-	if known != nil {
-		return known
+	if counters != nil {
+		return counters
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -83,7 +83,7 @@
 	return t.kinds[kind]
 }
 
-// read returns what was counted so far, by kind.
+// read returns the current counts by kind.
 func (t *trafficCounters) read() map[string]Traffic {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -94,6 +94,5 @@
 	return out
 }
 
-// TrafficByKind returns what this process has sent and received since its start, by kind of call. It may be called
-// concurrently.
+// TrafficByKind returns the traffic of this process since its start, by kind of call. It is safe for concurrent use.
 func TrafficByKind() map[string]Traffic { return traffic.read() }
--- a/internal/transport/wire/traffic_test.go
+++ b/internal/transport/wire/traffic_test.go
@@ -11,33 +11,33 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// Calls and responses are counted by kind, on both sides, with their size on the wire.
+// Calls and responses are counted by kind on both ends, with their sizes on the wire.
 func TestTrafficByKind(t *testing.T) {
 	listener := listen(t)
-	go Serve(t.Context(), listener, func(context.Context, string, []byte) (msgp.Marshaler, error) { return text("an answer"), nil })
+	go Serve(t.Context(), listener, func(context.Context, string, []byte) (msgp.Marshaler, error) { return message("an answer"), nil })
 	caller := newCaller(t, TCP{})
 	before := TrafficByKind()["traffic.test"]
 	for range 3 {
-		if err := caller.Call(t.Context(), listener.Addr().String(), "traffic.test", text("a question"), nil); err != nil {
+		if err := caller.Call(t.Context(), listener.Addr().String(), "traffic.test", message("a question"), nil); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var got Traffic
 	for end := time.Now().Add(5 * time.Second); got.ResponsesSent.Frames < 3 && time.Now().Before(end); time.Sleep(time.Millisecond) {
-		got = TrafficByKind()["traffic.test"].Minus(before) // a response is counted right after it was sent
+		got = TrafficByKind()["traffic.test"].Minus(before) // a response is counted only after it was sent
 	}
 	if got.CallsSent != got.CallsReceived || got.ResponsesSent != got.ResponsesReceived {
-		t.Errorf("got %+v, want received what was sent", got)
+		t.Errorf("got %+v, want the same counts sent and received", got)
 	}
 	if got.CallsSent.Frames != 3 || got.ResponsesSent.Frames != 3 || got.CallsSent.Bytes < 30 || got.CallsSent.Bytes > 300 {
-		t.Errorf("got %+v, want three calls of 30 to 300 bytes in all, and three responses", got)
+		t.Errorf("got %+v, want three calls of 30 to 300 bytes in total, and three responses", got)
 	}
 	if sent := got.Sent(); sent.Frames != 6 || sent != got.Received() {
-		t.Errorf("got sent %+v and received %+v, want six frames each and the same bytes", sent, got.Received())
+		t.Errorf("got sent %+v and received %+v, want six frames and the same number of bytes in both", sent, got.Received())
 	}
 }
 
-// A faulty peer that makes kinds up does not grow the counters without bound.
+// A faulty peer that sends many different kinds does not grow the counters without bound.
 func TestKindsAreBounded(t *testing.T) {
 	counters := &trafficCounters{kinds: map[string]*kindCounters{}}
 	for i := range 5 * maxKinds {
@@ -49,18 +49,18 @@
 	}
 }
 
-// pipeNetwork opens connections that a handler serves in memory.
+// pipeNetwork dials in-memory connections, which handler serves.
 type pipeNetwork struct{ handler Handler }
 
 func (p pipeNetwork) Dial(ctx context.Context, _ string) (net.Conn, error) {
-	near, far := net.Pipe()
-	go serveConnection(context.WithoutCancel(ctx), far, p.handler)
-	return near, nil
+	client, server := net.Pipe()
+	go serveConnection(context.WithoutCancel(ctx), server, p.handler)
+	return client, nil
 }
 
 func (pipeNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
-// A connection that is not used is closed once others are opened; one in use or with a call under way stays.
+// An idle connection is closed when others are opened. A connection in regular use or with a pending call stays open.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := make(chan struct{})
@@ -68,7 +68,7 @@
 			if kind == "a.slow" {
 				<-slow
 			}
-			return text(""), nil
+			return message(""), nil
 		}})
 		call := func(addr, kind string) {
 			if err := caller.Call(t.Context(), addr, kind, nil, nil); err != nil {
@@ -87,10 +87,10 @@
 			call("used:1", "a.quick")
 		}
 		caller.mu.Lock()
-		open, used, waiting := len(caller.connections), caller.connections["used:1"] != nil, caller.connections["slow:1"] != nil
+		open, used, pending := len(caller.connections), caller.connections["used:1"] != nil, caller.connections["slow:1"] != nil
 		caller.mu.Unlock()
-		if open > 14 || !used || !waiting {
-			t.Errorf("got %d connections, the used one %v, the one with a call under way %v; want at most 14, with both", open, used, waiting)
+		if open > 14 || !used || !pending {
+			t.Errorf("got %d connections, the used one open %v, the one with a pending call open %v; want at most 14, with both open", open, used, pending)
 		}
 		close(slow)
 		<-ended
