--- a/internal/transport/dissemination/antientropy.go
+++ b/internal/transport/dissemination/antientropy.go
@@ -2,8 +2,8 @@
 
 import "sort"
 
-// Compare returns the versions of the records in the shards whose digests differ from another node's. Digests of a node
-// with fewer shards differ in those that it lacks.
+// Compare returns the versions of all records in the shards whose digests differ from those of another node. A shard
+// without a digest in other counts as different.
 func (s *Store) Compare(other Digests) Difference {
 	var difference Difference
 	own := s.Digests("")
@@ -19,13 +19,14 @@
 	return difference
 }
 
-// Repair returns what a node sends to another one whose answer to its digests is difference: in the shards that differ,
-// the records that are newer here, in the order of their keys, and the keys of those that are newer there.
+// Repair returns the message to send to a node that answered this node's digests with difference. For the shards that
+// differ it has the records that are newer here, sorted by key, and the keys of the records that are newer there. A record
+// that one of the nodes lacks counts as newer on the other.
 func (s *Store) Repair(from string, difference Difference) Repair {
 	repair := Repair{From: from}
-	remote := map[string]RecordVersion{}
+	remoteVersions := map[string]RecordVersion{}
 	for _, version := range difference.Versions {
-		remote[version.Key] = version
+		remoteVersions[version.Key] = version
 		record, _, ok := s.Get(version.Key)
 		if !ok || version.newerThan(record.recordVersion()) {
 			repair.WantedKeys = append(repair.WantedKeys, version.Key)
@@ -33,10 +34,10 @@
 	}
 	for _, i := range difference.Shards {
 		if i < 0 || i >= ShardCount {
-			continue // from a faulty node
+			continue // sent by a faulty node
 		}
 		s.shards[i].forEach(func(key string, stored storedRecord) {
-			version, ok := remote[key]
+			version, ok := remoteVersions[key]
 			if !ok || stored.record.recordVersion().newerThan(version) {
 				repair.Records = append(repair.Records, stored.record)
 			}
--- a/internal/transport/dissemination/antientropy_test.go
+++ b/internal/transport/dissemination/antientropy_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// synchronize runs one exchange of anti-entropy from a to b, and returns the size of its messages in bytes.
+// synchronize runs one anti-entropy exchange, started by a with b, and returns the total size of its messages in bytes.
 func synchronize(a, b *Store) int {
 	digests := a.Digests("a")
 	difference := b.Compare(digests)
@@ -23,14 +23,14 @@
 	return bytes + repair.Msgsize() + update.Msgsize()
 }
 
-// Two replicas that diverged in any way are equal after one exchange, with each key at its newest version.
+// Any two diverged replicas are equal after one exchange, with the newest version of each key.
 func TestRepairAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := NewStore(nil), NewStore(nil)
 		model := map[string]Record{}
 		for range rapid.IntRange(0, 60).Draw(t, "records") {
 			record := Record{Key: fmt.Sprintf("k%d", rapid.IntRange(0, 20).Draw(t, "key")), Generation: rapid.Uint64Range(1, 3).Draw(t, "generation"), Version: rapid.Uint64Range(1, 5).Draw(t, "version")}
-			record.Body = []byte(fmt.Sprintf("%s %d %d", record.Key, record.Generation, record.Version)) // one writer for each key and version
+			record.Body = []byte(fmt.Sprintf("%s %d %d", record.Key, record.Generation, record.Version)) // the same version always has the same body
 			if old, ok := model[record.Key]; !ok || record.newerThan(&old) {
 				model[record.Key] = record
 			}
@@ -58,12 +58,13 @@
 			}
 		}
 		if difference := b.Compare(a.Digests("a")); len(difference.Shards) != 0 {
-			t.Fatalf("got a difference in shards %v after the exchange, want none", difference.Shards)
+			t.Fatalf("got shards %v different after the exchange, want none", difference.Shards)
 		}
 	})
 }
 
-// What an exchange costs against sending the complete store, for 200 records of 400 bytes.
+// Measures the bytes of one exchange against those of the complete store, for 200 records of 400 bytes. With few missing
+// records an exchange must send far less than the store.
 func TestRepairCost(t *testing.T) {
 	const total = 200
 	for _, missing := range []int{0, 1, 5, 20, 200} {
@@ -80,7 +81,7 @@
 		cost := synchronize(a, b)
 		t.Logf("%d of %d records missing: %d bytes, the complete store %d (%.2f)", missing, total, cost, complete.Msgsize(), float64(cost)/float64(complete.Msgsize()))
 		if missing <= 5 && cost > complete.Msgsize()/4 {
-			t.Errorf("repair of %d records: got %d bytes, want at most %d", missing, cost, complete.Msgsize()/4)
+			t.Errorf("exchange with %d missing records: got %d bytes, want at most %d", missing, cost, complete.Msgsize()/4)
 		}
 	}
 }
--- a/internal/transport/dissemination/digest.go
+++ b/internal/transport/dissemination/digest.go
@@ -5,8 +5,8 @@
 	"hash/fnv"
 )
 
-// Digests returns the digests of a node's store: for each shard the XOR of its records' digests, so that the order of the
-// records does not matter.
+// Digests returns a digest of each shard, to be sent by the node named from. A shard's digest is the XOR of its records'
+// version digests, so it does not depend on their order.
 func (s *Store) Digests(from string) Digests {
 	digests := Digests{From: from, Shards: make([]uint64, ShardCount)}
 	for i := range s.shards {
@@ -17,22 +17,22 @@
 	return digests
 }
 
-// shardIndex returns the index of a key's shard. All nodes compute the same.
+// shardIndex returns the index of a key's shard, which is the same on all nodes.
 func shardIndex(key string) int { return int(hash(key) % ShardCount) }
 
-// versionDigest returns the digest of one version of a key. All nodes compute the same.
+// versionDigest returns the digest of one version of a key, which is the same on all nodes.
 func versionDigest(key string, generation, version uint64) uint64 {
 	return hash(key, littleEndian(generation), littleEndian(version))
 }
 
-// littleEndian returns the eight bytes of a number, the lowest first.
+// littleEndian returns n as eight bytes in little-endian order.
 func littleEndian(n uint64) string { return string(binary.LittleEndian.AppendUint64(nil, n)) }
 
-// hash returns the 64-bit FNV-1a hash of parts, each of them followed by a zero byte.
-func hash(parts ...string) uint64 {
+// hash returns the 64-bit FNV-1a hash of fields, each followed by a zero byte.
+func hash(fields ...string) uint64 {
 	h := fnv.New64a()
-	for _, part := range parts {
-		h.Write([]byte(part))
+	for _, field := range fields {
+		h.Write([]byte(field))
 		h.Write([]byte{0})
 	}
 	return h.Sum64()
--- a/internal/transport/dissemination/digest_test.go
+++ b/internal/transport/dissemination/digest_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Nodes of different releases compare digests: neither the shard of a key nor the digest of a version ever changes. The
-// numbers were computed from the definition of FNV-1a, outside this package.
+// Nodes of different releases compare digests, so neither the shard of a key nor the digest of a version may ever change.
+// The expected values were computed from the definition of FNV-1a, independently of this package.
 func TestDigestsNeverChange(t *testing.T) {
 	store := NewStore(nil)
 	store.Merge([]Record{{Key: "runners/x", Generation: 1, Version: 0x0102030405060708, Body: []byte("not in the digest")}})
--- a/internal/transport/dissemination/doc.go
+++ b/internal/transport/dissemination/doc.go
@@ -1,14 +1,14 @@
-// Package dissemination brings records to every node: a store of them on each node, a tree over which new ones are
-// broadcast, and anti-entropy that repairs what the broadcast missed.
+// Package dissemination replicates records to every node. Each node has a [Store] of all records, new records are broadcast
+// over a tree, and anti-entropy repairs what the broadcast missed.
 //
-// Anti-entropy is that of Demers et al., Epidemic Algorithms for Replicated Database Maintenance (PODC 1987), in its
-// push-pull form. A node sends a digest for each shard of its store to another one ([Digests]); that one names the
-// versions in the shards that differ ([Difference]); the first hands over what it has newer and asks for what it lacks
-// ([Repair]); the second answers with that ([Update]). A deleted record leaves a tombstone, which Demers et al. call a
-// death certificate, so that no replica brings it back.
+// Anti-entropy is the push-pull form of Demers et al., Epidemic Algorithms for Replicated Database Maintenance (PODC
+// 1987). Node A sends node B a digest of each shard of its store ([Digests]). B answers with its record versions in the
+// shards that differ ([Difference]). A sends the records that are newer on A and requests those that are newer on B
+// ([Repair]). B answers with the requested records ([Update]). An expired record leaves a tombstone, the death certificate
+// of Demers et al., so that other replicas do not bring it back.
 //
-// The pair of a broadcast tree with repair is that of Leitão et al., Epidemic Broadcast Trees (SRDS 2007). Unlike
-// there the tree is not built from the messages: every node computes it from the same membership ([Neighbours]).
+// The combination of a broadcast tree with repair follows Leitão et al., Epidemic Broadcast Trees (SRDS 2007). Unlike in
+// that paper, the tree is not built from the message flow: every node computes it from the membership ([Neighbours]).
 //
-// The package has no I/O: who sends the messages, when and to whom is up to its caller.
+// The package does no I/O. Its callers decide when to send the messages and to which nodes.
 package dissemination
--- a/internal/transport/dissemination/store.go
+++ b/internal/transport/dissemination/store.go
@@ -6,43 +6,46 @@
 	"time"
 )
 
-// ShardCount is how many shards a store has. Nodes compare their stores shard by shard, so it is the same on all of them
-// and never changes.
+// ShardCount is the number of shards of a store. It must be the same on all nodes and in all releases, because nodes
+// compare their stores by shard.
 const ShardCount = 64
 
-// Store is one node's replica of the records. Its methods may be called concurrently.
+// Store is one node's replica of all records. It is safe for concurrent use.
 //
-// Each shard has a lock of its own, and no method holds two of them at a time: what spans shards (ForEachWithPrefix,
-// Digests, Compare) is no snapshot. Anti-entropy tolerates that, since a repair only ever replaces older records.
+// Each shard has its own lock, and no method locks two shards at a time. Methods that read all shards (ForEachWithPrefix,
+// Digests, Compare) therefore do not return a consistent snapshot. Anti-entropy tolerates that, because a repair replaces
+// only older records.
 type Store struct {
-	shards   [ShardCount]shard
-	onRecord func(Record)
+	shards  [ShardCount]shard
+	onMerge func(Record)
 }
 
-// shard holds the records whose keys hash to its index. A key has a record or a tombstone, or for a newer record both.
+// shard holds the records whose keys hash to its index. A key has a record, a tombstone, or both if another version was
+// merged after the one in the tombstone expired.
 type shard struct {
-	mu         sync.RWMutex // guards what follows
+	mu         sync.RWMutex // guards the fields below
 	records    map[string]storedRecord
 	tombstones map[string]tombstone
 }
 
-// storedRecord is a record and when it came.
+// storedRecord is a record and the time at which it was merged into this store.
 type storedRecord struct {
 	record     Record
 	receivedAt time.Time
 }
 
-// tombstone stands for a record that has expired here. A node that still has that version must not bring it back.
+// tombstone identifies the version of a record that expired in this store. Merge rejects that version, so that a node that
+// still has it does not bring it back.
 type tombstone struct {
 	generation, version uint64
 	createdAt           time.Time
 }
 
-// NewStore returns an empty store. onRecord, which may be nil, is called for every record that Merge takes: for one key
-// from the older to the newer, between keys in no order and concurrently. It runs under a shard's lock, so it must not
-// block nor call the store.
-func NewStore(onRecord func(Record)) *Store {
-	s := &Store{onRecord: onRecord}
+// NewStore returns an empty store. onMerge, which may be nil, is called for every record that Merge stores. Calls for the
+// same key are made in order of age, oldest first; calls for different keys are unordered and may be concurrent. onMerge
+// runs under a shard's lock, so it must not block or call the store.
+func NewStore(onMerge func(Record)) *Store {
+	s := &Store{onMerge: onMerge}
 	for i := range s.shards {
 		s.shards[i].records = map[string]storedRecord{}
 		s.shards[i].tombstones = map[string]tombstone{}
@@ -50,11 +53,11 @@
 	return s
 }
 
-// shardOf returns the shard of a key.
+// shardOf returns the shard of key.
 func (s *Store) shardOf(key string) *shard { return &s.shards[shardIndex(key)] }
 
-// Merge takes the records that are newer than those in the store, and returns them. A version that has expired here is
-// not taken.
+// Merge stores the records that are newer than those in the store, and returns them. It rejects versions that have a
+// tombstone.
 func (s *Store) Merge(records []Record) []Record {
 	var merged []Record
 	for _, record := range records {
@@ -65,7 +68,7 @@
 	return merged
 }
 
-// merge takes a record if it is newer, and reports whether it was.
+// merge does the work of Merge for one record, and reports whether it stored it.
 func (s *Store) merge(record Record) bool {
 	shard := s.shardOf(record.Key)
 	shard.mu.Lock()
@@ -78,14 +81,14 @@
 		return false
 	}
 	shard.records[record.Key] = storedRecord{record, time.Now()}
-	if s.onRecord != nil {
-		s.onRecord(record)
+	if s.onMerge != nil {
+		s.onMerge(record)
 	}
 	return true
 }
 
-// Get returns the record of a key and its age, which is the time since it came here. It reports false where there is
-// none.
+// Get returns the record of a key and its age, which is the time since it was merged into this store. ok is false if there
+// is no record.
 func (s *Store) Get(key string) (record Record, age time.Duration, ok bool) {
 	shard := s.shardOf(key)
 	shard.mu.RLock()
@@ -94,7 +97,7 @@
 	return stored.record, time.Since(stored.receivedAt), ok
 }
 
-// Select returns the records of keys, without those that the store does not have.
+// Select returns the records of those keys that the store has.
 func (s *Store) Select(keys []string) []Record {
 	var records []Record
 	for _, key := range keys {
@@ -105,8 +108,8 @@
 	return records
 }
 
-// ForEachWithPrefix visits the records whose key begins with a prefix, with their age, in no order. visit runs under a
-// shard's lock, so it must not block nor call the store.
+// ForEachWithPrefix calls visit for each record whose key has the prefix, in no particular order. visit runs under a
+// shard's lock, so it must not block or call the store.
 func (s *Store) ForEachWithPrefix(prefix string, visit func(record Record, age time.Duration)) {
 	for i := range s.shards {
 		s.shards[i].forEach(func(key string, stored storedRecord) {
@@ -117,7 +120,7 @@
 	}
 }
 
-// forEach visits the records of a shard in no order, under its lock.
+// forEach calls visit for each record of the shard under its lock, in no particular order.
 func (s *shard) forEach(visit func(key string, stored storedRecord)) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -126,8 +129,8 @@
 	}
 }
 
-// Expire replaces records that are older than maxAge by tombstones, and drops tombstones that are: their writer is long
-// gone. The fleet configuration's record stays.
+// Expire replaces records older than maxAge with tombstones, because their writers no longer renew them. It deletes
+// tombstones older than maxAge. The fleet configuration's record does not expire.
 func (s *Store) Expire(maxAge time.Duration) {
 	for i := range s.shards {
 		s.shards[i].expire(maxAge)
--- a/internal/transport/dissemination/store_test.go
+++ b/internal/transport/dissemination/store_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A record that nobody writes any more expires on all nodes, though it does so on one after the other and they repair each
-// other's replicas in between. A newer version of it is taken.
+// A record that is no longer renewed expires on all nodes, even though it expires at different times and the nodes repair
+// each other's replicas in between. A newer version of it is accepted afterwards.
 func TestExpiredRecordsDoNotReturn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := NewStore(nil), NewStore(nil)
--- a/internal/transport/dissemination/tree.go
+++ b/internal/transport/dissemination/tree.go
@@ -2,42 +2,42 @@
 
 import "sort"
 
-// Fanout is how many children a node of the tree has at most.
+// Fanout is the maximum number of children of a node within its zone's tree.
 const Fanout = 3
 
-// Node is a node as the tree needs it. Operators read it as JSON.
+// Node is a member of the dissemination tree. Operators read it as JSON.
 type Node struct {
 	Name string `json:"Name"`
 	Zone string `json:"Hall"`
 	Addr string `json:"Addr"`
 }
 
-// Neighbours returns the neighbours of the node named self in the dissemination tree over all nodes, by name: its parent
-// and children in its zone's tree, and for a zone's root the roots of the other zones. It returns none where self is not
-// among them.
+// Neighbours returns the neighbours of the node named self in the dissemination tree over all nodes, sorted by name. They
+// are its parent and children in its zone's tree, and for the root of a zone also the roots of the other zones. The result
+// is empty if self is not in all.
 //
-// Each zone's tree is the complete Fanout-ary tree over its nodes in the order of their names. Every node computes it
-// from its membership without a message; while memberships differ, anti-entropy covers the gaps.
+// Each zone's tree is the complete Fanout-ary tree over the zone's nodes in the order of their names. Every node computes
+// it locally from its membership list. While those lists differ, anti-entropy delivers what the broadcast misses.
 func Neighbours(self string, all []Node) []Node {
 	zones, zone := byZone(self, all)
 	nodes := zones[zone]
-	position := -1
+	index := -1
 	for i, node := range nodes {
 		if node.Name == self {
-			position = i
+			index = i
 		}
 	}
-	if position < 0 {
+	if index < 0 {
 		return nil
 	}
 	var neighbours []Node
-	if position > 0 {
-		neighbours = append(neighbours, nodes[(position-1)/Fanout])
+	if index > 0 {
+		neighbours = append(neighbours, nodes[(index-1)/Fanout])
 	}
-	for i := position*Fanout + 1; i <= position*Fanout+Fanout && i < len(nodes); i++ {
+	for i := index*Fanout + 1; i <= index*Fanout+Fanout && i < len(nodes); i++ {
 		neighbours = append(neighbours, nodes[i])
 	}
-	if position == 0 {
+	if index == 0 {
 		for other, nodes := range zones {
 			if other != zone {
 				neighbours = append(neighbours, nodes[0])
@@ -48,7 +48,7 @@
 	return neighbours
 }
 
-// byZone returns the nodes of each zone in the order of their names, and the zone of the node named self.
+// byZone returns the nodes of each zone, sorted by name, and the zone of the node named self.
 func byZone(self string, all []Node) (zones map[string][]Node, selfZone string) {
 	zones = map[string][]Node{}
 	for _, node := range all {
--- a/internal/transport/dissemination/tree_test.go
+++ b/internal/transport/dissemination/tree_test.go
@@ -7,8 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// The tree connects all nodes, over edges that both ends know, and no node has more than Fanout+4 neighbours, at four
-// zones.
+// The tree connects all nodes, its edges are symmetric, and with four zones no node has more than Fanout+4 neighbours.
 func TestTreeReachesAllNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Node
@@ -27,7 +26,7 @@
 					mutual = mutual || other.Name == queue[0]
 				}
 				if !mutual {
-					t.Fatalf("%s has the neighbour %s, which does not have it, want both", queue[0], neighbour.Name)
+					t.Fatalf("%s has the neighbour %s, but not the reverse; want symmetric neighbours", queue[0], neighbour.Name)
 				}
 				if !reached[neighbour.Name] {
 					reached[neighbour.Name] = true
