--- a/internal/transport/operator/config_read.go
+++ b/internal/transport/operator/config_read.go
@@ -10,10 +10,10 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// readConfigTimeout bounds the core's response to a read of the configuration.
+// readConfigTimeout bounds the core call of a configuration read.
 const readConfigTimeout = 3 * time.Second
 
-// getConfig answers with the configuration in force, or with an earlier version of it.
+// getConfig responds with the current configuration, or with the earlier version that the request specifies.
 func (api *API) getConfig(w http.ResponseWriter, r *http.Request) {
 	request, rejection := parseConfigRead(r)
 	if rejection != nil {
@@ -30,10 +30,11 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("ETag", etag(stored.Version))
-	_, _ = w.Write(stored.Raw) // a client that has gone asks again
+	_, _ = w.Write(stored.Raw) // fails only if the client has disconnected
 }
 
-// parseConfigRead returns the version that is asked for: that in force (0) without the query "sequence".
+// parseConfigRead returns the core request for the version in the query parameter "sequence", or for the current version
+// (0) if there is none.
 func parseConfigRead(r *http.Request) (coreapi.ConfigRequest, *errorResponse) {
 	text := r.URL.Query().Get("sequence")
 	if text == "" {
@@ -47,7 +48,7 @@
 	return coreapi.ConfigRequest{Version: version}, nil
 }
 
-// configReadError returns the response to a read that gave no configuration; nil where it gave one.
+// configReadError returns the error response to a failed read, or nil if stored has a configuration.
 func configReadError(stored *coreapi.StoredConfig, err error) *errorResponse {
 	switch {
 	case wire.HasCode(err, coreapi.CodeNoSuchVersion):
@@ -61,5 +62,5 @@
 	return nil
 }
 
-// etag returns the ETag header of a version of the configuration.
+// etag returns the ETag of a configuration version.
 func etag(version uint64) string { return strconv.Quote(strconv.FormatUint(version, 10)) }
--- a/internal/transport/operator/config_test.go
+++ b/internal/transport/operator/config_test.go
@@ -15,7 +15,7 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// codeOf returns the code of an error response, and "" for none.
+// codeOf returns the code of an error response, or "" if it is nil.
 func codeOf(rejection *errorResponse) web.ErrorCode {
 	if rejection == nil {
 		return ""
@@ -44,16 +44,16 @@
 
 func TestParseConfigWrite(t *testing.T) {
 	for _, c := range []struct {
-		name, method, writeID, match, body string
-		want                               coreapi.WriteRequest
-		wantCode                           web.ErrorCode
+		name, method, writeID, ifMatch, body string
+		want                                 coreapi.WriteRequest
+		wantCode                             web.ErrorCode
 	}{
 		{name: "complete", method: http.MethodPut, body: "{}", want: coreapi.WriteRequest{AnyVersion: true}},
 		{name: "change", method: http.MethodPatch, writeID: "a", body: "{}", want: coreapi.WriteRequest{ID: "a", Patch: true, AnyVersion: true}},
-		{name: "any version", method: http.MethodPut, match: "*", body: "{}", want: coreapi.WriteRequest{AnyVersion: true}},
-		{name: "one version", method: http.MethodPut, match: `"7"`, body: "{}", want: coreapi.WriteRequest{BaseVersion: 7}},
-		{name: "bare version", method: http.MethodPut, match: "7", body: "{}", want: coreapi.WriteRequest{BaseVersion: 7}},
-		{name: "no version", method: http.MethodPut, match: "x", wantCode: CodeInvalidIfMatch},
+		{name: "any version", method: http.MethodPut, ifMatch: "*", body: "{}", want: coreapi.WriteRequest{AnyVersion: true}},
+		{name: "one version", method: http.MethodPut, ifMatch: `"7"`, body: "{}", want: coreapi.WriteRequest{BaseVersion: 7}},
+		{name: "bare version", method: http.MethodPut, ifMatch: "7", body: "{}", want: coreapi.WriteRequest{BaseVersion: 7}},
+		{name: "no version", method: http.MethodPut, ifMatch: "x", wantCode: CodeInvalidIfMatch},
 		{name: "longest write ID", method: http.MethodPut, writeID: strings.Repeat("x", 200), want: coreapi.WriteRequest{ID: strings.Repeat("x", 200), AnyVersion: true}},
 		{name: "write ID too long", method: http.MethodPut, writeID: strings.Repeat("x", 201), wantCode: CodeInvalidWriteID},
 		{name: "largest body", method: http.MethodPut, body: strings.Repeat("x", fleetconfig.MaxBytes), want: coreapi.WriteRequest{AnyVersion: true}},
@@ -62,7 +62,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := httptest.NewRequest(c.method, "/v1/layout", strings.NewReader(c.body))
 			r.Header.Set(WriteIDHeader, c.writeID)
-			r.Header.Set("If-Match", c.match)
+			r.Header.Set("If-Match", c.ifMatch)
 			got, rejection := parseConfigWrite(r)
 			if codeOf(rejection) != c.wantCode {
 				t.Fatalf("got code %q, want %q", codeOf(rejection), c.wantCode)
@@ -71,7 +71,7 @@
 				return
 			}
 			if string(got.Raw) != c.body {
-				t.Errorf("got a body of %d bytes, want that of %d as it was sent", len(got.Raw), len(c.body))
+				t.Errorf("got a body of %d bytes, want the %d bytes of the request unchanged", len(got.Raw), len(c.body))
 			}
 			if got.ID != c.want.ID || got.Patch != c.want.Patch || got.BaseVersion != c.want.BaseVersion || got.AnyVersion != c.want.AnyVersion {
 				t.Errorf("got ID %q, patch %v, base %d, any %v; want %q, %v, %d, %v", got.ID, got.Patch, got.BaseVersion, got.AnyVersion,
@@ -106,7 +106,7 @@
 	}
 }
 
-// The response to a write that the core did not answer says whether it may yet take effect.
+// If the core's response to a write is missing, the error response states whether the write may still be applied.
 func TestConfigWriteError(t *testing.T) {
 	api := &API{Ctx: daemon.Context{Context: t.Context(), Log: slog.New(slog.DiscardHandler)}}
 	for _, c := range []struct {
@@ -129,13 +129,13 @@
 	}
 }
 
-// The response to a write that the core has answered, as operators' scripts read it.
+// Operators' scripts depend on these statuses, headers and bodies of responses to a write.
 func TestWriteConfigOutcome(t *testing.T) {
 	for _, c := range []struct {
 		response   coreapi.WriteResponse
 		wantStatus int
 		wantETag   string
-		wantBody   string // its beginning
+		wantBody   string // a prefix of the body
 	}{
 		{coreapi.WriteResponse{Code: 200, Version: 7}, 200, `"7"`, `{"repeated":false,"sequence":7}`},
 		{coreapi.WriteResponse{Code: 200, Version: 7, Repeated: true}, 200, `"7"`, `{"repeated":true,"sequence":7}`},
@@ -158,7 +158,7 @@
 	}
 }
 
-// Retry-After is on the responses to what may succeed when it is sent again, and on no others.
+// Only responses to requests that may succeed if retried have a Retry-After header.
 func TestErrorResponseWrite(t *testing.T) {
 	for _, c := range []struct {
 		retryable      bool
--- a/internal/transport/operator/config_write.go
+++ b/internal/transport/operator/config_write.go
@@ -17,25 +17,25 @@
 )
 
 const (
-	// writeConfigTimeout bounds the core's response to a write of the configuration.
+	// writeConfigTimeout bounds the core call of a configuration write.
 	writeConfigTimeout = 6 * time.Second
 
-	// maxWriteIDBytes is the size of the longest write ID that is taken, in bytes.
+	// maxWriteIDBytes is the maximum size of a write ID.
 	maxWriteIDBytes = 200
 )
 
-// putConfig writes a complete configuration, or with PATCH a change of it.
+// putConfig replaces the configuration (PUT) or applies a change to it (PATCH).
 func (api *API) putConfig(w http.ResponseWriter, r *http.Request) {
 	request, rejection := parseConfigWrite(r)
 	if rejection != nil {
 		rejection.write(w)
 		return
 	}
-	// The write goes on if the operator hangs up: its outcome is decided either way.
+	// The write continues if the client disconnects, because the core decides its outcome in any case.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), writeConfigTimeout)
 	defer cancel()
 	var response coreapi.WriteResponse
-	// With an ID a repeated write is recognized, so that the call is idempotent.
+	// The core recognizes a repeated write by its ID, so the call is idempotent if it has one.
 	if err := api.Core.Call(ctx, "core.write", &request, &response, request.ID != ""); err != nil {
 		api.configWriteError(err).write(w)
 		return
@@ -43,15 +43,15 @@
 	writeConfigOutcome(w, &response)
 }
 
-// parseConfigWrite returns the write that a request asks for. The core checks the configuration itself.
+// parseConfigWrite returns the core request for a write. The core validates the configuration itself.
 func parseConfigWrite(r *http.Request) (coreapi.WriteRequest, *errorResponse) {
 	write := coreapi.WriteRequest{ID: r.Header.Get(WriteIDHeader), Patch: r.Method == http.MethodPatch, AnyVersion: true}
 	if len(write.ID) > maxWriteIDBytes {
 		return write, &errorResponse{status: http.StatusBadRequest, code: CodeInvalidWriteID,
 			message: fmt.Sprintf("%s: at most %d bytes are expected.", WriteIDHeader, maxWriteIDBytes)}
 	}
-	if match := r.Header.Get("If-Match"); match != "" && match != "*" {
-		version, err := strconv.ParseUint(strings.Trim(match, `"`), 10, 64)
+	if ifMatch := r.Header.Get("If-Match"); ifMatch != "" && ifMatch != "*" {
+		version, err := strconv.ParseUint(strings.Trim(ifMatch, `"`), 10, 64)
 		if err != nil {
 			return write, &errorResponse{status: http.StatusBadRequest, code: CodeInvalidIfMatch,
 				message: "If-Match: a sequence, or *, is expected."}
@@ -70,7 +70,7 @@
 	return write, nil
 }
 
-// configWriteError returns the response to a write that got none from the core.
+// configWriteError returns the error response to a write whose call to the core failed.
 func (api *API) configWriteError(err error) *errorResponse {
 	switch {
 	case coreapi.IsOutcomeUnknown(err):
@@ -85,7 +85,7 @@
 		message: "The write may yet take effect. Read the layout back."}
 }
 
-// writeConfigOutcome sends the response to a write that the core has answered.
+// writeConfigOutcome sends the HTTP response for the core's response to a write.
 func writeConfigOutcome(w http.ResponseWriter, response *coreapi.WriteResponse) {
 	switch response.Code {
 	case http.StatusOK:
@@ -107,7 +107,7 @@
 	}
 }
 
-// configTooLarge returns the response to a configuration above the size that is taken.
+// configTooLarge returns the error response to a configuration above fleetconfig.MaxBytes.
 func configTooLarge() *errorResponse {
 	return &errorResponse{status: http.StatusRequestEntityTooLarge, code: CodeTooLarge,
 		message: fmt.Sprintf("A layout of at most %d bytes is taken.", fleetconfig.MaxBytes)}
--- a/internal/transport/operator/fleet.go
+++ b/internal/transport/operator/fleet.go
@@ -10,10 +10,10 @@
 	"yarrowridge/internal/transport/dissemination"
 )
 
-// readFleetTimeout bounds the core's response to a read of the fleet's state.
+// readFleetTimeout bounds the core call that reads the fleet's state.
 const readFleetTimeout = 2 * time.Second
 
-// getFleet answers with what the core knows of the fleet, and with the dissemination tree that follows from it.
+// getFleet responds with the fleet's state from the core, and with the dissemination tree that results from it.
 func (api *API) getFleet(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), readFleetTimeout)
 	defer cancel()
@@ -27,7 +27,7 @@
 	web.WriteJSON(w, http.StatusOK, FleetResponse{State: state, Neighbours: neighboursByName(state.Nodes)})
 }
 
-// neighboursByName returns the names of each router's neighbours in the dissemination tree.
+// neighboursByName maps each router's name to the names of its neighbours in the dissemination tree.
 func neighboursByName(nodes []coreapi.Node) map[string][]string {
 	routers := make([]dissemination.Node, len(nodes))
 	for i, node := range nodes {
@@ -35,7 +35,7 @@
 	}
 	neighbours := map[string][]string{}
 	for _, router := range routers {
-		names := []string{} // none is [] in JSON, not null
+		names := []string{} // not nil, which JSON would encode as null
 		for _, neighbour := range dissemination.Neighbours(router.Name, routers) {
 			names = append(names, neighbour.Name)
 		}
--- a/internal/transport/operator/health.go
+++ b/internal/transport/operator/health.go
@@ -6,16 +6,16 @@
 	"yarrowridge/internal/lib/web"
 )
 
-// retryAfterSeconds is the Retry-After header of a response to what may succeed when it is sent again.
+// retryAfterSeconds is the Retry-After header of responses to requests that may succeed if retried.
 const retryAfterSeconds = "1"
 
-// alive answers that the process runs.
-func alive(w http.ResponseWriter, _ *http.Request) {
+// getAlive responds that the process is running.
+func getAlive(w http.ResponseWriter, _ *http.Request) {
 	web.WriteJSON(w, http.StatusOK, AliveResponse{Alive: true})
 }
 
-// ReadyHandler returns a handler that answers 200 where notReadyReason returns "", and else 503 with the reason.
-// notReadyReason is called concurrently.
+// ReadyHandler returns a handler that responds with 200 if notReadyReason returns "", and otherwise with 503 and the
+// reason. notReadyReason is called concurrently.
 func ReadyHandler(notReadyReason func() string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if reason := notReadyReason(); reason != "" {
--- a/internal/transport/operator/responses.go
+++ b/internal/transport/operator/responses.go
@@ -7,47 +7,47 @@
 	"yarrowridge/internal/lib/web"
 )
 
-// AliveResponse is the body of GET /alive.
+// AliveResponse is the response to GET /alive.
 type AliveResponse struct {
 	Alive bool `json:"alive"`
 }
 
-// ReadyResponse is the body of GET /ready.
+// ReadyResponse is the response to GET /ready.
 type ReadyResponse struct {
 	Ready  bool   `json:"ready"`
-	Reason string `json:"why,omitempty"` // why the process is not ready
+	Reason string `json:"why,omitempty"` // why the process is not ready; empty if it is
 }
 
-// WriteConfigResponse is the body of PUT and PATCH /v1/layout that says that a configuration is in force.
+// WriteConfigResponse is the response to PUT and PATCH /v1/layout for a write that was applied.
 type WriteConfigResponse struct {
-	Repeated bool   `json:"repeated"` // a write with this ID had been applied before
+	Repeated bool   `json:"repeated"` // an earlier write with this ID was applied already
 	Version  uint64 `json:"sequence"`
 }
 
-// InvalidConfigResponse is the body of PUT and PATCH /v1/layout that says that a configuration has errors.
+// InvalidConfigResponse is the response to PUT and PATCH /v1/layout for a configuration with errors.
 type InvalidConfigResponse struct {
 	Error InvalidConfig `json:"error"`
 }
 
-// InvalidConfig is a web.Error that lists all errors of a configuration.
+// InvalidConfig is a web.Error with the list of all errors in a configuration.
 type InvalidConfig struct {
 	Code    web.ErrorCode         `json:"code"`
 	Message string                `json:"message"`
 	Errors  []coreapi.ConfigError `json:"troubles"`
 }
 
-// FleetResponse is the body of GET /v1/fleet.
+// FleetResponse is the response to GET /v1/fleet.
 type FleetResponse struct {
 	coreapi.State
-	Neighbours map[string][]string `json:"relays"` // each router's neighbours in the dissemination tree, by name
+	Neighbours map[string][]string `json:"relays"` // the names of each router's neighbours in the dissemination tree, by its name
 }
 
-// errorResponse is a response that says why a request was not served.
+// errorResponse is the response to a request that failed or was rejected.
 type errorResponse struct {
-	status    int // of HTTP
+	status    int // the HTTP status code
 	code      web.ErrorCode
 	message   string
-	retryable bool // the same request may succeed a second later
+	retryable bool // the same request may succeed after retryAfterSeconds
 }
 
 // write sends the response.
--- a/internal/transport/operator/responses_test.go
+++ b/internal/transport/operator/responses_test.go
@@ -8,7 +8,7 @@
 	"yarrowridge/internal/lib/web"
 )
 
-// Operators' scripts read these bodies: their fields and the order of these never change.
+// Operators' scripts read these bodies, so neither their fields nor the order of the fields may change.
 func TestResponseBodies(t *testing.T) {
 	for _, c := range []struct {
 		body any
