--- a/internal/transport/tcp/abort.go
+++ b/internal/transport/tcp/abort.go
@@ -2,19 +2,20 @@
 
 import "net"
 
-// lingerer is a connection that can be told what its Close does with bytes that the peer has not acknowledged
-// (SO_LINGER). *net.TCPConn is one.
-type lingerer interface {
+// lingerSetter is a connection with the SO_LINGER option, which sets what Close does with unacknowledged bytes.
+// *net.TCPConn implements it.
+type lingerSetter interface {
 	SetLinger(seconds int) error
 }
 
-// AbortOnClose has Close abort the connection by a reset (RFC 9293, 3.10.5) rather than close it in order: bytes that the
-// peer has not acknowledged are discarded and never retransmitted. After an orderly close the system goes on sending them,
-// so that a peer behind a network partition receives them when it heals. What is under way in the network may still arrive.
+// AbortOnClose makes Close abort the connection with a reset (RFC 9293, section 3.10.5) instead of closing it in order:
+// bytes that the peer has not acknowledged are discarded and not retransmitted. After an orderly close the kernel continues
+// to send them, so a peer behind a network partition would receive them once the partition heals. Segments already in
+// transit may still arrive.
 //
-// A connection without the option, as a pipe, closes as it always does. The only error is that of a closed connection.
+// AbortOnClose does nothing for a connection without the option, such as a pipe. It fails only on a closed connection.
 func AbortOnClose(conn net.Conn) error {
-	if conn, ok := conn.(lingerer); ok {
+	if conn, ok := conn.(lingerSetter); ok {
 		return conn.SetLinger(0)
 	}
 	return nil
--- a/internal/transport/tcp/abort_test.go
+++ b/internal/transport/tcp/abort_test.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// receiveBufferBytes is small, so that most of what is sent waits at the sender while nobody reads.
+	// receiveBufferBytes is small, so that most of the payload stays in the sender's buffer until the receiver reads.
 	receiveBufferBytes = 4 << 10
-	// sendBufferBytes holds all of what is sent.
+	// sendBufferBytes is large enough for the whole payload.
 	sendBufferBytes = 1 << 20
 	payloadBytes    = 256 << 10
 )
 
-// connectedPair returns both ends of a loopback connection whose receiver has a small buffer.
+// connectedPair returns both ends of a loopback connection whose receiver has a small receive buffer.
 func connectedPair(t *testing.T) (sender, receiver *net.TCPConn) {
 	t.Helper()
 	listener, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -53,8 +53,8 @@
 	return sender, receiver
 }
 
-// A receiver does not read while a sender writes and gives up. After an orderly close it reads all that was written; after
-// an abort what had not reached it is gone.
+// The receiver starts to read only after the sender has written and closed. After an orderly close it reads all bytes;
+// after an abort it gets a reset, and the bytes that it had not received yet are lost.
 func TestAbortOnCloseDiscardsUnsentBytes(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -84,20 +84,20 @@
 			}
 			received, err := io.ReadAll(receiver)
 			if gotAll := len(received) == payloadBytes; gotAll != test.wantAll || !errors.Is(err, test.wantErr) {
-				t.Errorf("got %d of %d bytes and error %v, want all: %v, error %v", len(received), payloadBytes, err, test.wantAll, test.wantErr)
+				t.Errorf("got %d of %d bytes and error %v, want all bytes: %v, error %v", len(received), payloadBytes, err, test.wantAll, test.wantErr)
 			}
 		})
 	}
 }
 
-// A connection without the option closes as it always does.
-func TestAbortOnCloseOfAPipe(t *testing.T) {
-	near, far := net.Pipe()
-	t.Cleanup(func() { _ = far.Close() })
-	if err := AbortOnClose(near); err != nil {
+// AbortOnClose does not change how a connection without SO_LINGER closes.
+func TestAbortOnCloseWithoutLinger(t *testing.T) {
+	client, server := net.Pipe()
+	t.Cleanup(func() { _ = server.Close() })
+	if err := AbortOnClose(client); err != nil {
 		t.Errorf("got error %v, want none", err)
 	}
-	if err := near.Close(); err != nil {
+	if err := client.Close(); err != nil {
 		t.Errorf("Close: got error %v, want none", err)
 	}
 }
--- a/internal/transport/tcp/tcp.go
+++ b/internal/transport/tcp/tcp.go
@@ -1,4 +1,4 @@
-// Package tcp sets options of TCP connections that package net does not know.
+// Package tcp sets socket options of TCP connections.
 package tcp
 
 import (
@@ -9,9 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// UserTimeoutControl returns a net.Dialer's Control with which TCP fails a connection whose bytes stay unacknowledged
-// for longer than timeout (TCP_USER_TIMEOUT, RFC 5482; in whole milliseconds, where 0 is the system's default). Without
-// it TCP retransmits for many minutes. The dial fails where the option cannot be set.
+// UserTimeoutControl returns a function for net.Dialer's Control that sets TCP_USER_TIMEOUT (RFC 5482): a connection fails
+// if sent bytes stay unacknowledged for longer than timeout. Without it TCP retransmits for many minutes. The timeout is
+// truncated to milliseconds; 0 is the system's default. The dial fails if the option cannot be set.
 func UserTimeoutControl(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var optionErr error
