--- a/internal/transport/operator/api.go
+++ b/internal/transport/operator/api.go
@@ -26,7 +26,7 @@
 	Core           *coreclient.Client
 	KeyHash        func() string         // returns the SHA-256 of the operators' key, in hex
 	NotReadyReason func() string         // returns why the process is not ready, or "" if it is
-	JSONRoutes     map[string]func() any // further paths, and functions that return what GET sends as JSON
+	JSONRoutes     map[string]func() any // further GET routes by path; their results are sent as JSON
 	Metrics        http.Handler          // serves GET /metrics, unless it is nil
 }
 
--- a/internal/transport/operator/responses.go
+++ b/internal/transport/operator/responses.go
@@ -39,7 +39,7 @@
 // FleetResponse is the response to GET /v1/fleet.
 type FleetResponse struct {
 	coreapi.State
-	Neighbours map[string][]string `json:"relays"` // the names of each router's neighbours in the dissemination tree, by its name
+	Neighbours map[string][]string `json:"relays"` // by router name: the names of its neighbours in the dissemination tree
 }
 
 // errorResponse is the response to a request that failed or was rejected.
