--- a/internal/controlplane/control/main.go
+++ b/internal/controlplane/control/main.go
@@ -60,8 +60,8 @@
 // listenForOperators binds the listener of the operators' API.
 func (p *coreProcess) listenForOperators(addr string) (*web.Server, error) {
 	api := &operator.API{Ctx: p.Ctx.WithComponent("operator"), KeyHash: func() string { return p.Setting("operator-key-hash") },
-		Core: p.client, Ready: p.server.UnavailableReason,
-		Views: map[string]func() any{
+		Core: p.client, NotReadyReason: p.server.UnavailableReason,
+		JSONRoutes: map[string]func() any{
 			"/v1/standing": func() any { return p.server.State() },
 			"/v1/traffic":  func() any { return wire.TrafficByKind() }}}
 	handler, err := api.Handler()
--- a/internal/dataplane/router/listen.go
+++ b/internal/dataplane/router/listen.go
@@ -17,7 +17,7 @@
 func (r *Router) listen(process *daemon.Process) ([]*web.Server, error) {
 	clients, err := web.Handler([]rest.Route{
 		{Method: "GET", Path: "/alive", Handler: writeAlive},
-		{Method: "GET", Path: "/ready", Handler: operator.Ready(r.Cluster.NotReadyReason)},
+		{Method: "GET", Path: "/ready", Handler: operator.ReadyHandler(r.Cluster.NotReadyReason)},
 	}, r.Clients)
 	if err != nil {
 		return nil, err
@@ -27,7 +27,7 @@
 		return nil, err
 	}
 	operators, err := (&operator.API{Ctx: r.ctx.WithComponent("operator"), Core: r.Cluster.Core, KeyHash: func() string { return process.Setting("operator-key-hash") },
-		Ready: r.Cluster.NotReadyReason, Metrics: r.Metrics.Handler(), Views: r.views()}).Handler()
+		NotReadyReason: r.Cluster.NotReadyReason, Metrics: r.Metrics.Handler(), JSONRoutes: r.views()}).Handler()
 	if err != nil {
 		return nil, err
 	}
