--- a/internal/lib/hashing/rendezvous.go
+++ b/internal/lib/hashing/rendezvous.go
@@ -5,8 +5,8 @@
 	"hash/fnv"
 )
 
-// RendezvousWeight is the weight of a node for a key in rendezvous hashing (Thaler and Ravishankar 1998): the node with the
-// highest weight takes the key. All routers have to compute the same, in all versions: it must not change.
+// RendezvousWeight returns the weight of a node for a key in rendezvous hashing (Thaler and Ravishankar 1998): the key is
+// assigned to the node with the highest weight. It must not change: routers of all versions have to compute the same value.
 func RendezvousWeight(key uint64, node string) uint64 {
 	hash := fnv.New64a()
 	var word [8]byte
--- a/internal/lib/hashing/rendezvous_test.go
+++ b/internal/lib/hashing/rendezvous_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The values never change: routers of different versions have to choose the same runner.
+// The values must never change: routers of different versions have to choose the same runner.
 func TestRendezvousWeightIsStable(t *testing.T) {
 	for _, c := range []struct {
 		key  uint64
--- a/internal/lib/logging/log.go
+++ b/internal/lib/logging/log.go
@@ -1,4 +1,4 @@
-// Package logging writes the programs' log: log/slog records as short lines for people.
+// Package logging formats log/slog records as short, readable lines:
 //
 //	2026-01-02T03:04:05.678Z WARN core: Backup did not hold a write. backup=10.0.0.2:7360
 package logging
@@ -11,25 +11,25 @@
 	"sync"
 )
 
-// componentKey is the attribute whose value is the line's component. It is not written as a pair.
+// componentKey is the attribute that With takes as the component of the lines; it is not written as key=value.
 const componentKey = "part"
 
 // lineHandler is a slog.Handler that writes lines: time, level, component, message, then the attributes as key=value.
 type lineHandler struct {
-	mu         *sync.Mutex // held while writing to out; shared by all handlers made from one
+	mu         *sync.Mutex // serializes writes to out; shared by all handlers derived from one New
 	out        io.Writer
-	level      slog.Leveler // the least that is written
+	level      slog.Leveler // minimum level
 	component  string
-	attributes string // of the logger, already formatted
+	attributes string // attributes of the logger, already formatted
 }
 
-// New makes the logger of a process. Its component is "main" until With("part", NAME) sets another. Each record is one Write
-// to out; one at a time is under way. The level may change at any time.
+// New returns the logger of a process. Its component is "main"; With("part", NAME) derives a logger of another component.
+// Each record is a single Write to out, and the writes are serialized. The level may change at any time.
 func New(out io.Writer, level slog.Leveler) *slog.Logger {
 	return slog.New(&lineHandler{mu: &sync.Mutex{}, out: out, level: level, component: "main"})
 }
 
-// Enabled reports whether records of a level are written.
+// Enabled reports whether records of this level are written.
 func (h *lineHandler) Enabled(_ context.Context, level slog.Level) bool {
 	return level >= h.level.Level()
 }
@@ -51,7 +51,8 @@
 	return err
 }
 
-// formatAttribute is " key=value". A value with spaces, line ends or quotes is quoted, and made to fit into one line.
+// formatAttribute formats an attribute as " key=value". A value with spaces, newlines or double quotes is quoted; newlines
+// within it become " | ", and double quotes become single quotes.
 func formatAttribute(attribute slog.Attr) string {
 	value := attribute.Value.String()
 	if strings.ContainsAny(value, " \n\"") {
@@ -61,7 +62,7 @@
 	return " " + attribute.Key + "=" + value
 }
 
-// WithAttrs returns a handler whose lines have these attributes as well, or another component.
+// WithAttrs returns a handler that adds these attributes to its lines. The attribute componentKey replaces the component.
 func (h *lineHandler) WithAttrs(attributes []slog.Attr) slog.Handler {
 	derived := *h
 	for _, attribute := range attributes {
@@ -74,5 +75,5 @@
 	return &derived
 }
 
-// WithGroup returns the handler itself: keys are written without their groups.
+// WithGroup returns the handler unchanged: keys are written without their group.
 func (h *lineHandler) WithGroup(string) slog.Handler { return h }
--- a/internal/lib/logging/log_test.go
+++ b/internal/lib/logging/log_test.go
@@ -16,11 +16,11 @@
 	tests := []struct {
 		name string
 		log  func(log *slog.Logger)
-		want string // without the time
+		want string // without the timestamp
 	}{
 		{"message", func(log *slog.Logger) { log.Info("Started.") }, "INFO main: Started.\n"},
 		{"level", func(log *slog.Logger) { log.Error("Failed.") }, "ERROR main: Failed.\n"},
-		{"level below the least", func(log *slog.Logger) { log.Debug("Detail.") }, ""},
+		{"level below the minimum", func(log *slog.Logger) { log.Debug("Detail.") }, ""},
 		{"attributes", func(log *slog.Logger) { log.Warn("Slow.", "peer", "10.0.0.1:1", "epoch", 7, "after", 2*time.Second) },
 			"WARN main: Slow. peer=10.0.0.1:1 epoch=7 after=2s\n"},
 		{"value with spaces", func(log *slog.Logger) { log.Info("E.", "error", errors.New("not found")) }, "INFO main: E. error=\"not found\"\n"},
@@ -37,10 +37,10 @@
 			test.log(New(&out, slog.LevelInfo))
 			got := out.String()
 			if test.want != "" {
-				var at string
-				at, got, _ = strings.Cut(got, " ")
-				if !regexp.MustCompile(`^\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}Z$`).MatchString(at) {
-					t.Errorf("time: got %q, want one in UTC with milliseconds", at)
+				var timestamp string
+				timestamp, got, _ = strings.Cut(got, " ")
+				if !regexp.MustCompile(`^\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}Z$`).MatchString(timestamp) {
+					t.Errorf("timestamp: got %q, want UTC with milliseconds", timestamp)
 				}
 			}
 			if got != test.want {
@@ -50,7 +50,7 @@
 	}
 }
 
-// A derived logger does not change the one that it was made from.
+// Deriving a logger does not change the original logger.
 func TestWithLeavesLoggerAsItIs(t *testing.T) {
 	var out bytes.Buffer
 	log := New(&out, slog.LevelInfo)
@@ -64,51 +64,52 @@
 func TestLevelMayChange(t *testing.T) {
 	level := &slog.LevelVar{}
 	log := New(&bytes.Buffer{}, level).With("part", "core")
-	for _, set := range []slog.Level{slog.LevelInfo, slog.LevelDebug, slog.LevelError} {
-		level.Set(set)
-		for _, of := range []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError} {
-			if got, want := log.Enabled(context.Background(), of), of >= set; got != want {
-				t.Errorf("Enabled(%s) at %s: got %v, want %v", of, set, got, want)
+	for _, minimum := range []slog.Level{slog.LevelInfo, slog.LevelDebug, slog.LevelError} {
+		level.Set(minimum)
+		for _, recordLevel := range []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError} {
+			if got, want := log.Enabled(context.Background(), recordLevel), recordLevel >= minimum; got != want {
+				t.Errorf("Enabled(%s) at minimum level %s: got %v, want %v", recordLevel, minimum, got, want)
 			}
 		}
 	}
 }
 
-// Loggers made from one write a line at a time: with a buffer that has no lock, the race detector sees it otherwise.
+// Loggers derived from one logger serialize their writes. The buffer has no lock, so the race detector reports concurrent
+// writes.
 func TestLinesAreWrittenOneAtATime(t *testing.T) {
 	var out bytes.Buffer
 	log := New(&out, slog.LevelInfo)
 	const writers, lines = 8, 50
-	var running sync.WaitGroup
+	var writersDone sync.WaitGroup
 	for i := range writers {
 		component := log.With("part", "component", "writer", i)
-		running.Go(func() {
+		writersDone.Go(func() {
 			for range lines {
 				component.Info("M.")
 			}
 		})
 	}
-	running.Wait()
+	writersDone.Wait()
 	got := strings.Split(strings.TrimSuffix(out.String(), "\n"), "\n")
 	if len(got) != writers*lines {
 		t.Fatalf("lines: got %d, want %d", len(got), writers*lines)
 	}
 	for _, line := range got {
 		if !strings.Contains(line, " INFO component: M. writer=") {
-			t.Errorf("line: got %q, want one whole line", line)
+			t.Errorf("line: got %q, want a complete line", line)
 		}
 	}
 }
 
-// failingWriter takes nothing.
+// failingWriter fails each write with err.
 type failingWriter struct{ err error }
 
 func (w failingWriter) Write([]byte) (int, error) { return 0, w.err }
 
 func TestHandleReturnsWriteError(t *testing.T) {
-	failed := errors.New("disk is full")
-	handler := New(failingWriter{failed}, slog.LevelInfo).Handler()
-	if err := handler.Handle(context.Background(), slog.NewRecord(time.Now(), slog.LevelInfo, "M.", 0)); !errors.Is(err, failed) {
-		t.Errorf("Handle: got %v, want %v", err, failed)
+	writeErr := errors.New("disk is full")
+	handler := New(failingWriter{writeErr}, slog.LevelInfo).Handler()
+	if err := handler.Handle(context.Background(), slog.NewRecord(time.Now(), slog.LevelInfo, "M.", 0)); !errors.Is(err, writeErr) {
+		t.Errorf("Handle: got %v, want %v", err, writeErr)
 	}
 }
--- a/internal/lib/metrics/endpoint.go
+++ b/internal/lib/metrics/endpoint.go
@@ -13,25 +13,25 @@
 	"yarrowridge/internal/lib/web"
 )
 
-// Endpoint is where a process serves its metrics. The zero Endpoint serves none.
+// Endpoint is the address and path at which a process serves its metrics. The zero Endpoint serves none.
 type Endpoint struct {
 	Address string // ip:port
 	Path    string // with its leading slash
 }
 
-// ParseEndpoint parses "PORT/PATH", such as "9464/metrics", for a process with an IP address. The error names the form
-// that is expected.
+// ParseEndpoint parses "PORT/PATH", such as "9464/metrics", and returns the endpoint at the IP address ip. The error names
+// the expected form.
 func ParseEndpoint(ip, text string) (Endpoint, error) {
 	port, path, hasPath := strings.Cut(text, "/")
-	number, err := strconv.ParseUint(port, 10, 16)
-	if err != nil || number == 0 || !hasPath || path == "" || strings.ContainsAny(path, " ?#:*") || strings.HasSuffix(path, "/") {
+	portNumber, err := strconv.ParseUint(port, 10, 16)
+	if err != nil || portNumber == 0 || !hasPath || path == "" || strings.ContainsAny(path, " ?#:*") || strings.HasSuffix(path, "/") {
 		return Endpoint{}, eris.Errorf("metrics: %q is not PORT/PATH, as in 9464/metrics", text)
 	}
 	return Endpoint{Address: net.JoinHostPort(ip, port), Path: "/" + path}, nil
 }
 
-// Start serves the metrics in the background until ctx ends. A process does its work without them: where the address
-// cannot be bound, it logs that and nothing else happens.
+// Start serves the metrics in the background until ctx ends. A process also works without them: if they cannot be served,
+// for example because the address is in use, Start logs a warning and returns.
 func (e Endpoint) Start(ctx daemon.Context, handler http.Handler) {
 	if e.Address == "" {
 		return
@@ -52,7 +52,7 @@
 		return eris.Wrapf(err, "metrics: listen on %s", e.Address)
 	}
 	server := web.NewServer(listener, routes)
-	go func() { _ = server.Run() }() // it ends with the listener, below
+	go func() { _ = server.Run() }() // returns when the listener is closed below
 	go func() {
 		<-ctx.Done()
 		_ = listener.Close()
--- a/internal/lib/metrics/endpoint_test.go
+++ b/internal/lib/metrics/endpoint_test.go
@@ -35,18 +35,18 @@
 			t.Errorf("ParseEndpoint(%q): got %v and error %v, want %v", text, got, err, want)
 		}
 		if err != nil && !strings.Contains(err.Error(), "PORT/PATH") {
-			t.Errorf("ParseEndpoint(%q): got error %q, want it to name the form PORT/PATH", text, err)
+			t.Errorf("ParseEndpoint(%q): got error %q, want one that names the form PORT/PATH", text, err)
 		}
 	}
 }
 
-// Metrics are served at their address and path only; a port in use is logged and stops nothing.
+// Metrics are served at their address and path only. If the port is in use, that is only logged.
 func TestEndpointServes(t *testing.T) {
-	free, err := net.Listen("tcp", "127.0.0.1:0")
+	blocker, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	endpoint := Endpoint{Address: free.Addr().String(), Path: "/metrics"}
+	endpoint := Endpoint{Address: blocker.Addr().String(), Path: "/metrics"}
 	var logged bytes.Buffer
 	ctx := daemon.Context{Context: t.Context(), Log: slog.New(slog.NewTextHandler(&logged, nil))}
 	handler := NewHandler(Gauges{"yarrowridge_ready": func() float64 { return FlagValue(true) }})
@@ -55,19 +55,19 @@
 	if !strings.Contains(logged.String(), "Metrics are not served.") {
 		t.Errorf("port in use: got log %q, want \"Metrics are not served.\"", logged.String())
 	}
-	if err := free.Close(); err != nil {
+	if err := blocker.Close(); err != nil {
 		t.Fatal(err)
 	}
 	endpoint.Start(ctx, handler)
 	if status, text := get(t, "http://"+endpoint.Address+"/metrics"); status != http.StatusOK || !strings.Contains(text, "yarrowridge_ready 1\n") {
-		t.Errorf("got status %d and %q, want 200 with yarrowridge_ready 1", status, text)
+		t.Errorf("port free again: got status %d and %q, want 200 with yarrowridge_ready 1", status, text)
 	}
 	if status, _ := get(t, "http://"+endpoint.Address+"/other"); status != http.StatusNotFound {
 		t.Errorf("another path: got status %d, want 404", status)
 	}
 }
 
-// get returns the status and the body of the response to a GET.
+// get sends a GET request and returns the status and the body of the response.
 func get(t *testing.T, url string) (status int, text string) {
 	t.Helper()
 	response, err := http.Get(url)
--- a/internal/lib/metrics/metrics.go
+++ b/internal/lib/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics exports what a process counts of itself in Prometheus' text form. docs/metrics.md lists all metrics with
+// Package metrics exports the metrics of a process in the Prometheus text format. docs/metrics.md lists all metrics with
 // their labels; names and labels never change.
 package metrics
 
@@ -9,28 +9,28 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Metrics are the counters and histograms of one router. All of them may be used concurrently.
+// Metrics holds the counters and histograms of one router. All of them may be used concurrently.
 type Metrics struct {
 	registry *prometheus.Registry
 
-	Requests           *prometheus.CounterVec   // ended, by lane and code
-	AllowanceDecisions *prometheus.CounterVec   // of the free output allowance, by tenant kind, outcome and size buckets
-	AllowanceWait      *prometheus.HistogramVec // seconds that a decision was based on, by tenant kind
+	Requests           *prometheus.CounterVec   // completed requests, by lane and code
+	AllowanceDecisions *prometheus.CounterVec   // of the free output allowance, by tenant kind, outcome, and buckets of requested and granted tokens
+	AllowanceWait      *prometheus.HistogramVec // estimated wait in seconds on which an allowance decision was based, by tenant kind
 	DispatchWait       *prometheus.HistogramVec // seconds from arrival to dispatch, by tenant kind
-	FirstAttempts      *prometheus.CounterVec   // by service; what the retries are limited against
-	RetryDecisions     *prometheus.CounterVec   // by service and whether the retry was allowed
-	StreamReruns       *prometheus.CounterVec   // requests run again for a lost stream, by lane and code
+	FirstAttempts      *prometheus.CounterVec   // first attempts, by service; the retry budget is relative to them
+	RetryDecisions     *prometheus.CounterVec   // decisions on retries, by service and whether the retry was allowed
+	StreamReruns       *prometheus.CounterVec   // requests run again after their stream was lost, by lane and code
 }
 
-// secondsBuckets are the upper bounds of the histograms' buckets, in seconds: from a dispatch without queueing to ten
-// minutes in the queue.
+// secondsBuckets are the upper bounds of the histogram buckets, in seconds. They range from a dispatch without queueing to
+// ten minutes in the queue.
 var secondsBuckets = []float64{.001, .005, .02, .1, .5, 1, 2, 5, 15, 30, 60, 120, 300, 600}
 
-// Gauges are functions that return a value as it is when the metrics are read, by the metric's name. They are called
-// concurrently.
+// Gauges maps the names of gauges to functions that return their current values. The functions are called at each scrape
+// and may be called concurrently.
 type Gauges map[string]func() float64
 
-// New returns the metrics of a router, with its gauges.
+// New returns the metrics of a router, which include the given gauges.
 func New(gauges Gauges) *Metrics {
 	m := &Metrics{
 		Requests:           newCounter("yarrowridge_queries_total", "Queries ended, by lane and code.", "lane", "code"),
@@ -45,19 +45,19 @@
 	return m
 }
 
-// Handler returns a handler that answers with the metrics in Prometheus' text form.
+// Handler returns a handler that serves the metrics in the Prometheus text format.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// NewHandler returns a handler that answers with gauges, the metrics of collectors and the traffic between our own
-// processes, in Prometheus' text form.
+// NewHandler returns a handler that serves gauges, the metrics of collectors and the wire traffic counters in the Prometheus
+// text format.
 func NewHandler(gauges Gauges, collectors ...prometheus.Collector) http.Handler {
 	return promhttp.HandlerFor(newRegistry(gauges, collectors...), promhttp.HandlerOpts{})
 }
 
-// newRegistry returns a registry of the traffic between our own processes, of gauges and of collectors. It panics where
-// two metrics have one name.
+// newRegistry returns a registry of the wire traffic counters, gauges and collectors. It panics if two metrics have the same
+// name.
 func newRegistry(gauges Gauges, collectors ...prometheus.Collector) *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(wireTraffic{})
@@ -68,17 +68,17 @@
 	return registry
 }
 
-// newCounter returns a counter with labels.
+// newCounter returns a counter vector with the given labels.
 func newCounter(name, help string, labels ...string) *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, labels)
 }
 
-// newHistogram returns a histogram of seconds with labels.
+// newHistogram returns a histogram vector with the given labels and secondsBuckets.
 func newHistogram(name, help string, labels ...string) *prometheus.HistogramVec {
 	return prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: name, Help: help, Buckets: secondsBuckets}, labels)
 }
 
-// FlagValue returns the value of a flag as a gauge: 1 where it is set, else 0.
+// FlagValue converts a boolean to the value of a gauge: 1 if set, 0 otherwise.
 func FlagValue(set bool) float64 {
 	if set {
 		return 1
--- a/internal/lib/metrics/traffic.go
+++ b/internal/lib/metrics/traffic.go
@@ -6,13 +6,13 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// What the metrics of wire are called.
+// Descriptions of the metrics of package wire.
 var (
 	wireFrames = prometheus.NewDesc("yarrowridge_wire_frames_total", "Messages between our own processes, by kind and direction.", []string{"kind", "direction"}, nil)
 	wireBytes  = prometheus.NewDesc("yarrowridge_wire_bytes_total", "Bytes of messages between our own processes, by kind and direction.", []string{"kind", "direction"}, nil)
 )
 
-// wireTraffic is a prometheus.Collector of the counters that package wire keeps.
+// wireTraffic is a prometheus.Collector that exports the traffic counters of package wire.
 type wireTraffic struct{}
 
 // Describe implements prometheus.Collector.
--- a/internal/lib/metrics/traffic_test.go
+++ b/internal/lib/metrics/traffic_test.go
@@ -12,7 +12,7 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// Frames between processes are in the metrics, by kind and direction.
+// The metrics count the frames between processes by kind and direction.
 func TestWireTrafficIsExported(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,7 +28,7 @@
 	New(nil).Handler().ServeHTTP(page, httptest.NewRequest("GET", "/metrics", nil))
 	for _, want := range []string{`yarrowridge_wire_frames_total{direction="received",kind="meter.test"}`, `yarrowridge_wire_bytes_total{direction="sent",kind="meter.test"}`} {
 		if !strings.Contains(page.Body.String(), want) {
-			t.Errorf("got no %s in the metrics, want it", want)
+			t.Errorf("metrics: %s is missing", want)
 		}
 	}
 }
--- a/internal/lib/runloop/mutex.go
+++ b/internal/lib/runloop/mutex.go
@@ -1,14 +1,14 @@
 package runloop
 
-// Mutex is a lock that may be held over a disk write. Who waits for it waits on a channel, so that testing/synctest counts
-// the waiting goroutine as durably blocked; it does not for a sync.Mutex. Locks held briefly are sync.Mutex.
+// Mutex is a lock that may be held during a disk write. Its waiters block on a channel, which testing/synctest counts as
+// durably blocked, unlike waiters of a sync.Mutex. Locks that are held only briefly should be a sync.Mutex.
 type Mutex chan struct{}
 
-// NewMutex makes an unlocked mutex.
+// NewMutex returns an unlocked mutex.
 func NewMutex() Mutex { return make(Mutex, 1) }
 
-// Lock waits until the mutex is unlocked, and locks it.
+// Lock locks the mutex. It blocks while the mutex is locked.
 func (m Mutex) Lock() { m <- struct{}{} }
 
-// Unlock unlocks the mutex. It blocks for ever if the mutex is not locked and nobody locks it.
+// Unlock unlocks the mutex. If the mutex is not locked, it blocks until another goroutine locks it.
 func (m Mutex) Unlock() { <-m }
--- a/internal/lib/runloop/runloop_test.go
+++ b/internal/lib/runloop/runloop_test.go
@@ -13,7 +13,7 @@
 		name     string
 		interval time.Duration
 		nilWork  bool
-		want     []string // what was done, and when
+		want     []string // handled items and ticks, each after its time
 	}{
 		{"work and ticks", time.Second, false, []string{"0.5s item 1", "1s tick", "1.5s item 2", "2s tick"}},
 		{"work only", 0, false, []string{"0.5s item 1", "1.5s item 2"}},
@@ -26,9 +26,9 @@
 				defer cancel()
 				start := time.Now()
 				var got []string
-				note := func(what string) {
+				record := func(event string) {
 					got = append(got, map[time.Duration]string{500 * time.Millisecond: "0.5s", time.Second: "1s",
-						1500 * time.Millisecond: "1.5s", 2 * time.Second: "2s"}[time.Since(start)]+" "+what)
+						1500 * time.Millisecond: "1.5s", 2 * time.Second: "2s"}[time.Since(start)]+" "+event)
 				}
 				var work chan string
 				if !test.nilWork {
@@ -39,21 +39,21 @@
 				}
 				var tick func()
 				if test.interval > 0 {
-					tick = func() { note("tick") }
+					tick = func() { record("tick") }
 				}
-				Run(ctx, work, test.interval, note, tick)
+				Run(ctx, work, test.interval, record, tick)
 				if !slices.Equal(got, test.want) {
 					t.Errorf("Run: got %q, want %q", got, test.want)
 				}
 				if got, want := time.Since(start), 2500*time.Millisecond; got != want {
-					t.Errorf("Run returned after %s, want %s, with its context", got, want)
+					t.Errorf("Run returned after %s, want %s, when its context ends", got, want)
 				}
 			})
 		})
 	}
 }
 
-// Ticks that come while an item is handled count as one.
+// Ticks that are due while an item is handled are merged into one.
 func TestRunTicksOnceAfterLongItem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 5700*time.Millisecond)
@@ -70,14 +70,14 @@
 
 func TestSleep(t *testing.T) {
 	tests := []struct {
-		name          string
-		timeout       time.Duration // of the context
-		want          bool
-		wantSleptLong time.Duration
+		name      string
+		timeout   time.Duration // of the context
+		want      bool
+		wantSlept time.Duration
 	}{
 		{"all of the duration", time.Minute, true, time.Second},
 		{"until the context ends", time.Millisecond, false, time.Millisecond},
-		{"context has ended", 0, false, 0},
+		{"context already ended", 0, false, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -85,15 +85,15 @@
 				ctx, cancel := context.WithTimeout(t.Context(), test.timeout)
 				defer cancel()
 				start := time.Now()
-				if got, slept := Sleep(ctx, time.Second), time.Since(start); got != test.want || slept != test.wantSleptLong {
-					t.Errorf("Sleep: got %v after %s, want %v after %s", got, slept, test.want, test.wantSleptLong)
+				if got, slept := Sleep(ctx, time.Second), time.Since(start); got != test.want || slept != test.wantSlept {
+					t.Errorf("Sleep: got %v after %s, want %v after %s", got, slept, test.want, test.wantSlept)
 				}
 			})
 		})
 	}
 }
 
-// The mutex excludes others, and simulated time goes on while somebody waits for it.
+// The mutex excludes other goroutines, and simulated time advances while goroutines wait for it.
 func TestMutex(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mutex := NewMutex()
@@ -103,7 +103,7 @@
 				mutex.Lock()
 				defer mutex.Unlock()
 				before := counter
-				time.Sleep(time.Second) // as for a disk write
+				time.Sleep(time.Second) // stands for a disk write
 				counter = before + 1
 			}()
 		}
