--- a/cmd/core/main.go
+++ b/cmd/core/main.go
@@ -1,4 +1,5 @@
-// Core is the control plane of yarrowridge: five of them agree on the layout and keep it safe.
+// Command core runs one core of yarrowridge's control plane. The cores, usually five, agree on the configuration and
+// replicate it.
 package main
 
 import (
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,4 +1,4 @@
-// Drill rehearses a yarrowridge fleet on one machine.
+// Command drill runs a whole yarrowridge fleet on one machine for load and fault tests.
 package main
 
 import (
--- a/cmd/platform/main.go
+++ b/cmd/platform/main.go
@@ -1,5 +1,5 @@
-// Command platform runs yarrowridge's router or core on the users' platform: its settings come from the
-// platform's file, and clients, runners and operators are spoken to in the platform's way.
+// Command platform runs yarrowridge's router or core on the users' platform: it reads the platform's settings file and uses
+// the platform's interfaces to clients, runners and operators.
 package main
 
 import (
--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -1,4 +1,4 @@
-// Router is the data plane of yarrowridge: it takes queries from origins and carries them to runners.
+// Command router runs one router of yarrowridge's data plane: it accepts requests from clients and forwards them to runners.
 package main
 
 import (
--- a/internal/testing/architecture/imports_test.go
+++ b/internal/testing/architecture/imports_test.go
@@ -1,4 +1,4 @@
-// Package architecture checks the layout of the code: which group of packages may import which.
+// Package architecture checks which groups of packages may import which others.
 package architecture
 
 import (
@@ -15,10 +15,10 @@
 	internalPrefix = "yarrowridge/internal/"
 )
 
-// allowedGroups names, for each group of packages below internal/, the groups that it may import from besides itself.
-// Imports go one way: from the planes to the transport, the model and the libraries.
+// allowedGroups lists, for each group of packages below internal/, the other groups that it may import. The planes import
+// the transport, the model and the libraries; of these, only the transport imports a plane, and only publicControlPlane.
 var allowedGroups = map[string][]string{
-	"lib":          {"transport"}, // daemon and metrics know the network they are given
+	"lib":          {"transport"}, // for daemon and metrics, which use its network and its traffic counters
 	"model":        {"lib"},
 	"transport":    {"lib", "model", "controlplane"},
 	"controlplane": {"lib", "model", "transport"},
@@ -26,11 +26,11 @@
 	"testing":      {"lib", "model", "transport", "controlplane", "dataplane"},
 }
 
-// publicControlPlane are the only packages of the control plane that other groups, tests aside, may import: its
-// messages, its client and the value that says who is primary.
+// publicControlPlane contains the only packages of the control plane that other groups, except testing, may import: its
+// messages, its client and the view, which names the primary.
 var publicControlPlane = map[string]bool{"coreapi": true, "coreclient": true, "view": true}
 
-// platformPackage is the adapter to the users' platform, which nothing below internal/ may import.
+// platformPackage is the adapter to the users' platform. No package below internal/ may import it.
 const platformPackage = "yarrowridge/platform"
 
 func TestImportsGoOneWay(t *testing.T) {
@@ -47,40 +47,40 @@
 		t.Fatal(err)
 	}
 	if files < 200 {
-		t.Fatalf("got %d source files, want at least 200: the walk has missed the code", files)
+		t.Fatalf("got %d source files, want at least 200: the walk did not reach all of the code", files)
 	}
 }
 
-// checkImports reports each import of a source file that the rules forbid.
+// checkImports reports each forbidden import of a source file.
 func checkImports(t *testing.T, path string) {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
 	if err != nil {
 		t.Fatal(err)
 	}
-	inside, err := filepath.Rel(filepath.Join(moduleRoot, "internal"), path)
+	relative, err := filepath.Rel(filepath.Join(moduleRoot, "internal"), path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	group := strings.Split(filepath.ToSlash(inside), "/")[0]
+	group := strings.Split(filepath.ToSlash(relative), "/")[0]
 	for _, spec := range parsed.Imports {
 		imported := strings.Trim(spec.Path.Value, `"`)
-		if reason := forbidden(group, imported); reason != "" {
-			t.Errorf("%s imports %s: %s", inside, imported, reason)
+		if reason := forbiddenReason(group, imported); reason != "" {
+			t.Errorf("%s imports %s: %s", relative, imported, reason)
 		}
 	}
 }
 
-// forbidden says why a package of a group may not import another package, or "".
-func forbidden(group, imported string) string {
+// forbiddenReason returns why a package of a group may not import another package, or "" if it may.
+func forbiddenReason(group, imported string) string {
 	if strings.HasPrefix(imported, platformPackage) {
-		return "no other folder knows the names of the users' platform"
+		return "packages below internal/ may not import the adapter to the users' platform"
 	}
 	if !strings.HasPrefix(imported, internalPrefix) {
 		return ""
 	}
-	parts := strings.Split(strings.TrimPrefix(imported, internalPrefix), "/")
-	target := parts[0]
+	folders := strings.Split(strings.TrimPrefix(imported, internalPrefix), "/")
+	target := folders[0]
 	if target == group {
 		return ""
 	}
@@ -91,8 +91,8 @@
 	switch {
 	case !isAllowed:
 		return "group " + group + " may not import group " + target
-	case target == "controlplane" && group != "testing" && !publicControlPlane[parts[1]]:
-		return "of the control plane only its messages, client and view are public"
+	case target == "controlplane" && group != "testing" && !publicControlPlane[folders[1]]:
+		return "only the messages, the client and the view of the control plane are public"
 	}
 	return ""
 }
@@ -102,16 +102,16 @@
 		name, group, imported string
 		want                  bool
 	}{
-		{"data plane calls the client", "dataplane", internalPrefix + "controlplane/coreclient", false},
-		{"data plane reaches into the core", "dataplane", internalPrefix + "controlplane/core", true},
+		{"data plane imports the client of the control plane", "dataplane", internalPrefix + "controlplane/coreclient", false},
+		{"data plane imports the core", "dataplane", internalPrefix + "controlplane/core", true},
 		{"control plane imports the data plane", "controlplane", internalPrefix + "dataplane/balance", true},
 		{"library imports a plane", "lib", internalPrefix + "dataplane/balance", true},
-		{"product imports a test package", "dataplane", internalPrefix + "testing/sim", true},
-		{"anybody imports the platform's adapter", "dataplane", "yarrowridge/platform", true},
+		{"data plane imports a test package", "dataplane", internalPrefix + "testing/sim", true},
+		{"data plane imports the platform adapter", "dataplane", "yarrowridge/platform", true},
 		{"standard library", "lib", "net/http", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := forbidden(c.group, c.imported) != ""; got != c.want {
+			if got := forbiddenReason(c.group, c.imported) != ""; got != c.want {
 				t.Errorf("got forbidden %t, want %t", got, c.want)
 			}
 		})
--- a/internal/testing/compat/disk_test.go
+++ b/internal/testing/compat/disk_test.go
@@ -20,8 +20,8 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// A data folder that an older core left is read whole: identity, view, version, and every key with its bytes. What a
-// core that leads again tells of its quotas, claims and sessions is the same as well.
+// The data folder of an older core is read completely: identity, view, version, and the value of every key. A core that
+// becomes primary again with this folder also returns the same quota shares, claims and sessions.
 func TestOldDataFolderIsRead(t *testing.T) {
 	expected, err := os.ReadFile("testdata/core-disk.txt")
 	if err != nil {
@@ -32,45 +32,46 @@
 		t.Fatal(err)
 	}
 	if listing != string(expected) {
-		t.Errorf("read from the folder:\n%s\nexpected:\n%s", listing, expected)
+		t.Errorf("contents of the data folder: got\n%s\nwant\n%s", listing, expected)
 	}
 }
 
-// listDisk opens a copy of a folder kept in hex and lists what it holds, one item a line.
+// listDisk opens a copy of a hex-encoded data folder and lists its contents, one item per line.
 func listDisk(t *testing.T, folder string) (string, error) {
-	disk, err := store.OpenFolder(copyFolder(t, folder))
+	disk, err := store.OpenFolder(decodeFolder(t, folder))
 	if err != nil {
 		return "", err
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	voter, err := paxos.Open(disk, time.Second, log)
+	acceptor, err := paxos.Open(disk, time.Second, log)
 	if err != nil {
 		return "", err
 	}
-	opened, err := store.Open(disk, log)
+	contents, err := store.Open(disk, log)
 	if err != nil {
 		return "", err
 	}
-	lines := []string{fmt.Sprintf("identity %s", voter.ID()), fmt.Sprintf("version %d", opened.Version())}
-	opened.ForEachWithPrefix("", func(key string, value []byte) { lines = append(lines, fmt.Sprintf("key %q %x", key, value)) })
+	lines := []string{fmt.Sprintf("identity %s", acceptor.ID()), fmt.Sprintf("version %d", contents.Version())}
+	contents.ForEachWithPrefix("", func(key string, value []byte) { lines = append(lines, fmt.Sprintf("key %q %x", key, value)) })
 	slices.Sort(lines)
-	return strings.Join(append(lines, leadAgain(t, disk, log)...), "\n") + "\n", nil
+	return strings.Join(append(lines, listPrimary(t, disk, log)...), "\n") + "\n", nil
 }
 
-// copyFolder decodes a folder kept in hex into a folder of its own.
-func copyFolder(t *testing.T, folder string) string {
+// decodeFolder decodes a hex-encoded folder into a new temporary folder and returns its path.
+func decodeFolder(t *testing.T, folder string) string {
 	t.Helper()
-	copied := t.TempDir()
+	decoded := t.TempDir()
 	for name, data := range readHexFolder(t, folder, "") {
-		if err := os.WriteFile(filepath.Join(copied, name), data, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(decoded, name), data, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return copied
+	return decoded
 }
 
-// leadAgain runs a core on the disk until it is ready, and lists in JSON what it then tells.
-func leadAgain(t *testing.T, disk store.Disk, log *slog.Logger) []string {
+// listPrimary runs a core on the disk until it is the ready primary, and lists its state in JSON and its encoded responses
+// to calls.
+func listPrimary(t *testing.T, disk store.Disk, log *slog.Logger) []string {
 	t.Helper()
 	ctx := daemon.Context{Context: t.Context(), Name: "core-1", Zone: "east", Log: log, Net: wire.TCP{}}
 	server, err := core.Open(ctx, core.Settings{AllowNoBackup: true}, disk)
@@ -82,20 +83,20 @@
 	if server, err = core.Open(ctx, settings, disk); err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		server.Run()
 	}()
-	t.Cleanup(func() { <-ended }) // before the folder is removed
-	for end := time.Now().Add(20 * time.Second); !server.State().Ready; time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(end) {
+	t.Cleanup(func() { <-stopped }) // the folder is removed after this cleanup
+	for deadline := time.Now().Add(20 * time.Second); !server.State().Ready; time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("the core is not ready after 20 s")
 		}
 	}
 	state := server.State()
 	lines = append(lines, toJSON(t, "shares", state.Shares), fmt.Sprintf("claims %d", state.Claims))
-	for _, call := range []struct {
+	for _, c := range []struct {
 		kind     string
 		request  message
 		response message
@@ -107,23 +108,23 @@
 		{"core.take", &coreapi.ClaimRequest{Key: "alpha/key-0", Claim: coreapi.Claim{RequestHash: "hash-0", Claimant: "attempt-2"}}, &coreapi.ClaimResponse{}},
 		{"core.take", &coreapi.ClaimRequest{Key: "alpha/key-0", Claim: coreapi.Claim{RequestHash: "other", Claimant: "attempt-2"}}, &coreapi.ClaimResponse{}},
 	} {
-		lines = append(lines, ask(t, server, call.kind, call.request, call.response))
+		lines = append(lines, call(t, server, c.kind, c.request, c.response))
 	}
 	return lines
 }
 
-// ask has a core answer a call and gives the answer in JSON, or the error.
-func ask(t *testing.T, server *core.Server, kind string, request, response message) string {
+// call passes a request to a core and returns the kind of call with the encoded response in hex, or with the error.
+func call(t *testing.T, server *core.Server, kind string, request, response message) string {
 	t.Helper()
 	body, err := request.MarshalMsg(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	answer, err := server.Handle(t.Context(), kind, body)
+	result, err := server.Handle(t.Context(), kind, body)
 	if err != nil {
 		return fmt.Sprintf("%s: %v", kind, err)
 	}
-	encoded, err := answer.MarshalMsg(nil)
+	encoded, err := result.MarshalMsg(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,7 +134,7 @@
 	return fmt.Sprintf("%s %x", kind, encoded)
 }
 
-// toJSON encodes a value after its name.
+// toJSON returns a name and the JSON encoding of a value, separated by a space.
 func toJSON(t *testing.T, name string, value any) string {
 	t.Helper()
 	text, err := json.Marshal(value)
--- a/internal/testing/compat/frames_test.go
+++ b/internal/testing/compat/frames_test.go
@@ -1,6 +1,6 @@
 //go:build !next
 
-// A build one format up writes another number into its frames.
+// With the build tag next, frames contain the number of the next format, so the recorded bytes differ.
 
 package compat
 
@@ -18,57 +18,57 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// A dialogue of calls and answers, small, large and refused, is byte for byte the one that older processes had: both
-// sides still read what the other wrote then.
+// The bytes of small, large and rejected calls and of their responses equal those of older processes, byte for byte, so that
+// processes of both versions can read each other's frames.
 func TestFramesKeepTheirEncoding(t *testing.T) {
-	requests, responses := recordDialogue(t)
+	requests, responses := recordCalls(t)
 	for name, got := range map[string][]byte{"requests": requests, "responses": responses} {
-		if old := readHex(t, "testdata/frames/"+name+".hex"); !bytes.Equal(got, old) {
-			t.Errorf("%s: written as\n%q\nexpected\n%q", name, got, old)
+		if want := readHex(t, "testdata/frames/"+name+".hex"); !bytes.Equal(got, want) {
+			t.Errorf("bytes of the %s: got\n%q\nwant\n%q", name, got, want)
 		}
 	}
 }
 
-// recordDialogue makes calls through a pipe and gives the bytes that went each way. The second large request is
-// compressed, since the first answer has told that the server reads it; the small one and the first large one are not.
-func recordDialogue(t *testing.T) (requests, responses []byte) {
+// recordCalls makes calls through a pipe and returns the bytes sent in each direction. The first echo request is too small to
+// be compressed; its response announces that the server accepts compressed bodies, so both large requests are compressed.
+func recordCalls(t *testing.T) (requests, responses []byte) {
 	t.Helper()
 	near, far := net.Pipe()
 	caller := &recordingConn{Conn: near}
 	server := &recordingConn{Conn: far}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go wire.Serve(ctx, &oneConnListener{conn: server, ctx: ctx}, answer)
+	go wire.Serve(ctx, &oneConnListener{conn: server, ctx: ctx}, handle)
 	calls := wire.NewCaller(pipeNet{caller})
 	defer calls.Close()
 	for _, size := range []int{5, 6000, 6000} {
 		request, response := coreapi.StoredConfig{Version: 7, Raw: bytes.Repeat([]byte("x"), size)}, coreapi.StoredConfig{}
 		if err := calls.Call(ctx, "far", "test.echo", &request, &response); err != nil || !bytes.Equal(response.Raw, request.Raw) {
-			t.Fatalf("echo of %d bytes: %d came back, error %v", size, len(response.Raw), err)
+			t.Fatalf("echo of %d bytes: got %d bytes or other contents, error %v", size, len(response.Raw), err)
 		}
 	}
 	if err := calls.Call(ctx, "far", "test.refuse", &coreapi.Empty{}, nil); !wire.HasCode(err, "no-such-test") {
-		t.Fatalf("refused call ended with %v", err)
+		t.Fatalf("rejected call: got error %v, want code no-such-test", err)
 	}
 	return caller.written(), server.written()
 }
 
-// answer echoes a configuration, or refuses.
-func answer(_ context.Context, kind string, body []byte) (msgp.Marshaler, error) {
+// handle echoes a configuration, and rejects calls of kinds that end in .refuse.
+func handle(_ context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 	if strings.HasSuffix(kind, ".refuse") {
 		return nil, wire.StatusError{Code: "no-such-test"}
 	}
 	return wire.HandleTyped(body, func(config *coreapi.StoredConfig) (*coreapi.StoredConfig, error) { return config, nil })
 }
 
-// recordingConn keeps what is written to a connection.
+// recordingConn records the bytes written to a connection.
 type recordingConn struct {
 	net.Conn
-	mu    sync.Mutex
+	mu    sync.Mutex // guards bytes
 	bytes []byte
 }
 
-// Write keeps the data and writes it.
+// Write records the data and writes it.
 func (c *recordingConn) Write(data []byte) (int, error) {
 	c.mu.Lock()
 	c.bytes = append(c.bytes, data...)
@@ -76,30 +76,30 @@
 	return c.Conn.Write(data)
 }
 
-// written gives what was written so far.
+// written returns a copy of the bytes written so far.
 func (c *recordingConn) written() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return bytes.Clone(c.bytes)
 }
 
-// pipeNet dials its one connection.
+// pipeNet is a wire.Network whose Dial always returns the same connection.
 type pipeNet struct{ conn net.Conn }
 
-// Dial gives the connection.
+// Dial returns the connection.
 func (n pipeNet) Dial(context.Context, string) (net.Conn, error) { return n.conn, nil }
 
-// Listen is not needed.
+// Listen is not used by the test; it always fails.
 func (pipeNet) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
-// oneConnListener accepts its one connection, and then none until the context ends.
+// oneConnListener accepts a single connection. Further calls of Accept block until the context ends.
 type oneConnListener struct {
 	conn net.Conn
 	ctx  context.Context
 	once sync.Once
 }
 
-// Accept gives the connection to the first caller.
+// Accept returns the connection to the first caller.
 func (l *oneConnListener) Accept() (conn net.Conn, err error) {
 	l.once.Do(func() { conn = l.conn })
 	if conn != nil {
@@ -109,8 +109,8 @@
 	return nil, net.ErrClosed
 }
 
-// Close is not needed: the end of the context closes the connection.
+// Close does nothing: the connection is closed when the context ends.
 func (*oneConnListener) Close() error { return nil }
 
-// Addr is the pipe's.
+// Addr returns the local address of the connection.
 func (l *oneConnListener) Addr() net.Addr { return l.conn.LocalAddr() }
--- a/internal/testing/compat/messages_test.go
+++ b/internal/testing/compat/messages_test.go
@@ -1,4 +1,4 @@
-// Package compat holds the tests that what stands on the wire, on disk and in others' scripts stays as it is.
+// Package compat tests that encodings on the wire and on disk, and names that scripts and operators use, do not change.
 package compat
 
 import (
@@ -28,14 +28,14 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// message is an encoded type that travels between processes or lies on disk.
+// message is a type that is sent between processes or stored on disk.
 type message interface {
 	msgp.Marshaler
 	msgp.Unmarshaler
 }
 
-// messages names the type of each file in testdata/messages. The labels are historical: they stay when a type is renamed
-// or moved.
+// messages maps the name of each file in testdata/messages to the type it encodes. The names are historical: they stay
+// when a type is renamed or moved.
 var messages = map[string]message{
 	"core.Claim":              new(coreapi.Claim),
 	"core.ClaimRequest":       new(coreapi.ClaimRequest),
@@ -108,38 +108,38 @@
 	"wire.Frame":              new(wire.Frame),
 }
 
-// Every message that older processes wrote is read whole, and written the same.
+// Every message that an older process encoded is decoded completely, and encoded to the same bytes again.
 func TestMessagesKeepTheirEncoding(t *testing.T) {
 	files := readHexFolder(t, "testdata/messages", ".msgp")
 	for label := range files {
 		if messages[label] == nil {
-			t.Errorf("%s: no type reads this file", label)
+			t.Errorf("%s: testdata/messages has this file, but messages has no type for it", label)
 		}
 	}
 	for label, value := range messages {
-		old, ok := files[label]
+		recorded, ok := files[label]
 		if !ok {
-			t.Errorf("%s: no file", label)
+			t.Errorf("%s: testdata/messages has no file for this type", label)
 			continue
 		}
-		rest, err := value.UnmarshalMsg(old)
+		rest, err := value.UnmarshalMsg(recorded)
 		if err != nil || len(rest) > 0 {
-			t.Errorf("%s: %d bytes left unread, error %v", label, len(rest), err)
+			t.Errorf("%s: decoding left %d bytes, error %v", label, len(rest), err)
 			continue
 		}
-		if encoded, err := value.MarshalMsg(nil); err != nil || !bytes.Equal(encoded, old) {
-			t.Errorf("%s: encoded as\n%q, error %v; expected\n%q", label, encoded, err, old)
+		if encoded, err := value.MarshalMsg(nil); err != nil || !bytes.Equal(encoded, recorded) {
+			t.Errorf("%s: encoding: got\n%q, error %v; want\n%q", label, encoded, err, recorded)
 		}
 	}
 }
 
-// readHexFolder decodes the files of a folder that end in suffix+".hex", by their names without that end. The files are
-// kept in hex since the repository takes no binary files.
+// readHexFolder decodes the files of a folder whose names end in suffix+".hex" and returns their contents by the rest of the
+// name. The files are hex-encoded because the repository contains no binary files.
 func readHexFolder(t *testing.T, folder, suffix string) map[string][]byte {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(folder, "*"+suffix+".hex"))
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("%s: %d files, error %v", folder, len(paths), err)
+		t.Fatalf("%s: got %d files, want at least 1, error %v", folder, len(paths), err)
 	}
 	decoded := map[string][]byte{}
 	for _, path := range paths {
@@ -148,7 +148,7 @@
 	return decoded
 }
 
-// readHex decodes a file of hex digits in lines.
+// readHex decodes a file of hex digits; white space between them is ignored.
 func readHex(t *testing.T, path string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(path)
--- a/internal/testing/compat/names_test.go
+++ b/internal/testing/compat/names_test.go
@@ -15,11 +15,11 @@
 	"testing"
 )
 
-// pureToolFolders hold no code of the daemons.
-var pureToolFolders = []string{"internal/testing/drill", "internal/testing/sim", "internal/testing/modelcheck", ".git"}
+// toolFolders are skipped: they contain no code of the daemons.
+var toolFolders = []string{"internal/testing/drill", "internal/testing/sim", "internal/testing/modelcheck", ".git"}
 
-// literalPatterns are the sections for literals that are told by their form alone, wherever they stand. Message kinds and
-// most codes are in "dashed or dotted".
+// literalPatterns maps sections to the form of the literals that belong to them, wherever they occur in the sources. Message
+// kinds and most codes are in "dashed or dotted".
 var literalPatterns = map[string]*regexp.Regexp{
 	"dashed or dotted": regexp.MustCompile(`^[a-z]+([.-][a-z0-9]+)+$`),
 	"snake case":       regexp.MustCompile(`^[a-z][a-z0-9]*(_[a-z0-9]+)+$`),
@@ -27,17 +27,18 @@
 	"header":           regexp.MustCompile(`^[A-Z][A-Za-z0-9]*(-[A-Z][A-Za-z0-9]*)+$`),
 }
 
-// mayMove are the sections whose names are told by the code around them, which may change: a code may become a constant.
-// Such a name has to stand somewhere as a literal.
-var mayMove = []string{"code", "flag or setting"}
+// movableSections are the sections whose names are recognized by the code around them. That code may change, for example if
+// a code becomes a constant, so it is enough that the sources contain such a name as a literal.
+var movableSections = []string{"code", "flag or setting"}
 
-// notRead are calls whose literals nobody else reads: log lines, and the switches of mechanisms in tests.
-var notRead = map[string]bool{"Debug": true, "Info": true, "Warn": true, "Error": true, "With": true, "WithComponent": true, "Disabled": true}
+// internalCalls are the functions and methods whose literals do not have to stay: those that log, and the switches of fault
+// injection.
+var internalCalls = map[string]bool{"Debug": true, "Info": true, "Warn": true, "Error": true, "With": true, "WithComponent": true, "Disabled": true}
 
-// Every name that others read, processes of another release, scripts and operators, is still there, and no new one has
-// come unnoticed. Where a name stands does not matter.
+// The sources still contain every name that processes of other releases, scripts or operators read, and each new name has
+// been added to testdata/names.txt. The place of a name in the sources does not matter.
 func TestNamesStay(t *testing.T) {
-	found := namesInSources(t, "../../..")
+	found := readNames(t, "../../..")
 	text, err := os.ReadFile("testdata/names.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -47,38 +48,38 @@
 		name := strings.TrimSuffix(line, "\n")
 		expected[name] = true
 		if !found.has(name) {
-			t.Errorf("gone: %s", name)
+			t.Errorf("in testdata/names.txt, but no longer in the sources: %s", name)
 		}
 	}
 	for name := range found.names {
-		if section, _, _ := strings.Cut(name, ": "); !expected[name] && !slices.Contains(mayMove, section) {
-			t.Errorf("new: %s", name)
+		if section, _, _ := strings.Cut(name, ": "); !expected[name] && !slices.Contains(movableSections, section) {
+			t.Errorf("in the sources, but not in testdata/names.txt: %s", name)
 		}
 	}
 }
 
-// names are what the sources name, each as "section: name", and all their string literals.
-type names struct {
-	names    map[string]bool
+// nameSet contains the names found in the sources and all their string literals.
+type nameSet struct {
+	names    map[string]bool // each as "section: name"
 	literals map[string]bool
 }
 
-// has reports whether a name is there; one of a section in mayMove, whether it stands anywhere as a literal.
-func (n names) has(name string) bool {
+// has reports whether the set contains a name. For a name of one of movableSections, a literal anywhere is enough.
+func (n nameSet) has(name string) bool {
 	section, literal, _ := strings.Cut(name, ": ")
-	return n.names[name] || slices.Contains(mayMove, section) && n.literals[literal]
+	return n.names[name] || slices.Contains(movableSections, section) && n.literals[literal]
 }
 
-// namesInSources reads all files below a folder but for tests and tools.
-func namesInSources(t *testing.T, root string) names {
+// readNames collects the names of all source files below a folder, except tests and tools.
+func readNames(t *testing.T, root string) nameSet {
 	t.Helper()
-	found := names{map[string]bool{}, map[string]bool{}}
+	found := nameSet{map[string]bool{}, map[string]bool{}}
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
 		inModule, _ := filepath.Rel(root, path)
-		if entry.IsDir() && slices.Contains(pureToolFolders, inModule) {
+		if entry.IsDir() && slices.Contains(toolFolders, inModule) {
 			return filepath.SkipDir
 		}
 		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -96,15 +97,15 @@
 	return found
 }
 
-// visit takes the names of a node, and reports whether its parts are to be visited.
-func (n names) visit(node ast.Node) bool {
+// visit adds the names of a node, and reports whether its children are to be visited.
+func (n nameSet) visit(node ast.Node) bool {
 	switch node := node.(type) {
 	case *ast.ImportSpec:
 		return false
 	case *ast.Field:
 		n.addTags(node)
 	case *ast.CallExpr:
-		if selector, ok := node.Fun.(*ast.SelectorExpr); ok && notRead[selector.Sel.Name] {
+		if selector, ok := node.Fun.(*ast.SelectorExpr); ok && internalCalls[selector.Sel.Name] {
 			return false
 		}
 		n.addCall(node)
@@ -116,8 +117,8 @@
 	return true
 }
 
-// addTags takes the names in a field's tags.
-func (n names) addTags(field *ast.Field) {
+// addTags adds the names in a field's msg and json tags.
+func (n nameSet) addTags(field *ast.Field) {
 	if field.Tag == nil {
 		return
 	}
@@ -129,14 +130,14 @@
 	}
 }
 
-// addCall takes the names of flags, and of entries of a table of settings.
-func (n names) addCall(call *ast.CallExpr) {
+// addCall adds the names of flags, and of settings that a call of a function xxxEntry defines.
+func (n nameSet) addCall(call *ast.CallExpr) {
 	var function string
-	switch named := call.Fun.(type) {
+	switch callee := call.Fun.(type) {
 	case *ast.SelectorExpr:
-		function = named.Sel.Name
+		function = callee.Sel.Name
 	case *ast.Ident:
-		function = named.Name
+		function = callee.Name
 	}
 	definesFlag := regexp.MustCompile(`^(String|Bool|Int|Uint|Int64|Uint64|Float64|Duration)(Var)?$`).MatchString(function)
 	if !definesFlag && !strings.HasSuffix(function, "Entry") {
@@ -147,8 +148,8 @@
 	}
 }
 
-// addComposite takes refusal codes and the names of settings.
-func (n names) addComposite(composite *ast.CompositeLit) {
+// addComposite adds error codes and the names of settings.
+func (n nameSet) addComposite(composite *ast.CompositeLit) {
 	for _, element := range composite.Elts {
 		pair, ok := element.(*ast.KeyValueExpr)
 		if !ok {
@@ -162,31 +163,31 @@
 			n.add("flag or setting", pair.Value)
 		}
 	}
-	if isFault(composite.Type) && len(composite.Elts) == 1 {
+	if isFaultType(composite.Type) && len(composite.Elts) == 1 {
 		n.add("code", composite.Elts[0])
 	}
 }
 
-// isFault reports whether a type is the wire's Fault.
-func isFault(kind ast.Expr) bool {
-	switch kind := kind.(type) {
+// isFaultType reports whether a type expression names a type Fault, of any package.
+func isFaultType(expression ast.Expr) bool {
+	switch named := expression.(type) {
 	case *ast.Ident:
-		return kind.Name == "Fault"
+		return named.Name == "Fault"
 	case *ast.SelectorExpr:
-		return kind.Sel.Name == "Fault"
+		return named.Sel.Name == "Fault"
 	}
 	return false
 }
 
-// add takes a name if the expression is a literal that may be one.
-func (n names) add(section string, expression ast.Expr) {
+// add adds the value of an expression to a section, if it is a non-empty string literal without spaces.
+func (n nameSet) add(section string, expression ast.Expr) {
 	if text, ok := literalText(expression); ok && text != "" && !strings.ContainsAny(text, " \n") {
 		n.names[section+": "+text] = true
 	}
 }
 
-// addLiteral takes a literal into the sections whose form it has.
-func (n names) addLiteral(literal *ast.BasicLit) {
+// addLiteral adds a string literal to the literals, and to each section of literalPatterns that it matches.
+func (n nameSet) addLiteral(literal *ast.BasicLit) {
 	text, ok := literalText(literal)
 	if !ok {
 		return
@@ -199,7 +200,7 @@
 	}
 }
 
-// literalText gives the text of a string literal, if the expression is one.
+// literalText returns the value of a string literal, and whether the expression is one.
 func literalText(expression ast.Expr) (string, bool) {
 	literal, ok := expression.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
--- a/internal/testing/steppedclock/steppedclock.go
+++ b/internal/testing/steppedclock/steppedclock.go
@@ -1,5 +1,5 @@
-// Package steppedclock makes test programs in which the time of day jumps all the time, while the time that passes goes on as
-// ever. Simulated time (testing/synctest) knows no such jump, so the program is built once more with another time.Now.
+// Package steppedclock runs tests under a wall clock that jumps several times a second, while the monotonic clock advances
+// normally. Simulated time (testing/synctest) has no such jumps, so the tests are built again with a modified time.Now.
 package steppedclock
 
 import (
@@ -11,26 +11,26 @@
 	"testing"
 )
 
-// The line of Go's time.Now that reads both clocks, and what follows it here: a bubble of simulated time has only the
-// time of day, so that the monotonic reading is taken from its timers; the time of day jumps up to an hour either way,
-// ten times a second.
+// readClocks is the line of Go's time.Now that reads both clocks; stepClock replaces it. In a bubble of simulated time
+// runtimeNow returns no monotonic reading, so stepClock takes it from the clock of the bubble's timers. It then shifts the
+// wall clock by a pseudo-random offset of up to an hour in either direction, which changes ten times a second.
 const (
 	readClocks = "	sec, nsec, mono := runtimeNow()\n"
 	stepClock  = readClocks + "	if mono == 0 {\n		mono = runtimeNano()\n	}\n" +
 		"	sec += int64(uint64(mono/1e8)*0x9e3779b97f4a7c15>>32)%7200 - 3600\n"
 )
 
-// Run builds the tests of the caller's package with the other time.Now, runs them with the arguments that go test is given
-// besides, and returns their output.
+// Run builds the tests of the caller's package with the modified time.Now, runs them with additional arguments of go test,
+// and returns the combined output.
 func Run(t *testing.T, arguments ...string) (output string, err error) {
 	t.Helper()
-	command := exec.Command("go", append([]string{"test", "-count=1", "-parallel=2", "-v", "-overlay=" + overlay(t), "."}, arguments...)...)
+	command := exec.Command("go", append([]string{"test", "-count=1", "-parallel=2", "-v", "-overlay=" + writeOverlay(t), "."}, arguments...)...)
 	raw, err := command.CombinedOutput()
 	return string(raw), err
 }
 
-// overlay writes what makes go build with the other time.Now, and returns its path, for the flag -overlay.
-func overlay(t *testing.T) string {
+// writeOverlay writes an overlay file that replaces time.Now, and returns its path, for the flag -overlay of the go command.
+func writeOverlay(t *testing.T) string {
 	t.Helper()
 	root, err := exec.Command("go", "env", "GOROOT").Output()
 	if err != nil {
@@ -42,13 +42,13 @@
 		t.Fatal(err)
 	}
 	if strings.Count(string(source), readClocks) != 1 {
-		t.Fatalf("%s reads the clocks otherwise than this test knows", original)
+		t.Fatalf("%s does not contain the line %q exactly once", original, readClocks)
 	}
 	folder := t.TempDir()
-	changed := filepath.Join(folder, "time.go")
+	modified := filepath.Join(folder, "time.go")
 	path := filepath.Join(folder, "overlay.json")
-	list, _ := json.Marshal(map[string]any{"Replace": map[string]string{original: changed}})
-	for name, content := range map[string]string{changed: strings.Replace(string(source), readClocks, stepClock, 1), path: string(list)} {
+	list, _ := json.Marshal(map[string]any{"Replace": map[string]string{original: modified}})
+	for name, content := range map[string]string{modified: strings.Replace(string(source), readClocks, stepClock, 1), path: string(list)} {
 		if err := os.WriteFile(name, []byte(content), 0o600); err != nil {
 			t.Fatal(err)
 		}
