--- a/internal/testing/docscheck/docscheck_test.go
+++ b/internal/testing/docscheck/docscheck_test.go
@@ -1,4 +1,4 @@
-// Package docscheck holds the pages to the tree: each file, test, metric and flag that a page names exists.
+// Package docscheck checks that each file, test, metric and flag that a page of the documentation names exists.
 package docscheck
 
 import (
@@ -14,47 +14,47 @@
 )
 
 var (
-	// codeSpan is text in backquotes.
+	// codeSpan matches text in backquotes.
 	codeSpan = regexp.MustCompile("`([^`]+)`")
 
-	// filePath is a word that may name a file or folder. A path of a URL begins with a slash and is none.
+	// filePath matches a word that may name a file or folder. The path of a URL begins with a slash and does not match.
 	filePath = regexp.MustCompile(`^\.{0,2}[\w-][\w./-]*$`)
 
-	// testName is a name of a test, wherever it stands; with dots after it, the beginning of some names.
+	// testName matches the name of a test anywhere in a line. With three dots or an ellipsis after it, it is a prefix of names.
 	testName = regexp.MustCompile(`\b((?:Test|Benchmark|Fuzz)[A-Z]\w*)(\.\.\.|…)?`)
 
-	// runPattern is what follows -run: names or their beginnings.
+	// runPattern matches the flag -run with its value, which contains names of tests or prefixes of them.
 	runPattern = regexp.MustCompile(`-run '?\S+`)
 
-	// metricName is a name of a metric, wherever it stands.
+	// metricName matches the name of a metric anywhere in a line.
 	metricName = regexp.MustCompile(`\byarrowridge_[a-z][a-z0-9_]*[a-z0-9]`)
 
-	// flagWord is a flag of a program, with its value or without.
+	// flagWord matches a flag of a program, with or without its value.
 	flagWord = regexp.MustCompile(`^--?([a-z][a-z0-9-]*)(=.*)?$`)
 )
 
-// fileSuffixes end the names of files. A page may name those of bareSuffixes without a folder; a settings file or a
-// schedule that is so named is an example.
+// fileSuffixes are the suffixes that mark a path as a file. A word without a folder is checked only if it ends in one of
+// bareSuffixes: a bare .toml or .json name is the example of a settings file or a schedule.
 var (
 	fileSuffixes = []string{".go", ".md", ".toml", ".json"}
 	bareSuffixes = []string{".go", ".md"}
 )
 
-// programs are ours; their flags are checked.
+// programs are the programs of this repository, whose flags are checked.
 var programs = map[string]bool{"router": true, "core": true, "drill": true, "platform": true}
 
-// goFlags are the flags of the go command that pages use.
+// goFlags are the flags of the go command and its tools that pages may use.
 var goFlags = map[string]bool{"bench": true, "benchtime": true, "checks": true, "count": true, "ldflags": true, "modfile": true,
 	"o": true, "parallel": true, "race": true, "run": true, "short": true, "tags": true, "timeout": true, "v": true}
 
-// histogramSuffixes end the names under which a histogram is read.
+// histogramSuffixes are the suffixes of the time series that Prometheus derives from a histogram.
 var histogramSuffixes = []string{"_bucket", "_count", "_sum"}
 
-// checker checks one page.
+// checker checks pages line by line and reports each name that does not exist.
 type checker struct {
 	tree   *tree
-	page   string // from the root
-	line   int
+	page   string // path of the current page, relative to the root
+	line   int    // number of the current line
 	report func(finding string)
 }
 
@@ -62,7 +62,7 @@
 	c := checker{tree: readTree(t)}
 	pages := listPages(t)
 	if len(pages) < 20 {
-		t.Fatalf("got %d pages, want at least 20: the walk has missed them", len(pages))
+		t.Fatalf("got %d pages, want at least 20: the walk did not find them", len(pages))
 	}
 	c.report = func(finding string) { t.Errorf("%s:%d: %s", c.page, c.line, finding) }
 	for _, page := range pages {
@@ -74,7 +74,8 @@
 	}
 }
 
-// A checker that was never seen to report counts for nothing.
+// The checker reports each kind of name that does not exist, and accepts names that do. Without this test, a checker that
+// finds nothing would pass as well.
 func TestCheckerReportsInventedNames(t *testing.T) {
 	c := checker{tree: readTree(t)}
 	reports := 0
@@ -96,11 +97,11 @@
 	c.checkPage("docs/promises.md", "`TestPagesNameWhatExists`, `docscheck/tree_test.go`, `README.md`, `../README.md`, `GET /ready`, `net/http`, "+
 		"`yarrowridge_requests_total`, `-seed`, `curl -s http://ADDRESS/v1/checks`, `go test ./internal/testing/sim -run TestPagesName -seeds 3 -v`, `TestPagesName...`, `settings.toml`")
 	if reports != before {
-		t.Errorf("names that exist: got %d reports, want none", reports-before)
+		t.Errorf("existing names: got %d reports, want none", reports-before)
 	}
 }
 
-// listPages lists the pages, from the root.
+// listPages returns the paths of the pages, relative to the root.
 func listPages(t *testing.T) []string {
 	t.Helper()
 	pages := []string{"README.md", "CONTRIBUTING.md"}
@@ -118,7 +119,7 @@
 	return pages
 }
 
-// checkPage checks a page's text line by line. Code is what stands in backquotes, in a fenced block or indented by four.
+// checkPage checks a page line by line. Text in backquotes, in a fenced block or indented by four spaces is code.
 func (c *checker) checkPage(page, text string) {
 	c.page = page
 	fenced, continued := false, false
@@ -141,7 +142,7 @@
 	}
 }
 
-// checkNames checks the tests and metrics that a line names.
+// checkNames checks the names of tests and metrics in a line.
 func (c *checker) checkNames(line string) {
 	patterns := strings.Join(runPattern.FindAllString(line, -1), " ")
 	for _, match := range testName.FindAllStringSubmatch(line, -1) {
@@ -157,11 +158,11 @@
 	}
 }
 
-// checkCode checks the paths and flags of a piece of code.
+// checkCode checks the paths in a line or span of code, and the flags of the command that it begins with.
 func (c *checker) checkCode(code string) {
 	words := strings.Fields(code)
 	for len(words) > 0 && strings.Contains(words[0], "=") {
-		words = words[1:] // variables that are set for a command
+		words = words[1:] // skip environment variables that are set for the command
 	}
 	if len(words) == 0 {
 		return
@@ -177,7 +178,7 @@
 	}
 }
 
-// flagsOf tells which flags a command has; nil where the command is none of ours.
+// flagsOf returns a function that reports whether a command has a flag, or nil if the flags of the command are not checked.
 func (c *checker) flagsOf(command string) func(flag string) bool {
 	switch {
 	case programs[path.Base(command)]:
@@ -192,7 +193,7 @@
 	return nil
 }
 
-// checkPath checks a word, if it looks like a file or folder of the repository.
+// checkPath checks that a word exists as a path, if it looks like a file or folder of the repository.
 func (c *checker) checkPath(word string) {
 	word = strings.TrimSuffix(strings.TrimSuffix(strings.TrimPrefix(word, "./"), "/..."), "/")
 	if !filePath.MatchString(word) {
@@ -206,7 +207,7 @@
 	}
 }
 
-// hasTest reports whether a test of that name exists, or one whose name begins so.
+// hasTest reports whether a test with this name exists or, if isPrefix is set, one whose name begins with it.
 func (found *tree) hasTest(name string, isPrefix bool) bool {
 	if !isPrefix {
 		return found.tests[name]
@@ -219,7 +220,7 @@
 	return false
 }
 
-// hasMetric reports whether a metric exists, by its own name or by one under which a histogram is read.
+// hasMetric reports whether a name is that of a metric, or of a time series that Prometheus derives from a histogram.
 func (found *tree) hasMetric(name string) bool {
 	if found.metrics[name] {
 		return true
--- a/internal/testing/docscheck/logs_test.go
+++ b/internal/testing/docscheck/logs_test.go
@@ -11,10 +11,10 @@
 	"testing"
 )
 
-// onCallPage lists each warning and error that the programs log, with what to do.
+// onCallPage lists each warning and error that the programs log, with the action to take.
 const onCallPage = "docs/operators/on-call.md"
 
-// Whoever is on call finds each warning and error on the page: no line is missing, and none is listed that no longer exists.
+// The on-call page lists exactly the warnings and errors that the programs log: none is missing, and none is obsolete.
 func TestOnCallPageListsLogLines(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(moduleRoot, onCallPage))
 	if err != nil {
@@ -22,7 +22,7 @@
 	}
 	logged := loggedTexts(t)
 	if len(logged) < 25 {
-		t.Fatalf("got %d log lines in the sources, want at least 25: the walk has missed the code", len(logged))
+		t.Fatalf("got %d log lines in the sources, want at least 25: the walk did not reach all of the code", len(logged))
 	}
 	for text, file := range logged {
 		if !strings.Contains(string(page), "`"+text+"`") {
@@ -36,7 +36,7 @@
 	}
 }
 
-// loggedTexts leads from each text that the programs log as a warning or an error to a file that logs it.
+// loggedTexts maps each text that the programs log as a warning or an error to a file that logs it.
 func loggedTexts(t *testing.T) map[string]string {
 	t.Helper()
 	logged := map[string]string{}
@@ -68,7 +68,7 @@
 	return logged
 }
 
-// loggedText is the text of a call that logs a warning or an error, or "".
+// loggedText returns the text of a call that logs a warning or an error, or "" for other nodes.
 func loggedText(node ast.Node) string {
 	call, ok := node.(*ast.CallExpr)
 	if !ok || len(call.Args) == 0 {
@@ -81,7 +81,7 @@
 	return literal(call.Args[0])
 }
 
-// listedTexts are the log lines in the first column of the page's last table.
+// listedTexts returns the texts in backquotes in the first column of the table below "## Log lines".
 func listedTexts(page string) []string {
 	var texts []string
 	_, table, _ := strings.Cut(page, "## Log lines")
--- a/internal/testing/docscheck/tree_test.go
+++ b/internal/testing/docscheck/tree_test.go
@@ -12,27 +12,27 @@
 	"testing"
 )
 
-// moduleRoot is the repository, seen from this package.
+// moduleRoot is the root of the repository, relative to this package.
 const moduleRoot = "../../.."
 
-// tree is what the repository has that a page may name.
+// tree contains the names in the repository that a page may refer to.
 type tree struct {
-	paths       map[string]bool // files and folders, from the root
-	topFolders  map[string]bool // at the root
-	folderNames map[string]bool // last parts of the folders' paths
-	tests       map[string]bool // functions TestXxx, BenchmarkXxx and FuzzXxx
+	paths       map[string]bool // files and folders, relative to the root
+	topFolders  map[string]bool // folders at the root
+	folderNames map[string]bool // base names of all folders
+	tests       map[string]bool // names of functions TestXxx, BenchmarkXxx and FuzzXxx
 	metrics     map[string]bool
-	flags       map[string]bool // of our programs
-	testFlags   map[string]bool // of our tests
+	flags       map[string]bool // flags of the programs
+	testFlags   map[string]bool // flags of the tests
 }
 
-// flagDefinition is the name of a method or function of the package flag that defines a flag.
+// flagDefinition matches the name of a method or function of package flag that defines a flag.
 var flagDefinition = regexp.MustCompile(`^(Bool|Int|Int64|Uint|Uint64|String|Float64|Duration|Text)?(Var|Func)?$`)
 
-// testFunction is the name of a function that go test runs.
+// testFunction matches the name of a function that go test runs.
 var testFunction = regexp.MustCompile(`^(Test|Benchmark|Fuzz)[A-Z]`)
 
-// readTree walks the repository.
+// readTree walks the repository and collects the names that a page may refer to.
 func readTree(t *testing.T) *tree {
 	t.Helper()
 	found := &tree{paths: map[string]bool{}, topFolders: map[string]bool{}, folderNames: map[string]bool{}, tests: map[string]bool{}, metrics: map[string]bool{},
@@ -46,7 +46,7 @@
 			return err
 		}
 		if entry.IsDir() && (name == ".git" || name == "bin" || name == "data" || name == "target") {
-			return filepath.SkipDir // git's own, and what a build or a run leaves
+			return filepath.SkipDir // files of git, builds and runs
 		}
 		name = filepath.ToSlash(name)
 		found.paths[name] = true
@@ -66,14 +66,14 @@
 	return found
 }
 
-// readSource takes the tests, metrics and flags from a source file.
+// readSource adds the tests, metrics and flags that a source file defines.
 func (found *tree) readSource(path string) error {
 	parsed, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	if err != nil {
 		return err
 	}
 	isTest := strings.HasSuffix(path, "_test.go")
-	isProduct := !strings.Contains(path, "/testing/") // the drill and the model check read metrics, and define none
+	isProduct := !strings.Contains(path, "/testing/") // the drill and the model check read metrics, but do not define any
 	flags := found.flags
 	if isTest {
 		flags = found.testFlags
@@ -102,13 +102,13 @@
 	return nil
 }
 
-// definedFlag is the name of the flag that a call defines, or "".
+// definedFlag returns the name of the flag that a call defines, or "".
 func definedFlag(call *ast.CallExpr) string {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || !flagDefinition.MatchString(method.Sel.Name) {
 		return ""
 	}
-	for _, argument := range call.Args[:min(2, len(call.Args))] { // the name comes first, or after the variable
+	for _, argument := range call.Args[:min(2, len(call.Args))] { // the name is the first argument, or the second after the variable
 		if name := literal(argument); name != "" {
 			return name
 		}
@@ -116,8 +116,8 @@
 	return ""
 }
 
-// settingName is the name of the setting that an element of a list of settings defines, or "". Each setting of a daemon
-// is a flag as well.
+// settingName returns the name of the setting that a composite literal with the fields Name and Kind defines, or "". Each
+// setting of a daemon is also a flag.
 func settingName(element *ast.CompositeLit) string {
 	isSetting, name := false, ""
 	for _, field := range element.Elts {
@@ -138,7 +138,7 @@
 	return name
 }
 
-// literal is the value of a string literal, or "".
+// literal returns the value of a string literal, or "" for other expressions.
 func literal(expression ast.Expr) string {
 	basic, ok := expression.(*ast.BasicLit)
 	if !ok || basic.Kind != token.STRING {
@@ -148,8 +148,8 @@
 	return text
 }
 
-// hasPath reports whether a path exists as a page on which it stands may name it: from the root, from the page's folder,
-// or as the end of one, such as core/history.go.
+// hasPath reports whether a path that a page names exists: relative to the root, relative to the folder of the page, or as
+// the end of a longer path, such as core/history.go.
 func (found *tree) hasPath(page, path string) bool {
 	if found.paths[path] || found.paths[filepath.ToSlash(filepath.Join(filepath.Dir(page), path))] {
 		return true
