--- a/internal/testing/compat/frames_test.go
+++ b/internal/testing/compat/frames_test.go
@@ -44,7 +44,7 @@
 	for _, size := range []int{5, 6000, 6000} {
 		request, response := coreapi.StoredConfig{Version: 7, Raw: bytes.Repeat([]byte("x"), size)}, coreapi.StoredConfig{}
 		if err := calls.Call(ctx, "far", "test.echo", &request, &response); err != nil || !bytes.Equal(response.Raw, request.Raw) {
-			t.Fatalf("echo of %d bytes: got %d bytes or other contents, error %v", size, len(response.Raw), err)
+			t.Fatalf("echo of %d bytes: got a response of %d bytes, error %v, want the same bytes", size, len(response.Raw), err)
 		}
 	}
 	if err := calls.Call(ctx, "far", "test.refuse", &coreapi.Empty{}, nil); !wire.HasCode(err, "no-such-test") {
--- a/internal/testing/compat/names_test.go
+++ b/internal/testing/compat/names_test.go
@@ -31,8 +31,8 @@
 // a code becomes a constant, so it is enough that the sources contain such a name as a literal.
 var movableSections = []string{"code", "flag or setting"}
 
-// internalCalls are the functions and methods whose literals do not have to stay: those that log, and the switches of fault
-// injection.
+// internalCalls are the functions and methods whose literals other processes, scripts and operators do not depend on: log
+// calls, and the switches of fault injection.
 var internalCalls = map[string]bool{"Debug": true, "Info": true, "Warn": true, "Error": true, "With": true, "WithComponent": true, "Disabled": true}
 
 // The sources still contain every name that processes of other releases, scripts or operators read, and each new name has
