--- a/internal/controlplane/runnerregistry/registry.go
+++ b/internal/controlplane/runnerregistry/registry.go
@@ -125,8 +125,8 @@
 			continue
 		}
 		state := entry.runner.State
-		if age > r.timeout && state != routing.RunnerGone && state != routing.RunnerSilent {
-			entry.runner.State = routing.RunnerSilent
+		if age > r.timeout && state != routing.RunnerGone && state != routing.RunnerTimedOut {
+			entry.runner.State = routing.RunnerTimedOut
 			r.version++
 			entry.version = r.version
 		}
--- a/internal/controlplane/runnerregistry/registry_test.go
+++ b/internal/controlplane/runnerregistry/registry_test.go
@@ -138,11 +138,11 @@
 	}
 	r.now = r.now.Add(200 * time.Millisecond)
 	response := r.response(1, known)
-	if len(response.Runners) != 2 || response.Runners[0].State != routing.RunnerSilent || response.Runners[1].State != routing.RunnerSilent {
+	if len(response.Runners) != 2 || response.Runners[0].State != routing.RunnerTimedOut || response.Runners[1].State != routing.RunnerTimedOut {
 		t.Errorf("got runners %+v after the timeout, want both timed out", response.Runners)
 	}
-	if r.heartbeat("a", 1, routing.RunnerReady); r.state("a") != routing.RunnerSilent {
-		t.Errorf("got state %q after a repeated heartbeat, want %q", r.state("a"), routing.RunnerSilent)
+	if r.heartbeat("a", 1, routing.RunnerReady); r.state("a") != routing.RunnerTimedOut {
+		t.Errorf("got state %q after a repeated heartbeat, want %q", r.state("a"), routing.RunnerTimedOut)
 	}
 	if !r.heartbeat("a", 2, routing.RunnerReady) {
 		t.Error("got no notification of a return, want one")
@@ -154,8 +154,8 @@
 	if got := r.state("b"); got != "" {
 		t.Errorf("got state %q a minute after the last heartbeat, want the runner removed", got)
 	}
-	if got := r.state("a"); got != routing.RunnerSilent {
-		t.Errorf("got state %q 56 s after the last heartbeat, want %q", got, routing.RunnerSilent)
+	if got := r.state("a"); got != routing.RunnerTimedOut {
+		t.Errorf("got state %q 56 s after the last heartbeat, want %q", got, routing.RunnerTimedOut)
 	}
 }
 
@@ -248,12 +248,12 @@
 	if response := r.response(complete.RunnersEpoch, complete.RunnersVersion); response.RunnersEpoch != complete.RunnersEpoch || response.RunnersComplete || len(response.Runners) > 0 {
 		t.Errorf("got %+v right after a pause, want the same epoch and no runners", response)
 	}
-	if a, timedOut := r.state("a"), r.state("timed-out"); a != routing.RunnerReady || timedOut != routing.RunnerSilent {
-		t.Errorf("got states %q and %q right after a pause, want %q and %q", a, timedOut, routing.RunnerReady, routing.RunnerSilent)
+	if a, timedOut := r.state("a"), r.state("timed-out"); a != routing.RunnerReady || timedOut != routing.RunnerTimedOut {
+		t.Errorf("got states %q and %q right after a pause, want %q and %q", a, timedOut, routing.RunnerReady, routing.RunnerTimedOut)
 	}
 	r.now = r.now.Add(resumeGrace + 200*time.Millisecond)
-	if got := r.state("a"); got != routing.RunnerSilent {
-		t.Errorf("got state %q without a heartbeat after the pause, want %q", got, routing.RunnerSilent)
+	if got := r.state("a"); got != routing.RunnerTimedOut {
+		t.Errorf("got state %q without a heartbeat after the pause, want %q", got, routing.RunnerTimedOut)
 	}
 }
 
--- a/internal/controlplane/runnerregistry/storage.go
+++ b/internal/controlplane/runnerregistry/storage.go
@@ -25,7 +25,7 @@
 // removal of one that is gone, is committed before Save returns, so that a primary that takes over does not direct routers
 // to it again. A ready runner is stored asynchronously. The only errors are those of Submit.
 func (s Storage) Save(ctx context.Context, runner routing.Runner) error {
-	if runner.ID == "" || runner.State == routing.RunnerSilent {
+	if runner.ID == "" || runner.State == routing.RunnerTimedOut {
 		return nil
 	}
 	if stored, ok := s.Load(runner.ID); ok == (runner.State != routing.RunnerGone) && (!ok || stored.SaysSame(runner)) {
@@ -78,7 +78,7 @@
 // out: a draining runner has to stay draining.
 func (s Storage) SaveTimedOut(known []routing.Runner) {
 	for _, runner := range known {
-		if runner.State != routing.RunnerSilent {
+		if runner.State != routing.RunnerTimedOut {
 			continue
 		}
 		if stored, ok := s.Load(runner.ID); !ok || stored.State != routing.RunnerReady {
--- a/internal/controlplane/runnerregistry/storage_test.go
+++ b/internal/controlplane/runnerregistry/storage_test.go
@@ -161,8 +161,8 @@
 		}
 		time.Sleep(2 * time.Second)
 		sweep()
-		if got := stateAfterRestart(); got != routing.RunnerSilent {
-			t.Errorf("got state %q from the disk after the timeout, want %q", got, routing.RunnerSilent)
+		if got := stateAfterRestart(); got != routing.RunnerTimedOut {
+			t.Errorf("got state %q from the disk after the timeout, want %q", got, routing.RunnerTimedOut)
 		}
 		before := r.committed.Version()
 		sweep()
--- a/internal/dataplane/balance/choose_test.go
+++ b/internal/dataplane/balance/choose_test.go
@@ -224,7 +224,7 @@
 func TestStalledRunners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := readyRunners(2)
-		list[0].State = routing.RunnerSilent
+		list[0].State = routing.RunnerTimedOut
 		b := balancerOf(list)
 		for range 10 {
 			if id := chosen(b, Request{Service: "s"}); id != "life-1" {
--- a/internal/dataplane/balance/ejection.go
+++ b/internal/dataplane/balance/ejection.go
@@ -23,13 +23,13 @@
 // usable reports whether the runner may receive requests for the model, and whether only as a last resort. The caller
 // holds r.mu.
 func (r *Runner) usable(model string, now time.Time) (usable, ejected bool) {
-	if r.info.State != routing.RunnerReady && r.info.State != routing.RunnerSilent {
+	if r.info.State != routing.RunnerReady && r.info.State != routing.RunnerTimedOut {
 		return false, false
 	}
 	if !servesModel(&r.info, model) {
 		return false, false
 	}
-	ejected = r.info.State == routing.RunnerSilent || now.Before(r.ejectedUntil) || r.stalled(now) ||
+	ejected = r.info.State == routing.RunnerTimedOut || now.Before(r.ejectedUntil) || r.stalled(now) ||
 		r.currentFleetFailureRate(now) >= fleetEjectionRate ||
 		r.failuresInRow > 0 && len(r.inFlight) > 0 // after a failure, one request at a time probes the runner
 	return true, ejected
--- a/internal/dataplane/balance/session_test.go
+++ b/internal/dataplane/balance/session_test.go
@@ -163,7 +163,7 @@
 	for _, returnedID := range []string{"a", "a2"} {
 		f := newSessionFleet(t, 3, "a", "b", "c", "d")
 		before := f.serve(200)
-		f.setState("a", routing.RunnerSilent)
+		f.setState("a", routing.RunnerTimedOut)
 		served := f.serve(200)
 		if returnedID == "a2" {
 			before = nil // its cache is lost
@@ -311,7 +311,7 @@
 	}
 	group.Go(func() {
 		for i := range 50 {
-			f.setState("a", []routing.RunnerState{routing.RunnerReady, routing.RunnerSilent}[i%2])
+			f.setState("a", []routing.RunnerState{routing.RunnerReady, routing.RunnerTimedOut}[i%2])
 			f.add(fmt.Sprint("new ", i))
 		}
 	})
--- a/internal/dataplane/registry/merge.go
+++ b/internal/dataplane/registry/merge.go
@@ -31,8 +31,8 @@
 	switch {
 	case known.runner.State == routing.RunnerGone:
 		return false
-	case next.State == routing.RunnerSilent:
-		return known.runner.State != routing.RunnerSilent &&
+	case next.State == routing.RunnerTimedOut:
+		return known.runner.State != routing.RunnerTimedOut &&
 			(next.Sequence >= known.runner.Sequence || !known.isFresh())
 	}
 	return next.Sequence > known.runner.Sequence
--- a/internal/dataplane/registry/registry_test.go
+++ b/internal/dataplane/registry/registry_test.go
@@ -43,13 +43,13 @@
 	}{
 		{runner("a", 2, routing.RunnerReady), "a:ready "},
 		{runner("a", 1, routing.RunnerDraining), "a:ready "},
-		{runner("a", 2, routing.RunnerSilent), "a:silent "},
+		{runner("a", 2, routing.RunnerTimedOut), "a:silent "},
 		{runner("a", 2, routing.RunnerReady), "a:silent "},
 		{runner("a", 3, routing.RunnerReady), "a:ready "},
 		{runner("a", 3, routing.RunnerDraining), "a:ready "},
 		{runner("a", 4, routing.RunnerDraining), "a:draining "},
 		{runner("a", 5, routing.RunnerGone), "a:gone "},
-		{runner("a", 5, routing.RunnerSilent), "a:gone "},
+		{runner("a", 5, routing.RunnerTimedOut), "a:gone "},
 		{runner("a", 9, routing.RunnerReady), "a:gone "},
 	} {
 		reg.ApplyRecord(record(t, step.report))
@@ -211,12 +211,12 @@
 		}
 		state := func() routing.RunnerState { return reg.List()[0].State }
 		apply(report(routing.RunnerReady, 9))
-		apply(report(routing.RunnerSilent, 3))
-		if state() != routing.RunnerSilent {
+		apply(report(routing.RunnerTimedOut, 3))
+		if state() != routing.RunnerTimedOut {
 			t.Errorf("got state %s, want silent", state())
 		}
 		reg.ApplyRecord(record(t, report(routing.RunnerReady, 10)))
-		apply(report(routing.RunnerSilent, 9))
+		apply(report(routing.RunnerTimedOut, 9))
 		if state() != routing.RunnerReady {
 			t.Errorf("after a heartbeat that was just pushed: got state %s, want ready", state())
 		}
--- a/internal/model/routing/runner.go
+++ b/internal/model/routing/runner.go
@@ -21,7 +21,7 @@
 	RunnerReady    RunnerState = "ready"
 	RunnerDraining RunnerState = "draining" // serves what it has, takes nothing new
 	RunnerGone     RunnerState = "gone"     // has left
-	RunnerSilent   RunnerState = "silent"   // no heartbeat for too long
+	RunnerTimedOut RunnerState = "silent"   // no heartbeat for too long
 )
 
 // RunnerModel is a model that a runner serves.
--- a/internal/testing/sim/registry_test.go
+++ b/internal/testing/sim/registry_test.go
@@ -161,7 +161,7 @@
 		if !f.knownAs(regs, all[10].runner.ID, routing.RunnerReady) {
 			t.Error("a runner unheard for 3 s is not ready any more")
 		}
-		f.within(2500*time.Millisecond, "the silent one is known", func() bool { return f.knownAs(regs, all[10].runner.ID, routing.RunnerSilent) })
+		f.within(2500*time.Millisecond, "the silent one is known", func() bool { return f.knownAs(regs, all[10].runner.ID, routing.RunnerTimedOut) })
 		all[10].hush(false)
 		f.within(1500*time.Millisecond, "its return is known", func() bool { return f.knownAs(regs, all[10].runner.ID, routing.RunnerReady) })
 		// Leaving is final, also for a late word and for a router that starts anew.
@@ -209,7 +209,7 @@
 			if !f.knownAs(regs, lives.runner.ID, routing.RunnerReady) {
 				t.Fatal("the living runner is not known as ready")
 			}
-			return f.knownAs(regs, dies.runner.ID, "") || f.knownAs(regs, dies.runner.ID, routing.RunnerSilent)
+			return f.knownAs(regs, dies.runner.ID, "") || f.knownAs(regs, dies.runner.ID, routing.RunnerTimedOut)
 		})
 		t.Logf("not ready after %s", took)
 	})
