--- a/internal/controlplane/runnerregistry/registry.go
+++ b/internal/controlplane/runnerregistry/registry.go
@@ -100,7 +100,7 @@
 		return known.notified
 	}
 	known.runner, known.heartbeatAt = runner, now
-	if !old.SaysSame(runner) {
+	if !old.EqualForRouting(runner) {
 		r.version++
 		known.version = r.version
 	}
--- a/internal/controlplane/runnerregistry/storage.go
+++ b/internal/controlplane/runnerregistry/storage.go
@@ -28,7 +28,7 @@
 	if runner.ID == "" || runner.State == routing.RunnerTimedOut {
 		return nil
 	}
-	if stored, ok := s.Load(runner.ID); ok == (runner.State != routing.RunnerGone) && (!ok || stored.SaysSame(runner)) {
+	if stored, ok := s.Load(runner.ID); ok == (runner.State != routing.RunnerGone) && (!ok || stored.EqualForRouting(runner)) {
 		return nil
 	}
 	apply := func(tx *transaction.Tx) error {
--- a/internal/dataplane/registry/merge.go
+++ b/internal/dataplane/registry/merge.go
@@ -21,7 +21,7 @@
 		return false, false
 	}
 	r.runners[runner.ID] = entry{runner: runner, pushedAt: old.pushedAt}
-	return true, !known || !old.runner.SaysSame(runner)
+	return true, !known || !old.runner.EqualForRouting(runner)
 }
 
 // supersedes reports whether a report of a runner replaces the known one. A runner that has left stays gone. Silent is the
--- a/internal/model/routing/runner.go
+++ b/internal/model/routing/runner.go
@@ -44,9 +44,9 @@
 	Sequence     uint64        `msg:"q" json:"sequence"` // goes up with every heartbeat
 }
 
-// SaysSame reports whether two words of one runner say the same to routers: all but the heartbeats' numbers and how
+// EqualForRouting reports whether two words of one runner say the same to routers: all but the heartbeats' numbers and how
 // long exactly it stays slow.
-func (r Runner) SaysSame(other Runner) bool {
+func (r Runner) EqualForRouting(other Runner) bool {
 	return r.State == other.State && r.Address == other.Address && r.Service == other.Service && r.Zone == other.Zone &&
 		r.Slots == other.Slots && r.Phase == other.Phase && (r.WarmupLeftMs > 0) == (other.WarmupLeftMs > 0) &&
 		slices.Equal(r.Models, other.Models)
