--- a/internal/dataplane/gateway/request.go
+++ b/internal/dataplane/gateway/request.go
@@ -124,7 +124,7 @@
 	if route.Public || len(table.Tenants) == 0 {
 		return nil, true
 	}
-	index, known := table.TenantOf(key)
+	index, known := table.TenantByKey(key)
 	if !known {
 		return nil, false
 	}
--- a/internal/model/routing/table.go
+++ b/internal/model/routing/table.go
@@ -266,8 +266,8 @@
 	return nil
 }
 
-// TenantOf finds the tenant that holds a key.
-func (t *Table) TenantOf(key string) (index int, known bool) {
+// TenantByKey finds the tenant that holds a key.
+func (t *Table) TenantByKey(key string) (index int, known bool) {
 	index, known = t.keys[key]
 	return index, known
 }
--- a/internal/model/routing/table_test.go
+++ b/internal/model/routing/table_test.go
@@ -179,7 +179,7 @@
 	}
 	for key, want := range map[string]string{"key-1": "pier", "key-2": "pier", "key-3": "slip", "key-4": "", "": "", "KEY-1": ""} {
 		got := ""
-		if index, known := table.TenantOf(key); known {
+		if index, known := table.TenantByKey(key); known {
 			got = table.Tenants[index].Name
 		}
 		if got != want {
