--- a/internal/dataplane/router/gatewaysettings.go
+++ b/internal/dataplane/router/gatewaysettings.go
@@ -25,7 +25,7 @@
 	GracePeriod      time.Duration // from the stop signal until the process is killed
 	MemoryLimit      int64         // bytes; 0: none
 	Dialect          gateway.Dialect
-	ParseTable       func(raw []byte) (*routing.Table, []routing.Flaw)
+	ParseTable       func(raw []byte) (*routing.Table, []routing.FieldError)
 	ReadinessHandler func(notReadyReason func() string) (http.Handler, error) // for readiness probes
 	Metrics          metrics.Endpoint                                         // where the router's metrics are served
 
--- a/internal/model/routing/table.go
+++ b/internal/model/routing/table.go
@@ -124,14 +124,14 @@
 	UncachedTokens int
 }
 
-// Flaw is one reason why a configuration is invalid.
-type Flaw struct {
+// FieldError is one reason why a configuration is invalid.
+type FieldError struct {
 	Path string `json:"path"`
 	Text string `json:"text"`
 }
 
 // Error joins path and text.
-func (f Flaw) Error() string { return f.Path + ": " + f.Text }
+func (f FieldError) Error() string { return f.Path + ": " + f.Text }
 
 // Idempotent reports whether a request of this route may be sent again after it may have run.
 func (r *Route) Idempotent() bool {
@@ -139,7 +139,7 @@
 }
 
 // Build checks a configuration whole. With any flaw it returns no table.
-func Build(spec Spec) (*Table, []Flaw) {
+func Build(spec Spec) (*Table, []FieldError) {
 	b := &builder{
 		table:    &Table{Revision: spec.Revision, Services: spec.Services, Limits: spec.Limits, hosts: map[string][]int{}, keys: map[string]int{}},
 		services: map[string]int{},
@@ -157,11 +157,11 @@
 type builder struct {
 	table    *Table
 	services map[string]int
-	flaws    []Flaw
+	flaws    []FieldError
 }
 
 func (b *builder) flaw(path, format string, args ...any) {
-	b.flaws = append(b.flaws, Flaw{Path: path, Text: fmt.Sprintf(format, args...)})
+	b.flaws = append(b.flaws, FieldError{Path: path, Text: fmt.Sprintf(format, args...)})
 }
 
 func (b *builder) addServices(services []Service) {
