--- a/internal/model/routing/table.go
+++ b/internal/model/routing/table.go
@@ -102,9 +102,9 @@
 // Route is one checked route.
 type Route struct {
 	RouteSpec
-	Index int
-	Split []Split
-	Total int // sum of the weights
+	Index       int
+	Split       []Split
+	TotalWeight int // sum of the weights
 }
 
 // Split is one service's part of a route by index.
@@ -208,9 +208,9 @@
 				b.flaw(path, "a weight of zero or more is expected, got %d", part.Weight)
 			}
 			route.Split = append(route.Split, Split{Service: service, Weight: part.Weight})
-			route.Total += part.Weight
+			route.TotalWeight += part.Weight
 		}
-		if route.Total <= 0 {
+		if route.TotalWeight <= 0 {
 			b.flaw(path, "the weights add up to nothing")
 		}
 		b.table.Routes = append(b.table.Routes, route)
@@ -274,7 +274,7 @@
 
 // Pick chooses the service of a route for a number that is spread evenly over all numbers.
 func (r *Route) Pick(number uint64) int {
-	at := int(number % uint64(r.Total))
+	at := int(number % uint64(r.TotalWeight))
 	for _, part := range r.Split {
 		if at -= part.Weight; at < 0 {
 			return part.Service
