--- a/internal/controlplane/configuration/fleetcodec.go
+++ b/internal/controlplane/configuration/fleetcodec.go
@@ -8,7 +8,7 @@
 )
 
 // defaultMaxFinishedKeys is the maximum number of finished keys stored if the configuration sets none.
-const defaultMaxFinishedKeys = fleetconfig.RanMost
+const defaultMaxFinishedKeys = fleetconfig.DefaultMaxFinishedKeys
 
 // FleetCodec decodes fleet configurations (package fleetconfig). They carry no version of their own: the core assigns it.
 type FleetCodec struct{}
--- a/internal/model/fleetconfig/config.go
+++ b/internal/model/fleetconfig/config.go
@@ -12,9 +12,9 @@
 // MaxBytes is the largest document taken, in bytes.
 const MaxBytes = 1 << 20
 
-// RanMost is how many once-only keys that ran are kept unless the config says otherwise: three days at
+// DefaultMaxFinishedKeys is how many once-only keys that ran are kept unless the config says otherwise: three days at
 // 60 a second.
-const RanMost = 16_000_000
+const DefaultMaxFinishedKeys = 16_000_000
 
 // FieldError is one thing wrong with a config, named by its path.
 type FieldError struct {
--- a/internal/model/fleetconfig/parse.go
+++ b/internal/model/fleetconfig/parse.go
@@ -213,5 +213,5 @@
 		OpenRequests:         p.integer("limits.open", value.Get("open"), 1, 1_000_000, 4000),
 		ClaimRetention:       time.Duration(p.integer("limits.claim_keep_s", value.Get("claim_keep_s"), 10, 86400, 3600)) * time.Second,
 		FinishedKeyRetention: time.Duration(p.integer("limits.ran_keep_s", value.Get("ran_keep_s"), 10, 90*86400, 2*86400)) * time.Second,
-		MaxFinishedKeys:      p.integer("limits.ran_most", value.Get("ran_most"), 1, 100_000_000, RanMost)}
+		MaxFinishedKeys:      p.integer("limits.ran_most", value.Get("ran_most"), 1, 100_000_000, DefaultMaxFinishedKeys)}
 }
