--- a/internal/model/routing/digest_test.go
+++ b/internal/model/routing/digest_test.go
@@ -5,39 +5,39 @@
 	"testing"
 )
 
-// The digest sees every field that routers must know, where one ends and the next begins, and nothing else.
+// The digest depends on every field that routers need to know and on the boundaries between fields, and on nothing else.
 func TestDigest(t *testing.T) {
 	base := Runner{ID: "a", Service: "chat", Address: "10.0.0.1:8000", Zone: "z1", State: RunnerReady, Slots: 4, Phase: "serving",
 		Models: []RunnerModel{{"m", 1}, {"n", 2}}, Sequence: 7}
 	same := base
 	same.Sequence = 99
 	if same.Digest() != base.Digest() {
-		t.Error("a heartbeat's number changes the digest")
+		t.Error("got another digest after a change of Sequence, want the same")
 	}
 	warm, warmer := base, base
 	warm.WarmupLeftMs, warmer.WarmupLeftMs = 10, 900
 	if warm.Digest() != warmer.Digest() || warm.Digest() == base.Digest() {
-		t.Error("whether a runner is warming up counts, how long it goes on does not")
+		t.Error("got a digest that depends on the length of the warm-up or ignores it, want one that depends only on whether the runner is warming up")
 	}
 	seen := map[uint64]string{base.Digest(): "base"}
 	for name, change := range map[string]func(*Runner){
 		"id": func(r *Runner) { r.ID = "b" }, "service": func(r *Runner) { r.Service = "x" }, "address": func(r *Runner) { r.Address = "10.0.0.2:8000" },
 		"zone": func(r *Runner) { r.Zone = "z2" }, "state": func(r *Runner) { r.State = RunnerDraining }, "slots": func(r *Runner) { r.Slots = 5 },
-		"phase": func(r *Runner) { r.Phase = "warm" }, "a model less": func(r *Runner) { r.Models = r.Models[:1] },
+		"phase": func(r *Runner) { r.Phase = "warm" }, "one model fewer": func(r *Runner) { r.Models = r.Models[:1] },
 		"a revision":          func(r *Runner) { r.Models = []RunnerModel{{"m", 1}, {"n", 3}} },
 		"fields run together": func(r *Runner) { r.ID, r.Service = "ac", "hat" },
 	} {
 		changed := base
 		change(&changed)
-		if other, clash := seen[changed.Digest()]; clash {
-			t.Errorf("%s reads like %s", name, other)
+		if other, collision := seen[changed.Digest()]; collision {
+			t.Errorf("changed %s: got the digest of %s, want another", name, other)
 		}
 		seen[changed.Digest()] = name
 	}
 }
 
-// Runners that change alike, as in a release, change what their digests come to together.
-func TestDigestsOfRunnersThatChangeAlike(t *testing.T) {
+// The XOR of two runners' digests changes if both runners change in the same way, as in a release.
+func TestDigestsDoNotCancelOut(t *testing.T) {
 	const runners = 300
 	digest := func(number, revision int) uint64 {
 		runner := Runner{ID: fmt.Sprintf("i-%010x", number), Service: "s", Address: fmt.Sprintf("10.0.0.%d:80", number), State: RunnerReady,
--- a/internal/model/routing/quota.go
+++ b/internal/model/routing/quota.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// QuotaUnit is what a tenant's quota counts.
+// QuotaUnit is the unit in which a tenant's quota is counted.
 type QuotaUnit int
 
-// The units of quotas.
+// Units of quotas.
 const (
-	CountRequests QuotaUnit = iota // each request counts one
-	CountTokens                    // a request counts the tokens that go in and the most that may come out
+	CountRequests QuotaUnit = iota // each request costs one unit
+	CountTokens                    // a request costs its input tokens plus its maximum of output tokens
 )
 
-// Cost is how many units of its quota a request of the tenant counts. told: the request says how many tokens it has.
-func (t *Tenant) Cost(tokens int, told bool) int {
+// Cost returns how many units of the tenant's quota a request costs. known reports whether the request states its tokens;
+// if it does not, tokens is ignored.
+func (t *Tenant) Cost(tokens int, known bool) int {
 	switch {
 	case t.Unit == CountRequests:
 		return 1
-	case told:
+	case known:
 		return tokens
 	}
 	return t.UncachedTokens
 }
 
-// QuotaName names the tenant's quota. Each unit has a quota of its own: when a configuration changes the unit, what was
-// spent in the one says nothing about the other.
+// QuotaName returns the name under which the tenant's quota is tracked. Each unit has its own quota: if a configuration
+// changes the unit, what was spent in the old unit cannot be converted to the new one.
 func (t *Tenant) QuotaName() string {
 	if t.Unit == CountTokens {
 		return "tokens\x00" + t.Name
@@ -31,38 +32,38 @@
 	return t.Name
 }
 
-// roundingSlack keeps a sum of fractions that comes to a whole number from being rounded to the one below.
+// roundingSlack compensates for floating-point error, which could make a sum that is a whole number truncate to the one below.
 const roundingSlack = 1e-9
 
-// quotaPeriods is into how many periods the window of a quota is cut where requests are counted. A third of the requests in
-// each third of the window keeps the whole window's limit, and what a router that died may have spent is known to be
-// past after a third of the time. Where tokens are counted the window stays whole: one request may cost a large part of
-// a third, and what the heavy tail of the costs uses in one third it leaves in the next.
+// quotaPeriods is the number of periods into which the window of a quota is divided if requests are counted. A third of the
+// limit in each third of the window keeps within the limit of the window, and whatever a failed router may have spent
+// expires after a third of the window. If tokens are counted, the window is not divided: one request may cost a large part
+// of a third, and as costs are heavy-tailed, expensive and cheap thirds balance out only over the full window.
 const quotaPeriods = 3
 
-// QuotaRule tells how tenants' rates are judged.
+// QuotaRule defines how a tenant's quota follows from its rate and burst.
 type QuotaRule struct {
-	Window    time.Duration // any window sees at most rate x window + burst units
-	Overshoot float64       // part of that by which a window may exceed it
-	Allowance float64       // and units on top
+	Window    time.Duration // in any window at most rate x window + burst units are spent
+	Overshoot float64       // fraction of that limit by which a window may exceed it
+	Allowance float64       // units by which a window may exceed it in addition
 }
 
-// Quota is how many units of a tenant any period may see.
+// Quota is the number of units that a tenant may spend in any period.
 type Quota struct {
 	Units     int
 	Period    time.Duration
-	Tolerance int // units on top in any window, while it is not known what a router that died has spent
+	Tolerance int // additional units in any window while it is unknown what a failed router has spent
 }
 
-// toleranceUse is the part of the overshoot that may be used in any window.
-const toleranceUse = 0.99
+// toleranceFraction is the fraction of the permitted excess of a window that Quota.Tolerance uses.
+const toleranceFraction = 0.99
 
-// For gives a tenant's quota. Its rate must be set.
+// For returns a tenant's quota. The tenant's rate must be set.
 func (q QuotaRule) For(t *Tenant) Quota {
-	whole := t.Rate*q.Window.Seconds() + t.Burst + roundingSlack
-	tolerance := int(toleranceUse * (whole*q.Overshoot + q.Allowance))
-	if t.Unit == CountTokens || whole < quotaPeriods*2 {
-		return Quota{Units: max(1, int(whole)), Period: q.Window, Tolerance: tolerance}
+	limit := t.Rate*q.Window.Seconds() + t.Burst + roundingSlack
+	tolerance := int(toleranceFraction * (limit*q.Overshoot + q.Allowance))
+	if t.Unit == CountTokens || limit < quotaPeriods*2 {
+		return Quota{Units: max(1, int(limit)), Period: q.Window, Tolerance: tolerance}
 	}
-	return Quota{Units: int(whole / quotaPeriods), Period: q.Window / quotaPeriods, Tolerance: tolerance}
+	return Quota{Units: int(limit / quotaPeriods), Period: q.Window / quotaPeriods, Tolerance: tolerance}
 }
--- a/internal/model/routing/table.go
+++ b/internal/model/routing/table.go
@@ -1,5 +1,5 @@
-// Package routing holds the routing table of the gateway: which service serves a request by its host and
-// path, under which limits, and who pays for it. A Table is immutable once Build has made it.
+// Package routing defines the routing table of the gateway, which determines the service, the limits and the tenant of a
+// request, and the descriptions of runners that cores and routers exchange. A Table is immutable after Build.
 package routing
 
 import (
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// Kind says what may be done with a request of a route.
+// Kind determines whether a request of a route may run more than once.
 type Kind int
 
-// The kinds of route.
+// Kinds of routes.
 const (
 	Safe      Kind = iota // may run more than once
-	Unsafe                // runs at most once for each attempt of a client
-	Streaming             // the answer is an event stream; runs at most once unless it may be resumed
+	Unsafe                // runs at most once per attempt of the client
+	Streaming             // the response is an event stream; runs at most once unless it may be resumed
 )
 
-// Spec is a routing configuration as its author wrote it, before it was checked.
+// Spec is a decoded routing configuration before validation.
 type Spec struct {
 	Revision uint64
 	Routes   []RouteSpec
@@ -28,58 +28,58 @@
 	Limits   Limits
 }
 
-// RouteSpec is one route as written: services are named.
+// RouteSpec is a route before validation. It refers to services by name.
 type RouteSpec struct {
 	Name            string
 	Host            string
 	Prefix          string // begins and ends with a slash
 	Kind            Kind
-	Resume          bool // a lost stream may be taken up at another runner
-	Public          bool // needs no key
+	Resume          bool // a lost stream may be resumed at another runner
+	Public          bool // requires no key
 	SessionAffinity bool
-	Timeout         time.Duration // the longest a request may be held
-	TargetLatency   time.Duration // within which an answer (of a stream: its first event) earns its full worth
-	TargetGap       time.Duration // longest pause between events of a stream that is in time
-	Priority        int           // 0 is the highest
-	MaxAttempts     int           // most runners to which one request may be sent
+	Timeout         time.Duration // from the arrival of a request to its deadline, at most
+	TargetLatency   time.Duration // a response (of a stream: its first event) within this time has its full value
+	TargetGap       time.Duration // longest gap between two events of a stream that is on time
+	Priority        int           // 0: the highest
+	MaxAttempts     int           // maximum number of runners to which a request is sent
 	Split           []SplitSpec
 }
 
-// SplitSpec is one service's part of a route.
+// SplitSpec is the weight of one service in a route.
 type SplitSpec struct {
 	Service string
 	Weight  int
 }
 
-// Service is a group of runners that are alike.
+// Service is a group of equivalent runners.
 type Service struct {
 	Name           string
 	HealthPath     string
-	MaxConnections int     // connections that one runner takes from all callers together; 0: not bounded
-	Engine         *Engine // nil where the service is an ordinary application
+	MaxConnections int     // maximum number of connections to one runner, from all routers together; 0: unlimited
+	Engine         *Engine // nil: the service is an ordinary application
 }
 
-// Engine tells how the runners of a language model service work.
+// Engine describes the inference engine of a language model service.
 type Engine struct {
-	Slots          int // requests in one batch
-	CacheTokens    int // tokens that the memory of one runner holds
+	Slots          int // maximum number of requests in one batch
+	CacheTokens    int // capacity of one runner's memory, in tokens
 	TokensPerEvent int
 	Models         []string
 }
 
-// TenantSpec is one tenant as written.
+// TenantSpec is a tenant before validation.
 type TenantSpec struct {
 	Name     string
 	Keys     []string
-	Priority int     // goes before the route's
-	Rate     float64 // units a second over all nodes; 0: not limited
-	Burst    float64 // units on top of the rate
+	Priority int     // takes precedence over the route's
+	Rate     float64 // units per second over all nodes; 0: unlimited
+	Burst    float64 // units in addition to the rate
 	Unit     QuotaUnit
 
-	UncachedTokens int // what a request counts that does not tell its tokens, where tokens are counted
+	UncachedTokens int // cost of a request that does not state its tokens, if tokens are counted
 }
 
-// Limits bound what one client may send.
+// Limits bound what a client may send.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -87,7 +87,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Table is a checked routing configuration with names mapped to dense indices.
+// Table is a validated routing configuration, in which names are resolved to indices.
 type Table struct {
 	Revision uint64
 	Routes   []Route
@@ -95,25 +95,25 @@
 	Tenants  []Tenant
 	Limits   Limits
 
-	hosts map[string][]int // routes of a host, longest prefix first
-	keys  map[string]int
+	hosts map[string][]int // indices of routes by host, longest prefix first
+	keys  map[string]int   // indices of tenants by key
 }
 
-// Route is one checked route.
+// Route is a validated route.
 type Route struct {
 	RouteSpec
 	Index       int
 	Split       []Split
-	TotalWeight int // sum of the weights
+	TotalWeight int // sum of the weights of Split
 }
 
-// Split is one service's part of a route by index.
+// Split is the weight of one service, given by its index, in a route.
 type Split struct {
 	Service int
 	Weight  int
 }
 
-// Tenant is one checked tenant.
+// Tenant is a validated tenant. Its fields mean the same as in TenantSpec.
 type Tenant struct {
 	Name     string
 	Priority int
@@ -124,21 +124,21 @@
 	UncachedTokens int
 }
 
-// FieldError is one reason why a configuration is invalid.
+// FieldError is one reason why a configuration is invalid, with the path of the invalid field or object.
 type FieldError struct {
 	Path string `json:"path"`
 	Text string `json:"text"`
 }
 
-// Error joins path and text.
+// Error returns the path and the text, separated by a colon.
 func (f FieldError) Error() string { return f.Path + ": " + f.Text }
 
-// Idempotent reports whether a request of this route may be sent again after it may have run.
+// Idempotent reports whether a request of this route may be sent again if it may have run already.
 func (r *Route) Idempotent() bool {
 	return r.Kind == Safe || r.Kind == Streaming && r.Resume
 }
 
-// Build checks a configuration whole. With any flaw it returns no table.
+// Build validates a configuration. It returns either the table or all errors found.
 func Build(spec Spec) (*Table, []FieldError) {
 	b := &builder{
 		table:    &Table{Revision: spec.Revision, Services: spec.Services, Limits: spec.Limits, hosts: map[string][]int{}, keys: map[string]int{}},
@@ -147,8 +147,8 @@
 	b.addServices(spec.Services)
 	b.addRoutes(spec.Routes)
 	b.addTenants(spec.Tenants)
-	if len(b.flaws) > 0 {
-		return nil, b.flaws
+	if len(b.errors) > 0 {
+		return nil, b.errors
 	}
 	b.table.sortPrefixes()
 	return b.table, nil
@@ -157,21 +157,21 @@
 type builder struct {
 	table    *Table
 	services map[string]int
-	flaws    []FieldError
+	errors   []FieldError
 }
 
-func (b *builder) flaw(path, format string, args ...any) {
-	b.flaws = append(b.flaws, FieldError{Path: path, Text: fmt.Sprintf(format, args...)})
+func (b *builder) addError(path, format string, args ...any) {
+	b.errors = append(b.errors, FieldError{Path: path, Text: fmt.Sprintf(format, args...)})
 }
 
 func (b *builder) addServices(services []Service) {
 	for i, service := range services {
 		path := fmt.Sprintf("services.%d", i)
 		if service.Name == "" {
-			b.flaw(path, "a name is expected")
+			b.addError(path, "a name is expected")
 		}
-		if _, twice := b.services[service.Name]; twice {
-			b.flaw(path, "the name %q stands there twice", service.Name)
+		if _, duplicate := b.services[service.Name]; duplicate {
+			b.addError(path, "the name %q stands there twice", service.Name)
 		}
 		b.services[service.Name] = i
 	}
@@ -179,39 +179,39 @@
 
 func (b *builder) addRoutes(routes []RouteSpec) {
 	names := map[string]bool{}
-	places := map[[2]string]bool{}
+	prefixes := map[[2]string]bool{}
 	for i, spec := range routes {
 		path := fmt.Sprintf("routes.%d", i)
 		if names[spec.Name] {
-			b.flaw(path, "the name %q stands there twice", spec.Name)
+			b.addError(path, "the name %q stands there twice", spec.Name)
 		}
 		names[spec.Name] = true
 		spec.Host = strings.ToLower(spec.Host)
-		place := [2]string{spec.Host, spec.Prefix}
-		if places[place] {
-			b.flaw(path, "another route has host %q and prefix %q too", spec.Host, spec.Prefix)
+		hostAndPrefix := [2]string{spec.Host, spec.Prefix}
+		if prefixes[hostAndPrefix] {
+			b.addError(path, "another route has host %q and prefix %q too", spec.Host, spec.Prefix)
 		}
-		places[place] = true
+		prefixes[hostAndPrefix] = true
 		if !strings.HasPrefix(spec.Prefix, "/") || !strings.HasSuffix(spec.Prefix, "/") {
-			b.flaw(path, "a prefix that begins and ends with a slash is expected, got %q", spec.Prefix)
+			b.addError(path, "a prefix that begins and ends with a slash is expected, got %q", spec.Prefix)
 		}
 		if spec.Timeout <= 0 {
-			b.flaw(path, "a time-out above zero is expected")
+			b.addError(path, "a time-out above zero is expected")
 		}
 		route := Route{RouteSpec: spec, Index: i}
-		for _, part := range spec.Split {
-			service, known := b.services[part.Service]
+		for _, split := range spec.Split {
+			service, known := b.services[split.Service]
 			if !known {
-				b.flaw(path, "the service %q is not known", part.Service)
+				b.addError(path, "the service %q is not known", split.Service)
 			}
-			if part.Weight < 0 {
-				b.flaw(path, "a weight of zero or more is expected, got %d", part.Weight)
+			if split.Weight < 0 {
+				b.addError(path, "a weight of zero or more is expected, got %d", split.Weight)
 			}
-			route.Split = append(route.Split, Split{Service: service, Weight: part.Weight})
-			route.TotalWeight += part.Weight
+			route.Split = append(route.Split, Split{Service: service, Weight: split.Weight})
+			route.TotalWeight += split.Weight
 		}
 		if route.TotalWeight <= 0 {
-			b.flaw(path, "the weights add up to nothing")
+			b.addError(path, "the weights add up to nothing")
 		}
 		b.table.Routes = append(b.table.Routes, route)
 		b.table.hosts[spec.Host] = append(b.table.hosts[spec.Host], i)
@@ -223,15 +223,15 @@
 	for i, spec := range tenants {
 		path := fmt.Sprintf("tenants.%d", i)
 		if spec.Name == "" || names[spec.Name] {
-			b.flaw(path, "a name of its own is expected, got %q", spec.Name)
+			b.addError(path, "a name of its own is expected, got %q", spec.Name)
 		}
 		names[spec.Name] = true
 		if spec.Rate < 0 || spec.Burst < 0 {
-			b.flaw(path, "a rate and a burst of zero or more are expected")
+			b.addError(path, "a rate and a burst of zero or more are expected")
 		}
 		for _, key := range spec.Keys {
-			if _, taken := b.table.keys[key]; taken || key == "" {
-				b.flaw(path, "one of its keys is empty or listed twice")
+			if _, duplicate := b.table.keys[key]; duplicate || key == "" {
+				b.addError(path, "one of its keys is empty or listed twice")
 				continue
 			}
 			b.table.keys[key] = i
@@ -249,7 +249,8 @@
 	}
 }
 
-// Match finds the route of a request: of its host's routes the one with the longest prefix. Nil: none.
+// Match returns the route with the longest prefix of path among the routes of host, or nil if there is none. A port in host
+// is ignored unless routes exist for the host with that port.
 func (t *Table) Match(host, path string) *Route {
 	host = strings.ToLower(host)
 	routes, known := t.hosts[host]
@@ -266,18 +267,18 @@
 	return nil
 }
 
-// TenantByKey finds the tenant that holds a key.
+// TenantByKey returns the index of the tenant that owns a key.
 func (t *Table) TenantByKey(key string) (index int, known bool) {
 	index, known = t.keys[key]
 	return index, known
 }
 
-// Pick chooses the service of a route for a number that is spread evenly over all numbers.
-func (r *Route) Pick(number uint64) int {
-	at := int(number % uint64(r.TotalWeight))
-	for _, part := range r.Split {
-		if at -= part.Weight; at < 0 {
-			return part.Service
+// Pick returns the index of the service for a hash. Uniformly distributed hashes spread over the services by weight.
+func (r *Route) Pick(hash uint64) int {
+	offset := int(hash % uint64(r.TotalWeight))
+	for _, split := range r.Split {
+		if offset -= split.Weight; offset < 0 {
+			return split.Service
 		}
 	}
 	return r.Split[len(r.Split)-1].Service
--- a/internal/model/routing/table_test.go
+++ b/internal/model/routing/table_test.go
@@ -8,12 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-// validRoute is a route to the service "desk" that has no flaw.
+// validRoute returns a valid route to the service "desk".
 func validRoute(name, host, prefix string) RouteSpec {
 	return RouteSpec{Name: name, Host: host, Prefix: prefix, Timeout: time.Second, Split: []SplitSpec{{Service: "desk", Weight: 1}}}
 }
 
-// validSpec is a configuration without flaws.
+// validSpec returns a valid configuration.
 func validSpec() Spec {
 	return Spec{
 		Revision: 1,
@@ -23,34 +23,34 @@
 	}
 }
 
-// Each way to spoil a valid configuration makes one flaw, at the place of the damage, and no table.
-func TestBuildTellsEachFlaw(t *testing.T) {
-	if _, flaws := Build(validSpec()); len(flaws) > 0 {
-		t.Fatalf("the valid configuration has flaws: %v", flaws)
+// Each invalid field yields exactly one error, with the path of its object, and no table.
+func TestBuildReportsEachError(t *testing.T) {
+	if _, errors := Build(validSpec()); len(errors) > 0 {
+		t.Fatalf("valid configuration: got errors %v, want none", errors)
 	}
 	for _, c := range []struct {
-		name  string
-		path  string
-		spoil func(*Spec)
+		name       string
+		path       string
+		invalidate func(*Spec)
 	}{
 		{"a service without a name", "services.1", func(s *Spec) { s.Services[1].Name = "" }},
-		{"two services of one name", "services.1", func(s *Spec) { s.Services[1].Name = "desk" }},
-		{"two routes of one name", "routes.1", func(s *Spec) { s.Routes[1].Name = "first" }},
-		{"two routes of one place", "routes.1", func(s *Spec) { s.Routes[1].Prefix = "/a/" }},
-		{"two routes of one place, in other letters", "routes.1", func(s *Spec) {
+		{"two services with the same name", "services.1", func(s *Spec) { s.Services[1].Name = "desk" }},
+		{"two routes with the same name", "routes.1", func(s *Spec) { s.Routes[1].Name = "first" }},
+		{"two routes with the same host and prefix", "routes.1", func(s *Spec) { s.Routes[1].Prefix = "/a/" }},
+		{"two routes with the same prefix and a host that differs in case", "routes.1", func(s *Spec) {
 			s.Routes[1].Host, s.Routes[1].Prefix = "ONE.example", "/a/"
 		}},
-		{"a prefix without its first slash", "routes.0", func(s *Spec) { s.Routes[0].Prefix = "a/" }},
-		{"a prefix without its last slash", "routes.0", func(s *Spec) { s.Routes[0].Prefix = "/a" }},
+		{"a prefix without a leading slash", "routes.0", func(s *Spec) { s.Routes[0].Prefix = "a/" }},
+		{"a prefix without a trailing slash", "routes.0", func(s *Spec) { s.Routes[0].Prefix = "/a" }},
 		{"no time-out", "routes.0", func(s *Spec) { s.Routes[0].Timeout = 0 }},
-		{"a time-out below zero", "routes.0", func(s *Spec) { s.Routes[0].Timeout = -time.Second }},
+		{"a negative time-out", "routes.0", func(s *Spec) { s.Routes[0].Timeout = -time.Second }},
 		{"an unknown service", "routes.0", func(s *Spec) { s.Routes[0].Split[0].Service = "nowhere" }},
-		{"weights that add up to nothing", "routes.0", func(s *Spec) { s.Routes[0].Split[0].Weight = 0 }},
-		{"no service at all", "routes.0", func(s *Spec) { s.Routes[0].Split = nil }},
-		{"a negative weight beside a larger one", "routes.0", func(s *Spec) {
+		{"weights with a sum of zero", "routes.0", func(s *Spec) { s.Routes[0].Split[0].Weight = 0 }},
+		{"no services", "routes.0", func(s *Spec) { s.Routes[0].Split = nil }},
+		{"a negative weight next to a larger one", "routes.0", func(s *Spec) {
 			s.Routes[0].Split = []SplitSpec{{Service: "desk", Weight: 5}, {Service: "yard", Weight: -1}}
 		}},
-		{"two tenants of one name", "tenants.1", func(s *Spec) { s.Tenants[1].Name = "pier" }},
+		{"two tenants with the same name", "tenants.1", func(s *Spec) { s.Tenants[1].Name = "pier" }},
 		{"a tenant without a name", "tenants.1", func(s *Spec) { s.Tenants[1].Name = "" }},
 		{"two tenants that share a key", "tenants.1", func(s *Spec) { s.Tenants[1].Keys = []string{"key-2"} }},
 		{"an empty key", "tenants.1", func(s *Spec) { s.Tenants[1].Keys = []string{""} }},
@@ -58,26 +58,26 @@
 		{"a negative burst", "tenants.0", func(s *Spec) { s.Tenants[0].Burst = -1 }},
 	} {
 		spec := validSpec()
-		c.spoil(&spec)
-		table, flaws := Build(spec)
-		if table != nil || len(flaws) != 1 || flaws[0].Path != c.path {
-			t.Errorf("%s: table %v, flaws %v; one at %s is expected", c.name, table != nil, flaws, c.path)
+		c.invalidate(&spec)
+		table, errors := Build(spec)
+		if table != nil || len(errors) != 1 || errors[0].Path != c.path {
+			t.Errorf("%s: got a table: %v, errors %v, want no table and one error at %s", c.name, table != nil, errors, c.path)
 		}
 	}
 }
 
-// All flaws of a configuration are told at once.
-func TestBuildTellsAllFlaws(t *testing.T) {
+// Build reports all errors of a configuration, not only the first.
+func TestBuildReportsAllErrors(t *testing.T) {
 	spec := validSpec()
 	spec.Routes[0].Timeout = 0
 	spec.Routes[1].Split[0].Service = "nowhere"
 	spec.Tenants[1].Keys = []string{"key-1"}
-	if _, flaws := Build(spec); len(flaws) != 3 {
-		t.Errorf("flaws %v, three are expected", flaws)
+	if _, errors := Build(spec); len(errors) != 3 {
+		t.Errorf("got errors %v, want three", errors)
 	}
 }
 
-// Of the routes of the request's host, the one with the longest prefix is taken, whatever their order.
+// Match returns the route with the longest prefix, in whatever order the routes are configured.
 func TestMatchTakesLongestPrefix(t *testing.T) {
 	spec := validSpec()
 	spec.Routes = []RouteSpec{
@@ -87,9 +87,9 @@
 		validRoute("other host", "two.example", "/a/b/c/d/"),
 		validRoute("host with port", "three.example:8080", "/"),
 	}
-	table, flaws := Build(spec)
-	if len(flaws) > 0 {
-		t.Fatal(flaws)
+	table, errors := Build(spec)
+	if len(errors) > 0 {
+		t.Fatal(errors)
 	}
 	for _, c := range []struct{ host, path, want string }{
 		{"one.example", "/a/x", "short"},
@@ -117,26 +117,26 @@
 			got = route.Name
 		}
 		if got != c.want {
-			t.Errorf("%s%s goes to route %q, not to %q", c.host, c.path, got, c.want)
+			t.Errorf("host %q, path %q: got route %q, want %q", c.host, c.path, got, c.want)
 		}
 	}
 }
 
-// Match agrees with a plain search through all routes.
-func TestMatchAgreesWithPlainSearch(t *testing.T) {
+// Match agrees with a linear search through all routes.
+func TestMatchAgreesWithLinearSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		piece := rapid.StringMatching(`(/[ab]){0,3}`)
-		prefixes := rapid.SliceOfNDistinct(piece, 1, 6, rapid.ID[string]).Draw(t, "prefixes")
+		pathGenerator := rapid.StringMatching(`(/[ab]){0,3}`)
+		prefixes := rapid.SliceOfNDistinct(pathGenerator, 1, 6, rapid.ID[string]).Draw(t, "prefixes")
 		spec := validSpec()
 		spec.Routes = nil
 		for _, prefix := range prefixes {
 			spec.Routes = append(spec.Routes, validRoute(prefix, "one.example", prefix+"/"))
 		}
-		table, flaws := Build(spec)
-		if len(flaws) > 0 {
-			t.Fatal(flaws)
+		table, errors := Build(spec)
+		if len(errors) > 0 {
+			t.Fatal(errors)
 		}
-		path := piece.Draw(t, "path") + rapid.SampledFrom([]string{"", "/", "/x", "b"}).Draw(t, "end")
+		path := pathGenerator.Draw(t, "path") + rapid.SampledFrom([]string{"", "/", "/x", "b"}).Draw(t, "end")
 		want := ""
 		for _, route := range spec.Routes {
 			if strings.HasPrefix(path, route.Prefix) && len(route.Prefix) > len(want) {
@@ -148,34 +148,35 @@
 			got = route.Prefix
 		}
 		if got != want {
-			t.Fatalf("%q goes to %q, not to %q", path, got, want)
+			t.Fatalf("path %q: got prefix %q, want %q", path, got, want)
 		}
 	})
 }
 
-// Over all numbers each service gets exactly its weight, and one without weight gets nothing.
+// Over a range of hashes that is a multiple of the sum of weights, each service gets exactly its share, and one with weight 0
+// gets none.
 func TestPickFollowsWeights(t *testing.T) {
 	spec := validSpec()
 	spec.Services = append(spec.Services, Service{Name: "shed"})
 	spec.Routes[0].Split = []SplitSpec{{Service: "yard", Weight: 0}, {Service: "desk", Weight: 7}, {Service: "shed", Weight: 3}}
-	table, flaws := Build(spec)
-	if len(flaws) > 0 {
-		t.Fatal(flaws)
+	table, errors := Build(spec)
+	if len(errors) > 0 {
+		t.Fatal(errors)
 	}
 	got := map[string]int{}
-	for number := range uint64(1000) {
-		got[table.Services[table.Routes[0].Pick(number)].Name]++
+	for hash := range uint64(1000) {
+		got[table.Services[table.Routes[0].Pick(hash)].Name]++
 	}
 	if got["desk"] != 700 || got["shed"] != 300 || got["yard"] != 0 {
-		t.Errorf("of 1000 numbers the services got %v", got)
+		t.Errorf("got %v of 1000 hashes per service, want 700 for desk and 300 for shed", got)
 	}
 }
 
-// A key leads to the tenant that holds it, and to no other.
-func TestTenantOfKey(t *testing.T) {
-	table, flaws := Build(validSpec())
-	if len(flaws) > 0 {
-		t.Fatal(flaws)
+// A key identifies the tenant that owns it, and an unknown key identifies none.
+func TestTenantByKey(t *testing.T) {
+	table, errors := Build(validSpec())
+	if len(errors) > 0 {
+		t.Fatal(errors)
 	}
 	for key, want := range map[string]string{"key-1": "pier", "key-2": "pier", "key-3": "slip", "key-4": "", "": "", "KEY-1": ""} {
 		got := ""
@@ -183,12 +184,12 @@
 			got = table.Tenants[index].Name
 		}
 		if got != want {
-			t.Errorf("key %q leads to %q, not to %q", key, got, want)
+			t.Errorf("key %q: got tenant %q, want %q", key, got, want)
 		}
 	}
 }
 
-// Only safe routes and streams that may be resumed may run again.
+// Only requests of safe routes and streams that may be resumed may run more than once.
 func TestIdempotent(t *testing.T) {
 	for _, c := range []struct {
 		kind         Kind
@@ -196,7 +197,7 @@
 	}{{Safe, false, true}, {Unsafe, false, false}, {Unsafe, true, false}, {Streaming, false, false}, {Streaming, true, true}} {
 		route := Route{RouteSpec: RouteSpec{Kind: c.kind, Resume: c.resume}}
 		if route.Idempotent() != c.want {
-			t.Errorf("kind %d, resume %v: Idempotent got %v", c.kind, c.resume, !c.want)
+			t.Errorf("kind %d, resume %v: Idempotent got %v, want %v", c.kind, c.resume, !c.want, c.want)
 		}
 	}
 }
--- a/internal/model/routing/units_test.go
+++ b/internal/model/routing/units_test.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// A tenant's quota never lets more through in the window than its limit, nor loses more than a request in each
-// period by rounding. What may be drawn on top while units cool, in all periods of a window together, keeps the
-// overshoot.
+// A tenant's quota never permits more units in the window than its limit, and rounding loses at most one unit per period.
+// The tolerance in a window is at most the permitted overshoot.
 func TestQuota(t *testing.T) {
 	cases := []struct {
 		tenant Tenant
@@ -22,37 +21,37 @@
 	for _, c := range cases {
 		got := c.rule.For(&c.tenant)
 		periods := float64(c.rule.Window) / float64(got.Period)
-		if whole := float64(got.Units) * periods; whole > c.limit+0.01 || whole <= c.limit-periods {
-			t.Errorf("%+v %+v: %v in the window, %v expected", c.tenant, c.rule, whole, c.limit)
+		if inWindow := float64(got.Units) * periods; inWindow > c.limit+0.01 || inWindow <= c.limit-periods {
+			t.Errorf("%+v %+v: got %v units in the window, want %v", c.tenant, c.rule, inWindow, c.limit)
 		}
-		if most := c.limit*c.rule.Overshoot + c.rule.Allowance; float64(got.Tolerance) > most {
-			t.Errorf("%+v: tolerance %d in a window, %v at the most expected", c.rule, got.Tolerance, most)
+		if maxTolerance := c.limit*c.rule.Overshoot + c.rule.Allowance; float64(got.Tolerance) > maxTolerance {
+			t.Errorf("%+v: got tolerance %d, want at most %v", c.rule, got.Tolerance, maxTolerance)
 		}
 	}
 	if got := (QuotaRule{Window: time.Second}).For(&Tenant{Rate: 0.01}); got.Units != 1 {
-		t.Errorf("the smallest quota has %d units, 1 expected", got.Units)
+		t.Errorf("smallest quota: got %d units, want 1", got.Units)
 	}
 }
 
-// Where tokens are counted, a request costs what it tells or what the tenant is charged without, and the quota is that of
-// the whole window: one request may cost a large part of a third.
+// If tokens are counted, a request costs its stated tokens, or UncachedTokens if it states none, and the period of the quota
+// is the full window, because one request may cost a large part of a third.
 func TestTokenQuota(t *testing.T) {
 	rule := QuotaRule{Window: 8 * time.Second, Overshoot: 0.1, Allowance: 190_000}
 	byTokens := Tenant{Name: "a", Rate: 60_000, Burst: 60_000, Unit: CountTokens, UncachedTokens: 200}
 	if got := rule.For(&byTokens); got.Units != 540_000 || got.Period != rule.Window || got.Tolerance > 54_000+190_000 {
-		t.Errorf("%+v for 540000 tokens in 8s", got)
+		t.Errorf("got %+v, want 540000 tokens in 8s", got)
 	}
 	byRequests := Tenant{Name: "a", Rate: 60_000, Burst: 60_000, UncachedTokens: 200}
 	for _, c := range []struct {
 		tenant Tenant
-		told   bool
+		known  bool
 		cost   int
 	}{{byTokens, true, 17_000}, {byTokens, false, 200}, {byRequests, true, 1}, {byRequests, false, 1}} {
-		if got := c.tenant.Cost(17_000, c.told); got != c.cost {
-			t.Errorf("a request costs %d, %d expected (unit %d, told %v)", got, c.cost, c.tenant.Unit, c.told)
+		if got := c.tenant.Cost(17_000, c.known); got != c.cost {
+			t.Errorf("got cost %d, want %d (unit %d, tokens known: %v)", got, c.cost, c.tenant.Unit, c.known)
 		}
 	}
 	if byTokens.QuotaName() == byRequests.QuotaName() {
-		t.Error("units spent as tokens and as requests are counted together")
+		t.Error("got the same quota name for tokens and for requests, want two")
 	}
 }
