--- a/internal/model/fleetconfig/config.go
+++ b/internal/model/fleetconfig/config.go
@@ -1,5 +1,5 @@
-// Package fleetconfig reads and checks the operators' config: pools, lanes, routes, tenants and limits.
-// A document with an error in it is never made into a Config.
+// Package fleetconfig parses and validates the operators' configuration: pools, traffic classes, routes, tenants and limits.
+// A Config is only made from a document without errors.
 package fleetconfig
 
 import (
@@ -9,92 +9,92 @@
 	"time"
 )
 
-// MaxBytes is the largest document taken, in bytes.
+// MaxBytes is the maximum size of a document, in bytes.
 const MaxBytes = 1 << 20
 
-// DefaultMaxFinishedKeys is how many once-only keys that ran are kept unless the config says otherwise: three days at
-// 60 a second.
+// DefaultMaxFinishedKeys is the maximum number of finished once-only keys that are stored if the config sets none: those of
+// three days at 60 per second.
 const DefaultMaxFinishedKeys = 16_000_000
 
-// FieldError is one thing wrong with a config, named by its path.
+// FieldError is one error in a config, with the path of the invalid value.
 type FieldError struct {
 	Path string `json:"path"`
 	Text string `json:"text"`
 }
 
-// Quota is N units in any rolling window. A request costs one unit, or with Tokens set, one unit
-// for each started Tokens of output it may ask for.
+// Quota limits a tenant to Units in any rolling window. A request costs one unit or, if Tokens is set, its maximum output in
+// tokens divided by Tokens, rounded up.
 type Quota struct {
 	Units  int
 	Window time.Duration
 	Tokens int
 }
 
-// Tenant is one payer, known by the hashes of its keys.
+// Tenant is a payer. It is identified by the hashes of its keys.
 type Tenant struct {
 	Name   string
-	Funded bool
+	Funded bool  // the free output allowance does not limit it
 	Quota  Quota // Units 0: no quota
 }
 
-// TrafficClass is a class of requests that are treated alike. Documents call it a lane.
+// TrafficClass is a class of requests that are treated alike. The document calls it a lane.
 type TrafficClass struct {
 	Name              string
-	Priority          int // lower goes first
+	Priority          int // lower values are dispatched first
 	QueueTimeout      time.Duration
-	StallTimeout      time.Duration // a runner that sends nothing for so long has lost the request
-	OnceOnly          bool          // may run only once
-	RepeatLostStreams bool          // the run behind a lost stream may be made a second time
-	WithoutPrompt     bool          // ordinary application: no prompt, no allowance
-	AllowedTenants    map[int]bool
-	AllTenants        bool // every tenant
+	StallTimeout      time.Duration // a run fails if its runner sends nothing for this long
+	OnceOnly          bool          // a request runs at most once
+	RepeatLostStreams bool          // a stream whose run was lost may be run a second time
+	WithoutPrompt     bool          // ordinary application: requests have no prompt and need no allowance
+	AllowedTenants    map[int]bool  // by index of the tenant
+	AllTenants        bool          // AllowedTenants is ignored
 }
 
-// Pool is a group of runners gathered by label.
+// Pool is a group of runners that a selector chooses by their labels.
 type Pool struct {
 	Name    string
 	Select  Selector
-	Service int
+	Service int // index
 }
 
-// Service bounds second tries to one service of the fleet.
+// Service bounds the retries to one service of the fleet.
 type Service struct {
 	Name       string
-	RetryRatio float64 // second tries over first tries in ten seconds
-	MinRetries int     // and this many besides, for the whole fleet
+	RetryRatio float64 // retries per first attempt, over ten seconds
+	MinRetries int     // retries permitted in addition, for the fleet as a whole
 }
 
-// Route leads a request to its lane and pool.
+// Route maps requests to a traffic class and a pool.
 type Route struct {
 	Method       string
 	Path         string
-	Prefix       bool // Path ended in *
+	Prefix       bool // Path is a prefix: it ended in * in the document
 	Headers      map[string]string
-	TrafficClass int
-	Pool         int
+	TrafficClass int // index
+	Pool         int // index
 }
 
-// Allowance holds the free output allowance's figures.
+// Allowance defines the free output allowance, in tokens, as a function of the estimated wait.
 type Allowance struct {
 	Ceiling, Floor         int
-	FullUntil, FloorFrom   time.Duration // wait up to which the ceiling holds; from which the floor does
-	AssumedTokensPerSecond float64       // tokens a second assumed of a runner with no completed stream
+	FullUntil, FloorFrom   time.Duration // the ceiling applies up to the first wait, the floor from the second
+	AssumedTokensPerSecond float64       // rate assumed of a runner that has completed no stream
 }
 
-// Limits bound what one request or the queues may take.
+// Limits bound the resources of requests and queues.
 type Limits struct {
 	BodyBytes, Tokens, Queue int
-	BodyTimeout              time.Duration // within which a body has to come
-	OpenRequests             int           // requests under way on one router, in whatever state
-	ClaimRetention           time.Duration // how long once-only keys are kept with what became of them
-	FinishedKeyRetention     time.Duration // how long it is kept that a key ran
-	MaxFinishedKeys          int           // how many such keys are kept at the most
+	BodyTimeout              time.Duration // from the start of a body to its end
+	OpenRequests             int           // requests in flight on one router, in any state
+	ClaimRetention           time.Duration // how long a once-only key is stored with its outcome
+	FinishedKeyRetention     time.Duration // how long it is stored that a key has run
+	MaxFinishedKeys          int           // maximum number of such keys
 }
 
-// Config is a checked config, its names mapped to dense indices.
+// Config is a validated config, in which names are resolved to indices.
 type Config struct {
 	Version        uint64
-	Raw            []byte
+	Raw            []byte // the document
 	Tenants        []Tenant
 	TrafficClasses []TrafficClass
 	Pools          []Pool
@@ -102,29 +102,29 @@
 	Routes         []Route
 	Allowance      Allowance
 	Limits         Limits
-	tenantByHash   map[string]int
+	tenantByHash   map[string]int // indices of tenants by key hash
 }
 
-// HashKey is how a key is written in a config: the hex SHA-256 of its text.
+// HashKey returns the hex SHA-256 of a key, which represents the key in a config.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// TenantByKey finds the tenant that a key belongs to.
+// TenantByKey returns the index of the tenant that owns a key.
 func (c *Config) TenantByKey(key string) (int, bool) {
 	return c.TenantByHash(HashKey(key))
 }
 
-// TenantByHash finds the tenant by the hash of a key, for those who hold only that.
+// TenantByHash returns the index of the tenant that owns the key with a hash, for callers that do not have the key itself.
 func (c *Config) TenantByHash(hash string) (int, bool) {
-	i, ok := c.tenantByHash[hash]
-	return i, ok
+	index, ok := c.tenantByHash[hash]
+	return index, ok
 }
 
-// FindRoute finds the first route for a request: method, path and headers. known reports whether the path
-// is mapped at all, by any method.
-func (c *Config) FindRoute(method, path string, head func(string) string) (route *Route, known bool) {
+// FindRoute returns the first route that matches a request's method, path and headers, or nil. known reports whether any route
+// matches the path, whatever its method and headers.
+func (c *Config) FindRoute(method, path string, header func(string) string) (route *Route, known bool) {
 	for i := range c.Routes {
 		route := &c.Routes[i]
 		if route.Prefix && !strings.HasPrefix(path, route.Path) || !route.Prefix && path != route.Path {
@@ -134,16 +134,16 @@
 		if route.Method != method {
 			continue
 		}
-		ok := true
-		for name, v := range route.Headers {
-			ok = ok && head(name) == v
+		matches := true
+		for name, value := range route.Headers {
+			matches = matches && header(name) == value
 		}
-		if ok {
+		if matches {
 			return route, true
 		}
 	}
 	return nil, known
 }
 
-// Admits reports whether a lane is open to a tenant.
-func (l *TrafficClass) Admits(tenant int) bool { return l.AllTenants || l.AllowedTenants[tenant] }
+// Admits reports whether a tenant may use the traffic class.
+func (c *TrafficClass) Admits(tenant int) bool { return c.AllTenants || c.AllowedTenants[tenant] }
--- a/internal/model/fleetconfig/config_test.go
+++ b/internal/model/fleetconfig/config_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Every error is told at once, each by its path.
-func TestTroubles(t *testing.T) {
+// Parse reports all errors of a document, each with its path.
+func TestParseErrors(t *testing.T) {
 	for raw, paths := range map[string]string{
 		`{`:                   "",
 		`[]`:                  "",
@@ -26,48 +26,48 @@
 		`{"tenants":{"a":{},"a":{}}}`:                                                                                              "tenants.a",
 		`{"tenants":{"a b":{}}}`:                                                                                                   "tenants.a b",
 	} {
-		lay, bad := Parse([]byte(raw))
+		config, errors := Parse([]byte(raw))
 		got := map[string]bool{}
-		for _, b := range bad {
-			got[b.Path] = true
-			if b.Text == "" {
-				t.Errorf("%s: a trouble at %q says nothing", raw, b.Path)
+		for _, err := range errors {
+			got[err.Path] = true
+			if err.Text == "" {
+				t.Errorf("%s: got an error at %q without a text", raw, err.Path)
 			}
 		}
 		want := map[string]bool{}
-		for _, p := range strings.Split(paths, " ") {
-			want[p] = true
+		for _, path := range strings.Split(paths, " ") {
+			want[path] = true
 		}
 		if paths == "tenants.a b" {
 			want = map[string]bool{paths: true}
 		}
-		if lay != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: troubles at %v, expected %v", raw, got, want)
+		if config != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: got errors at %v, want %v", raw, got, want)
 		}
 	}
 }
 
-// A selector against the plain reading of its terms.
+// A selector matches the same labels as its terms evaluated one by one while they are generated.
 func TestSelectorAgainstModel(t *testing.T) {
 	words := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
-		tags := rapid.MapOf(rapid.SampledFrom(words), rapid.SampledFrom(words)).Draw(t, "tags")
+		labels := rapid.MapOf(rapid.SampledFrom(words), rapid.SampledFrom(words)).Draw(t, "labels")
 		var text []string
 		want := true
 		for range rapid.IntRange(1, 4).Draw(t, "terms") {
-			name, v, u := rapid.SampledFrom(words).Draw(t, "key"), rapid.SampledFrom(words).Draw(t, "v"), rapid.SampledFrom(words).Draw(t, "u")
-			have, has := tags[name]
+			name, value, other := rapid.SampledFrom(words).Draw(t, "key"), rapid.SampledFrom(words).Draw(t, "v"), rapid.SampledFrom(words).Draw(t, "u")
+			actual, has := labels[name]
 			var s string
 			var ok bool
 			switch rapid.IntRange(0, 5).Draw(t, "op") {
 			case 0:
-				s, ok = name+"="+v, has && have == v
+				s, ok = name+"="+value, has && actual == value
 			case 1:
-				s, ok = name+" != "+v, !has || have != v
+				s, ok = name+" != "+value, !has || actual != value
 			case 2:
-				s, ok = name+" in ("+v+", "+u+")", has && (have == v || have == u)
+				s, ok = name+" in ("+value+", "+other+")", has && (actual == value || actual == other)
 			case 3:
-				s, ok = name+" notin ("+v+","+u+")", !has || have != v && have != u
+				s, ok = name+" notin ("+value+","+other+")", !has || actual != value && actual != other
 			case 4:
 				s, ok = name, has
 			case 5:
@@ -75,17 +75,17 @@
 			}
 			text, want = append(text, s), want && ok
 		}
-		sel, bad := ParseSelector(strings.Join(text, ", "))
-		if bad != "" {
-			t.Fatalf("%q: %s", text, bad)
+		selector, problem := ParseSelector(strings.Join(text, ", "))
+		if problem != "" {
+			t.Fatalf("%q: got problem %q, want none", text, problem)
 		}
-		if got := sel.Match(tags); got != want {
-			t.Fatalf("%q on %v: %v", text, tags, got)
+		if got := selector.Match(labels); got != want {
+			t.Fatalf("%q on %v: got %v, want %v", text, labels, got, want)
 		}
 	})
 }
 
-// A merge patch against the plain rule: null removes, objects go deeper, all else replaces.
+// In a merge patch null removes a value, an object is merged recursively, and any other value replaces the old one.
 func TestMerge(t *testing.T) {
 	for _, c := range [][3]string{
 		{`{"a":{"b":1,"c":2}}`, `{"a":{"b":null}}`, `{"a":{"c":2}}`},
@@ -96,22 +96,22 @@
 	} {
 		got, err := Merge([]byte(c[0]), []byte(c[1]))
 		if err != nil || string(got) != c[2] {
-			t.Errorf("%s with %s: %s %v, expected %s", c[0], c[1], got, err, c[2])
+			t.Errorf("%s patched with %s: got %s, %v, want %s", c[0], c[1], got, err, c[2])
 		}
 	}
 }
 
-// Whatever bytes an operator puts, a config is read whole or told wrong, never both, never a panic.
+// For any input Parse returns either a config or errors, never both, and does not panic.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"services":{"s":{}},"pools":{"p":{"select":"a=b","service":"s"}},"lanes":{"l":{"tenants":["*"]}},"mappings":[{"path":"/x","lane":"l","pool":"p"}]}`))
 	f.Add([]byte(`{"mappings":{"a":[]},"tenants":{"t":{"keys":{}}}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		lay, bad := Parse(raw)
-		if (lay == nil) == (len(bad) == 0) {
-			t.Errorf("%s: layout %v, troubles %v", raw, lay != nil, bad)
+		config, errors := Parse(raw)
+		if (config == nil) == (len(errors) == 0) {
+			t.Errorf("%s: got a config: %v, errors %v, want either a config or errors", raw, config != nil, errors)
 		}
-		if lay != nil && !json.Valid(raw) {
-			t.Errorf("%s was taken", raw)
+		if config != nil && !json.Valid(raw) {
+			t.Errorf("%s: got a config from invalid JSON, want errors", raw)
 		}
 	})
 }
--- a/internal/model/fleetconfig/merge.go
+++ b/internal/model/fleetconfig/merge.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 )
 
-// Merge applies a JSON merge patch (RFC 7386) to a config's text.
+// Merge applies a JSON merge patch (RFC 7396) to the text of a config. An empty raw counts as no document.
 func Merge(raw, patch []byte) ([]byte, error) {
 	var base, change any
 	if len(raw) > 0 {
@@ -19,6 +19,7 @@
 	return json.Marshal(mergeValues(base, change))
 }
 
+// decode decodes JSON and keeps numbers as they are written.
 func decode(raw []byte, to *any) error {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
@@ -26,7 +27,7 @@
 }
 
 func mergeValues(base, change any) any {
-	c, ok := change.(map[string]any)
+	changes, ok := change.(map[string]any)
 	if !ok {
 		return change
 	}
@@ -34,11 +35,11 @@
 	if !ok {
 		target = map[string]any{}
 	}
-	for name, v := range c {
-		if v == nil {
+	for name, value := range changes {
+		if value == nil {
 			delete(target, name)
 		} else {
-			target[name] = mergeValues(target[name], v)
+			target[name] = mergeValues(target[name], value)
 		}
 	}
 	return target
--- a/internal/model/fleetconfig/parse.go
+++ b/internal/model/fleetconfig/parse.go
@@ -10,18 +10,18 @@
 	"github.com/tidwall/gjson"
 )
 
-// parser reads one document into a config, section by section. A section may name entries of those before
-// it, so each keeps the places of its own by name.
+// parser parses a document into a config, section by section. A section may refer to entries of earlier sections by name, so
+// each section records the indices of its entries.
 type parser struct {
 	reader
-	config   *Config
-	services map[string]int
-	pools    map[string]int
-	tenants  map[string]int
-	lanes    map[string]int
+	config         *Config
+	services       map[string]int
+	pools          map[string]int
+	tenants        map[string]int
+	trafficClasses map[string]int
 }
 
-// Parse checks raw whole and tells every error, or gives the config.
+// Parse parses and validates a document. It returns either the config or all errors found.
 func Parse(raw []byte) (*Config, []FieldError) {
 	if len(raw) > MaxBytes {
 		return nil, []FieldError{{"", fmt.Sprintf("%d bytes; at most %d expected", len(raw), MaxBytes)}}
@@ -34,12 +34,12 @@
 		return nil, []FieldError{{"", "an object expected"}}
 	}
 	p := &parser{config: &Config{Raw: raw, tenantByHash: map[string]int{}},
-		services: map[string]int{}, pools: map[string]int{}, tenants: map[string]int{}, lanes: map[string]int{}}
+		services: map[string]int{}, pools: map[string]int{}, tenants: map[string]int{}, trafficClasses: map[string]int{}}
 	p.object("", doc, []string{"allowance", "lanes", "limits", "mappings", "pools", "services", "tenants"}, nil)
 	p.object("services", doc.Get("services"), nil, p.service)
 	p.object("pools", doc.Get("pools"), nil, p.pool)
 	p.object("tenants", doc.Get("tenants"), nil, p.tenant)
-	p.object("lanes", doc.Get("lanes"), nil, p.lane)
+	p.object("lanes", doc.Get("lanes"), nil, p.trafficClass)
 	p.routes(doc.Get("mappings"))
 	p.allowance(doc.Get("allowance"))
 	p.limits(doc.Get("limits"))
@@ -99,7 +99,7 @@
 	p.config.Tenants = append(p.config.Tenants, tenant)
 }
 
-// keyHashes reads the hashes of the keys of the tenant that is to be added next.
+// keyHashes parses the key hashes of the tenant that is added next.
 func (p *parser) keyHashes(path string, hashes gjson.Result) {
 	if hashes.Exists() && !hashes.IsArray() {
 		p.report(path, "a list of key hashes expected, got %s", abbreviate(hashes))
@@ -112,21 +112,21 @@
 			continue
 		}
 		lower := strings.ToLower(hash.Str)
-		if _, twice := p.config.tenantByHash[lower]; twice {
+		if _, duplicate := p.config.tenantByHash[lower]; duplicate {
 			p.report(entryPath, "this key is listed twice")
 		}
 		p.config.tenantByHash[lower] = len(p.config.Tenants)
 	}
 }
 
-func (p *parser) lane(name, path string, value gjson.Result) {
+func (p *parser) trafficClass(name, path string, value gjson.Result) {
 	p.checkName(path, name)
 	p.object(path, value, []string{"once", "patience_ms", "plain", "rank", "repeat", "silence_ms", "tenants"}, nil)
-	lane := TrafficClass{Name: name, AllowedTenants: map[int]bool{}, Priority: p.integer(path+".rank", value.Get("rank"), 0, 9, 5),
+	class := TrafficClass{Name: name, AllowedTenants: map[int]bool{}, Priority: p.integer(path+".rank", value.Get("rank"), 0, 9, 5),
 		QueueTimeout: p.milliseconds(path+".patience_ms", value.Get("patience_ms"), 1, 3_600_000, 10_000),
 		StallTimeout: p.milliseconds(path+".silence_ms", value.Get("silence_ms"), 1000, 3_600_000, 60_000),
 		OnceOnly:     p.boolean(path+".once", value.Get("once")), WithoutPrompt: p.boolean(path+".plain", value.Get("plain"))}
-	if lane.RepeatLostStreams = p.boolean(path+".repeat", value.Get("repeat")); lane.RepeatLostStreams && (lane.OnceOnly || lane.WithoutPrompt) {
+	if class.RepeatLostStreams = p.boolean(path+".repeat", value.Get("repeat")); class.RepeatLostStreams && (class.OnceOnly || class.WithoutPrompt) {
 		p.report(path+".repeat", "false expected on a lane that is once or plain")
 	}
 	tenants := value.Get("tenants")
@@ -135,17 +135,17 @@
 	}
 	for i, tenantName := range tenants.Array() {
 		if tenantName.String() == "*" {
-			lane.AllTenants = true
+			class.AllTenants = true
 			continue
 		}
 		tenant, ok := p.tenants[tenantName.String()]
 		if !ok {
 			p.report(fmt.Sprintf("%s.tenants.%d", path, i), "the name of a tenant expected, got %s", abbreviate(tenantName))
 		}
-		lane.AllowedTenants[tenant] = true
+		class.AllowedTenants[tenant] = true
 	}
-	p.lanes[name] = len(p.config.TrafficClasses)
-	p.config.TrafficClasses = append(p.config.TrafficClasses, lane)
+	p.trafficClasses[name] = len(p.config.TrafficClasses)
+	p.config.TrafficClasses = append(p.config.TrafficClasses, class)
 }
 
 func (p *parser) routes(routes gjson.Result) {
@@ -177,7 +177,7 @@
 		route.Headers[name] = p.text(headerPath, header, "")
 	})
 	var ok bool
-	if route.TrafficClass, ok = p.lanes[value.Get("lane").String()]; !ok {
+	if route.TrafficClass, ok = p.trafficClasses[value.Get("lane").String()]; !ok {
 		p.report(path+".lane", "the name of a lane expected, got %q", value.Get("lane").String())
 	}
 	if route.Pool, ok = p.pools[value.Get("pool").String()]; !ok {
--- a/internal/model/fleetconfig/reader.go
+++ b/internal/model/fleetconfig/reader.go
@@ -10,17 +10,18 @@
 	"github.com/tidwall/gjson"
 )
 
-// reader reads values of a JSON document and notes what is wrong with them.
+// reader reads values of a JSON document and collects the errors in them.
 type reader struct {
 	errors []FieldError
 }
 
-// report notes what is wrong at a path.
+// report records an error at a path.
 func (r *reader) report(path, format string, args ...any) {
 	r.errors = append(r.errors, FieldError{path, fmt.Sprintf(format, args...)})
 }
 
-// object visits an object's entries in order of name; known lists the keys allowed (nil: any).
+// object visits the entries of an object, sorted by name. known lists the allowed names; nil: any. A missing object has no
+// entries.
 func (r *reader) object(path string, value gjson.Result, known []string, visit func(name, path string, value gjson.Result)) {
 	if !value.Exists() {
 		return
@@ -33,7 +34,7 @@
 	entries := map[string]gjson.Result{}
 	value.ForEach(func(key, entry gjson.Result) bool {
 		name := key.String()
-		if _, twice := entries[name]; twice {
+		if _, duplicate := entries[name]; duplicate {
 			r.report(joinPath(path, name), "named twice")
 		} else {
 			names = append(names, name)
@@ -60,7 +61,7 @@
 	return path + "." + name
 }
 
-// abbreviate gives the beginning of a value, for a message.
+// abbreviate returns the JSON text of a value, truncated for a message.
 func abbreviate(value gjson.Result) string {
 	if len(value.Raw) > 40 {
 		return value.Raw[:40] + "..."
@@ -68,7 +69,7 @@
 	return value.Raw
 }
 
-// integer reads a whole number between low and high; fallback where it is missing.
+// integer reads a whole number from low to high. If it is missing or invalid, integer returns fallback.
 func (r *reader) integer(path string, value gjson.Result, low, high, fallback int) int {
 	if !value.Exists() {
 		return fallback
@@ -80,12 +81,13 @@
 	return int(value.Num)
 }
 
-// milliseconds reads a whole number of milliseconds between low and high; fallback where it is missing.
+// milliseconds reads a whole number of milliseconds from low to high. If it is missing or invalid, milliseconds returns
+// fallback.
 func (r *reader) milliseconds(path string, value gjson.Result, low, high, fallback int) time.Duration {
 	return time.Duration(r.integer(path, value, low, high, fallback)) * time.Millisecond
 }
 
-// fraction reads a number between low and high; fallback where it is missing.
+// fraction reads a number from low to high. If it is missing or invalid, fraction returns fallback.
 func (r *reader) fraction(path string, value gjson.Result, low, high, fallback float64) float64 {
 	if !value.Exists() {
 		return fallback
@@ -97,7 +99,7 @@
 	return value.Num
 }
 
-// boolean reads true or false; false where it is missing.
+// boolean reads true or false. If it is missing, boolean returns false.
 func (r *reader) boolean(path string, value gjson.Result) bool {
 	if value.Exists() && !value.IsBool() {
 		r.report(path, "true or false expected, got %s", abbreviate(value))
@@ -105,7 +107,7 @@
 	return value.Bool()
 }
 
-// text reads a string that is not empty; fallback where it is missing.
+// text reads a non-empty string. If it is missing or invalid, text returns fallback.
 func (r *reader) text(path string, value gjson.Result, fallback string) string {
 	if !value.Exists() {
 		return fallback
@@ -117,12 +119,12 @@
 	return value.Str
 }
 
-// checkName holds a name against the rules for names.
+// checkName reports an error if a name is invalid.
 func (r *reader) checkName(path, name string) {
 	if name == "" || len(name) > 64 || strings.ContainsAny(name, " \t\r\n/\"\\*") || strings.IndexFunc(name, func(char rune) bool { return char < 33 || char > 126 }) >= 0 {
 		r.report(path, "a name of 1 to 64 plain characters without spaces, slashes, quotes or stars expected")
 	}
 }
 
-// unroutableHeaders are those that no route may ask for.
+// unroutableHeaders are the headers, in lower case, that a route may not match on.
 var unroutableHeaders = map[string]bool{"host": true, "content-length": true, "transfer-encoding": true, "connection": true, "authorization": true}
--- a/internal/model/fleetconfig/selector.go
+++ b/internal/model/fleetconfig/selector.go
@@ -12,69 +12,69 @@
 	Values []string
 }
 
-// Selector is a list of conditions that must all hold.
+// Selector is a list of terms that must all match.
 type Selector []Term
 
-// ParseSelector reads "model=a, hall in (north,east), gpu, !canary"; the second value is
-// the plain sentence of what is wrong, or "".
+// ParseSelector parses a selector such as "model=a, hall in (north,east), gpu, !canary". The second result describes the
+// first error; it is "" if there is none.
 func ParseSelector(s string) (Selector, string) {
-	var out Selector
-	for _, part := range splitTerms(s) {
-		part = strings.TrimSpace(part)
-		if part == "" {
+	var selector Selector
+	for _, text := range splitTerms(s) {
+		text = strings.TrimSpace(text)
+		if text == "" {
 			return nil, "an empty term between commas"
 		}
-		term, bad := parseTerm(part)
-		if bad != "" {
-			return nil, bad
+		term, problem := parseTerm(text)
+		if problem != "" {
+			return nil, problem
 		}
-		out = append(out, term)
+		selector = append(selector, term)
 	}
-	if len(out) == 0 {
+	if len(selector) == 0 {
 		return nil, "at least one term expected"
 	}
-	return out, ""
+	return selector, ""
 }
 
-// splitTerms splits at commas outside brackets.
+// splitTerms splits a selector at commas outside parentheses.
 func splitTerms(s string) []string {
-	var out []string
-	deep, from := 0, 0
+	var terms []string
+	depth, start := 0, 0
 	for i, c := range s {
 		switch c {
 		case '(':
-			deep++
+			depth++
 		case ')':
-			deep--
+			depth--
 		case ',':
-			if deep == 0 {
-				out = append(out, s[from:i])
-				from = i + 1
+			if depth == 0 {
+				terms = append(terms, s[start:i])
+				start = i + 1
 			}
 		}
 	}
 	if strings.TrimSpace(s) == "" {
 		return nil
 	}
-	return append(out, s[from:])
+	return append(terms, s[start:])
 }
 
 func parseTerm(s string) (Term, string) {
-	if key, val, ok := strings.Cut(s, "!="); ok {
-		return checkWords(Term{Op: "!=", Key: strings.TrimSpace(key), Values: []string{strings.TrimSpace(val)}}, s)
+	if key, value, ok := strings.Cut(s, "!="); ok {
+		return checkWords(Term{Op: "!=", Key: strings.TrimSpace(key), Values: []string{strings.TrimSpace(value)}}, s)
 	}
-	if key, val, ok := strings.Cut(s, "="); ok {
-		return checkWords(Term{Op: "=", Key: strings.TrimSpace(key), Values: []string{strings.TrimSpace(val)}}, s)
+	if key, value, ok := strings.Cut(s, "="); ok {
+		return checkWords(Term{Op: "=", Key: strings.TrimSpace(key), Values: []string{strings.TrimSpace(value)}}, s)
 	}
 	if key, rest, ok := strings.Cut(s, "("); ok {
-		f := strings.Fields(key)
-		rest, end := strings.CutSuffix(strings.TrimSpace(rest), ")")
-		if len(f) != 2 || (f[1] != "in" && f[1] != "notin") || !end {
+		fields := strings.Fields(key)
+		list, closed := strings.CutSuffix(strings.TrimSpace(rest), ")")
+		if len(fields) != 2 || (fields[1] != "in" && fields[1] != "notin") || !closed {
 			return Term{}, "term " + s + ": key in (a,b) or key notin (a,b) expected"
 		}
-		term := Term{Key: f[0], Op: f[1]}
-		for _, v := range strings.Split(rest, ",") {
-			term.Values = append(term.Values, strings.TrimSpace(v))
+		term := Term{Key: fields[0], Op: fields[1]}
+		for _, value := range strings.Split(list, ",") {
+			term.Values = append(term.Values, strings.TrimSpace(value))
 		}
 		return checkWords(term, s)
 	}
@@ -84,31 +84,32 @@
 	return checkWords(Term{Op: "has", Key: s}, s)
 }
 
+// checkWords returns the term, or a problem if its key or a value is no plain word. s is the text of the term.
 func checkWords(term Term, s string) (Term, string) {
-	for _, w := range append([]string{term.Key}, term.Values...) {
-		if w == "" || strings.ContainsAny(w, " \t\r\n()!=,") {
+	for _, word := range append([]string{term.Key}, term.Values...) {
+		if word == "" || strings.ContainsAny(word, " \t\r\n()!=,") {
 			return Term{}, "term " + s + ": plain words for key and values expected"
 		}
 	}
 	return term, ""
 }
 
-// Match reports whether a label set satisfies every term.
-func (s Selector) Match(tags map[string]string) bool {
+// Match reports whether labels match every term.
+func (s Selector) Match(labels map[string]string) bool {
 	for _, term := range s {
-		v, has := tags[term.Key]
-		ok := false
+		value, has := labels[term.Key]
+		matches := false
 		switch term.Op {
 		case "=", "in":
-			ok = has && slices.Contains(term.Values, v)
+			matches = has && slices.Contains(term.Values, value)
 		case "!=", "notin":
-			ok = !has || !slices.Contains(term.Values, v)
+			matches = !has || !slices.Contains(term.Values, value)
 		case "has":
-			ok = has
+			matches = has
 		case "not":
-			ok = !has
+			matches = !has
 		}
-		if !ok {
+		if !matches {
 			return false
 		}
 	}
