--- a/internal/lib/daemon/context.go
+++ b/internal/lib/daemon/context.go
@@ -7,17 +7,17 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// Context is the context of one run of one process. It adds to a context.Context what is fixed for that run.
+// Context is a context.Context with the values that are fixed for one run of a process.
 type Context struct {
 	context.Context
-	Name  string       // the process's name
-	Zone  string       // the zone it stands in
-	RunID uint64       // this run of the process; a restart has another, drawn at random
-	Log   *slog.Logger // already prefixed for the component
+	Name  string       // name of the process
+	Zone  string       // zone in which it runs
+	RunID uint64       // random; identifies this run of the process
+	Log   *slog.Logger // with the component already set
 	Net   wire.Network // how to dial and listen
 }
 
-// WithComponent returns the context of one component, whose log lines begin with its name.
+// WithComponent returns the context of a component, whose log messages are prefixed with its name.
 func (c Context) WithComponent(name string) Context {
 	c.Log = c.Log.With("part", name)
 	return c
--- a/internal/lib/daemon/exit.go
+++ b/internal/lib/daemon/exit.go
@@ -3,9 +3,9 @@
 // Exit codes of the programs.
 const (
 	ExitOK    = 0
-	ExitError = 1 // it ran, and ended with an error
-	ExitUsage = 2 // the command line or the settings do not hold
+	ExitError = 1 // the program ran and ended with an error
+	ExitUsage = 2 // the command line or the settings are invalid
 )
 
-// Running stands in place of an exit code while the program is to go on. It is below all exit codes.
+// Running is returned instead of an exit code if the program is to continue. It is less than every exit code.
 const Running = -1
--- a/internal/lib/daemon/monotonictime_test.go
+++ b/internal/lib/daemon/monotonictime_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// Only monotonic time decides anything in the daemons, so that a clock that jumps while they run changes nothing: no time is
-// taken from the wall clock but for the log's lines. Go's own differences and timers are monotonic as long as nobody strips
-// that reading or makes times out of numbers.
+// Decisions of the daemons depend on monotonic time only, so that a jump of the wall clock does not affect them. Only the log
+// reads the wall clock. Differences of times and timers are monotonic in Go unless code strips the monotonic reading or makes
+// times from numbers, so the test searches the source for calls that do.
 func TestOnlyMonotonicTime(t *testing.T) {
 	wallClock := regexp.MustCompile(`\.Unix(Nano|Milli|Micro)?\(\)|\.Round\(0\)|\.Truncate\(0\)|\btime\.(Date|Parse|ParseInLocation|Unix|UnixMilli)\(|\.(UTC|Local)\(\)|\.MarshalBinary\(\)`)
 	files, lines := 0, 0
@@ -29,12 +29,12 @@
 		for i, line := range strings.Split(string(source), "\n") {
 			lines++
 			if wallClock.MatchString(line) && !strings.HasSuffix(path, filepath.Join("logging", "log.go")) {
-				t.Errorf("%s:%d: got a time from the wall clock, want none: %s", path, i+1, strings.TrimSpace(line))
+				t.Errorf("%s:%d: got a use of the wall clock, want none: %s", path, i+1, strings.TrimSpace(line))
 			}
 		}
 		return err
 	})
 	if err != nil || files < 40 {
-		t.Fatalf("got %d files, %d lines read, %v, want at least 40 files", files, lines, err)
+		t.Fatalf("got %d files with %d lines, error %v, want at least 40 files and no error", files, lines, err)
 	}
 }
--- a/internal/lib/daemon/process.go
+++ b/internal/lib/daemon/process.go
@@ -1,5 +1,5 @@
-// Package daemon is what each of the programs starts with: its settings and their reload, its log, its signals, its exit
-// codes, and a context that says which run of which process this is.
+// Package daemon provides what all programs have in common: reading and reloading settings, the log, signals, exit codes, and a
+// context that identifies the process and its run.
 package daemon
 
 import (
@@ -19,34 +19,34 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// Version of the programs.
+// Version is the version of the programs.
 const Version = "0.1.0"
 
-// Process is a running program: its settings, and what the signals ask for. Its fields do not change after the start, and its
-// methods may be called concurrently.
+// Process is a running program with its settings and signals. Its exported fields do not change after the start, and its
+// methods are safe for concurrent use.
 type Process struct {
 	Ctx      Context
-	Settings settings.Values // as at the start
-	Stop     <-chan struct{} // closed upon SIGTERM or SIGINT: drain, then end
+	Settings settings.Values // as of the start
+	Stop     <-chan struct{} // closed on SIGTERM or SIGINT: the program drains, then exits
 
-	current  atomic.Pointer[settings.Values] // as of the last reload; the values are never changed in place
+	current  atomic.Pointer[settings.Values] // as of the last reload; the map is never modified
 	logLevel *slog.LevelVar
 	cancel   context.CancelFunc
 }
 
-// Setting returns the current value of a setting that may be reloaded.
+// Setting returns the current value of a setting, which a reload may have changed.
 func (p *Process) Setting(name string) string { return (*p.current.Load())[name] }
 
-// Close ends the context of all components.
+// Close cancels the context of all components.
 func (p *Process) Close() { p.cancel() }
 
-// Start reads the settings and sets up log and signals; upon SIGHUP the settings are read again. The code is Running, or
-// else the one that the program is to exit with, and then there is no process. checks judge settings against each other.
-// out takes the log, and what -version, -check and invalid settings print.
+// Start reads the settings and sets up the log and signals. On SIGHUP the settings are read again. code is Running or, if the
+// process is nil, the code with which the program has to exit. checks validate combinations of settings. The log, the output of
+// -version and -check, and problems with the settings are written to out.
 func Start(prog string, items []settings.Setting, args []string, out io.Writer, checks ...func(settings.Values) settings.Problems) (process *Process, code int) {
 	values, command, err := settings.Read(prog, items, args)
 	if err == nil && !command.Version {
-		err = checkTogether(values, checks)
+		err = checkCombinations(values, checks)
 	}
 	switch {
 	case errors.Is(err, flag.ErrHelp):
@@ -64,8 +64,8 @@
 	return StartConfigured(values, out, func(process *Process) { process.reload(prog, items, args) }), Running
 }
 
-// checkTogether returns the problems that the first failing check finds, as an error.
-func checkTogether(values settings.Values, checks []func(settings.Values) settings.Problems) error {
+// checkCombinations returns the problems of the first failing check as an error.
+func checkCombinations(values settings.Values, checks []func(settings.Values) settings.Problems) error {
 	for _, check := range checks {
 		if problems := check(values); len(problems) > 0 {
 			return problems
@@ -74,13 +74,13 @@
 	return nil
 }
 
-// printLine prints a line for whoever started the program. If that fails, the exit code is all that is left to tell.
+// printLine prints a line for the user. An error is ignored, because the exit code reports the outcome as well.
 func printLine(out io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(out, format+"\n", args...)
 }
 
-// StartConfigured sets up log and signals of a program whose settings come from elsewhere. Of values it uses "name", "hall",
-// "log" and "from". onHangup is called for each SIGHUP, one at a time, until the process is closed.
+// StartConfigured sets up the log and signals of a program that does not read its settings with package settings. It uses the
+// values "name", "hall", "log" and "from". onHangup is called for each SIGHUP, one call at a time, until the process is closed.
 func StartConfigured(values settings.Values, out io.Writer, onHangup func(*Process)) *Process {
 	ctx, cancel := context.WithCancel(context.Background())
 	level := &slog.LevelVar{}
--- a/internal/lib/daemon/process_test.go
+++ b/internal/lib/daemon/process_test.go
@@ -22,7 +22,7 @@
 	{Name: "log", Kind: settings.Level, Default: "info", Reloadable: true},
 }
 
-// lockedBuffer may be written and read concurrently.
+// lockedBuffer is a buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -40,7 +40,7 @@
 	return b.buffer.String()
 }
 
-// writeSettings writes a settings file.
+// writeSettings writes a settings file, replacing an existing one.
 func writeSettings(t *testing.T, path, content string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
@@ -60,7 +60,7 @@
 	return process, out
 }
 
-// waitFor waits until a condition holds.
+// waitFor polls until a condition holds, for at most 10 s.
 func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
@@ -71,7 +71,7 @@
 }
 
 func TestStartExitCodes(t *testing.T) {
-	unnamed := func(values settings.Values) settings.Problems {
+	rejectBadName := func(values settings.Values) settings.Problems {
 		if values["name"] == "bad" {
 			return settings.Problems{"another name expected"}
 		}
@@ -88,13 +88,13 @@
 		{"check", []string{"-check", "-name", "a"}, ExitOK, "prog: settings hold\n"},
 		{"check fails", []string{"-check"}, ExitUsage, `prog: setting "name": value "": a value expected` + "\n"},
 		{"unknown flag", []string{"-unknown"}, ExitUsage, "prog: flag provided but not defined: -unknown\n"},
-		{"settings judged together", []string{"-name", "bad"}, ExitUsage, "prog: another name expected\n"},
+		{"invalid combination of settings", []string{"-name", "bad"}, ExitUsage, "prog: another name expected\n"},
 		{"no file", []string{"-env", filepath.Join(t.TempDir(), "missing")}, ExitUsage, "prog: settings file "},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			var out bytes.Buffer
-			process, code := Start("prog", testItems, test.args, &out, unnamed)
+			process, code := Start("prog", testItems, test.args, &out, rejectBadName)
 			if process != nil || code != test.wantCode || !strings.HasPrefix(out.String(), test.wantOut) {
 				t.Errorf("Start: got %v, %d, %q, want no process, %d, %q", process, code, out.String(), test.wantCode, test.wantOut)
 			}
@@ -109,21 +109,21 @@
 	second := StartConfigured(values, &lockedBuffer{}, func(*Process) {})
 	t.Cleanup(second.Close)
 	if first.Ctx.Name != "a" || first.Ctx.Zone != "z" || first.Ctx.Net != (wire.TCP{LocalIP: "10.0.0.1"}) {
-		t.Errorf("context: got %q in %q from %v, want a in z from 10.0.0.1", first.Ctx.Name, first.Ctx.Zone, first.Ctx.Net)
+		t.Errorf("context: got name %q, zone %q, network %v, want a, z, local IP 10.0.0.1", first.Ctx.Name, first.Ctx.Zone, first.Ctx.Net)
 	}
 	if first.Ctx.RunID == second.Ctx.RunID {
-		t.Errorf("run IDs of two runs: got %d twice, want two", first.Ctx.RunID)
+		t.Errorf("run IDs of two runs: got %d twice, want two different ones", first.Ctx.RunID)
 	}
 	if first.Ctx.Log.Enabled(first.Ctx, slog.LevelInfo) || !first.Ctx.Log.Enabled(first.Ctx, slog.LevelWarn) {
-		t.Error("log level: got another, want warn")
+		t.Error("got another log level, want warn")
 	}
 	first.Close()
 	if first.Ctx.Err() == nil || second.Ctx.Err() != nil {
-		t.Errorf("after Close: got %v and %v, want the first's context alone to have ended", first.Ctx.Err(), second.Ctx.Err())
+		t.Errorf("context errors after Close of the first: got %v and %v, want one of the first only", first.Ctx.Err(), second.Ctx.Err())
 	}
 }
 
-// Settings that may be reloaded change; others stay, and a file that does not hold changes nothing.
+// A reload changes only settings that are reloadable, and an invalid file changes none.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.json")
 	writeSettings(t, path, `{"name": "a", "log": "info"}`)
@@ -151,14 +151,14 @@
 		})
 	}
 	if !process.Ctx.Log.Enabled(process.Ctx, slog.LevelDebug) {
-		t.Error("log level after the reload: got another, want debug")
+		t.Error("got another log level after the reload, want debug")
 	}
 	if got := process.Settings["log"]; got != "info" {
-		t.Errorf("settings as at the start: got log %q, want info", got)
+		t.Errorf("settings as of the start: got log %q, want info", got)
 	}
 }
 
-// SIGHUP reloads the settings; SIGTERM closes Stop and leaves the components' context open, so that they drain.
+// SIGHUP reloads the settings. SIGTERM closes Stop but does not cancel the components' context, so that they can drain.
 func TestSignals(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.json")
 	writeSettings(t, path, `{"name": "a", "log": "info"}`)
@@ -167,7 +167,7 @@
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "reload upon SIGHUP", func() bool { return process.Setting("log") == "warn" })
+	waitFor(t, "reload on SIGHUP", func() bool { return process.Setting("log") == "warn" })
 	select {
 	case <-process.Stop:
 		t.Fatal("Stop before SIGTERM: got closed, want open")
@@ -182,7 +182,7 @@
 		t.Fatal("Stop 10s after SIGTERM: got open, want closed")
 	}
 	if err := process.Ctx.Err(); err != nil {
-		t.Errorf("context after SIGTERM: got %v, want open", err)
+		t.Errorf("context after SIGTERM: got error %v, want none", err)
 	}
 }
 
--- a/internal/lib/daemon/reload.go
+++ b/internal/lib/daemon/reload.go
@@ -6,8 +6,8 @@
 	"yarrowridge/internal/lib/settings"
 )
 
-// reload reads the settings again. Where they do not hold, all stays as it was; of those that hold, the ones that may be
-// reloaded change. Only the goroutine that takes SIGHUPs calls it.
+// reload reads the settings again. If any is invalid, none changes; otherwise only the reloadable ones change. It is called only
+// by the goroutine that handles SIGHUP.
 func (p *Process) reload(prog string, items []settings.Setting, args []string) {
 	values, _, err := settings.Read(prog, items, args)
 	if err != nil {
@@ -25,7 +25,7 @@
 	p.Ctx.Log.Info("Settings reloaded.")
 }
 
-// parseLogLevel is the level of a checked setting; not set, it is info.
+// parseLogLevel returns the log level of a checked setting; the level of an empty one is info.
 func parseLogLevel(name string) slog.Level {
 	return map[string]slog.Level{"debug": slog.LevelDebug, "warn": slog.LevelWarn, "error": slog.LevelError}[name]
 }
--- a/internal/lib/daemon/signals.go
+++ b/internal/lib/daemon/signals.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// stopOnSignal returns a channel that is closed upon the first SIGTERM or SIGINT. Further ones change nothing: draining
-// takes its time, and SIGKILL is there for those who can't wait. The signals stay caught for the life of the process.
+// stopOnSignal returns a channel that is closed on the first SIGTERM or SIGINT. Further ones are ignored for the life of the
+// process, so that they do not interrupt draining; SIGKILL ends the process at once.
 func stopOnSignal() <-chan struct{} {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -19,7 +19,7 @@
 	return stop
 }
 
-// hangups returns the channel of SIGHUPs. Those that come while one is handled count as one.
+// hangups returns a channel that receives SIGHUPs. Those that arrive while one is handled count as one.
 func hangups() <-chan os.Signal {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
--- a/internal/lib/settings/check.go
+++ b/internal/lib/settings/check.go
@@ -10,18 +10,19 @@
 	"time"
 )
 
-// Problems is an error that lists what does not hold of some settings, a sentence each.
+// Problems is an error that lists everything invalid about some settings, one sentence each.
 type Problems []string
 
-// Error joins the sentences, a line each.
+// Error returns the sentences, one per line.
 func (p Problems) Error() string { return strings.Join(p, "\n") }
 
-// mismatch is the sentence about a value that does not hold.
+// mismatch returns the sentence about an invalid value.
 func mismatch(name, value, want string) string {
 	return fmt.Sprintf("setting %q: value %q: %s expected", name, value, want)
 }
 
-// kindChecks has the check of each kind's values, and what it wants in the words of a Problem. Of a List it checks each element.
+// kindChecks has for each kind the check of its values and the text that states the expected form. The elements of a List are
+// checked one by one.
 var kindChecks = map[Kind]struct {
 	valid func(value string) bool
 	want  string
@@ -30,7 +31,7 @@
 	Addr:     {isAddrPort, "ip:port"},
 	List:     {isAddrPort, "ip:port in each place"},
 	Duration: {isPositiveDuration, "a duration above zero, such as 2s"},
-	Dir:      {mayBeFolder, "a folder"},
+	Dir:      {mayBeDirectory, "a folder"},
 	Hash:     {isSHA256, "64 hex digits, a SHA-256,"},
 	Level:    {isLevel, "debug, info, warn or error"},
 	IP:       {isIP, "an ip number"},
@@ -53,8 +54,8 @@
 	return err == nil && duration > 0
 }
 
-// mayBeFolder reports whether a path is a folder, or nothing that can be seen yet: the program makes it.
-func mayBeFolder(path string) bool {
+// mayBeDirectory reports whether a path is a directory or cannot be examined. The program creates a missing directory itself.
+func mayBeDirectory(path string) bool {
 	info, err := os.Stat(path)
 	return err != nil || info.IsDir()
 }
@@ -68,7 +69,7 @@
 	return slices.Contains([]string{"debug", "info", "warn", "error"}, value)
 }
 
-// Check returns everything that does not hold of values, sorted; nil: all holds.
+// Check returns everything invalid about values, sorted; nil: all values are valid.
 func Check(items []Setting, values Values) Problems {
 	var problems Problems
 	for _, setting := range items {
@@ -78,7 +79,7 @@
 	return problems
 }
 
-// check returns what does not hold of the setting's value.
+// check returns the problems with the setting's value.
 func (s Setting) check(value string) Problems {
 	if value == "" {
 		if s.Required {
--- a/internal/lib/settings/check_test.go
+++ b/internal/lib/settings/check_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestCheckKinds(t *testing.T) {
-	folder := t.TempDir()
-	file := filepath.Join(folder, "file")
+	directory := t.TempDir()
+	file := filepath.Join(directory, "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -18,7 +18,7 @@
 	tests := []struct {
 		name    string
 		kind    Kind
-		want    string // what a Problem says is expected
+		want    string // expected form in the text of a problem
 		valid   []string
 		invalid []string
 	}{
@@ -26,7 +26,7 @@
 		{"Addr", Addr, "ip:port", []string{"10.0.0.1:7360", "[::1]:1"}, []string{"10.0.0.1", "localhost:80", ":80", "10.0.0.1:99999", "10.0.0.1:1,10.0.0.2:1"}},
 		{"List", List, "ip:port in each place", []string{"10.0.0.1:1", "10.0.0.1:1,[::1]:2"}, []string{"a", " 10.0.0.1:1"}},
 		{"Duration", Duration, "a duration above zero, such as 2s", []string{"2s", "1ms", "1h30m"}, []string{"0s", "-1s", "2", "s", "2 s"}},
-		{"Dir", Dir, "a folder", []string{folder, filepath.Join(folder, "not-yet")}, []string{file}},
+		{"Dir", Dir, "a folder", []string{directory, filepath.Join(directory, "not-yet")}, []string{file}},
 		{"Hash", Hash, "64 hex digits, a SHA-256,", []string{hash, strings.ToUpper(hash)}, []string{hash[2:], hash + "00", "0g" + hash[2:], hash[1:]}},
 		{"Level", Level, "debug, info, warn or error", []string{"debug", "info", "warn", "error"}, []string{"INFO", "fatal", "trace"}},
 		{"IP", IP, "an ip number", []string{"10.0.0.1", "::1"}, []string{"10.0.0.1:80", "localhost", "10.0.0"}},
@@ -53,8 +53,8 @@
 	}
 }
 
-// All that does not hold is told at once, sorted: each element of a list, and each required setting that is not set.
-func TestCheckTellsAllProblems(t *testing.T) {
+// Check reports all problems, sorted: each invalid element of a list, and each required setting that is not set.
+func TestCheckReportsAllProblems(t *testing.T) {
 	items := []Setting{{Name: "z", Kind: Level}, {Name: "list", Kind: List}, {Name: "a", Kind: Text, Required: true}, {Name: "unset", Kind: Addr}}
 	got := Check(items, Values{"z": "loud", "list": "10.0.0.1:1,x,,y"})
 	want := Problems{
--- a/internal/lib/settings/read.go
+++ b/internal/lib/settings/read.go
@@ -10,15 +10,15 @@
 	"github.com/tidwall/gjson"
 )
 
-// Command is what the command line asked for beyond settings.
+// Command holds the options of the command line that are not settings.
 type Command struct {
 	Check   bool   // check the settings and exit
-	Version bool   // print the version and exit; no setting was read or checked
-	File    string // the settings file; empty: none
+	Version bool   // print the version and exit; settings are neither read nor checked
+	File    string // path of the settings file; empty: none
 }
 
-// Read settles the settings from args and, where -env names one, a JSON file. Flags win over the file, the file over
-// defaults. The error is flag.ErrHelp where help was asked for, and Problems where something does not hold.
+// Read reads the settings from args and, if -env names one, a JSON file, and checks them. Flags take precedence over the file,
+// and the file over defaults. The error is flag.ErrHelp if help was requested, and Problems if settings are invalid.
 func Read(prog string, items []Setting, args []string) (Values, Command, error) {
 	var command Command
 	flags := flag.NewFlagSet(prog, flag.ContinueOnError)
@@ -55,8 +55,8 @@
 	return values, command, nil
 }
 
-// mergeFile sets the values of a settings file that no flag has set. It returns what does not hold of the file, and an error
-// if that can't be read.
+// mergeFile sets the values of a settings file that are not set by a flag. It returns the problems with the file, or an error if
+// the file cannot be read.
 func mergeFile(values Values, items []Setting, path string, flags *flag.FlagSet) (Problems, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return problems, nil
 }
 
-// parse reads a settings file: a JSON object of strings, or lists of strings for settings that are lists.
+// parse parses a settings file: a JSON object whose values are strings, or lists of strings for settings of kind List.
 func parse(items []Setting, raw []byte) (Values, Problems) {
 	if !gjson.ValidBytes(raw) {
 		return nil, Problems{"settings file: valid JSON expected"}
@@ -104,7 +104,7 @@
 	return values, problems
 }
 
-// parse returns the setting's value as flags have it, or what does not hold of it.
+// parse returns the setting's value in the form that flags use, or the problem with it.
 func (s Setting) parse(value gjson.Result) (text, problem string) {
 	want := "a string"
 	if s.Kind == List {
--- a/internal/lib/settings/read_test.go
+++ b/internal/lib/settings/read_test.go
@@ -19,7 +19,7 @@
 	{Name: "drain", Kind: Duration, Default: "5s"},
 }
 
-// writeFile writes a settings file, and returns its path.
+// writeFile writes a settings file and returns its path.
 func writeFile(t *testing.T, content string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.json")
@@ -55,7 +55,7 @@
 				t.Errorf("Read: got %v, %v, want %v", got, err, test.want)
 			}
 			if command.Check || command.Version || (command.File != "") != (test.file != "") {
-				t.Errorf("command: got %+v, want only the file", command)
+				t.Errorf("command: got %+v, want only File, if a file is given", command)
 			}
 		})
 	}
@@ -70,8 +70,8 @@
 	}{
 		{"required setting not set", "", nil, Problems{`setting "name": value "": a value expected`}},
 		{"argument after the flags", "", []string{"-name", "a", "b", "c"}, Problems{`argument "b": nothing expected after the flags`}},
-		{"no JSON", `{"name": `, []string{"-name", "a"}, Problems{"settings file: valid JSON expected"}},
-		{"no object", `["name"]`, []string{"-name", "a"}, Problems{"settings file: a JSON object expected"}},
+		{"invalid JSON", `{"name": `, []string{"-name", "a"}, Problems{"settings file: valid JSON expected"}},
+		{"not an object", `["name"]`, []string{"-name", "a"}, Problems{"settings file: a JSON object expected"}},
 		{"unknown setting", `{"nmae": "a"}`, []string{"-name", "a"}, Problems{`setting "nmae": unknown`}},
 		{"number", `{"drain": 5}`, []string{"-name", "a"}, Problems{`setting "drain": value 5: a string expected`}},
 		{"list for a word", `{"name": ["a"]}`, []string{"-name", "a"}, Problems{`setting "name": value ["a"]: a string expected`}},
@@ -129,6 +129,6 @@
 		t.Errorf("ValueOr of a setting that is not set: got %q, want %q", got, want)
 	}
 	if got, want := values.ValueOr("drain", "addr"), "1500ms"; got != want {
-		t.Errorf("ValueOr of one that is set: got %q, want %q", got, want)
+		t.Errorf("ValueOr of a setting that is set: got %q, want %q", got, want)
 	}
 }
--- a/internal/lib/web/handler_test.go
+++ b/internal/lib/web/handler_test.go
@@ -13,10 +13,10 @@
 	"github.com/zeromicro/go-zero/rest"
 )
 
-// probe is a handler that notes the bodies it got and checks what reaches a handler.
+// probe is a handler that records the request bodies it receives and checks that requests have no deadline.
 type probe struct {
 	t      *testing.T
-	bodies chan []byte // the last body that nobody has taken
+	bodies chan []byte // the first body that the test has not read yet; others are dropped
 }
 
 func (p *probe) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -42,7 +42,7 @@
 		panic(http.ErrAbortHandler)
 	case "/flush", "/other/flush":
 		p.flush(w)
-		<-r.Context().Done() // the client reads the header while the handler is still here
+		<-r.Context().Done() // the client reads the header while the handler is still running
 	case "/unavailable", "/other/unavailable":
 		w.WriteHeader(http.StatusServiceUnavailable)
 		if _, err := w.Write([]byte("by the handler")); err != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-// serveProbe serves a probe under "" by routes and under "/other" by the handler of all else, and returns the URL.
+// serveProbe serves a probe as the handler of the routes and, under "/other", as the fallback handler, and returns the URL.
 func serveProbe(t *testing.T) (url string, p *probe) {
 	t.Helper()
 	p = &probe{t, make(chan []byte, 1)}
@@ -74,7 +74,7 @@
 	return server.URL, p
 }
 
-// post sends a body, without following or decoding anything.
+// post sends a body. It neither follows redirects nor decodes the response.
 func post(ctx context.Context, t *testing.T, url string, body []byte, encoding string) *http.Response {
 	t.Helper()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
@@ -105,8 +105,8 @@
 	return compressed.Bytes()
 }
 
-// rest as we set it up leaves requests and responses alone: no time-out, no body limit, no gunzip, no buffering, no breaker,
-// and a handler's abort breaks the connection.
+// With all middleware disabled, rest does not change requests and responses: no time-out, body limit, gunzip, buffering or
+// breaker, and a handler's abort closes the connection.
 func TestRestLeavesRequestsAlone(t *testing.T) {
 	for _, root := range []string{"", "/other"} {
 		t.Run("bodies"+root, func(t *testing.T) {
@@ -120,7 +120,7 @@
 			} {
 				post(t.Context(), t, url+root+"/body", c.body, c.encoding)
 				if got := <-p.bodies; !bytes.Equal(got, c.body) {
-					t.Errorf("encoding %q: got another body of %d bytes, want that of %d as it was sent", c.encoding, len(got), len(c.body))
+					t.Errorf("encoding %q: got a body of %d bytes, want the %d bytes that were sent, unchanged", c.encoding, len(got), len(c.body))
 				}
 			}
 		})
@@ -134,10 +134,10 @@
 		t.Run("flush"+root, func(t *testing.T) {
 			url, _ := serveProbe(t)
 			ctx, cancel := context.WithCancel(t.Context())
-			defer cancel() // the handler waits for it: without a flush the header would not come
+			defer cancel() // ends the handler; without a flush the response header would not arrive before
 			post(ctx, t, url+root+"/flush", nil, "")
 		})
-		// So many in a row would open rest's breaker, which then answers by itself.
+		// This many failures in a row would open rest's breaker, which then responds itself.
 		t.Run("no breaker"+root, func(t *testing.T) {
 			url, _ := serveProbe(t)
 			for i := range 100 {
@@ -149,7 +149,7 @@
 			}
 			for i := range 100 {
 				if response := post(t.Context(), t, url+root+"/body", nil, ""); response.StatusCode != http.StatusOK {
-					t.Fatalf("request %d after them: got status %d, want 200", i, response.StatusCode)
+					t.Fatalf("request %d after the failures: got status %d, want 200", i, response.StatusCode)
 				}
 			}
 		})
--- a/internal/lib/web/response.go
+++ b/internal/lib/web/response.go
@@ -5,27 +5,27 @@
 	"net/http"
 )
 
-// ErrorCode says in one word why a request was not served. Clients' scripts compare it. Each API declares its codes as
-// constants of this type.
+// ErrorCode is a machine-readable reason why a request was not served. Clients compare it, so codes must not change. Each API
+// declares its codes as constants of this type.
 type ErrorCode string
 
-// ErrorBody is the JSON body that tells a client why a request was not served.
+// ErrorBody is the JSON body of a response to a request that was not served.
 type ErrorBody struct {
 	Error Error `json:"error"`
 }
 
-// Error is a code for scripts with a sentence for people.
+// Error is the reason why a request was not served: a code for programs and a message for people.
 type Error struct {
 	Code    ErrorCode `json:"code"`
 	Message string    `json:"message"`
 }
 
-// WriteJSON sends a response with a status and a JSON body. No error is returned: the only one that can occur is that the
-// client has gone.
+// WriteJSON sends a response with a status and a JSON body. It returns no error: the only one expected is that the client has
+// disconnected.
 func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the status is out: nothing more can be said to a client that has gone
+	_ = json.NewEncoder(w).Encode(body) // the status is sent already, and a disconnected client cannot be notified
 }
 
 // WriteError sends a response with a status and an ErrorBody.
--- a/internal/lib/web/server.go
+++ b/internal/lib/web/server.go
@@ -12,20 +12,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// What a Server allows a client. Bodies and responses have no limit here: each API sets its own.
+// Limits of a Server. Bodies and responses are not limited here: each API sets its own limits.
 const (
-	readHeaderTimeout = 10 * time.Second // for a request's headers
+	readHeaderTimeout = 10 * time.Second // to receive the headers of a request
 	idleTimeout       = 60 * time.Second // between two requests on a connection
 	maxHeaderBytes    = 64 << 10         // of one request
 )
 
-// Server serves a handler on one listener. Its methods may be called concurrently.
+// Server serves a handler on one listener. Its methods are safe for concurrent use.
 type Server struct {
 	listener net.Listener
 	http     *http.Server
 }
 
-// Listen binds addr and returns a server of handler on it.
+// Listen binds addr and returns a server for handler on it.
 func Listen(addr string, handler http.Handler) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -34,19 +34,19 @@
 	return NewServer(listener, handler), nil
 }
 
-// NewServer returns a server of handler on a listener, which it closes when it is drained.
+// NewServer returns a server for handler on a listener. Drain closes the listener.
 func NewServer(listener net.Listener, handler http.Handler) *Server {
-	// A write deadline that an earlier request on the connection set must not bound this response.
+	// A write deadline set by an earlier request on the connection must not apply to this response.
 	withoutDeadline := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		controller := http.NewResponseController(w)
-		_ = controller.SetWriteDeadline(time.Time{}) // a writer without deadlines has none to take away
+		_ = controller.SetWriteDeadline(time.Time{}) // fails only if the writer does not support deadlines, and then none is set
 		handler.ServeHTTP(w, withResponseController(r, controller))
 	})
 	return &Server{listener, &http.Server{Handler: withoutDeadline, ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: log.New(io.Discard, "", 0)}}
 }
 
-// Run serves until the server is drained, which is no error, or the listener fails.
+// Run serves until the server is drained or the listener fails. It returns an error only in the latter case.
 func (s *Server) Run() error {
 	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -54,12 +54,12 @@
 	return nil
 }
 
-// Drain shuts the server down gracefully: it accepts no new connections and waits for the requests under way. It returns
-// ctx's error where ctx ends first; those requests go on then.
+// Drain shuts the server down gracefully: it accepts no new connections and waits for the requests in flight. If ctx ends
+// first, it returns ctx's error, and the remaining requests continue.
 func (s *Server) Drain(ctx context.Context) error { return s.http.Shutdown(ctx) }
 
-// Start runs the server in a goroutine of its own until it is drained. If its listener fails, the process does the rest of
-// its work without it.
+// Start runs the server in a new goroutine until it is drained. If the listener fails, the process continues without this
+// server.
 func (s *Server) Start() {
 	go func() { _ = s.Run() }()
 }
--- a/internal/lib/web/server_test.go
+++ b/internal/lib/web/server_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A server that is drained finishes the request under way, takes no other one, and Run returns no error. A handler behind
-// rest can set a deadline by ResponseController.
+// A draining server completes the request in flight and accepts no others, and Run returns no error. A handler behind rest can
+// set a deadline through ResponseController.
 func TestDrain(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,27 +29,27 @@
 		t.Fatal(err)
 	}
 	server := NewServer(listener, handler)
-	ran := make(chan error, 1)
-	go func() { ran <- server.Run() }()
+	runResult := make(chan error, 1)
+	go func() { runResult <- server.Run() }()
 	url := "http://" + listener.Addr().String()
-	answered := make(chan string, 1)
+	responses := make(chan string, 1)
 	go func() {
 		response, err := http.Get(url)
 		if err != nil {
-			answered <- err.Error()
+			responses <- err.Error()
 			return
 		}
 		body, _ := io.ReadAll(response.Body)
 		_ = response.Body.Close()
-		answered <- string(body)
+		responses <- string(body)
 	}()
 	<-started
 	short, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
 	if err := server.Drain(short); err == nil {
-		t.Error("drain with a request under way: got no error, want that of the context")
+		t.Error("drain with a request in flight: got no error, want that of the context")
 	}
-	if err := <-ran; err != nil {
+	if err := <-runResult; err != nil {
 		t.Errorf("Run: got error %v, want none", err)
 	}
 	if response, err := http.Get(url); err == nil {
@@ -57,8 +57,8 @@
 		t.Error("request to a draining server: got a response, want an error")
 	}
 	close(finish)
-	if got := <-answered; got != "complete" {
-		t.Errorf("request under way: got %q, want its complete response", got)
+	if got := <-responses; got != "complete" {
+		t.Errorf("request in flight: got %q, want its complete response", got)
 	}
 	if err := server.Drain(t.Context()); err != nil {
 		t.Errorf("drain: got error %v, want none", err)
--- a/internal/model/fleetconfig/config.go
+++ b/internal/model/fleetconfig/config.go
@@ -47,7 +47,7 @@
 	RepeatLostStreams bool          // a stream whose run was lost may be run a second time
 	WithoutPrompt     bool          // ordinary application: requests have no prompt and need no allowance
 	AllowedTenants    map[int]bool  // by index of the tenant
-	AllTenants        bool          // AllowedTenants is ignored
+	AllTenants        bool          // every tenant may use the class
 }
 
 // Pool is a group of runners that a selector chooses by their labels.
@@ -84,7 +84,7 @@
 // Limits bound the resources of requests and queues.
 type Limits struct {
 	BodyBytes, Tokens, Queue int
-	BodyTimeout              time.Duration // from the start of a body to its end
+	BodyTimeout              time.Duration // maximum time to receive a body
 	OpenRequests             int           // requests in flight on one router, in any state
 	ClaimRetention           time.Duration // how long a once-only key is stored with its outcome
 	FinishedKeyRetention     time.Duration // how long it is stored that a key has run
