--- a/internal/lib/daemon/process_test.go
+++ b/internal/lib/daemon/process_test.go
@@ -61,9 +61,9 @@
 }
 
 // waitFor polls until a condition holds, for at most 10 s.
-func waitFor(t *testing.T, what string, holds func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("after 10s: got no %s, want one", what)
 		}
--- a/internal/model/fleetconfig/config_test.go
+++ b/internal/model/fleetconfig/config_test.go
@@ -51,7 +51,7 @@
 func TestSelectorAgainstModel(t *testing.T) {
 	words := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
-		labels := rapid.MapOf(rapid.SampledFrom(words), rapid.SampledFrom(words)).Draw(t, "labels")
+		labels := rapid.MapOf(rapid.SampledFrom(words), rapid.SampledFrom(words)).Draw(t, "tags")
 		var text []string
 		want := true
 		for range rapid.IntRange(1, 4).Draw(t, "terms") {
--- a/internal/model/routing/quota.go
+++ b/internal/model/routing/quota.go
@@ -36,7 +36,7 @@
 const roundingSlack = 1e-9
 
 // quotaPeriods is the number of periods into which the window of a quota is divided if requests are counted. A third of the
-// limit in each third of the window keeps within the limit of the window, and whatever a failed router may have spent
+// limit in each third of the window complies with the limit of the window, and whatever a failed router may have spent
 // expires after a third of the window. If tokens are counted, the window is not divided: one request may cost a large part
 // of a third, and as costs are heavy-tailed, expensive and cheap thirds balance out only over the full window.
 const quotaPeriods = 3
--- a/internal/model/routing/table.go
+++ b/internal/model/routing/table.go
@@ -37,7 +37,7 @@
 	Resume          bool // a lost stream may be resumed at another runner
 	Public          bool // requires no key
 	SessionAffinity bool
-	Timeout         time.Duration // from the arrival of a request to its deadline, at most
+	Timeout         time.Duration // maximum time from the arrival of a request to its deadline
 	TargetLatency   time.Duration // a response (of a stream: its first event) within this time has its full value
 	TargetGap       time.Duration // longest gap between two events of a stream that is on time
 	Priority        int           // 0: the highest
