--- a/internal/dataplane/registry/merge.go
+++ b/internal/dataplane/registry/merge.go
@@ -21,7 +21,7 @@
 		return false, false
 	}
 	r.runners[runner.ID] = entry{runner: runner, pushedAt: old.pushedAt}
-	return true, !known || !old.runner.SaysSame(runner)
+	return true, !known || !old.runner.EqualForRouting(runner)
 }
 
 // supersedes reports whether a report of a runner replaces the known one. RunnerGone is final. RunnerSilent is set by the
@@ -31,8 +31,8 @@
 	switch {
 	case known.runner.State == routing.RunnerGone:
 		return false
-	case next.State == routing.RunnerSilent:
-		return known.runner.State != routing.RunnerSilent &&
+	case next.State == routing.RunnerTimedOut:
+		return known.runner.State != routing.RunnerTimedOut &&
 			(next.Sequence >= known.runner.Sequence || !known.isFresh())
 	}
 	return next.Sequence > known.runner.Sequence
