--- a/internal/testing/drill/bench_test.go
+++ b/internal/testing/drill/bench_test.go
@@ -16,20 +16,20 @@
 		b.Fatal(err)
 	}
 	defer f.Stop()
-	ctx, end := context.WithTimeout(b.Context(), 60*time.Second)
-	defer end()
-	for _, s := range f.Apps {
+	ctx, cancel := context.WithTimeout(b.Context(), 60*time.Second)
+	defer cancel()
+	for _, s := range f.AppRunners {
 		s.TokenTime = 0
 	}
 	if err := f.Start(ctx); err != nil {
 		b.Fatal(err)
 	}
-	cli := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
-	ask := func(to string) time.Duration {
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
+	send := func(to string) time.Duration {
 		req, _ := http.NewRequest("GET", "http://"+to+"/v1/status/1", nil)
-		req.Header.Set("Authorization", "Bearer "+Key("desk-a"))
-		begun := time.Now()
-		response, err := cli.Do(req)
+		req.Header.Set("Authorization", "Bearer "+TenantKey("desk-a"))
+		start := time.Now()
+		response, err := client.Do(req)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -40,18 +40,18 @@
 		if response.StatusCode != 200 {
 			b.Fatalf("status %d", response.StatusCode)
 		}
-		return time.Since(begun)
+		return time.Since(start)
 	}
-	var near, far []time.Duration
+	var direct, routed []time.Duration
 	for b.Loop() {
-		near = append(near, ask(f.Apps[0].Addr))
-		far = append(far, ask(f.Routers[0].Client))
+		direct = append(direct, send(f.AppRunners[0].Addr))
+		routed = append(routed, send(f.Routers[0].ClientAddr))
 	}
-	mid := func(d []time.Duration) float64 {
+	median := func(d []time.Duration) float64 {
 		sort.Slice(d, func(i, j int) bool { return d[i] < d[j] })
 		return float64(d[len(d)/2].Microseconds())
 	}
-	n, r := mid(near), mid(far)
+	n, r := median(direct), median(routed)
 	b.ReportMetric(n, "direct-us")
 	b.ReportMetric(r, "router-us")
 	b.ReportMetric(r-n, "cost-us")
--- a/internal/testing/drill/check.go
+++ b/internal/testing/drill/check.go
@@ -9,7 +9,7 @@
 // Breach is one broken promise.
 type Breach struct {
 	Promise string
-	What    string
+	Detail  string
 }
 
 // Check holds all that was seen against the promises and names every broken one.
@@ -24,25 +24,25 @@
 	return bad
 }
 
-type reporter func(promise, f string, a ...any)
+type reportFunc func(promise, f string, a ...any)
 
 // checkQuotas holds each tenant's requests, as runners saw them, against its quota in every rolling window.
-func (ev Evidence) checkQuotas(report reporter) {
+func (ev Evidence) checkQuotas(report reportFunc) {
 	for tenant, v := range ev.Mix.Config["tenants"].(object) {
-		q, ok := v.(object)["quota"].(object)
+		quota, ok := v.(object)["quota"].(object)
 		if !ok {
 			continue
 		}
-		units, window := q["units"].(int), time.Duration(q["window_s"].(int))*time.Second
-		var at []time.Time
-		for _, s := range ev.Seen {
+		units, window := quota["units"].(int), time.Duration(quota["window_s"].(int))*time.Second
+		var times []time.Time
+		for _, s := range ev.RunnerRequests {
 			if s.Header.Get("X-Yarrowridge-Tenant") == tenant {
-				at = append(at, s.At)
+				times = append(times, s.ReceivedAt)
 			}
 		}
-		sort.Slice(at, func(i, j int) bool { return at[i].Before(at[j]) })
-		for i, j := 0, 0; i < len(at); i++ {
-			for at[i].Sub(at[j]) >= window {
+		sort.Slice(times, func(i, j int) bool { return times[i].Before(times[j]) })
+		for i, j := 0, 0; i < len(times); i++ {
+			for times[i].Sub(times[j]) >= window {
 				j++
 			}
 			if i-j+1 > units {
@@ -54,16 +54,16 @@
 }
 
 // checkTries holds second tries against first ones in every ten seconds, over the whole fleet.
-func (ev Evidence) checkTries(report reporter) {
+func (ev Evidence) checkTries(report reportFunc) {
 	for service, v := range ev.Mix.Config["services"].(object) {
-		spare := float64(v.(object)["second_spare"].(int))
+		allowance := float64(v.(object)["second_spare"].(int))
 		for i, j := 0, 0; j < len(ev.TryCounts); j++ {
 			for ev.TryCounts[j].At.Sub(ev.TryCounts[i].At) > 10*time.Second {
 				i++
 			}
-			a, b := ev.TryCounts[i], ev.TryCounts[j]
-			if first, again := b.First[service]-a.First[service], b.Again[service]-a.Again[service]; again > 0.2*first+spare {
-				report("second-tries", "%g second tries to %s beside %g first ones within %s", again, service, first, b.At.Sub(a.At).Round(time.Millisecond))
+			from, to := ev.TryCounts[i], ev.TryCounts[j]
+			if first, second := to.First[service]-from.First[service], to.Second[service]-from.Second[service]; second > 0.2*first+allowance {
+				report("second-tries", "%g second tries to %s beside %g first ones within %s", second, service, first, to.At.Sub(from.At).Round(time.Millisecond))
 				break
 			}
 		}
--- a/internal/testing/drill/corefaults.go
+++ b/internal/testing/drill/corefaults.go
@@ -13,30 +13,30 @@
 
 func (d *Day) primaryCore(ctx context.Context) *Proc {
 	p := d.fleet.Cores[0]
-	d.waitUntil(ctx, restLimit, "there is a primary", func() bool {
-		lead := d.fleet.Primary(ctx)
-		if lead != nil {
-			p = lead
+	d.waitUntil(ctx, recoveryLimit, "there is a primary", func() bool {
+		primary := d.fleet.Primary(ctx)
+		if primary != nil {
+			p = primary
 		}
-		return lead != nil
+		return primary != nil
 	})
 	return p
 }
 
-func (d *Day) killPrimary(ctx context.Context) {
-	lead := d.primaryCore(ctx)
+func (d *Day) killPrimaryAndBackup(ctx context.Context) {
+	primary := d.primaryCore(ctx)
 	// Long enough that a fleet which does not replace it is seen to be without.
-	d.killAndRestart(ctx, "the primary killed", 18*time.Second, []*Proc{lead})
+	d.killAndRestart(ctx, "the primary killed", 18*time.Second, []*Proc{primary})
 	d.waitReady(ctx, "all is well between")
-	_, raw, _ := d.fleet.Ask(ctx, "GET", d.primaryCore(ctx).Operator, "/v1/standing", nil, nil)
-	back := gjson.GetBytes(raw, "view.backup").Str
-	dead := []*Proc{d.primaryCore(ctx)}
+	_, raw, _ := d.fleet.CallOperatorAPI(ctx, "GET", d.primaryCore(ctx).OperatorAddr, "/v1/standing", nil, nil)
+	backup := gjson.GetBytes(raw, "view.backup").Str
+	procs := []*Proc{d.primaryCore(ctx)}
 	for _, c := range d.fleet.Cores {
-		if gjson.GetBytes(raw, `view.members.#(id=="`+back+`").addr`).Str == c.Addr {
-			dead = append(dead, c)
+		if gjson.GetBytes(raw, `view.members.#(id=="`+backup+`").addr`).Str == c.Addr {
+			procs = append(procs, c)
 		}
 	}
-	d.killAndRestart(ctx, "primary and backup killed", time.Second, dead)
+	d.killAndRestart(ctx, "primary and backup killed", time.Second, procs)
 }
 
 func (d *Day) killCores(ctx context.Context) {
@@ -45,14 +45,14 @@
 }
 
 func (d *Day) wipePrimaryDisk(ctx context.Context) {
-	lead := d.primaryCore(ctx)
+	primary := d.primaryCore(ctx)
 	d.putUntilAcknowledged(ctx, d.config)
-	d.noteFault("the primary's disk lost")
-	lead.Kill()
-	if err := os.RemoveAll(filepath.Join(d.fleet.Dir, lead.Name)); err != nil {
+	d.recordFault("the primary's disk lost")
+	primary.Kill()
+	if err := os.RemoveAll(filepath.Join(d.fleet.Dir, primary.Name)); err != nil {
 		d.err = err
 	}
-	if err := lead.Start(); err != nil {
+	if err := primary.Start(); err != nil {
 		d.err = err
 	}
 }
@@ -60,7 +60,7 @@
 // replaceCore puts a blank core at a new address in the place of one that is killed for good.
 func (d *Day) replaceCore(ctx context.Context, i int) {
 	old := d.fleet.Cores[i]
-	p, err := d.fleet.NewCore(fmt.Sprintf("%s-%d", strings.TrimRight(old.Name, "-0123456789"), 10+d.nextMark()), old.Zone)
+	p, err := d.fleet.NewCore(fmt.Sprintf("%s-%d", strings.TrimRight(old.Name, "-0123456789"), 10+d.nextNumber()), old.Zone)
 	if err == nil {
 		err = p.Start()
 	}
@@ -70,8 +70,8 @@
 	}
 	old.Kill()
 	d.fleet.Cores[i] = p
-	d.waitUntil(ctx, 2*restLimit, p.Name+" has the seat of "+old.Name, func() bool {
-		_, raw, _ := d.fleet.Ask(ctx, "GET", d.fleet.Routers[0].Operator, "/v1/fleet", nil, nil)
+	d.waitUntil(ctx, 2*recoveryLimit, p.Name+" has the seat of "+old.Name, func() bool {
+		_, raw, _ := d.fleet.CallOperatorAPI(ctx, "GET", d.fleet.Routers[0].OperatorAddr, "/v1/fleet", nil, nil)
 		all := gjson.GetBytes(raw, "view.members.#.addr").String()
 		return strings.Contains(all, p.Addr) && !strings.Contains(all, old.Addr)
 	})
--- a/internal/testing/drill/course.go
+++ b/internal/testing/drill/course.go
@@ -7,28 +7,28 @@
 
 // event is one entry of a day's course.
 type event struct {
-	name string
-	what string
-	do   func(d *Day, ctx context.Context)
+	name        string
+	description string
+	run         func(d *Day, ctx context.Context)
 }
 
 // events are all that a day may bring, in the order in which the usage lists them.
 var events = []event{
 	{"edits", "operators put whole and partial layouts, two at once, in a burst, and a bad one", (*Day).writeConfigs},
-	{"withdraw", "a tenant's key is withdrawn, and given back", (*Day).withdrawKey},
-	{"crowd", "five times the traffic", (*Day).crowdClients},
-	{"hot", "one key takes most of the traffic", (*Day).heatPrefix},
+	{"withdraw", "a tenant's key is withdrawn, and given back", (*Day).revokeKey},
+	{"crowd", "five times the traffic", (*Day).burstTraffic},
+	{"hot", "one key takes most of the traffic", (*Day).burstSharedPrefix},
 	{"leave", "a runner says that it leaves", (*Day).announceLeaving},
 	{"runners", "runners are replaced one by one", (*Day).replaceRunners},
 	{"dark", "a runner takes queries and says nothing", (*Day).hangRunner},
 	{"deaf", "all but two runners refuse connections and beat on", (*Day).refuseConnections},
 	{"half", "half of the runners break their answers off in the middle", (*Day).breakStreams},
-	{"routers", "half of the routers are killed at once", (*Day).killRouters},
-	{"primary", "the primary and its backup are killed", (*Day).killPrimary},
+	{"routers", "half of the routers are killed at once", (*Day).killHalfOfRouters},
+	{"primary", "the primary and its backup are killed", (*Day).killPrimaryAndBackup},
 	{"cores", "every core is killed", (*Day).killCores},
 	{"wipe", "the primary loses its disk right after an acknowledgement", (*Day).wipePrimaryDisk},
 	{"freeze", "the primary, and a router, stop and go on", (*Day).freezeProcesses},
-	{"cut", "a hall's link is cut for 15 s", (*Day).cutLink},
+	{"cut", "a hall's link is cut for 15 s", (*Day).partitionPrimaryZone},
 	{"restart", "a router and a core are stopped with a warning", (*Day).restartProcesses},
 	{"swap", "all five control machines are swapped for others, one by one", (*Day).replaceAllCores},
 	{"blank", "a control machine comes back empty at a new address", (*Day).replaceOneCore},
@@ -39,9 +39,9 @@
 
 // closings end a day.
 var closings = []event{
-	{"hall", "a hall is lost", (*Day).loseZone},
-	{"all", "every process is killed", (*Day).loseAll},
-	{"routers", "every router is killed", (*Day).loseRouters},
+	{"hall", "a hall is lost", (*Day).killPrimaryZone},
+	{"all", "every process is killed", (*Day).killAllProcesses},
+	{"routers", "every router is killed", (*Day).killAllRouters},
 }
 
 func findEvent(list []event, name string) *event {
@@ -55,14 +55,14 @@
 
 // drawCourse draws a day's events: n of them, and what this deployment has every day.
 func drawCourse(mix Mix, seed uint64, n int) []string {
-	rnd := rand.New(rand.NewPCG(seed, 11))
-	own := map[string]string{"trentvale": "swap", "tokachi": "blank"}[mix.Name]
-	out := []string{"edits", own}
-	for _, i := range rnd.Perm(len(events)) {
-		if name := events[i].name; len(out) < n && name != "swap" && name != "blank" && name != "edits" {
-			out = append(out, name)
+	random := rand.New(rand.NewPCG(seed, 11))
+	required := map[string]string{"trentvale": "swap", "tokachi": "blank"}[mix.Name]
+	course := []string{"edits", required}
+	for _, i := range random.Perm(len(events)) {
+		if name := events[i].name; len(course) < n && name != "swap" && name != "blank" && name != "edits" {
+			course = append(course, name)
 		}
 	}
-	rnd.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-	return append(out, closingPrefix+closings[rnd.IntN(len(closings))].name)
+	random.Shuffle(len(course), func(i, j int) { course[i], course[j] = course[j], course[i] })
+	return append(course, closingPrefix+closings[random.IntN(len(closings))].name)
 }
--- a/internal/testing/drill/day_test.go
+++ b/internal/testing/drill/day_test.go
@@ -28,7 +28,7 @@
 func buildWithFaultInjection(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	if out, err := exec.Command("go", append(build, "-tags", "faultinjection", "-o", dir, "yarrowridge/cmd/router", "yarrowridge/cmd/core")...).CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", append(buildArgs, "-tags", "faultinjection", "-o", dir, "yarrowridge/cmd/router", "yarrowridge/cmd/core")...).CombinedOutput(); err != nil {
 		t.Fatalf("%s", out)
 	}
 	return dir
@@ -36,7 +36,7 @@
 
 // For each promise a fleet in which the one mechanism that keeps it is disabled: the drill says that
 // this promise is broken, and ends so. The same courses with nothing disabled hold.
-func TestDrillSeesStrikes(t *testing.T) {
+func TestDrillDetectsDisabledMechanisms(t *testing.T) {
 	t.Parallel()
 	dir := buildWithFaultInjection(t)
 	for _, c := range []struct{ mechanism, promise, mix, course string }{
@@ -60,7 +60,7 @@
 		t.Run(c.mechanism+"-"+c.promise, func(t *testing.T) {
 			takeFleetSlot(t)
 			var out bytes.Buffer
-			code := rehearse([]string{"day", "-mix", c.mix, "-bin", dir, "-dir", t.TempDir(), "-scale", "0.7", "-slack", "5s", "-course", c.course}, &out, []string{"YARROWRIDGE_DISABLED_MECHANISM=" + c.mechanism})
+			code := runWithEnv([]string{"day", "-mix", c.mix, "-bin", dir, "-dir", t.TempDir(), "-scale", "0.7", "-slack", "5s", "-course", c.course}, &out, []string{"YARROWRIDGE_DISABLED_MECHANISM=" + c.mechanism})
 			if c.mechanism == "" {
 				if code != 0 {
 					t.Errorf("nothing is disabled, and the drill ended with %d:\n%s", code, out.String())
--- a/internal/testing/drill/drain_test.go
+++ b/internal/testing/drill/drain_test.go
@@ -21,29 +21,29 @@
 	mix.Config["mappings"] = append(mix.Config["mappings"].([]object), object{"method": "POST", "path": "/v1/late", "lane": "late", "pool": "late"},
 		object{"method": "POST", "path": "/v1/notes", "lane": "notes", "pool": "fit"})
 	mix.Config["lanes"].(object)["notes"] = object{"rank": 5, "tenants": []string{"*"}, "once": true}
-	f := up(t, mix)
+	f := startTestFleet(t, mix)
 	l := NewLoad(f, 1, 1)
 	l.http.Timeout = 2 * time.Minute
 	r := f.Routers[0]
-	ctx, end := context.WithTimeout(t.Context(), 2*time.Minute)
-	defer end()
+	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
+	defer cancel()
 	var all sync.WaitGroup
-	whole := func(n uint64, path string, once bool, tokens int) {
-		k := Kind{Name: path, Method: "POST", Path: path, Tail: 10, Tokens: tokens, Once: once}
-		if o := l.Ask(k, n, k.body(mix.Model, n, newRand(n)), "yard-a", r); o.Status != 200 || !o.Whole {
-			t.Errorf("%s: answered %d %s %s after %s", path, o.Status, o.Code, o.Err, o.Took)
+	sendAndCheck := func(n uint64, path string, once bool, tokens int) {
+		k := RequestKind{Name: path, Method: "POST", Path: path, TailBytes: 10, Tokens: tokens, Once: once}
+		if o := l.Send(k, n, k.body(mix.Model, n, requestRand(n)), "yard-a", r); o.Status != 200 || !o.Complete {
+			t.Errorf("%s: answered %d %s %s after %s", path, o.Status, o.Code, o.Err, o.Duration)
 		}
 	}
-	rd := l.open(t, r, "yard-a", 1, 8100)
-	all.Go(func() { whole(2, "/v1/checks", false, 8100) })
-	all.Go(func() { whole(3, "/v1/notes", true, 8100) })
-	all.Go(func() { whole(4, "/v1/late", false, 2) })
+	stream := l.openStream(t, r, "yard-a", 1, 8100)
+	all.Go(func() { sendAndCheck(2, "/v1/checks", false, 8100) })
+	all.Go(func() { sendAndCheck(3, "/v1/notes", true, 8100) })
+	all.Go(func() { sendAndCheck(4, "/v1/late", false, 2) })
 	all.Go(func() {
 		for n := 0; ; n++ {
-			switch i, why := rd.next(); {
-			case why != "":
-				if why != "done" || n != 8100 {
-					t.Errorf("the stream ended %q after %d pieces", why, n)
+			switch i, end := stream.next(); {
+			case end != "":
+				if end != "done" || n != 8100 {
+					t.Errorf("the stream ended %q after %d pieces", end, n)
 				}
 				return
 			case i != n:
@@ -52,8 +52,8 @@
 			}
 		}
 	})
-	if err := f.Until(ctx, "three run and one waits", func() bool {
-		_, raw, _ := f.Ask(ctx, "GET", r.Operator, "/metrics", nil, nil)
+	if err := f.WaitUntil(ctx, "three run and one waits", func() bool {
+		_, raw, _ := f.CallOperatorAPI(ctx, "GET", r.OperatorAddr, "/metrics", nil, nil)
 		return len(f.RequestLog.All()) == 3 && bytes.Contains(raw, []byte("yarrowridge_queued 1"))
 	}); err != nil {
 		t.Fatal(err)
@@ -61,8 +61,8 @@
 	r.Signal(syscall.SIGHUP)
 	r.Signal(syscall.SIGTERM)
 	at := time.Now()
-	if err := f.Until(ctx, "the router is deaf to new origins", func() bool {
-		response, err := http.Get("http://" + r.Client + "/ready")
+	if err := f.WaitUntil(ctx, "the router is deaf to new origins", func() bool {
+		response, err := http.Get("http://" + r.ClientAddr + "/ready")
 		if err == nil {
 			_ = response.Body.Close()
 		}
@@ -70,15 +70,15 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Until(ctx, "more than the old bound of 30 s has passed", func() bool { return time.Since(at) > 31*time.Second }); err != nil {
+	if err := f.WaitUntil(ctx, "more than the old bound of 30 s has passed", func() bool { return time.Since(at) > 31*time.Second }); err != nil {
 		t.Fatal(err)
 	}
-	late := &Standin{Name: "late1", Addr: "127.0.0.1:0", Labels: map[string]string{"app": "late", "model": mix.Model, "hall": "west"}, Slots: 4, MaxLength: 8192,
-		TokenTime: time.Millisecond, RequestLog: f.RequestLog, HeartbeatAddrs: []string{f.Routers[3].Runner}}
-	if err := late.Start(); err != nil {
+	lateRunner := &Standin{Name: "late1", Addr: "127.0.0.1:0", Labels: map[string]string{"app": "late", "model": mix.Model, "hall": "west"}, Slots: 4, MaxLength: 8192,
+		TokenTime: time.Millisecond, RequestLog: f.RequestLog, HeartbeatAddrs: []string{f.Routers[3].RunnerAddr}}
+	if err := lateRunner.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer late.Crash()
+	defer lateRunner.Crash()
 	all.Wait()
 	if !r.Wait(20 * time.Second) {
 		t.Error("the router does not stop once all is done")
--- a/internal/testing/drill/drill_test.go
+++ b/internal/testing/drill/drill_test.go
@@ -19,8 +19,8 @@
 
 var bin string
 
-// build is how the daemons are built; under the race detector they carry it too.
-var build = []string{"build"}
+// buildArgs is how the daemons are built; under the race detector they carry it too.
+var buildArgs = []string{"build"}
 
 func TestMain(m *testing.M) {
 	logx.Disable()
@@ -29,7 +29,7 @@
 		panic(err)
 	}
 	bin = dir
-	out, err := exec.Command("go", append(build, "-o", dir, "yarrowridge/cmd/router", "yarrowridge/cmd/core")...).CombinedOutput()
+	out, err := exec.Command("go", append(buildArgs, "-o", dir, "yarrowridge/cmd/router", "yarrowridge/cmd/core")...).CombinedOutput()
 	if err != nil {
 		fmt.Println(string(out))
 		os.Exit(1)
@@ -51,8 +51,8 @@
 	t.Cleanup(func() { <-fleetSlots })
 }
 
-// up starts a whole fleet of real processes.
-func up(t *testing.T, mix Mix) *Fleet {
+// startTestFleet starts a whole fleet of real processes.
+func startTestFleet(t *testing.T, mix Mix) *Fleet {
 	t.Helper()
 	f, err := NewFleet(mix, bin, t.TempDir())
 	if err != nil {
@@ -61,7 +61,7 @@
 	t.Cleanup(func() {
 		f.Stop()
 		for _, p := range append(append([]*Proc{}, f.Cores...), f.Routers...) {
-			raw, err := os.ReadFile(p.log)
+			raw, err := os.ReadFile(p.logPath)
 			if err != nil {
 				t.Error(err)
 			}
@@ -72,51 +72,51 @@
 			}
 		}
 	})
-	ctx, end := context.WithTimeout(t.Context(), 90*time.Second)
-	defer end()
+	ctx, cancel := context.WithTimeout(t.Context(), 90*time.Second)
+	defer cancel()
 	if err := f.Start(ctx); err != nil {
 		t.Fatal(err)
 	}
 	return f
 }
 
-// play asks n requests of each kind, one after the other at every router in turn.
-func play(l *Load, n int) {
+// sendToEachRouter asks n requests of each kind, one after the other at every router in turn.
+func sendToEachRouter(l *Load, n int) {
 	for _, k := range l.Fleet.Mix.Kinds {
 		for i := range n {
-			no := l.next.Add(1)
+			number := l.lastNumber.Add(1)
 			r := l.Fleet.Routers[i%len(l.Fleet.Routers)]
-			o := l.Ask(k, no, k.body(l.Fleet.Mix.Model, no, newRand(no)), tenantNames(l.Fleet.Mix)[0], r)
+			o := l.Send(k, number, k.body(l.Fleet.Mix.Model, number, requestRand(number)), tenantNames(l.Fleet.Mix)[0], r)
 			l.mu.Lock()
-			l.all = append(l.all, o)
+			l.outcomes = append(l.outcomes, o)
 			l.mu.Unlock()
 		}
 	}
 }
 
 // The whole path in separate processes: found, join, heartbeats, configuration, serve, whole and streamed.
-func TestWholePath(t *testing.T) {
+func TestEndToEnd(t *testing.T) {
 	t.Parallel()
 	for _, mix := range []Mix{Trentvale(), Tokachi()} {
 		t.Run(mix.Name, func(t *testing.T) {
 			takeFleetSlot(t)
-			f := up(t, mix)
+			f := startTestFleet(t, mix)
 			l := NewLoad(f, 1, 1)
-			play(l, len(f.Routers))
-			outcomes := l.All()
-			if s := Total(outcomes); s.Done != s.Requests || s.Requests != len(mix.Kinds)*len(f.Routers) {
-				t.Errorf("%d of %d queries done: %v", s.Done, s.Requests, s.Codes)
+			sendToEachRouter(l, len(f.Routers))
+			outcomes := l.Outcomes()
+			if s := Summarize(outcomes); s.Done != s.Attempts || s.Attempts != len(mix.Kinds)*len(f.Routers) {
+				t.Errorf("%d of %d queries done: %v", s.Done, s.Attempts, s.Codes)
 			}
-			for _, b := range Check(Evidence{Mix: mix, Outcomes: outcomes, Seen: f.RequestLog.All()}) {
-				t.Errorf("%s: %s", b.Promise, b.What)
+			for _, fromRouter := range Check(Evidence{Mix: mix, Outcomes: outcomes, RunnerRequests: f.RequestLog.All()}) {
+				t.Errorf("%s: %s", fromRouter.Promise, fromRouter.Detail)
 			}
 			// The fleet's state tells with whom each router exchanges news, and the routers say the same.
-			_, whole, err := f.Ask(t.Context(), "GET", f.Cores[0].Operator, "/v1/fleet", nil, nil)
+			_, fleetState, err := f.CallOperatorAPI(t.Context(), "GET", f.Cores[0].OperatorAddr, "/v1/fleet", nil, nil)
 			for _, r := range f.Routers {
-				_, own, e := f.Ask(t.Context(), "GET", r.Operator, "/v1/relays", nil, nil)
-				a, b := gjson.GetBytes(whole, "relays."+r.Name).Raw, gjson.GetBytes(own, "near.#.Name").Raw
-				if err != nil || e != nil || a == "[]" || a != b {
-					t.Errorf("%s: relays %s by the fleet's state, %s by itself", r.Name, a, b)
+				_, routerState, e := f.CallOperatorAPI(t.Context(), "GET", r.OperatorAddr, "/v1/relays", nil, nil)
+				fromFleet, fromRouter := gjson.GetBytes(fleetState, "relays."+r.Name).Raw, gjson.GetBytes(routerState, "near.#.Name").Raw
+				if err != nil || e != nil || fromFleet == "[]" || fromFleet != fromRouter {
+					t.Errorf("%s: relays %s by the fleet's state, %s by itself", r.Name, fromFleet, fromRouter)
 				}
 			}
 		})
@@ -131,7 +131,7 @@
 			t.Fatal(err)
 		}
 		var a, b any
-		if json.Unmarshal(raw, &a) != nil || json.Unmarshal(mix.Raw(), &b) != nil || fmt.Sprint(a) != fmt.Sprint(b) {
+		if json.Unmarshal(raw, &a) != nil || json.Unmarshal(mix.ConfigJSON(), &b) != nil || fmt.Sprint(a) != fmt.Sprint(b) {
 			t.Errorf("examples/%s.json differs from the mix: write it anew with drill config", mix.Name)
 		}
 		if _, bad := fleetconfig.Parse(raw); len(bad) > 0 {
--- a/internal/testing/drill/evidence.go
+++ b/internal/testing/drill/evidence.go
@@ -26,7 +26,7 @@
 // ConfigReading is one look at the config that a router obeys.
 type ConfigReading struct {
 	Router     string
-	AskedAt    time.Time
+	SentAt     time.Time
 	AnsweredAt time.Time
 	Version    uint64
 	Hash       string
@@ -35,8 +35,8 @@
 
 // TryCount is the fleet's tries so far, by service, at one moment.
 type TryCount struct {
-	At           time.Time
-	First, Again map[string]float64
+	At            time.Time
+	First, Second map[string]float64
 }
 
 // Departure is a runner's word that it leaves, as its heartbeat was answered.
@@ -51,8 +51,8 @@
 	From, To time.Time
 }
 
-// KeyWithdrawal is a tenant without a key, from the write's acknowledgement to the next that gives it one.
-type KeyWithdrawal struct {
+// KeyRevocation is a tenant without a key, from the write's acknowledgement to the next that gives it one.
+type KeyRevocation struct {
 	Tenant   string
 	From, To time.Time
 }
@@ -63,8 +63,8 @@
 	At   time.Time
 }
 
-// LinkCut is a zone's link cut, from its cut to its healing.
-type LinkCut struct {
+// Partition is a zone's link cut, from its cut to its healing.
+type Partition struct {
 	Zone     string
 	From, To time.Time
 }
@@ -73,23 +73,23 @@
 type Evidence struct {
 	Mix            Mix
 	Outcomes       []Outcome
-	Seen           []Seen
+	RunnerRequests []RunnerRequest
 	ConfigWrites   []ConfigWrite
 	ConfigReadings []ConfigReading
 	TryCounts      []TryCount
 	Departures     []Departure
 	PlannedStops   []PlannedStop
-	KeyWithdrawals []KeyWithdrawal
+	KeyRevocations []KeyRevocation
 	HardFaults     []HardFault
-	LinkCuts       []LinkCut
-	Zones          map[string]string // each router's
-	Final          *ConfigWrite      // what was read back at the end
-	End            time.Time         // of the traffic
+	Partitions     []Partition
+	RouterZones    map[string]string // each router's
+	FinalConfig    *ConfigWrite      // what was read back at the end
+	TrafficEnd     time.Time         // of the traffic
 	Slack          time.Duration     // what a slow machine is given beyond a promise's time
 }
 
-// Watch gathers what the fleet's processes tell of themselves.
-type Watch struct {
+// Monitor gathers what the fleet's processes tell of themselves.
+type Monitor struct {
 	fleet    *Fleet
 	mu       sync.Mutex
 	evidence Evidence
@@ -97,13 +97,13 @@
 	counters map[string]float64
 }
 
-// NewWatch begins with nothing seen.
-func NewWatch(f *Fleet) *Watch {
-	return &Watch{fleet: f, tries: TryCount{First: map[string]float64{}, Again: map[string]float64{}}, counters: map[string]float64{}}
+// NewMonitor begins with nothing seen.
+func NewMonitor(f *Fleet) *Monitor {
+	return &Monitor{fleet: f, tries: TryCount{First: map[string]float64{}, Second: map[string]float64{}}, counters: map[string]float64{}}
 }
 
 // Run looks at every router, again and again, until ctx ends.
-func (w *Watch) Run(ctx context.Context) {
+func (w *Monitor) Run(ctx context.Context) {
 	runloop.Run(ctx, nil, 200*time.Millisecond, func(struct{}) {}, func() {
 		var all sync.WaitGroup
 		for _, r := range w.fleet.Routers {
@@ -113,66 +113,66 @@
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.tries.At = time.Now()
-		w.evidence.TryCounts = append(w.evidence.TryCounts, TryCount{w.tries.At, maps.Clone(w.tries.First), maps.Clone(w.tries.Again)})
+		w.evidence.TryCounts = append(w.evidence.TryCounts, TryCount{w.tries.At, maps.Clone(w.tries.First), maps.Clone(w.tries.Second)})
 	})
 }
 
-func (w *Watch) readRouter(ctx context.Context, r *Proc) {
-	ctx, end := context.WithTimeout(ctx, time.Second)
-	defer end()
-	at := time.Now()
-	code, raw, err := w.fleet.Ask(ctx, "GET", r.Operator, "/v1/standing", nil, nil)
+func (w *Monitor) readRouter(ctx context.Context, r *Proc) {
+	ctx, cancel := context.WithTimeout(ctx, time.Second)
+	defer cancel()
+	sentAt := time.Now()
+	code, raw, err := w.fleet.CallOperatorAPI(ctx, "GET", r.OperatorAddr, "/v1/standing", nil, nil)
 	if err != nil || code != 200 {
 		return
 	}
-	s := ConfigReading{Router: r.Name, AskedAt: at, AnsweredAt: time.Now(), Version: gjson.GetBytes(raw, "node.sequence").Uint(),
+	reading := ConfigReading{Router: r.Name, SentAt: sentAt, AnsweredAt: time.Now(), Version: gjson.GetBytes(raw, "node.sequence").Uint(),
 		Hash: gjson.GetBytes(raw, "layout_sha256").Str, Stale: gjson.GetBytes(raw, "stale").Bool()}
-	born := gjson.GetBytes(raw, "node.born").Raw
-	_, raw, err = w.fleet.Ask(ctx, "GET", r.Operator, "/metrics", nil, nil)
+	runID := gjson.GetBytes(raw, "node.born").Raw
+	_, raw, err = w.fleet.CallOperatorAPI(ctx, "GET", r.OperatorAddr, "/metrics", nil, nil)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if s.Hash != "" {
-		w.evidence.ConfigReadings = append(w.evidence.ConfigReadings, s)
+	if reading.Hash != "" {
+		w.evidence.ConfigReadings = append(w.evidence.ConfigReadings, reading)
 	}
 	if err != nil {
 		return
 	}
-	for sc := bufio.NewScanner(bytes.NewReader(raw)); sc.Scan(); {
-		name, val, ok := strings.Cut(sc.Text(), " ")
-		v, e := strconv.ParseFloat(val, 64)
-		if !ok || e != nil || !strings.Contains(name, "service=") {
+	for scanner := bufio.NewScanner(bytes.NewReader(raw)); scanner.Scan(); {
+		name, text, ok := strings.Cut(scanner.Text(), " ")
+		value, parseErr := strconv.ParseFloat(text, 64)
+		if !ok || parseErr != nil || !strings.Contains(name, "service=") {
 			continue
 		}
 		_, service, _ := strings.Cut(name, `service="`)
 		service, _, _ = strings.Cut(service, `"`)
-		key := r.Name + born + name // a router that starts again counts from zero
-		d := v - w.counters[key]
-		w.counters[key] = v
+		key := r.Name + runID + name // a router that starts again counts from zero
+		increase := value - w.counters[key]
+		w.counters[key] = value
 		switch {
 		case strings.HasPrefix(name, "yarrowridge_first_tries_total"):
-			w.tries.First[service] += d
+			w.tries.First[service] += increase
 		case strings.HasPrefix(name, "yarrowridge_second_tries_total") && strings.Contains(name, `let="yes"`):
-			w.tries.Again[service] += d
+			w.tries.Second[service] += increase
 		}
 	}
 }
 
-// note adds to the evidence.
-func (w *Watch) note(do func(ev *Evidence)) {
+// record adds to the evidence.
+func (w *Monitor) record(add func(ev *Evidence)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	do(&w.evidence)
+	add(&w.evidence)
 }
 
 // Evidence is all that was seen, with the clients' outcomes and the runners' request logs.
-func (w *Watch) Evidence(l *Load) Evidence {
+func (w *Monitor) Evidence(l *Load) Evidence {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ev := w.evidence
-	ev.Zones = map[string]string{}
+	ev.RouterZones = map[string]string{}
 	for _, r := range w.fleet.Routers {
-		ev.Zones[r.Name] = r.Zone
+		ev.RouterZones[r.Name] = r.Zone
 	}
-	ev.Mix, ev.Outcomes, ev.Seen = w.fleet.Mix, l.All(), w.fleet.RequestLog.All()
+	ev.Mix, ev.Outcomes, ev.RunnerRequests = w.fleet.Mix, l.Outcomes(), w.fleet.RequestLog.All()
 	return ev
 }
--- a/internal/testing/drill/links.go
+++ b/internal/testing/drill/links.go
@@ -14,7 +14,7 @@
 type Links struct {
 	zones       []string
 	mu          sync.Mutex
-	cut         string        // the zone that is cut off, or ""
+	isolated    string        // the zone that is cut off, or ""
 	changed     chan struct{} // closed with each change
 	forwarders  map[string]*forwarder
 	connections map[net.Conn]bool
@@ -22,8 +22,8 @@
 
 // forwarder listens for one process, in front of it.
 type forwarder struct {
-	listener net.Listener // nil while it is shut
-	zone, to string
+	listener     net.Listener // nil while it is shut
+	zone, target string
 }
 
 // NewLinks makes links between zones.
@@ -36,11 +36,11 @@
 	return fmt.Sprintf("127.0.%d.1", 10+slices.Index(l.zones, zone))
 }
 
-// Cut cuts a zone off from all others; "" heals. What is under way waits, as on a line that is down.
-func (l *Links) Cut(zone string) {
+// Isolate cuts a zone off from all others; "" heals. What is under way waits, as on a line that is down.
+func (l *Links) Isolate(zone string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut = zone
+	l.isolated = zone
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
@@ -49,71 +49,71 @@
 func (l *Links) Blocked(a, b string) (bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return a != b && l.cut != "" && (a == l.cut || b == l.cut), l.changed
+	return a != b && l.isolated != "" && (a == l.isolated || b == l.isolated), l.changed
 }
 
 // Open forwards a new address to a process of a zone.
-func (l *Links) Open(zone, to string) (string, error) {
+func (l *Links) Open(zone, target string) (string, error) {
 	listener, err := freePort("127.0.0.1")
 	if err != nil {
 		return "", err
 	}
-	at := listener.Addr().String()
+	addr := listener.Addr().String()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.forwarders[at] = &forwarder{zone: zone, to: to}
-	l.serve(l.forwarders[at], listener)
-	return at, nil
+	l.forwarders[addr] = &forwarder{zone: zone, target: target}
+	l.serve(l.forwarders[addr], listener)
+	return addr, nil
 }
 
 // Refuse refuses connections to a forwarder's address, as a machine does on which nobody listens.
-func (l *Links) Refuse(at string) {
+func (l *Links) Refuse(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if d := l.forwarders[at]; d.listener != nil {
-		_ = d.listener.Close()
-		d.listener = nil
+	if f := l.forwarders[addr]; f.listener != nil {
+		_ = f.listener.Close()
+		f.listener = nil
 	}
 }
 
 // Accept ends Refuse.
-func (l *Links) Accept(at string) error {
+func (l *Links) Accept(addr string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	d := l.forwarders[at]
-	if d.listener != nil {
+	f := l.forwarders[addr]
+	if f.listener != nil {
 		return nil
 	}
-	listener, err := net.Listen("tcp", at)
+	listener, err := net.Listen("tcp", addr)
 	if err == nil {
-		l.serve(d, listener)
+		l.serve(f, listener)
 	}
 	return err
 }
 
 // serve begins to forward; the caller holds the lock.
-func (l *Links) serve(d *forwarder, listener net.Listener) {
-	d.listener = listener
+func (l *Links) serve(f *forwarder, listener net.Listener) {
+	f.listener = listener
 	go func() {
 		for {
 			con, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go l.forward(con, d.zone, d.to)
+			go l.forward(con, f.zone, f.target)
 		}
 	}()
 }
 
-func (l *Links) forward(in net.Conn, zone, to string) {
+func (l *Links) forward(in net.Conn, zone, target string) {
 	from := zone // the drill's own calls are never cut
 	ip, _, _ := strings.Cut(in.RemoteAddr().String(), ":")
-	for _, h := range l.zones {
-		if l.IP(h) == ip {
-			from = h
+	for _, z := range l.zones {
+		if l.IP(z) == ip {
+			from = z
 		}
 	}
-	out, err := net.DialTimeout("tcp", to, 2*time.Second)
+	out, err := net.DialTimeout("tcp", target, 2*time.Second)
 	if err != nil {
 		_ = in.Close()
 		return
@@ -122,7 +122,7 @@
 	l.connections[in], l.connections[out] = true, true
 	l.mu.Unlock()
 	var all sync.WaitGroup
-	pass := func(dst, src net.Conn) {
+	relay := func(dst, src net.Conn) {
 		buf := make([]byte, 32<<10)
 		for {
 			n, err := src.Read(buf)
@@ -135,8 +135,8 @@
 		}
 		_ = dst.(*net.TCPConn).CloseWrite() // its other end may have gone first
 	}
-	all.Go(func() { pass(out, in) })
-	pass(in, out)
+	all.Go(func() { relay(out, in) })
+	relay(in, out)
 	all.Wait()
 	l.mu.Lock()
 	delete(l.connections, in)
@@ -148,12 +148,12 @@
 
 // Close ends all forwarding.
 func (l *Links) Close() {
-	l.Cut("")
+	l.Isolate("")
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, d := range l.forwarders {
-		if d.listener != nil {
-			_ = d.listener.Close()
+	for _, f := range l.forwarders {
+		if f.listener != nil {
+			_ = f.listener.Close()
 		}
 	}
 	for c := range l.connections {
--- a/internal/testing/drill/main.go
+++ b/internal/testing/drill/main.go
@@ -32,12 +32,12 @@
 	commandConfig = "config"
 )
 
-// olderCommands leads from the older names of commands to theirs.
-var olderCommands = map[string]string{"hall": commandZone, "layout": commandConfig}
+// commandAliases leads from the older names of commands to theirs.
+var commandAliases = map[string]string{"hall": commandZone, "layout": commandConfig}
 
 // canonicalCommand is the name of a command given by that or by an older name.
 func canonicalCommand(name string) string {
-	if current, ok := olderCommands[name]; ok {
+	if current, ok := commandAliases[name]; ok {
 		return current
 	}
 	return name
@@ -48,10 +48,10 @@
 
 // Main runs the drill and returns its exit code: 0 all promises held, 1 one was broken or the
 // fleet did not come up, 2 the command line does not hold.
-func Main(args []string, out io.Writer) int { return rehearse(args, out, nil) }
+func Main(args []string, out io.Writer) int { return runWithEnv(args, out, nil) }
 
-// rehearse is Main with something added to the daemons' environment.
-func rehearse(args []string, out io.Writer, more []string) int {
+// runWithEnv is Main with something added to the daemons' environment.
+func runWithEnv(args []string, out io.Writer, extraEnv []string) int {
 	if len(args) == 0 {
 		printf(out, usage)
 		return daemon.ExitUsage
@@ -67,7 +67,7 @@
 	}
 	ctx, end := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer end()
-	err := r.startFleet(ctx, more)
+	err := r.startFleet(ctx, extraEnv)
 	if r.fleet != nil {
 		defer r.fleet.Stop()
 	}
@@ -75,23 +75,23 @@
 		printf(out, "drill: %s; logs are under %s\n", err, r.dir)
 		return daemon.ExitError
 	}
-	return r.play(ctx)
+	return r.runCommand(ctx)
 }
 
-// play runs the command over the fleet, which is up, and returns the exit code.
-func (r *rehearsal) play(ctx context.Context) int {
+// runCommand runs the command over the fleet, which is up, and returns the exit code.
+func (r *rehearsal) runCommand(ctx context.Context) int {
 	f, out := r.fleet, r.out
 	if r.command == "fleet" {
 		f.Describe(out)
 		<-ctx.Done()
 		return r.removeDir()
 	}
-	printf(out, "fleet is up: %d cores, %d routers, %d runners; seed %d\n", len(f.Cores), len(f.Routers), len(f.Models)+len(f.Apps), r.seed)
+	printf(out, "fleet is up: %d cores, %d routers, %d runners; seed %d\n", len(f.Cores), len(f.Routers), len(f.ModelRunners)+len(f.AppRunners), r.seed)
 	load := NewLoad(f, r.scale, r.seed)
 	if r.command == "day" {
-		return r.playDay(ctx, load)
+		return r.runDay(ctx, load)
 	}
-	run, stop := context.WithTimeout(ctx, r.span)
+	run, stop := context.WithTimeout(ctx, r.duration)
 	defer stop()
 	done := make(chan struct{})
 	go func() {
@@ -99,28 +99,28 @@
 		close(done)
 	}()
 	if r.command == commandZone {
-		f.loseZone(run, r.span, out, load)
+		f.killZone(run, r.duration, out, load)
 	}
 	<-done
-	outcomes := load.All()
-	Total(outcomes).Print(out)
-	return r.verdict(Check(Evidence{Mix: r.mix, Outcomes: outcomes, Seen: f.RequestLog.All()}), "", nil)
+	outcomes := load.Outcomes()
+	Summarize(outcomes).Print(out)
+	return r.printResult(Check(Evidence{Mix: r.mix, Outcomes: outcomes, RunnerRequests: f.RequestLog.All()}), "", nil)
 }
 
-// playDay plays the course of events under traffic and returns the exit code.
-func (r *rehearsal) playDay(ctx context.Context, load *Load) int {
+// runDay plays the course of events under traffic and returns the exit code.
+func (r *rehearsal) runDay(ctx context.Context, load *Load) int {
 	course := strings.Join(r.course, ",")
 	printf(r.out, "course %s\n", course)
-	ev, err := NewDay(r.fleet, load, r.seed, r.out).Run(ctx, r.course, r.slack)
-	Total(ev.Outcomes).Print(r.out)
-	printf(r.out, "seen: %d queries at runners, %d writes, %d looks at configurations\n", len(ev.Seen), len(ev.ConfigWrites), len(ev.ConfigReadings))
-	return r.verdict(Check(ev), course, err)
+	evidence, err := NewDay(r.fleet, load, r.seed, r.out).Run(ctx, r.course, r.slack)
+	Summarize(evidence.Outcomes).Print(r.out)
+	printf(r.out, "seen: %d queries at runners, %d writes, %d looks at configurations\n", len(evidence.RunnerRequests), len(evidence.ConfigWrites), len(evidence.ConfigReadings))
+	return r.printResult(Check(evidence), course, err)
 }
 
-// verdict prints what became of the promises: each that was broken once, by its first breach.
-func (r *rehearsal) verdict(bad []Breach, course string, err error) int {
+// printResult prints what became of the promises: each that was broken once, by its first breach.
+func (r *rehearsal) printResult(breaches []Breach, course string, err error) int {
 	out := r.out
-	if len(bad) == 0 && err == nil {
+	if len(breaches) == 0 && err == nil {
 		printf(out, "all promises held (seed %d)\n", r.seed)
 		return r.removeDir()
 	}
@@ -128,13 +128,13 @@
 	if course != "" {
 		printf(out, " and course %s", course)
 	}
-	printf(out, ": %d breaches\n", len(bad))
-	said := map[string]bool{}
-	for _, b := range bad {
-		if !said[b.Promise] {
-			printf(out, "  %s: %s\n", b.Promise, b.What)
+	printf(out, ": %d breaches\n", len(breaches))
+	printed := map[string]bool{}
+	for _, b := range breaches {
+		if !printed[b.Promise] {
+			printf(out, "  %s: %s\n", b.Promise, b.Detail)
 		}
-		said[b.Promise] = true
+		printed[b.Promise] = true
 	}
 	if err != nil {
 		printf(out, "  the day was cut short: %s\n", err)
@@ -143,27 +143,27 @@
 	return daemon.ExitError
 }
 
-// loseZone kills every process of one zone, runners too, and starts them again later.
-func (f *Fleet) loseZone(ctx context.Context, span time.Duration, out io.Writer, load *Load) {
-	if !runloop.Sleep(ctx, span/4) {
+// killZone kills every process of one zone, runners too, and starts them again later.
+func (f *Fleet) killZone(ctx context.Context, duration time.Duration, out io.Writer, load *Load) {
+	if !runloop.Sleep(ctx, duration/4) {
 		return
 	}
-	lost := f.Mix.Zones[0]
+	zone := f.Mix.Zones[0]
 	if p := f.Primary(ctx); p != nil {
-		lost = p.Zone // the hardest zone to lose
+		zone = p.Zone // the hardest zone to lose
 	}
 	at := time.Now()
-	printf(out, "zone %s is lost\n", lost)
-	procs, runs := f.In(lost)
+	printf(out, "zone %s is lost\n", zone)
+	procs, runners := f.InZone(zone)
 	for _, p := range procs {
 		p.Signal(syscall.SIGKILL)
 	}
-	for _, s := range runs {
+	for _, s := range runners {
 		s.Crash()
 	}
-	runloop.Sleep(ctx, span/3)
+	runloop.Sleep(ctx, duration/3)
 	for _, k := range f.Mix.Kinds {
-		printf(out, "  %s: longest time without a whole answer %s\n", k.Name, Gap(load.All(), k.Name, at, time.Now()).Round(time.Millisecond))
+		printf(out, "  %s: longest time without a whole answer %s\n", k.Name, LongestOutage(load.Outcomes(), k.Name, at, time.Now()).Round(time.Millisecond))
 	}
 	for _, p := range procs {
 		p.Wait(10 * time.Second)
@@ -171,10 +171,10 @@
 			printf(out, "drill: %s\n", err)
 		}
 	}
-	for _, s := range runs {
+	for _, s := range runners {
 		if err := s.Start(); err != nil {
 			printf(out, "drill: %s\n", err)
 		}
 	}
-	printf(out, "zone %s is back\n", lost)
+	printf(out, "zone %s is back\n", zone)
 }
--- a/internal/testing/drill/mix.go
+++ b/internal/testing/drill/mix.go
@@ -12,40 +12,40 @@
 
 // Mix is a deployment as the drill plays it: its zones, runners, config and traffic.
 type Mix struct {
-	Name    string
-	Zones   []string
-	Routers int
-	Model   string
-	Models  int // model runners
-	Apps    int // runners of the ordinary application
-	Kinds   []Kind
-	Config  map[string]any
+	Name         string
+	Zones        []string
+	Routers      int
+	Model        string
+	ModelRunners int // model runners
+	AppRunners   int // runners of the ordinary application
+	Kinds        []RequestKind
+	Config       map[string]any
 }
 
-// Kind is one kind of request.
-type Kind struct {
-	Name   string
-	Method string
-	Path   string
-	Rate   float64 // a second, at scale 1
-	Prefix int     // bytes of prompt shared by many
-	Docs   int     // how many different shared prefixes
-	Tail   int     // bytes of prompt of its own
-	Tokens int
-	Stream bool
-	Once   bool
-	Plain  bool
+// RequestKind is one kind of request.
+type RequestKind struct {
+	Name        string
+	Method      string
+	Path        string
+	Rate        float64 // a second, at scale 1
+	PrefixBytes int     // bytes of prompt shared by many
+	PrefixCount int     // how many different shared prefixes
+	TailBytes   int     // bytes of prompt of its own
+	Tokens      int
+	Stream      bool
+	Once        bool
+	Plain       bool
 }
 
-// Key is the demonstration key of a tenant in the example configs.
-func Key(tenant string) string { return "demo-" + tenant }
+// TenantKey is the demonstration key of a tenant in the example configs.
+func TenantKey(tenant string) string { return "demo-" + tenant }
 
 type object = map[string]any
 
 func tenants(names []string, funded, quota int) object {
 	out := object{}
 	for i, n := range names {
-		t := object{"keys": []string{fleetconfig.HashKey(Key(n))}, "funded": i < funded}
+		t := object{"keys": []string{fleetconfig.HashKey(TenantKey(n))}, "funded": i < funded}
 		if i >= len(names)-quota {
 			t["quota"] = object{"units": 600, "window_s": 10}
 		}
@@ -56,10 +56,10 @@
 
 // Trentvale is the order desk: heavy fit checks, few write-ups, confirmations.
 func Trentvale() Mix {
-	return Mix{Name: "trentvale", Zones: []string{"east", "north", "south", "west"}, Routers: 9, Model: "lumen-7b", Models: 12, Apps: 4,
-		Kinds: []Kind{
-			{Name: "checks", Method: "POST", Path: "/v1/checks", Rate: 80, Prefix: 8 << 10, Docs: 24, Tail: 100, Tokens: 2},
-			{Name: "writeups", Method: "POST", Path: "/v1/writeups", Rate: 2, Prefix: 2 << 10, Docs: 4, Tail: 400, Tokens: 60, Stream: true},
+	return Mix{Name: "trentvale", Zones: []string{"east", "north", "south", "west"}, Routers: 9, Model: "lumen-7b", ModelRunners: 12, AppRunners: 4,
+		Kinds: []RequestKind{
+			{Name: "checks", Method: "POST", Path: "/v1/checks", Rate: 80, PrefixBytes: 8 << 10, PrefixCount: 24, TailBytes: 100, Tokens: 2},
+			{Name: "writeups", Method: "POST", Path: "/v1/writeups", Rate: 2, PrefixBytes: 2 << 10, PrefixCount: 4, TailBytes: 400, Tokens: 60, Stream: true},
 			{Name: "confirmations", Method: "POST", Path: "/v1/confirmations", Rate: 60, Once: true, Plain: true},
 		},
 		Config: object{
@@ -81,10 +81,10 @@
 
 // Tokachi is the loan desk: risk notes over long histories, few replies, status look-ups.
 func Tokachi() Mix {
-	return Mix{Name: "tokachi", Zones: []string{"hills", "plain", "river"}, Routers: 8, Model: "kumo-13b", Models: 9, Apps: 3,
-		Kinds: []Kind{
-			{Name: "notes", Method: "POST", Path: "/v1/notes", Rate: 40, Prefix: 6 << 10, Docs: 40, Tail: 300, Tokens: 12, Once: true},
-			{Name: "replies", Method: "POST", Path: "/v1/replies", Rate: 2, Prefix: 1 << 10, Docs: 4, Tail: 400, Tokens: 60, Stream: true},
+	return Mix{Name: "tokachi", Zones: []string{"hills", "plain", "river"}, Routers: 8, Model: "kumo-13b", ModelRunners: 9, AppRunners: 3,
+		Kinds: []RequestKind{
+			{Name: "notes", Method: "POST", Path: "/v1/notes", Rate: 40, PrefixBytes: 6 << 10, PrefixCount: 40, TailBytes: 300, Tokens: 12, Once: true},
+			{Name: "replies", Method: "POST", Path: "/v1/replies", Rate: 2, PrefixBytes: 1 << 10, PrefixCount: 4, TailBytes: 400, Tokens: 60, Stream: true},
 			{Name: "status", Method: "GET", Path: "/v1/status/", Rate: 60, Plain: true},
 		},
 		Config: object{
@@ -104,8 +104,8 @@
 		}}
 }
 
-// MixOf finds a mix by name.
-func MixOf(name string) (Mix, error) {
+// FindMix finds a mix by name.
+func FindMix(name string) (Mix, error) {
 	for _, m := range []Mix{Trentvale(), Tokachi()} {
 		if m.Name == name {
 			return m, nil
@@ -114,8 +114,8 @@
 	return Mix{}, fmt.Errorf("mix %q: trentvale or tokachi expected", name)
 }
 
-// Raw is the mix's config as text.
-func (m Mix) Raw() []byte {
+// ConfigJSON is the mix's config as text.
+func (m Mix) ConfigJSON() []byte {
 	raw, err := json.MarshalIndent(m.Config, "", "  ")
 	if err != nil {
 		panic(err) // a fixed value that marshals or never did
@@ -124,7 +124,7 @@
 }
 
 // body makes one request's body; the number makes it unlike all others.
-func (k Kind) body(model string, n uint64, r *rand.Rand) []byte {
+func (k RequestKind) body(model string, n uint64, r *rand.Rand) []byte {
 	if k.Method == "GET" {
 		return nil
 	}
@@ -132,24 +132,24 @@
 	if k.Plain {
 		v["order"] = fmt.Sprintf("order %d", n)
 	} else {
-		doc := r.IntN(max(1, k.Docs))
-		unit := fmt.Sprintf("%s sheet %d line; ", k.Name, doc)
+		doc := r.IntN(max(1, k.PrefixCount))
+		line := fmt.Sprintf("%s sheet %d line; ", k.Name, doc)
 		v["model"], v["max_tokens"], v["stream"] = model, k.Tokens, k.Stream
-		v["prompt"] = strings.Repeat(unit, k.Prefix/len(unit)+1) + fmt.Sprintf(" question %d ", n) + strings.Repeat("q", k.Tail)
+		v["prompt"] = strings.Repeat(line, k.PrefixBytes/len(line)+1) + fmt.Sprintf(" question %d ", n) + strings.Repeat("q", k.TailBytes)
 	}
 	raw, _ := json.Marshal(v)
 	return raw
 }
 
-// newRand makes the source of one request's chances.
-func newRand(n uint64) *rand.Rand { return rand.New(rand.NewPCG(n, 0)) }
+// requestRand makes the source of one request's chances.
+func requestRand(n uint64) *rand.Rand { return rand.New(rand.NewPCG(n, 0)) }
 
 // tenantNames lists a mix's tenants in order, the large ones first.
 func tenantNames(m Mix) []string {
-	var list []string
+	var names []string
 	for k := range m.Config["tenants"].(object) {
-		list = append(list, k)
+		names = append(names, k)
 	}
-	sort.Strings(list)
-	return list
+	sort.Strings(names)
+	return names
 }
--- a/internal/testing/drill/operatorcalls.go
+++ b/internal/testing/drill/operatorcalls.go
@@ -17,9 +17,9 @@
 // OperatorKey is the operators' key of a rehearsal fleet.
 const OperatorKey = "demo-operator"
 
-// Until asks until what is awaited holds, or ctx ends.
-func (f *Fleet) Until(ctx context.Context, what string, ok func() bool) error {
-	for !ok() {
+// WaitUntil asks until what is awaited holds, or ctx ends.
+func (f *Fleet) WaitUntil(ctx context.Context, what string, condition func() bool) error {
+	for !condition() {
 		if !runloop.Sleep(ctx, 50*time.Millisecond) {
 			return eris.Errorf("drill: gave up waiting until %s", what)
 		}
@@ -27,16 +27,16 @@
 	return nil
 }
 
-// Ask makes one operator's call.
-func (f *Fleet) Ask(ctx context.Context, method, at, path string, body []byte, head map[string]string) (int, []byte, error) {
-	ctx, end := context.WithTimeout(ctx, 8*time.Second)
-	defer end()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+at+path, bytes.NewReader(body))
+// CallOperatorAPI makes one operator's call.
+func (f *Fleet) CallOperatorAPI(ctx context.Context, method, addr, path string, body []byte, headers map[string]string) (int, []byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, 8*time.Second)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
 	req.Header.Set("Authorization", "Bearer "+OperatorKey)
-	for k, v := range head {
+	for k, v := range headers {
 		req.Header.Set(k, v)
 	}
 	response, err := httpc.DoRequest(req)
@@ -48,23 +48,23 @@
 	return response.StatusCode, raw, err
 }
 
-// Put puts a config through a process and tells the code and the version.
-func (f *Fleet) Put(ctx context.Context, p *Proc, raw []byte, match, id string) (int, uint64, error) {
-	code, response, err := f.Ask(ctx, "PUT", p.Operator, "/v1/layout", raw, map[string]string{"If-Match": match, "X-Write-Id": id})
+// PutConfig puts a config through a process and tells the code and the version.
+func (f *Fleet) PutConfig(ctx context.Context, p *Proc, raw []byte, ifMatch, writeID string) (int, uint64, error) {
+	code, response, err := f.CallOperatorAPI(ctx, "PUT", p.OperatorAddr, "/v1/layout", raw, map[string]string{"If-Match": ifMatch, "X-Write-Id": writeID})
 	return code, gjson.GetBytes(response, "sequence").Uint(), err
 }
 
-// Ready asks a process whether it is ready.
-func (f *Fleet) Ready(ctx context.Context, p *Proc) bool {
-	ctx, end := context.WithTimeout(ctx, time.Second)
-	defer end()
-	code, _, err := f.Ask(ctx, "GET", p.Operator, "/ready", nil, nil)
+// IsReady asks a process whether it is ready.
+func (f *Fleet) IsReady(ctx context.Context, p *Proc) bool {
+	ctx, cancel := context.WithTimeout(ctx, time.Second)
+	defer cancel()
+	code, _, err := f.CallOperatorAPI(ctx, "GET", p.OperatorAddr, "/ready", nil, nil)
 	return err == nil && code == 200
 }
 
-// Serving counts the runners that a router would send to.
-func (f *Fleet) Serving(ctx context.Context, p *Proc) int {
-	code, raw, err := f.Ask(ctx, "GET", p.Operator, "/v1/runners", nil, nil)
+// CountReadyRunners counts the runners that a router would send to.
+func (f *Fleet) CountReadyRunners(ctx context.Context, p *Proc) int {
+	code, raw, err := f.CallOperatorAPI(ctx, "GET", p.OperatorAddr, "/v1/runners", nil, nil)
 	if err != nil || code != 200 {
 		return 0
 	}
@@ -74,7 +74,7 @@
 // Primary finds the core that leads.
 func (f *Fleet) Primary(ctx context.Context) *Proc {
 	for _, c := range f.Cores {
-		code, raw, err := f.Ask(ctx, "GET", c.Operator, "/v1/standing", nil, nil)
+		code, raw, err := f.CallOperatorAPI(ctx, "GET", c.OperatorAddr, "/v1/standing", nil, nil)
 		if err == nil && code == 200 && gjson.GetBytes(raw, "ready").Bool() {
 			return c
 		}
@@ -84,7 +84,7 @@
 
 // ConfigVersion is the config version that a router obeys.
 func (f *Fleet) ConfigVersion(ctx context.Context, p *Proc) uint64 {
-	_, raw, err := f.Ask(ctx, "GET", p.Operator, "/v1/standing", nil, nil)
+	_, raw, err := f.CallOperatorAPI(ctx, "GET", p.OperatorAddr, "/v1/standing", nil, nil)
 	if err != nil {
 		return 0
 	}
--- a/internal/testing/drill/ports.go
+++ b/internal/testing/drill/ports.go
@@ -9,14 +9,14 @@
 
 // Ports are taken from below those that systems give to connections: one that is free for a while, because
 // its process is down, must not become the near end of somebody's connection meanwhile.
-const portLow, portHigh = 10000, 32000
+const minPort, maxPort = 10000, 32000
 
-var portNext, portFrom = new(atomic.Uint32), rand.Uint32N(portHigh - portLow)
+var portCounter, portOffset = new(atomic.Uint32), rand.Uint32N(maxPort - minPort)
 
 // freePort listens at a port that no other call of this process was given.
 func freePort(ip string) (l net.Listener, err error) {
-	for range portHigh - portLow {
-		at := portLow + (portFrom+portNext.Add(1))%(portHigh-portLow)
+	for range maxPort - minPort {
+		at := minPort + (portOffset+portCounter.Add(1))%(maxPort-minPort)
 		if l, err = net.Listen("tcp", fmt.Sprintf("%s:%d", ip, at)); err == nil {
 			break
 		}
@@ -24,12 +24,12 @@
 	return l, err
 }
 
-// port reserves a port of the loopback range until the fleet starts.
-func (f *Fleet) port(ip string) (string, error) {
+// reservePort reserves a port of the loopback range until the fleet starts.
+func (f *Fleet) reservePort(ip string) (string, error) {
 	l, err := freePort(ip)
 	if err != nil {
 		return "", err
 	}
-	f.ports = append(f.ports, l)
+	f.reservedPorts = append(f.reservedPorts, l)
 	return l.Addr().String(), nil
 }
--- a/internal/testing/drill/process.go
+++ b/internal/testing/drill/process.go
@@ -12,39 +12,39 @@
 
 // Proc is one daemon of the fleet.
 type Proc struct {
-	Name, Zone string
-	Addr       string // between processes
-	Client     string // routers only
-	Runner     string // routers only
-	Operator   string
-	prog       string
-	args, more []string
-	log        string
-	mu         sync.Mutex
-	cmd        *exec.Cmd
-	gone       chan struct{}
+	Name, Zone     string
+	Addr           string // between processes
+	ClientAddr     string // routers only
+	RunnerAddr     string // routers only
+	OperatorAddr   string
+	binary         string
+	args, extraEnv []string
+	logPath        string
+	mu             sync.Mutex
+	cmd            *exec.Cmd
+	exited         chan struct{}
 }
 
 // Start begins a process.
 func (p *Proc) Start() error {
-	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	out, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = out.Close() }()
-	cmd := exec.Command(p.prog, p.args...)
-	cmd.Stdout, cmd.Stderr, cmd.Env = out, out, append(os.Environ(), p.more...)
+	cmd := exec.Command(p.binary, p.args...)
+	cmd.Stdout, cmd.Stderr, cmd.Env = out, out, append(os.Environ(), p.extraEnv...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return eris.Wrapf(err, "drill: start %s", p.Name)
 	}
-	gone := make(chan struct{})
+	exited := make(chan struct{})
 	p.mu.Lock()
-	p.cmd, p.gone = cmd, gone
+	p.cmd, p.exited = cmd, exited
 	p.mu.Unlock()
 	go func() {
 		_ = cmd.Wait() // daemons are killed on purpose: how one ended is no error
-		close(gone)
+		close(exited)
 	}()
 	return nil
 }
@@ -65,17 +65,17 @@
 }
 
 // Wait waits for the process to end.
-func (p *Proc) Wait(d time.Duration) bool {
+func (p *Proc) Wait(timeout time.Duration) bool {
 	p.mu.Lock()
-	gone := p.gone
+	exited := p.exited
 	p.mu.Unlock()
-	if gone == nil {
+	if exited == nil {
 		return true
 	}
 	select {
-	case <-gone:
+	case <-exited:
 		return true
-	case <-time.After(d):
+	case <-time.After(timeout):
 		return false
 	}
 }
--- a/internal/testing/drill/race_on_test.go
+++ b/internal/testing/drill/race_on_test.go
@@ -2,4 +2,4 @@
 
 package drill
 
-func init() { build = append(build, "-race") }
+func init() { buildArgs = append(buildArgs, "-race") }
--- a/internal/testing/drill/rehearsal.go
+++ b/internal/testing/drill/rehearsal.go
@@ -14,23 +14,23 @@
 // fleetStartLimit is how long a fleet may take to come up.
 const fleetStartLimit = 60 * time.Second
 
-// dayCoreLost is after which silence a core may be replaced on a day, which has little time.
-const dayCoreLost = 2 * time.Second
+// dayCoreLostAfter is after which silence a core may be replaced on a day, which has little time.
+const dayCoreLostAfter = 2 * time.Second
 
 // rehearsal is one call of the drill on a fleet: its command, its flags and what was made from them.
 type rehearsal struct {
-	command string
-	out     io.Writer
-	mix     Mix
-	bin     string
-	dir     string
-	ownDir  bool // made here, to be removed after a good end
-	scale   float64
-	span    time.Duration
-	seed    uint64
-	course  []string // names of a day's events
-	slack   time.Duration
-	fleet   *Fleet
+	command  string
+	out      io.Writer
+	mix      Mix
+	bin      string
+	dir      string
+	ownDir   bool // made here, to be removed after a good end
+	scale    float64
+	duration time.Duration
+	seed     uint64
+	course   []string // names of a day's events
+	slack    time.Duration
+	fleet    *Fleet
 }
 
 // readFlags reads the command line. Where the call ends with that, done is set, and code is its exit code.
@@ -41,7 +41,7 @@
 	fs.StringVar(&r.bin, "bin", "bin", "folder of the programs router and core")
 	fs.StringVar(&r.dir, "dir", "", "folder for data and logs; none: a new one, removed after a good end")
 	fs.Float64Var(&r.scale, "scale", 1, "traffic, as a multiple of the deployment's own")
-	fs.DurationVar(&r.span, "for", 10*time.Second, "how long to play")
+	fs.DurationVar(&r.duration, "for", 10*time.Second, "how long to play")
 	fs.Uint64Var(&r.seed, "seed", 1, "seed of the traffic, and of a day's course")
 	course := fs.String("course", "", "a day's events, comma-separated, in place of those drawn; the last may be closing-hall, closing-all or closing-routers")
 	eventCount := fs.Int("events", 8, "how many events a day has")
@@ -49,14 +49,14 @@
 	if err := fs.Parse(args); err != nil {
 		return daemon.ExitUsage, true
 	}
-	mix, err := MixOf(*name)
-	if err != nil || r.scale <= 0 || r.span <= 0 || fs.NArg() > 0 {
-		printf(r.out, "drill: -mix %s -scale %g -for %s: a known mix, a scale and a time above zero, and nothing after the flags are expected\n", *name, r.scale, r.span)
+	mix, err := FindMix(*name)
+	if err != nil || r.scale <= 0 || r.duration <= 0 || fs.NArg() > 0 {
+		printf(r.out, "drill: -mix %s -scale %g -for %s: a known mix, a scale and a time above zero, and nothing after the flags are expected\n", *name, r.scale, r.duration)
 		return daemon.ExitUsage, true
 	}
 	r.mix = mix
 	if r.command == commandConfig {
-		printf(r.out, "%s", mix.Raw())
+		printf(r.out, "%s", mix.ConfigJSON())
 		return daemon.ExitOK, true
 	}
 	r.course = drawCourse(mix, r.seed, *eventCount)
@@ -82,10 +82,10 @@
 		}
 		printf(r.out, "drill: -course: %q is no event; expected are:\n", name)
 		for _, e := range events {
-			printf(r.out, "  %-9s %s\n", e.name, e.what)
+			printf(r.out, "  %-9s %s\n", e.name, e.description)
 		}
 		for _, e := range closings {
-			printf(r.out, "  %s%s: %s\n", closingPrefix, e.name, e.what)
+			printf(r.out, "  %s%s: %s\n", closingPrefix, e.name, e.description)
 		}
 		return false
 	}
@@ -113,7 +113,7 @@
 
 // startFleet starts the fleet, with something added to the daemons' environment. The fleet is set, for the
 // caller to stop, once there are processes to stop.
-func (r *rehearsal) startFleet(ctx context.Context, more []string) error {
+func (r *rehearsal) startFleet(ctx context.Context, extraEnv []string) error {
 	if r.command == "day" {
 		r.prepareDayConfig()
 	}
@@ -121,16 +121,16 @@
 	if err != nil {
 		return err
 	}
-	fleet.more = more
+	fleet.extraEnv = extraEnv
 	if r.command == "day" {
-		fleet.SetLost(dayCoreLost)
-		if err := fleet.Link(); err != nil {
+		fleet.SetCoreLostAfter(dayCoreLostAfter)
+		if err := fleet.InsertLinks(); err != nil {
 			return err
 		}
 	}
 	r.fleet = fleet
-	ctx, end := context.WithTimeout(ctx, fleetStartLimit)
-	defer end()
+	ctx, cancel := context.WithTimeout(ctx, fleetStartLimit)
+	defer cancel()
 	return fleet.Start(ctx)
 }
 
--- a/internal/testing/drill/requestlog.go
+++ b/internal/testing/drill/requestlog.go
@@ -6,44 +6,44 @@
 	"time"
 )
 
-// Seen is one request as a stand-in runner received it, byte for byte.
-type Seen struct {
-	Runner   string
-	RunID    string
-	At       time.Time
-	Method   string
-	Path     string
-	Header   http.Header
-	Body     []byte
-	Cut      bool // the body broke off: its sender died, and the runner did nothing with it
-	Finished bool // answered to the last byte
+// RunnerRequest is one request as a stand-in runner received it, byte for byte.
+type RunnerRequest struct {
+	Runner     string
+	RunID      string
+	ReceivedAt time.Time
+	Method     string
+	Path       string
+	Header     http.Header
+	Body       []byte
+	Truncated  bool // the body broke off: its sender died, and the runner did nothing with it
+	Finished   bool // answered to the last byte
 }
 
 // RequestLog is what all stand-in runners received, in order.
 type RequestLog struct {
-	mu  sync.Mutex
-	all []*Seen
+	mu       sync.Mutex
+	requests []*RunnerRequest
 }
 
-func (d *RequestLog) add(s *Seen) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.all = append(d.all, s)
+func (l *RequestLog) add(request *RunnerRequest) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.requests = append(l.requests, request)
 }
 
-func (d *RequestLog) end(s *Seen) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	s.Finished = true
+func (l *RequestLog) finish(request *RunnerRequest) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	request.Finished = true
 }
 
 // All copies the log.
-func (d *RequestLog) All() []Seen {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	out := make([]Seen, len(d.all))
-	for i, s := range d.all {
-		out[i] = *s
+func (l *RequestLog) All() []RunnerRequest {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	out := make([]RunnerRequest, len(l.requests))
+	for i, request := range l.requests {
+		out[i] = *request
 	}
 	return out
 }
--- a/internal/testing/drill/runnerfaults.go
+++ b/internal/testing/drill/runnerfaults.go
@@ -8,7 +8,9 @@
 	"yarrowridge/internal/lib/runloop"
 )
 
-func (d *Day) pickModelRunner() *Standin { return d.fleet.Models[d.random.IntN(len(d.fleet.Models))] }
+func (d *Day) pickModelRunner() *Standin {
+	return d.fleet.ModelRunners[d.random.IntN(len(d.fleet.ModelRunners))]
+}
 
 // requestsWhileLeaving is how many requests for each model runner the day sends while one of them leaves.
 const requestsWhileLeaving = 24
@@ -17,17 +19,17 @@
 // after that time that a runner still in use surely gets one. The ordinary traffic of a second may bring it none.
 func (d *Day) announceLeaving(ctx context.Context) {
 	s := d.pickModelRunner()
-	word := Departure{Runner: s.Name, RunID: s.runID, At: s.Leave(ctx)}
-	d.watch.note(func(ev *Evidence) { ev.Departures = append(ev.Departures, word) })
-	runloop.Sleep(ctx, leavingTime+d.slack)
+	departure := Departure{Runner: s.Name, RunID: s.runID, At: s.Leave(ctx)}
+	d.monitor.record(func(ev *Evidence) { ev.Departures = append(ev.Departures, departure) })
+	runloop.Sleep(ctx, leavingGrace+d.slack)
 	kind := d.fleet.Mix.Kinds[0] // the most frequent one that goes to model runners
 	var numbers []uint64
-	for i := range requestsWhileLeaving * len(d.fleet.Models) {
+	for i := range requestsWhileLeaving * len(d.fleet.ModelRunners) {
 		numbers = append(numbers, d.sendRequest(kind, i))
 		runloop.Sleep(ctx, 10*time.Millisecond)
 	}
 	what := "the requests sent while " + s.Name + " leaves have ended"
-	d.waitUntil(ctx, restLimit, what, func() bool { return allEnded(d.load.All(), numbers) })
+	d.waitUntil(ctx, recoveryLimit, what, func() bool { return allEnded(d.load.Outcomes(), numbers) })
 	s.Crash()
 	d.startRunner(s)
 }
@@ -48,7 +50,7 @@
 }
 
 func (d *Day) replaceRunners(ctx context.Context) {
-	for _, s := range slices.Concat(d.fleet.Models[:len(d.fleet.Models)/2], d.fleet.Apps[:1]) {
+	for _, s := range slices.Concat(d.fleet.ModelRunners[:len(d.fleet.ModelRunners)/2], d.fleet.AppRunners[:1]) {
 		s.Crash()
 		runloop.Sleep(ctx, 100*time.Millisecond)
 		d.startRunner(s)
@@ -65,12 +67,12 @@
 }
 
 func (d *Day) refuseConnections(ctx context.Context) {
-	half := slices.Concat(d.fleet.Models[1:], d.fleet.Apps[1:])
-	for _, s := range half {
+	runners := slices.Concat(d.fleet.ModelRunners[1:], d.fleet.AppRunners[1:])
+	for _, s := range runners {
 		s.RefuseConnections()
 	}
 	runloop.Sleep(ctx, 5*time.Second)
-	for _, s := range half {
+	for _, s := range runners {
 		if err := s.AcceptConnections(); err != nil {
 			d.err = err
 		}
@@ -78,9 +80,9 @@
 }
 
 func (d *Day) breakStreams(ctx context.Context) {
-	half := slices.Concat(d.fleet.Models[:len(d.fleet.Models)/2], d.fleet.Apps[:len(d.fleet.Apps)/2])
-	for _, s := range half {
-		s.CutAfter(10)
+	runners := slices.Concat(d.fleet.ModelRunners[:len(d.fleet.ModelRunners)/2], d.fleet.AppRunners[:len(d.fleet.AppRunners)/2])
+	for _, s := range runners {
+		s.BreakStreamsAfter(10)
 	}
 	// The traffic alone brings few streams in that time, and fewer on a slow machine.
 	for _, k := range d.fleet.Mix.Kinds {
@@ -89,7 +91,7 @@
 		}
 	}
 	runloop.Sleep(ctx, 4*time.Second)
-	for _, s := range half {
-		s.CutAfter(0)
+	for _, s := range runners {
+		s.BreakStreamsAfter(0)
 	}
 }
--- a/internal/testing/drill/standin.go
+++ b/internal/testing/drill/standin.go
@@ -40,24 +40,24 @@
 	HeartbeatAddrs []string // the routers' runner listeners, tried in turn
 	RequestLog     *RequestLog
 
-	Hits, Misses atomic.Int64 // prompt blocks found in the cache, or not
+	CacheHits, CacheMisses atomic.Int64 // prompt blocks found in the cache, or not
 
-	runID       string
-	heartbeats  atomic.Uint64
-	active      atomic.Int64
-	queued      atomic.Int64
-	state       atomic.Value
-	hanging     atomic.Bool // takes requests and says nothing
-	silent      atomic.Bool // sends no heartbeats
-	cutAt       atomic.Int64
-	mu          sync.Mutex
-	cache       map[[32]byte]bool
-	server      *http.Server
-	listenAddr  string            // where it listens, if others know it by another address
-	links       *Links            // that forward to it, if any
-	unreachable func(string) bool // whether a router's listener can't be reached
-	ctx         context.Context
-	cancel      context.CancelFunc
+	runID          string
+	heartbeatCount atomic.Uint64
+	activeRequests atomic.Int64
+	queuedTokens   atomic.Int64
+	state          atomic.Value
+	hanging        atomic.Bool // takes requests and says nothing
+	muted          atomic.Bool // sends no heartbeats
+	breakAfter     atomic.Int64
+	mu             sync.Mutex
+	cache          map[[32]byte]bool
+	server         *http.Server
+	listenAddr     string            // where it listens, if others know it by another address
+	links          *Links            // that forward to it, if any
+	unreachable    func(string) bool // whether a router's listener can't be reached
+	ctx            context.Context
+	cancel         context.CancelFunc
 }
 
 var runCount atomic.Uint64
@@ -74,22 +74,22 @@
 	s.runID = fmt.Sprintf("%s-%d", s.Name, runCount.Add(1))
 	s.state.Store("ready")
 	s.hanging.Store(false)
-	s.cutAt.Store(0)
+	s.breakAfter.Store(0)
 	s.mu.Lock()
 	s.cache = map[[32]byte]bool{}
 	s.mu.Unlock()
-	ctx, end := context.WithCancel(context.Background())
-	s.cancel = end
+	ctx, cancel := context.WithCancel(context.Background())
+	s.cancel = cancel
 	s.ctx = ctx
 	s.serve(l)
 	go func() {
 		t := time.NewTicker(500 * time.Millisecond)
 		defer t.Stop()
-		for at := 0; ; at++ {
-			if !s.silent.Load() && !s.sendHeartbeat(ctx, s.HeartbeatAddrs[at%len(s.HeartbeatAddrs)]) && runloop.Sleep(ctx, 20*time.Millisecond) {
+		for attempt := 0; ; attempt++ {
+			if !s.muted.Load() && !s.sendHeartbeat(ctx, s.HeartbeatAddrs[attempt%len(s.HeartbeatAddrs)]) && runloop.Sleep(ctx, 20*time.Millisecond) {
 				continue
 			}
-			at--
+			attempt--
 			select {
 			case <-ctx.Done():
 				return
@@ -110,10 +110,10 @@
 func (s *Standin) Hang(on bool) { s.hanging.Store(on) }
 
 // Mute stops the heartbeats.
-func (s *Standin) Mute(on bool) { s.silent.Store(on) }
+func (s *Standin) Mute(on bool) { s.muted.Store(on) }
 
-// CutAfter breaks every stream off after n tokens; zero stops that.
-func (s *Standin) CutAfter(n int) { s.cutAt.Store(int64(n)) }
+// BreakStreamsAfter breaks every stream off after n tokens; zero stops that.
+func (s *Standin) BreakStreamsAfter(n int) { s.breakAfter.Store(int64(n)) }
 
 // RefuseConnections closes the listener and all connections; heartbeats go on. AcceptConnections listens again, as the same run.
 func (s *Standin) RefuseConnections() {
@@ -162,17 +162,17 @@
 	return time.Now()
 }
 
-func (s *Standin) sendHeartbeat(ctx context.Context, to string) bool {
-	if s.unreachable != nil && s.unreachable(to) {
+func (s *Standin) sendHeartbeat(ctx context.Context, addr string) bool {
+	if s.unreachable != nil && s.unreachable(addr) {
 		return false
 	}
-	raw, _ := json.Marshal(map[string]any{"name": s.Name, "addr": s.Addr, "born": s.runID, "turn": s.heartbeats.Add(1),
+	raw, _ := json.Marshal(map[string]any{"name": s.Name, "addr": s.Addr, "born": s.runID, "turn": s.heartbeatCount.Add(1),
 		"labels": s.Labels, "state": s.state.Load(), "room": s.Slots, "max_length": s.MaxLength,
-		"fill":          min(1, float64(s.active.Load())/float64(max(1, s.Slots))),
-		"queued_tokens": s.queued.Load()})
-	ctx, end := context.WithTimeout(ctx, 2*time.Second)
-	defer end()
-	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+to+"/v1/runners/beat", bytes.NewReader(raw))
+		"fill":          min(1, float64(s.activeRequests.Load())/float64(max(1, s.Slots))),
+		"queued_tokens": s.queuedTokens.Load()})
+	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+addr+"/v1/runners/beat", bytes.NewReader(raw))
 	if err != nil {
 		return false
 	}
@@ -194,8 +194,8 @@
 // ServeHTTP answers one request.
 func (s *Standin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
-	seen := &Seen{Runner: s.Name, RunID: s.runID, At: time.Now(), Method: r.Method, Path: r.URL.RequestURI(), Header: r.Header.Clone(), Body: body, Cut: err != nil}
-	s.RequestLog.add(seen)
+	received := &RunnerRequest{Runner: s.Name, RunID: s.runID, ReceivedAt: time.Now(), Method: r.Method, Path: r.URL.RequestURI(), Header: r.Header.Clone(), Body: body, Truncated: err != nil}
+	s.RequestLog.add(received)
 	if err != nil {
 		return
 	}
@@ -204,14 +204,14 @@
 		<-ctx.Done()
 		panic(http.ErrAbortHandler)
 	}
-	s.active.Add(1)
-	defer s.active.Add(-1)
+	s.activeRequests.Add(1)
+	defer s.activeRequests.Add(-1)
 	if s.Plain {
 		s.servePlain(w, r, body)
 	} else {
 		s.serveModel(w, r, body)
 	}
-	s.RequestLog.end(seen)
+	s.RequestLog.finish(received)
 }
 
 // servePlain answers as the ordinary application.
@@ -222,8 +222,8 @@
 	raw, _ := json.Marshal(map[string]any{"echo": Echo(body), "path": r.URL.RequestURI(), "tenant": r.Header.Get("X-Yarrowridge-Tenant")})
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
-	if s.cutAt.Load() > 0 {
-		writeNow(w, string(raw[:len(raw)/2]))
+	if s.breakAfter.Load() > 0 {
+		writeAndFlush(w, string(raw[:len(raw)/2]))
 		breakConnection(w)
 	}
 	_, _ = w.Write(raw) // a router that has gone shows in its own outcome
@@ -232,29 +232,29 @@
 // serveModel answers as a model runner: a stream, or an answer as a whole.
 func (s *Standin) serveModel(w http.ResponseWriter, r *http.Request, body []byte) {
 	tokens := int(gjson.GetBytes(body, "max_tokens").Int())
-	s.queued.Add(int64(tokens))
-	left := tokens
-	defer func() { s.queued.Add(-int64(left)) }()
-	text := gjson.GetBytes(body, "prompt").String() + gjson.GetBytes(body, "messages").Raw
-	if !runloop.Sleep(r.Context(), s.prefill(text)) {
+	s.queuedTokens.Add(int64(tokens))
+	remaining := tokens
+	defer func() { s.queuedTokens.Add(-int64(remaining)) }()
+	prompt := gjson.GetBytes(body, "prompt").String() + gjson.GetBytes(body, "messages").Raw
+	if !runloop.Sleep(r.Context(), s.prefillTime(prompt)) {
 		panic(http.ErrAbortHandler)
 	}
 	stream := gjson.GetBytes(body, "stream").Bool()
-	pad := strings.Repeat("w", int(gjson.GetBytes(body, "pad").Int())) // to fill a client's connection
+	padding := strings.Repeat("w", int(gjson.GetBytes(body, "pad").Int())) // to fill a client's connection
 	if stream {
 		w.Header().Set("Content-Type", "text/event-stream")
 	}
-	from := markedFrom(body, tokens)
+	firstTagged := firstTaggedChunk(body, tokens)
 	for i := range tokens {
-		s.makeToken(w, r, i)
-		s.queued.Add(-1)
-		left--
+		s.generateToken(w, r, i)
+		s.queuedTokens.Add(-1)
+		remaining--
 		if stream {
-			mark := ""
-			if i >= from {
-				mark = fmt.Sprintf(`,"run":%q`, r.Header.Get("X-Yarrowridge-Query"))
+			tag := ""
+			if i >= firstTagged {
+				tag = fmt.Sprintf(`,"run":%q`, r.Header.Get("X-Yarrowridge-Query"))
 			}
-			writeNow(w, fmt.Sprintf("data: {\"i\":%d,\"echo\":%q%s,\"text\":\"w%d %s\"}\n\n", i, Echo(body), mark, i, pad))
+			writeAndFlush(w, fmt.Sprintf("data: {\"i\":%d,\"echo\":%q%s,\"text\":\"w%d %s\"}\n\n", i, Echo(body), tag, i, padding))
 		}
 	}
 	if stream {
@@ -266,21 +266,21 @@
 	_, _ = w.Write(raw) // a router that has gone shows in its own outcome
 }
 
-// makeToken takes the time of one token, and breaks the connection off where that was asked for.
-func (s *Standin) makeToken(w http.ResponseWriter, r *http.Request, i int) {
-	others := s.active.Load() - 1
+// generateToken takes the time of one token, and breaks the connection off where that was asked for.
+func (s *Standin) generateToken(w http.ResponseWriter, r *http.Request, i int) {
+	others := s.activeRequests.Load() - 1
 	if !runloop.Sleep(r.Context(), s.TokenTime+time.Duration(s.Slowdown*float64(others)*float64(s.TokenTime))) {
 		panic(http.ErrAbortHandler)
 	}
-	if at := s.cutAt.Load(); at > 0 && int64(i) >= at {
+	if limit := s.breakAfter.Load(); limit > 0 && int64(i) >= limit {
 		breakConnection(w)
 	}
 }
 
-// markedFrom is the piece from which on a stream's pieces carry their run's mark, so that two runs that were
+// firstTaggedChunk is the piece from which on a stream's pieces carry their run's mark, so that two runs that were
 // joined can be told: the first, one on the way, or none. By that a third of the prompts is answered alike
 // by every run.
-func markedFrom(body []byte, tokens int) int {
+func firstTaggedChunk(body []byte, tokens int) int {
 	switch Echo(body)[0] % 3 {
 	case 0:
 		return 0
@@ -291,9 +291,9 @@
 	}
 }
 
-// writeNow writes a piece of a response and sends it off. Whether the router is still there is told by the request's context.
-func writeNow(w http.ResponseWriter, piece string) {
-	_, _ = io.WriteString(w, piece)
+// writeAndFlush writes a piece of a response and sends it off. Whether the router is still there is told by the request's context.
+func writeAndFlush(w http.ResponseWriter, text string) {
+	_, _ = io.WriteString(w, text)
 	_ = http.NewResponseController(w).Flush()
 }
 
@@ -305,23 +305,23 @@
 	panic(http.ErrAbortHandler)
 }
 
-// prefill is the time to read a prompt: what the cache holds costs nothing.
-func (s *Standin) prefill(text string) time.Duration {
+// prefillTime is the time to read a prompt: what the cache holds costs nothing.
+func (s *Standin) prefillTime(text string) time.Duration {
 	const block = 1024
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	miss, h := 0, sha256.New()
+	misses, hash := 0, sha256.New()
 	for from := 0; from+block <= len(text); from += block {
-		h.Write([]byte(text[from : from+block]))
+		hash.Write([]byte(text[from : from+block]))
 		var key [32]byte
-		copy(key[:], h.Sum(nil))
+		copy(key[:], hash.Sum(nil))
 		if s.cache[key] {
-			s.Hits.Add(1)
+			s.CacheHits.Add(1)
 		} else {
-			miss++
-			s.Misses.Add(1)
+			misses++
+			s.CacheMisses.Add(1)
 			s.cache[key] = true
 		}
 	}
-	return time.Duration(miss) * s.BlockReadTime
+	return time.Duration(misses) * s.BlockReadTime
 }
--- a/internal/testing/drill/stream_test.go
+++ b/internal/testing/drill/stream_test.go
@@ -15,26 +15,26 @@
 	"github.com/tidwall/gjson"
 )
 
-// reader reads a stream event by event, so that a test can stop in the middle.
-type reader struct {
-	id  string
-	ans *http.Response
-	sc  *bufio.Scanner
+// streamReader reads a stream event by event, so that a test can stop in the middle.
+type streamReader struct {
+	id       string
+	response *http.Response
+	scanner  *bufio.Scanner
 }
 
-func (l *Load) open(t *testing.T, r *Proc, tenant string, n uint64, tokens int) *reader {
+func (l *Load) openStream(t *testing.T, r *Proc, tenant string, n uint64, tokens int) *streamReader {
 	t.Helper()
-	return l.begin(t, r, Kind{Path: "/v1/writeups", Tail: 10, Tokens: tokens, Stream: true}, tenant, n)
+	return l.openStreamOfKind(t, r, RequestKind{Path: "/v1/writeups", TailBytes: 10, Tokens: tokens, Stream: true}, tenant, n)
 }
 
-func (l *Load) begin(t *testing.T, r *Proc, k Kind, tenant string, n uint64) *reader {
+func (l *Load) openStreamOfKind(t *testing.T, r *Proc, k RequestKind, tenant string, n uint64) *streamReader {
 	t.Helper()
-	req, err := http.NewRequest("POST", "http://"+r.Client+k.Path, strings.NewReader(string(k.body(l.Fleet.Mix.Model, n, newRand(n)))))
+	req, err := http.NewRequest("POST", "http://"+r.ClientAddr+k.Path, strings.NewReader(string(k.body(l.Fleet.Mix.Model, n, requestRand(n)))))
 	if err != nil {
 		t.Fatal(err)
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set("Authorization", "Bearer "+Key(tenant))
+	req.Header.Set("Authorization", "Bearer "+TenantKey(tenant))
 	response, err := l.http.Do(req)
 	if err != nil {
 		t.Fatal(err)
@@ -43,13 +43,13 @@
 		raw, _ := io.ReadAll(response.Body)
 		t.Fatalf("status %d: %s", response.StatusCode, raw)
 	}
-	return &reader{response.Header.Get("X-Yarrowridge-Query"), response, lines(response.Body)}
+	return &streamReader{response.Header.Get("X-Yarrowridge-Query"), response, lines(response.Body)}
 }
 
 // next gives the next piece's number, or -1 and why there is none.
-func (r *reader) next() (int, string) {
-	for r.sc.Scan() {
-		s, ok := strings.CutPrefix(r.sc.Text(), "data: ")
+func (r *streamReader) next() (int, string) {
+	for r.scanner.Scan() {
+		s, ok := strings.CutPrefix(r.scanner.Text(), "data: ")
 		switch {
 		case !ok:
 		case s == "[DONE]":
@@ -63,11 +63,11 @@
 	return -1, "broken"
 }
 
-// rest resumes a stream after n pieces and reads it to its end.
-func (l *Load) rest(t *testing.T, r *Proc, tenant, id string, n int) ([]int, string) {
+// resumeStream resumes a stream after n pieces and reads it to its end.
+func (l *Load) resumeStream(t *testing.T, r *Proc, tenant, id string, n int) ([]int, string) {
 	t.Helper()
-	req, _ := http.NewRequest("GET", "http://"+r.Client+StreamsPath+id+"?after="+strconv.Itoa(n), nil)
-	req.Header.Set("Authorization", "Bearer "+Key(tenant))
+	req, _ := http.NewRequest("GET", "http://"+r.ClientAddr+streamsPath+id+"?after="+strconv.Itoa(n), nil)
+	req.Header.Set("Authorization", "Bearer "+TenantKey(tenant))
 	response, err := l.http.Do(req)
 	if err != nil {
 		t.Fatal(err)
@@ -77,21 +77,21 @@
 		raw, _ := io.ReadAll(response.Body)
 		return nil, gjson.GetBytes(raw, "error.code").String()
 	}
-	rd := &reader{id, response, lines(response.Body)}
-	var got []int
+	stream := &streamReader{id, response, lines(response.Body)}
+	var chunks []int
 	for {
-		i, why := rd.next()
-		if why != "" {
-			return got, why
+		i, end := stream.next()
+		if end != "" {
+			return chunks, end
 		}
-		got = append(got, i)
+		chunks = append(chunks, i)
 	}
 }
 
-const StreamsPath = "/v1/streams/"
+const streamsPath = "/v1/streams/"
 
-func follows(got []int, from int) bool {
-	for i, n := range got {
+func isSequence(chunks []int, from int) bool {
+	for i, n := range chunks {
 		if n != from+i {
 			return false
 		}
@@ -105,59 +105,59 @@
 	takeFleetSlot(t)
 	mix := Trentvale()
 	mix.Config["lanes"].(object)["writeups"].(object)["repeat"] = false
-	f := up(t, mix)
+	f := startTestFleet(t, mix)
 	l := NewLoad(f, 1, 1)
-	ctx, end := context.WithTimeout(t.Context(), 2*time.Minute)
-	defer end()
+	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
+	defer cancel()
 
 	t.Run("origin leaves and resumes elsewhere", func(t *testing.T) {
-		rd := l.open(t, f.Routers[0], "yard-a", 1, 120)
+		stream := l.openStream(t, f.Routers[0], "yard-a", 1, 120)
 		for i := range 10 {
-			if n, why := rd.next(); n != i {
-				t.Fatalf("piece %d: got %d %s", i, n, why)
+			if n, end := stream.next(); n != i {
+				t.Fatalf("piece %d: got %d %s", i, n, end)
 			}
 		}
-		_ = rd.ans.Body.Close()
-		if _, why := l.rest(t, f.Routers[3], "yard-b", rd.id, 10); why != "no-stream" {
-			t.Errorf("another tenant got %q, no-stream expected", why)
+		_ = stream.response.Body.Close()
+		if _, end := l.resumeStream(t, f.Routers[3], "yard-b", stream.id, 10); end != "no-stream" {
+			t.Errorf("another tenant got %q, no-stream expected", end)
 		}
-		got, why := l.rest(t, f.Routers[3], "yard-a", rd.id, 10)
-		if why != "done" || len(got) != 110 || !follows(got, 10) {
-			t.Errorf("resumed: %d pieces from %v, ended %q", len(got), got[:min(3, len(got))], why)
+		got, end := l.resumeStream(t, f.Routers[3], "yard-a", stream.id, 10)
+		if end != "done" || len(got) != 110 || !isSequence(got, 10) {
+			t.Errorf("resumed: %d pieces from %v, ended %q", len(got), got[:min(3, len(got))], end)
 		}
 		// Once more from the start, after its end.
-		if got, why := l.rest(t, f.Routers[5], "yard-a", rd.id, 0); why != "done" || len(got) != 120 || !follows(got, 0) {
-			t.Errorf("read again: %d pieces, ended %q", len(got), why)
+		if got, end := l.resumeStream(t, f.Routers[5], "yard-a", stream.id, 0); end != "done" || len(got) != 120 || !isSequence(got, 0) {
+			t.Errorf("read again: %d pieces, ended %q", len(got), end)
 		}
 	})
 
 	t.Run("router killed", func(t *testing.T) {
-		rd := l.open(t, f.Routers[1], "yard-a", 2, 400)
+		stream := l.openStream(t, f.Routers[1], "yard-a", 2, 400)
 		n := 0
 		for ; n < 20; n++ {
-			if i, why := rd.next(); i != n {
-				t.Fatalf("piece %d: got %d %s", n, i, why)
+			if i, end := stream.next(); i != n {
+				t.Fatalf("piece %d: got %d %s", n, i, end)
 			}
 		}
 		f.Routers[1].Kill()
 		for {
-			i, why := rd.next()
-			if why == "broken" {
+			i, end := stream.next()
+			if end == "broken" {
 				break
 			}
 			if i != n {
-				t.Fatalf("piece %d: got %d %s", n, i, why)
+				t.Fatalf("piece %d: got %d %s", n, i, end)
 			}
 			n++
 		}
-		got, why := l.rest(t, f.Routers[2], "yard-a", rd.id, n)
-		if why != "router-lost" || !follows(got, n) {
-			t.Errorf("resumed after %d: %v, ended %q; router-lost expected", n, got, why)
+		got, end := l.resumeStream(t, f.Routers[2], "yard-a", stream.id, n)
+		if end != "router-lost" || !isSequence(got, n) {
+			t.Errorf("resumed after %d: %v, ended %q; router-lost expected", n, got, end)
 		}
 		if err := f.Routers[1].Start(); err != nil {
 			t.Fatal(err)
 		}
-		if err := f.Until(ctx, "the router is back", func() bool { return f.Ready(ctx, f.Routers[1]) }); err != nil {
+		if err := f.WaitUntil(ctx, "the router is back", func() bool { return f.IsReady(ctx, f.Routers[1]) }); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -165,19 +165,19 @@
 	// go-zero ends a process by itself some seconds after SIGTERM unless told otherwise; a stream
 	// that takes longer than that must still come to its end.
 	t.Run("router stops with a warning", func(t *testing.T) {
-		rd := l.open(t, f.Routers[4], "yard-a", 4, 2500)
-		n, why := rd.next()
+		stream := l.openStream(t, f.Routers[4], "yard-a", 4, 2500)
+		n, end := stream.next()
 		f.Routers[4].Signal(syscall.SIGTERM)
 		at := time.Now()
 		last := -1
-		for ; why == ""; n, why = rd.next() {
+		for ; end == ""; n, end = stream.next() {
 			if n != last+1 {
 				t.Fatalf("piece %d after %d", n, last)
 			}
 			last = n
 		}
-		if why != "done" || last != 2499 {
-			t.Errorf("ended %q after piece %d, %s after the warning", why, last, time.Since(at).Round(time.Second))
+		if end != "done" || last != 2499 {
+			t.Errorf("ended %q after piece %d, %s after the warning", end, last, time.Since(at).Round(time.Second))
 		}
 		if !f.Routers[4].Wait(10 * time.Second) {
 			t.Error("the router does not stop once its stream has ended")
@@ -186,23 +186,23 @@
 	})
 
 	t.Run("runner cuts", func(t *testing.T) {
-		for _, m := range f.Models {
-			m.CutAfter(15)
+		for _, m := range f.ModelRunners {
+			m.BreakStreamsAfter(15)
 		}
-		rd := l.open(t, f.Routers[2], "yard-a", 3, 60)
+		stream := l.openStream(t, f.Routers[2], "yard-a", 3, 60)
 		for i := range 15 {
-			if n, why := rd.next(); n != i {
-				t.Fatalf("piece %d: got %d %s", i, n, why)
+			if n, end := stream.next(); n != i {
+				t.Fatalf("piece %d: got %d %s", i, n, end)
 			}
 		}
-		if n, why := rd.next(); why != "runner-lost" {
-			t.Errorf("got %d %q, runner-lost expected", n, why)
+		if n, end := stream.next(); end != "runner-lost" {
+			t.Errorf("got %d %q, runner-lost expected", n, end)
 		}
-		for _, m := range f.Models {
-			m.CutAfter(0)
+		for _, m := range f.ModelRunners {
+			m.BreakStreamsAfter(0)
 		}
-		if got, why := l.rest(t, f.Routers[6], "yard-a", rd.id, 5); why != "runner-lost" || len(got) != 10 || !follows(got, 5) {
-			t.Errorf("resumed a lost stream: %v %q", got, why)
+		if got, end := l.resumeStream(t, f.Routers[6], "yard-a", stream.id, 5); end != "runner-lost" || len(got) != 10 || !isSequence(got, 5) {
+			t.Errorf("resumed a lost stream: %v %q", got, end)
 		}
 	})
 }
@@ -210,15 +210,15 @@
 // A router is killed in the middle of two streams, and the runner of a third breaks off: what is
 // answered alike by every run comes whole, through the standby or another runner; what is not ends as
 // run-differs.
-func TestStreamsCarryOn(t *testing.T) {
+func TestStreamFailover(t *testing.T) {
 	takeFleetSlot(t)
-	f := up(t, Tokachi())
+	f := startTestFleet(t, Tokachi())
 	l := NewLoad(f, 1, 1)
-	k := Kind{Path: "/v1/replies", Tail: 10, Tokens: 300, Stream: true}
+	k := RequestKind{Path: "/v1/replies", TailBytes: 10, Tokens: 300, Stream: true}
 	// kind finds a number whose prompt is answered alike by all runs, or never.
 	next := uint64(1)
-	kind := func(alike byte) uint64 {
-		for Echo(k.body(f.Mix.Model, next, newRand(next)))[0]%3 != alike {
+	nextNumber := func(identical byte) uint64 {
+		for Echo(k.body(f.Mix.Model, next, requestRand(next)))[0]%3 != identical {
 			next++
 		}
 		next++
@@ -228,63 +228,63 @@
 	var all sync.WaitGroup
 	for i := range 24 * len(f.Routers) {
 		n := uint64(100000 + i)
-		q := f.Mix.Kinds[0]
+		firstKind := f.Mix.Kinds[0]
 		all.Go(func() {
-			if o := l.Ask(q, n, q.body(f.Mix.Model, n, newRand(n)), "desk-a", f.Routers[i%len(f.Routers)]); o.Status != 200 {
+			if o := l.Send(firstKind, n, firstKind.body(f.Mix.Model, n, requestRand(n)), "desk-a", f.Routers[i%len(f.Routers)]); o.Status != 200 {
 				t.Errorf("%d %s", o.Status, o.Code)
 			}
 		})
 	}
 	all.Wait()
-	cut := l.begin(t, f.Routers[0], k, "desk-a", kind(2))
+	broken := l.openStreamOfKind(t, f.Routers[0], k, "desk-a", nextNumber(2))
 	for range 20 {
-		cut.next()
+		broken.next()
 	}
 	for _, s := range f.RequestLog.All() {
-		if s.Header.Get("X-Yarrowridge-Query") == cut.id {
-			for _, m := range f.Models {
+		if s.Header.Get("X-Yarrowridge-Query") == broken.id {
+			for _, m := range f.ModelRunners {
 				if m.Name == s.Runner {
-					m.CutAfter(1)
+					m.BreakStreamsAfter(1)
 				}
 			}
 		}
 	}
-	n, why := 20, ""
-	for i := 0; why == ""; n++ {
-		if i, why = cut.next(); why == "" && i != n {
+	n, end := 20, ""
+	for i := 0; end == ""; n++ {
+		if i, end = broken.next(); end == "" && i != n {
 			t.Fatalf("piece %d in place %d", i, n)
 		}
 	}
-	if why != "done" || n != 301 {
-		t.Errorf("the stream whose runner broke off ended %q after %d pieces", why, n-1)
+	if end != "done" || n != 301 {
+		t.Errorf("the stream whose runner broke off ended %q after %d pieces", end, n-1)
 	}
-	for _, m := range f.Models {
-		m.CutAfter(0) // each router has earned one second try, not two
+	for _, m := range f.ModelRunners {
+		m.BreakStreamsAfter(0) // each router has earned one second try, not two
 	}
-	alike, other := l.begin(t, f.Routers[1], k, "desk-a", kind(2)), l.begin(t, f.Routers[1], k, "desk-a", kind(0))
+	identical, different := l.openStreamOfKind(t, f.Routers[1], k, "desk-a", nextNumber(2)), l.openStreamOfKind(t, f.Routers[1], k, "desk-a", nextNumber(0))
 	for i := range 20 {
-		if a, _ := alike.next(); a != i {
+		if a, _ := identical.next(); a != i {
 			t.Fatalf("piece %d in place %d", a, i)
 		}
-		other.next()
+		different.next()
 	}
 	f.Routers[1].Kill()
-	drain := func(r *reader) (n int) {
+	readToEnd := func(r *streamReader) (n int) {
 		for n = 20; ; n++ {
-			if _, why := r.next(); why != "" {
+			if _, end := r.next(); end != "" {
 				return n
 			}
 		}
 	}
 	at := time.Now()
-	n = drain(alike)
-	if got, why := l.rest(t, f.Routers[3], "desk-a", alike.id, n); why != "done" || n+len(got) != 300 || !follows(got, n) {
-		t.Errorf("resumed after %d: %d pieces, ended %q", n, len(got), why)
+	n = readToEnd(identical)
+	if rest, end := l.resumeStream(t, f.Routers[3], "desk-a", identical.id, n); end != "done" || n+len(rest) != 300 || !isSequence(rest, n) {
+		t.Errorf("resumed after %d: %d pieces, ended %q", n, len(rest), end)
 	}
 	t.Logf("the stream whose router was killed was whole after %s", time.Since(at).Round(10*time.Millisecond))
-	n = drain(other)
-	if got, why := l.rest(t, f.Routers[3], "desk-a", other.id, n); why != "run-differs" || !follows(got, n) {
-		t.Errorf("runs that differ, resumed after %d: %d pieces, ended %q", n, len(got), why)
+	n = readToEnd(different)
+	if rest, end := l.resumeStream(t, f.Routers[3], "desk-a", different.id, n); end != "run-differs" || !isSequence(rest, n) {
+		t.Errorf("runs that differ, resumed after %d: %d pieces, ended %q", n, len(rest), end)
 	}
 }
 
--- a/internal/testing/drill/trafficfaults.go
+++ b/internal/testing/drill/trafficfaults.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-func (d *Day) playBurst(ctx context.Context, scale float64, docs int) {
-	ctx, end := context.WithTimeout(ctx, 3*time.Second)
-	defer end()
-	d.load.Burst(ctx, scale, docs)
+func (d *Day) playBurst(ctx context.Context, scale float64, prefixes int) {
+	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
+	defer cancel()
+	d.load.Burst(ctx, scale, prefixes)
 }
 
-func (d *Day) crowdClients(ctx context.Context) { d.playBurst(ctx, 5*d.load.Scale, 0) }
+func (d *Day) burstTraffic(ctx context.Context) { d.playBurst(ctx, 5*d.load.Scale, 0) }
 
-func (d *Day) heatPrefix(ctx context.Context) { d.playBurst(ctx, 2*d.load.Scale, 1) }
+func (d *Day) burstSharedPrefix(ctx context.Context) { d.playBurst(ctx, 2*d.load.Scale, 1) }
 
 // sendRequest sends a request of the day's own, beginning at a router, and gives its number.
-func (d *Day) sendRequest(k Kind, router int) uint64 {
-	n := d.load.next.Add(1)
+func (d *Day) sendRequest(k RequestKind, router int) uint64 {
+	n := d.load.lastNumber.Add(1)
 	body := k.body(d.fleet.Mix.Model, n, d.random)
-	d.requests.Go(func() { d.load.one(k, n, body, tenantNames(d.fleet.Mix)[1], router) })
+	d.requests.Go(func() { d.load.sendWithRetries(k, n, body, tenantNames(d.fleet.Mix)[1], router) })
 	return n
 }
