--- a/internal/testing/drill/bench_test.go
+++ b/internal/testing/drill/bench_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// BenchmarkHop asks a plain back end directly and through a router in turn, and gives the medians.
+// BenchmarkHop sends requests to a plain runner alternately directly and through a router, and reports the median times
+// and their difference.
 func BenchmarkHop(b *testing.B) {
 	f, err := NewFleet(Tokachi(), bin, b.TempDir())
 	if err != nil {
--- a/internal/testing/drill/check.go
+++ b/internal/testing/drill/check.go
@@ -6,38 +6,41 @@
 	"time"
 )
 
-// Breach is one broken promise.
+// Breach is one violation of a promise of the fleet.
 type Breach struct {
 	Promise string
 	Detail  string
 }
 
-// Check holds all that was seen against the promises and names every broken one.
+// Check compares the evidence with the promises and returns every breach.
 func Check(ev Evidence) []Breach {
-	var bad []Breach
-	report := func(promise, f string, a ...any) { bad = append(bad, Breach{promise, fmt.Sprintf(f, a...)}) }
+	var breaches []Breach
+	report := func(promise, format string, args ...any) {
+		breaches = append(breaches, Breach{promise, fmt.Sprintf(format, args...)})
+	}
 	ev.checkRequests(report)
 	ev.checkConfigs(report)
 	ev.checkQuotas(report)
 	ev.checkTries(report)
 	ev.checkTimes(report)
-	return bad
+	return breaches
 }
 
+// reportFunc records a breach of a promise.
 type reportFunc func(promise, f string, a ...any)
 
-// checkQuotas holds each tenant's requests, as runners saw them, against its quota in every rolling window.
+// checkQuotas checks that in no rolling window the runners received more requests of a tenant than its quota allows.
 func (ev Evidence) checkQuotas(report reportFunc) {
-	for tenant, v := range ev.Mix.Config["tenants"].(object) {
-		quota, ok := v.(object)["quota"].(object)
+	for tenant, config := range ev.Mix.Config["tenants"].(object) {
+		quota, ok := config.(object)["quota"].(object)
 		if !ok {
 			continue
 		}
 		units, window := quota["units"].(int), time.Duration(quota["window_s"].(int))*time.Second
 		var times []time.Time
-		for _, s := range ev.RunnerRequests {
-			if s.Header.Get("X-Yarrowridge-Tenant") == tenant {
-				times = append(times, s.ReceivedAt)
+		for _, request := range ev.RunnerRequests {
+			if request.Header.Get("X-Yarrowridge-Tenant") == tenant {
+				times = append(times, request.ReceivedAt)
 			}
 		}
 		sort.Slice(times, func(i, j int) bool { return times[i].Before(times[j]) })
@@ -53,10 +56,11 @@
 	}
 }
 
-// checkTries holds second tries against first ones in every ten seconds, over the whole fleet.
+// checkTries checks that in every 10 s, over the whole fleet, the second tries to a service stay within 20 % of its
+// first tries plus the configured allowance.
 func (ev Evidence) checkTries(report reportFunc) {
-	for service, v := range ev.Mix.Config["services"].(object) {
-		allowance := float64(v.(object)["second_spare"].(int))
+	for service, config := range ev.Mix.Config["services"].(object) {
+		allowance := float64(config.(object)["second_spare"].(int))
 		for i, j := 0, 0; j < len(ev.TryCounts); j++ {
 			for ev.TryCounts[j].At.Sub(ev.TryCounts[i].At) > 10*time.Second {
 				i++
--- a/internal/testing/drill/check_test.go
+++ b/internal/testing/drill/check_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Every check of the drill sees the breach it is there for, and none where there is none.
+// Each check finds the breach that it is meant to find, and no check finds one in correct evidence.
 func TestCheckFindsBreaches(t *testing.T) {
 	mix := Trentvale()
 	order := []byte(`{"order":"1"}`)
@@ -44,7 +44,7 @@
 			found = found || b.Promise == name
 		}
 		if !found {
-			t.Errorf("breach %q: found %v", name, bad)
+			t.Errorf("got breaches %v, want %q", bad, name)
 		}
 	}
 	for name, corrupt := range map[string]func(h http.Header){
@@ -55,7 +55,7 @@
 		outcomes, received := good()
 		corrupt(received[0].Header)
 		if bad := Check(Evidence{Mix: mix, Outcomes: outcomes, RunnerRequests: received}); len(bad) == 0 || bad[0].Promise != "fidelity" {
-			t.Errorf("%s: found %v", name, bad)
+			t.Errorf("%s: got breaches %v, want fidelity", name, bad)
 		}
 	}
 }
--- a/internal/testing/drill/checkconfigs.go
+++ b/internal/testing/drill/checkconfigs.go
@@ -4,14 +4,14 @@
 	"time"
 )
 
-// checkConfigs holds what routers obeyed against what operators were told.
+// checkConfigs compares the configs that routers applied with the writes that operators saw acknowledged.
 func (ev Evidence) checkConfigs(report reportFunc) {
 	acked, uncertain := map[uint64]ConfigWrite{}, map[string]bool{}
 	var newest ConfigWrite
 	for _, write := range ev.ConfigWrites {
 		switch {
 		case write.Code == 200:
-			if was, twice := acked[write.Version]; twice && was.Hash != write.Hash {
+			if earlier, known := acked[write.Version]; known && earlier.Hash != write.Hash {
 				report("layout", "sequence %d was acknowledged for two layouts", write.Version)
 			}
 			acked[write.Version] = write
@@ -22,21 +22,21 @@
 			uncertain[write.Hash] = true
 		}
 	}
-	type latest struct {
-		seq uint64
-		at  time.Time
+	type configAt struct {
+		version uint64
+		at      time.Time
 	}
-	latestByRouter := map[string]latest{}
+	latestByRouter := map[string]configAt{}
 	limit := 2*time.Second + ev.Slack
 	for _, reading := range ev.ConfigReadings {
 		if write, ok := acked[reading.Version]; ok && write.Hash != reading.Hash || !ok && !uncertain[reading.Hash] {
 			report("losing-layout", "%s obeys a layout at sequence %d that no operator was told to have won", reading.Router, reading.Version)
 		}
-		if b := latestByRouter[reading.Router]; reading.Version < b.seq && reading.SentAt.Sub(b.at) > 250*time.Millisecond {
-			report("slipped-back", "%s obeys sequence %d, %s after it had obeyed %d", reading.Router, reading.Version, reading.SentAt.Sub(b.at).Round(time.Millisecond), b.seq)
+		if latest := latestByRouter[reading.Router]; reading.Version < latest.version && reading.SentAt.Sub(latest.at) > 250*time.Millisecond {
+			report("slipped-back", "%s obeys sequence %d, %s after it had obeyed %d", reading.Router, reading.Version, reading.SentAt.Sub(latest.at).Round(time.Millisecond), latest.version)
 		}
-		if reading.Version > latestByRouter[reading.Router].seq {
-			latestByRouter[reading.Router] = latest{reading.Version, reading.AnsweredAt}
+		if reading.Version > latestByRouter[reading.Router].version {
+			latestByRouter[reading.Router] = configAt{reading.Version, reading.AnsweredAt}
 		}
 		for _, write := range acked {
 			if write.Version > reading.Version && !reading.Stale && reading.SentAt.Sub(write.AnsweredAt) > limit {
@@ -45,9 +45,9 @@
 			}
 		}
 	}
-	if f := ev.FinalConfig; f != nil {
-		if write, ok := acked[f.Version]; f.Version < newest.Version || ok && write.Hash != f.Hash || !ok && !uncertain[f.Hash] {
-			report("read-back", "sequence %d was read back at the end, %d is the newest acknowledged", f.Version, newest.Version)
+	if final := ev.FinalConfig; final != nil {
+		if write, ok := acked[final.Version]; final.Version < newest.Version || ok && write.Hash != final.Hash || !ok && !uncertain[final.Hash] {
+			report("read-back", "sequence %d was read back at the end, %d is the newest acknowledged", final.Version, newest.Version)
 		}
 	}
 	for _, revocation := range ev.KeyRevocations {
@@ -56,7 +56,7 @@
 				continue
 			}
 			end := o.StartedAt.Add(o.Duration)
-			if fresh := o.StartedAt.Sub(revocation.From) > limit && o.StartedAt.Before(revocation.To) && o.Status == 200; fresh ||
+			if startedLate := o.StartedAt.Sub(revocation.From) > limit && o.StartedAt.Before(revocation.To) && o.Status == 200; startedLate ||
 				o.Complete && o.StartedAt.Before(revocation.From) && end.Sub(revocation.From) > limit && end.Before(revocation.To) {
 				report("withdrawn", "query %d of %s was answered %s after its key was withdrawn", o.Number, revocation.Tenant, end.Sub(revocation.From).Round(time.Millisecond))
 			}
--- a/internal/testing/drill/checkrequests.go
+++ b/internal/testing/drill/checkrequests.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// runCounts is how often runners saw requests.
+// runCounts counts how often runners received each request.
 type runCounts struct {
-	byNumber map[uint64]int // by the client's number
-	byID     map[string]int // by the router's ID, one for each try of the client
+	byNumber map[uint64]int // by the number that the client gave it
+	byID     map[string]int // by the router's ID, which differs for each attempt of the client
 }
 
-// checkRequests holds the clients' outcomes against the runners' logs.
+// checkRequests compares the clients' outcomes with the runners' request logs.
 func (ev Evidence) checkRequests(report reportFunc) {
 	kinds := map[string]RequestKind{}
 	for _, k := range ev.Mix.Kinds {
@@ -25,7 +25,8 @@
 	ev.checkPlannedStops(report, runs)
 }
 
-// checkRunnerRequests checks that runners saw the clients' requests unchanged, and none more often than it may run.
+// checkRunnerRequests checks that the clients' requests reached the runners unchanged, and none more often than allowed.
+// It returns how often each request reached a runner.
 func (ev Evidence) checkRunnerRequests(report reportFunc, kinds map[string]RequestKind) runCounts {
 	outcomes := map[uint64]Outcome{}
 	for _, o := range ev.Outcomes {
@@ -41,7 +42,7 @@
 		case number == 0:
 			report("fidelity", "runner %s saw a query that no origin sent", received.Runner)
 		case !ok:
-			continue // its client has not been answered yet
+			continue // the client has no outcome yet
 		case received.Path != o.Path || !received.matchesBody(o.Body):
 			report("fidelity", "runner %s saw query %d changed", received.Runner, number)
 		case received.Header.Get("X-Yarrowridge-Tenant") != o.Tenant:
@@ -63,7 +64,8 @@
 	return runs
 }
 
-// checkAnswer holds what one client was answered against the promises.
+// checkAnswer checks the answer to one attempt: its outcome agrees with what the runners received, and the body or
+// stream is complete, in order and of this request.
 func (o *Outcome) checkAnswer(report reportFunc, k RequestKind, runs runCounts) {
 	if o.Run == "not run" && runs.byID[o.RequestID] > 0 {
 		report("not-run", "query %s (%d) was said not to have run, code %s, but a runner saw it", o.RequestID, o.Number, o.Code)
@@ -79,9 +81,9 @@
 	if len(o.ExecutionIDs) > 1 {
 		report("joined", "query %d: the stream joins runs %v", o.Number, o.ExecutionIDs)
 	}
-	for i, p := range o.Chunks {
-		if i != p {
-			report("stream", "query %d: piece %d came in place %d", o.Number, p, i)
+	for position, chunk := range o.Chunks {
+		if position != chunk {
+			report("stream", "query %d: piece %d came in place %d", o.Number, chunk, position)
 			break
 		}
 	}
@@ -90,7 +92,7 @@
 	}
 }
 
-// checkPlannedStops checks that no request was dropped which a router had read before it was stopped with a warning.
+// checkPlannedStops checks that a router that is stopped with SIGTERM drops no request that it has read.
 func (ev Evidence) checkPlannedStops(report reportFunc, runs runCounts) {
 	complete := map[uint64]int{}
 	for _, o := range ev.Outcomes {
@@ -111,7 +113,8 @@
 	}
 }
 
-// matchesBody reports whether the runner got the body unchanged: whole, or its beginning where the sender died in the middle of it.
+// matchesBody reports whether the runner received the body unchanged. Of a truncated request, whose sender died in the
+// middle of the body, it may have received only the beginning.
 func (s *RunnerRequest) matchesBody(sent []byte) bool {
 	if s.Truncated {
 		return bytes.HasPrefix(sent, s.Body)
--- a/internal/testing/drill/checktimes.go
+++ b/internal/testing/drill/checktimes.go
@@ -4,21 +4,22 @@
 	"time"
 )
 
-// leavingGrace is how long after a runner's word that it leaves routers may still send to it.
+// leavingGrace is how long routers may go on sending to a runner after it has announced that it leaves.
 const leavingGrace = 2 * time.Second
 
-// checkTimes holds leaving runners and hard faults against the time that the promises give.
+// checkTimes checks the promises that have a time limit: after a runner announces that it leaves, while a zone is
+// partitioned, and after a hard fault.
 func (ev Evidence) checkTimes(report reportFunc) {
-	for _, s := range ev.RunnerRequests {
+	for _, request := range ev.RunnerRequests {
 		for _, departure := range ev.Departures {
-			if d := s.ReceivedAt.Sub(departure.At); s.RunID == departure.RunID && d > leavingGrace+ev.Slack {
-				report("leaving", "runner %s got a query %s after its word that it leaves", s.Runner, d.Round(time.Millisecond))
+			if delay := request.ReceivedAt.Sub(departure.At); request.RunID == departure.RunID && delay > leavingGrace+ev.Slack {
+				report("leaving", "runner %s got a query %s after its word that it leaves", request.Runner, delay.Round(time.Millisecond))
 			}
 		}
 	}
 	for _, partition := range ev.Partitions {
-		// Silent runners are found out after 5 s; from then on both sides serve what needs no core, and
-		// the greater part everything.
+		// Runners that stop sending heartbeats are detected after 5 s. From then on both sides of the partition have
+		// to serve requests that need no core, and the majority side has to serve all requests.
 		succeeded, attempted := map[[2]string]int{}, map[[2]string]int{}
 		for _, o := range ev.Outcomes {
 			side := "out"
@@ -48,8 +49,8 @@
 		for _, k := range ev.Mix.Kinds {
 			recovery := time.Duration(-1)
 			for _, o := range ev.Outcomes {
-				if d := o.StartedAt.Add(o.Duration).Sub(fault.At); o.Kind == k.Name && o.succeeded() && o.StartedAt.After(fault.At) && (recovery < 0 || d < recovery) {
-					recovery = d
+				if delay := o.StartedAt.Add(o.Duration).Sub(fault.At); o.Kind == k.Name && o.succeeded() && o.StartedAt.After(fault.At) && (recovery < 0 || delay < recovery) {
+					recovery = delay
 				}
 			}
 			if limit := 12*time.Second + ev.Slack; recovery > limit || recovery < 0 && ev.TrafficEnd.Sub(fault.At) > limit {
--- a/internal/testing/drill/configfaults.go
+++ b/internal/testing/drill/configfaults.go
@@ -15,7 +15,8 @@
 	"yarrowridge/internal/model/fleetconfig"
 )
 
-// putConfig writes a config with a mark of its own, and notes what the operator was told.
+// putConfig writes a config and records the answer. The number, as its queue limit, makes the config differ from all
+// others.
 func (d *Day) putConfig(ctx context.Context, config object, number int, ifMatch string) ConfigWrite {
 	config = maps.Clone(config)
 	limits := object{}
@@ -28,6 +29,7 @@
 	return d.sendConfig(ctx, "PUT", raw, ifMatch, fleetconfig.HashKey(string(raw)))
 }
 
+// sendConfig sends a write to some router and records its result as evidence. The hash is that of the config that results.
 func (d *Day) sendConfig(ctx context.Context, method string, raw []byte, ifMatch, hash string) ConfigWrite {
 	write := ConfigWrite{SentAt: time.Now(), Hash: hash}
 	code, response, err := d.fleet.CallOperatorAPI(ctx, method, d.fleet.Routers[int(time.Now().UnixNano())%len(d.fleet.Routers)].OperatorAddr, "/v1/layout", raw, map[string]string{"If-Match": ifMatch})
@@ -39,26 +41,28 @@
 	return write
 }
 
+// nextNumber returns a number that the day has not used yet.
 func (d *Day) nextNumber() int {
 	d.lastNumber++
 	return d.lastNumber
 }
 
+// writeConfigs makes three conflicting writes at once, a burst of writes, an invalid write and a partial write.
 func (d *Day) writeConfigs(ctx context.Context) {
 	_, raw, _ := d.fleet.CallOperatorAPI(ctx, "GET", d.pickRouter().OperatorAddr, "/v1/fleet", nil, nil)
 	version := strconv.FormatUint(gjson.GetBytes(raw, "sequence").Uint(), 10)
 	var all sync.WaitGroup
 	for range 3 {
 		number := d.nextNumber()
-		all.Go(func() { d.putConfig(ctx, d.config, number, version) }) // one of them wins
+		all.Go(func() { d.putConfig(ctx, d.config, number, version) }) // one of the three succeeds
 	}
 	all.Wait()
-	runloop.Sleep(ctx, time.Second) // a loser that took effect would be seen
+	runloop.Sleep(ctx, time.Second) // long enough to observe a rejected config that takes effect all the same
 	for range 8 {
 		d.putConfig(ctx, d.config, d.nextNumber(), "*")
 	}
 	d.sendConfig(ctx, "PUT", []byte(`{"lanes":7}`), "*", "bad")
-	// A part: what it makes of the whole is known once it is read back.
+	// The whole config that results from a partial write is known only once it is read back.
 	patch := d.sendConfig(ctx, "PATCH", []byte(fmt.Sprintf(`{"limits":{"queue":%d}}`, 1000+d.nextNumber())), "*", "patch")
 	if patch.Code == 200 {
 		_, config, _ := d.fleet.CallOperatorAPI(ctx, "GET", d.pickRouter().OperatorAddr, fmt.Sprintf("/v1/layout?sequence=%d", patch.Version), nil, nil)
@@ -73,6 +77,7 @@
 	runloop.Sleep(ctx, 3*time.Second)
 }
 
+// revokeKey removes the keys of a tenant for 4 s.
 func (d *Day) revokeKey(ctx context.Context) {
 	name := tenantNames(d.fleet.Mix)[5]
 	config := maps.Clone(d.config)
@@ -88,7 +93,7 @@
 	d.monitor.record(func(ev *Evidence) { ev.KeyRevocations = append(ev.KeyRevocations, KeyRevocation{name, from, to}) })
 }
 
-// putUntilAcknowledged writes until it is acknowledged, and tells when it was.
+// putUntilAcknowledged repeats a write until it is acknowledged, and returns the time of the acknowledgement.
 func (d *Day) putUntilAcknowledged(ctx context.Context, config object) time.Time {
 	var write ConfigWrite
 	d.waitUntil(ctx, recoveryLimit, "a write is acknowledged", func() bool {
--- a/internal/testing/drill/corefaults.go
+++ b/internal/testing/drill/corefaults.go
@@ -11,6 +11,7 @@
 	"github.com/tidwall/gjson"
 )
 
+// primaryCore waits until there is a primary and returns it.
 func (d *Day) primaryCore(ctx context.Context) *Proc {
 	p := d.fleet.Cores[0]
 	d.waitUntil(ctx, recoveryLimit, "there is a primary", func() bool {
@@ -25,7 +26,7 @@
 
 func (d *Day) killPrimaryAndBackup(ctx context.Context) {
 	primary := d.primaryCore(ctx)
-	// Long enough that a fleet which does not replace it is seen to be without.
+	// Down long enough that a fleet that does not replace the primary is observed without one.
 	d.killAndRestart(ctx, "the primary killed", 18*time.Second, []*Proc{primary})
 	d.waitReady(ctx, "all is well between")
 	_, raw, _ := d.fleet.CallOperatorAPI(ctx, "GET", d.primaryCore(ctx).OperatorAddr, "/v1/standing", nil, nil)
@@ -44,6 +45,7 @@
 	d.killAndRestart(ctx, "every core killed", time.Second, d.fleet.Cores)
 }
 
+// wipePrimaryDisk kills the primary right after an acknowledged write and removes its data before it restarts.
 func (d *Day) wipePrimaryDisk(ctx context.Context) {
 	primary := d.primaryCore(ctx)
 	d.putUntilAcknowledged(ctx, d.config)
@@ -57,23 +59,23 @@
 	}
 }
 
-// replaceCore puts a blank core at a new address in the place of one that is killed for good.
+// replaceCore kills a core for good and starts a core without data at a new address to replace it.
 func (d *Day) replaceCore(ctx context.Context, i int) {
 	old := d.fleet.Cores[i]
-	p, err := d.fleet.NewCore(fmt.Sprintf("%s-%d", strings.TrimRight(old.Name, "-0123456789"), 10+d.nextNumber()), old.Zone)
+	replacement, err := d.fleet.NewCore(fmt.Sprintf("%s-%d", strings.TrimRight(old.Name, "-0123456789"), 10+d.nextNumber()), old.Zone)
 	if err == nil {
-		err = p.Start()
+		err = replacement.Start()
 	}
 	if err != nil {
 		d.err = err
 		return
 	}
 	old.Kill()
-	d.fleet.Cores[i] = p
-	d.waitUntil(ctx, 2*recoveryLimit, p.Name+" has the seat of "+old.Name, func() bool {
+	d.fleet.Cores[i] = replacement
+	d.waitUntil(ctx, 2*recoveryLimit, replacement.Name+" has the seat of "+old.Name, func() bool {
 		_, raw, _ := d.fleet.CallOperatorAPI(ctx, "GET", d.fleet.Routers[0].OperatorAddr, "/v1/fleet", nil, nil)
-		all := gjson.GetBytes(raw, "view.members.#.addr").String()
-		return strings.Contains(all, p.Addr) && !strings.Contains(all, old.Addr)
+		members := gjson.GetBytes(raw, "view.members.#.addr").String()
+		return strings.Contains(members, replacement.Addr) && !strings.Contains(members, old.Addr)
 	})
 }
 
--- a/internal/testing/drill/course.go
+++ b/internal/testing/drill/course.go
@@ -5,14 +5,14 @@
 	"math/rand/v2"
 )
 
-// event is one entry of a day's course.
+// event is one kind of fault or operator action in a day's course.
 type event struct {
 	name        string
 	description string
 	run         func(d *Day, ctx context.Context)
 }
 
-// events are all that a day may bring, in the order in which the usage lists them.
+// events are all kinds of events of a day, in the order in which they are printed after an unknown name.
 var events = []event{
 	{"edits", "operators put whole and partial layouts, two at once, in a burst, and a bad one", (*Day).writeConfigs},
 	{"withdraw", "a tenant's key is withdrawn, and given back", (*Day).revokeKey},
@@ -34,10 +34,10 @@
 	{"blank", "a control machine comes back empty at a new address", (*Day).replaceOneCore},
 }
 
-// closingPrefix begins the names of closing events in a course.
+// closingPrefix is the prefix of the names of closing events in a course.
 const closingPrefix = "closing-"
 
-// closings end a day.
+// closings are the faults of which one ends each drawn course.
 var closings = []event{
 	{"hall", "a hall is lost", (*Day).killPrimaryZone},
 	{"all", "every process is killed", (*Day).killAllProcesses},
@@ -53,13 +53,14 @@
 	return nil
 }
 
-// drawCourse draws a day's events: n of them, and what this deployment has every day.
-func drawCourse(mix Mix, seed uint64, n int) []string {
+// drawCourse draws count events and a closing event. Config writes and the replacement of cores that the deployment
+// rehearses are always among them.
+func drawCourse(mix Mix, seed uint64, count int) []string {
 	random := rand.New(rand.NewPCG(seed, 11))
 	required := map[string]string{"trentvale": "swap", "tokachi": "blank"}[mix.Name]
 	course := []string{"edits", required}
 	for _, i := range random.Perm(len(events)) {
-		if name := events[i].name; len(course) < n && name != "swap" && name != "blank" && name != "edits" {
+		if name := events[i].name; len(course) < count && name != "swap" && name != "blank" && name != "edits" {
 			course = append(course, name)
 		}
 	}
--- a/internal/testing/drill/cutbody_test.go
+++ b/internal/testing/drill/cutbody_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A router dies in the middle of a body: the stand-in runner has its beginning, which is no changed request. A body of which
-// a byte differs is one, broken off or not, and so is one that ends early and looks whole.
+// If a router dies in the middle of a body, the stand-in runner receives its beginning. That does not count as a changed
+// request. A body with a different byte does, truncated or not, and so does a shorter body that appears complete.
 func TestTruncatedRequestBody(t *testing.T) {
 	log := &RequestLog{}
 	server := httptest.NewServer(&Standin{Name: "one", RequestLog: log, Plain: true})
@@ -30,7 +30,7 @@
 	}
 	received := log.All()
 	if len(received) != 1 || !received[0].Truncated {
-		t.Fatalf("the runner saw %+v", received)
+		t.Fatalf("the runner received %+v, want one truncated request", received)
 	}
 	for _, c := range []struct {
 		cut       bool
@@ -42,7 +42,7 @@
 		evidence := Evidence{RunnerRequests: []RunnerRequest{request}, Outcomes: []Outcome{{Number: 7, Path: "/a", Body: []byte("helloworld")}}}
 		evidence.checkRunnerRequests(func(promise, _ string, _ ...any) { reports = append(reports, promise) }, nil)
 		if changed := strings.Contains(strings.Join(reports, " "), "fidelity"); changed == c.unchanged {
-			t.Errorf("%+v: %v", c, reports)
+			t.Errorf("%+v: got breaches %v", c, reports)
 		}
 	}
 }
--- a/internal/testing/drill/day.go
+++ b/internal/testing/drill/day.go
@@ -15,8 +15,8 @@
 	"yarrowridge/internal/model/fleetconfig"
 )
 
-// Day is a deployment's day, compressed: its traffic, its operators, and a course of faults that ends
-// with a closing one, after which all is read back.
+// Day plays a deployment's day in a short time: its traffic, its operators' writes and a course of faults that ends with
+// a closing fault, after which the config is read back.
 type Day struct {
 	fleet      *Fleet
 	load       *Load
@@ -24,13 +24,13 @@
 	out        io.Writer
 	random     *rand.Rand
 	lastNumber int
-	config     object // as last acknowledged
+	config     object // of the mix; each write adds a number to it
 	err        error
-	requests   sync.WaitGroup // requests of the day's own, beside the load
-	slack      time.Duration  // what a slow machine is given beyond a promise's time
+	requests   sync.WaitGroup // that faults send, in addition to the load
+	slack      time.Duration  // added to the time limits of the promises for a slow machine
 }
 
-// NewDay makes a day over a fleet that is up.
+// NewDay returns a day on a running fleet.
 func NewDay(f *Fleet, l *Load, seed uint64, out io.Writer) *Day {
 	d := &Day{fleet: f, load: l, monitor: NewMonitor(f), out: out, random: rand.New(rand.NewPCG(seed, 12)), config: maps.Clone(f.Mix.Config)}
 	d.monitor.record(func(ev *Evidence) {
@@ -39,8 +39,8 @@
 	return d
 }
 
-// Run plays the course under traffic, reads all back and gives the evidence.
-func (d *Day) Run(ctx context.Context, names []string, slack time.Duration) (Evidence, error) {
+// Run plays the course under traffic, reads the config back and returns the evidence.
+func (d *Day) Run(ctx context.Context, course []string, slack time.Duration) (Evidence, error) {
 	d.slack = slack
 	trafficCtx, stopTraffic := context.WithCancel(ctx)
 	defer stopTraffic()
@@ -50,14 +50,14 @@
 	var monitoring sync.WaitGroup
 	monitoring.Go(func() { d.monitor.Run(monitorCtx) })
 	d.waitReady(ctx, "the day begins")
-	for _, n := range names {
-		e := findEvent(events, n)
-		if c, ok := strings.CutPrefix(n, closingPrefix); ok {
-			e = findEvent(closings, c)
+	for _, name := range course {
+		chosen := findEvent(events, name)
+		if closing, ok := strings.CutPrefix(name, closingPrefix); ok {
+			chosen = findEvent(closings, closing)
 		}
-		printf(d.out, "  %s: %s\n", n, e.description)
-		e.run(d, ctx)
-		d.waitReady(ctx, "all is well after "+n)
+		printf(d.out, "  %s: %s\n", name, chosen.description)
+		chosen.run(d, ctx)
+		d.waitReady(ctx, "all is well after "+name)
 		if d.err != nil {
 			break
 		}
@@ -83,7 +83,7 @@
 	stopMonitor()
 	monitoring.Wait()
 	evidence := d.monitor.Evidence(d.load)
-	evidence.TrafficEnd, evidence.Slack, evidence.FinalConfig = trafficEnd, slack, &readBack // version 0 where nothing could be read back
+	evidence.TrafficEnd, evidence.Slack, evidence.FinalConfig = trafficEnd, slack, &readBack // version 0 if nothing could be read back
 	if d.err != nil {
 		err = d.err
 	}
@@ -92,8 +92,8 @@
 
 func (d *Day) pickRouter() *Proc { return d.fleet.Routers[d.random.IntN(len(d.fleet.Routers))] }
 
-// waitUntil waits for what the day needs to go on, for so long at the most. The first wait in vain cuts the day
-// short: traffic that runs on over a fleet which never comes to rest only piles up.
+// waitUntil waits up to limit for a condition that the day needs to go on. The first wait that times out ends the day
+// early, because requests would only pile up in a fleet that does not recover.
 func (d *Day) waitUntil(ctx context.Context, limit time.Duration, what string, condition func() bool) {
 	if d.err != nil {
 		return
@@ -103,15 +103,16 @@
 	d.err = d.fleet.WaitUntil(ctx, what, condition)
 }
 
-// recoveryLimit is how long a fleet may take to come to rest after an event.
+// recoveryLimit is how long a fleet may take to recover from an event.
 const recoveryLimit = 30 * time.Second
 
-// waitReady waits until every process is ready, every runner known and each kind of request served again.
+// waitReady waits until every router is ready and knows every runner, each kind of request has been served since the
+// call, and there is a primary.
 func (d *Day) waitReady(ctx context.Context, what string) {
 	from := time.Now()
 	d.waitUntil(ctx, recoveryLimit, what, func() bool {
-		for _, r := range d.fleet.Routers {
-			if !d.fleet.IsReady(ctx, r) || d.fleet.CountReadyRunners(ctx, r) < len(d.fleet.ModelRunners)+len(d.fleet.AppRunners) {
+		for _, router := range d.fleet.Routers {
+			if !d.fleet.IsReady(ctx, router) || d.fleet.CountReadyRunners(ctx, router) < len(d.fleet.ModelRunners)+len(d.fleet.AppRunners) {
 				return false
 			}
 		}
@@ -125,7 +126,7 @@
 	})
 }
 
-// servedSince reports whether a request of a kind that began after a moment has come to a whole answer.
+// servedSince reports whether a request of a kind that started after a time got a complete answer.
 func servedSince(outcomes []Outcome, kind string, from time.Time) bool {
 	for _, o := range outcomes {
 		if o.Kind == kind && o.succeeded() && o.StartedAt.After(from) {
--- a/internal/testing/drill/day_test.go
+++ b/internal/testing/drill/day_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A short day of each deployment, side by side: every promise holds.
+// All promises hold on a short day of each deployment.
 func TestDay(t *testing.T) {
 	t.Parallel()
 	for _, c := range [][2]string{
@@ -18,13 +18,14 @@
 			takeFleetSlot(t)
 			var out bytes.Buffer
 			if code := Main([]string{"day", "-mix", c[0], "-bin", bin, "-scale", "0.3", "-slack", "15s", "-course", c[1]}, &out); code != 0 {
-				t.Errorf("the day ended with %d:\n%s", code, out.String())
+				t.Errorf("the day ended with exit code %d:\n%s", code, out.String())
 			}
 		})
 	}
 }
 
-// buildWithFaultInjection builds the daemons so that one mechanism can be disabled, by the variable YARROWRIDGE_DISABLED_MECHANISM.
+// buildWithFaultInjection builds the daemons so that the variable YARROWRIDGE_DISABLED_MECHANISM can disable a mechanism.
+// It returns their folder.
 func buildWithFaultInjection(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -34,8 +35,8 @@
 	return dir
 }
 
-// For each promise a fleet in which the one mechanism that keeps it is disabled: the drill says that
-// this promise is broken, and ends so. The same courses with nothing disabled hold.
+// If the mechanism behind a promise is disabled, the drill reports the promise as broken and exits with 1. With nothing
+// disabled the same courses succeed.
 func TestDrillDetectsDisabledMechanisms(t *testing.T) {
 	t.Parallel()
 	dir := buildWithFaultInjection(t)
@@ -63,12 +64,12 @@
 			code := runWithEnv([]string{"day", "-mix", c.mix, "-bin", dir, "-dir", t.TempDir(), "-scale", "0.7", "-slack", "5s", "-course", c.course}, &out, []string{"YARROWRIDGE_DISABLED_MECHANISM=" + c.mechanism})
 			if c.mechanism == "" {
 				if code != 0 {
-					t.Errorf("nothing is disabled, and the drill ended with %d:\n%s", code, out.String())
+					t.Errorf("the drill ended with exit code %d although nothing is disabled:\n%s", code, out.String())
 				}
 				return
 			}
 			if code != 1 || !strings.Contains(out.String(), "\n  "+c.promise+": ") {
-				t.Errorf("the drill ended with %d and did not see it:\n%s", code, out.String())
+				t.Errorf("the drill ended with exit code %d and may not have reported the broken promise:\n%s", code, out.String())
 			}
 		})
 	}
--- a/internal/testing/drill/drill_test.go
+++ b/internal/testing/drill/drill_test.go
@@ -19,7 +19,7 @@
 
 var bin string
 
-// buildArgs is how the daemons are built; under the race detector they carry it too.
+// buildArgs are the arguments of go that build the daemons. Under the race detector they include -race.
 var buildArgs = []string{"build"}
 
 func TestMain(m *testing.M) {
@@ -39,11 +39,12 @@
 	os.Exit(code)
 }
 
-// fleetSlots bounds how many fleets are up at once: their tests wait for real time most of the while, and hold promises to it.
+// fleetSlots limits how many fleets run at once. Their tests mostly wait, so that some can run in parallel, but they
+// check time limits in real time, so that too many would slow each other down.
 var fleetSlots = make(chan struct{}, 3)
 
-// takeFleetSlot lets a test run beside others once it may have a fleet. A test that holds a slot takes no second one, and
-// begins none of its time limits before.
+// takeFleetSlot makes a test parallel and waits for a slot, which the test keeps until its end. A test must not take a
+// second slot, and must start its time limits only afterwards.
 func takeFleetSlot(t *testing.T) {
 	t.Helper()
 	t.Parallel()
@@ -51,7 +52,7 @@
 	t.Cleanup(func() { <-fleetSlots })
 }
 
-// startTestFleet starts a whole fleet of real processes.
+// startTestFleet starts a fleet of real processes. At the end of the test it fails if a log shows a data race or a panic.
 func startTestFleet(t *testing.T, mix Mix) *Fleet {
 	t.Helper()
 	f, err := NewFleet(mix, bin, t.TempDir())
@@ -80,7 +81,7 @@
 	return f
 }
 
-// sendToEachRouter asks n requests of each kind, one after the other at every router in turn.
+// sendToEachRouter sends n requests of each kind, one after the other, to the routers in turn.
 func sendToEachRouter(l *Load, n int) {
 	for _, k := range l.Fleet.Mix.Kinds {
 		for i := range n {
@@ -94,7 +95,7 @@
 	}
 }
 
-// The whole path in separate processes: found, join, heartbeats, configuration, serve, whole and streamed.
+// A fleet of separate processes starts from nothing and serves each kind of request, streamed or not, at every router.
 func TestEndToEnd(t *testing.T) {
 	t.Parallel()
 	for _, mix := range []Mix{Trentvale(), Tokachi()} {
@@ -105,34 +106,34 @@
 			sendToEachRouter(l, len(f.Routers))
 			outcomes := l.Outcomes()
 			if s := Summarize(outcomes); s.Done != s.Attempts || s.Attempts != len(mix.Kinds)*len(f.Routers) {
-				t.Errorf("%d of %d queries done: %v", s.Done, s.Attempts, s.Codes)
+				t.Errorf("%d of %d requests succeeded, error codes %v", s.Done, s.Attempts, s.Codes)
 			}
-			for _, fromRouter := range Check(Evidence{Mix: mix, Outcomes: outcomes, RunnerRequests: f.RequestLog.All()}) {
-				t.Errorf("%s: %s", fromRouter.Promise, fromRouter.Detail)
+			for _, breach := range Check(Evidence{Mix: mix, Outcomes: outcomes, RunnerRequests: f.RequestLog.All()}) {
+				t.Errorf("%s: %s", breach.Promise, breach.Detail)
 			}
-			// The fleet's state tells with whom each router exchanges news, and the routers say the same.
+			// The state of the fleet and each router itself report the same relays for the router.
 			_, fleetState, err := f.CallOperatorAPI(t.Context(), "GET", f.Cores[0].OperatorAddr, "/v1/fleet", nil, nil)
 			for _, r := range f.Routers {
-				_, routerState, e := f.CallOperatorAPI(t.Context(), "GET", r.OperatorAddr, "/v1/relays", nil, nil)
+				_, routerState, routerErr := f.CallOperatorAPI(t.Context(), "GET", r.OperatorAddr, "/v1/relays", nil, nil)
 				fromFleet, fromRouter := gjson.GetBytes(fleetState, "relays."+r.Name).Raw, gjson.GetBytes(routerState, "near.#.Name").Raw
-				if err != nil || e != nil || fromFleet == "[]" || fromFleet != fromRouter {
-					t.Errorf("%s: relays %s by the fleet's state, %s by itself", r.Name, fromFleet, fromRouter)
+				if err != nil || routerErr != nil || fromFleet == "[]" || fromFleet != fromRouter {
+					t.Errorf("%s: the fleet's state reports the relays %s, the router reports %s", r.Name, fromFleet, fromRouter)
 				}
 			}
 		})
 	}
 }
 
-// The shipped examples are the mixes' configs, and hold.
+// The shipped example configs equal the mixes' configs and are valid.
 func TestExamples(t *testing.T) {
 	for _, mix := range []Mix{Trentvale(), Tokachi()} {
 		raw, err := os.ReadFile(filepath.Join("..", "..", "..", "examples", mix.Name+".json"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		var a, b any
-		if json.Unmarshal(raw, &a) != nil || json.Unmarshal(mix.ConfigJSON(), &b) != nil || fmt.Sprint(a) != fmt.Sprint(b) {
-			t.Errorf("examples/%s.json differs from the mix: write it anew with drill config", mix.Name)
+		var shipped, current any
+		if json.Unmarshal(raw, &shipped) != nil || json.Unmarshal(mix.ConfigJSON(), &current) != nil || fmt.Sprint(shipped) != fmt.Sprint(current) {
+			t.Errorf("examples/%s.json differs from the mix: regenerate it with drill config", mix.Name)
 		}
 		if _, bad := fleetconfig.Parse(raw); len(bad) > 0 {
 			t.Errorf("examples/%s.json: %v", mix.Name, bad)
--- a/internal/testing/drill/evidence.go
+++ b/internal/testing/drill/evidence.go
@@ -15,15 +15,15 @@
 	"yarrowridge/internal/lib/runloop"
 )
 
-// ConfigWrite is one write of an operator, and what came of it.
+// ConfigWrite is an operator's write of the config and its result.
 type ConfigWrite struct {
 	SentAt, AnsweredAt time.Time
-	Code               int // 0: the connection broke
+	Code               int // HTTP status; 0 if the connection broke
 	Version            uint64
-	Hash               string // of the whole config it would make
+	Hash               string // of the whole config that results if the write succeeds
 }
 
-// ConfigReading is one look at the config that a router obeys.
+// ConfigReading is the config that a router reported as the one that it applies.
 type ConfigReading struct {
 	Router     string
 	SentAt     time.Time
@@ -33,43 +33,44 @@
 	Stale      bool
 }
 
-// TryCount is the fleet's tries so far, by service, at one moment.
+// TryCount is a sample of the fleet's counters of first and second tries, by service.
 type TryCount struct {
 	At            time.Time
 	First, Second map[string]float64
 }
 
-// Departure is a runner's word that it leaves, as its heartbeat was answered.
+// Departure is a runner's announcement that it leaves, at the time when its heartbeat was acknowledged.
 type Departure struct {
 	Runner, RunID string
 	At            time.Time
 }
 
-// PlannedStop is a planned stop of a router, from its warning to its end.
+// PlannedStop is the stop of a router with SIGTERM, from the signal to the end of the process.
 type PlannedStop struct {
 	Router   string
 	From, To time.Time
 }
 
-// KeyRevocation is a tenant without a key, from the write's acknowledgement to the next that gives it one.
+// KeyRevocation is a time in which a tenant had no key: from the acknowledgement of the write that removed its key until
+// just before the write that restored it.
 type KeyRevocation struct {
 	Tenant   string
 	From, To time.Time
 }
 
-// HardFault is a hard fault, and the kinds of request that have to be served again after it.
+// HardFault is a crash, a freeze or a lost disk. Every kind of request has to be served again soon after it.
 type HardFault struct {
 	Name string
 	At   time.Time
 }
 
-// Partition is a zone's link cut, from its cut to its healing.
+// Partition is a time in which a zone was isolated from the others, until just before the link was restored.
 type Partition struct {
 	Zone     string
 	From, To time.Time
 }
 
-// Evidence is all that was seen of a fleet from outside.
+// Evidence is everything that was observed of a fleet from outside.
 type Evidence struct {
 	Mix            Mix
 	Outcomes       []Outcome
@@ -82,13 +83,13 @@
 	KeyRevocations []KeyRevocation
 	HardFaults     []HardFault
 	Partitions     []Partition
-	RouterZones    map[string]string // each router's
-	FinalConfig    *ConfigWrite      // what was read back at the end
-	TrafficEnd     time.Time         // of the traffic
-	Slack          time.Duration     // what a slow machine is given beyond a promise's time
+	RouterZones    map[string]string // by router
+	FinalConfig    *ConfigWrite      // as read back after the traffic
+	TrafficEnd     time.Time
+	Slack          time.Duration // added to the time limits of the promises for a slow machine
 }
 
-// Monitor gathers what the fleet's processes tell of themselves.
+// Monitor collects evidence from the operator API and the metrics of the fleet's routers.
 type Monitor struct {
 	fleet    *Fleet
 	mu       sync.Mutex
@@ -97,12 +98,12 @@
 	counters map[string]float64
 }
 
-// NewMonitor begins with nothing seen.
+// NewMonitor returns a monitor without evidence.
 func NewMonitor(f *Fleet) *Monitor {
 	return &Monitor{fleet: f, tries: TryCount{First: map[string]float64{}, Second: map[string]float64{}}, counters: map[string]float64{}}
 }
 
-// Run looks at every router, again and again, until ctx ends.
+// Run polls every router until ctx ends.
 func (w *Monitor) Run(ctx context.Context) {
 	runloop.Run(ctx, nil, 200*time.Millisecond, func(struct{}) {}, func() {
 		var all sync.WaitGroup
@@ -117,18 +118,19 @@
 	})
 }
 
+// readRouter samples the config that a router applies and its counters of tries.
 func (w *Monitor) readRouter(ctx context.Context, r *Proc) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	sentAt := time.Now()
-	code, raw, err := w.fleet.CallOperatorAPI(ctx, "GET", r.OperatorAddr, "/v1/standing", nil, nil)
+	code, body, err := w.fleet.CallOperatorAPI(ctx, "GET", r.OperatorAddr, "/v1/standing", nil, nil)
 	if err != nil || code != 200 {
 		return
 	}
-	reading := ConfigReading{Router: r.Name, SentAt: sentAt, AnsweredAt: time.Now(), Version: gjson.GetBytes(raw, "node.sequence").Uint(),
-		Hash: gjson.GetBytes(raw, "layout_sha256").Str, Stale: gjson.GetBytes(raw, "stale").Bool()}
-	runID := gjson.GetBytes(raw, "node.born").Raw
-	_, raw, err = w.fleet.CallOperatorAPI(ctx, "GET", r.OperatorAddr, "/metrics", nil, nil)
+	reading := ConfigReading{Router: r.Name, SentAt: sentAt, AnsweredAt: time.Now(), Version: gjson.GetBytes(body, "node.sequence").Uint(),
+		Hash: gjson.GetBytes(body, "layout_sha256").Str, Stale: gjson.GetBytes(body, "stale").Bool()}
+	runID := gjson.GetBytes(body, "node.born").Raw
+	_, body, err = w.fleet.CallOperatorAPI(ctx, "GET", r.OperatorAddr, "/metrics", nil, nil)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if reading.Hash != "" {
@@ -137,7 +139,7 @@
 	if err != nil {
 		return
 	}
-	for scanner := bufio.NewScanner(bytes.NewReader(raw)); scanner.Scan(); {
+	for scanner := bufio.NewScanner(bytes.NewReader(body)); scanner.Scan(); {
 		name, text, ok := strings.Cut(scanner.Text(), " ")
 		value, parseErr := strconv.ParseFloat(text, 64)
 		if !ok || parseErr != nil || !strings.Contains(name, "service=") {
@@ -145,7 +147,7 @@
 		}
 		_, service, _ := strings.Cut(name, `service="`)
 		service, _, _ = strings.Cut(service, `"`)
-		key := r.Name + runID + name // a router that starts again counts from zero
+		key := r.Name + runID + name // the counters of a restarted router begin at zero
 		increase := value - w.counters[key]
 		w.counters[key] = value
 		switch {
@@ -157,14 +159,14 @@
 	}
 }
 
-// record adds to the evidence.
+// record changes the evidence under the lock.
 func (w *Monitor) record(add func(ev *Evidence)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	add(&w.evidence)
 }
 
-// Evidence is all that was seen, with the clients' outcomes and the runners' request logs.
+// Evidence returns the collected evidence with the clients' outcomes and the runners' request log.
 func (w *Monitor) Evidence(l *Load) Evidence {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testing/drill/fault_test.go
+++ b/internal/testing/drill/fault_test.go
@@ -20,7 +20,8 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// runUnderLoad plays a mix while a fault is brought about, then holds every promise against what was seen.
+// runUnderLoad runs the mix's load while it injects a fault, waits until requests succeed again, and then checks the
+// promises. It returns the outcomes.
 func runUnderLoad(t *testing.T, f *Fleet, scale float64, fault func(ctx context.Context, l *Load)) []Outcome {
 	t.Helper()
 	l := NewLoad(f, scale, 1)
@@ -29,12 +30,12 @@
 	trafficCtx, stopTraffic := context.WithCancel(ctx)
 	var traffic sync.WaitGroup
 	traffic.Go(func() { l.Run(trafficCtx) })
-	if err := f.WaitUntil(ctx, "traffic flows", func() bool { return Summarize(l.Outcomes()).Done > 50 }); err != nil {
+	if err := f.WaitUntil(ctx, "more than 50 requests have succeeded", func() bool { return Summarize(l.Outcomes()).Done > 50 }); err != nil {
 		t.Fatal(err)
 	}
 	fault(ctx, l)
 	n := Summarize(l.Outcomes()).Done
-	if err := f.WaitUntil(ctx, "traffic flows again", func() bool { return Summarize(l.Outcomes()).Done > n+50 }); err != nil {
+	if err := f.WaitUntil(ctx, "50 more requests have succeeded after the fault", func() bool { return Summarize(l.Outcomes()).Done > n+50 }); err != nil {
 		t.Error(err)
 	}
 	stopTraffic()
@@ -46,14 +47,14 @@
 		}
 	}
 	s := Summarize(outcomes)
-	t.Logf("tries %d: done %d, rejected %d, troubled %d, broken %d %v", s.Attempts, s.Done, s.Rejected, s.Failed, s.Disconnected, s.Codes)
+	t.Logf("attempts %d: succeeded %d, rejected %d, failed %d, disconnected %d, error codes %v", s.Attempts, s.Done, s.Rejected, s.Failed, s.Disconnected, s.Codes)
 	return outcomes
 }
 
-// A fleet is rolled to a release one wire format up, and back, under load: every process is stopped with
-// a warning and another started in its place, one by one, routers first one way and cores first the other.
-// No request that was read is dropped, and none waits for its neighbours' release. It runs beside no other fleet: its
-// restarts follow each other so closely that a starved machine loses requests.
+// A rolling upgrade under load to a release with the next wire format, and back: every process is stopped with SIGTERM
+// and replaced, one by one, routers first on the way up and cores first on the way down. No request that a router has
+// read is dropped, and no process has to wait until its peers are upgraded. The test does not run in parallel to other
+// fleets, because its restarts follow each other so closely that requests are lost if the machine is short of CPU.
 func TestPlannedRestarts(t *testing.T) {
 	f := startTestFleet(t, Tokachi())
 	next := t.TempDir()
@@ -61,14 +62,14 @@
 		t.Fatalf("%s", out)
 	}
 	if out, err := exec.Command(filepath.Join(next, "router"), "-version").CombinedOutput(); err != nil || !strings.Contains(string(out), "wire format 2") {
-		t.Fatalf("the next release says %q, %v", out, err)
+		t.Fatalf("-version of the next release: got %q, %v; want wire format 2", out, err)
 	}
 	outcomes := runUnderLoad(t, f, 0.7, func(ctx context.Context, _ *Load) {
 		up, down := slices.Concat(f.Routers, f.Cores), slices.Concat(f.Cores, f.Routers)
 		for i, p := range slices.Concat(up, down) {
 			p.Signal(syscall.SIGTERM)
 			if !p.Wait(40 * time.Second) {
-				t.Fatalf("%s does not stop", p.Name)
+				t.Fatalf("%s did not stop within 40 s after SIGTERM", p.Name)
 			}
 			p.binary = filepath.Join(map[bool]string{true: next, false: bin}[i < len(up)], filepath.Base(p.binary))
 			if err := p.Start(); err != nil {
@@ -85,7 +86,7 @@
 			answered[o.Number]++
 		}
 		if o.Code == "router-lost" || o.Code == "runner-lost" {
-			t.Errorf("query %d was troubled by a planned restart: %s", o.Number, o.Code)
+			t.Errorf("request %d failed because of a planned restart: %s", o.Number, o.Code)
 		}
 	}
 	for _, s := range f.RequestLog.All() {
@@ -94,14 +95,14 @@
 	}
 	for n, k := range ran {
 		if k > answered[n] {
-			t.Errorf("query %d reached runners %d times and was answered %d times", n, k, answered[n])
+			t.Errorf("request %d reached runners %d times and was answered %d times", n, k, answered[n])
 		}
 	}
 }
 
-// A runner says to one router that it leaves, and that router dies at once: soon no router sends it
-// anything new. The two seconds of the promise are held in simulated time (TestLeavingWord); the
-// bound here leaves room for a slow machine.
+// A runner announces to one router that it leaves, and that router is killed at once. Soon no other router sends the
+// runner new requests either. The promised 2 s are checked in simulated time (TestLeavingWord in package sim); the limit
+// here is longer to allow for a slow machine.
 func TestLeavingRunner(t *testing.T) {
 	takeFleetSlot(t)
 	f := startTestFleet(t, Trentvale())
@@ -121,31 +122,31 @@
 		}
 		for _, s := range leaving {
 			s.Leave(ctx)
-			s.Mute(true) // its word is not repeated
+			s.Mute(true) // the announcement is not repeated
 		}
 		leftAt = time.Now()
 		notified.Kill()
 		n := len(f.RequestLog.All())
-		if err := f.WaitUntil(ctx, "much more traffic", func() bool {
+		if err := f.WaitUntil(ctx, "200 more requests have reached runners and 7 s have passed", func() bool {
 			return len(f.RequestLog.All()) > n+200 && time.Since(leftAt) > 7*time.Second
 		}); err != nil {
 			t.Fatal(err)
 		}
 	})
 	if len(leaving) == 0 {
-		t.Fatal("no runner beat to the router that was killed")
+		t.Fatal("no runner sent its heartbeats to the router that was killed")
 	}
 	for _, s := range f.RequestLog.All() {
 		for _, g := range leaving {
 			if s.Runner == g.Name && s.ReceivedAt.Sub(leftAt) > 5*time.Second {
-				t.Errorf("%s got a query %s after it had said that it leaves", s.Runner, s.ReceivedAt.Sub(leftAt))
+				t.Errorf("%s received a request %s after it had announced that it leaves", s.Runner, s.ReceivedAt.Sub(leftAt))
 			}
 		}
 	}
 }
 
-// Operators write while the primary is killed, frozen and thawed: no acknowledged config is lost
-// and no version acknowledged twice.
+// Operators write configs while the primary is killed or frozen and resumed, and while all cores are killed. No
+// acknowledged config is lost, and no version is acknowledged for two configs.
 func TestPrimaryFaults(t *testing.T) {
 	takeFleetSlot(t)
 	f := startTestFleet(t, Tokachi())
@@ -172,21 +173,21 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if earlier, twice := acked[version]; twice && earlier != number {
-			t.Errorf("sequence %d acknowledged for %d and %d", version, earlier, number)
+			t.Errorf("version %d was acknowledged for the writes %d and %d", version, earlier, number)
 		}
 		acked[version] = number
 		return true
 	}
 	waitForPrimary := func() *Proc {
 		var p *Proc
-		if err := f.WaitUntil(ctx, "a primary", func() bool { p = f.Primary(ctx); return p != nil }); err != nil {
+		if err := f.WaitUntil(ctx, "there is a primary", func() bool { p = f.Primary(ctx); return p != nil }); err != nil {
 			t.Fatal(err)
 		}
 		return p
 	}
 	for _, fault := range []string{"kill", "freeze", "kill-all"} {
 		if !write() {
-			t.Fatalf("before %s: no write taken", fault)
+			t.Fatalf("before the fault %s: the write was not acknowledged", fault)
 		}
 		p := waitForPrimary()
 		faultAt := time.Now()
@@ -206,10 +207,10 @@
 				}
 			}
 		}
-		if err := f.WaitUntil(ctx, "a write after "+fault, write); err != nil {
+		if err := f.WaitUntil(ctx, "a write is acknowledged after the fault "+fault, write); err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%s: a write was taken after %s", fault, time.Since(faultAt).Round(10*time.Millisecond))
+		t.Logf("%s: a write was acknowledged after %s", fault, time.Since(faultAt).Round(10*time.Millisecond))
 		switch fault {
 		case "kill":
 			if err := p.Start(); err != nil {
@@ -227,33 +228,35 @@
 	sort.Slice(versions, func(i, j int) bool { return versions[i] < versions[j] })
 	last := versions[len(versions)-1]
 	for _, r := range f.Routers {
-		if err := f.WaitUntil(ctx, r.Name+" obeys", func() bool { return f.ConfigVersion(ctx, r) >= last }); err != nil {
+		if err := f.WaitUntil(ctx, r.Name+" applies the newest config", func() bool { return f.ConfigVersion(ctx, r) >= last }); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-// A primary is frozen until another has acknowledged a config, and asked for the config meanwhile: what it
-// answers in the moment in which it thaws is never the old one. With its lease disabled it is.
+// A primary is frozen until another primary has acknowledged a config. Reads that reach it while it is frozen are never
+// answered with the old config once it resumes, because its lease has expired. With the lease disabled some are.
 func TestFrozenPrimaryServesNoStaleConfig(t *testing.T) {
 	takeFleetSlot(t)
 	for range 2 {
 		if rejected, stale := countStaleReads(t, bin, ""); stale > 0 || rejected != 200 {
-			t.Errorf("of 200 reads that met a thawing primary %d were rejected, %d told the old configuration", rejected, stale)
+			t.Errorf("of 200 reads at a resumed primary %d were rejected and %d returned the old config; want 200 and 0", rejected, stale)
 		}
 	}
-	// Who is first as it thaws, a reader or the others in the core, is chance.
-	faultBin := buildWithFaultInjection(t)
+	// Whether the resumed primary processes a read or a message of another core first is a matter of chance, so that
+	// several fleets may be needed.
+	faultDir := buildWithFaultInjection(t)
 	for i := range 8 {
-		if rejected, stale := countStaleReads(t, faultBin, "lease"); stale > 0 {
-			t.Logf("without a lease, fleet %d: of 200 reads %d were rejected, %d told the old configuration", i+1, rejected, stale)
+		if rejected, stale := countStaleReads(t, faultDir, "lease"); stale > 0 {
+			t.Logf("without a lease, fleet %d: of 200 reads %d were rejected and %d returned the old config", i+1, rejected, stale)
 			return
 		}
 	}
-	t.Error("without a lease no read told the old configuration")
+	t.Error("without a lease no read in 8 fleets returned the old config")
 }
 
-// countStaleReads freezes and thaws the primary of a new fleet, and counts what 200 readers are told as it thaws.
+// countStaleReads freezes the primary of a new fleet, sends it 200 reads after another primary has acknowledged a config,
+// resumes it, and counts the reads that it rejects and those that it answers with the old config.
 func countStaleReads(t *testing.T, binDir, mechanism string) (rejected, stale int) {
 	f, err := NewFleet(Tokachi(), binDir, t.TempDir())
 	if err != nil {
@@ -267,11 +270,11 @@
 		t.Fatal(err)
 	}
 	var primary *Proc
-	if err := f.WaitUntil(ctx, "a primary", func() bool { primary = f.Primary(ctx); return primary != nil }); err != nil {
+	if err := f.WaitUntil(ctx, "there is a primary", func() bool { primary = f.Primary(ctx); return primary != nil }); err != nil {
 		t.Fatal(err)
 	}
-	// Each on a connection of its own, opened before: some are read before what the others in the core
-	// have sent meanwhile.
+	// Each read has a connection of its own, opened before the freeze, so that the primary processes some of the reads
+	// before the messages that the other cores sent meanwhile.
 	readVersion := func(caller *wire.Caller) (uint64, error) {
 		var out coreapi.StoredConfig
 		err := caller.Call(ctx, primary.Addr, "core.layout", &coreapi.ConfigRequest{}, &out)
@@ -282,13 +285,13 @@
 		caller := wire.NewCaller(wire.TCP{})
 		t.Cleanup(caller.Close)
 		callers = append(callers, caller)
-		if err := f.WaitUntil(ctx, "the primary is read from", func() bool { _, err := readVersion(caller); return err == nil }); err != nil {
+		if err := f.WaitUntil(ctx, "the primary answers a read", func() bool { _, err := readVersion(caller); return err == nil }); err != nil {
 			t.Fatal(err)
 		}
 	}
 	primary.Signal(syscall.SIGSTOP)
 	var version uint64
-	if err := f.WaitUntil(ctx, "another primary takes a layout", func() bool {
+	if err := f.WaitUntil(ctx, "another primary acknowledges a config", func() bool {
 		var code int
 		code, version, _ = f.PutConfig(ctx, f.Routers[0], f.Mix.ConfigJSON(), "*", "thaw")
 		return code == 200
@@ -314,8 +317,8 @@
 	return rejected, stale
 }
 
-// A tenant's quota over all routers, while routers die and come back: no rolling window of what
-// the runners saw holds more.
+// A tenant sends requests to all routers while routers are killed and restarted. In no rolling window the runners receive
+// more of its requests than its quota allows.
 func TestQuotaOverRouters(t *testing.T) {
 	takeFleetSlot(t)
 	mix := Trentvale()
@@ -347,9 +350,9 @@
 	}
 	all.Wait()
 	var times []time.Time
-	for _, s := range f.RequestLog.All() {
-		if s.Header.Get("X-Yarrowridge-Tenant") == "casual" {
-			times = append(times, s.ReceivedAt)
+	for _, request := range f.RequestLog.All() {
+		if request.Header.Get("X-Yarrowridge-Tenant") == "casual" {
+			times = append(times, request.ReceivedAt)
 		}
 	}
 	sort.Slice(times, func(i, j int) bool { return times[i].Before(times[j]) })
@@ -360,46 +363,47 @@
 		}
 		most = max(most, i-j+1)
 	}
-	t.Logf("%d ran, at most %d in any %d s of a quota of %d", len(times), most, window, units)
+	t.Logf("%d requests ran, at most %d in any %d s with a quota of %d", len(times), most, window, units)
 	if most > units {
-		t.Errorf("%d queries in a window of a quota of %d", most, units)
+		t.Errorf("%d requests ran in one window, the quota is %d", most, units)
 	}
 	if len(times) < units/2 {
-		t.Errorf("only %d queries ran", len(times))
+		t.Errorf("only %d requests ran, want at least half of the quota", len(times))
 	}
 }
 
-// Half of the routers, the primary and the backup die at once; then every process does.
+// Half of the routers and two cores, the primary among them, are killed at once, and then every process. Each time every
+// kind of request is served again within 30 s.
 func TestHardFaults(t *testing.T) {
 	takeFleetSlot(t)
 	f := startTestFleet(t, Tokachi())
 	runUnderLoad(t, f, 0.7, func(ctx context.Context, l *Load) {
-		p := f.Primary(ctx)
-		procs := append([]*Proc{}, f.Routers[:len(f.Routers)/2]...)
+		proc := f.Primary(ctx)
+		firstFaults := append([]*Proc{}, f.Routers[:len(f.Routers)/2]...)
 		for _, c := range f.Cores {
-			if c == p || c == f.Cores[1] {
-				procs = append(procs, c)
+			if c == proc || c == f.Cores[1] {
+				firstFaults = append(firstFaults, c)
 			}
 		}
-		for _, set := range [][]*Proc{procs, append(append([]*Proc{}, f.Cores...), f.Routers...)} {
+		for _, procs := range [][]*Proc{firstFaults, append(append([]*Proc{}, f.Cores...), f.Routers...)} {
 			at := time.Now()
-			for _, p := range set {
-				p.Signal(syscall.SIGKILL)
+			for _, proc := range procs {
+				proc.Signal(syscall.SIGKILL)
 			}
-			for _, p := range set {
-				p.Wait(10 * time.Second)
-				if err := p.Start(); err != nil {
+			for _, proc := range procs {
+				proc.Wait(10 * time.Second)
+				if err := proc.Start(); err != nil {
 					t.Fatal(err)
 				}
 			}
 			for _, k := range f.Mix.Kinds {
 				from := time.Now()
-				if err := f.WaitUntil(ctx, k.Name+" flows", func() bool { return servedSince(l.Outcomes(), k.Name, from) }); err != nil {
+				if err := f.WaitUntil(ctx, k.Name+" is served again", func() bool { return servedSince(l.Outcomes(), k.Name, from) }); err != nil {
 					t.Fatal(err)
 				}
-				t.Logf("%d processes killed: %s came through after %s", len(set), k.Name, time.Since(at).Round(10*time.Millisecond))
-				if d := time.Since(at); d > 30*time.Second {
-					t.Errorf("service for %s took %s", k.Name, d)
+				t.Logf("%d processes killed: %s succeeded again after %s", len(procs), k.Name, time.Since(at).Round(10*time.Millisecond))
+				if recovery := time.Since(at); recovery > 30*time.Second {
+					t.Errorf("%s succeeded again only after %s, want 30 s at most", k.Name, recovery)
 				}
 			}
 		}
--- a/internal/testing/drill/fleet.go
+++ b/internal/testing/drill/fleet.go
@@ -16,7 +16,7 @@
 	"yarrowridge/internal/model/fleetconfig"
 )
 
-// Fleet is a whole rehearsal fleet.
+// Fleet is a fleet of real daemons and stand-in runners on this machine.
 type Fleet struct {
 	Mix           Mix
 	Dir           string
@@ -25,15 +25,15 @@
 	ModelRunners  []*Standin
 	AppRunners    []*Standin
 	RequestLog    *RequestLog
-	Links         *Links        // nil: zones are not told apart
-	CoreLostAfter time.Duration // after which a silent core's seat may go to a spare
+	Links         *Links        // between the zones; nil if the zones are not separated
+	CoreLostAfter time.Duration // how long a core is unreachable before a spare may replace it
 	seeds         string
-	extraEnv      []string // added to the daemons' environment
+	extraEnv      []string // variables added to the daemons' environment
 	reservedPorts []net.Listener
 }
 
-// NewFleet lays a fleet out: five cores and the mix's routers over its zones, with the binaries
-// router and core from bin and all files under dir.
+// NewFleet prepares a fleet without starting it: five cores, the mix's routers and its runners, spread over the mix's
+// zones. The binaries router and core are in the folder bin; all files go under dir.
 func NewFleet(mix Mix, bin, dir string) (*Fleet, error) {
 	f := &Fleet{Mix: mix, Dir: dir, RequestLog: &RequestLog{}, CoreLostAfter: 10 * time.Second}
 	hash := fleetconfig.HashKey(OperatorKey)
@@ -94,13 +94,13 @@
 	return f, err
 }
 
-// coreArgs are a core's flags, but for the founders.
+// coreArgs returns a core's flags except the founders or seeds.
 func (f *Fleet) coreArgs(p *Proc) []string {
 	return []string{"-name", p.Name, "-hall", p.Zone, "-addr", p.Addr, "-operator", p.OperatorAddr, "-operator-key-hash", fleetconfig.HashKey(OperatorKey),
 		"-data", filepath.Join(f.Dir, p.Name), "-log", "debug", "-lost", f.CoreLostAfter.String()}
 }
 
-// SetCoreLostAfter changes, before the start, after which silence a core's seat may go to a spare.
+// SetCoreLostAfter changes how long a core is unreachable before a spare may replace it. It takes effect only before Start.
 func (f *Fleet) SetCoreLostAfter(d time.Duration) {
 	f.CoreLostAfter = d
 	for _, p := range f.Cores {
@@ -108,7 +108,7 @@
 	}
 }
 
-// NewCore makes a core that was not there before: blank, at new addresses, knowing the first seeds only.
+// NewCore returns a core, not yet started, that has no data, new addresses and only the seeds of the fleet.
 func (f *Fleet) NewCore(name, zone string) (*Proc, error) {
 	p := &Proc{Name: name, Zone: zone, binary: f.Cores[0].binary, extraEnv: f.extraEnv, logPath: filepath.Join(f.Dir, name+".log")}
 	var err error
@@ -133,7 +133,7 @@
 	return p, nil
 }
 
-// InsertLinks puts forwarders between the zones, before the start.
+// InsertLinks puts forwarders between the zones, so that a zone can be isolated. It takes effect only before Start.
 func (f *Fleet) InsertLinks() error {
 	f.Links = NewLinks(f.Mix.Zones)
 	forwarderAddrs := map[string]string{}
@@ -145,15 +145,15 @@
 		forwarderAddrs[old] = p.Addr
 	}
 	substitute := func(s string) string {
-		for a, b := range forwarderAddrs {
-			s = strings.ReplaceAll(s, a, b)
+		for old, current := range forwarderAddrs {
+			s = strings.ReplaceAll(s, old, current)
 		}
 		return s
 	}
 	f.seeds = substitute(f.seeds)
 	for _, p := range slices.Concat(f.Cores, f.Routers) {
-		for i, a := range p.args {
-			if a == "-founders" || a == "-seeds" || a == "-addr" {
+		for i, arg := range p.args {
+			if arg == "-founders" || arg == "-seeds" || arg == "-addr" {
 				p.args[i+1] = substitute(p.args[i+1])
 			}
 		}
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// addForwarder gives a process an address of its zone, and the forwarder by which the others know it.
+// addForwarder has a process listen on an address of its zone, behind a forwarder whose address the others use.
 func (f *Fleet) addForwarder(p *Proc) error {
 	listenAddr, err := f.reservePort(f.Links.IP(p.Zone))
 	if err != nil {
@@ -193,8 +193,8 @@
 	return nil
 }
 
-// Start begins all daemons and stand-ins, puts the mix's config and waits until every router is
-// ready and knows the runners.
+// Start starts all daemons and stand-ins, writes the mix's config and waits until every router is ready and knows all
+// runners.
 func (f *Fleet) Start(ctx context.Context) error {
 	for _, l := range f.reservedPorts {
 		_ = l.Close()
@@ -228,7 +228,7 @@
 	})
 }
 
-// Stop ends all that the fleet started.
+// Stop ends all processes and stand-ins of the fleet. Frozen processes are continued first.
 func (f *Fleet) Stop() {
 	for _, s := range append(append([]*Standin{}, f.ModelRunners...), f.AppRunners...) {
 		if s.cancel != nil {
@@ -244,7 +244,7 @@
 	}
 }
 
-// InZone lists the processes and the runners of a zone.
+// InZone returns the processes and the runners of a zone.
 func (f *Fleet) InZone(zone string) (procs []*Proc, runners []*Standin) {
 	for _, p := range slices.Concat(f.Cores, f.Routers) {
 		if p.Zone == zone {
@@ -259,7 +259,7 @@
 	return procs, runners
 }
 
-// Describe prints where everything listens.
+// Describe prints the addresses, the keys and the folder of the logs.
 func (f *Fleet) Describe(w io.Writer) {
 	for _, p := range f.Cores {
 		printf(w, "%-8s zone %-6s operators http://%s\n", p.Name, p.Zone, p.OperatorAddr)
--- a/internal/testing/drill/links.go
+++ b/internal/testing/drill/links.go
@@ -9,34 +9,35 @@
 	"time"
 )
 
-// Links carries all that goes between the zones of a rehearsal fleet: each process is known by a
-// forwarder's address, and dials from its zone's own, so that the link of one zone can be cut.
+// Links carries all connections between the processes of a fleet, so that a zone can be isolated. Each process is
+// reached through a forwarder and dials from an address of its zone, which identifies the zone of the caller.
 type Links struct {
 	zones       []string
 	mu          sync.Mutex
-	isolated    string        // the zone that is cut off, or ""
-	changed     chan struct{} // closed with each change
+	isolated    string        // the isolated zone, or ""
+	changed     chan struct{} // closed and replaced at each change of isolated
 	forwarders  map[string]*forwarder
 	connections map[net.Conn]bool
 }
 
-// forwarder listens for one process, in front of it.
+// forwarder accepts connections on behalf of one process.
 type forwarder struct {
-	listener     net.Listener // nil while it is shut
+	listener     net.Listener // nil while connections are refused
 	zone, target string
 }
 
-// NewLinks makes links between zones.
+// NewLinks returns links between the given zones, none of them isolated.
 func NewLinks(zones []string) *Links {
 	return &Links{zones: zones, changed: make(chan struct{}), forwarders: map[string]*forwarder{}, connections: map[net.Conn]bool{}}
 }
 
-// IP is the loopback address that a zone's processes listen on and dial from.
+// IP returns the loopback address that a zone's processes listen on and dial from.
 func (l *Links) IP(zone string) string {
 	return fmt.Sprintf("127.0.%d.1", 10+slices.Index(l.zones, zone))
 }
 
-// Isolate cuts a zone off from all others; "" heals. What is under way waits, as on a line that is down.
+// Isolate separates a zone from all others; "" ends that. Open connections stay open and their data waits, as on a
+// network link that is down.
 func (l *Links) Isolate(zone string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,14 +46,14 @@
 	l.changed = make(chan struct{})
 }
 
-// Blocked reports whether nothing gets from one zone to another, and when to ask again.
+// Blocked reports whether two zones are separated. The channel is closed when that may have changed.
 func (l *Links) Blocked(a, b string) (bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return a != b && l.isolated != "" && (a == l.isolated || b == l.isolated), l.changed
 }
 
-// Open forwards a new address to a process of a zone.
+// Open starts a forwarder to the address of a process in a zone, and returns its own address.
 func (l *Links) Open(zone, target string) (string, error) {
 	listener, err := freePort("127.0.0.1")
 	if err != nil {
@@ -66,7 +67,7 @@
 	return addr, nil
 }
 
-// Refuse refuses connections to a forwarder's address, as a machine does on which nobody listens.
+// Refuse closes a forwarder's listener, so that connections are refused as on a port without a listener.
 func (l *Links) Refuse(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,7 +77,7 @@
 	}
 }
 
-// Accept ends Refuse.
+// Accept listens again after Refuse.
 func (l *Links) Accept(addr string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,7 +92,7 @@
 	return err
 }
 
-// serve begins to forward; the caller holds the lock.
+// serve starts to accept and forward connections. The caller holds the lock.
 func (l *Links) serve(f *forwarder, listener net.Listener) {
 	f.listener = listener
 	go func() {
@@ -106,7 +107,7 @@
 }
 
 func (l *Links) forward(in net.Conn, zone, target string) {
-	from := zone // the drill's own calls are never cut
+	from := zone // the drill's own calls count as calls from within the zone, and are never blocked
 	ip, _, _ := strings.Cut(in.RemoteAddr().String(), ":")
 	for _, z := range l.zones {
 		if l.IP(z) == ip {
@@ -133,7 +134,7 @@
 				break
 			}
 		}
-		_ = dst.(*net.TCPConn).CloseWrite() // its other end may have gone first
+		_ = dst.(*net.TCPConn).CloseWrite() // fails if the peer has closed first
 	}
 	all.Go(func() { relay(out, in) })
 	relay(in, out)
@@ -146,7 +147,7 @@
 	_ = out.Close()
 }
 
-// Close ends all forwarding.
+// Close ends all forwarders and their connections.
 func (l *Links) Close() {
 	l.Isolate("")
 	l.mu.Lock()
--- a/internal/testing/drill/load.go
+++ b/internal/testing/drill/load.go
@@ -21,7 +21,7 @@
 	"yarrowridge/internal/lib/runloop"
 )
 
-// Outcome is one try of an client, as the client saw it.
+// Outcome is the result of one attempt of a client at one router, as the client observed it.
 type Outcome struct {
 	Kind           string
 	Number         uint64
@@ -33,27 +33,27 @@
 	StartedAt      time.Time
 	Duration       time.Duration
 	Status         int
-	Code           string   // of a rejection or error
-	Run            string   // "not run" or "unknown", as said by the router
-	RetryAfter     string   // Retry-After
-	RequestID      string   // the router's id
-	Complete       bool     // the whole answer came, and says it is complete
-	Chunks         []int    // numbers of the stream's pieces, as they came
-	ExecutionIDs   []string // the runs that made them, where pieces tell
+	Code           string   // error code of a rejection or failure
+	Run            string   // "not run" or "unknown", as reported by the router
+	RetryAfter     string   // the header Retry-After
+	RequestID      string   // the router's ID of the request
+	Complete       bool     // the answer was received to its end marker, if it has one
+	Chunks         []int    // numbers of the stream's chunks in the order received
+	ExecutionIDs   []string // executions that generated the chunks, as far as chunks name them
 	Echo           string
-	Err            string // the connection broke
-	Resumed        int    // times the stream was asked for again
+	Err            string // set if the connection broke
+	Resumed        int    // how often resuming the stream was tried
 }
 
-// succeeded reports whether the client has a whole answer.
+// succeeded reports whether the client got a complete answer.
 func (o *Outcome) succeeded() bool { return o.Complete && o.Status == 200 }
 
-// Load plays a mix's clients against a fleet.
+// Load sends the requests of a mix's clients to a fleet.
 type Load struct {
 	Fleet       *Fleet
 	Scale       float64
 	Seed        uint64
-	MaxAttempts int // of one request, at another router each
+	MaxAttempts int // of one request, each at the next router
 
 	lastNumber atomic.Uint64
 	mu         sync.Mutex
@@ -61,24 +61,24 @@
 	http       *http.Client
 }
 
-// NewLoad makes a load; equal seeds ask the same things in the same order.
+// NewLoad returns a load. Equal seeds give the same requests in the same order for each kind.
 func NewLoad(f *Fleet, scale float64, seed uint64) *Load {
 	return &Load{Fleet: f, Scale: scale, Seed: seed, MaxAttempts: 6, http: &http.Client{Timeout: 40 * time.Second, Transport: &http.Transport{
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxIdleConnsPerHost: 64, DisableCompression: true}}}
 }
 
-// Run plays until ctx ends, then waits for what is under way.
+// Run sends requests until ctx ends, then waits for those in flight.
 func (l *Load) Run(ctx context.Context) {
 	var requests sync.WaitGroup
 	for i, k := range l.Fleet.Mix.Kinds {
-		r := rand.New(rand.NewPCG(l.Seed, uint64(i)))
-		requests.Go(func() { l.generate(ctx, k, l.Scale, r, &requests) })
+		random := rand.New(rand.NewPCG(l.Seed, uint64(i)))
+		requests.Go(func() { l.generate(ctx, k, l.Scale, random, &requests) })
 	}
 	requests.Wait()
 }
 
-// Burst plays on top of the load for as long as ctx runs: scale times the mix's own traffic, over docs
-// shared prefixes where docs is above zero.
+// Burst adds scale times the mix's own traffic to the load until ctx ends. If prefixes is above zero, it replaces the
+// number of shared prompt prefixes of each kind.
 func (l *Load) Burst(ctx context.Context, scale float64, prefixes int) {
 	var requests sync.WaitGroup
 	for i, k := range l.Fleet.Mix.Kinds {
@@ -90,49 +90,51 @@
 	requests.Wait()
 }
 
-// generate asks for one kind of request at its pace until ctx ends.
-func (l *Load) generate(ctx context.Context, k RequestKind, scale float64, r *rand.Rand, requests *sync.WaitGroup) {
+// generate sends requests of one kind, at random intervals with the rate of the kind, until ctx ends.
+func (l *Load) generate(ctx context.Context, k RequestKind, scale float64, random *rand.Rand, requests *sync.WaitGroup) {
 	for {
-		wait := time.Duration(r.ExpFloat64() / (k.Rate * scale) * float64(time.Second))
+		wait := time.Duration(random.ExpFloat64() / (k.Rate * scale) * float64(time.Second))
 		if !runloop.Sleep(ctx, wait) {
 			return
 		}
-		n := l.lastNumber.Add(1)
-		body := k.body(l.Fleet.Mix.Model, n, r)
-		from := r.IntN(len(l.Fleet.Routers))
-		tenant := l.pickTenant(r)
-		requests.Go(func() { l.sendWithRetries(k, n, body, tenant, from) })
+		number := l.lastNumber.Add(1)
+		body := k.body(l.Fleet.Mix.Model, number, random)
+		first := random.IntN(len(l.Fleet.Routers))
+		tenant := l.pickTenant(random)
+		requests.Go(func() { l.sendWithRetries(k, number, body, tenant, first) })
 	}
 }
 
-func (l *Load) pickTenant(r *rand.Rand) string {
+// pickTenant draws the tenant that sends a request.
+func (l *Load) pickTenant(random *rand.Rand) string {
 	names := tenantNames(l.Fleet.Mix)
-	// A few tenants are large: half of the traffic is two of them's. None has a quota.
-	if r.IntN(2) == 0 {
-		return names[1+r.IntN(2)]
+	// Two tenants send half of the traffic, and their share of the rest. Neither has a quota.
+	if random.IntN(2) == 0 {
+		return names[1+random.IntN(2)]
 	}
-	return names[r.IntN(len(names))]
+	return names[random.IntN(len(names))]
 }
 
-// sendWithRetries asks until the request has an outcome that another try can't better.
-func (l *Load) sendWithRetries(k RequestKind, n uint64, body []byte, tenant string, from int) {
-	for try := range l.MaxAttempts {
-		r := l.Fleet.Routers[(from+try)%len(l.Fleet.Routers)]
-		o := l.Send(k, n, body, tenant, r)
+// sendWithRetries sends a request to one router after another until a further attempt is not allowed or could not
+// improve the outcome. Streams that break off are resumed.
+func (l *Load) sendWithRetries(k RequestKind, number uint64, body []byte, tenant string, first int) {
+	for attempt := range l.MaxAttempts {
+		r := l.Fleet.Routers[(first+attempt)%len(l.Fleet.Routers)]
+		o := l.Send(k, number, body, tenant, r)
 		for i := 1; i < len(l.Fleet.Routers) && o.isTruncated(k); i++ {
-			l.Resume(&o, l.Fleet.Routers[(from+try+i)%len(l.Fleet.Routers)])
+			l.Resume(&o, l.Fleet.Routers[(first+attempt+i)%len(l.Fleet.Routers)])
 		}
 		l.mu.Lock()
 		l.outcomes = append(l.outcomes, o)
 		l.mu.Unlock()
-		again := o.Err != "" || o.Run == "not run" || o.Code == "still-running"
+		retry := o.Err != "" || o.Run == "not run" || o.Code == "still-running"
 		if !k.Once && !strings.HasPrefix(k.Method, "G") && o.Err != "" {
-			again = o.Status == 0 // the connection was refused
+			retry = o.Status == 0 // the connection was refused
 		}
 		if k.Once && o.Code == "runner-lost" {
-			again = true // with its key, to learn what became of it
+			retry = true // with the same idempotency key, the answer is the outcome of the first attempt
 		}
-		if !again || o.Status == 402 || o.Status == 429 || o.Code == "outcome-unknown" {
+		if !retry || o.Status == 402 || o.Status == 429 || o.Code == "outcome-unknown" {
 			return
 		}
 		wait := 200 * time.Millisecond
@@ -143,12 +145,12 @@
 	}
 }
 
-// isTruncated reports whether a stream broke off with no word of its end.
+// isTruncated reports whether a stream broke off without an end marker or an error.
 func (o *Outcome) isTruncated(k RequestKind) bool {
 	return k.Stream && o.Status == 200 && !o.Complete && o.Code == "" && o.RequestID != ""
 }
 
-// Resume asks a router for the rest of a stream that broke off.
+// Resume requests the rest of a truncated stream from a router.
 func (l *Load) Resume(o *Outcome, r *Proc) {
 	req, err := http.NewRequest("GET", "http://"+r.ClientAddr+"/v1/streams/"+o.RequestID, nil)
 	if err != nil {
@@ -173,12 +175,12 @@
 	o.readStream(response.Body)
 }
 
-// Send makes one try at one router.
-func (l *Load) Send(k RequestKind, n uint64, body []byte, tenant string, r *Proc) (o Outcome) {
-	o = Outcome{Kind: k.Name, Number: n, Tenant: tenant, Router: r.Name, Body: body, StartedAt: time.Now(), Path: k.Path}
+// Send makes one attempt at one router.
+func (l *Load) Send(k RequestKind, number uint64, body []byte, tenant string, r *Proc) (o Outcome) {
+	o = Outcome{Kind: k.Name, Number: number, Tenant: tenant, Router: r.Name, Body: body, StartedAt: time.Now(), Path: k.Path}
 	defer func() { o.Duration = time.Since(o.StartedAt) }()
 	if k.Method == "GET" {
-		o.Path += strconv.FormatUint(n, 10)
+		o.Path += strconv.FormatUint(number, 10)
 	}
 	req, err := http.NewRequest(k.Method, "http://"+r.ClientAddr+o.Path, nil)
 	if err != nil {
@@ -190,10 +192,10 @@
 		req.Header.Set("Content-Type", "application/json")
 	}
 	req.Header.Set("Authorization", "Bearer "+TenantKey(tenant))
-	req.Header.Set("X-Drill-N", strconv.FormatUint(n, 10))
+	req.Header.Set("X-Drill-N", strconv.FormatUint(number, 10))
 	req.Header.Set("X-Yarrowridge-Tenant", "somebody-else")
 	if k.Once {
-		o.IdempotencyKey = fmt.Sprintf("key-%d", n)
+		o.IdempotencyKey = fmt.Sprintf("key-%d", number)
 		req.Header.Set("Idempotency-Key", o.IdempotencyKey)
 	}
 	response, err := l.http.Do(req)
@@ -223,8 +225,9 @@
 	return o
 }
 
-func (o *Outcome) readStream(in io.Reader) {
-	scanner := bufio.NewScanner(in)
+// readStream reads the events of a stream into the outcome.
+func (o *Outcome) readStream(body io.Reader) {
+	scanner := bufio.NewScanner(body)
 	scanner.Buffer(nil, 1<<20)
 	done := false
 	for scanner.Scan() {
@@ -253,7 +256,7 @@
 	o.Complete = done
 }
 
-// Outcomes copies the outcomes so far.
+// Outcomes returns a copy of the outcomes so far.
 func (l *Load) Outcomes() []Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testing/drill/main.go
+++ b/internal/testing/drill/main.go
@@ -26,16 +26,16 @@
 
 `
 
-// Commands that had another name in older versions, which goes on working.
+// Commands that had another name in older versions. The older names still work.
 const (
 	commandZone   = "zone"
 	commandConfig = "config"
 )
 
-// commandAliases leads from the older names of commands to theirs.
+// commandAliases maps older names of commands to the current ones.
 var commandAliases = map[string]string{"hall": commandZone, "layout": commandConfig}
 
-// canonicalCommand is the name of a command given by that or by an older name.
+// canonicalCommand returns the current name of a command given by its current or an older name.
 func canonicalCommand(name string) string {
 	if current, ok := commandAliases[name]; ok {
 		return current
@@ -43,20 +43,20 @@
 	return name
 }
 
-// printf prints for the person who watches. A line that can't be printed changes nothing: the exit code tells the verdict.
+// printf prints to the output of the drill. Errors are ignored, because the exit code is the result of the drill.
 func printf(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
 
-// Main runs the drill and returns its exit code: 0 all promises held, 1 one was broken or the
-// fleet did not come up, 2 the command line does not hold.
+// Main runs the drill and returns its exit code: 0 if all promises held, 1 if one was broken or the fleet could not be
+// started, 2 if the command line is invalid.
 func Main(args []string, out io.Writer) int { return runWithEnv(args, out, nil) }
 
-// runWithEnv is Main with something added to the daemons' environment.
+// runWithEnv is Main with variables added to the daemons' environment.
 func runWithEnv(args []string, out io.Writer, extraEnv []string) int {
 	if len(args) == 0 {
 		printf(out, usage)
 		return daemon.ExitUsage
 	}
-	logx.Disable() // httpc logs every call
+	logx.Disable() // else httpc logs every call
 	r := &rehearsal{command: canonicalCommand(args[0]), out: out}
 	if code, done := r.readFlags(args[1:]); done {
 		return code
@@ -65,8 +65,8 @@
 		printf(out, "drill: -dir: %s\n", err)
 		return daemon.ExitError
 	}
-	ctx, end := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	defer end()
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	defer stop()
 	err := r.startFleet(ctx, extraEnv)
 	if r.fleet != nil {
 		defer r.fleet.Stop()
@@ -78,7 +78,7 @@
 	return r.runCommand(ctx)
 }
 
-// runCommand runs the command over the fleet, which is up, and returns the exit code.
+// runCommand runs the command on the started fleet and returns the exit code.
 func (r *rehearsal) runCommand(ctx context.Context) int {
 	f, out := r.fleet, r.out
 	if r.command == "fleet" {
@@ -91,15 +91,15 @@
 	if r.command == "day" {
 		return r.runDay(ctx, load)
 	}
-	run, stop := context.WithTimeout(ctx, r.duration)
+	loadCtx, stop := context.WithTimeout(ctx, r.duration)
 	defer stop()
 	done := make(chan struct{})
 	go func() {
-		load.Run(run)
+		load.Run(loadCtx)
 		close(done)
 	}()
 	if r.command == commandZone {
-		f.killZone(run, r.duration, out, load)
+		f.killZone(loadCtx, r.duration, out, load)
 	}
 	<-done
 	outcomes := load.Outcomes()
@@ -107,7 +107,7 @@
 	return r.printResult(Check(Evidence{Mix: r.mix, Outcomes: outcomes, RunnerRequests: f.RequestLog.All()}), "", nil)
 }
 
-// runDay plays the course of events under traffic and returns the exit code.
+// runDay plays a day on the started fleet and returns the exit code.
 func (r *rehearsal) runDay(ctx context.Context, load *Load) int {
 	course := strings.Join(r.course, ",")
 	printf(r.out, "course %s\n", course)
@@ -117,7 +117,7 @@
 	return r.printResult(Check(evidence), course, err)
 }
 
-// printResult prints what became of the promises: each that was broken once, by its first breach.
+// printResult prints the first breach of each broken promise, or that all promises held, and returns the exit code.
 func (r *rehearsal) printResult(breaches []Breach, course string, err error) int {
 	out := r.out
 	if len(breaches) == 0 && err == nil {
@@ -143,27 +143,27 @@
 	return daemon.ExitError
 }
 
-// killZone kills every process of one zone, runners too, and starts them again later.
+// killZone kills every process and runner of a zone, and restarts them after a third of the duration.
 func (f *Fleet) killZone(ctx context.Context, duration time.Duration, out io.Writer, load *Load) {
 	if !runloop.Sleep(ctx, duration/4) {
 		return
 	}
 	zone := f.Mix.Zones[0]
 	if p := f.Primary(ctx); p != nil {
-		zone = p.Zone // the hardest zone to lose
+		zone = p.Zone // the zone whose loss has the most effect
 	}
-	at := time.Now()
+	killedAt := time.Now()
 	printf(out, "zone %s is lost\n", zone)
 	procs, runners := f.InZone(zone)
 	for _, p := range procs {
 		p.Signal(syscall.SIGKILL)
 	}
-	for _, s := range runners {
-		s.Crash()
+	for _, r := range runners {
+		r.Crash()
 	}
 	runloop.Sleep(ctx, duration/3)
 	for _, k := range f.Mix.Kinds {
-		printf(out, "  %s: longest time without a whole answer %s\n", k.Name, LongestOutage(load.Outcomes(), k.Name, at, time.Now()).Round(time.Millisecond))
+		printf(out, "  %s: longest time without a whole answer %s\n", k.Name, LongestOutage(load.Outcomes(), k.Name, killedAt, time.Now()).Round(time.Millisecond))
 	}
 	for _, p := range procs {
 		p.Wait(10 * time.Second)
@@ -171,8 +171,8 @@
 			printf(out, "drill: %s\n", err)
 		}
 	}
-	for _, s := range runners {
-		if err := s.Start(); err != nil {
+	for _, r := range runners {
+		if err := r.Start(); err != nil {
 			printf(out, "drill: %s\n", err)
 		}
 	}
--- a/internal/testing/drill/main_test.go
+++ b/internal/testing/drill/main_test.go
@@ -7,7 +7,7 @@
 	"yarrowridge/internal/lib/daemon"
 )
 
-// Scripts that were written for older versions go on working.
+// Commands keep working under their older names, so that existing scripts do not break.
 func TestOlderCommandNames(t *testing.T) {
 	for older, current := range map[string]string{"hall": "zone", "layout": "config", "day": "day"} {
 		if got := canonicalCommand(older); got != current {
--- a/internal/testing/drill/mix.go
+++ b/internal/testing/drill/mix.go
@@ -10,14 +10,14 @@
 	"yarrowridge/internal/model/fleetconfig"
 )
 
-// Mix is a deployment as the drill plays it: its zones, runners, config and traffic.
+// Mix is a deployment that the drill can play: its zones, runners, config and traffic.
 type Mix struct {
 	Name         string
 	Zones        []string
 	Routers      int
 	Model        string
-	ModelRunners int // model runners
-	AppRunners   int // runners of the ordinary application
+	ModelRunners int
+	AppRunners   int // of the ordinary application, which is no model
 	Kinds        []RequestKind
 	Config       map[string]any
 }
@@ -27,17 +27,17 @@
 	Name        string
 	Method      string
 	Path        string
-	Rate        float64 // a second, at scale 1
-	PrefixBytes int     // bytes of prompt shared by many
-	PrefixCount int     // how many different shared prefixes
-	TailBytes   int     // bytes of prompt of its own
+	Rate        float64 // requests per second at scale 1
+	PrefixBytes int     // of the prompt, shared with other requests
+	PrefixCount int     // number of different shared prefixes
+	TailBytes   int     // of the prompt, after the prefix; not shared
 	Tokens      int
 	Stream      bool
 	Once        bool
 	Plain       bool
 }
 
-// TenantKey is the demonstration key of a tenant in the example configs.
+// TenantKey returns the API key of a tenant in the example configs.
 func TenantKey(tenant string) string { return "demo-" + tenant }
 
 type object = map[string]any
@@ -54,7 +54,7 @@
 	return out
 }
 
-// Trentvale is the order desk: heavy fit checks, few write-ups, confirmations.
+// Trentvale is an order desk: many fit checks with long prompts, few streamed write-ups, and confirmations.
 func Trentvale() Mix {
 	return Mix{Name: "trentvale", Zones: []string{"east", "north", "south", "west"}, Routers: 9, Model: "lumen-7b", ModelRunners: 12, AppRunners: 4,
 		Kinds: []RequestKind{
@@ -79,7 +79,7 @@
 		}}
 }
 
-// Tokachi is the loan desk: risk notes over long histories, few replies, status look-ups.
+// Tokachi is a loan desk: risk notes with long prompts, few streamed replies, and status look-ups.
 func Tokachi() Mix {
 	return Mix{Name: "tokachi", Zones: []string{"hills", "plain", "river"}, Routers: 8, Model: "kumo-13b", ModelRunners: 9, AppRunners: 3,
 		Kinds: []RequestKind{
@@ -104,7 +104,7 @@
 		}}
 }
 
-// FindMix finds a mix by name.
+// FindMix returns the mix of the given name.
 func FindMix(name string) (Mix, error) {
 	for _, m := range []Mix{Trentvale(), Tokachi()} {
 		if m.Name == name {
@@ -114,37 +114,37 @@
 	return Mix{}, fmt.Errorf("mix %q: trentvale or tokachi expected", name)
 }
 
-// ConfigJSON is the mix's config as text.
+// ConfigJSON returns the mix's config as indented JSON.
 func (m Mix) ConfigJSON() []byte {
 	raw, err := json.MarshalIndent(m.Config, "", "  ")
 	if err != nil {
-		panic(err) // a fixed value that marshals or never did
+		panic(err) // the config is a fixed value, so this is a programming error
 	}
 	return append(raw, '\n')
 }
 
-// body makes one request's body; the number makes it unlike all others.
-func (k RequestKind) body(model string, n uint64, r *rand.Rand) []byte {
+// body returns the body of a request. The number makes it differ from all others.
+func (k RequestKind) body(model string, number uint64, random *rand.Rand) []byte {
 	if k.Method == "GET" {
 		return nil
 	}
-	v := object{"nonce": n}
+	fields := object{"nonce": number}
 	if k.Plain {
-		v["order"] = fmt.Sprintf("order %d", n)
+		fields["order"] = fmt.Sprintf("order %d", number)
 	} else {
-		doc := r.IntN(max(1, k.PrefixCount))
-		line := fmt.Sprintf("%s sheet %d line; ", k.Name, doc)
-		v["model"], v["max_tokens"], v["stream"] = model, k.Tokens, k.Stream
-		v["prompt"] = strings.Repeat(line, k.PrefixBytes/len(line)+1) + fmt.Sprintf(" question %d ", n) + strings.Repeat("q", k.TailBytes)
+		prefix := random.IntN(max(1, k.PrefixCount))
+		line := fmt.Sprintf("%s sheet %d line; ", k.Name, prefix)
+		fields["model"], fields["max_tokens"], fields["stream"] = model, k.Tokens, k.Stream
+		fields["prompt"] = strings.Repeat(line, k.PrefixBytes/len(line)+1) + fmt.Sprintf(" question %d ", number) + strings.Repeat("q", k.TailBytes)
 	}
-	raw, _ := json.Marshal(v)
+	raw, _ := json.Marshal(fields)
 	return raw
 }
 
-// requestRand makes the source of one request's chances.
-func requestRand(n uint64) *rand.Rand { return rand.New(rand.NewPCG(n, 0)) }
+// requestRand returns a random source that depends only on the number of a request.
+func requestRand(number uint64) *rand.Rand { return rand.New(rand.NewPCG(number, 0)) }
 
-// tenantNames lists a mix's tenants in order, the large ones first.
+// tenantNames returns the names of a mix's tenants in alphabetical order.
 func tenantNames(m Mix) []string {
 	var names []string
 	for k := range m.Config["tenants"].(object) {
--- a/internal/testing/drill/operatorcalls.go
+++ b/internal/testing/drill/operatorcalls.go
@@ -14,10 +14,10 @@
 	"yarrowridge/internal/lib/runloop"
 )
 
-// OperatorKey is the operators' key of a rehearsal fleet.
+// OperatorKey is the key of the operator API of a fleet.
 const OperatorKey = "demo-operator"
 
-// WaitUntil asks until what is awaited holds, or ctx ends.
+// WaitUntil polls a condition until it holds or ctx ends.
 func (f *Fleet) WaitUntil(ctx context.Context, what string, condition func() bool) error {
 	for !condition() {
 		if !runloop.Sleep(ctx, 50*time.Millisecond) {
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// CallOperatorAPI makes one operator's call.
+// CallOperatorAPI makes one call to a process's operator API and returns the status and the body of the answer.
 func (f *Fleet) CallOperatorAPI(ctx context.Context, method, addr, path string, body []byte, headers map[string]string) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, 8*time.Second)
 	defer cancel()
@@ -48,13 +48,13 @@
 	return response.StatusCode, raw, err
 }
 
-// PutConfig puts a config through a process and tells the code and the version.
+// PutConfig writes a config through a process and returns the status and the version of the answer.
 func (f *Fleet) PutConfig(ctx context.Context, p *Proc, raw []byte, ifMatch, writeID string) (int, uint64, error) {
 	code, response, err := f.CallOperatorAPI(ctx, "PUT", p.OperatorAddr, "/v1/layout", raw, map[string]string{"If-Match": ifMatch, "X-Write-Id": writeID})
 	return code, gjson.GetBytes(response, "sequence").Uint(), err
 }
 
-// IsReady asks a process whether it is ready.
+// IsReady reports whether a process answers that it is ready.
 func (f *Fleet) IsReady(ctx context.Context, p *Proc) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -62,7 +62,7 @@
 	return err == nil && code == 200
 }
 
-// CountReadyRunners counts the runners that a router would send to.
+// CountReadyRunners counts the runners that a router regards as ready.
 func (f *Fleet) CountReadyRunners(ctx context.Context, p *Proc) int {
 	code, raw, err := f.CallOperatorAPI(ctx, "GET", p.OperatorAddr, "/v1/runners", nil, nil)
 	if err != nil || code != 200 {
@@ -71,7 +71,7 @@
 	return len(gjson.GetBytes(raw, `#(standing=="ready")#`).Array())
 }
 
-// Primary finds the core that leads.
+// Primary returns the core that reports itself ready as the primary, or nil if there is none.
 func (f *Fleet) Primary(ctx context.Context) *Proc {
 	for _, c := range f.Cores {
 		code, raw, err := f.CallOperatorAPI(ctx, "GET", c.OperatorAddr, "/v1/standing", nil, nil)
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// ConfigVersion is the config version that a router obeys.
+// ConfigVersion returns the version of the config that a router applies, or 0 if the router does not answer.
 func (f *Fleet) ConfigVersion(ctx context.Context, p *Proc) uint64 {
 	_, raw, err := f.CallOperatorAPI(ctx, "GET", p.OperatorAddr, "/v1/standing", nil, nil)
 	if err != nil {
--- a/internal/testing/drill/ports.go
+++ b/internal/testing/drill/ports.go
@@ -7,13 +7,14 @@
 	"sync/atomic"
 )
 
-// Ports are taken from below those that systems give to connections: one that is free for a while, because
-// its process is down, must not become the near end of somebody's connection meanwhile.
+// Ports are taken from below the range of ephemeral ports. Otherwise the port of a process that is down for a while
+// could be assigned to the local end of an outgoing connection.
 const minPort, maxPort = 10000, 32000
 
 var portCounter, portOffset = new(atomic.Uint32), rand.Uint32N(maxPort - minPort)
 
-// freePort listens at a port that no other call of this process was given.
+// freePort listens on a port that no other call in this process returned. The start is random, so that drills that
+// run at once rarely try the same ports.
 func freePort(ip string) (l net.Listener, err error) {
 	for range maxPort - minPort {
 		at := minPort + (portOffset+portCounter.Add(1))%(maxPort-minPort)
@@ -24,7 +25,7 @@
 	return l, err
 }
 
-// reservePort reserves a port of the loopback range until the fleet starts.
+// reservePort listens on a free port until the fleet starts, and returns its address.
 func (f *Fleet) reservePort(ip string) (string, error) {
 	l, err := freePort(ip)
 	if err != nil {
--- a/internal/testing/drill/process.go
+++ b/internal/testing/drill/process.go
@@ -10,10 +10,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// Proc is one daemon of the fleet.
+// Proc is a router or core process of the fleet.
 type Proc struct {
 	Name, Zone     string
-	Addr           string // between processes
+	Addr           string // for the other processes
 	ClientAddr     string // routers only
 	RunnerAddr     string // routers only
 	OperatorAddr   string
@@ -25,7 +25,7 @@
 	exited         chan struct{}
 }
 
-// Start begins a process.
+// Start starts the process. Its output is appended to its log file.
 func (p *Proc) Start() error {
 	out, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -43,7 +43,7 @@
 	p.cmd, p.exited = cmd, exited
 	p.mu.Unlock()
 	go func() {
-		_ = cmd.Wait() // daemons are killed on purpose: how one ended is no error
+		_ = cmd.Wait() // the exit status is no error, as daemons are killed on purpose
 		close(exited)
 	}()
 	return nil
@@ -54,7 +54,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil && p.cmd.Process != nil {
-		_ = p.cmd.Process.Signal(sig) // it may have ended meanwhile
+		_ = p.cmd.Process.Signal(sig) // fails if the process has already ended
 	}
 }
 
@@ -64,7 +64,7 @@
 	p.Wait(10 * time.Second)
 }
 
-// Wait waits for the process to end.
+// Wait waits up to timeout for the process to end and reports whether it has.
 func (p *Proc) Wait(timeout time.Duration) bool {
 	p.mu.Lock()
 	exited := p.exited
--- a/internal/testing/drill/processfaults.go
+++ b/internal/testing/drill/processfaults.go
@@ -11,11 +11,12 @@
 	"yarrowridge/internal/lib/runloop"
 )
 
+// recordFault records a hard fault that happens now.
 func (d *Day) recordFault(name string) {
 	d.monitor.record(func(ev *Evidence) { ev.HardFaults = append(ev.HardFaults, HardFault{name, time.Now()}) })
 }
 
-// killAndRestart kills processes at once and starts them again after a while.
+// killAndRestart kills processes at once, records that as a fault and restarts them after the time down.
 func (d *Day) killAndRestart(ctx context.Context, name string, down time.Duration, procs []*Proc) {
 	d.recordFault(name)
 	for _, p := range procs {
@@ -38,7 +39,7 @@
 	d.killAndRestart(ctx, "half of the routers killed", 4*time.Second, procs)
 }
 
-// partitionPrimaryZone cuts the primary's zone off, the hardest to lose, with clients on both sides.
+// partitionPrimaryZone isolates the primary's zone, whose loss has the most effect, while clients send on both sides.
 func (d *Day) partitionPrimaryZone(ctx context.Context) {
 	zone := d.primaryCore(ctx).Zone
 	from := time.Now()
@@ -49,6 +50,7 @@
 	d.fleet.Links.Isolate("")
 }
 
+// freezeProcesses stops the primary and then a router with SIGSTOP for 4 s each.
 func (d *Day) freezeProcesses(ctx context.Context) {
 	for _, p := range []*Proc{d.primaryCore(ctx), d.pickRouter()} {
 		p.Signal(syscall.SIGSTOP)
@@ -59,17 +61,19 @@
 	}
 }
 
+// restartProcesses stops a router, the primary and another router with SIGTERM while requests are in flight, and
+// starts each again.
 func (d *Day) restartProcesses(ctx context.Context) {
 	for _, p := range []*Proc{d.pickRouter(), d.primaryCore(ctx), d.pickRouter()} {
-		// Whole answers that are under way when the warning comes, for some 2 s.
-		k := d.fleet.Mix.Kinds[0]
-		k.TailBytes = 500 << 10
+		// Requests without streams that take about 2 s and are in flight when the signal comes.
+		kind := d.fleet.Mix.Kinds[0]
+		kind.TailBytes = 500 << 10
 		numbers := map[string]bool{}
 		for range 5 {
-			numbers[strconv.FormatUint(d.sendRequest(k, max(0, slices.Index(d.fleet.Routers, p))), 10)] = true
+			numbers[strconv.FormatUint(d.sendRequest(kind, max(0, slices.Index(d.fleet.Routers, p))), 10)] = true
 		}
 		waitCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
-		// The restart goes on without it: an overloaded fleet may reject all five.
+		// The restart goes on if this times out, because an overloaded fleet may reject all five.
 		_ = d.fleet.WaitUntil(waitCtx, "a runner has one of them", func() bool {
 			return slices.ContainsFunc(d.fleet.RequestLog.All(), func(s RunnerRequest) bool { return numbers[s.Header.Get("X-Drill-N")] })
 		})
@@ -90,16 +94,17 @@
 	}
 }
 
+// killPrimaryZone kills all processes and runners in the zone of the primary and restarts them.
 func (d *Day) killPrimaryZone(ctx context.Context) {
 	zone := d.primaryCore(ctx).Zone
 	procs, runners := d.fleet.InZone(zone)
-	for _, s := range runners {
-		s.Crash()
+	for _, runner := range runners {
+		runner.Crash()
 	}
 	d.putUntilAcknowledged(ctx, d.config)
 	d.killAndRestart(ctx, "hall "+zone+" lost", 5*time.Second, procs)
-	for _, s := range runners {
-		d.startRunner(s)
+	for _, runner := range runners {
+		d.startRunner(runner)
 	}
 }
 
--- a/internal/testing/drill/rehearsal.go
+++ b/internal/testing/drill/rehearsal.go
@@ -11,29 +11,30 @@
 	"yarrowridge/internal/lib/daemon"
 )
 
-// fleetStartLimit is how long a fleet may take to come up.
+// fleetStartLimit is how long a fleet may take to start.
 const fleetStartLimit = 60 * time.Second
 
-// dayCoreLostAfter is after which silence a core may be replaced on a day, which has little time.
+// dayCoreLostAfter is how long a core is unreachable before a spare may replace it on a day. It is shorter than
+// elsewhere because a day takes little time.
 const dayCoreLostAfter = 2 * time.Second
 
-// rehearsal is one call of the drill on a fleet: its command, its flags and what was made from them.
+// rehearsal is one invocation of the drill: its command, its flags and the fleet that it starts.
 type rehearsal struct {
 	command  string
 	out      io.Writer
 	mix      Mix
 	bin      string
 	dir      string
-	ownDir   bool // made here, to be removed after a good end
+	ownDir   bool // dir was created here, and is removed if all went well
 	scale    float64
 	duration time.Duration
 	seed     uint64
-	course   []string // names of a day's events
+	course   []string // names of the events of a day
 	slack    time.Duration
 	fleet    *Fleet
 }
 
-// readFlags reads the command line. Where the call ends with that, done is set, and code is its exit code.
+// readFlags reads the command line. If done is set, the invocation ends with the exit code returned.
 func (r *rehearsal) readFlags(args []string) (code int, done bool) {
 	fs := flag.NewFlagSet("drill "+r.command, flag.ContinueOnError)
 	fs.SetOutput(r.out)
@@ -73,7 +74,7 @@
 	return 0, false
 }
 
-// checkCourse reports whether every event of the course is known, and prints which are if one is not.
+// checkCourse reports whether every event of the course exists. If one does not, it prints all events.
 func (r *rehearsal) checkCourse() bool {
 	for _, name := range r.course {
 		closing, isClosing := strings.CutPrefix(name, closingPrefix)
@@ -92,7 +93,7 @@
 	return true
 }
 
-// makeDir makes the folder for data and logs.
+// makeDir creates the folder for data and logs.
 func (r *rehearsal) makeDir() (err error) {
 	r.ownDir = r.dir == ""
 	if !r.ownDir {
@@ -102,17 +103,18 @@
 	return err
 }
 
-// removeDir ends the fleet and removes the folder if it was made here: the end of a call in which all went well.
+// removeDir ends an invocation in which all went well and returns the exit code. If the folder was created here, it
+// stops the fleet and removes the folder.
 func (r *rehearsal) removeDir() int {
 	if r.ownDir {
 		r.fleet.Stop()
-		_ = os.RemoveAll(r.dir) // what stays lies in the folder for temporary files
+		_ = os.RemoveAll(r.dir) // on an error, files remain in the system's folder for temporary files
 	}
 	return daemon.ExitOK
 }
 
-// startFleet starts the fleet, with something added to the daemons' environment. The fleet is set, for the
-// caller to stop, once there are processes to stop.
+// startFleet starts the fleet, with variables added to the daemons' environment. It sets r.fleet before the first process
+// starts, so that the caller can stop the fleet after an error too.
 func (r *rehearsal) startFleet(ctx context.Context, extraEnv []string) error {
 	if r.command == "day" {
 		r.prepareDayConfig()
@@ -134,7 +136,8 @@
 	return fleet.Start(ctx)
 }
 
-// prepareDayConfig gives tenants a quota that the traffic reaches, and services second tries for every router.
+// prepareDayConfig lowers the quotas so that the traffic reaches them, and allows each service as many extra second
+// tries as there are routers.
 func (r *rehearsal) prepareDayConfig() {
 	for _, name := range tenantNames(r.mix) {
 		if quota, ok := r.mix.Config["tenants"].(object)[name].(object)["quota"].(object); ok {
--- a/internal/testing/drill/requestlog.go
+++ b/internal/testing/drill/requestlog.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// RunnerRequest is one request as a stand-in runner received it, byte for byte.
+// RunnerRequest is one request exactly as a stand-in runner received it.
 type RunnerRequest struct {
 	Runner     string
 	RunID      string
@@ -15,11 +15,11 @@
 	Path       string
 	Header     http.Header
 	Body       []byte
-	Truncated  bool // the body broke off: its sender died, and the runner did nothing with it
-	Finished   bool // answered to the last byte
+	Truncated  bool // the sender died in the middle of the body; the runner did not execute the request
+	Finished   bool // the answer was written to its end
 }
 
-// RequestLog is what all stand-in runners received, in order.
+// RequestLog is the log of the requests that all stand-in runners received, in order.
 type RequestLog struct {
 	mu       sync.Mutex
 	requests []*RunnerRequest
@@ -37,7 +37,7 @@
 	request.Finished = true
 }
 
-// All copies the log.
+// All returns a copy of the log.
 func (l *RequestLog) All() []RunnerRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testing/drill/slow_test.go
+++ b/internal/testing/drill/slow_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// sendHeadersOnly opens a connection, sends headers that promise a body, and nothing of the body.
+// sendHeadersOnly opens a connection and sends headers that announce a body, but no body.
 func sendHeadersOnly(t *testing.T, addr, key string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -26,8 +26,8 @@
 	return conn
 }
 
-// Strangers that send slowly take no place from a known tenant and hold up no planned stop; a known
-// tenant's body has its time and no more.
+// Clients without a valid key that send slowly neither use up the open requests of an authenticated tenant nor delay a
+// planned stop. The body of an authenticated tenant times out after body_ms.
 func TestSlowSenders(t *testing.T) {
 	takeFleetSlot(t)
 	mix := Trentvale()
@@ -42,7 +42,7 @@
 	k := mix.Kinds[0]
 	for n := range uint64(8) {
 		if o := l.Send(k, n+1, k.body(mix.Model, n+1, requestRand(n)), "yard-a", r); o.Status != 200 {
-			t.Errorf("beside forty slow strangers a known tenant was answered %d %s", o.Status, o.Code)
+			t.Errorf("with 40 slow unauthenticated clients a tenant got status %d, code %q", o.Status, o.Code)
 		}
 	}
 	for i, conn := range unauthenticated {
@@ -51,7 +51,7 @@
 		}
 		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || response.StatusCode != 401 {
-			t.Fatalf("stranger %d: %v %v", i, response, err)
+			t.Fatalf("unauthenticated client %d: got %v, %v; want status 401", i, response, err)
 		}
 	}
 	slow := sendHeadersOnly(t, r.ClientAddr, TenantKey("yard-a"))
@@ -60,13 +60,13 @@
 	}
 	response, err := http.ReadResponse(bufio.NewReader(slow), nil)
 	if err != nil {
-		t.Fatalf("a known tenant that sends slowly: %v", err)
+		t.Fatalf("reading the answer to a tenant that sends slowly: %v", err)
 	}
 	raw, _ := io.ReadAll(response.Body)
 	if response.StatusCode != 408 || !strings.Contains(string(raw), `"not run"`) {
-		t.Errorf("a known tenant that sends slowly was answered %d %s", response.StatusCode, raw)
+		t.Errorf("a tenant that sends slowly got status %d, body %s; want 408 and not run", response.StatusCode, raw)
 	}
-	// An client that stops reading in the middle of a stream that no socket's buffers hold.
+	// A client that stops reading in the middle of a stream that exceeds the socket buffers.
 	body := fmt.Sprintf(`{"model":%q,"prompt":"a","max_tokens":400,"stream":true,"pad":16384}`, mix.Model)
 	stalled, err := net.Dial("tcp", r.ClientAddr)
 	if err != nil {
@@ -84,16 +84,16 @@
 		t.Fatal(head, err)
 	}
 	if got, end := l.resumeStream(t, f.Routers[2], "yard-a", head.Header.Get("X-Yarrowridge-Query"), 0); end != "done" || len(got) != 400 || !isSequence(got, 0) {
-		t.Errorf("beside an origin that does not read, the stream resumed elsewhere has %d pieces and ended %q", len(got), end)
+		t.Errorf("with a client that does not read, the stream resumed at another router has %d chunks and ended with %q", len(got), end)
 	}
-	// A fresh flood while the router is told to stop.
+	// More slow clients are connected when the router is stopped.
 	for range 40 {
 		sendHeadersOnly(t, r.ClientAddr, "nobody")
 	}
-	at := time.Now()
+	stoppedAt := time.Now()
 	r.Signal(syscall.SIGTERM)
 	if !r.Wait(20 * time.Second) {
-		t.Error("slow strangers hold up a planned stop")
+		t.Error("slow unauthenticated clients delay a planned stop")
 	}
-	t.Logf("stopped after %s", time.Since(at).Round(10*time.Millisecond))
+	t.Logf("stopped after %s", time.Since(stoppedAt).Round(10*time.Millisecond))
 }
--- a/internal/testing/drill/standin.go
+++ b/internal/testing/drill/standin.go
@@ -1,5 +1,5 @@
-// Package drill rehearses a whole fleet on one machine: it starts the daemons, stands in for
-// clients and runners, brings faults about and checks the promises from outside.
+// Package drill rehearses a whole fleet on one machine: it starts the daemons, simulates clients and runners, injects
+// faults and checks from outside that the fleet keeps its promises.
 package drill
 
 import (
@@ -25,44 +25,45 @@
 	"yarrowridge/internal/lib/runloop"
 )
 
-// Standin plays a runner: batches with a rate that falls as the batch fills, a prefix cache,
-// streams, heartbeats and late reports. As a plain one it plays the ordinary application.
+// Standin simulates a model runner: batches whose rate falls as they fill, a prefix cache, streams, and heartbeats whose
+// load figures are up to half a second old. A plain one simulates the ordinary application instead.
 type Standin struct {
 	Name           string
 	Addr           string
 	Labels         map[string]string
 	Slots          int
 	MaxLength      int
-	TokenTime      time.Duration // one token with an empty batch
-	Slowdown       float64       // each further stream slows a step by this part
-	BlockReadTime  time.Duration // reading 1 KiB of prompt that the cache lacks
+	TokenTime      time.Duration // time per token with an empty batch
+	Slowdown       float64       // fraction of TokenTime that each further request in the batch adds
+	BlockReadTime  time.Duration // time to read 1 KiB of prompt that is not in the cache
 	Plain          bool
 	HeartbeatAddrs []string // the routers' runner listeners, tried in turn
 	RequestLog     *RequestLog
 
-	CacheHits, CacheMisses atomic.Int64 // prompt blocks found in the cache, or not
+	CacheHits, CacheMisses atomic.Int64 // prompt blocks found in the cache, and not found
 
 	runID          string
 	heartbeatCount atomic.Uint64
 	activeRequests atomic.Int64
 	queuedTokens   atomic.Int64
 	state          atomic.Value
-	hanging        atomic.Bool // takes requests and says nothing
+	hanging        atomic.Bool // accepts requests and does not answer
 	muted          atomic.Bool // sends no heartbeats
 	breakAfter     atomic.Int64
 	mu             sync.Mutex
 	cache          map[[32]byte]bool
 	server         *http.Server
-	listenAddr     string            // where it listens, if others know it by another address
-	links          *Links            // that forward to it, if any
-	unreachable    func(string) bool // whether a router's listener can't be reached
+	listenAddr     string            // where it listens behind a forwarder, whose address is Addr
+	links          *Links            // nil without forwarders
+	unreachable    func(string) bool // reports whether a router's runner listener is in a separated zone
 	ctx            context.Context
 	cancel         context.CancelFunc
 }
 
+// runCount makes the run IDs of stand-ins unique.
 var runCount atomic.Uint64
 
-// Start listens and begins its heartbeats. A second start at the same address is another run.
+// Start listens and starts the heartbeats. Each start is a new run, with a run ID of its own and an empty cache.
 func (s *Standin) Start() error {
 	l, err := s.listen()
 	if err != nil {
@@ -100,22 +101,23 @@
 	return nil
 }
 
-// Crash drops the listener and every connection at once.
+// Crash closes the listener and every connection at once, and stops the heartbeats.
 func (s *Standin) Crash() {
 	s.cancel()
 	s.RefuseConnections()
 }
 
-// Hang has the runner take requests, go on with its heartbeats, and answer nothing.
+// Hang has the runner accept requests without answering them, while its heartbeats continue.
 func (s *Standin) Hang(on bool) { s.hanging.Store(on) }
 
-// Mute stops the heartbeats.
+// Mute stops or resumes the heartbeats.
 func (s *Standin) Mute(on bool) { s.muted.Store(on) }
 
-// BreakStreamsAfter breaks every stream off after n tokens; zero stops that.
+// BreakStreamsAfter has the runner break every answer off after n tokens, or a plain one after half of its body. Zero
+// ends that.
 func (s *Standin) BreakStreamsAfter(n int) { s.breakAfter.Store(int64(n)) }
 
-// RefuseConnections closes the listener and all connections; heartbeats go on. AcceptConnections listens again, as the same run.
+// RefuseConnections closes the listener and all connections, while the heartbeats continue.
 func (s *Standin) RefuseConnections() {
 	if s.links != nil {
 		s.links.Refuse(s.Addr)
@@ -123,7 +125,7 @@
 	_ = s.server.Close()
 }
 
-// AcceptConnections ends RefuseConnections.
+// AcceptConnections listens again after RefuseConnections, as the same run.
 func (s *Standin) AcceptConnections() error {
 	l, err := s.listen()
 	if err != nil {
@@ -151,7 +153,7 @@
 	go func() { _ = server.Serve(l) }() // until RefuseConnections or Crash closes it
 }
 
-// Leave tells the router asked that this runner leaves, and returns once that was taken.
+// Leave announces in a heartbeat that this runner leaves, and returns the time at which a router had acknowledged it.
 func (s *Standin) Leave(ctx context.Context) time.Time {
 	s.state.Store("leaving")
 	for i := 0; ctx.Err() == nil; i++ {
@@ -162,6 +164,7 @@
 	return time.Now()
 }
 
+// sendHeartbeat sends one heartbeat to a router and reports whether the router accepted it.
 func (s *Standin) sendHeartbeat(ctx context.Context, addr string) bool {
 	if s.unreachable != nil && s.unreachable(addr) {
 		return false
@@ -185,13 +188,13 @@
 	return response.StatusCode == 200
 }
 
-// Echo is what a stand-in answers to show which request its answer belongs to.
+// Echo returns a digest of a request body, which stand-ins put into each answer to show which request it belongs to.
 func Echo(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:8])
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP logs a request and answers it.
 func (s *Standin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	received := &RunnerRequest{Runner: s.Name, RunID: s.runID, ReceivedAt: time.Now(), Method: r.Method, Path: r.URL.RequestURI(), Header: r.Header.Clone(), Body: body, Truncated: err != nil}
@@ -214,7 +217,7 @@
 	s.RequestLog.finish(received)
 }
 
-// servePlain answers as the ordinary application.
+// servePlain answers a request as the ordinary application.
 func (s *Standin) servePlain(w http.ResponseWriter, r *http.Request, body []byte) {
 	if !runloop.Sleep(r.Context(), s.TokenTime) {
 		panic(http.ErrAbortHandler)
@@ -226,10 +229,10 @@
 		writeAndFlush(w, string(raw[:len(raw)/2]))
 		breakConnection(w)
 	}
-	_, _ = w.Write(raw) // a router that has gone shows in its own outcome
+	_, _ = w.Write(raw) // if the router is gone, the client's outcome shows it
 }
 
-// serveModel answers as a model runner: a stream, or an answer as a whole.
+// serveModel answers a request as a model runner, with a stream or a single body.
 func (s *Standin) serveModel(w http.ResponseWriter, r *http.Request, body []byte) {
 	tokens := int(gjson.GetBytes(body, "max_tokens").Int())
 	s.queuedTokens.Add(int64(tokens))
@@ -240,7 +243,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	stream := gjson.GetBytes(body, "stream").Bool()
-	padding := strings.Repeat("w", int(gjson.GetBytes(body, "pad").Int())) // to fill a client's connection
+	padding := strings.Repeat("w", int(gjson.GetBytes(body, "pad").Int())) // fills the socket buffers of a client that does not read
 	if stream {
 		w.Header().Set("Content-Type", "text/event-stream")
 	}
@@ -263,10 +266,10 @@
 	}
 	raw, _ := json.Marshal(map[string]any{"echo": Echo(body), "usage": map[string]int{"completion_tokens": tokens}})
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(raw) // a router that has gone shows in its own outcome
+	_, _ = w.Write(raw) // if the router is gone, the client's outcome shows it
 }
 
-// generateToken takes the time of one token, and breaks the connection off where that was asked for.
+// generateToken waits for the time of one token, and breaks the connection if BreakStreamsAfter has set that.
 func (s *Standin) generateToken(w http.ResponseWriter, r *http.Request, i int) {
 	others := s.activeRequests.Load() - 1
 	if !runloop.Sleep(r.Context(), s.TokenTime+time.Duration(s.Slowdown*float64(others)*float64(s.TokenTime))) {
@@ -277,9 +280,9 @@
 	}
 }
 
-// firstTaggedChunk is the piece from which on a stream's pieces carry their run's mark, so that two runs that were
-// joined can be told: the first, one on the way, or none. By that a third of the prompts is answered alike
-// by every run.
+// firstTaggedChunk returns the number of the first chunk that carries the ID of its execution; all later chunks carry it
+// too. The ID makes a stream that joins chunks of two executions detectable. By the digest of the body it is the first
+// chunk, a random one, or none: about a third of the prompts gets the same answer in every execution.
 func firstTaggedChunk(body []byte, tokens int) int {
 	switch Echo(body)[0] % 3 {
 	case 0:
@@ -291,12 +294,14 @@
 	}
 }
 
-// writeAndFlush writes a piece of a response and sends it off. Whether the router is still there is told by the request's context.
+// writeAndFlush writes a part of a response and flushes it. Errors are ignored, because the context of the request ends
+// when the router disconnects.
 func writeAndFlush(w http.ResponseWriter, text string) {
 	_, _ = io.WriteString(w, text)
 	_ = http.NewResponseController(w).Flush()
 }
 
+// breakConnection closes the connection of a response in the middle and aborts its handler.
 func breakConnection(w http.ResponseWriter) {
 	con, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
@@ -305,7 +310,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// prefillTime is the time to read a prompt: what the cache holds costs nothing.
+// prefillTime returns the time to read a prompt and adds its blocks to the cache. Blocks already in the cache take no time.
 func (s *Standin) prefillTime(text string) time.Duration {
 	const block = 1024
 	s.mu.Lock()
--- a/internal/testing/drill/stream_test.go
+++ b/internal/testing/drill/stream_test.go
@@ -15,7 +15,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// streamReader reads a stream event by event, so that a test can stop in the middle.
+// streamReader reads a stream event by event, so that a test can act in the middle of it.
 type streamReader struct {
 	id       string
 	response *http.Response
@@ -46,7 +46,8 @@
 	return &streamReader{response.Header.Get("X-Yarrowridge-Query"), response, lines(response.Body)}
 }
 
-// next gives the next piece's number, or -1 and why there is none.
+// next returns the number of the next chunk, or -1 and the reason for the end of the stream: done, an error code, or
+// broken if the connection ended without either.
 func (r *streamReader) next() (int, string) {
 	for r.scanner.Scan() {
 		s, ok := strings.CutPrefix(r.scanner.Text(), "data: ")
@@ -63,7 +64,7 @@
 	return -1, "broken"
 }
 
-// resumeStream resumes a stream after n pieces and reads it to its end.
+// resumeStream resumes a stream after n chunks and reads it to its end. It returns the chunks and the reason for the end.
 func (l *Load) resumeStream(t *testing.T, r *Proc, tenant, id string, n int) ([]int, string) {
 	t.Helper()
 	req, _ := http.NewRequest("GET", "http://"+r.ClientAddr+streamsPath+id+"?after="+strconv.Itoa(n), nil)
@@ -99,8 +100,8 @@
 	return true
 }
 
-// Streams through lost clients, routers and runners: resumed at any piece through any router, with
-// no gap, no repeat and no false end, and only by the tenant that owns them.
+// Streams whose client disconnects, whose router is killed or whose runner breaks off can be resumed after any chunk and
+// through any router, without gaps, repeats or a false end, and only by the tenant that owns them.
 func TestStreams(t *testing.T) {
 	takeFleetSlot(t)
 	mix := Trentvale()
@@ -110,24 +111,24 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
 
-	t.Run("origin leaves and resumes elsewhere", func(t *testing.T) {
+	t.Run("client disconnects and resumes elsewhere", func(t *testing.T) {
 		stream := l.openStream(t, f.Routers[0], "yard-a", 1, 120)
 		for i := range 10 {
 			if n, end := stream.next(); n != i {
-				t.Fatalf("piece %d: got %d %s", i, n, end)
+				t.Fatalf("chunk %d: got %d, end %q", i, n, end)
 			}
 		}
 		_ = stream.response.Body.Close()
 		if _, end := l.resumeStream(t, f.Routers[3], "yard-b", stream.id, 10); end != "no-stream" {
-			t.Errorf("another tenant got %q, no-stream expected", end)
+			t.Errorf("another tenant got %q, want no-stream", end)
 		}
 		got, end := l.resumeStream(t, f.Routers[3], "yard-a", stream.id, 10)
 		if end != "done" || len(got) != 110 || !isSequence(got, 10) {
-			t.Errorf("resumed: %d pieces from %v, ended %q", len(got), got[:min(3, len(got))], end)
+			t.Errorf("resumed: got %d chunks from %v, ended with %q", len(got), got[:min(3, len(got))], end)
 		}
-		// Once more from the start, after its end.
+		// A stream can also be read from its start after its end.
 		if got, end := l.resumeStream(t, f.Routers[5], "yard-a", stream.id, 0); end != "done" || len(got) != 120 || !isSequence(got, 0) {
-			t.Errorf("read again: %d pieces, ended %q", len(got), end)
+			t.Errorf("read again: got %d chunks, ended with %q", len(got), end)
 		}
 	})
 
@@ -136,7 +137,7 @@
 		n := 0
 		for ; n < 20; n++ {
 			if i, end := stream.next(); i != n {
-				t.Fatalf("piece %d: got %d %s", n, i, end)
+				t.Fatalf("chunk %d: got %d, end %q", n, i, end)
 			}
 		}
 		f.Routers[1].Kill()
@@ -146,13 +147,13 @@
 				break
 			}
 			if i != n {
-				t.Fatalf("piece %d: got %d %s", n, i, end)
+				t.Fatalf("chunk %d: got %d, end %q", n, i, end)
 			}
 			n++
 		}
 		got, end := l.resumeStream(t, f.Routers[2], "yard-a", stream.id, n)
 		if end != "router-lost" || !isSequence(got, n) {
-			t.Errorf("resumed after %d: %v, ended %q; router-lost expected", n, got, end)
+			t.Errorf("resumed after chunk %d: got %v, ended with %q, want router-lost", n, got, end)
 		}
 		if err := f.Routers[1].Start(); err != nil {
 			t.Fatal(err)
@@ -162,9 +163,8 @@
 		}
 	})
 
-	// go-zero ends a process by itself some seconds after SIGTERM unless told otherwise; a stream
-	// that takes longer than that must still come to its end.
-	t.Run("router stops with a warning", func(t *testing.T) {
+	// By default go-zero ends a process some seconds after SIGTERM. A stream that takes longer still has to reach its end.
+	t.Run("router stops after SIGTERM", func(t *testing.T) {
 		stream := l.openStream(t, f.Routers[4], "yard-a", 4, 2500)
 		n, end := stream.next()
 		f.Routers[4].Signal(syscall.SIGTERM)
@@ -172,50 +172,51 @@
 		last := -1
 		for ; end == ""; n, end = stream.next() {
 			if n != last+1 {
-				t.Fatalf("piece %d after %d", n, last)
+				t.Fatalf("got chunk %d after chunk %d", n, last)
 			}
 			last = n
 		}
 		if end != "done" || last != 2499 {
-			t.Errorf("ended %q after piece %d, %s after the warning", end, last, time.Since(at).Round(time.Second))
+			t.Errorf("the stream ended with %q after chunk %d, %s after SIGTERM", end, last, time.Since(at).Round(time.Second))
 		}
 		if !f.Routers[4].Wait(10 * time.Second) {
-			t.Error("the router does not stop once its stream has ended")
+			t.Error("the router did not stop within 10 s after the end of its stream")
 		}
-		t.Logf("the stream ran on for %s", time.Since(at).Round(time.Second))
+		t.Logf("the router stopped %s after SIGTERM", time.Since(at).Round(time.Second))
 	})
 
-	t.Run("runner cuts", func(t *testing.T) {
+	t.Run("runner breaks off", func(t *testing.T) {
 		for _, m := range f.ModelRunners {
 			m.BreakStreamsAfter(15)
 		}
 		stream := l.openStream(t, f.Routers[2], "yard-a", 3, 60)
 		for i := range 15 {
 			if n, end := stream.next(); n != i {
-				t.Fatalf("piece %d: got %d %s", i, n, end)
+				t.Fatalf("chunk %d: got %d, end %q", i, n, end)
 			}
 		}
 		if n, end := stream.next(); end != "runner-lost" {
-			t.Errorf("got %d %q, runner-lost expected", n, end)
+			t.Errorf("got chunk %d and end %q, want runner-lost", n, end)
 		}
 		for _, m := range f.ModelRunners {
 			m.BreakStreamsAfter(0)
 		}
 		if got, end := l.resumeStream(t, f.Routers[6], "yard-a", stream.id, 5); end != "runner-lost" || len(got) != 10 || !isSequence(got, 5) {
-			t.Errorf("resumed a lost stream: %v %q", got, end)
+			t.Errorf("resumed a lost stream: got chunks %v, ended with %q", got, end)
 		}
 	})
 }
 
-// A router is killed in the middle of two streams, and the runner of a third breaks off: what is
-// answered alike by every run comes whole, through the standby or another runner; what is not ends as
-// run-differs.
+// The runner of one stream breaks off, and the router of two others is killed. Streams of prompts that every execution
+// answers identically are completed by another runner or through the standby router. A stream whose executions differ
+// ends with run-differs.
 func TestStreamFailover(t *testing.T) {
 	takeFleetSlot(t)
 	f := startTestFleet(t, Tokachi())
 	l := NewLoad(f, 1, 1)
 	k := RequestKind{Path: "/v1/replies", TailBytes: 10, Tokens: 300, Stream: true}
-	// kind finds a number whose prompt is answered alike by all runs, or never.
+	// nextNumber finds an unused number whose prompt falls into a class of firstTaggedChunk: 2 if all executions answer
+	// it identically, 0 if none do.
 	next := uint64(1)
 	nextNumber := func(identical byte) uint64 {
 		for Echo(k.body(f.Mix.Model, next, requestRand(next)))[0]%3 != identical {
@@ -224,14 +225,14 @@
 		next++
 		return next - 1
 	}
-	// First tries earn second ones.
+	// Second tries are allowed only in proportion to first tries.
 	var all sync.WaitGroup
 	for i := range 24 * len(f.Routers) {
 		n := uint64(100000 + i)
 		firstKind := f.Mix.Kinds[0]
 		all.Go(func() {
 			if o := l.Send(firstKind, n, firstKind.body(f.Mix.Model, n, requestRand(n)), "desk-a", f.Routers[i%len(f.Routers)]); o.Status != 200 {
-				t.Errorf("%d %s", o.Status, o.Code)
+				t.Errorf("got status %d, code %q", o.Status, o.Code)
 			}
 		})
 	}
@@ -252,19 +253,19 @@
 	n, end := 20, ""
 	for i := 0; end == ""; n++ {
 		if i, end = broken.next(); end == "" && i != n {
-			t.Fatalf("piece %d in place %d", i, n)
+			t.Fatalf("got chunk %d at position %d", i, n)
 		}
 	}
 	if end != "done" || n != 301 {
-		t.Errorf("the stream whose runner broke off ended %q after %d pieces", end, n-1)
+		t.Errorf("the stream whose runner broke off ended with %q after %d chunks", end, n-1)
 	}
 	for _, m := range f.ModelRunners {
-		m.BreakStreamsAfter(0) // each router has earned one second try, not two
+		m.BreakStreamsAfter(0) // each router may make one second try, not two
 	}
 	identical, different := l.openStreamOfKind(t, f.Routers[1], k, "desk-a", nextNumber(2)), l.openStreamOfKind(t, f.Routers[1], k, "desk-a", nextNumber(0))
 	for i := range 20 {
-		if a, _ := identical.next(); a != i {
-			t.Fatalf("piece %d in place %d", a, i)
+		if chunk, _ := identical.next(); chunk != i {
+			t.Fatalf("got chunk %d at position %d", chunk, i)
 		}
 		different.next()
 	}
@@ -279,16 +280,16 @@
 	at := time.Now()
 	n = readToEnd(identical)
 	if rest, end := l.resumeStream(t, f.Routers[3], "desk-a", identical.id, n); end != "done" || n+len(rest) != 300 || !isSequence(rest, n) {
-		t.Errorf("resumed after %d: %d pieces, ended %q", n, len(rest), end)
+		t.Errorf("resumed after chunk %d: got %d chunks, ended with %q", n, len(rest), end)
 	}
-	t.Logf("the stream whose router was killed was whole after %s", time.Since(at).Round(10*time.Millisecond))
+	t.Logf("the stream whose router was killed was complete after %s", time.Since(at).Round(10*time.Millisecond))
 	n = readToEnd(different)
 	if rest, end := l.resumeStream(t, f.Routers[3], "desk-a", different.id, n); end != "run-differs" || !isSequence(rest, n) {
-		t.Errorf("runs that differ, resumed after %d: %d pieces, ended %q", n, len(rest), end)
+		t.Errorf("executions that differ, resumed after chunk %d: got %d chunks, ended with %q", n, len(rest), end)
 	}
 }
 
-// lines scans a stream, however long its lines are.
+// lines returns a scanner of a stream with lines of up to 1 MiB.
 func lines(in io.Reader) *bufio.Scanner {
 	sc := bufio.NewScanner(in)
 	sc.Buffer(nil, 1<<20)
--- a/internal/testing/drill/total.go
+++ b/internal/testing/drill/total.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Summary is a load's outcome in figures.
+// Summary counts the outcomes of a load and gives the response times of successful attempts.
 type Summary struct {
 	Attempts, Done, Rejected, Failed, Disconnected int
 	Codes                                          map[string]int
 	P50, P99                                       time.Duration
 }
 
-// Summarize sums outcomes up.
+// Summarize counts outcomes.
 func Summarize(outcomes []Outcome) Summary {
 	summary := Summary{Codes: map[string]int{}}
 	var durations []time.Duration
@@ -41,21 +41,21 @@
 	return summary
 }
 
-// Print writes the figures.
+// Print prints the summary, then the number of outcomes for each error code.
 func (s Summary) Print(w io.Writer) {
 	printf(w, "tries %d: done %d, rejected %d, troubled %d, connection lost %d; median %s, 99th of a hundred %s\n",
 		s.Attempts, s.Done, s.Rejected, s.Failed, s.Disconnected, s.P50.Round(time.Millisecond), s.P99.Round(time.Millisecond))
 	var codes []string
-	for c := range s.Codes {
-		codes = append(codes, c)
+	for code := range s.Codes {
+		codes = append(codes, code)
 	}
 	sort.Strings(codes)
-	for _, c := range codes {
-		printf(w, "  %s: %d\n", c, s.Codes[c])
+	for _, code := range codes {
+		printf(w, "  %s: %d\n", code, s.Codes[code])
 	}
 }
 
-// LongestOutage is the longest time between two moments in which no request of a kind came to a whole answer.
+// LongestOutage returns the longest time within from and to in which no request of a kind got a complete answer.
 func LongestOutage(outcomes []Outcome, kind string, from, to time.Time) time.Duration {
 	var ends []time.Time
 	for _, o := range outcomes {
@@ -67,9 +67,9 @@
 	}
 	sort.Slice(ends, func(i, j int) bool { return ends[i].Before(ends[j]) })
 	longest := time.Duration(0)
-	for _, e := range append(ends, to) {
-		longest = max(longest, e.Sub(from))
-		from = e
+	for _, end := range append(ends, to) {
+		longest = max(longest, end.Sub(from))
+		from = end
 	}
 	return longest
 }
--- a/internal/testing/drill/trafficfaults.go
+++ b/internal/testing/drill/trafficfaults.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// playBurst adds traffic for 3 s.
 func (d *Day) playBurst(ctx context.Context, scale float64, prefixes int) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
@@ -15,10 +16,10 @@
 
 func (d *Day) burstSharedPrefix(ctx context.Context) { d.playBurst(ctx, 2*d.load.Scale, 1) }
 
-// sendRequest sends a request of the day's own, beginning at a router, and gives its number.
+// sendRequest sends a request in addition to the load, first to the given router, and returns its number.
 func (d *Day) sendRequest(k RequestKind, router int) uint64 {
-	n := d.load.lastNumber.Add(1)
-	body := k.body(d.fleet.Mix.Model, n, d.random)
-	d.requests.Go(func() { d.load.sendWithRetries(k, n, body, tenantNames(d.fleet.Mix)[1], router) })
-	return n
+	number := d.load.lastNumber.Add(1)
+	body := k.body(d.fleet.Mix.Model, number, d.random)
+	d.requests.Go(func() { d.load.sendWithRetries(k, number, body, tenantNames(d.fleet.Mix)[1], router) })
+	return number
 }
