--- a/internal/testing/drill/bench_test.go
+++ b/internal/testing/drill/bench_test.go
@@ -26,8 +26,8 @@
 		b.Fatal(err)
 	}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
-	send := func(to string) time.Duration {
-		req, _ := http.NewRequest("GET", "http://"+to+"/v1/status/1", nil)
+	send := func(addr string) time.Duration {
+		req, _ := http.NewRequest("GET", "http://"+addr+"/v1/status/1", nil)
 		req.Header.Set("Authorization", "Bearer "+TenantKey("desk-a"))
 		start := time.Now()
 		response, err := client.Do(req)
@@ -52,8 +52,8 @@
 		sort.Slice(d, func(i, j int) bool { return d[i] < d[j] })
 		return float64(d[len(d)/2].Microseconds())
 	}
-	n, r := median(direct), median(routed)
-	b.ReportMetric(n, "direct-us")
-	b.ReportMetric(r, "router-us")
-	b.ReportMetric(r-n, "cost-us")
+	directTime, routedTime := median(direct), median(routed)
+	b.ReportMetric(directTime, "direct-us")
+	b.ReportMetric(routedTime, "router-us")
+	b.ReportMetric(routedTime-directTime, "cost-us")
 }
--- a/internal/testing/drill/check.go
+++ b/internal/testing/drill/check.go
@@ -27,7 +27,7 @@
 }
 
 // reportFunc records a breach of a promise.
-type reportFunc func(promise, f string, a ...any)
+type reportFunc func(promise, format string, args ...any)
 
 // checkQuotas checks that in no rolling window the runners received more requests of a tenant than its quota allows.
 func (ev Evidence) checkQuotas(report reportFunc) {
--- a/internal/testing/drill/check_test.go
+++ b/internal/testing/drill/check_test.go
@@ -16,46 +16,46 @@
 	}
 	for name, corrupt := range map[string]func(*[]Outcome, *[]RunnerRequest){
 		"": func(*[]Outcome, *[]RunnerRequest) {},
-		"once": func(_ *[]Outcome, s *[]RunnerRequest) {
-			again := (*s)[0]
+		"once": func(_ *[]Outcome, r *[]RunnerRequest) {
+			again := (*r)[0]
 			again.Header = again.Header.Clone()
 			again.Header.Set("X-Yarrowridge-Query", "q2")
-			*s = append(*s, again)
+			*r = append(*r, again)
 		},
-		"sent-once": func(o *[]Outcome, s *[]RunnerRequest) { (*o)[0].Kind = "checks"; *s = append(*s, (*s)[0]) },
+		"sent-once": func(o *[]Outcome, r *[]RunnerRequest) { (*o)[0].Kind = "checks"; *r = append(*r, (*r)[0]) },
 		"not-run": func(o *[]Outcome, _ *[]RunnerRequest) {
 			(*o)[0].Status, (*o)[0].Complete, (*o)[0].Run = 502, false, "not run"
 		},
 		"answer":   func(o *[]Outcome, _ *[]RunnerRequest) { (*o)[0].Echo = "another's" },
-		"fidelity": func(_ *[]Outcome, s *[]RunnerRequest) { (*s)[0].Body = []byte("changed") },
+		"fidelity": func(_ *[]Outcome, r *[]RunnerRequest) { (*r)[0].Body = []byte("changed") },
 		"stream": func(o *[]Outcome, _ *[]RunnerRequest) {
 			(*o)[0].Kind, (*o)[0].Chunks = "writeups", []int{0, 1, 3}
 		},
-		"retry-after": func(o *[]Outcome, s *[]RunnerRequest) {
+		"retry-after": func(o *[]Outcome, r *[]RunnerRequest) {
 			(*o)[0].Status, (*o)[0].Complete, (*o)[0].Code, (*o)[0].Run = 503, false, "queue-full", "not run"
-			*s = nil
+			*r = nil
 		},
 	} {
 		outcomes, received := good()
 		corrupt(&outcomes, &received)
-		bad := Check(Evidence{Mix: mix, Outcomes: outcomes, RunnerRequests: received})
-		found := name == "" && len(bad) == 0
-		for _, b := range bad {
-			found = found || b.Promise == name
+		breaches := Check(Evidence{Mix: mix, Outcomes: outcomes, RunnerRequests: received})
+		found := name == "" && len(breaches) == 0
+		for _, breach := range breaches {
+			found = found || breach.Promise == name
 		}
 		if !found {
-			t.Errorf("got breaches %v, want %q", bad, name)
+			t.Errorf("got breaches %v, want %q", breaches, name)
 		}
 	}
 	for name, corrupt := range map[string]func(h http.Header){
-		"tenant":  func(h http.Header) { h.Set("X-Yarrowridge-Tenant", "yard-a") },
-		"key":     func(h http.Header) { h.Set("Authorization", "Bearer demo-casual") },
-		"nowhere": func(h http.Header) { h.Del("X-Drill-N") },
+		"tenant": func(h http.Header) { h.Set("X-Yarrowridge-Tenant", "yard-a") },
+		"key":    func(h http.Header) { h.Set("Authorization", "Bearer demo-casual") },
+		"number": func(h http.Header) { h.Del("X-Drill-N") },
 	} {
 		outcomes, received := good()
 		corrupt(received[0].Header)
-		if bad := Check(Evidence{Mix: mix, Outcomes: outcomes, RunnerRequests: received}); len(bad) == 0 || bad[0].Promise != "fidelity" {
-			t.Errorf("%s: got breaches %v, want fidelity", name, bad)
+		if breaches := Check(Evidence{Mix: mix, Outcomes: outcomes, RunnerRequests: received}); len(breaches) == 0 || breaches[0].Promise != "fidelity" {
+			t.Errorf("%s: got breaches %v, want fidelity", name, breaches)
 		}
 	}
 }
--- a/internal/testing/drill/configfaults.go
+++ b/internal/testing/drill/configfaults.go
@@ -51,12 +51,12 @@
 func (d *Day) writeConfigs(ctx context.Context) {
 	_, raw, _ := d.fleet.CallOperatorAPI(ctx, "GET", d.pickRouter().OperatorAddr, "/v1/fleet", nil, nil)
 	version := strconv.FormatUint(gjson.GetBytes(raw, "sequence").Uint(), 10)
-	var all sync.WaitGroup
+	var writes sync.WaitGroup
 	for range 3 {
 		number := d.nextNumber()
-		all.Go(func() { d.putConfig(ctx, d.config, number, version) }) // one of the three succeeds
+		writes.Go(func() { d.putConfig(ctx, d.config, number, version) }) // one of the three succeeds
 	}
-	all.Wait()
+	writes.Wait()
 	runloop.Sleep(ctx, time.Second) // long enough to observe a rejected config that takes effect all the same
 	for range 8 {
 		d.putConfig(ctx, d.config, d.nextNumber(), "*")
--- a/internal/testing/drill/day_test.go
+++ b/internal/testing/drill/day_test.go
@@ -69,7 +69,7 @@
 				return
 			}
 			if code != 1 || !strings.Contains(out.String(), "\n  "+c.promise+": ") {
-				t.Errorf("the drill ended with exit code %d and may not have reported the broken promise:\n%s", code, out.String())
+				t.Errorf("got exit code %d, want 1 and a breach of the promise %s:\n%s", code, c.promise, out.String())
 			}
 		})
 	}
--- a/internal/testing/drill/drill_test.go
+++ b/internal/testing/drill/drill_test.go
@@ -66,8 +66,8 @@
 			if err != nil {
 				t.Error(err)
 			}
-			for _, bad := range []string{"DATA RACE", "panic:"} {
-				if i := strings.Index(string(raw), bad); i >= 0 {
+			for _, sign := range []string{"DATA RACE", "panic:"} {
+				if i := strings.Index(string(raw), sign); i >= 0 {
 					t.Errorf("%s: %.3000s", p.Name, raw[i:])
 				}
 			}
@@ -135,8 +135,8 @@
 		if json.Unmarshal(raw, &shipped) != nil || json.Unmarshal(mix.ConfigJSON(), &current) != nil || fmt.Sprint(shipped) != fmt.Sprint(current) {
 			t.Errorf("examples/%s.json differs from the mix: regenerate it with drill config", mix.Name)
 		}
-		if _, bad := fleetconfig.Parse(raw); len(bad) > 0 {
-			t.Errorf("examples/%s.json: %v", mix.Name, bad)
+		if _, problems := fleetconfig.Parse(raw); len(problems) > 0 {
+			t.Errorf("examples/%s.json: %v", mix.Name, problems)
 		}
 	}
 }
--- a/internal/testing/drill/evidence.go
+++ b/internal/testing/drill/evidence.go
@@ -104,37 +104,37 @@
 }
 
 // Run polls every router until ctx ends.
-func (w *Monitor) Run(ctx context.Context) {
+func (m *Monitor) Run(ctx context.Context) {
 	runloop.Run(ctx, nil, 200*time.Millisecond, func(struct{}) {}, func() {
-		var all sync.WaitGroup
-		for _, r := range w.fleet.Routers {
-			all.Go(func() { w.readRouter(ctx, r) })
+		var reads sync.WaitGroup
+		for _, r := range m.fleet.Routers {
+			reads.Go(func() { m.readRouter(ctx, r) })
 		}
-		all.Wait()
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.tries.At = time.Now()
-		w.evidence.TryCounts = append(w.evidence.TryCounts, TryCount{w.tries.At, maps.Clone(w.tries.First), maps.Clone(w.tries.Second)})
+		reads.Wait()
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		m.tries.At = time.Now()
+		m.evidence.TryCounts = append(m.evidence.TryCounts, TryCount{m.tries.At, maps.Clone(m.tries.First), maps.Clone(m.tries.Second)})
 	})
 }
 
 // readRouter samples the config that a router applies and its counters of tries.
-func (w *Monitor) readRouter(ctx context.Context, r *Proc) {
+func (m *Monitor) readRouter(ctx context.Context, r *Proc) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	sentAt := time.Now()
-	code, body, err := w.fleet.CallOperatorAPI(ctx, "GET", r.OperatorAddr, "/v1/standing", nil, nil)
+	code, body, err := m.fleet.CallOperatorAPI(ctx, "GET", r.OperatorAddr, "/v1/standing", nil, nil)
 	if err != nil || code != 200 {
 		return
 	}
 	reading := ConfigReading{Router: r.Name, SentAt: sentAt, AnsweredAt: time.Now(), Version: gjson.GetBytes(body, "node.sequence").Uint(),
 		Hash: gjson.GetBytes(body, "layout_sha256").Str, Stale: gjson.GetBytes(body, "stale").Bool()}
 	runID := gjson.GetBytes(body, "node.born").Raw
-	_, body, err = w.fleet.CallOperatorAPI(ctx, "GET", r.OperatorAddr, "/metrics", nil, nil)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	_, body, err = m.fleet.CallOperatorAPI(ctx, "GET", r.OperatorAddr, "/metrics", nil, nil)
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if reading.Hash != "" {
-		w.evidence.ConfigReadings = append(w.evidence.ConfigReadings, reading)
+		m.evidence.ConfigReadings = append(m.evidence.ConfigReadings, reading)
 	}
 	if err != nil {
 		return
@@ -148,33 +148,33 @@
 		_, service, _ := strings.Cut(name, `service="`)
 		service, _, _ = strings.Cut(service, `"`)
 		key := r.Name + runID + name // the counters of a restarted router begin at zero
-		increase := value - w.counters[key]
-		w.counters[key] = value
+		increase := value - m.counters[key]
+		m.counters[key] = value
 		switch {
 		case strings.HasPrefix(name, "yarrowridge_first_tries_total"):
-			w.tries.First[service] += increase
+			m.tries.First[service] += increase
 		case strings.HasPrefix(name, "yarrowridge_second_tries_total") && strings.Contains(name, `let="yes"`):
-			w.tries.Second[service] += increase
+			m.tries.Second[service] += increase
 		}
 	}
 }
 
 // record changes the evidence under the lock.
-func (w *Monitor) record(add func(ev *Evidence)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	add(&w.evidence)
+func (m *Monitor) record(add func(ev *Evidence)) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	add(&m.evidence)
 }
 
 // Evidence returns the collected evidence with the clients' outcomes and the runners' request log.
-func (w *Monitor) Evidence(l *Load) Evidence {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	ev := w.evidence
+func (m *Monitor) Evidence(l *Load) Evidence {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	ev := m.evidence
 	ev.RouterZones = map[string]string{}
-	for _, r := range w.fleet.Routers {
+	for _, r := range m.fleet.Routers {
 		ev.RouterZones[r.Name] = r.Zone
 	}
-	ev.Mix, ev.Outcomes, ev.RunnerRequests = w.fleet.Mix, l.Outcomes(), w.fleet.RequestLog.All()
+	ev.Mix, ev.Outcomes, ev.RunnerRequests = m.fleet.Mix, l.Outcomes(), m.fleet.RequestLog.All()
 	return ev
 }
--- a/internal/testing/drill/fault_test.go
+++ b/internal/testing/drill/fault_test.go
@@ -372,8 +372,8 @@
 	}
 }
 
-// Half of the routers and two cores, the primary among them, are killed at once, and then every process. Each time every
-// kind of request is served again within 30 s.
+// Half of the routers, the primary and the second core are killed at once, and then every process. Each time every kind
+// of request is served again within 30 s.
 func TestHardFaults(t *testing.T) {
 	takeFleetSlot(t)
 	f := startTestFleet(t, Tokachi())
--- a/internal/testing/drill/fleet.go
+++ b/internal/testing/drill/fleet.go
@@ -39,11 +39,11 @@
 	hash := fleetconfig.HashKey(OperatorKey)
 	var err error
 	reserve := func() string {
-		a, e := f.reservePort("127.0.0.1")
-		if e != nil {
-			err = e
+		addr, portErr := f.reservePort("127.0.0.1")
+		if portErr != nil {
+			err = portErr
 		}
-		return a
+		return addr
 	}
 	var founders []string
 	for i := range 5 {
@@ -133,7 +133,8 @@
 	return p, nil
 }
 
-// InsertLinks puts forwarders between the zones, so that a zone can be isolated. It takes effect only before Start.
+// InsertLinks puts a forwarder in front of every process and runner, so that a zone can be isolated. It takes effect only
+// before Start.
 func (f *Fleet) InsertLinks() error {
 	f.Links = NewLinks(f.Mix.Zones)
 	forwarderAddrs := map[string]string{}
@@ -167,9 +168,9 @@
 			return err
 		}
 		s.links = f.Links
-		s.unreachable = func(to string) bool {
+		s.unreachable = func(addr string) bool {
 			for _, r := range f.Routers {
-				if r.RunnerAddr == to {
+				if r.RunnerAddr == addr {
 					blocked, _ := f.Links.Blocked(s.Labels["hall"], r.Zone)
 					return blocked
 				}
--- a/internal/testing/drill/links.go
+++ b/internal/testing/drill/links.go
@@ -97,11 +97,11 @@
 	f.listener = listener
 	go func() {
 		for {
-			con, err := listener.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go l.forward(con, f.zone, f.target)
+			go l.forward(conn, f.zone, f.target)
 		}
 	}()
 }
@@ -122,7 +122,7 @@
 	l.mu.Lock()
 	l.connections[in], l.connections[out] = true, true
 	l.mu.Unlock()
-	var all sync.WaitGroup
+	var relays sync.WaitGroup
 	relay := func(dst, src net.Conn) {
 		buf := make([]byte, 32<<10)
 		for {
@@ -130,15 +130,15 @@
 			for blocked, changed := l.Blocked(from, zone); blocked; blocked, changed = l.Blocked(from, zone) {
 				<-changed
 			}
-			if _, e := dst.Write(buf[:n]); e != nil || err != nil {
+			if _, writeErr := dst.Write(buf[:n]); writeErr != nil || err != nil {
 				break
 			}
 		}
 		_ = dst.(*net.TCPConn).CloseWrite() // fails if the peer has closed first
 	}
-	all.Go(func() { relay(out, in) })
+	relays.Go(func() { relay(out, in) })
 	relay(in, out)
-	all.Wait()
+	relays.Wait()
 	l.mu.Lock()
 	delete(l.connections, in)
 	delete(l.connections, out)
--- a/internal/testing/drill/main.go
+++ b/internal/testing/drill/main.go
@@ -130,11 +130,11 @@
 	}
 	printf(out, ": %d breaches\n", len(breaches))
 	printed := map[string]bool{}
-	for _, b := range breaches {
-		if !printed[b.Promise] {
-			printf(out, "  %s: %s\n", b.Promise, b.Detail)
+	for _, breach := range breaches {
+		if !printed[breach.Promise] {
+			printf(out, "  %s: %s\n", breach.Promise, breach.Detail)
 		}
-		printed[b.Promise] = true
+		printed[breach.Promise] = true
 	}
 	if err != nil {
 		printf(out, "  the day was cut short: %s\n", err)
--- a/internal/testing/drill/standin.go
+++ b/internal/testing/drill/standin.go
@@ -86,11 +86,11 @@
 	go func() {
 		t := time.NewTicker(500 * time.Millisecond)
 		defer t.Stop()
-		for attempt := 0; ; attempt++ {
-			if !s.muted.Load() && !s.sendHeartbeat(ctx, s.HeartbeatAddrs[attempt%len(s.HeartbeatAddrs)]) && runloop.Sleep(ctx, 20*time.Millisecond) {
+		for next := 0; ; next++ {
+			if !s.muted.Load() && !s.sendHeartbeat(ctx, s.HeartbeatAddrs[next%len(s.HeartbeatAddrs)]) && runloop.Sleep(ctx, 20*time.Millisecond) {
 				continue
 			}
-			attempt--
+			next--
 			select {
 			case <-ctx.Done():
 				return
@@ -303,9 +303,9 @@
 
 // breakConnection closes the connection of a response in the middle and aborts its handler.
 func breakConnection(w http.ResponseWriter) {
-	con, _, err := http.NewResponseController(w).Hijack()
+	conn, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
-		_ = con.Close()
+		_ = conn.Close()
 	}
 	panic(http.ErrAbortHandler)
 }
--- a/internal/testing/drill/stream_test.go
+++ b/internal/testing/drill/stream_test.go
@@ -218,8 +218,8 @@
 	// nextNumber finds an unused number whose prompt falls into a class of firstTaggedChunk: 2 if all executions answer
 	// it identically, 0 if none do.
 	next := uint64(1)
-	nextNumber := func(identical byte) uint64 {
-		for Echo(k.body(f.Mix.Model, next, requestRand(next)))[0]%3 != identical {
+	nextNumber := func(class byte) uint64 {
+		for Echo(k.body(f.Mix.Model, next, requestRand(next)))[0]%3 != class {
 			next++
 		}
 		next++
@@ -262,9 +262,9 @@
 	for _, m := range f.ModelRunners {
 		m.BreakStreamsAfter(0) // each router may make one second try, not two
 	}
-	identical, different := l.openStreamOfKind(t, f.Routers[1], k, "desk-a", nextNumber(2)), l.openStreamOfKind(t, f.Routers[1], k, "desk-a", nextNumber(0))
+	class, different := l.openStreamOfKind(t, f.Routers[1], k, "desk-a", nextNumber(2)), l.openStreamOfKind(t, f.Routers[1], k, "desk-a", nextNumber(0))
 	for i := range 20 {
-		if chunk, _ := identical.next(); chunk != i {
+		if chunk, _ := class.next(); chunk != i {
 			t.Fatalf("got chunk %d at position %d", chunk, i)
 		}
 		different.next()
@@ -278,8 +278,8 @@
 		}
 	}
 	at := time.Now()
-	n = readToEnd(identical)
-	if rest, end := l.resumeStream(t, f.Routers[3], "desk-a", identical.id, n); end != "done" || n+len(rest) != 300 || !isSequence(rest, n) {
+	n = readToEnd(class)
+	if rest, end := l.resumeStream(t, f.Routers[3], "desk-a", class.id, n); end != "done" || n+len(rest) != 300 || !isSequence(rest, n) {
 		t.Errorf("resumed after chunk %d: got %d chunks, ended with %q", n, len(rest), end)
 	}
 	t.Logf("the stream whose router was killed was complete after %s", time.Since(at).Round(10*time.Millisecond))
