--- a/internal/testing/drill/check_test.go
+++ b/internal/testing/drill/check_test.go
@@ -48,9 +48,9 @@
 		}
 	}
 	for name, corrupt := range map[string]func(h http.Header){
-		"tenant": func(h http.Header) { h.Set("X-Yarrowridge-Tenant", "yard-a") },
-		"key":    func(h http.Header) { h.Set("Authorization", "Bearer demo-casual") },
-		"number": func(h http.Header) { h.Del("X-Drill-N") },
+		"tenant":  func(h http.Header) { h.Set("X-Yarrowridge-Tenant", "yard-a") },
+		"key":     func(h http.Header) { h.Set("Authorization", "Bearer demo-casual") },
+		"nowhere": func(h http.Header) { h.Del("X-Drill-N") },
 	} {
 		outcomes, received := good()
 		corrupt(received[0].Header)
