--- a/internal/testing/drill/check.go
+++ b/internal/testing/drill/check.go
@@ -6,43 +6,46 @@
 	"time"
 )
 
-// Breach is one broken promise.
+// Breach is one violation of a promise of the fleet.
 type Breach struct {
 	Promise string
-	What    string
+	Detail  string
 }
 
-// Check holds all that was seen against the promises and names every broken one.
+// Check compares the evidence with the promises and returns every breach.
 func Check(ev Evidence) []Breach {
-	var bad []Breach
-	report := func(promise, f string, a ...any) { bad = append(bad, Breach{promise, fmt.Sprintf(f, a...)}) }
+	var breaches []Breach
+	report := func(promise, format string, args ...any) {
+		breaches = append(breaches, Breach{promise, fmt.Sprintf(format, args...)})
+	}
 	ev.checkRequests(report)
 	ev.checkConfigs(report)
 	ev.checkQuotas(report)
 	ev.checkTries(report)
 	ev.checkTimes(report)
-	return bad
+	return breaches
 }
 
-type reporter func(promise, f string, a ...any)
+// reportFunc records a breach of a promise.
+type reportFunc func(promise, format string, args ...any)
 
-// checkQuotas holds each tenant's requests, as runners saw them, against its quota in every rolling window.
-func (ev Evidence) checkQuotas(report reporter) {
-	for tenant, v := range ev.Mix.Config["tenants"].(object) {
-		q, ok := v.(object)["quota"].(object)
+// checkQuotas checks that in no rolling window the runners received more requests of a tenant than its quota allows.
+func (ev Evidence) checkQuotas(report reportFunc) {
+	for tenant, config := range ev.Mix.Config["tenants"].(object) {
+		quota, ok := config.(object)["quota"].(object)
 		if !ok {
 			continue
 		}
-		units, window := q["units"].(int), time.Duration(q["window_s"].(int))*time.Second
-		var at []time.Time
-		for _, s := range ev.Seen {
-			if s.Header.Get("X-Yarrowridge-Tenant") == tenant {
-				at = append(at, s.At)
+		units, window := quota["units"].(int), time.Duration(quota["window_s"].(int))*time.Second
+		var times []time.Time
+		for _, request := range ev.RunnerRequests {
+			if request.Header.Get("X-Yarrowridge-Tenant") == tenant {
+				times = append(times, request.ReceivedAt)
 			}
 		}
-		sort.Slice(at, func(i, j int) bool { return at[i].Before(at[j]) })
-		for i, j := 0, 0; i < len(at); i++ {
-			for at[i].Sub(at[j]) >= window {
+		sort.Slice(times, func(i, j int) bool { return times[i].Before(times[j]) })
+		for i, j := 0, 0; i < len(times); i++ {
+			for times[i].Sub(times[j]) >= window {
 				j++
 			}
 			if i-j+1 > units {
@@ -53,17 +56,18 @@
 	}
 }
 
-// checkTries holds second tries against first ones in every ten seconds, over the whole fleet.
-func (ev Evidence) checkTries(report reporter) {
-	for service, v := range ev.Mix.Config["services"].(object) {
-		spare := float64(v.(object)["second_spare"].(int))
+// checkTries checks that in every 10 s, over the whole fleet, the second tries to a service stay within 20 % of its
+// first tries plus the configured allowance.
+func (ev Evidence) checkTries(report reportFunc) {
+	for service, config := range ev.Mix.Config["services"].(object) {
+		allowance := float64(config.(object)["second_spare"].(int))
 		for i, j := 0, 0; j < len(ev.TryCounts); j++ {
 			for ev.TryCounts[j].At.Sub(ev.TryCounts[i].At) > 10*time.Second {
 				i++
 			}
-			a, b := ev.TryCounts[i], ev.TryCounts[j]
-			if first, again := b.First[service]-a.First[service], b.Again[service]-a.Again[service]; again > 0.2*first+spare {
-				report("second-tries", "%g second tries to %s beside %g first ones within %s", again, service, first, b.At.Sub(a.At).Round(time.Millisecond))
+			from, to := ev.TryCounts[i], ev.TryCounts[j]
+			if first, second := to.First[service]-from.First[service], to.Second[service]-from.Second[service]; second > 0.2*first+allowance {
+				report("second-tries", "%g second tries to %s beside %g first ones within %s", second, service, first, to.At.Sub(from.At).Round(time.Millisecond))
 				break
 			}
 		}
--- a/internal/testing/drill/drill_test.go
+++ b/internal/testing/drill/drill_test.go
@@ -19,8 +19,8 @@
 
 var bin string
 
-// build is how the daemons are built; under the race detector they carry it too.
-var build = []string{"build"}
+// buildArgs are the arguments of go that build the daemons. Under the race detector they include -race.
+var buildArgs = []string{"build"}
 
 func TestMain(m *testing.M) {
 	logx.Disable()
@@ -29,7 +29,7 @@
 		panic(err)
 	}
 	bin = dir
-	out, err := exec.Command("go", append(build, "-o", dir, "yarrowridge/cmd/router", "yarrowridge/cmd/core")...).CombinedOutput()
+	out, err := exec.Command("go", append(buildArgs, "-o", dir, "yarrowridge/cmd/router", "yarrowridge/cmd/core")...).CombinedOutput()
 	if err != nil {
 		fmt.Println(string(out))
 		os.Exit(1)
@@ -39,11 +39,12 @@
 	os.Exit(code)
 }
 
-// fleetSlots bounds how many fleets are up at once: their tests wait for real time most of the while, and hold promises to it.
+// fleetSlots limits how many fleets run at once. Their tests mostly wait, so that some can run in parallel, but they
+// check time limits in real time, so that too many would slow each other down.
 var fleetSlots = make(chan struct{}, 3)
 
-// takeFleetSlot lets a test run beside others once it may have a fleet. A test that holds a slot takes no second one, and
-// begins none of its time limits before.
+// takeFleetSlot makes a test parallel and waits for a slot, which the test keeps until its end. A test must not take a
+// second slot, and must start its time limits only afterwards.
 func takeFleetSlot(t *testing.T) {
 	t.Helper()
 	t.Parallel()
@@ -51,8 +52,8 @@
 	t.Cleanup(func() { <-fleetSlots })
 }
 
-// up starts a whole fleet of real processes.
-func up(t *testing.T, mix Mix) *Fleet {
+// startTestFleet starts a fleet of real processes. At the end of the test it fails if a log shows a data race or a panic.
+func startTestFleet(t *testing.T, mix Mix) *Fleet {
 	t.Helper()
 	f, err := NewFleet(mix, bin, t.TempDir())
 	if err != nil {
@@ -61,81 +62,81 @@
 	t.Cleanup(func() {
 		f.Stop()
 		for _, p := range append(append([]*Proc{}, f.Cores...), f.Routers...) {
-			raw, err := os.ReadFile(p.log)
+			raw, err := os.ReadFile(p.logPath)
 			if err != nil {
 				t.Error(err)
 			}
-			for _, bad := range []string{"DATA RACE", "panic:"} {
-				if i := strings.Index(string(raw), bad); i >= 0 {
+			for _, sign := range []string{"DATA RACE", "panic:"} {
+				if i := strings.Index(string(raw), sign); i >= 0 {
 					t.Errorf("%s: %.3000s", p.Name, raw[i:])
 				}
 			}
 		}
 	})
-	ctx, end := context.WithTimeout(t.Context(), 90*time.Second)
-	defer end()
+	ctx, cancel := context.WithTimeout(t.Context(), 90*time.Second)
+	defer cancel()
 	if err := f.Start(ctx); err != nil {
 		t.Fatal(err)
 	}
 	return f
 }
 
-// play asks n requests of each kind, one after the other at every router in turn.
-func play(l *Load, n int) {
+// sendToEachRouter sends n requests of each kind, one after the other, to the routers in turn.
+func sendToEachRouter(l *Load, n int) {
 	for _, k := range l.Fleet.Mix.Kinds {
 		for i := range n {
-			no := l.next.Add(1)
+			number := l.lastNumber.Add(1)
 			r := l.Fleet.Routers[i%len(l.Fleet.Routers)]
-			o := l.Ask(k, no, k.body(l.Fleet.Mix.Model, no, newRand(no)), tenantNames(l.Fleet.Mix)[0], r)
+			o := l.Send(k, number, k.body(l.Fleet.Mix.Model, number, requestRand(number)), tenantNames(l.Fleet.Mix)[0], r)
 			l.mu.Lock()
-			l.all = append(l.all, o)
+			l.outcomes = append(l.outcomes, o)
 			l.mu.Unlock()
 		}
 	}
 }
 
-// The whole path in separate processes: found, join, heartbeats, configuration, serve, whole and streamed.
-func TestWholePath(t *testing.T) {
+// A fleet of separate processes starts from nothing and serves each kind of request, streamed or not, at every router.
+func TestEndToEnd(t *testing.T) {
 	t.Parallel()
 	for _, mix := range []Mix{Trentvale(), Tokachi()} {
 		t.Run(mix.Name, func(t *testing.T) {
 			takeFleetSlot(t)
-			f := up(t, mix)
+			f := startTestFleet(t, mix)
 			l := NewLoad(f, 1, 1)
-			play(l, len(f.Routers))
-			outcomes := l.All()
-			if s := Total(outcomes); s.Done != s.Requests || s.Requests != len(mix.Kinds)*len(f.Routers) {
-				t.Errorf("%d of %d queries done: %v", s.Done, s.Requests, s.Codes)
+			sendToEachRouter(l, len(f.Routers))
+			outcomes := l.Outcomes()
+			if s := Summarize(outcomes); s.Done != s.Attempts || s.Attempts != len(mix.Kinds)*len(f.Routers) {
+				t.Errorf("%d of %d requests succeeded, error codes %v", s.Done, s.Attempts, s.Codes)
 			}
-			for _, b := range Check(Evidence{Mix: mix, Outcomes: outcomes, Seen: f.RequestLog.All()}) {
-				t.Errorf("%s: %s", b.Promise, b.What)
+			for _, breach := range Check(Evidence{Mix: mix, Outcomes: outcomes, RunnerRequests: f.RequestLog.All()}) {
+				t.Errorf("%s: %s", breach.Promise, breach.Detail)
 			}
-			// The fleet's state tells with whom each router exchanges news, and the routers say the same.
-			_, whole, err := f.Ask(t.Context(), "GET", f.Cores[0].Operator, "/v1/fleet", nil, nil)
+			// The state of the fleet and each router itself report the same relays for the router.
+			_, fleetState, err := f.CallOperatorAPI(t.Context(), "GET", f.Cores[0].OperatorAddr, "/v1/fleet", nil, nil)
 			for _, r := range f.Routers {
-				_, own, e := f.Ask(t.Context(), "GET", r.Operator, "/v1/relays", nil, nil)
-				a, b := gjson.GetBytes(whole, "relays."+r.Name).Raw, gjson.GetBytes(own, "near.#.Name").Raw
-				if err != nil || e != nil || a == "[]" || a != b {
-					t.Errorf("%s: relays %s by the fleet's state, %s by itself", r.Name, a, b)
+				_, routerState, routerErr := f.CallOperatorAPI(t.Context(), "GET", r.OperatorAddr, "/v1/relays", nil, nil)
+				fromFleet, fromRouter := gjson.GetBytes(fleetState, "relays."+r.Name).Raw, gjson.GetBytes(routerState, "near.#.Name").Raw
+				if err != nil || routerErr != nil || fromFleet == "[]" || fromFleet != fromRouter {
+					t.Errorf("%s: the fleet's state reports the relays %s, the router reports %s", r.Name, fromFleet, fromRouter)
 				}
 			}
 		})
 	}
 }
 
-// The shipped examples are the mixes' configs, and hold.
+// The shipped example configs equal the mixes' configs and are valid.
 func TestExamples(t *testing.T) {
 	for _, mix := range []Mix{Trentvale(), Tokachi()} {
 		raw, err := os.ReadFile(filepath.Join("..", "..", "..", "examples", mix.Name+".json"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		var a, b any
-		if json.Unmarshal(raw, &a) != nil || json.Unmarshal(mix.Raw(), &b) != nil || fmt.Sprint(a) != fmt.Sprint(b) {
-			t.Errorf("examples/%s.json differs from the mix: write it anew with drill config", mix.Name)
+		var shipped, current any
+		if json.Unmarshal(raw, &shipped) != nil || json.Unmarshal(mix.ConfigJSON(), &current) != nil || fmt.Sprint(shipped) != fmt.Sprint(current) {
+			t.Errorf("examples/%s.json differs from the mix: regenerate it with drill config", mix.Name)
 		}
-		if _, bad := fleetconfig.Parse(raw); len(bad) > 0 {
-			t.Errorf("examples/%s.json: %v", mix.Name, bad)
+		if _, problems := fleetconfig.Parse(raw); len(problems) > 0 {
+			t.Errorf("examples/%s.json: %v", mix.Name, problems)
 		}
 	}
 }
--- a/internal/testing/drill/evidence.go
+++ b/internal/testing/drill/evidence.go
@@ -15,81 +15,82 @@
 	"yarrowridge/internal/lib/runloop"
 )
 
-// ConfigWrite is one write of an operator, and what came of it.
+// ConfigWrite is an operator's write of the config and its result.
 type ConfigWrite struct {
 	SentAt, AnsweredAt time.Time
-	Code               int // 0: the connection broke
+	Code               int // HTTP status; 0 if the connection broke
 	Version            uint64
-	Hash               string // of the whole config it would make
+	Hash               string // of the whole config that results if the write succeeds
 }
 
-// ConfigReading is one look at the config that a router obeys.
+// ConfigReading is the config that a router reported as the one that it applies.
 type ConfigReading struct {
 	Router     string
-	AskedAt    time.Time
+	SentAt     time.Time
 	AnsweredAt time.Time
 	Version    uint64
 	Hash       string
 	Stale      bool
 }
 
-// TryCount is the fleet's tries so far, by service, at one moment.
+// TryCount is a sample of the fleet's counters of first and second tries, by service.
 type TryCount struct {
-	At           time.Time
-	First, Again map[string]float64
+	At            time.Time
+	First, Second map[string]float64
 }
 
-// Departure is a runner's word that it leaves, as its heartbeat was answered.
+// Departure is a runner's announcement that it leaves, at the time when its heartbeat was acknowledged.
 type Departure struct {
 	Runner, RunID string
 	At            time.Time
 }
 
-// PlannedStop is a planned stop of a router, from its warning to its end.
+// PlannedStop is the stop of a router with SIGTERM, from the signal to the end of the process.
 type PlannedStop struct {
 	Router   string
 	From, To time.Time
 }
 
-// KeyWithdrawal is a tenant without a key, from the write's acknowledgement to the next that gives it one.
-type KeyWithdrawal struct {
+// KeyRevocation is a time in which a tenant had no key: from the acknowledgement of the write that removed its key until
+// just before the write that restored it.
+type KeyRevocation struct {
 	Tenant   string
 	From, To time.Time
 }
 
-// HardFault is a hard fault, and the kinds of request that have to be served again after it.
+// HardFault is a crash, a freeze or a lost disk. Every kind of request has to be served again soon after it.
 type HardFault struct {
 	Name string
 	At   time.Time
 }
 
-// LinkCut is a zone's link cut, from its cut to its healing.
-type LinkCut struct {
+// Partition is a time in which a zone was isolated from the others, until just before the link was restored.
+type Partition struct {
 	Zone     string
 	From, To time.Time
 }
 
-// Evidence is all that was seen of a fleet from outside.
+// Evidence is everything that was observed of a fleet from outside.
 type Evidence struct {
 	Mix            Mix
 	Outcomes       []Outcome
-	Seen           []Seen
+	RunnerRequests []RunnerRequest
 	ConfigWrites   []ConfigWrite
 	ConfigReadings []ConfigReading
 	TryCounts      []TryCount
 	Departures     []Departure
 	PlannedStops   []PlannedStop
-	KeyWithdrawals []KeyWithdrawal
+	KeyRevocations []KeyRevocation
 	HardFaults     []HardFault
-	LinkCuts       []LinkCut
-	Zones          map[string]string // each router's
-	Final          *ConfigWrite      // what was read back at the end
-	End            time.Time         // of the traffic
-	Slack          time.Duration     // what a slow machine is given beyond a promise's time
+	Partitions     []Partition
+	RouterZones    map[string]string // by router
+	FinalConfig    *ConfigWrite      // as read back after the traffic
+	TrafficEnd     time.Time
+	Slack          time.Duration // added to the time limits of the promises for a slow machine
 }
 
-// Watch gathers what the fleet's processes tell of themselves.
-type Watch struct {
+// Monitor collects evidence from the operator API and the metrics of the fleet's routers.
+type Monitor struct {
 	fleet    *Fleet
 	mu       sync.Mutex
 	evidence Evidence
@@ -97,82 +98,83 @@
 	counters map[string]float64
 }
 
-// NewWatch begins with nothing seen.
-func NewWatch(f *Fleet) *Watch {
-	return &Watch{fleet: f, tries: TryCount{First: map[string]float64{}, Again: map[string]float64{}}, counters: map[string]float64{}}
+// NewMonitor returns a monitor without evidence.
+func NewMonitor(f *Fleet) *Monitor {
+	return &Monitor{fleet: f, tries: TryCount{First: map[string]float64{}, Second: map[string]float64{}}, counters: map[string]float64{}}
 }
 
-// Run looks at every router, again and again, until ctx ends.
-func (w *Watch) Run(ctx context.Context) {
+// Run polls every router until ctx ends.
+func (m *Monitor) Run(ctx context.Context) {
 	runloop.Run(ctx, nil, 200*time.Millisecond, func(struct{}) {}, func() {
-		var all sync.WaitGroup
-		for _, r := range w.fleet.Routers {
-			all.Go(func() { w.readRouter(ctx, r) })
+		var reads sync.WaitGroup
+		for _, r := range m.fleet.Routers {
+			reads.Go(func() { m.readRouter(ctx, r) })
 		}
-		all.Wait()
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.tries.At = time.Now()
-		w.evidence.TryCounts = append(w.evidence.TryCounts, TryCount{w.tries.At, maps.Clone(w.tries.First), maps.Clone(w.tries.Again)})
+		reads.Wait()
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		m.tries.At = time.Now()
+		m.evidence.TryCounts = append(m.evidence.TryCounts, TryCount{m.tries.At, maps.Clone(m.tries.First), maps.Clone(m.tries.Second)})
 	})
 }
 
-func (w *Watch) readRouter(ctx context.Context, r *Proc) {
-	ctx, end := context.WithTimeout(ctx, time.Second)
-	defer end()
-	at := time.Now()
-	code, raw, err := w.fleet.Ask(ctx, "GET", r.Operator, "/v1/standing", nil, nil)
+// readRouter samples the config that a router applies and its counters of tries.
+func (m *Monitor) readRouter(ctx context.Context, r *Proc) {
+	ctx, cancel := context.WithTimeout(ctx, time.Second)
+	defer cancel()
+	sentAt := time.Now()
+	code, body, err := m.fleet.CallOperatorAPI(ctx, "GET", r.OperatorAddr, "/v1/standing", nil, nil)
 	if err != nil || code != 200 {
 		return
 	}
-	s := ConfigReading{Router: r.Name, AskedAt: at, AnsweredAt: time.Now(), Version: gjson.GetBytes(raw, "node.sequence").Uint(),
-		Hash: gjson.GetBytes(raw, "layout_sha256").Str, Stale: gjson.GetBytes(raw, "stale").Bool()}
-	born := gjson.GetBytes(raw, "node.born").Raw
-	_, raw, err = w.fleet.Ask(ctx, "GET", r.Operator, "/metrics", nil, nil)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if s.Hash != "" {
-		w.evidence.ConfigReadings = append(w.evidence.ConfigReadings, s)
+	reading := ConfigReading{Router: r.Name, SentAt: sentAt, AnsweredAt: time.Now(), Version: gjson.GetBytes(body, "node.sequence").Uint(),
+		Hash: gjson.GetBytes(body, "layout_sha256").Str, Stale: gjson.GetBytes(body, "stale").Bool()}
+	runID := gjson.GetBytes(body, "node.born").Raw
+	_, body, err = m.fleet.CallOperatorAPI(ctx, "GET", r.OperatorAddr, "/metrics", nil, nil)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if reading.Hash != "" {
+		m.evidence.ConfigReadings = append(m.evidence.ConfigReadings, reading)
 	}
 	if err != nil {
 		return
 	}
-	for sc := bufio.NewScanner(bytes.NewReader(raw)); sc.Scan(); {
-		name, val, ok := strings.Cut(sc.Text(), " ")
-		v, e := strconv.ParseFloat(val, 64)
-		if !ok || e != nil || !strings.Contains(name, "service=") {
+	for scanner := bufio.NewScanner(bytes.NewReader(body)); scanner.Scan(); {
+		name, text, ok := strings.Cut(scanner.Text(), " ")
+		value, parseErr := strconv.ParseFloat(text, 64)
+		if !ok || parseErr != nil || !strings.Contains(name, "service=") {
 			continue
 		}
 		_, service, _ := strings.Cut(name, `service="`)
 		service, _, _ = strings.Cut(service, `"`)
-		key := r.Name + born + name // a router that starts again counts from zero
-		d := v - w.counters[key]
-		w.counters[key] = v
+		key := r.Name + runID + name // the counters of a restarted router begin at zero
+		increase := value - m.counters[key]
+		m.counters[key] = value
 		switch {
 		case strings.HasPrefix(name, "yarrowridge_first_tries_total"):
-			w.tries.First[service] += d
+			m.tries.First[service] += increase
 		case strings.HasPrefix(name, "yarrowridge_second_tries_total") && strings.Contains(name, `let="yes"`):
-			w.tries.Again[service] += d
+			m.tries.Second[service] += increase
 		}
 	}
 }
 
-// note adds to the evidence.
-func (w *Watch) note(do func(ev *Evidence)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	do(&w.evidence)
+// record changes the evidence under the lock.
+func (m *Monitor) record(add func(ev *Evidence)) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	add(&m.evidence)
 }
 
-// Evidence is all that was seen, with the clients' outcomes and the runners' request logs.
-func (w *Watch) Evidence(l *Load) Evidence {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	ev := w.evidence
-	ev.Zones = map[string]string{}
-	for _, r := range w.fleet.Routers {
-		ev.Zones[r.Name] = r.Zone
+// Evidence returns the collected evidence with the clients' outcomes and the runners' request log.
+func (m *Monitor) Evidence(l *Load) Evidence {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	ev := m.evidence
+	ev.RouterZones = map[string]string{}
+	for _, r := range m.fleet.Routers {
+		ev.RouterZones[r.Name] = r.Zone
 	}
-	ev.Mix, ev.Outcomes, ev.Seen = w.fleet.Mix, l.All(), w.fleet.RequestLog.All()
+	ev.Mix, ev.Outcomes, ev.RunnerRequests = m.fleet.Mix, l.Outcomes(), m.fleet.RequestLog.All()
 	return ev
 }
--- a/internal/testing/drill/links.go
+++ b/internal/testing/drill/links.go
@@ -9,111 +9,112 @@
 	"time"
 )
 
-// Links carries all that goes between the zones of a rehearsal fleet: each process is known by a
-// forwarder's address, and dials from its zone's own, so that the link of one zone can be cut.
+// Links carries all connections between the processes of a fleet, so that a zone can be isolated. Each process is
+// reached through a forwarder and dials from an address of its zone, which identifies the zone of the caller.
 type Links struct {
 	zones       []string
 	mu          sync.Mutex
-	cut         string        // the zone that is cut off, or ""
-	changed     chan struct{} // closed with each change
+	isolated    string        // the isolated zone, or ""
+	changed     chan struct{} // closed and replaced at each change of isolated
 	forwarders  map[string]*forwarder
 	connections map[net.Conn]bool
 }
 
-// forwarder listens for one process, in front of it.
+// forwarder accepts connections on behalf of one process.
 type forwarder struct {
-	listener net.Listener // nil while it is shut
-	zone, to string
+	listener     net.Listener // nil while connections are refused
+	zone, target string
 }
 
-// NewLinks makes links between zones.
+// NewLinks returns links between the given zones, none of them isolated.
 func NewLinks(zones []string) *Links {
 	return &Links{zones: zones, changed: make(chan struct{}), forwarders: map[string]*forwarder{}, connections: map[net.Conn]bool{}}
 }
 
-// IP is the loopback address that a zone's processes listen on and dial from.
+// IP returns the loopback address that a zone's processes listen on and dial from.
 func (l *Links) IP(zone string) string {
 	return fmt.Sprintf("127.0.%d.1", 10+slices.Index(l.zones, zone))
 }
 
-// Cut cuts a zone off from all others; "" heals. What is under way waits, as on a line that is down.
-func (l *Links) Cut(zone string) {
+// Isolate separates a zone from all others; "" ends that. Open connections stay open and their data waits, as on a
+// network link that is down.
+func (l *Links) Isolate(zone string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut = zone
+	l.isolated = zone
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// Blocked reports whether nothing gets from one zone to another, and when to ask again.
+// Blocked reports whether two zones are separated. The channel is closed when that may have changed.
 func (l *Links) Blocked(a, b string) (bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return a != b && l.cut != "" && (a == l.cut || b == l.cut), l.changed
+	return a != b && l.isolated != "" && (a == l.isolated || b == l.isolated), l.changed
 }
 
-// Open forwards a new address to a process of a zone.
-func (l *Links) Open(zone, to string) (string, error) {
+// Open starts a forwarder to the address of a process in a zone, and returns its own address.
+func (l *Links) Open(zone, target string) (string, error) {
 	listener, err := freePort("127.0.0.1")
 	if err != nil {
 		return "", err
 	}
-	at := listener.Addr().String()
+	addr := listener.Addr().String()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.forwarders[at] = &forwarder{zone: zone, to: to}
-	l.serve(l.forwarders[at], listener)
-	return at, nil
+	l.forwarders[addr] = &forwarder{zone: zone, target: target}
+	l.serve(l.forwarders[addr], listener)
+	return addr, nil
 }
 
-// Refuse refuses connections to a forwarder's address, as a machine does on which nobody listens.
-func (l *Links) Refuse(at string) {
+// Refuse closes a forwarder's listener, so that connections are refused as on a port without a listener.
+func (l *Links) Refuse(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if d := l.forwarders[at]; d.listener != nil {
-		_ = d.listener.Close()
-		d.listener = nil
+	if f := l.forwarders[addr]; f.listener != nil {
+		_ = f.listener.Close()
+		f.listener = nil
 	}
 }
 
-// Accept ends Refuse.
-func (l *Links) Accept(at string) error {
+// Accept listens again after Refuse.
+func (l *Links) Accept(addr string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	d := l.forwarders[at]
-	if d.listener != nil {
+	f := l.forwarders[addr]
+	if f.listener != nil {
 		return nil
 	}
-	listener, err := net.Listen("tcp", at)
+	listener, err := net.Listen("tcp", addr)
 	if err == nil {
-		l.serve(d, listener)
+		l.serve(f, listener)
 	}
 	return err
 }
 
-// serve begins to forward; the caller holds the lock.
-func (l *Links) serve(d *forwarder, listener net.Listener) {
-	d.listener = listener
+// serve starts to accept and forward connections. The caller holds the lock.
+func (l *Links) serve(f *forwarder, listener net.Listener) {
+	f.listener = listener
 	go func() {
 		for {
-			con, err := listener.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go l.forward(con, d.zone, d.to)
+			go l.forward(conn, f.zone, f.target)
 		}
 	}()
 }
 
-func (l *Links) forward(in net.Conn, zone, to string) {
-	from := zone // the drill's own calls are never cut
+func (l *Links) forward(in net.Conn, zone, target string) {
+	from := zone // the drill's own calls count as calls from within the zone, and are never blocked
 	ip, _, _ := strings.Cut(in.RemoteAddr().String(), ":")
-	for _, h := range l.zones {
-		if l.IP(h) == ip {
-			from = h
+	for _, z := range l.zones {
+		if l.IP(z) == ip {
+			from = z
 		}
 	}
-	out, err := net.DialTimeout("tcp", to, 2*time.Second)
+	out, err := net.DialTimeout("tcp", target, 2*time.Second)
 	if err != nil {
 		_ = in.Close()
 		return
@@ -121,23 +122,23 @@
 	l.mu.Lock()
 	l.connections[in], l.connections[out] = true, true
 	l.mu.Unlock()
-	var all sync.WaitGroup
-	pass := func(dst, src net.Conn) {
+	var relays sync.WaitGroup
+	relay := func(dst, src net.Conn) {
 		buf := make([]byte, 32<<10)
 		for {
 			n, err := src.Read(buf)
 			for blocked, changed := l.Blocked(from, zone); blocked; blocked, changed = l.Blocked(from, zone) {
 				<-changed
 			}
-			if _, e := dst.Write(buf[:n]); e != nil || err != nil {
+			if _, writeErr := dst.Write(buf[:n]); writeErr != nil || err != nil {
 				break
 			}
 		}
-		_ = dst.(*net.TCPConn).CloseWrite() // its other end may have gone first
+		_ = dst.(*net.TCPConn).CloseWrite() // fails if the peer has closed first
 	}
-	all.Go(func() { pass(out, in) })
-	pass(in, out)
-	all.Wait()
+	relays.Go(func() { relay(out, in) })
+	relay(in, out)
+	relays.Wait()
 	l.mu.Lock()
 	delete(l.connections, in)
 	delete(l.connections, out)
@@ -146,14 +147,14 @@
 	_ = out.Close()
 }
 
-// Close ends all forwarding.
+// Close ends all forwarders and their connections.
 func (l *Links) Close() {
-	l.Cut("")
+	l.Isolate("")
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, d := range l.forwarders {
-		if d.listener != nil {
-			_ = d.listener.Close()
+	for _, f := range l.forwarders {
+		if f.listener != nil {
+			_ = f.listener.Close()
 		}
 	}
 	for c := range l.connections {
--- a/internal/testing/drill/load.go
+++ b/internal/testing/drill/load.go
@@ -21,141 +21,143 @@
 	"yarrowridge/internal/lib/runloop"
 )
 
-// Outcome is one try of an client, as the client saw it.
+// Outcome is the result of one attempt of a client at one router, as the client observed it.
 type Outcome struct {
-	Kind      string
-	Number    uint64
-	Key       string
-	Tenant    string
-	Router    string
-	Path      string
-	Body      []byte
-	Begun     time.Time
-	Took      time.Duration
-	Status    int
-	Code      string   // of a rejection or error
-	Run       string   // "not run" or "unknown", as said by the router
-	Retry     string   // Retry-After
-	RequestID string   // the router's id
-	Whole     bool     // the whole answer came, and says it is complete
-	Pieces    []int    // numbers of the stream's pieces, as they came
-	Marks     []string // the runs that made them, where pieces tell
-	Echo      string
-	Err       string // the connection broke
-	Resumed   int    // times the stream was asked for again
+	Kind           string
+	Number         uint64
+	IdempotencyKey string
+	Tenant         string
+	Router         string
+	Path           string
+	Body           []byte
+	StartedAt      time.Time
+	Duration       time.Duration
+	Status         int
+	Code           string   // error code of a rejection or failure
+	Run            string   // "not run" or "unknown", as reported by the router
+	RetryAfter     string   // the header Retry-After
+	RequestID      string   // the router's ID of the request
+	Complete       bool     // the answer was received to its end marker, if it has one
+	Chunks         []int    // numbers of the stream's chunks in the order received
+	ExecutionIDs   []string // executions that generated the chunks, as far as chunks name them
+	Echo           string
+	Err            string // set if the connection broke
+	Resumed        int    // how often resuming the stream was tried
 }
 
-// served reports whether the client has a whole answer.
-func (o *Outcome) served() bool { return o.Whole && o.Status == 200 }
+// succeeded reports whether the client got a complete answer.
+func (o *Outcome) succeeded() bool { return o.Complete && o.Status == 200 }
 
-// Load plays a mix's clients against a fleet.
+// Load sends the requests of a mix's clients to a fleet.
 type Load struct {
-	Fleet *Fleet
-	Scale float64
-	Seed  uint64
-	Tries int // of one request, at another router each
+	Fleet       *Fleet
+	Scale       float64
+	Seed        uint64
+	MaxAttempts int // of one request, each at the next router
 
-	next atomic.Uint64
-	mu   sync.Mutex
-	all  []Outcome
-	http *http.Client
+	lastNumber atomic.Uint64
+	mu         sync.Mutex
+	outcomes   []Outcome
+	http       *http.Client
 }
 
-// NewLoad makes a load; equal seeds ask the same things in the same order.
+// NewLoad returns a load. Equal seeds give the same requests in the same order for each kind.
 func NewLoad(f *Fleet, scale float64, seed uint64) *Load {
-	return &Load{Fleet: f, Scale: scale, Seed: seed, Tries: 6, http: &http.Client{Timeout: 40 * time.Second, Transport: &http.Transport{
+	return &Load{Fleet: f, Scale: scale, Seed: seed, MaxAttempts: 6, http: &http.Client{Timeout: 40 * time.Second, Transport: &http.Transport{
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxIdleConnsPerHost: 64, DisableCompression: true}}}
 }
 
-// Run plays until ctx ends, then waits for what is under way.
+// Run sends requests until ctx ends, then waits for those in flight.
 func (l *Load) Run(ctx context.Context) {
-	var all sync.WaitGroup
+	var requests sync.WaitGroup
 	for i, k := range l.Fleet.Mix.Kinds {
-		r := rand.New(rand.NewPCG(l.Seed, uint64(i)))
-		all.Go(func() { l.kind(ctx, k, l.Scale, r, &all) })
+		random := rand.New(rand.NewPCG(l.Seed, uint64(i)))
+		requests.Go(func() { l.generate(ctx, k, l.Scale, random, &requests) })
 	}
-	all.Wait()
+	requests.Wait()
 }
 
-// Burst plays on top of the load for as long as ctx runs: scale times the mix's own traffic, over docs
-// shared prefixes where docs is above zero.
-func (l *Load) Burst(ctx context.Context, scale float64, docs int) {
-	var all sync.WaitGroup
+// Burst adds scale times the mix's own traffic to the load until ctx ends. If prefixes is above zero, it replaces the
+// number of shared prompt prefixes of each kind.
+func (l *Load) Burst(ctx context.Context, scale float64, prefixes int) {
+	var requests sync.WaitGroup
 	for i, k := range l.Fleet.Mix.Kinds {
-		if docs > 0 {
-			k.Docs = docs
+		if prefixes > 0 {
+			k.PrefixCount = prefixes
 		}
-		all.Go(func() { l.kind(ctx, k, scale, rand.New(rand.NewPCG(l.Seed, uint64(100+i))), &all) })
+		requests.Go(func() { l.generate(ctx, k, scale, rand.New(rand.NewPCG(l.Seed, uint64(100+i))), &requests) })
 	}
-	all.Wait()
+	requests.Wait()
 }
 
-// kind asks for one kind of request at its pace until ctx ends.
-func (l *Load) kind(ctx context.Context, k Kind, scale float64, r *rand.Rand, all *sync.WaitGroup) {
+// generate sends requests of one kind, at random intervals with the rate of the kind, until ctx ends.
+func (l *Load) generate(ctx context.Context, k RequestKind, scale float64, random *rand.Rand, requests *sync.WaitGroup) {
 	for {
-		wait := time.Duration(r.ExpFloat64() / (k.Rate * scale) * float64(time.Second))
+		wait := time.Duration(random.ExpFloat64() / (k.Rate * scale) * float64(time.Second))
 		if !runloop.Sleep(ctx, wait) {
 			return
 		}
-		n := l.next.Add(1)
-		body := k.body(l.Fleet.Mix.Model, n, r)
-		from := r.IntN(len(l.Fleet.Routers))
-		tenant := l.tenant(r)
-		all.Go(func() { l.one(k, n, body, tenant, from) })
+		number := l.lastNumber.Add(1)
+		body := k.body(l.Fleet.Mix.Model, number, random)
+		first := random.IntN(len(l.Fleet.Routers))
+		tenant := l.pickTenant(random)
+		requests.Go(func() { l.sendWithRetries(k, number, body, tenant, first) })
 	}
 }
 
-func (l *Load) tenant(r *rand.Rand) string {
-	list := tenantNames(l.Fleet.Mix)
-	// A few tenants are large: half of the traffic is two of them's. None has a quota.
-	if r.IntN(2) == 0 {
-		return list[1+r.IntN(2)]
+// pickTenant draws the tenant that sends a request.
+func (l *Load) pickTenant(random *rand.Rand) string {
+	names := tenantNames(l.Fleet.Mix)
+	// Two tenants send half of the traffic, and their share of the rest. Neither has a quota.
+	if random.IntN(2) == 0 {
+		return names[1+random.IntN(2)]
 	}
-	return list[r.IntN(len(list))]
+	return names[random.IntN(len(names))]
 }
 
-// one asks until the request has an outcome that another try can't better.
-func (l *Load) one(k Kind, n uint64, body []byte, tenant string, from int) {
-	for try := range l.Tries {
-		r := l.Fleet.Routers[(from+try)%len(l.Fleet.Routers)]
-		o := l.Ask(k, n, body, tenant, r)
-		for i := 1; i < len(l.Fleet.Routers) && o.broken(k); i++ {
-			l.Resume(&o, l.Fleet.Routers[(from+try+i)%len(l.Fleet.Routers)])
+// sendWithRetries sends a request to one router after another until a further attempt is not allowed or could not
+// improve the outcome. Streams that break off are resumed.
+func (l *Load) sendWithRetries(k RequestKind, number uint64, body []byte, tenant string, first int) {
+	for attempt := range l.MaxAttempts {
+		r := l.Fleet.Routers[(first+attempt)%len(l.Fleet.Routers)]
+		o := l.Send(k, number, body, tenant, r)
+		for i := 1; i < len(l.Fleet.Routers) && o.isTruncated(k); i++ {
+			l.Resume(&o, l.Fleet.Routers[(first+attempt+i)%len(l.Fleet.Routers)])
 		}
 		l.mu.Lock()
-		l.all = append(l.all, o)
+		l.outcomes = append(l.outcomes, o)
 		l.mu.Unlock()
-		again := o.Err != "" || o.Run == "not run" || o.Code == "still-running"
+		retry := o.Err != "" || o.Run == "not run" || o.Code == "still-running"
 		if !k.Once && !strings.HasPrefix(k.Method, "G") && o.Err != "" {
-			again = o.Status == 0 // the connection was refused
+			retry = o.Status == 0 // the connection was refused
 		}
 		if k.Once && o.Code == "runner-lost" {
-			again = true // with its key, to learn what became of it
+			retry = true // with the same idempotency key, the answer is the outcome of the first attempt
 		}
-		if !again || o.Status == 402 || o.Status == 429 || o.Code == "outcome-unknown" {
+		if !retry || o.Status == 402 || o.Status == 429 || o.Code == "outcome-unknown" {
 			return
 		}
 		wait := 200 * time.Millisecond
-		if s, err := strconv.Atoi(o.Retry); err == nil {
+		if s, err := strconv.Atoi(o.RetryAfter); err == nil {
 			wait = min(time.Duration(s)*time.Second, 2*time.Second)
 		}
 		time.Sleep(wait)
 	}
 }
 
-// broken reports whether a stream broke off with no word of its end.
-func (o *Outcome) broken(k Kind) bool {
-	return k.Stream && o.Status == 200 && !o.Whole && o.Code == "" && o.RequestID != ""
+// isTruncated reports whether a stream broke off without an end marker or an error.
+func (o *Outcome) isTruncated(k RequestKind) bool {
+	return k.Stream && o.Status == 200 && !o.Complete && o.Code == "" && o.RequestID != ""
 }
 
-// Resume asks a router for the rest of a stream that broke off.
+// Resume requests the rest of a truncated stream from a router.
 func (l *Load) Resume(o *Outcome, r *Proc) {
-	req, err := http.NewRequest("GET", "http://"+r.Client+"/v1/streams/"+o.RequestID, nil)
+	req, err := http.NewRequest("GET", "http://"+r.ClientAddr+"/v1/streams/"+o.RequestID, nil)
 	if err != nil {
 		return
 	}
-	req.Header.Set("Authorization", "Bearer "+Key(o.Tenant))
-	req.Header.Set("Last-Event-ID", strconv.Itoa(len(o.Pieces)))
+	req.Header.Set("Authorization", "Bearer "+TenantKey(o.Tenant))
+	req.Header.Set("Last-Event-ID", strconv.Itoa(len(o.Chunks)))
 	o.Resumed++
 	response, err := l.http.Do(req)
 	if err != nil {
@@ -170,17 +172,17 @@
 		return
 	}
 	o.Err = ""
-	o.stream(response.Body)
+	o.readStream(response.Body)
 }
 
-// Ask makes one try at one router.
-func (l *Load) Ask(k Kind, n uint64, body []byte, tenant string, r *Proc) (o Outcome) {
-	o = Outcome{Kind: k.Name, Number: n, Tenant: tenant, Router: r.Name, Body: body, Begun: time.Now(), Path: k.Path}
-	defer func() { o.Took = time.Since(o.Begun) }()
+// Send makes one attempt at one router.
+func (l *Load) Send(k RequestKind, number uint64, body []byte, tenant string, r *Proc) (o Outcome) {
+	o = Outcome{Kind: k.Name, Number: number, Tenant: tenant, Router: r.Name, Body: body, StartedAt: time.Now(), Path: k.Path}
+	defer func() { o.Duration = time.Since(o.StartedAt) }()
 	if k.Method == "GET" {
-		o.Path += strconv.FormatUint(n, 10)
+		o.Path += strconv.FormatUint(number, 10)
 	}
-	req, err := http.NewRequest(k.Method, "http://"+r.Client+o.Path, nil)
+	req, err := http.NewRequest(k.Method, "http://"+r.ClientAddr+o.Path, nil)
 	if err != nil {
 		o.Err = err.Error()
 		return o
@@ -189,12 +191,12 @@
 		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
 		req.Header.Set("Content-Type", "application/json")
 	}
-	req.Header.Set("Authorization", "Bearer "+Key(tenant))
-	req.Header.Set("X-Drill-N", strconv.FormatUint(n, 10))
+	req.Header.Set("Authorization", "Bearer "+TenantKey(tenant))
+	req.Header.Set("X-Drill-N", strconv.FormatUint(number, 10))
 	req.Header.Set("X-Yarrowridge-Tenant", "somebody-else")
 	if k.Once {
-		o.Key = fmt.Sprintf("key-%d", n)
-		req.Header.Set("Idempotency-Key", o.Key)
+		o.IdempotencyKey = fmt.Sprintf("key-%d", number)
+		req.Header.Set("Idempotency-Key", o.IdempotencyKey)
 	}
 	response, err := l.http.Do(req)
 	if err != nil {
@@ -202,9 +204,9 @@
 		return o
 	}
 	defer func() { _ = response.Body.Close() }()
-	o.Status, o.Retry, o.RequestID = response.StatusCode, response.Header.Get("Retry-After"), response.Header.Get("X-Yarrowridge-Query")
+	o.Status, o.RetryAfter, o.RequestID = response.StatusCode, response.Header.Get("Retry-After"), response.Header.Get("X-Yarrowridge-Query")
 	if strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
-		o.stream(response.Body)
+		o.readStream(response.Body)
 		return o
 	}
 	raw, err := io.ReadAll(response.Body)
@@ -213,7 +215,7 @@
 		return o
 	}
 	if response.StatusCode == 200 {
-		o.Whole, o.Echo = true, gjson.GetBytes(raw, "echo").String()
+		o.Complete, o.Echo = true, gjson.GetBytes(raw, "echo").String()
 		if !gjson.ValidBytes(raw) {
 			o.Echo = "cut"
 		}
@@ -223,39 +225,40 @@
 	return o
 }
 
-func (o *Outcome) stream(in io.Reader) {
-	sc := bufio.NewScanner(in)
-	sc.Buffer(nil, 1<<20)
+// readStream reads the events of a stream into the outcome.
+func (o *Outcome) readStream(body io.Reader) {
+	scanner := bufio.NewScanner(body)
+	scanner.Buffer(nil, 1<<20)
 	done := false
-	for sc.Scan() {
-		s, ok := strings.CutPrefix(sc.Text(), "data: ")
+	for scanner.Scan() {
+		data, ok := strings.CutPrefix(scanner.Text(), "data: ")
 		switch {
 		case !ok:
-		case s == "[DONE]":
+		case data == "[DONE]":
 			done = true
-		case gjson.Get(s, "error").Exists():
-			o.Code, o.Run = gjson.Get(s, "error.code").String(), gjson.Get(s, "error.run").String()
+		case gjson.Get(data, "error").Exists():
+			o.Code, o.Run = gjson.Get(data, "error.code").String(), gjson.Get(data, "error.run").String()
 		default:
-			o.Pieces = append(o.Pieces, int(gjson.Get(s, "i").Int()))
-			if m := gjson.Get(s, "run").Str; m != "" && !slices.Contains(o.Marks, m) {
-				o.Marks = append(o.Marks, m)
+			o.Chunks = append(o.Chunks, int(gjson.Get(data, "i").Int()))
+			if id := gjson.Get(data, "run").Str; id != "" && !slices.Contains(o.ExecutionIDs, id) {
+				o.ExecutionIDs = append(o.ExecutionIDs, id)
 			}
-			if e := gjson.Get(s, "echo").String(); o.Echo == "" || o.Echo == e {
-				o.Echo = e
+			if echo := gjson.Get(data, "echo").String(); o.Echo == "" || o.Echo == echo {
+				o.Echo = echo
 			} else {
 				o.Echo = "mixed"
 			}
 		}
 	}
-	if err := sc.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		o.Err = err.Error()
 	}
-	o.Whole = done
+	o.Complete = done
 }
 
-// All copies the outcomes so far.
-func (l *Load) All() []Outcome {
+// Outcomes returns a copy of the outcomes so far.
+func (l *Load) Outcomes() []Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Outcome{}, l.all...)
+	return append([]Outcome{}, l.outcomes...)
 }
--- a/internal/testing/drill/main.go
+++ b/internal/testing/drill/main.go
@@ -26,37 +26,37 @@
 
 `
 
-// Commands that had another name in older versions, which goes on working.
+// Commands that had another name in older versions. The older names still work.
 const (
 	commandZone   = "zone"
 	commandConfig = "config"
 )
 
-// olderCommands leads from the older names of commands to theirs.
-var olderCommands = map[string]string{"hall": commandZone, "layout": commandConfig}
+// commandAliases maps older names of commands to the current ones.
+var commandAliases = map[string]string{"hall": commandZone, "layout": commandConfig}
 
-// canonicalCommand is the name of a command given by that or by an older name.
+// canonicalCommand returns the current name of a command given by its current or an older name.
 func canonicalCommand(name string) string {
-	if current, ok := olderCommands[name]; ok {
+	if current, ok := commandAliases[name]; ok {
 		return current
 	}
 	return name
 }
 
-// printf prints for the person who watches. A line that can't be printed changes nothing: the exit code tells the verdict.
+// printf prints to the output of the drill. Errors are ignored, because the exit code is the result of the drill.
 func printf(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
 
-// Main runs the drill and returns its exit code: 0 all promises held, 1 one was broken or the
-// fleet did not come up, 2 the command line does not hold.
-func Main(args []string, out io.Writer) int { return rehearse(args, out, nil) }
+// Main runs the drill and returns its exit code: 0 if all promises held, 1 if one was broken or the fleet could not be
+// started, 2 if the command line is invalid.
+func Main(args []string, out io.Writer) int { return runWithEnv(args, out, nil) }
 
-// rehearse is Main with something added to the daemons' environment.
-func rehearse(args []string, out io.Writer, more []string) int {
+// runWithEnv is Main with variables added to the daemons' environment.
+func runWithEnv(args []string, out io.Writer, extraEnv []string) int {
 	if len(args) == 0 {
 		printf(out, usage)
 		return daemon.ExitUsage
 	}
-	logx.Disable() // httpc logs every call
+	logx.Disable() // else httpc logs every call
 	r := &rehearsal{command: canonicalCommand(args[0]), out: out}
 	if code, done := r.readFlags(args[1:]); done {
 		return code
@@ -65,9 +65,9 @@
 		printf(out, "drill: -dir: %s\n", err)
 		return daemon.ExitError
 	}
-	ctx, end := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	defer end()
-	err := r.startFleet(ctx, more)
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	defer stop()
+	err := r.startFleet(ctx, extraEnv)
 	if r.fleet != nil {
 		defer r.fleet.Stop()
 	}
@@ -75,52 +75,52 @@
 		printf(out, "drill: %s; logs are under %s\n", err, r.dir)
 		return daemon.ExitError
 	}
-	return r.play(ctx)
+	return r.runCommand(ctx)
 }
 
-// play runs the command over the fleet, which is up, and returns the exit code.
-func (r *rehearsal) play(ctx context.Context) int {
+// runCommand runs the command on the started fleet and returns the exit code.
+func (r *rehearsal) runCommand(ctx context.Context) int {
 	f, out := r.fleet, r.out
 	if r.command == "fleet" {
 		f.Describe(out)
 		<-ctx.Done()
 		return r.removeDir()
 	}
-	printf(out, "fleet is up: %d cores, %d routers, %d runners; seed %d\n", len(f.Cores), len(f.Routers), len(f.Models)+len(f.Apps), r.seed)
+	printf(out, "fleet is up: %d cores, %d routers, %d runners; seed %d\n", len(f.Cores), len(f.Routers), len(f.ModelRunners)+len(f.AppRunners), r.seed)
 	load := NewLoad(f, r.scale, r.seed)
 	if r.command == "day" {
-		return r.playDay(ctx, load)
+		return r.runDay(ctx, load)
 	}
-	run, stop := context.WithTimeout(ctx, r.span)
+	loadCtx, stop := context.WithTimeout(ctx, r.duration)
 	defer stop()
 	done := make(chan struct{})
 	go func() {
-		load.Run(run)
+		load.Run(loadCtx)
 		close(done)
 	}()
 	if r.command == commandZone {
-		f.loseZone(run, r.span, out, load)
+		f.killZone(loadCtx, r.duration, out, load)
 	}
 	<-done
-	outcomes := load.All()
-	Total(outcomes).Print(out)
-	return r.verdict(Check(Evidence{Mix: r.mix, Outcomes: outcomes, Seen: f.RequestLog.All()}), "", nil)
+	outcomes := load.Outcomes()
+	Summarize(outcomes).Print(out)
+	return r.printResult(Check(Evidence{Mix: r.mix, Outcomes: outcomes, RunnerRequests: f.RequestLog.All()}), "", nil)
 }
 
-// playDay plays the course of events under traffic and returns the exit code.
-func (r *rehearsal) playDay(ctx context.Context, load *Load) int {
+// runDay plays a day on the started fleet and returns the exit code.
+func (r *rehearsal) runDay(ctx context.Context, load *Load) int {
 	course := strings.Join(r.course, ",")
 	printf(r.out, "course %s\n", course)
-	ev, err := NewDay(r.fleet, load, r.seed, r.out).Run(ctx, r.course, r.slack)
-	Total(ev.Outcomes).Print(r.out)
-	printf(r.out, "seen: %d queries at runners, %d writes, %d looks at configurations\n", len(ev.Seen), len(ev.ConfigWrites), len(ev.ConfigReadings))
-	return r.verdict(Check(ev), course, err)
+	evidence, err := NewDay(r.fleet, load, r.seed, r.out).Run(ctx, r.course, r.slack)
+	Summarize(evidence.Outcomes).Print(r.out)
+	printf(r.out, "seen: %d queries at runners, %d writes, %d looks at configurations\n", len(evidence.RunnerRequests), len(evidence.ConfigWrites), len(evidence.ConfigReadings))
+	return r.printResult(Check(evidence), course, err)
 }
 
-// verdict prints what became of the promises: each that was broken once, by its first breach.
-func (r *rehearsal) verdict(bad []Breach, course string, err error) int {
+// printResult prints the first breach of each broken promise, or that all promises held, and returns the exit code.
+func (r *rehearsal) printResult(breaches []Breach, course string, err error) int {
 	out := r.out
-	if len(bad) == 0 && err == nil {
+	if len(breaches) == 0 && err == nil {
 		printf(out, "all promises held (seed %d)\n", r.seed)
 		return r.removeDir()
 	}
@@ -128,13 +128,13 @@
 	if course != "" {
 		printf(out, " and course %s", course)
 	}
-	printf(out, ": %d breaches\n", len(bad))
-	said := map[string]bool{}
-	for _, b := range bad {
-		if !said[b.Promise] {
-			printf(out, "  %s: %s\n", b.Promise, b.What)
+	printf(out, ": %d breaches\n", len(breaches))
+	printed := map[string]bool{}
+	for _, breach := range breaches {
+		if !printed[breach.Promise] {
+			printf(out, "  %s: %s\n", breach.Promise, breach.Detail)
 		}
-		said[b.Promise] = true
+		printed[breach.Promise] = true
 	}
 	if err != nil {
 		printf(out, "  the day was cut short: %s\n", err)
@@ -143,27 +143,27 @@
 	return daemon.ExitError
 }
 
-// loseZone kills every process of one zone, runners too, and starts them again later.
-func (f *Fleet) loseZone(ctx context.Context, span time.Duration, out io.Writer, load *Load) {
-	if !runloop.Sleep(ctx, span/4) {
+// killZone kills every process and runner of a zone, and restarts them after a third of the duration.
+func (f *Fleet) killZone(ctx context.Context, duration time.Duration, out io.Writer, load *Load) {
+	if !runloop.Sleep(ctx, duration/4) {
 		return
 	}
-	lost := f.Mix.Zones[0]
+	zone := f.Mix.Zones[0]
 	if p := f.Primary(ctx); p != nil {
-		lost = p.Zone // the hardest zone to lose
+		zone = p.Zone // the zone whose loss has the most effect
 	}
-	at := time.Now()
-	printf(out, "zone %s is lost\n", lost)
-	procs, runs := f.In(lost)
+	killedAt := time.Now()
+	printf(out, "zone %s is lost\n", zone)
+	procs, runners := f.InZone(zone)
 	for _, p := range procs {
 		p.Signal(syscall.SIGKILL)
 	}
-	for _, s := range runs {
-		s.Crash()
+	for _, r := range runners {
+		r.Crash()
 	}
-	runloop.Sleep(ctx, span/3)
+	runloop.Sleep(ctx, duration/3)
 	for _, k := range f.Mix.Kinds {
-		printf(out, "  %s: longest time without a whole answer %s\n", k.Name, Gap(load.All(), k.Name, at, time.Now()).Round(time.Millisecond))
+		printf(out, "  %s: longest time without a whole answer %s\n", k.Name, LongestOutage(load.Outcomes(), k.Name, killedAt, time.Now()).Round(time.Millisecond))
 	}
 	for _, p := range procs {
 		p.Wait(10 * time.Second)
@@ -171,10 +171,10 @@
 			printf(out, "drill: %s\n", err)
 		}
 	}
-	for _, s := range runs {
-		if err := s.Start(); err != nil {
+	for _, r := range runners {
+		if err := r.Start(); err != nil {
 			printf(out, "drill: %s\n", err)
 		}
 	}
-	printf(out, "zone %s is back\n", lost)
+	printf(out, "zone %s is back\n", zone)
 }
