--- a/internal/controlplane/configuration/history_test.go
+++ b/internal/controlplane/configuration/history_test.go
@@ -16,7 +16,7 @@
 // openStore returns an empty committed state.
 func openStore(t *testing.T) *store.Store {
 	t.Helper()
-	opened, err := store.Open(sim.NewDisk().Use(), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	opened, err := store.Open(sim.NewDisk().Open(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/core/propose_test.go
+++ b/internal/controlplane/core/propose_test.go
@@ -44,7 +44,7 @@
 		}
 		network[addr] = listener
 		ctx := daemon.Context{Context: t.Context(), Name: addr, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Net: network}
-		core, err := Open(ctx, Settings{Addr: addr, Losses: 1}.WithDefaults(), sim.NewDisk().Use())
+		core, err := Open(ctx, Settings{Addr: addr, Losses: 1}.WithDefaults(), sim.NewDisk().Open())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controlplane/idempotency/claims_test.go
+++ b/internal/controlplane/idempotency/claims_test.go
@@ -24,7 +24,7 @@
 
 func newMachine(t *testing.T, maxFinishedKeys int) *machine {
 	t.Helper()
-	committed, err := store.Open(sim.NewDisk().Use(), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	committed, err := store.Open(sim.NewDisk().Open(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/replacedruns/tracker_test.go
+++ b/internal/controlplane/replacedruns/tracker_test.go
@@ -26,7 +26,7 @@
 }
 
 func newPoolRunner(t *testing.T) *poolRunner {
-	committed, err := store.Open(sim.NewDisk().Use(), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	committed, err := store.Open(sim.NewDisk().Open(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/service/fakehost_test.go
+++ b/internal/controlplane/service/fakehost_test.go
@@ -58,7 +58,7 @@
 // newService returns a service with an empty store. Its process does not accept writes yet.
 func newService(t *testing.T) (*Service, *fakeHost) {
 	t.Helper()
-	committed, err := store.Open(sim.NewDisk().Use(), slog.New(slog.DiscardHandler))
+	committed, err := store.Open(sim.NewDisk().Open(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -22,7 +22,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		disk := sim.NewDisk()
 		open := func() *store.Store {
-			handle := disk.Use()
+			handle := disk.Open()
 			if err := store.RemoveIncompleteWrites(handle, discardLog); err != nil {
 				t.Fatal(err)
 			}
@@ -109,7 +109,7 @@
 func TestDamageIsDetected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		disk := sim.NewDisk()
-		s, err := store.Open(disk.Use(), discardLog)
+		s, err := store.Open(disk.Open(), discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -121,7 +121,7 @@
 		}
 		names := disk.Names()
 		index := rapid.IntRange(0, len(names)-1).Draw(t, "which")
-		handle := disk.Use()
+		handle := disk.Open()
 		if rapid.Bool().Draw(t, "spoil") {
 			disk.Spoil(names[index], rapid.IntRange(0, 200).Draw(t, "at"))
 		} else if index < len(names)-1 { // a missing newest version looks like one that was never written
@@ -182,7 +182,7 @@
 // Limits the cost of storing an hour of claims: the bytes written for each byte of the mutations, and the number of files.
 func TestWriteAmplification(t *testing.T) {
 	disk := sim.NewDisk()
-	s, err := store.Open(disk.Use(), discardLog)
+	s, err := store.Open(disk.Open(), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -206,7 +206,7 @@
 	if cost > 5 || files > 2000 {
 		t.Errorf("got %.1f bytes written for each byte of the mutations and %d files, want at most 5 and 2000", cost, files)
 	}
-	reopened, err := store.Open(disk.Use(), discardLog)
+	reopened, err := store.Open(disk.Open(), discardLog)
 	if err != nil || reopened.Version() != 60000 {
 		t.Fatalf("reopened: got error %v, want none and version 60000", err)
 	}
@@ -220,7 +220,7 @@
 // Compaction limits the number of files, however many versions are written, because recovery takes time for each of them.
 func TestCompactionKeepsFilesFew(t *testing.T) {
 	disk := sim.NewDisk()
-	handle := disk.Use()
+	handle := disk.Open()
 	s, err := store.Open(handle, discardLog)
 	if err != nil {
 		t.Fatal(err)
@@ -243,7 +243,7 @@
 	if maxFiles > 200 {
 		t.Errorf("got %d files, want at most 200", maxFiles)
 	}
-	reopened, err := store.Open(disk.Use(), discardLog)
+	reopened, err := store.Open(disk.Open(), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testing/modelcheck/fleet_test.go
+++ b/internal/testing/modelcheck/fleet_test.go
@@ -133,7 +133,7 @@
 	p.running = false
 	p.endRun()
 	p.crash()
-	p.disk.Use() // whatever the dead run still does to its disk is lost
+	p.disk.Open() // whatever the dead run still does to its disk is lost
 	p.thaw()     // its goroutines end
 }
 
--- a/internal/testing/modelcheck/process_test.go
+++ b/internal/testing/modelcheck/process_test.go
@@ -83,7 +83,7 @@
 		LeaseTerm: p.term, LostAfter: lostAfter, Codec: toleranceCodec{}}
 	p.first = false
 	where := daemon.Context{Context: ctx, Name: p.addr, Zone: p.zone, RunID: uint64(time.Now().UnixNano()), Log: p.fleet.log.With("at", p.addr), Net: network}
-	disk := gatedDisk{faultyDisk{p.disk.Use(), p}, gate}
+	disk := gatedDisk{faultyDisk{p.disk.Open(), p}, gate}
 	server, err := core.Open(where, settings, disk)
 	if err != nil {
 		cancel()
--- a/internal/testing/modelcheck/replication_test.go
+++ b/internal/testing/modelcheck/replication_test.go
@@ -103,7 +103,7 @@
 // startBackup opens a backup from its disk. Its run loop rests: it only answers calls.
 func (r *replicationCourse) startBackup(t *testing.T, replica *replicaCourse) {
 	where := daemon.Context{Context: r.ctx, Name: fmt.Sprint(backupID, replica.index), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Net: wire.TCP{}}
-	backup, err := core.Open(where, core.Settings{Addr: address(replica.index + 1)}, replica.disk.Use())
+	backup, err := core.Open(where, core.Settings{Addr: address(replica.index + 1)}, replica.disk.Open())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -321,7 +321,7 @@
 
 // held reads the writes that a backup's disk holds. The course ends with it.
 func (replica *replicaCourse) held(t *testing.T) (sequence uint64, values map[string]string) {
-	opened, err := store.Open(replica.disk.Use(), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	opened, err := store.Open(replica.disk.Open(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testing/modelcheck/vote_test.go
+++ b/internal/testing/modelcheck/vote_test.go
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	disk := sim.NewDisk()
-	if err := disk.Use().Write("ballot", store.AddChecksum(raw)); err != nil {
+	if err := disk.Open().Write("ballot", store.AddChecksum(raw)); err != nil {
 		t.Fatal(err)
 	}
 	return disk
@@ -119,7 +119,7 @@
 
 // restart opens a voter from its disk.
 func (v *vote) restart(t *testing.T, voter int) {
-	opened, err := paxos.Open(v.disks[voter].Use(), 0, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	opened, err := paxos.Open(v.disks[voter].Open(), 0, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -243,7 +243,7 @@
 		fmt.Fprintf(&state, "|%s %x %v", call.name(), raw, err)
 	}
 	for _, disk := range v.disks {
-		raw, err := disk.Use().Read("ballot")
+		raw, err := disk.Open().Read("ballot")
 		fmt.Fprintf(&state, "|%x %v", raw, err)
 	}
 	return state.String()
--- a/internal/testing/sim/disk.go
+++ b/internal/testing/sim/disk.go
@@ -37,9 +37,9 @@
 // Handle is a disk as one run of a process sees it.
 type Handle struct{ d *Disk }
 
-// Use opens the disk for a new run; the run before can do nothing more to it. A write that was
+// Open opens the disk for a new run; the run before can do nothing more to it. A write that was
 // under way is lost, and leaves its unfinished file behind.
-func (d *Disk) Use() *Handle {
+func (d *Disk) Open() *Handle {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.now = &Handle{d}
--- a/internal/testing/sim/fleet_test.go
+++ b/internal/testing/sim/fleet_test.go
@@ -160,7 +160,7 @@
 		set = f.place(c)
 	}
 	for range 40 { // a stalled or full disk keeps a process from starting
-		srv, err = core.Open(ec.WithComponent("core"), set, c.disk.Use())
+		srv, err = core.Open(ec.WithComponent("core"), set, c.disk.Open())
 		if err == nil {
 			break
 		}
@@ -182,7 +182,7 @@
 	if c.up {
 		c.up = false
 		c.crash()
-		c.disk.Use() // whatever the dead run still does to its disk is lost
+		c.disk.Open() // whatever the dead run still does to its disk is lost
 	}
 }
 
