--- a/internal/testing/modelcheck/faults_test.go
+++ b/internal/testing/modelcheck/faults_test.go
@@ -287,9 +287,9 @@
 
 func slowDisk(f *fleet, event Event) {
 	if p := f.pick(event); p != nil {
-		p.disk.Slow(time.Duration(event.Count*20) * time.Millisecond)
+		p.disk.SetWriteDelay(time.Duration(event.Count*20) * time.Millisecond)
 		time.Sleep(event.span())
-		p.disk.Slow(0)
+		p.disk.SetWriteDelay(0)
 	}
 }
 
--- a/internal/testing/modelcheck/fleet_test.go
+++ b/internal/testing/modelcheck/fleet_test.go
@@ -226,7 +226,7 @@
 	p.mu.Unlock()
 	p.disk.Flow()
 	p.disk.Full(false)
-	p.disk.Slow(0)
+	p.disk.SetWriteDelay(0)
 	for f.start(p); !p.running && !p.retired && f.ctx.Err() == nil; f.start(p) {
 		time.Sleep(restartPause)
 	}
--- a/internal/testing/sim/core_test.go
+++ b/internal/testing/sim/core_test.go
@@ -133,7 +133,7 @@
 	case 6:
 		c.disk.Stall()
 	case 7:
-		c.disk.Slow(time.Duration(f.chance(800)) * time.Millisecond)
+		c.disk.SetWriteDelay(time.Duration(f.chance(800)) * time.Millisecond)
 	case 8:
 		c.disk.Full(true)
 	case 9:
--- a/internal/testing/sim/disk.go
+++ b/internal/testing/sim/disk.go
@@ -60,8 +60,8 @@
 	clear(d.gone)
 }
 
-// Slow makes every write take so long.
-func (d *Disk) Slow(by time.Duration) {
+// SetWriteDelay makes every write take so long.
+func (d *Disk) SetWriteDelay(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.slow = by
--- a/internal/testing/sim/fleet_test.go
+++ b/internal/testing/sim/fleet_test.go
@@ -259,7 +259,7 @@
 	for _, c := range f.cores {
 		c.disk.Flow()
 		c.disk.Full(false)
-		c.disk.Slow(0)
+		c.disk.SetWriteDelay(0)
 		if !c.up {
 			f.startCore(c)
 		}
--- a/internal/testing/sim/overload_test.go
+++ b/internal/testing/sim/overload_test.go
@@ -99,8 +99,8 @@
 		end       func(f *fleet, primary *coreProc)
 		mostWrite time.Duration // that a write may take
 	}{
-		{"primary's disk slowed tenfold", func(_ *fleet, _ *crowd, primary *coreProc) { primary.disk.Slow(100 * time.Millisecond) },
-			func(_ *fleet, primary *coreProc) { primary.disk.Slow(0) }, 350 * time.Millisecond},
+		{"primary's disk slowed tenfold", func(_ *fleet, _ *crowd, primary *coreProc) { primary.disk.SetWriteDelay(100 * time.Millisecond) },
+			func(_ *fleet, primary *coreProc) { primary.disk.SetWriteDelay(0) }, 350 * time.Millisecond},
 		{"a crowd of new holders", func(_ *fleet, c *crowd, _ *coreProc) { c.join(300) }, func(*fleet, *coreProc) {}, 50 * time.Millisecond},
 		{"primary cut off", func(f *fleet, _ *crowd, primary *coreProc) { f.w.Split([]string{primary.addr}, f.rest(primary)) },
 			func(f *fleet, _ *coreProc) { f.w.Heal() }, 3 * time.Second},
