--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -69,11 +69,11 @@
 					t.Fatal(err)
 				}
 			case 4:
-				disk.Full(true)
+				disk.SetFull(true)
 				if s.Append(store.Batch{Version: version + 1, Mutations: []store.Mutation{{Key: "a", Value: []byte("lost")}}}) == nil {
 					t.Fatal("Append on a full disk: got no error, want one")
 				}
-				disk.Full(false)
+				disk.SetFull(false)
 				s = open() // the core also reopens the store after a failed write
 			case 5:
 				if !errors.Is(s.Append(store.Batch{Version: version + 2}), store.ErrGap) {
--- a/internal/testing/modelcheck/faults_test.go
+++ b/internal/testing/modelcheck/faults_test.go
@@ -279,9 +279,9 @@
 
 func fillDisk(f *fleet, event Event) {
 	if p := f.pick(event); p != nil {
-		p.disk.Full(true)
+		p.disk.SetFull(true)
 		time.Sleep(event.span())
-		p.disk.Full(false)
+		p.disk.SetFull(false)
 	}
 }
 
--- a/internal/testing/modelcheck/fleet_test.go
+++ b/internal/testing/modelcheck/fleet_test.go
@@ -225,7 +225,7 @@
 	p.crashAt = 0
 	p.mu.Unlock()
 	p.disk.Flow()
-	p.disk.Full(false)
+	p.disk.SetFull(false)
 	p.disk.SetWriteDelay(0)
 	for f.start(p); !p.running && !p.retired && f.ctx.Err() == nil; f.start(p) {
 		time.Sleep(restartPause)
--- a/internal/testing/sim/core_test.go
+++ b/internal/testing/sim/core_test.go
@@ -135,7 +135,7 @@
 	case 7:
 		c.disk.SetWriteDelay(time.Duration(f.chance(800)) * time.Millisecond)
 	case 8:
-		c.disk.Full(true)
+		c.disk.SetFull(true)
 	case 9:
 		if len(f.routers) > 0 {
 			r := f.routers[f.chance(len(f.routers))]
--- a/internal/testing/sim/day_test.go
+++ b/internal/testing/sim/day_test.go
@@ -97,9 +97,9 @@
 	},
 	"full": func(w *whole) {
 		if p := w.primary(); p != nil {
-			p.disk.Full(true)
+			p.disk.SetFull(true)
 			w.pass(6000)
-			p.disk.Full(false)
+			p.disk.SetFull(false)
 		}
 	},
 	"cut": func(w *whole) {
--- a/internal/testing/sim/disk.go
+++ b/internal/testing/sim/disk.go
@@ -67,8 +67,8 @@
 	d.slow = by
 }
 
-// Full has every write fail, or no longer.
-func (d *Disk) Full(on bool) {
+// SetFull has every write fail, or no longer.
+func (d *Disk) SetFull(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.full = on
--- a/internal/testing/sim/fleet_test.go
+++ b/internal/testing/sim/fleet_test.go
@@ -258,7 +258,7 @@
 	f.w.Heal()
 	for _, c := range f.cores {
 		c.disk.Flow()
-		c.disk.Full(false)
+		c.disk.SetFull(false)
 		c.disk.SetWriteDelay(0)
 		if !c.up {
 			f.startCore(c)
--- a/internal/testing/sim/fulldisk_test.go
+++ b/internal/testing/sim/fulldisk_test.go
@@ -15,14 +15,14 @@
 		o, b := f.operator(), &book{}
 		f.acknowledged(o, b)
 		full := f.primary()
-		full.disk.Full(true)
+		full.disk.SetFull(true)
 		refused := o.put(2, 0, "refused")
 		b.add(refused)
 		if refused.code == 200 {
 			t.Error("a write was acknowledged with one disk of two")
 		}
 		time.Sleep(3 * time.Second)
-		full.disk.Full(false)
+		full.disk.SetFull(false)
 		f.within(5*time.Second, "a primary with a sound disk", func() bool { return f.whole(1) })
 		var last put
 		for mark := 3; last.code != 200 && mark < 60; mark++ {
