--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -82,7 +82,7 @@
 			case 6:
 				s = open()
 			case 7: // the process crashes after the new file is written and before the old ones are removed
-				disk.Keep(true)
+				disk.FailRemovals(true)
 				replace := s.Compact
 				if rapid.Bool().Draw(t, "snapshot") {
 					replace = s.WriteSnapshot
@@ -90,7 +90,7 @@
 				if err := replace(); err != nil && !errors.Is(err, sim.ErrDead) {
 					t.Fatal(err)
 				}
-				disk.Keep(false)
+				disk.FailRemovals(false)
 				s = open()
 			}
 			if s.Version() != version {
--- a/internal/testing/sim/disk.go
+++ b/internal/testing/sim/disk.go
@@ -74,8 +74,8 @@
 	d.full = on
 }
 
-// Keep has every removal fail, as a crash just before it would leave things.
-func (d *Disk) Keep(on bool) {
+// FailRemovals has every removal fail, as a crash just before it would leave things.
+func (d *Disk) FailRemovals(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.keep = on
--- a/internal/testing/sim/worstdays_test.go
+++ b/internal/testing/sim/worstdays_test.go
@@ -150,12 +150,12 @@
 				if role == "backup" {
 					away = f.at(away.srv.View().Backups()[0])
 				}
-				away.disk.Keep(true) // nothing is removed any more: its files are half folded when it dies
+				away.disk.FailRemovals(true) // nothing is removed any more: its files are half folded when it dies
 				for i := range 70 {
 					b.add(o.put(100+i, 0, ""))
 				}
 				f.crashCore(away)
-				away.disk.Keep(false)
+				away.disk.FailRemovals(false)
 				f.within(6*time.Second, "a primary", func() bool { return f.primary() != nil })
 				var newest put
 				for i := range 500 {
