--- a/internal/testing/modelcheck/faults_test.go
+++ b/internal/testing/modelcheck/faults_test.go
@@ -271,7 +271,7 @@
 
 func stallDisk(f *fleet, event Event) {
 	if p := f.pick(event); p != nil {
-		p.disk.Stall()
+		p.disk.StallWrites()
 		time.Sleep(event.span())
 		p.disk.Flow()
 	}
--- a/internal/testing/sim/core_test.go
+++ b/internal/testing/sim/core_test.go
@@ -131,7 +131,7 @@
 		}
 		f.w.Split(a, b)
 	case 6:
-		c.disk.Stall()
+		c.disk.StallWrites()
 	case 7:
 		c.disk.SetWriteDelay(time.Duration(f.chance(800)) * time.Millisecond)
 	case 8:
--- a/internal/testing/sim/day_test.go
+++ b/internal/testing/sim/day_test.go
@@ -90,7 +90,7 @@
 	},
 	"stall": func(w *whole) {
 		if p := w.primary(); p != nil {
-			p.disk.Stall()
+			p.disk.StallWrites()
 			w.pass(6000)
 			p.disk.Flow()
 		}
--- a/internal/testing/sim/disk.go
+++ b/internal/testing/sim/disk.go
@@ -81,8 +81,8 @@
 	d.keep = on
 }
 
-// Stall has every write wait until Flow.
-func (d *Disk) Stall() {
+// StallWrites has every write wait until Flow.
+func (d *Disk) StallWrites() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.stall == nil {
--- a/internal/testing/sim/membership_test.go
+++ b/internal/testing/sim/membership_test.go
@@ -574,11 +574,11 @@
 		{"primary sends but does not receive", 4 * time.Second, func(f *fleet, lead *coreProc, _ []*coreProc) { cut(f, lead, false, true) }},
 		{"primary receives but does not send", 4 * time.Second, func(f *fleet, lead *coreProc, _ []*coreProc) { cut(f, lead, true, false) }},
 		{"a backup's disk stalls", 2 * time.Second, func(_ *fleet, _ *coreProc, back []*coreProc) {
-			back[0].disk.Stall()
+			back[0].disk.StallWrites()
 			time.AfterFunc(3500*time.Millisecond, back[0].disk.Flow)
 		}},
 		{"the primary's disk stalls", 3 * time.Second, func(_ *fleet, lead *coreProc, _ []*coreProc) {
-			lead.disk.Stall()
+			lead.disk.StallWrites()
 			time.AfterFunc(3500*time.Millisecond, lead.disk.Flow)
 		}},
 		{"all killed at once, back within a second", 3 * time.Second, func(f *fleet, _ *coreProc, _ []*coreProc) {
--- a/internal/testing/sim/recovery_test.go
+++ b/internal/testing/sim/recovery_test.go
@@ -31,9 +31,9 @@
 		{"primary reaches its backup only", func(f *fleet, lead, back *coreProc) {
 			f.w.Split([]string{lead.addr}, f.rest(lead, back))
 		}, handoverMost},
-		{"primary's disk stalls", func(_ *fleet, lead, _ *coreProc) { lead.disk.Stall() }, 0},
+		{"primary's disk stalls", func(_ *fleet, lead, _ *coreProc) { lead.disk.StallWrites() }, 0},
 		{"primary's disk is full", func(_ *fleet, lead, _ *coreProc) { lead.disk.SetFull(true) }, 0},
-		{"backup's disk stalls", func(_ *fleet, _, back *coreProc) { back.disk.Stall() }, 0},
+		{"backup's disk stalls", func(_ *fleet, _, back *coreProc) { back.disk.StallWrites() }, 0},
 		{"all killed and started again", func(f *fleet, _, _ *coreProc) {
 			for _, o := range f.cores {
 				f.crashCore(o)
