--- a/internal/testing/modelcheck/faults_test.go
+++ b/internal/testing/modelcheck/faults_test.go
@@ -273,7 +273,7 @@
 	if p := f.pick(event); p != nil {
 		p.disk.StallWrites()
 		time.Sleep(event.span())
-		p.disk.Flow()
+		p.disk.ResumeWrites()
 	}
 }
 
--- a/internal/testing/modelcheck/fleet_test.go
+++ b/internal/testing/modelcheck/fleet_test.go
@@ -224,7 +224,7 @@
 	p.mu.Lock()
 	p.crashAt = 0
 	p.mu.Unlock()
-	p.disk.Flow()
+	p.disk.ResumeWrites()
 	p.disk.SetFull(false)
 	p.disk.SetWriteDelay(0)
 	for f.start(p); !p.running && !p.retired && f.ctx.Err() == nil; f.start(p) {
@@ -236,7 +236,7 @@
 func (f *fleet) end() {
 	f.cancel()
 	for _, p := range f.machines {
-		p.disk.Flow()
+		p.disk.ResumeWrites()
 		f.stop(p)
 	}
 	time.Sleep(30 * time.Second) // simulated: every task sees the end
--- a/internal/testing/modelcheck/process_test.go
+++ b/internal/testing/modelcheck/process_test.go
@@ -145,7 +145,7 @@
 
 // loseDisk gives the machine an empty disk. Its process does not run.
 func (p *process) loseDisk() {
-	p.disk.Flow() // a write that hangs there ends
+	p.disk.ResumeWrites() // a write that hangs there ends
 	p.disk = sim.NewDisk()
 }
 
--- a/internal/testing/sim/day_test.go
+++ b/internal/testing/sim/day_test.go
@@ -92,7 +92,7 @@
 		if p := w.primary(); p != nil {
 			p.disk.StallWrites()
 			w.pass(6000)
-			p.disk.Flow()
+			p.disk.ResumeWrites()
 		}
 	},
 	"full": func(w *whole) {
--- a/internal/testing/sim/disk.go
+++ b/internal/testing/sim/disk.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// Flow ends a stall.
-func (d *Disk) Flow() {
+// ResumeWrites ends a stall.
+func (d *Disk) ResumeWrites() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.stall != nil {
--- a/internal/testing/sim/fleet_test.go
+++ b/internal/testing/sim/fleet_test.go
@@ -138,7 +138,7 @@
 func (f *fleet) stop() {
 	f.end()
 	for _, c := range f.cores {
-		c.disk.Flow()
+		c.disk.ResumeWrites()
 		f.crashCore(c)
 	}
 	for _, r := range f.routers {
@@ -257,7 +257,7 @@
 func (f *fleet) settle() time.Duration {
 	f.w.Heal()
 	for _, c := range f.cores {
-		c.disk.Flow()
+		c.disk.ResumeWrites()
 		c.disk.SetFull(false)
 		c.disk.SetWriteDelay(0)
 		if !c.up {
--- a/internal/testing/sim/membership_test.go
+++ b/internal/testing/sim/membership_test.go
@@ -575,11 +575,11 @@
 		{"primary receives but does not send", 4 * time.Second, func(f *fleet, lead *coreProc, _ []*coreProc) { cut(f, lead, true, false) }},
 		{"a backup's disk stalls", 2 * time.Second, func(_ *fleet, _ *coreProc, back []*coreProc) {
 			back[0].disk.StallWrites()
-			time.AfterFunc(3500*time.Millisecond, back[0].disk.Flow)
+			time.AfterFunc(3500*time.Millisecond, back[0].disk.ResumeWrites)
 		}},
 		{"the primary's disk stalls", 3 * time.Second, func(_ *fleet, lead *coreProc, _ []*coreProc) {
 			lead.disk.StallWrites()
-			time.AfterFunc(3500*time.Millisecond, lead.disk.Flow)
+			time.AfterFunc(3500*time.Millisecond, lead.disk.ResumeWrites)
 		}},
 		{"all killed at once, back within a second", 3 * time.Second, func(f *fleet, _ *coreProc, _ []*coreProc) {
 			for _, o := range f.cores {
