--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -123,7 +123,7 @@
 		index := rapid.IntRange(0, len(names)-1).Draw(t, "which")
 		handle := disk.Open()
 		if rapid.Bool().Draw(t, "spoil") {
-			disk.Spoil(names[index], rapid.IntRange(0, 200).Draw(t, "at"))
+			disk.FlipBit(names[index], rapid.IntRange(0, 200).Draw(t, "at"))
 		} else if index < len(names)-1 { // a missing newest version looks like one that was never written
 			if err := handle.Remove(names[index]); err != nil {
 				t.Fatal(err)
--- a/internal/testing/sim/disk.go
+++ b/internal/testing/sim/disk.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// Spoil flips a bit of a file's byte, as a bad sector would.
-func (d *Disk) Spoil(name string, at int) bool {
+// FlipBit flips a bit of a file's byte, as a bad sector would.
+func (d *Disk) FlipBit(name string, at int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f := d.files[name]
--- a/internal/testing/sim/load_test.go
+++ b/internal/testing/sim/load_test.go
@@ -319,7 +319,7 @@
 				bad = n
 			}
 		}
-		if !p.disk.Spoil(bad, f.chance(1000)) {
+		if !p.disk.FlipBit(bad, f.chance(1000)) {
 			t.Fatal("nothing to spoil")
 		}
 		f.startCore(p)
