--- a/internal/controlplane/store/store_test.go
+++ b/internal/controlplane/store/store_test.go
@@ -87,7 +87,7 @@
 				if rapid.Bool().Draw(t, "snapshot") {
 					replace = s.WriteSnapshot
 				}
-				if err := replace(); err != nil && !errors.Is(err, sim.ErrDead) {
+				if err := replace(); err != nil && !errors.Is(err, sim.ErrCrashed) {
 					t.Fatal(err)
 				}
 				disk.FailRemovals(false)
--- a/internal/testing/modelcheck/process_test.go
+++ b/internal/testing/modelcheck/process_test.go
@@ -71,7 +71,7 @@
 // die ends the process in the middle of a write: nothing that it still does is seen by anyone.
 func (p *process) die() error {
 	p.fleet.stop(p)
-	return sim.ErrDead
+	return sim.ErrCrashed
 }
 
 // start runs a process on the machine. A disk in trouble may keep it from starting for a while.
--- a/internal/testing/sim/disk.go
+++ b/internal/testing/sim/disk.go
@@ -11,10 +11,10 @@
 	"yarrowridge/internal/controlplane/store"
 )
 
-// ErrFull is a write to a full disk, ErrDead one by a process that has crashed.
+// ErrFull is a write to a full disk, ErrCrashed one by a process that has crashed.
 var (
 	ErrFull = errors.New("sim: disk is full")
-	ErrDead = errors.New("sim: process is gone")
+	ErrCrashed = errors.New("sim: process is gone")
 )
 
 // Disk outlives the processes that use it.
@@ -145,7 +145,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.now != h {
-		return ErrDead
+		return ErrCrashed
 	}
 	if full {
 		return ErrFull
@@ -163,7 +163,7 @@
 	h.d.mu.Lock()
 	defer h.d.mu.Unlock()
 	if h.d.now != h {
-		return nil, ErrDead
+		return nil, ErrCrashed
 	}
 	return h.d.files[name], nil
 }
@@ -176,10 +176,10 @@
 	h.d.mu.Lock()
 	defer h.d.mu.Unlock()
 	if h.d.now != h {
-		return ErrDead
+		return ErrCrashed
 	}
 	if h.d.keep {
-		return ErrDead
+		return ErrCrashed
 	}
 	if file, ok := h.d.files[name]; ok {
 		h.d.gone[name] = file
@@ -193,7 +193,7 @@
 	h.d.mu.Lock()
 	defer h.d.mu.Unlock()
 	if h.d.now != h {
-		return ErrDead
+		return ErrCrashed
 	}
 	h.d.files[to] = h.d.files[from]
 	delete(h.d.files, from)
@@ -206,7 +206,7 @@
 	h.d.mu.Lock()
 	defer h.d.mu.Unlock()
 	if h.d.now != h {
-		return ErrDead
+		return ErrCrashed
 	}
 	clear(h.d.gone)
 	return nil
