--- a/internal/testing/sim/disk.go
+++ b/internal/testing/sim/disk.go
@@ -11,96 +11,97 @@
 	"yarrowridge/internal/controlplane/store"
 )
 
-// ErrFull is a write to a full disk, ErrCrashed one by a process that has crashed.
+// ErrFull is returned by a write to a full disk, ErrCrashed by the calls of a process that has crashed.
 var (
-	ErrFull = errors.New("sim: disk is full")
-	ErrCrashed = errors.New("sim: process is gone")
+	ErrFull    = errors.New("sim: disk is full")
+	ErrCrashed = errors.New("sim: process has crashed")
 )
 
-// Disk outlives the processes that use it.
+// Disk is the disk of a simulated machine. Its files survive a crash of the process that uses it.
 type Disk struct {
-	mu    sync.Mutex
-	files map[string][]byte
-	gone  map[string][]byte // removed since the folder was last synced
-	now   *Handle
-	slow  time.Duration
-	full  bool
-	keep  bool // files can't be removed
-	stall chan struct{}
-	Syncs int
-	Bytes int // written in all
+	mu           sync.Mutex
+	files        map[string][]byte
+	removed      map[string][]byte // files removed since the directory was last synced
+	current      *Handle
+	writeDelay   time.Duration
+	full         bool
+	failRemovals bool
+	stalled      chan struct{} // writes wait until it is closed; nil: no stall
+	Syncs        int           // completed writes
+	Bytes        int           // total size of the completed writes
 }
 
-// NewDisk makes an empty disk.
-func NewDisk() *Disk { return &Disk{files: map[string][]byte{}, gone: map[string][]byte{}} }
+// NewDisk returns an empty disk.
+func NewDisk() *Disk { return &Disk{files: map[string][]byte{}, removed: map[string][]byte{}} }
 
-// Handle is a disk as one run of a process sees it.
+// Handle is the access of one run of a process to its disk.
 type Handle struct{ d *Disk }
 
-// Open opens the disk for a new run; the run before can do nothing more to it. A write that was
-// under way is lost, and leaves its unfinished file behind.
+// Open opens the disk for a new run of a process. Handles of earlier runs stop working: a write in progress fails and
+// leaves its partial temporary file behind.
 func (d *Disk) Open() *Handle {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.now = &Handle{d}
-	return d.now
+	d.current = &Handle{d}
+	return d.current
 }
 
-// LosePower undoes some of the removals that were not synced: those for which the function says so. The machine's
-// process has ended. What was written is synced by Write itself.
+// LosePower simulates a power loss, which may undo removals that were not synced: it restores the removed files for which
+// undo returns true. The process of the machine must have ended. Writes are never undone, because Write syncs them.
 func (d *Disk) LosePower(undo func() bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	names := slices.Sorted(maps.Keys(d.gone))
+	names := slices.Sorted(maps.Keys(d.removed))
 	for _, name := range names {
 		if _, written := d.files[name]; !written && undo() {
-			d.files[name] = d.gone[name]
+			d.files[name] = d.removed[name]
 		}
 	}
-	clear(d.gone)
+	clear(d.removed)
 }
 
-// SetWriteDelay makes every write take so long.
+// SetWriteDelay delays every write by a duration.
 func (d *Disk) SetWriteDelay(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.slow = by
+	d.writeDelay = by
 }
 
-// SetFull has every write fail, or no longer.
+// SetFull sets whether every write fails with ErrFull.
 func (d *Disk) SetFull(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.full = on
 }
 
-// FailRemovals has every removal fail, as a crash just before it would leave things.
+// FailRemovals sets whether every removal fails. The disk then looks as after a crash just before the removal.
 func (d *Disk) FailRemovals(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.keep = on
+	d.failRemovals = on
 }
 
-// StallWrites has every write wait until Flow.
+// StallWrites blocks every write until ResumeWrites is called.
 func (d *Disk) StallWrites() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.stall == nil {
-		d.stall = make(chan struct{})
+	if d.stalled == nil {
+		d.stalled = make(chan struct{})
 	}
 }
 
-// ResumeWrites ends a stall.
+// ResumeWrites ends a stall of the writes.
 func (d *Disk) ResumeWrites() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.stall != nil {
-		close(d.stall)
-		d.stall = nil
+	if d.stalled != nil {
+		close(d.stalled)
+		d.stalled = nil
 	}
 }
 
-// FlipBit flips a bit of a file's byte, as a bad sector would.
+// FlipBit corrupts a file as a bad sector would, and reports whether the file has any data. It flips a bit of the byte at
+// offset at, modulo the file's size.
 func (d *Disk) FlipBit(name string, at int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -114,7 +115,7 @@
 	return true
 }
 
-// Names lists the files.
+// Names returns the sorted names of all files.
 func (d *Disk) Names() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -126,25 +127,25 @@
 	return out
 }
 
-// Write is atomic once it returns: a run that ends in the middle leaves the old file and a torn
-// one aside.
+// Write replaces a file atomically and syncs it. A run that ends during the write leaves the old file, and a partial
+// temporary file beside it.
 func (h *Handle) Write(name string, data []byte) error {
 	d := h.d
 	d.mu.Lock()
-	if d.now == h {
+	if d.current == h {
 		d.files[name+".aside"] = append([]byte{}, data[:len(data)/2]...)
 	}
-	slow, full, stall := d.slow, d.full, d.stall
+	delay, full, stalled := d.writeDelay, d.full, d.stalled
 	d.mu.Unlock()
-	if stall != nil {
-		<-stall
+	if stalled != nil {
+		<-stalled
 	}
-	if slow > 0 {
-		time.Sleep(slow)
+	if delay > 0 {
+		time.Sleep(delay)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.now != h {
+	if d.current != h {
 		return ErrCrashed
 	}
 	if full {
@@ -152,63 +153,63 @@
 	}
 	d.Syncs++
 	d.Bytes += len(data)
-	clear(d.gone) // the folder is synced with it
+	clear(d.removed) // the write syncs the directory as well
 	delete(d.files, name+".aside")
 	d.files[name] = append([]byte{}, data...)
 	return nil
 }
 
-// Read gives a file.
+// Read returns a file's data, or nil if the file does not exist.
 func (h *Handle) Read(name string) ([]byte, error) {
 	h.d.mu.Lock()
 	defer h.d.mu.Unlock()
-	if h.d.now != h {
+	if h.d.current != h {
 		return nil, ErrCrashed
 	}
 	return h.d.files[name], nil
 }
 
-// List names the files.
+// List returns the sorted names of all files.
 func (h *Handle) List() ([]string, error) { return h.d.Names(), nil }
 
-// Remove drops a file.
+// Remove deletes a file. A power loss may undo the removal until the directory is synced.
 func (h *Handle) Remove(name string) error {
 	h.d.mu.Lock()
 	defer h.d.mu.Unlock()
-	if h.d.now != h {
+	if h.d.current != h {
 		return ErrCrashed
 	}
-	if h.d.keep {
+	if h.d.failRemovals {
 		return ErrCrashed
 	}
 	if file, ok := h.d.files[name]; ok {
-		h.d.gone[name] = file
+		h.d.removed[name] = file
 	}
 	delete(h.d.files, name)
 	return nil
 }
 
-// Rename moves a file.
+// Rename renames a file and syncs the directory, so that earlier removals are permanent.
 func (h *Handle) Rename(from, to string) error {
 	h.d.mu.Lock()
 	defer h.d.mu.Unlock()
-	if h.d.now != h {
+	if h.d.current != h {
 		return ErrCrashed
 	}
 	h.d.files[to] = h.d.files[from]
 	delete(h.d.files, from)
-	clear(h.d.gone)
+	clear(h.d.removed)
 	return nil
 }
 
-// Sync makes removals last.
+// Sync syncs the directory, so that removals survive a power loss.
 func (h *Handle) Sync() error {
 	h.d.mu.Lock()
 	defer h.d.mu.Unlock()
-	if h.d.now != h {
+	if h.d.current != h {
 		return ErrCrashed
 	}
-	clear(h.d.gone)
+	clear(h.d.removed)
 	return nil
 }
 
--- a/internal/testing/sim/net.go
+++ b/internal/testing/sim/net.go
@@ -1,5 +1,5 @@
-// Package sim is the world that the tests put whole processes into: a network and disks in memory,
-// with delay, cuts, freezes, stalls and losses, in simulated time (testing/synctest).
+// Package sim provides the environment in which tests run complete processes: a network and disks in memory with injected
+// faults (delays, cuts, frozen processes, disk stalls and crashes), in simulated time (testing/synctest).
 package sim
 
 import (
@@ -24,55 +24,55 @@
 	rnd         *rand.Rand
 	listeners   map[string]*listener
 	connections map[*connection]bool
-	cuts        map[[2]string]time.Time // from, to: nothing gets through since then
-	frozen      map[string]time.Time    // machines whose process stands still, since when
-	maxDelay    time.Duration           // the most that a piece is under way
-	sent        int
-	dial        int
+	cuts        map[[2]string]time.Time // the start of each cut, by sending and receiving host
+	frozen      map[string]time.Time    // the time from which a host's process is frozen
+	maxDelay    time.Duration           // upper bound of the delay of a write and of a dial
+	sent        int                     // writes so far
+	dials       int                     // dials so far, failed ones included
 }
 
-// NewWorld makes a world whose delays come from the seed.
+// NewWorld returns a network without machines. Its delays are drawn from the seed.
 func NewWorld(seed uint64) *World {
 	w := &World{rnd: rand.New(rand.NewPCG(seed, 7)), listeners: map[string]*listener{}, connections: map[*connection]bool{},
 		cuts: map[[2]string]time.Time{}, frozen: map[string]time.Time{}, maxDelay: 4 * time.Millisecond}
 	return w
 }
 
-// ErrRefused is a dial to where nobody listens.
+// ErrRefused is returned by a dial to an address without a listener, and by a dial of a crashed process.
 var ErrRefused = fmt.Errorf("sim: %w", syscall.ECONNREFUSED)
 
-// machine is the net as one process at an address sees it. A process that has crashed keeps its
-// handle, but the handle does nothing more.
+// machine is the network access of one process at an address. After the process has crashed, its dials and writes fail and
+// it cannot listen.
 type machine struct {
-	w    *World
-	addr string
-	dead bool
+	w       *World
+	addr    string
+	crashed bool
 }
 
-// Net gives a process at addr its net, and the function that crashes it: all its connections
-// break and nothing it still does is seen by anyone.
+// Net returns the network for a process at addr, and a function that crashes the process: its listeners and connections
+// are closed, and no other process sees anything that it does afterwards.
 func (w *World) Net(addr string) (wire.Network, func()) {
 	m := &machine{w: w, addr: addr}
 	return m, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		m.dead = true
-		for _, e := range w.listeners {
-			if e.m == m {
-				e.shut()
+		m.crashed = true
+		for _, l := range w.listeners {
+			if l.m == m {
+				l.closeLocked()
 			}
 		}
 		for c := range w.connections {
-			if c.m == m || c.far.m == m {
-				c.fail()
-				c.far.fail()
+			if c.m == m || c.peer.m == m {
+				c.closeLocked()
+				c.peer.closeLocked()
 			}
 		}
 	}
 }
 
-// Cut stops all that goes from one address's machine to the other's; Heal lets it through again. What is
-// written meanwhile arrives late, as TCP has it, unless the sender aborts its connection before that.
+// Cut stops all traffic from the host of one address to the host of the other, until Heal. As with TCP, data written
+// during the cut arrives after it, unless the sender aborts the connection first.
 func (w *World) Cut(from, to string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -82,18 +82,20 @@
 	}
 }
 
-// host is the machine of an address: a cut concerns all its ports.
+// host returns the host part of an address. A cut applies to all ports of a host.
 func host(addr string) string {
 	h, _, _ := strings.Cut(addr, ":")
 	return h
 }
 
-func (w *World) cut(from, to string) bool {
+// isCut reports whether no traffic passes from one address's host to the other's. The caller holds the lock.
+func (w *World) isCut(from, to string) bool {
 	_, isCut := w.cutSince(from, to)
 	return isCut
 }
 
-// cutSince tells whether and since when nothing gets from one address's machine to the other's. The caller holds the lock.
+// cutSince reports whether no traffic passes from one address's host to the other's because of a cut or a frozen process,
+// and since when. The caller holds the lock.
 func (w *World) cutSince(from, to string) (since time.Time, isCut bool) {
 	if since, isCut = w.cuts[[2]string{host(from), host(to)}]; isCut {
 		return since, true
@@ -105,7 +107,7 @@
 	return since, isCut
 }
 
-// Heal ends every cut.
+// Heal ends all cuts. Frozen processes stay frozen.
 func (w *World) Heal() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -113,8 +115,8 @@
 	w.wakeReaders()
 }
 
-// Freeze has nothing that the process at an address writes get out and nothing get in, as while it stands still. Thaw ends
-// it, Heal does not.
+// Freeze stops all traffic from and to the process at an address, so that to others it appears frozen. Thaw ends this,
+// Heal does not.
 func (w *World) Freeze(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -123,7 +125,7 @@
 	}
 }
 
-// Thaw lets a frozen process go on.
+// Thaw restores the traffic of a frozen process.
 func (w *World) Thaw(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -131,28 +133,28 @@
 	w.wakeReaders()
 }
 
-// wakeReaders has all readers look at what has arrived. The caller holds the lock.
+// wakeReaders makes all readers check again for data that has arrived. The caller holds the lock.
 func (w *World) wakeReaders() {
 	for c := range w.connections {
 		c.wakeReader()
 	}
 }
 
-// Sent counts the pieces sent so far.
+// Sent returns the number of writes to connections so far.
 func (w *World) Sent() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.sent
 }
 
-// Dialled counts the connections tried so far.
+// Dialled returns the number of dials so far, failed ones included.
 func (w *World) Dialled() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.dial
+	return w.dials
 }
 
-// Split cuts two groups off each other, both ways.
+// Split cuts the traffic between two groups of addresses in both directions.
 func (w *World) Split(a, b []string) {
 	for _, x := range a {
 		for _, y := range b {
@@ -163,65 +165,67 @@
 }
 
 type listener struct {
-	m    *machine
-	addr string
-	ch   chan *connection
-	done chan struct{}
-	once sync.Once
-}
-
-func (e *listener) shut() {
-	e.once.Do(func() {
-		close(e.done)
-		delete(e.m.w.listeners, e.addr)
+	m        *machine
+	addr     string
+	incoming chan *connection
+	done     chan struct{}
+	once     sync.Once
+}
+
+// closeLocked closes the listener and frees its address. The caller holds the lock.
+func (l *listener) closeLocked() {
+	l.once.Do(func() {
+		close(l.done)
+		delete(l.m.w.listeners, l.addr)
 	})
 }
 
-// Accept waits for the next connection.
-func (e *listener) Accept() (net.Conn, error) {
+// Accept returns the next incoming connection.
+func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-e.ch:
+	case c := <-l.incoming:
 		return c, nil
-	case <-e.done:
+	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
 
-// Close frees the address.
-func (e *listener) Close() error {
-	e.m.w.mu.Lock()
-	defer e.m.w.mu.Unlock()
-	e.shut()
+// Close closes the listener and frees its address.
+func (l *listener) Close() error {
+	l.m.w.mu.Lock()
+	defer l.m.w.mu.Unlock()
+	l.closeLocked()
 	return nil
 }
 
-// Addr is the address listened at.
-func (e *listener) Addr() net.Addr { return address(e.addr) }
+// Addr returns the listener's address.
+func (l *listener) Addr() net.Addr { return address(l.addr) }
 
 type address string
 
-// Network names the simulated network.
+// Network returns the name of the simulated network.
 func (address) Network() string { return "sim" }
 
-func (s address) String() string { return string(s) }
+func (a address) String() string { return string(a) }
 
-// Listen binds an address of the world.
+// Listen listens at an address. Each address has at most one listener.
 func (m *machine) Listen(addr string) (net.Listener, error) {
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
-	if m.dead || m.w.listeners[addr] != nil {
+	if m.crashed || m.w.listeners[addr] != nil {
 		return nil, errors.New("sim: address in use")
 	}
-	e := &listener{m: m, addr: addr, ch: make(chan *connection, 64), done: make(chan struct{})}
-	m.w.listeners[addr] = e
-	return e, nil
+	l := &listener{m: m, addr: addr, incoming: make(chan *connection, 64), done: make(chan struct{})}
+	m.w.listeners[addr] = l
+	return l, nil
 }
 
-// Dial connects, after a delay; through a cut it waits until the context ends.
+// Dial connects to an address after a delay. While a cut separates the two hosts in either direction, it waits for the end
+// of the cut or of the context.
 func (m *machine) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	wait := m.w.delay()
 	m.w.mu.Lock()
-	m.w.dial++
+	m.w.dials++
 	m.w.mu.Unlock()
 	for {
 		t := time.NewTimer(wait)
@@ -232,84 +236,87 @@
 			return nil, ctx.Err()
 		}
 		m.w.mu.Lock()
-		if m.dead {
+		if m.crashed {
 			m.w.mu.Unlock()
 			return nil, ErrRefused
 		}
-		if m.w.cut(m.addr, addr) || m.w.cut(addr, m.addr) {
+		if m.w.isCut(m.addr, addr) || m.w.isCut(addr, m.addr) {
 			m.w.mu.Unlock()
 			wait = 50 * time.Millisecond
 			continue
 		}
-		e := m.w.listeners[addr]
-		if e == nil {
+		l := m.w.listeners[addr]
+		if l == nil {
 			m.w.mu.Unlock()
 			return nil, ErrRefused
 		}
-		a, b := &connection{w: m.w, m: m, to: addr}, &connection{w: m.w, m: e.m, to: m.addr}
-		a.far, b.far = b, a
-		a.more, b.more = make(chan struct{}, 1), make(chan struct{}, 1)
-		a.gone, b.gone = make(chan struct{}), make(chan struct{})
-		a.wakeTimer, b.wakeTimer = newStoppedTimer(), newStoppedTimer()
-		m.w.connections[a], m.w.connections[b] = true, true
+		near, far := &connection{w: m.w, m: m, to: addr}, &connection{w: m.w, m: l.m, to: m.addr}
+		near.peer, far.peer = far, near
+		near.wake, far.wake = make(chan struct{}, 1), make(chan struct{}, 1)
+		near.done, far.done = make(chan struct{}), make(chan struct{})
+		near.wakeTimer, far.wakeTimer = newStoppedTimer(), newStoppedTimer()
+		m.w.connections[near], m.w.connections[far] = true, true
 		m.w.mu.Unlock()
 		select {
-		case e.ch <- b:
-			return a, nil
-		case <-e.done:
+		case l.incoming <- far:
+			return near, nil
+		case <-l.done:
 			return nil, ErrRefused
 		}
 	}
 }
 
+// delay draws the delay of a write or a dial.
 func (w *World) delay() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return time.Duration(w.rnd.Int64N(int64(w.maxDelay)) + 1)
 }
 
-// piece is what one write sent. Where a cut holds it back it waits at its sender, and arrives after the heal.
-type piece struct {
-	data []byte
-	at   time.Time // when it arrives, unless a cut holds it back
+// segment is the data of one write. During a cut it waits at its sender and arrives after the cut.
+type segment struct {
+	data    []byte
+	arrives time.Time // if no cut delays it
 }
 
-// connection is one end of a connection. What arrives stands in its own queue.
+// connection is one end of a connection. Its queue holds the data sent by the other end.
 type connection struct {
-	w         *World
-	m         *machine
-	to        string
-	far       *connection
-	in        []piece
-	last      time.Time
-	more      chan struct{}
-	until     time.Time   // of reading
-	wakeTimer *time.Timer // wakes the reader when the next piece arrives or its time is up
-	gone      chan struct{}
-	down      bool
-	eof       bool
-	reset     bool // the other end has aborted the connection, and this end knows
-	aborts    bool // Close aborts the connection
-}
-
+	w            *World
+	m            *machine
+	to           string
+	peer         *connection
+	queue        []segment
+	lastArrival  time.Time     // of the last segment sent to this end
+	wake         chan struct{} // makes the reader check again
+	readDeadline time.Time
+	wakeTimer    *time.Timer   // wakes the reader when the next segment arrives or its deadline passes
+	done         chan struct{} // closed together with this end
+	closed       bool
+	eof          bool // the other end has closed the connection in order
+	reset        bool // the other end has aborted the connection, and this end has received the reset
+	abortOnClose bool
+}
+
+// newStoppedTimer returns a timer that fires only after a Reset.
 func newStoppedTimer() *time.Timer {
 	timer := time.NewTimer(time.Hour)
 	timer.Stop()
 	return timer
 }
 
+// wakeReader makes the reader check again for data, the end of the stream and its deadline.
 func (c *connection) wakeReader() {
 	select {
-	case c.more <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// fail breaks the end; the caller holds the world's lock.
-func (c *connection) fail() {
-	if !c.down {
-		c.down = true
-		close(c.gone)
+// closeLocked closes this end. The caller holds the world's lock.
+func (c *connection) closeLocked() {
+	if !c.closed {
+		c.closed = true
+		close(c.done)
 		c.wakeTimer.Stop()
 		delete(c.w.connections, c)
 	}
@@ -318,51 +325,51 @@
 func (c *connection) Read(b []byte) (int, error) {
 	for {
 		c.w.mu.Lock()
-		if c.down {
+		if c.closed {
 			c.w.mu.Unlock()
 			return 0, io.ErrUnexpectedEOF
 		}
-		if len(c.in) > 0 && !c.w.cut(c.to, c.m.addr) {
-			if !c.in[0].at.After(time.Now()) {
-				n := copy(b, c.in[0].data)
-				if c.in[0].data = c.in[0].data[n:]; len(c.in[0].data) == 0 {
-					c.in = c.in[1:]
+		if len(c.queue) > 0 && !c.w.isCut(c.to, c.m.addr) {
+			if !c.queue[0].arrives.After(time.Now()) {
+				n := copy(b, c.queue[0].data)
+				if c.queue[0].data = c.queue[0].data[n:]; len(c.queue[0].data) == 0 {
+					c.queue = c.queue[1:]
 				}
 				c.w.mu.Unlock()
 				return n, nil
 			}
-		} else if c.reset && len(c.in) == 0 {
+		} else if c.reset && len(c.queue) == 0 {
 			c.w.mu.Unlock()
 			return 0, syscall.ECONNRESET
-		} else if c.eof && len(c.in) == 0 {
+		} else if c.eof && len(c.queue) == 0 {
 			c.w.mu.Unlock()
 			return 0, io.EOF
 		}
-		// What has arrived, the other end's close too, is seen even past the deadline: whoever looks
-		// whether an idle connection is clean sets one that has passed.
-		if !c.until.IsZero() && time.Until(c.until) <= 0 {
+		// Data that has arrived and the close of the other end are reported even after the deadline: a check of an idle
+		// connection sets a deadline in the past.
+		if !c.readDeadline.IsZero() && time.Until(c.readDeadline) <= 0 {
 			c.w.mu.Unlock()
 			return 0, os.ErrDeadlineExceeded
 		}
 		c.setWakeTimer()
 		c.w.mu.Unlock()
 		select {
-		case <-c.more:
+		case <-c.wake:
 		case <-c.wakeTimer.C:
-		case <-c.gone:
+		case <-c.done:
 		}
 	}
 }
 
-// setWakeTimer sets the timer to when the reader has to look again: as the first piece arrives, or at the deadline. The
-// caller holds the world's lock.
+// setWakeTimer sets the timer to the time at which the reader has to check again: the arrival of the first segment or the
+// deadline, whichever is earlier. The caller holds the world's lock.
 func (c *connection) setWakeTimer() {
 	var next time.Time
-	if len(c.in) > 0 && !c.w.cut(c.to, c.m.addr) {
-		next = c.in[0].at
+	if len(c.queue) > 0 && !c.w.isCut(c.to, c.m.addr) {
+		next = c.queue[0].arrives
 	}
-	if !c.until.IsZero() && (next.IsZero() || c.until.Before(next)) {
-		next = c.until
+	if !c.readDeadline.IsZero() && (next.IsZero() || c.readDeadline.Before(next)) {
+		next = c.readDeadline
 	}
 	if next.IsZero() {
 		c.wakeTimer.Stop()
@@ -375,81 +382,81 @@
 	d := c.w.delay()
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
-	if c.down || c.m.dead {
+	if c.closed || c.m.crashed {
 		return 0, io.ErrClosedPipe
 	}
-	if c.far.down || c.far.eof {
+	if c.peer.closed || c.peer.eof {
 		return 0, io.ErrClosedPipe
 	}
 	at := time.Now().Add(d)
-	if at.Before(c.far.last) {
-		at = c.far.last // pieces of one connection keep their order
+	if at.Before(c.peer.lastArrival) {
+		at = c.peer.lastArrival // segments of one connection arrive in order
 	}
-	c.far.last = at
-	c.far.in = append(c.far.in, piece{append([]byte{}, b...), at})
+	c.peer.lastArrival = at
+	c.peer.queue = append(c.peer.queue, segment{append([]byte{}, b...), at})
 	c.w.sent++
-	if len(c.far.in) == 1 {
-		c.far.setWakeTimer() // the reader need not wake before the piece is there
+	if len(c.peer.queue) == 1 {
+		c.peer.setWakeTimer() // the reader need not wake before the segment arrives
 	}
 	return len(b), nil
 }
 
-// Close ends the connection. In order, the other end reads what is under way and what waits at this end, then the end of
-// the stream. Aborted, what a cut holds back is discarded and the other end reads what has arrived, then a reset. The reset
-// itself is lost in a cut: the other end learns of it only by writing.
+// Close closes this end. After an orderly close, the other end reads all data that was sent, including data delayed by a
+// cut, and then the end of the stream. After an abort, data delayed by a cut is discarded, and the other end reads the rest
+// and then a reset. During a cut the reset is lost as well: the other end notices the abort only when it writes.
 func (c *connection) Close() error {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
-	if c.down {
+	if c.closed {
 		return nil
 	}
-	c.fail()
+	c.closeLocked()
 	switch since, isCut := c.w.cutSince(c.m.addr, c.to); {
-	case !c.aborts:
-		c.far.eof = true
+	case !c.abortOnClose:
+		c.peer.eof = true
 	case isCut:
-		c.far.discardAfter(since)
+		c.peer.discardAfter(since)
 	default:
-		c.far.reset = true
+		c.peer.reset = true
 	}
-	c.far.wakeReader()
+	c.peer.wakeReader()
 	return nil
 }
 
-// discardAfter drops the pieces that had not arrived at a moment. The caller holds the world's lock.
+// discardAfter drops the segments that arrive after a moment. The caller holds the world's lock.
 func (c *connection) discardAfter(moment time.Time) {
 	arrived := 0
-	for arrived < len(c.in) && !c.in[arrived].at.After(moment) {
+	for arrived < len(c.queue) && !c.queue[arrived].arrives.After(moment) {
 		arrived++
 	}
-	c.in = c.in[:arrived]
+	c.queue = c.queue[:arrived]
 }
 
-// SetLinger sets what Close does, as of a *net.TCPConn: with 0 seconds it aborts the connection.
+// SetLinger sets the behaviour of Close, like SetLinger of *net.TCPConn: with 0 seconds, Close aborts the connection.
 func (c *connection) SetLinger(seconds int) error {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
-	c.aborts = seconds == 0
+	c.abortOnClose = seconds == 0
 	return nil
 }
 
-// LocalAddr is the address of this end.
+// LocalAddr returns the address of this end.
 func (c *connection) LocalAddr() net.Addr { return address(c.m.addr) }
 
-// RemoteAddr is the address of the other end.
+// RemoteAddr returns the address of the other end.
 func (c *connection) RemoteAddr() net.Addr { return address(c.to) }
 
-// SetDeadline bounds the reads: a write never waits.
+// SetDeadline sets the deadline of reads. A write never blocks.
 func (c *connection) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
-// SetWriteDeadline does nothing: a write never waits.
+// SetWriteDeadline does nothing, because a write never blocks.
 func (c *connection) SetWriteDeadline(time.Time) error { return nil }
 
-// SetReadDeadline bounds the reads, also one that waits already.
+// SetReadDeadline sets the deadline of reads, including a read that is already blocked.
 func (c *connection) SetReadDeadline(t time.Time) error {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
-	c.until = t
+	c.readDeadline = t
 	c.wakeReader()
 	return nil
 }
--- a/internal/testing/sim/net_test.go
+++ b/internal/testing/sim/net_test.go
@@ -14,7 +14,7 @@
 	"yarrowridge/internal/transport/tcp"
 )
 
-// connect opens a connection from one machine of the world to another.
+// connect opens a connection between two machines and returns both ends, the dialling one first.
 func connect(t *testing.T, world *World) (near, far net.Conn) {
 	t.Helper()
 	server, crashServer := world.Net("10.0.0.1:1")
@@ -36,9 +36,9 @@
 	return near, far
 }
 
-// What a cut holds back waits at its sender, as with TCP: it is delivered after an orderly close and discarded by an abort.
-// What had arrived before is read in any case.
-func TestAbortDiscardsWhatACutHoldsBack(t *testing.T) {
+// As with TCP, data that is delayed by a cut waits at its sender: an orderly close still delivers it, an abort discards it.
+// Data that arrived before the cut is read in any case.
+func TestAbortDiscardsDataDelayedByCut(t *testing.T) {
 	tests := []struct {
 		name       string
 		abort, cut bool
