--- a/internal/testing/sim/answer_test.go
+++ b/internal/testing/sim/answer_test.go
@@ -20,20 +20,20 @@
 func TestLongWhole(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		w := newWhole(t, seed, 2, strings.ReplaceAll(plainLay(""), `"patience_ms":20000`, `"patience_ms":2000`), model(8, 60*time.Millisecond))
-		l := &ledger{}
+		w := newFullFleet(t, seed, 2, strings.ReplaceAll(testConfig(""), `"patience_ms":20000`, `"patience_ms":2000`), newModelRunner(8, 60*time.Millisecond))
+		l := &resultLog{}
 		var all sync.WaitGroup
 		for i := range 2 {
 			all.Go(func() {
-				l.add(w.send(w.ctx, w.full[i], ask{n: uint64(i + 1), tenant: "rich", path: "/notes", key: fmt.Sprint("k", i), body: prompt(2000 + w.chance(1000))}))
+				l.add(w.send(w.ctx, w.full[i], query{n: uint64(i + 1), tenant: "rich", path: "/notes", key: fmt.Sprint("k", i), body: prompt(2000 + w.chance(1000))}))
 			})
 		}
 		time.Sleep(time.Duration(20+w.chance(40)) * time.Second)
 		for i, r := range w.full {
-			if why := r.r.Runners.List()[0].Health(); why != "" {
+			if why := r.router.Runners.List()[0].Health(); why != "" {
 				t.Errorf("%s: the runner at work on long answers is %s", r.name, why)
 			}
-			l.add(w.send(w.ctx, r, ask{n: uint64(10 + i), tenant: "rich", path: "/ask", body: prompt(2)}))
+			l.add(w.send(w.ctx, r, query{n: uint64(10 + i), tenant: "rich", path: "/ask", body: prompt(2)}))
 		}
 		all.Wait()
 		for _, g := range l.list() {
@@ -41,7 +41,7 @@
 				t.Errorf("query %d: %d %s after %s", g.n, g.status, g.code, g.took)
 			}
 		}
-		w.honest(l)
+		w.checkResults(l)
 	})
 }
 
@@ -50,8 +50,8 @@
 func TestLaneSilence(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		a := model(8, 10*time.Millisecond)
-		w := newWhole(t, seed, 1, strings.ReplaceAll(plainLay(""), `"patience_ms":20000`, `"patience_ms":20000,"silence_ms":4000`), a)
+		a := newModelRunner(8, 10*time.Millisecond)
+		w := newFullFleet(t, seed, 1, strings.ReplaceAll(testConfig(""), `"patience_ms":20000`, `"patience_ms":20000,"silence_ms":4000`), a)
 		a.mu.Lock()
 		a.hang = true
 		a.mu.Unlock()
@@ -62,7 +62,7 @@
 		}{{50, true, 4 * time.Second}, {50, false, 9 * time.Second}} {
 			body := prompt(c.tokens)
 			body["stream"] = c.stream
-			g := w.send(w.ctx, w.full[0], ask{n: uint64(i + 1), tenant: "rich", path: "/ask", body: body})
+			g := w.send(w.ctx, w.full[0], query{n: uint64(i + 1), tenant: "rich", path: "/ask", body: body})
 			if g.code != "runner-silent" || g.run != "unknown" || g.took < c.wait || g.took > c.wait+time.Second {
 				t.Errorf("stream %v: %d %s (%s) after %s, runner-silent after %s expected", c.stream, g.status, g.code, g.run, g.took, c.wait)
 			}
@@ -71,24 +71,24 @@
 	})
 }
 
-// dam is an origin's connection that takes so many bytes and then nothing more.
-type dam struct {
+// stalledConn is an origin's connection that takes so many bytes and then nothing more.
+type stalledConn struct {
 	*httptest.ResponseRecorder
-	mu    sync.Mutex
-	room  int
-	until time.Time
+	mu            sync.Mutex
+	limit         int
+	writeDeadline time.Time
 }
 
-func (d *dam) SetWriteDeadline(t time.Time) error {
+func (d *stalledConn) SetWriteDeadline(t time.Time) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.until = t
+	d.writeDeadline = t
 	return nil
 }
 
-func (d *dam) Write(b []byte) (int, error) {
+func (d *stalledConn) Write(b []byte) (int, error) {
 	d.mu.Lock()
-	full, until := d.Body.Len()+len(b) > d.room, d.until
+	full, until := d.Body.Len()+len(b) > d.limit, d.writeDeadline
 	d.mu.Unlock()
 	if !full {
 		return d.ResponseRecorder.Write(b)
@@ -105,9 +105,9 @@
 func TestOriginStopsReading(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		w := newWhole(t, seed, 4, plainLay(""), model(1, 50*time.Millisecond))
+		w := newFullFleet(t, seed, 4, testConfig(""), newModelRunner(1, 50*time.Millisecond))
 		r := w.full[0]
-		d := &dam{ResponseRecorder: httptest.NewRecorder(), room: 200 + w.chance(1000)}
+		d := &stalledConn{ResponseRecorder: httptest.NewRecorder(), limit: 200 + w.chance(1000)}
 		req := httptest.NewRequestWithContext(w.ctx, "POST", "/ask", strings.NewReader(`{"model":"m","prompt":"a","stream":true,"max_tokens":300}`))
 		req.Header.Set("Authorization", "Bearer demo-rich")
 		req.Header.Set("Content-Type", "application/json")
@@ -116,14 +116,14 @@
 		begun := time.Now()
 		go func() {
 			defer func() { _ = recover(); over <- time.Now() }()
-			r.r.Clients.ServeHTTP(d, req)
+			r.router.Clients.ServeHTTP(d, req)
 		}()
 		time.Sleep(18 * time.Second)
-		e := r.r.Runners.List()[0]
+		e := r.router.Runners.List()[0]
 		if n, _ := e.Load(); n != 0 || e.Health() != "" {
 			t.Errorf("18 s into a stream of 15 s the runner has %d streams and is %q", n, e.Health())
 		}
-		g := w.send(w.ctx, w.full[2], ask{n: 2, tenant: "rich", path: "/v1/streams/" + d.Header().Get(runner.RequestHeader), method: "GET"})
+		g := w.send(w.ctx, w.full[2], query{n: 2, tenant: "rich", path: "/v1/streams/" + d.Header().Get(runner.RequestHeader), method: "GET"})
 		if n := strings.Count(string(g.body), "data: {"); n != 300 || !strings.HasSuffix(string(g.body), "data: [DONE]\n\n") {
 			t.Errorf("resumed elsewhere: %d pieces of 300, ended %q", n, tail(g.body))
 		}
@@ -161,13 +161,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			overSeeds(t, func(t *testing.T, seed uint64) {
-				m := model(8, 10*time.Millisecond)
-				m.raw = c.raw
-				w := newWhole(t, seed, 2, plainLay(""), m)
-				l := &ledger{}
+				m := newModelRunner(8, 10*time.Millisecond)
+				m.rawAnswer = c.raw
+				w := newFullFleet(t, seed, 2, testConfig(""), m)
+				l := &resultLog{}
 				body := prompt(1)
 				body["stream"] = c.stream
-				g := w.send(w.ctx, w.full[0], ask{n: 1, tenant: "rich", path: "/ask", body: body})
+				g := w.send(w.ctx, w.full[0], query{n: 1, tenant: "rich", path: "/ask", body: body})
 				l.add(g)
 				code := g.code
 				if c.stream && code == "" {
@@ -178,7 +178,7 @@
 				if code != c.code || strings.Contains(string(g.body), "[DONE]") != (c.stream && c.code == "") || !c.stream && (g.status == http.StatusOK) != (c.code == "") {
 					t.Errorf("answered %d, code %q: %s; code %q expected", g.status, code, g.body, c.code)
 				}
-				w.honest(l)
+				w.checkResults(l)
 			})
 		})
 	}
@@ -190,33 +190,33 @@
 func TestWithdrawnQuiet(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		gone := `,"gone":{"funded":true,"keys":["` + key("gone") + `"]}`
-		w := newWhole(t, seed, 4, plainLay(gone), model(8, 5*time.Second))
+		gone := `,"gone":{"funded":true,"keys":["` + keyHash("gone") + `"]}`
+		w := newFullFleet(t, seed, 4, testConfig(gone), newModelRunner(8, 5*time.Second))
 		var all sync.WaitGroup
-		l := &ledger{}
+		l := &resultLog{}
 		body := prompt(4)
 		body["stream"] = true
 		var id string
 		all.Go(func() {
-			g := w.send(w.ctx, w.full[1], ask{n: 1, tenant: "gone", path: "/ask", body: body})
+			g := w.send(w.ctx, w.full[1], query{n: 1, tenant: "gone", path: "/ask", body: body})
 			l.add(g)
 		})
-		all.Go(func() { l.add(w.send(w.ctx, w.full[0], ask{n: 2, tenant: "gone", path: "/ask", body: prompt(4)})) })
+		all.Go(func() { l.add(w.send(w.ctx, w.full[0], query{n: 2, tenant: "gone", path: "/ask", body: prompt(4)})) })
 		all.Go(func() {
-			l.add(w.send(w.ctx, w.full[2], ask{n: 3, tenant: "gone", path: "/notes", key: "k", body: prompt(4)}))
+			l.add(w.send(w.ctx, w.full[2], query{n: 3, tenant: "gone", path: "/notes", key: "k", body: prompt(4)}))
 		})
 		time.Sleep(time.Second)
-		for _, s := range w.seen() {
+		for _, s := range w.arrivals() {
 			if s.n == 1 {
 				id = s.id
 			}
 		}
 		time.Sleep(time.Duration(5000+w.chance(4000)) * time.Millisecond)
 		all.Go(func() {
-			l.add(w.send(w.ctx, w.full[3], ask{n: 1, tenant: "gone", path: "/v1/streams/" + id, method: "GET"}))
+			l.add(w.send(w.ctx, w.full[3], query{n: 1, tenant: "gone", path: "/v1/streams/" + id, method: "GET"}))
 		})
 		time.Sleep(time.Duration(100+w.chance(900)) * time.Millisecond)
-		w.put(plainLay(""))
+		w.applyConfig(testConfig(""))
 		acked := time.Now()
 		all.Wait()
 		for _, g := range l.list() {
@@ -228,12 +228,12 @@
 				t.Errorf("query %d ended with %d %q", g.n, g.status, tail(g.body))
 			}
 		}
-		w.honest(l)
+		w.checkResults(l)
 		// The key comes back: what became of the once-only query is known.
-		w.put(plainLay(gone))
-		g := w.send(w.ctx, w.full[2], ask{n: 3, tenant: "gone", path: "/notes", key: "k", body: prompt(4)})
-		if g.status != 200 || w.saw(3) != 1 {
-			t.Errorf("asked again: %d %s, the runner saw it %d times", g.status, g.code, w.saw(3))
+		w.applyConfig(testConfig(gone))
+		g := w.send(w.ctx, w.full[2], query{n: 3, tenant: "gone", path: "/notes", key: "k", body: prompt(4)})
+		if g.status != 200 || w.arrivalCount(3) != 1 {
+			t.Errorf("asked again: %d %s, the runner saw it %d times", g.status, g.code, w.arrivalCount(3))
 		}
 	})
 }
--- a/internal/testing/sim/core_test.go
+++ b/internal/testing/sim/core_test.go
@@ -463,10 +463,10 @@
 func TestKeysFull(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		w := newWhole(t, seed, 1, strings.Replace(plainLay(""), `{"services"`, `{"limits":{"claim_keep_s":10,"ran_most":5},"services"`, 1), orders())
-		l := &ledger{}
-		order := func(n uint64) got {
-			g := w.send(w.ctx, w.full[0], ask{n: n, tenant: "rich", path: "/orders", key: fmt.Sprint("k", n), body: map[string]any{"n": n}})
+		w := newFullFleet(t, seed, 1, strings.Replace(testConfig(""), `{"services"`, `{"limits":{"claim_keep_s":10,"ran_most":5},"services"`, 1), newOrderRunner())
+		l := &resultLog{}
+		order := func(n uint64) result {
+			g := w.send(w.ctx, w.full[0], query{n: n, tenant: "rich", path: "/orders", key: fmt.Sprint("k", n), body: map[string]any{"n": n}})
 			l.add(g)
 			return g
 		}
@@ -481,10 +481,10 @@
 				t.Errorf("asked again: %d %s %s", g.status, g.code, g.run)
 			}
 		}
-		if g := order(6); g.code != "keys-full" || g.run != "not run" || g.retry == "" {
-			t.Errorf("a sixth key where five are kept: %d %s, %s, Retry-After %q", g.status, g.code, g.run, g.retry)
+		if g := order(6); g.code != "keys-full" || g.run != "not run" || g.retryAfter == "" {
+			t.Errorf("a sixth key where five are kept: %d %s, %s, Retry-After %q", g.status, g.code, g.run, g.retryAfter)
 		}
-		w.honest(l)
+		w.checkResults(l)
 	})
 }
 
--- a/internal/testing/sim/load_test.go
+++ b/internal/testing/sim/load_test.go
@@ -22,27 +22,27 @@
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		var all []*simRunner
 		for range 4 {
-			all = append(all, model(50, 5*time.Millisecond))
+			all = append(all, newModelRunner(50, 5*time.Millisecond))
 		}
-		w := newWhole(t, seed, 6, plainLay(""), all...)
+		w := newFullFleet(t, seed, 6, testConfig(""), all...)
 		// The runners' listeners are gone, their heartbeats go on: every dial is refused.
 		for _, s := range all {
-			s.deaf()
+			s.closeListener()
 		}
 		// Half of the time some listen and some do not, so that first tries come in numbers too.
 		second, worst := 0.0, 0.0
 		stop := time.Now().Add(60 * time.Second)
 		for i := uint64(1); time.Now().Before(stop); i++ {
-			go w.send(w.ctx, w.full[i%6], ask{n: i, tenant: "rich", path: "/ask", body: map[string]any{"model": "m", "max_tokens": 1, "prompt": fmt.Sprint(i)}})
+			go w.send(w.ctx, w.full[i%6], query{n: i, tenant: "rich", path: "/ask", body: map[string]any{"model": "m", "max_tokens": 1, "prompt": fmt.Sprint(i)}})
 			time.Sleep(time.Duration(w.chance(10)) * time.Millisecond)
 			if i%1000 == 500 {
-				all[0].hear()
+				all[0].reopenListener()
 			} else if i%1000 == 0 {
-				all[0].deaf()
+				all[0].closeListener()
 			}
 			first, again := 0, 0
 			for _, r := range w.full {
-				f, a := r.r.Clients.Retries.Counts("model")
+				f, a := r.router.Clients.Retries.Counts("model")
 				first, again = first+f, again+a
 			}
 			if most := 0.2*float64(first) + 20; float64(again) > most {
@@ -54,8 +54,8 @@
 		}
 		denied := 0.0
 		for _, r := range w.full {
-			second += testutil.ToFloat64(r.r.Metrics.RetryDecisions.WithLabelValues("model", "yes"))
-			denied += testutil.ToFloat64(r.r.Metrics.RetryDecisions.WithLabelValues("model", "no"))
+			second += testutil.ToFloat64(r.router.Metrics.RetryDecisions.WithLabelValues("model", "yes"))
+			denied += testutil.ToFloat64(r.router.Metrics.RetryDecisions.WithLabelValues("model", "no"))
 		}
 		t.Logf("%g second tries made, %g wanted and not made; at worst %.2f of the first ones in ten seconds", second, denied, worst)
 		if second == 0 || denied == 0 {
@@ -70,10 +70,10 @@
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		// Two runners of 4 streams, 50 ms a token, 4 tokens: 40 queries a second.
-		lay := strings.Replace(plainLay(""), `{"services"`, `{"limits":{"queue":60},"services"`, 1)
+		lay := strings.Replace(testConfig(""), `{"services"`, `{"limits":{"queue":60},"services"`, 1)
 		lay = strings.ReplaceAll(lay, `"patience_ms":20000`, `"patience_ms":2000`)
-		w := newWhole(t, seed, 2, lay, model(4, 50*time.Millisecond), model(4, 50*time.Millisecond))
-		l := &ledger{}
+		w := newFullFleet(t, seed, 2, lay, newModelRunner(4, 50*time.Millisecond), newModelRunner(4, 50*time.Millisecond))
+		l := &resultLog{}
 		var all sync.WaitGroup
 		n := uint64(0)
 		begun := time.Now()
@@ -81,7 +81,7 @@
 		most := 0
 		for time.Now().Before(stop) {
 			n++
-			a := ask{n: n, tenant: "rich", path: "/ask", body: prompt(4)}
+			a := query{n: n, tenant: "rich", path: "/ask", body: prompt(4)}
 			if n%20 == 0 { // 20 a second of the first rank, half of the capacity
 				a.path = "/hot"
 			}
@@ -91,7 +91,7 @@
 			}
 			all.Go(func() { l.add(w.send(w.ctx, r, a)) })
 			for _, r := range w.full {
-				q, _ := r.r.Scheduler.Waiting()
+				q, _ := r.router.Scheduler.Waiting()
 				most = max(most, q)
 			}
 			time.Sleep(2500 * time.Microsecond)
@@ -114,9 +114,9 @@
 		}
 		full := 40 * 20
 		for _, s := range w.runners {
-			t.Logf("%s: at most %d of a room of %d at once, %d came over it", s.addr, s.peak, s.room, s.over)
-			if s.over > 40 {
-				t.Errorf("%s: %d queries came while its room was full", s.addr, s.over)
+			t.Logf("%s: at most %d of a room of %d at once, %d came over it", s.addr, s.peak, s.capacity, s.overCapacity)
+			if s.overCapacity > 40 {
+				t.Errorf("%s: %d queries came while its room was full", s.addr, s.overCapacity)
 			}
 		}
 		t.Logf("%d of a capacity of %d done (%.2f), first rank %d of %d, longest queue %d, slowest rejection %s",
@@ -133,7 +133,7 @@
 		if slow > 2100*time.Millisecond {
 			t.Errorf("a rejection took %s, patience is 2 s", slow)
 		}
-		w.honest(l)
+		w.checkResults(l)
 	})
 }
 
@@ -191,18 +191,18 @@
 func TestNoHerd(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		w := newWhole(t, seed, 4, plainLay(""), model(200, 5*time.Millisecond), orders())
+		w := newFullFleet(t, seed, 4, testConfig(""), newModelRunner(200, 5*time.Millisecond), newOrderRunner())
 		time.Sleep(2 * time.Second)
 		for _, c := range w.cores {
 			w.crashCore(c)
 		}
-		l := &ledger{}
+		l := &resultLog{}
 		n := uint64(0)
 		var all sync.WaitGroup
 		cost := func(more int) (sent, dialled int) {
 			for range more {
 				n++
-				a := ask{n: n, tenant: "rich", path: "/notes", body: prompt(2), key: fmt.Sprint("k", n)}
+				a := query{n: n, tenant: "rich", path: "/notes", body: prompt(2), key: fmt.Sprint("k", n)}
 				r := w.full[n%4]
 				all.Go(func() { l.add(w.send(w.ctx, r, a)) })
 			}
@@ -226,7 +226,7 @@
 				t.Fatalf("a query that waited for the core was answered %d %s", g.status, g.code)
 			}
 		}
-		w.honest(l)
+		w.checkResults(l)
 	})
 }
 
@@ -349,14 +349,14 @@
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		var all []*simRunner
 		for range 8 {
-			s := model(16, 5*time.Millisecond)
-			s.slow, s.cold = 0.1, 10*time.Millisecond
+			s := newModelRunner(16, 5*time.Millisecond)
+			s.batchSlowdown, s.prefillTime = 0.1, 10*time.Millisecond
 			all = append(all, s)
 		}
-		w := newWhole(t, seed, 4, plainLay(""), all...)
+		w := newFullFleet(t, seed, 4, testConfig(""), all...)
 		rnd := rand.New(rand.NewPCG(seed, 3))
 		var wg sync.WaitGroup
-		l := &ledger{}
+		l := &resultLog{}
 		for i := range uint64(2000) {
 			doc := rnd.IntN(40)
 			if rnd.IntN(3) == 0 {
@@ -364,7 +364,7 @@
 			}
 			text := strings.Repeat(fmt.Sprintf("sheet %d line; ", doc), 200) + fmt.Sprint(" question ", i)
 			wg.Go(func() {
-				l.add(w.send(w.ctx, w.full[i%4], ask{n: i + 1, tenant: "rich", path: "/ask", body: map[string]any{"model": "m", "max_tokens": 2, "prompt": text}}))
+				l.add(w.send(w.ctx, w.full[i%4], query{n: i + 1, tenant: "rich", path: "/ask", body: map[string]any{"model": "m", "max_tokens": 2, "prompt": text}}))
 			})
 			time.Sleep(5 * time.Millisecond)
 		}
@@ -384,17 +384,17 @@
 		if f := float64(most) * 8 / float64(blocks); f > 3.2 {
 			t.Errorf("the busiest runner took %.2f of the mean", f)
 		}
-		w.honest(l)
+		w.checkResults(l)
 	})
 }
 
 // probe sends one query, and tells the wait it was estimated, at once, and the one it has until a runner
 // sees it, in time.
-func (w *whole) probe(r *fullRouter, a ask) (est time.Duration, wait chan time.Duration) {
+func (w *fullFleet) probe(r *fullRouter, a query) (est time.Duration, wait chan time.Duration) {
 	sum := func() (all float64) {
 		for _, kind := range []string{"funded", "unfunded"} {
 			var m dto.Metric
-			if err := r.r.Metrics.AllowanceWait.WithLabelValues(kind).(prometheus.Metric).Write(&m); err != nil {
+			if err := r.router.Metrics.AllowanceWait.WithLabelValues(kind).(prometheus.Metric).Write(&m); err != nil {
 				w.t.Error(err)
 			}
 			all += m.Histogram.GetSampleSum()
@@ -408,7 +408,7 @@
 		if g.status != 200 {
 			w.t.Errorf("a probe was answered %d %s", g.status, g.body)
 		}
-		for _, s := range w.seen() {
+		for _, s := range w.arrivals() {
 			if s.n == a.n {
 				wait <- s.at.Sub(g.begun)
 			}
@@ -431,11 +431,11 @@
 			warm    bool
 			shared  bool
 		}{{"new runners", 1, false, false}, {"measured, one router", 1, true, false}, {"measured, four routers", 4, true, false}, {"measured, shared prefixes", 4, true, true}} {
-			a, b := model(4, 50*time.Millisecond), model(4, 50*time.Millisecond)
-			a.slow, b.slow = 0.2, 0.2
-			a.cold, b.cold = 200*time.Millisecond, 200*time.Millisecond
-			lay := strings.ReplaceAll(plainLay(""), `"patience_ms":20000`, `"patience_ms":600000`)
-			w := newWhole(t, seed, c.routers, lay, a, b)
+			a, b := newModelRunner(4, 50*time.Millisecond), newModelRunner(4, 50*time.Millisecond)
+			a.batchSlowdown, b.batchSlowdown = 0.2, 0.2
+			a.prefillTime, b.prefillTime = 200*time.Millisecond, 200*time.Millisecond
+			lay := strings.ReplaceAll(testConfig(""), `"patience_ms":20000`, `"patience_ms":600000`)
+			w := newFullFleet(t, seed, c.routers, lay, a, b)
 			text := func(i int) string {
 				if c.shared {
 					return strings.Repeat("shared ", 200)
@@ -447,7 +447,7 @@
 				n++
 				no := n
 				wg.Go(func() {
-					w.send(w.ctx, w.full[i%c.routers], ask{n: no, tenant: "rich", path: "/ask", body: map[string]any{"model": "m", "max_tokens": 40, "prompt": text(int(no))}})
+					w.send(w.ctx, w.full[i%c.routers], query{n: no, tenant: "rich", path: "/ask", body: map[string]any{"model": "m", "max_tokens": 40, "prompt": text(int(no))}})
 				})
 			}
 			if c.warm {
@@ -465,7 +465,7 @@
 			time.Sleep(1500 * time.Millisecond)
 			// One more: its estimate at arrival, and its dispatch as seen.
 			n++
-			est, ch := w.probe(w.full[0], ask{n: n, tenant: "poor", path: "/ask", body: map[string]any{"model": "m", "max_tokens": 41, "prompt": text(int(n))}})
+			est, ch := w.probe(w.full[0], query{n: n, tenant: "poor", path: "/ask", body: map[string]any{"model": "m", "max_tokens": 41, "prompt": text(int(n))}})
 			wait := <-ch
 			wg.Wait()
 			ratio := est.Seconds() / wait.Seconds()
@@ -473,7 +473,7 @@
 			if ratio < 0.4 || ratio > 5 {
 				t.Errorf("%s: the estimate is off by a factor of %.2f", c.name, ratio)
 			}
-			w.shut()
+			w.stopRoutersAndRunners()
 			w.stop()
 		}
 	})
@@ -504,18 +504,18 @@
 		} {
 			var all []*simRunner
 			for range 4 {
-				m := model(8, c.step)
-				m.slow, m.cold, m.odd = 0.1, c.step/4, c.odd
+				m := newModelRunner(8, c.step)
+				m.batchSlowdown, m.prefillTime, m.shortBy = 0.1, c.step/4, c.odd
 				all = append(all, m)
 			}
-			lay := strings.ReplaceAll(plainLay(""), `"patience_ms":20000`, `"patience_ms":1000000`)
-			w := newWhole(t, seed, 4, strings.Replace(lay, `{"services"`, `{"limits":{"queue":100000,"open":100000},"services"`, 1), all...)
+			lay := strings.ReplaceAll(testConfig(""), `"patience_ms":20000`, `"patience_ms":1000000`)
+			w := newFullFleet(t, seed, 4, strings.Replace(lay, `{"services"`, `{"limits":{"queue":100000,"open":100000},"services"`, 1), all...)
 			rnd := rand.New(rand.NewPCG(seed, 5))
 			n := uint64(0)
-			next := func() ask {
+			next := func() query {
 				n++
 				text := strings.Repeat(fmt.Sprintf("sheet %d line; ", rnd.IntN(c.docs)), 500) + fmt.Sprint(" question ", n)
-				return ask{n: n, tenant: "rich", path: "/ask", body: map[string]any{"model": "m", "max_tokens": c.tokens, "stream": c.stream, "prompt": text}}
+				return query{n: n, tenant: "rich", path: "/ask", body: map[string]any{"model": "m", "max_tokens": c.tokens, "stream": c.stream, "prompt": text}}
 			}
 			var wg sync.WaitGroup
 			for begun := time.Now(); time.Since(begun) < 60*time.Second; time.Sleep(time.Duration(rnd.ExpFloat64() * float64(c.every))) {
@@ -543,7 +543,7 @@
 			if !(worst < c.most) {
 				t.Errorf("%s: the estimate is off by %.2f", c.name, worst)
 			}
-			w.shut()
+			w.stopRoutersAndRunners()
 			w.stop()
 		}
 	})
--- a/internal/testing/sim/moment_test.go
+++ b/internal/testing/sim/moment_test.go
@@ -23,36 +23,36 @@
 				overSeeds(t, func(t *testing.T, seed uint64) {
 					var all []*simRunner
 					for range 2 {
-						m := model(1, 10*time.Millisecond)
-						o := orders()
-						o.room, o.step = 1, 60*time.Millisecond
+						m := newModelRunner(1, 10*time.Millisecond)
+						o := newOrderRunner()
+						o.capacity, o.step = 1, 60*time.Millisecond
 						all = append(all, m, o)
 					}
-					w := newWhole(t, seed, 4, repeatLay(true), all...)
-					w.earn()
-					l := &ledger{}
+					w := newFullFleet(t, seed, 4, repeatConfig(true), all...)
+					w.earnRetries()
+					l := &resultLog{}
 					for i := range 5 {
 						at := time.Duration(int(seed)%4*5+i*20) * time.Millisecond
 						n := uint64(i*100 + 1)
 						r := w.full[i%4]
-						before := len(r.now().RequestLog.All())
+						before := len(r.current().RequestLog.All())
 						// Both runners are busy for a while, so that the query waits.
 						path := kind
 						if kind == "stream" {
 							path = "/ask"
 						}
 						for k := range uint64(2) {
-							go w.send(w.ctx, w.full[(i+1)%4], ask{n: n + 50 + k, tenant: "rich", path: path, body: prompt(4)})
+							go w.send(w.ctx, w.full[(i+1)%4], query{n: n + 50 + k, tenant: "rich", path: path, body: prompt(4)})
 						}
 						time.Sleep(15 * time.Millisecond)
 						var mine sync.WaitGroup
-						var o *told
+						var o *streamResult
 						mine.Go(func() {
 							if kind == "stream" {
-								o = w.stream(i%4, n, "/ask", 8, never)
+								o = w.runStream(i%4, n, "/ask", 8, noHangup)
 								return
 							}
-							a := ask{n: n, tenant: "rich", path: kind, body: prompt(4)}
+							a := query{n: n, tenant: "rich", path: kind, body: prompt(4)}
 							if kind != "/ask" {
 								a.key = fmt.Sprint("k", n)
 							}
@@ -61,31 +61,31 @@
 								ctx, end := context.WithTimeout(w.ctx, 15*time.Second)
 								g := w.send(ctx, to, a)
 								end()
-								if to.now() == nil {
-									g = got{ask: a} // the origin heard nothing
+								if to.current() == nil {
+									g = result{query: a} // the origin heard nothing
 								}
 								l.add(g)
 								if g.status == 200 || a.key == "" && g.run != "not run" {
 									return
 								}
-								env50()
+								pause50ms()
 							}
 						})
 						time.Sleep(at)
-						run := r.now()
+						run := r.current()
 						fell := time.Now()
 						var back func()
 						switch victim {
 						case "router":
-							w.crashFull(r)
-							back = func() { w.startFull(r) }
+							w.crashFullRouter(r)
+							back = func() { w.startFullRouter(r) }
 						case "primary":
 							p := w.primary()
 							w.crashCore(p)
 							back = func() { w.startCore(p) }
 						case "runner":
 							s := w.runners[0]
-							for _, d := range w.seen() {
+							for _, d := range w.arrivals() {
 								if d.n == n {
 									for _, x := range w.runners {
 										if x.addr == d.addr {
@@ -101,8 +101,8 @@
 						back()
 						mine.Wait()
 						if o != nil {
-							if bad := o.judge(); bad != "" || o.end == "" {
-								t.Errorf("%s fell after %s: the stream ended %q with %d pieces: %s", victim, at, o.end, len(o.pieces), bad)
+							if bad := o.verify(); bad != "" || o.end == "" {
+								t.Errorf("%s fell after %s: the stream ended %q with %d pieces: %s", victim, at, o.end, len(o.chunks), bad)
 							}
 						}
 						for _, rec := range run.RequestLog.All()[before:] {
@@ -118,10 +118,10 @@
 						}
 						w.within(12*time.Second, "service", func() bool {
 							n += 7
-							return w.primary() != nil && w.send(w.ctx, w.full[(i+2)%4], ask{n: n + 5000, tenant: "rich", path: "/orders", key: fmt.Sprint("s", n), body: prompt(1)}).status == 200
+							return w.primary() != nil && w.send(w.ctx, w.full[(i+2)%4], query{n: n + 5000, tenant: "rich", path: "/orders", key: fmt.Sprint("s", n), body: prompt(1)}).status == 200
 						})
 					}
-					w.honest(l)
+					w.checkResults(l)
 				})
 			})
 		}
--- a/internal/testing/sim/promise_test.go
+++ b/internal/testing/sim/promise_test.go
@@ -15,33 +15,33 @@
 	"yarrowridge/internal/dataplane/runner"
 )
 
-var cutFor = flag.Duration("cut", 10*time.Minute, "how long a hall is cut off, in simulated time")
+var isolationTime = flag.Duration("cut", 10*time.Minute, "how long a hall is cut off, in simulated time")
 
-// ledger is all outcomes that origins had.
-type ledger struct {
+// resultLog is all outcomes that origins had.
+type resultLog struct {
 	mu  sync.Mutex
-	all []got
+	all []result
 }
 
-func (l *ledger) add(g got) {
+func (l *resultLog) add(g result) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.all = append(l.all, g)
 }
 
-func (l *ledger) list() []got {
+func (l *resultLog) list() []result {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]got{}, l.all...)
+	return append([]result{}, l.all...)
 }
 
-// honest holds outcomes against what runners saw: once-only queries ran once at most, what was said
+// checkResults holds outcomes against what runners saw: once-only queries ran once at most, what was said
 // not to have run did not, answers belong to their queries, and none came twice to a runner.
-func (w *whole) honest(l *ledger) {
-	w.diary.mu.Lock()
-	defer w.diary.mu.Unlock()
+func (w *fullFleet) checkResults(l *resultLog) {
+	w.arrivalLog.mu.Lock()
+	defer w.arrivalLog.mu.Unlock()
 	ids, ran := map[string]int{}, map[uint64]int{}
-	for _, s := range w.diary.all {
+	for _, s := range w.arrivalLog.all {
 		ids[s.id]++
 		ran[s.n]++
 	}
@@ -61,7 +61,7 @@
 		if g.status == 200 && g.code == "" && !bytes.Contains(g.body, []byte(fmt.Sprintf(`"n":%d`, g.n))) {
 			w.t.Errorf("query %d was answered %s", g.n, g.body)
 		}
-		if (g.status == 503 || g.status == 429) && g.retry == "" {
+		if (g.status == 503 || g.status == 429) && g.retryAfter == "" {
 			w.t.Errorf("query %d was rejected with %s and no Retry-After", g.n, g.code)
 		}
 	}
@@ -72,13 +72,13 @@
 	}
 }
 
-// rolling is the most that runners saw of a tenant in any window.
-func (w *whole) rolling(tenant string, window time.Duration) int {
-	w.diary.mu.Lock()
-	defer w.diary.mu.Unlock()
+// maxInWindow is the most that runners saw of a tenant in any window.
+func (w *fullFleet) maxInWindow(tenant string, window time.Duration) int {
+	w.arrivalLog.mu.Lock()
+	defer w.arrivalLog.mu.Unlock()
 	most := 0
 	var at []time.Time
-	for _, s := range w.diary.all {
+	for _, s := range w.arrivalLog.all {
 		if s.tenant != tenant {
 			continue
 		}
@@ -96,26 +96,26 @@
 func TestQueryStorm(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		w := newWhole(t, seed, 6, plainLay(`,"metered":{"funded":true,"keys":["`+key("metered")+`"],"quota":{"units":30,"window_s":5}}`),
-			model(8, 10*time.Millisecond), model(8, 10*time.Millisecond), model(8, 10*time.Millisecond), orders(), orders())
-		l := &ledger{}
+		w := newFullFleet(t, seed, 6, testConfig(`,"metered":{"funded":true,"keys":["`+keyHash("metered")+`"],"quota":{"units":30,"window_s":5}}`),
+			newModelRunner(8, 10*time.Millisecond), newModelRunner(8, 10*time.Millisecond), newModelRunner(8, 10*time.Millisecond), newOrderRunner(), newOrderRunner())
+		l := &resultLog{}
 		stop := time.Now().Add(40 * time.Second)
 		var all sync.WaitGroup
 		for i := range 12 {
 			all.Go(func() {
-				w.origin(i, l, func() bool { return !time.Now().Before(stop) })
+				w.runClient(i, l, func() bool { return !time.Now().Before(stop) })
 			})
 		}
 		for time.Now().Before(stop) {
 			switch r := w.full[w.chance(len(w.full))]; w.chance(6) {
 			case 0:
-				w.crashFull(r)
-				env50()
-				w.startFull(r)
+				w.crashFullRouter(r)
+				pause50ms()
+				w.startFullRouter(r)
 			case 1:
 				s := w.runners[w.chance(len(w.runners))]
 				s.stop()
-				env50()
+				pause50ms()
 				s.start()
 			case 2:
 				s := w.runners[w.chance(len(w.runners))]
@@ -129,8 +129,8 @@
 		}
 		w.settle()
 		all.Wait()
-		w.honest(l)
-		if n := w.rolling("metered", 5*time.Second); n > 30 {
+		w.checkResults(l)
+		if n := w.maxInWindow("metered", 5*time.Second); n > 30 {
 			t.Errorf("%d queries in a window of a quota of 30", n)
 		}
 		sum := map[string]int{}
@@ -145,16 +145,16 @@
 		for i, r := range w.full {
 			w.within(12*time.Second, r.name+" serves", func() bool {
 				n := 900000 + machines.Add(1)
-				return w.send(w.ctx, r, ask{n: n, tenant: "rich", path: "/orders", key: fmt.Sprintf("end%d-%d", i, n), body: map[string]any{"n": n}}).status == 200
+				return w.send(w.ctx, r, query{n: n, tenant: "rich", path: "/orders", key: fmt.Sprintf("end%d-%d", i, n), body: map[string]any{"n": n}}).status == 200
 			})
 		}
 	})
 }
 
-// origin asks queries of all kinds, each again elsewhere until it has an outcome, until it is over.
-func (w *whole) origin(i int, l *ledger, over func() bool) {
+// runClient asks queries of all kinds, each again elsewhere until it has an outcome, until it is over.
+func (w *fullFleet) runClient(i int, l *resultLog, over func() bool) {
 	for k := uint64(1); !over(); k++ {
-		a := ask{n: uint64(i)*100000 + k, tenant: "rich", path: "/ask", body: prompt(5)}
+		a := query{n: uint64(i)*100000 + k, tenant: "rich", path: "/ask", body: prompt(5)}
 		switch (uint64(i) + k) % 4 {
 		case 0:
 			a.path, a.key = "/orders", fmt.Sprintf("k%d", a.n)
@@ -166,28 +166,28 @@
 		a.body["nonce"] = a.n
 		for try := range 4 {
 			r := w.full[(i+int(k)+try)%len(w.full)]
-			if r.now() == nil {
+			if r.current() == nil {
 				continue
 			}
 			ctx, end := context.WithTimeout(w.ctx, 15*time.Second)
 			g := w.send(ctx, r, a)
 			end()
-			if r.now() == nil {
-				g = got{ask: a} // its router died: the origin heard nothing
+			if r.current() == nil {
+				g = result{query: a} // its router died: the origin heard nothing
 			}
 			l.add(g)
 			if g.status == 200 || a.key == "" && g.run != "not run" {
 				break
 			}
-			env50()
+			pause50ms()
 		}
 	}
 }
 
-func env50() { time.Sleep(50 * time.Millisecond) }
+func pause50ms() { time.Sleep(50 * time.Millisecond) }
 
-// sides lists the addresses of a zone's processes, and those of all others.
-func (w *whole) sides(zone string) (in, out []string) {
+// zoneAddrs lists the addresses of a zone's processes, and those of all others.
+func (w *fullFleet) zoneAddrs(zone string) (in, out []string) {
 	put := func(at, addr string) {
 		if at == zone {
 			in = append(in, addr)
@@ -213,13 +213,13 @@
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		quota := func(n int) string {
-			return fmt.Sprintf(`,"metered":{"funded":true,"keys":["%s"],"quota":{"units":%d,"window_s":10}}`, key("metered"), n)
+			return fmt.Sprintf(`,"metered":{"funded":true,"keys":["%s"],"quota":{"units":%d,"window_s":10}}`, keyHash("metered"), n)
 		}
-		w := newWhole(t, seed, 8, plainLay(quota(40)), model(8, 10*time.Millisecond), model(8, 10*time.Millisecond), model(8, 10*time.Millisecond), model(8, 10*time.Millisecond), orders(), orders())
+		w := newFullFleet(t, seed, 8, testConfig(quota(40)), newModelRunner(8, 10*time.Millisecond), newModelRunner(8, 10*time.Millisecond), newModelRunner(8, 10*time.Millisecond), newModelRunner(8, 10*time.Millisecond), newOrderRunner(), newOrderRunner())
 		time.Sleep(3 * time.Second)
 		inside := map[string]bool{"east": true}
-		in, out := w.sides("east")
-		l := &ledger{}
+		in, out := w.zoneAddrs("east")
+		l := &resultLog{}
 		n := uint64(0)
 		round := func(path, tenant string, keyed bool) map[string]int {
 			sum := map[string]int{}
@@ -227,7 +227,7 @@
 			var mu sync.Mutex
 			for _, r := range w.full {
 				n++
-				a := ask{n: n, tenant: tenant, path: path, body: prompt(2)}
+				a := query{n: n, tenant: tenant, path: path, body: prompt(2)}
 				if keyed {
 					a.key = fmt.Sprintf("k%d", n)
 				}
@@ -248,7 +248,7 @@
 		}
 		w.w.Split(in, out)
 		time.Sleep(8 * time.Second) // silent runners are found out, a primary inside is replaced
-		until := time.Now().Add(*cutFor)
+		until := time.Now().Add(*isolationTime)
 		for time.Now().Before(until) {
 			if s := round("/ask", "rich", false); s["in 200"] != 2 || s["out 200"] != 6 {
 				t.Fatalf("unkeyed queries during the cut: %v", s)
@@ -263,40 +263,40 @@
 			time.Sleep(time.Duration(w.chance(50)) * time.Second)
 		}
 		for _, r := range w.full {
-			if r.r.Cluster.CoreTimedOut() != inside[r.zone] {
-				t.Errorf("%s: stale %v", r.name, r.r.Cluster.CoreTimedOut())
+			if r.router.Cluster.CoreTimedOut() != inside[r.zone] {
+				t.Errorf("%s: stale %v", r.name, r.router.Cluster.CoreTimedOut())
 			}
 		}
 		o := w.operator()
-		p := o.raw([]byte(plainLay(quota(20))), "")
+		p := o.raw([]byte(testConfig(quota(20))), "")
 		if p.code != 200 {
 			t.Fatalf("the greater part took no configuration: %d", p.code)
 		}
 		w.w.Heal()
 		w.within(2*time.Second, "all obey the newest layout", func() bool {
 			for _, r := range w.full {
-				if r.r.Cluster.Config().Version < p.seq || r.r.Cluster.CoreTimedOut() {
+				if r.router.Cluster.Config().Version < p.seq || r.router.Cluster.CoreTimedOut() {
 					return false
 				}
 			}
 			return true
 		})
-		if got := w.rolling("metered", 10*time.Second); got > 40 {
+		if got := w.maxInWindow("metered", 10*time.Second); got > 40 {
 			t.Errorf("%d queries in a window of a quota of 40", got)
 		}
 		time.Sleep(10 * time.Second)
-		mark := len(w.seen())
+		mark := len(w.arrivals())
 		for range 30 {
 			round("/ask", "metered", false)
 			time.Sleep(500 * time.Millisecond)
 		}
-		w.diary.mu.Lock()
-		w.diary.all = w.diary.all[mark:]
-		w.diary.mu.Unlock()
-		if got := w.rolling("metered", 10*time.Second); got > 20 || got < 10 {
+		w.arrivalLog.mu.Lock()
+		w.arrivalLog.all = w.arrivalLog.all[mark:]
+		w.arrivalLog.mu.Unlock()
+		if got := w.maxInWindow("metered", 10*time.Second); got > 20 || got < 10 {
 			t.Errorf("after rejoining %d queries in a window of a quota of 20", got)
 		}
-		w.honest(l)
+		w.checkResults(l)
 	})
 }
 
@@ -304,18 +304,18 @@
 func TestWithdrawnKey(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		w := newWhole(t, seed, 4, plainLay(`,"gone":{"funded":true,"keys":["`+key("gone")+`"]}`), model(8, 100*time.Millisecond))
-		done := make(chan got, 1)
+		w := newFullFleet(t, seed, 4, testConfig(`,"gone":{"funded":true,"keys":["`+keyHash("gone")+`"]}`), newModelRunner(8, 100*time.Millisecond))
+		done := make(chan result, 1)
 		body := prompt(300)
 		body["stream"] = true
 		go func() {
-			done <- w.send(w.ctx, w.full[1], ask{n: 1, tenant: "gone", path: "/ask", body: body})
+			done <- w.send(w.ctx, w.full[1], query{n: 1, tenant: "gone", path: "/ask", body: body})
 		}()
 		time.Sleep(3 * time.Second)
-		w.put(plainLay(""))
+		w.applyConfig(testConfig(""))
 		acked := time.Now()
 		for i, r := range w.full {
-			if g := w.send(w.ctx, r, ask{n: uint64(10 + i), tenant: "gone", path: "/ask", body: prompt(1)}); g.status != 401 {
+			if g := w.send(w.ctx, r, query{n: uint64(10 + i), tenant: "gone", path: "/ask", body: prompt(1)}); g.status != 401 {
 				t.Errorf("%s answered a withdrawn key with %d", r.name, g.status)
 			}
 		}
@@ -336,18 +336,18 @@
 func TestStuckRunner(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		a, b := model(8, 10*time.Millisecond), model(8, 10*time.Millisecond)
+		a, b := newModelRunner(8, 10*time.Millisecond), newModelRunner(8, 10*time.Millisecond)
 		a.name, b.name = "a", "b"
-		w := newWhole(t, seed, 2, plainLay(""), a, b)
+		w := newFullFleet(t, seed, 2, testConfig(""), a, b)
 		a.mu.Lock()
 		a.hang = true
 		a.mu.Unlock()
 		flips, was := 0, ""
 		for i := range 600 {
 			i := i
-			go w.send(w.ctx, w.full[i%2], ask{n: uint64(i + 1), tenant: "rich", path: "/ask", body: map[string]any{"model": "m", "max_tokens": 2, "prompt": fmt.Sprint(i)}})
+			go w.send(w.ctx, w.full[i%2], query{n: uint64(i + 1), tenant: "rich", path: "/ask", body: map[string]any{"model": "m", "max_tokens": 2, "prompt": fmt.Sprint(i)}})
 			time.Sleep(100 * time.Millisecond)
-			for _, e := range w.full[0].r.Runners.List() {
+			for _, e := range w.full[0].router.Runners.List() {
 				if e.Address == a.addr && i == 300 && e.Health() == "" {
 					t.Error("after 30 s of silence the runner is in good standing")
 				}
@@ -360,14 +360,14 @@
 			}
 		}
 		late := 0
-		w.diary.mu.Lock()
-		for _, s := range w.diary.all {
+		w.arrivalLog.mu.Lock()
+		for _, s := range w.arrivalLog.all {
 			if s.runner == "a" && s.n > 200 {
 				late++
 			}
 		}
-		total := len(w.diary.all)
-		w.diary.mu.Unlock()
+		total := len(w.arrivalLog.all)
+		w.arrivalLog.mu.Unlock()
 		t.Logf("%d of %d queries went to the stuck runner after 20 s; its standing changed %d times in 60 s", late, total, flips)
 		if late > 8 {
 			t.Errorf("%d queries went to a runner that had answered nothing for 20 s", late)
@@ -385,37 +385,37 @@
 func TestLeavingWord(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		a, b := model(8, 5*time.Millisecond), model(8, 5*time.Millisecond)
+		a, b := newModelRunner(8, 5*time.Millisecond), newModelRunner(8, 5*time.Millisecond)
 		a.name, b.name = "a", "b"
-		w := newWhole(t, seed, 6, plainLay(""), a, b)
+		w := newFullFleet(t, seed, 6, testConfig(""), a, b)
 		told := w.full[w.chance(len(w.full))]
-		face := &runner.API{Cluster: told.r.Cluster, KeyHash: func() string { return "" }}
+		face := &runner.API{Cluster: told.router.Cluster, KeyHash: func() string { return "" }}
 		a.mu.Lock()
-		a.state, a.mute = "leaving", true
-		raw := fmt.Sprintf(`{"name":"a","addr":%q,"born":"1","turn":%d,"state":"leaving","room":8,"labels":{"app":"model","model":"m"}}`, a.addr, a.turn+1)
+		a.state, a.muted = "leaving", true
+		raw := fmt.Sprintf(`{"name":"a","addr":%q,"born":"1","turn":%d,"state":"leaving","room":8,"labels":{"app":"model","model":"m"}}`, a.addr, a.sequence+1)
 		a.mu.Unlock()
 		if code := post(face.Heartbeat, raw); code != 200 {
 			t.Fatalf("the word was answered %d", code)
 		}
-		w.crashFull(told)
+		w.crashFullRouter(told)
 		at := time.Now()
 		time.Sleep(2 * time.Second)
 		for i := range 60 {
 			for _, r := range w.full {
-				if r.now() != nil {
+				if r.current() != nil {
 					n := uint64(i*10 + 1000)
-					go w.send(w.ctx, r, ask{n: n, tenant: "rich", path: "/ask", body: map[string]any{"model": "m", "max_tokens": 1, "prompt": fmt.Sprint(i)}})
+					go w.send(w.ctx, r, query{n: n, tenant: "rich", path: "/ask", body: map[string]any{"model": "m", "max_tokens": 1, "prompt": fmt.Sprint(i)}})
 				}
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		for _, s := range w.seen() {
+		for _, s := range w.arrivals() {
 			if s.runner == "a" && s.at.Sub(at) > 2*time.Second {
 				t.Fatalf("the leaving runner got a query after %s", s.at.Sub(at))
 			}
 		}
-		if len(w.seen()) < 100 {
-			t.Errorf("only %d queries reached a runner", len(w.seen()))
+		if len(w.arrivals()) < 100 {
+			t.Errorf("only %d queries reached a runner", len(w.arrivals()))
 		}
 	})
 }
@@ -425,11 +425,11 @@
 func TestLengths(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		short, long := model(2, 20*time.Millisecond), model(2, 20*time.Millisecond)
-		short.most, long.most = 50, 5000
-		lay := strings.ReplaceAll(plainLay(""), `"patience_ms":20000`, `"patience_ms":600000`)
-		w := newWhole(t, seed, 1, lay, short, long)
-		l := &ledger{}
+		short, long := newModelRunner(2, 20*time.Millisecond), newModelRunner(2, 20*time.Millisecond)
+		short.maxLength, long.maxLength = 50, 5000
+		lay := strings.ReplaceAll(testConfig(""), `"patience_ms":20000`, `"patience_ms":600000`)
+		w := newFullFleet(t, seed, 1, lay, short, long)
+		l := &resultLog{}
 		var all sync.WaitGroup
 		for i := range uint64(80) {
 			n := 10
@@ -437,7 +437,7 @@
 				n = 60
 			}
 			who := []string{"rich", "poor"}[w.chance(2)]
-			all.Go(func() { l.add(w.send(w.ctx, w.full[0], ask{n: i + 1, tenant: who, path: "/ask", body: prompt(n)})) })
+			all.Go(func() { l.add(w.send(w.ctx, w.full[0], query{n: i + 1, tenant: who, path: "/ask", body: prompt(n)})) })
 		}
 		all.Wait()
 		for _, g := range l.list() {
@@ -445,10 +445,10 @@
 				t.Fatalf("%d %s", g.status, g.body)
 			}
 		}
-		if short.long > 0 {
-			t.Errorf("%d queries were too long for the runner that got them", short.long)
+		if short.tooLong > 0 {
+			t.Errorf("%d queries were too long for the runner that got them", short.tooLong)
 		}
-		w.honest(l)
+		w.checkResults(l)
 	})
 }
 
@@ -456,22 +456,24 @@
 func TestQueuedObeyNewLayout(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		a, b := model(1, 100*time.Millisecond), model(1, 100*time.Millisecond)
+		a, b := newModelRunner(1, 100*time.Millisecond), newModelRunner(1, 100*time.Millisecond)
 		a.name, b.name = "a", "b"
 		a.labels, b.labels = map[string]string{"app": "model", "model": "m", "set": "a"}, map[string]string{"app": "model", "model": "m", "set": "b"}
-		more := `,"gone":{"funded":true,"keys":["` + key("gone") + `"]}`
-		w := newWhole(t, seed, 2, plainLay(more), a, b)
-		l := &ledger{}
+		more := `,"gone":{"funded":true,"keys":["` + keyHash("gone") + `"]}`
+		w := newFullFleet(t, seed, 2, testConfig(more), a, b)
+		l := &resultLog{}
 		var all sync.WaitGroup
 		for i := range uint64(24) {
 			who := []string{"rich", "gone"}[i%2]
-			all.Go(func() { l.add(w.send(w.ctx, w.full[i%2], ask{n: i + 1, tenant: who, path: "/ask", body: prompt(10)})) })
+			all.Go(func() {
+				l.add(w.send(w.ctx, w.full[i%2], query{n: i + 1, tenant: who, path: "/ask", body: prompt(10)}))
+			})
 		}
 		time.Sleep(1500 * time.Millisecond)
-		w.put(strings.Replace(plainLay(""), `"select":"app=model"`, `"select":"app=model, set=b"`, 1))
+		w.applyConfig(strings.Replace(testConfig(""), `"select":"app=model"`, `"select":"app=model, set=b"`, 1))
 		acked := time.Now()
 		all.Wait()
-		for _, s := range w.seen() {
+		for _, s := range w.arrivals() {
 			if s.runner == "a" && s.at.Sub(acked) > 2*time.Second {
 				t.Errorf("a runner that the configuration left out got query %d %s after it", s.n, s.at.Sub(acked))
 			}
@@ -487,7 +489,7 @@
 		if sum["rich 200"] < 12 || sum["gone 401unknown-key"] == 0 {
 			t.Errorf("outcomes %v", sum)
 		}
-		w.honest(l)
+		w.checkResults(l)
 	})
 }
 
@@ -495,11 +497,13 @@
 func TestTooMany(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		w := newWhole(t, seed, 1, strings.Replace(plainLay(""), `{"services"`, `{"limits":{"open":5},"services"`, 1), model(8, 100*time.Millisecond))
-		l := &ledger{}
+		w := newFullFleet(t, seed, 1, strings.Replace(testConfig(""), `{"services"`, `{"limits":{"open":5},"services"`, 1), newModelRunner(8, 100*time.Millisecond))
+		l := &resultLog{}
 		var all sync.WaitGroup
 		for i := range uint64(20) {
-			all.Go(func() { l.add(w.send(w.ctx, w.full[0], ask{n: i + 1, tenant: "rich", path: "/ask", body: prompt(10)})) })
+			all.Go(func() {
+				l.add(w.send(w.ctx, w.full[0], query{n: i + 1, tenant: "rich", path: "/ask", body: prompt(10)}))
+			})
 			time.Sleep(time.Millisecond)
 		}
 		all.Wait()
@@ -513,7 +517,7 @@
 		if sum["200"] != 5 || sum["503too-many"] != 15 {
 			t.Errorf("twenty queries where five may be open: %v", sum)
 		}
-		w.honest(l)
+		w.checkResults(l)
 	})
 }
 
@@ -521,36 +525,36 @@
 func TestBounces(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		w := newWhole(t, seed, 1, strings.Replace(plainLay(""), `{"services"`, `{"limits":{"body_bytes":2000},"services"`, 1), model(8, 5*time.Millisecond))
+		w := newFullFleet(t, seed, 1, strings.Replace(testConfig(""), `{"services"`, `{"limits":{"body_bytes":2000},"services"`, 1), newModelRunner(8, 5*time.Millisecond))
 		big := map[string]any{"model": "m", "max_tokens": 1, "prompt": strings.Repeat("x", 3000)}
 		for i, c := range []struct {
-			ask  ask
+			ask  query
 			code int
 			name string
 		}{
-			{ask{tenant: "nobody", path: "/ask", body: prompt(1)}, 401, "unknown-key"},
-			{ask{tenant: "rich", path: "/nowhere", body: prompt(1)}, 404, "unknown-path"},
-			{ask{tenant: "rich", path: "/ask", method: "GET"}, 405, "no-mapping"},
-			{ask{tenant: "rich", path: "/ask", body: big}, 413, "body-too-large"},
-			{ask{tenant: "rich", path: "/ask", raw: []byte(`{"model":`)}, 400, "bad-json"},
-			{ask{tenant: "rich", path: "/ask", raw: []byte(`[]`)}, 400, "bad-json"},
-			{ask{tenant: "rich", path: "/ask", raw: []byte(`{"model":"m","prompt":"a","max_tokens":1,"max_tokens":9}`)}, 400, "bad-prompt"},
-			{ask{tenant: "rich", path: "/ask", raw: []byte(`{"prompt":"a","max_tokens":1}`)}, 400, "bad-prompt"},
-			{ask{tenant: "rich", path: "/ask", raw: []byte(`{"model":"m","max_tokens":1}`)}, 400, "bad-prompt"},
-			{ask{tenant: "rich", path: "/ask", raw: []byte(`{"model":"m","prompt":"a","max_tokens":1,"stream":"yes"}`)}, 400, "bad-prompt"},
-			{ask{tenant: "rich", path: "/ask", raw: []byte(`{"model":"m","prompt":"a"}`)}, 400, "bad-max-tokens"},
-			{ask{tenant: "rich", path: "/ask", body: prompt(0)}, 400, "bad-max-tokens"},
-			{ask{tenant: "rich", path: "/ask", body: prompt(-5)}, 400, "bad-max-tokens"},
-			{ask{tenant: "rich", path: "/ask", body: prompt(1 << 40)}, 400, "bad-max-tokens"},
-			{ask{tenant: "rich", path: "/ask", raw: []byte(`{"model":"m","prompt":"a","max_tokens":1.5}`)}, 400, "bad-max-tokens"},
-			{ask{tenant: "rich", path: "/ask", raw: []byte(`{"model":"m","prompt":"a","max_tokens":1e99}`)}, 400, "bad-max-tokens"},
-			{ask{tenant: "rich", path: "/ask", body: prompt(1), head: map[string]string{"Content-Type": "text/plain"}}, 415, "bad-type"},
-			{ask{tenant: "rich", path: "/ask", body: prompt(1), head: map[string]string{"Content-Encoding": "gzip"}}, 415, "bad-encoding"},
-			{ask{tenant: "rich", path: "/notes", body: prompt(1), key: strings.Repeat("k", 300)}, 400, "bad-key"},
-			{ask{tenant: "poor", path: "/ask", body: prompt(5000)}, 402, "no-funds"},
-			{ask{tenant: "poor", path: "/ask", body: map[string]any{"model": "other", "prompt": "a", "max_tokens": 5000}}, 503, "no-runner"},
-			{ask{tenant: "rich", path: "/v1/streams/none", method: "GET"}, 404, "no-stream"},
-			{ask{tenant: "rich", path: "/v1/streams/none?after=x", method: "GET"}, 400, "bad-piece"},
+			{query{tenant: "nobody", path: "/ask", body: prompt(1)}, 401, "unknown-key"},
+			{query{tenant: "rich", path: "/nowhere", body: prompt(1)}, 404, "unknown-path"},
+			{query{tenant: "rich", path: "/ask", method: "GET"}, 405, "no-mapping"},
+			{query{tenant: "rich", path: "/ask", body: big}, 413, "body-too-large"},
+			{query{tenant: "rich", path: "/ask", raw: []byte(`{"model":`)}, 400, "bad-json"},
+			{query{tenant: "rich", path: "/ask", raw: []byte(`[]`)}, 400, "bad-json"},
+			{query{tenant: "rich", path: "/ask", raw: []byte(`{"model":"m","prompt":"a","max_tokens":1,"max_tokens":9}`)}, 400, "bad-prompt"},
+			{query{tenant: "rich", path: "/ask", raw: []byte(`{"prompt":"a","max_tokens":1}`)}, 400, "bad-prompt"},
+			{query{tenant: "rich", path: "/ask", raw: []byte(`{"model":"m","max_tokens":1}`)}, 400, "bad-prompt"},
+			{query{tenant: "rich", path: "/ask", raw: []byte(`{"model":"m","prompt":"a","max_tokens":1,"stream":"yes"}`)}, 400, "bad-prompt"},
+			{query{tenant: "rich", path: "/ask", raw: []byte(`{"model":"m","prompt":"a"}`)}, 400, "bad-max-tokens"},
+			{query{tenant: "rich", path: "/ask", body: prompt(0)}, 400, "bad-max-tokens"},
+			{query{tenant: "rich", path: "/ask", body: prompt(-5)}, 400, "bad-max-tokens"},
+			{query{tenant: "rich", path: "/ask", body: prompt(1 << 40)}, 400, "bad-max-tokens"},
+			{query{tenant: "rich", path: "/ask", raw: []byte(`{"model":"m","prompt":"a","max_tokens":1.5}`)}, 400, "bad-max-tokens"},
+			{query{tenant: "rich", path: "/ask", raw: []byte(`{"model":"m","prompt":"a","max_tokens":1e99}`)}, 400, "bad-max-tokens"},
+			{query{tenant: "rich", path: "/ask", body: prompt(1), headers: map[string]string{"Content-Type": "text/plain"}}, 415, "bad-type"},
+			{query{tenant: "rich", path: "/ask", body: prompt(1), headers: map[string]string{"Content-Encoding": "gzip"}}, 415, "bad-encoding"},
+			{query{tenant: "rich", path: "/notes", body: prompt(1), key: strings.Repeat("k", 300)}, 400, "bad-key"},
+			{query{tenant: "poor", path: "/ask", body: prompt(5000)}, 402, "no-funds"},
+			{query{tenant: "poor", path: "/ask", body: map[string]any{"model": "other", "prompt": "a", "max_tokens": 5000}}, 503, "no-runner"},
+			{query{tenant: "rich", path: "/v1/streams/none", method: "GET"}, 404, "no-stream"},
+			{query{tenant: "rich", path: "/v1/streams/none?after=x", method: "GET"}, 400, "bad-piece"},
 		} {
 			c.ask.n = uint64(i + 1)
 			g := w.send(w.ctx, w.full[0], c.ask)
@@ -560,17 +564,17 @@
 			if g.code != "no-stream" && g.run != "not run" {
 				t.Errorf("%s: said %q", g.code, g.run)
 			}
-			if n := w.saw(c.ask.n); n != 0 {
+			if n := w.arrivalCount(c.ask.n); n != 0 {
 				t.Errorf("%s: a runner saw it", g.code)
 			}
 		}
-		g := w.send(w.ctx, w.full[0], ask{n: 99, tenant: "poor", path: "/ask", body: prompt(5000)})
+		g := w.send(w.ctx, w.full[0], query{n: 99, tenant: "poor", path: "/ask", body: prompt(5000)})
 		if !strings.Contains(gjson.GetBytes(g.body, "error.message").Str, "4096 tokens") {
 			t.Errorf("the refusal does not state the allowance: %s", g.body)
 		}
 		// Lowered with the origin's leave: that one field and nothing else, and it is said.
 		raw := []byte("{\"prompt\":\"a\" , \"max_tokens\" : 5000,\n\"allow_downgrade\":true,\"model\":\"m\"}")
-		if g := w.send(w.ctx, w.full[0], ask{n: 100, tenant: "poor", path: "/ask", raw: raw}); g.status != 200 || !bytes.Contains(g.body, []byte(`"completion_tokens":4096`)) {
+		if g := w.send(w.ctx, w.full[0], query{n: 100, tenant: "poor", path: "/ask", raw: raw}); g.status != 200 || !bytes.Contains(g.body, []byte(`"completion_tokens":4096`)) {
 			t.Errorf("lowered: %d %s", g.status, g.body)
 		}
 	})
@@ -580,9 +584,9 @@
 func TestWordBehindDeadRouter(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		a := model(8, 5*time.Millisecond)
+		a := newModelRunner(8, 5*time.Millisecond)
 		a.zone = "south" // it sends heartbeats to another zone than the one in question
-		w := newWhole(t, seed, 6, plainLay(""), a)
+		w := newFullFleet(t, seed, 6, testConfig(""), a)
 		told, leaf := w.full[0], w.full[4] // the first of zone east, and its only child there
 		for _, r := range w.full {
 			if r != told && r != leaf {
@@ -590,16 +594,16 @@
 			}
 		}
 		a.mu.Lock()
-		a.state, a.mute = "leaving", true
-		raw := fmt.Sprintf(`{"name":"m","addr":%q,"born":"1","turn":%d,"state":"leaving","room":8,"labels":{"app":"model","model":"m"}}`, a.addr, a.turn+1)
+		a.state, a.muted = "leaving", true
+		raw := fmt.Sprintf(`{"name":"m","addr":%q,"born":"1","turn":%d,"state":"leaving","room":8,"labels":{"app":"model","model":"m"}}`, a.addr, a.sequence+1)
 		a.mu.Unlock()
-		if code := post((&runner.API{Cluster: told.r.Cluster, KeyHash: func() string { return "" }}).Heartbeat, raw); code != 200 {
+		if code := post((&runner.API{Cluster: told.router.Cluster, KeyHash: func() string { return "" }}).Heartbeat, raw); code != 200 {
 			t.Fatalf("the word was answered %d", code)
 		}
-		w.crashFull(told)
+		w.crashFullRouter(told)
 		w.within(2*time.Second, "all know", func() bool {
 			for _, r := range w.full[1:] {
-				if r.r.Runners.List()[0].Health() != "leaving" {
+				if r.router.Runners.List()[0].Health() != "leaving" {
 					return false
 				}
 			}
@@ -613,15 +617,15 @@
 func TestWrongReports(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		liar := model(8, 10*time.Millisecond)
+		liar := newModelRunner(8, 10*time.Millisecond)
 		liar.name = "liar"
-		w := newWhole(t, seed, 2, plainLay(""), liar, model(8, 10*time.Millisecond), model(8, 10*time.Millisecond))
+		w := newFullFleet(t, seed, 2, testConfig(""), liar, newModelRunner(8, 10*time.Millisecond), newModelRunner(8, 10*time.Millisecond))
 		liar.mu.Lock()
-		liar.queued = 100_000_000_000
+		liar.queuedTokens = 100_000_000_000
 		liar.mu.Unlock()
 		time.Sleep(3 * time.Second)
 		for i, r := range w.full {
-			if g := w.send(w.ctx, r, ask{n: uint64(i + 1), tenant: "poor", path: "/ask", body: prompt(4096)}); g.status != 200 {
+			if g := w.send(w.ctx, r, query{n: uint64(i + 1), tenant: "poor", path: "/ask", body: prompt(4096)}); g.status != 200 {
 				t.Errorf("%s: an idle fleet answered %d %s", r.name, g.status, g.body)
 			}
 			time.Sleep(2 * time.Second) // the next router hears that it is over
@@ -636,31 +640,31 @@
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		var all []*simRunner
 		for range 4 {
-			all = append(all, model(50, 5*time.Millisecond))
+			all = append(all, newModelRunner(50, 5*time.Millisecond))
 		}
-		w := newWhole(t, seed, 4, plainLay(""), all...)
+		w := newFullFleet(t, seed, 4, testConfig(""), all...)
 		late, deaf := all[0], all[1]
-		deaf.deaf()
-		l := &ledger{}
+		deaf.closeListener()
+		l := &resultLog{}
 		turns := map[string]int{}
 		was := map[string]string{}
 		mute := time.Now()
 		for i, begun := uint64(1), time.Now(); time.Since(begun) < 60*time.Second; i++ {
 			if time.Now().After(mute) {
 				late.mu.Lock()
-				late.mute = !late.mute
+				late.muted = !late.muted
 				mute = time.Now().Add(1100 * time.Millisecond)
-				if late.mute {
+				if late.muted {
 					mute = time.Now().Add(time.Duration(1+w.chance(2300)) * time.Millisecond)
 				}
 				late.mu.Unlock()
 			}
 			go func() {
-				l.add(w.send(w.ctx, w.full[i%4], ask{n: i, tenant: "rich", path: "/ask", body: map[string]any{"model": "m", "max_tokens": 2, "prompt": fmt.Sprint(i)}}))
+				l.add(w.send(w.ctx, w.full[i%4], query{n: i, tenant: "rich", path: "/ask", body: map[string]any{"model": "m", "max_tokens": 2, "prompt": fmt.Sprint(i)}}))
 			}()
 			time.Sleep(20 * time.Millisecond)
 			for _, r := range w.full {
-				for _, e := range r.r.Runners.List() {
+				for _, e := range r.router.Runners.List() {
 					key := r.name + " " + e.Address
 					now := e.Health()
 					if old, ok := was[key]; ok && old != now && now != "on trial" {
--- a/internal/testing/sim/quota_test.go
+++ b/internal/testing/sim/quota_test.go
@@ -112,12 +112,12 @@
 	t.Parallel()
 	const units, window = 3, 5 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		metered := fmt.Sprintf(`,"metered":{"funded":true,"keys":["%s"],"quota":{"units":%d,"window_s":%d}}`, key("metered"), units, int(window.Seconds()))
-		w := newWhole(t, 1, 1, plainLay(metered), model(64, 10*time.Millisecond))
+		metered := fmt.Sprintf(`,"metered":{"funded":true,"keys":["%s"],"quota":{"units":%d,"window_s":%d}}`, keyHash("metered"), units, int(window.Seconds()))
+		w := newFullFleet(t, 1, 1, testConfig(metered), newModelRunner(64, 10*time.Millisecond))
 		number := uint64(0)
-		send := func(ctx context.Context) got {
+		send := func(ctx context.Context) result {
 			number++
-			return w.send(ctx, w.full[0], ask{n: number, tenant: "metered", path: "/ask", body: prompt(5)})
+			return w.send(ctx, w.full[0], query{n: number, tenant: "metered", path: "/ask", body: prompt(5)})
 		}
 		time.Sleep(time.Second) // until the router has acquired units
 		if first := send(w.ctx); first.status != 200 {
@@ -135,7 +135,7 @@
 			}
 		}
 		time.Sleep(time.Second)
-		if got := w.rolling("metered", window); got > units {
+		if got := w.maxInWindow("metered", window); got > units {
 			t.Errorf("got %d requests in a window, want at most %d", got, units)
 		}
 	})
--- a/internal/testing/sim/router_test.go
+++ b/internal/testing/sim/router_test.go
@@ -27,18 +27,18 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// whole is a simulated fleet whose routers are whole, with runners and origins.
-type whole struct {
+// fullFleet is a simulated fleet whose routers are fullFleet, with runners and origins.
+type fullFleet struct {
 	*fleet
-	full    []*fullRouter
-	runners []*simRunner
-	diary   struct {
+	full       []*fullRouter
+	runners    []*simRunner
+	arrivalLog struct {
 		mu  sync.Mutex
-		all []seen
+		all []arrival
 	}
 }
 
-type seen struct {
+type arrival struct {
 	n      uint64
 	id     string
 	tenant string
@@ -48,71 +48,71 @@
 }
 
 type fullRouter struct {
-	name, zone, addr, face string
-	born                   uint64     // of the next run; 0: by the clock
-	mu                     sync.Mutex // guards what follows
-	r                      *router.Router
-	crash                  func()
-	up                     bool
+	name, zone, addr, httpAddr string
+	runID                      uint64     // of the next run; 0: by the clock
+	mu                         sync.Mutex // guards what follows
+	router                     *router.Router
+	crash                      func()
+	up                         bool
 }
 
-// now is the router's present run, or nil while it is down.
-func (r *fullRouter) now() *router.Router {
+// current is the router's present run, or nil while it is down.
+func (r *fullRouter) current() *router.Router {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.up {
 		return nil
 	}
-	return r.r
+	return r.router
 }
 
 // simRunner serves in simulated time: a token each step, slower as the batch fills.
 type simRunner struct {
-	w      *whole
-	name   string
-	addr   string
-	zone   string
-	labels map[string]string
-	room   int
-	most   int // longest output it serves
-	step   time.Duration
-	slow   float64
-	cold   time.Duration // reading a block of prompt that is not in the cache
-	plain  bool
-	differ int                           // from this piece on, counted from 1, pieces carry the run's mark; 0: all runs are alike
-	pause  func(piece int) time.Duration // before a stream's piece, counted from 0
-	odd    int                           // so many pieces fewer than were asked for
-	bare   bool                          // its last piece is not marked as such
-	raw    string                        // sent as it is, and the connection closed, in place of an answer
-
-	mu     sync.Mutex
-	born   int
-	turn   int
-	long   int // queries that asked for more than it serves
-	state  string
-	said   time.Time // when its word that it leaves was first taken
-	active int
-	peak   int // the most that were active at once
-	over   int // queries that came while the room was full
-	queued int
-	hang   bool
-	mute   bool
-	cache  map[[32]byte]bool
-	hits   int
-	blocks int
-	crash  func()
-	ear    net.Listener
-	up     bool
+	w             *fullFleet
+	name          string
+	addr          string
+	zone          string
+	labels        map[string]string
+	capacity      int
+	maxLength     int // longest output it serves
+	step          time.Duration
+	batchSlowdown float64
+	prefillTime   time.Duration // reading a block of prompt that is not in the cache
+	plain         bool
+	differFrom    int                           // from this piece on, counted from 1, pieces carry the run's mark; 0: all runs are alike
+	pauseBefore   func(piece int) time.Duration // before a stream's piece, counted from 0
+	shortBy       int                           // so many pieces fewer than were asked for
+	omitLast      bool                          // its last piece is not marked as such
+	rawAnswer     string                        // sent as it is, and the connection closed, in place of an answer
+
+	mu           sync.Mutex
+	run          int
+	sequence     int
+	tooLong      int // queries that asked for more than it serves
+	state        string
+	leavingAcked time.Time // when its word that it leaves was first taken
+	active       int
+	peak         int // the most that were active at once
+	overCapacity int // queries that came while the room was full
+	queuedTokens int
+	hang         bool
+	muted        bool
+	cache        map[[32]byte]bool
+	hits         int
+	blocks       int
+	crash        func()
+	listener     net.Listener
+	up           bool
 }
 
-// newWhole founds a fleet of five cores, n routers and the runners given, and puts a configuration.
-func newWhole(t *testing.T, seed uint64, n int, lay string, runners ...*simRunner) *whole {
-	w := &whole{fleet: newFleet(t, seed, 0)}
+// newFullFleet founds a fleet of five cores, n routers and the runners given, and puts a configuration.
+func newFullFleet(t *testing.T, seed uint64, n int, lay string, runners ...*simRunner) *fullFleet {
+	w := &fullFleet{fleet: newFleet(t, seed, 0)}
 	for i := range n {
-		r := &fullRouter{name: fmt.Sprintf("r%02d", i), zone: w.zones[i%4], addr: fmt.Sprintf("10.0.1.%d:1", i+1), face: fmt.Sprintf("10.0.1.%d:2", i+1)}
+		r := &fullRouter{name: fmt.Sprintf("r%02d", i), zone: w.zones[i%4], addr: fmt.Sprintf("10.0.1.%d:1", i+1), httpAddr: fmt.Sprintf("10.0.1.%d:2", i+1)}
 		w.full = append(w.full, r)
 		w.more = append(w.more, r.addr)
-		w.startFull(r)
+		w.startFullRouter(r)
 	}
 	for i, s := range runners {
 		s.w, s.addr = w, fmt.Sprintf("10.0.3.%d:1", i+1)
@@ -122,32 +122,32 @@
 		w.runners = append(w.runners, s)
 		s.start()
 	}
-	t.Cleanup(w.shut)
+	t.Cleanup(w.stopRoutersAndRunners)
 	w.within(5*time.Second, "founding", func() bool { return w.primary() != nil })
 	w.within(5*time.Second, "the roll is known", func() bool {
 		for _, r := range w.full {
-			if len(r.r.Cluster.Nodes()) < n {
+			if len(r.router.Cluster.Nodes()) < n {
 				return false
 			}
 		}
 		return true
 	})
-	w.put(lay)
+	w.applyConfig(lay)
 	return w
 }
 
-// shut ends all routers and runners.
-func (w *whole) shut() {
+// stopRoutersAndRunners ends all routers and runners.
+func (w *fullFleet) stopRoutersAndRunners() {
 	for _, r := range w.full {
-		w.crashFull(r)
+		w.crashFullRouter(r)
 	}
 	for _, s := range w.runners {
 		s.stop()
 	}
 }
 
-// put puts a configuration and waits until every router that is up obeys it.
-func (w *whole) put(lay string) uint64 {
+// applyConfig puts a configuration and waits until every router that is up obeys it.
+func (w *fullFleet) applyConfig(lay string) uint64 {
 	w.t.Helper()
 	o := w.operator()
 	p := o.raw([]byte(lay), "")
@@ -156,11 +156,11 @@
 	}
 	w.within(2*time.Second, "routers obey, and know the runners", func() bool {
 		for _, r := range w.full {
-			if r.now() == nil {
+			if r.current() == nil {
 				continue
 			}
-			l := r.r.Cluster.Config()
-			if l == nil || l.Version < p.seq || r.r.Cluster.NotReadyReason() != "" || len(r.r.Runners.List()) < len(w.runners) {
+			l := r.router.Cluster.Config()
+			if l == nil || l.Version < p.seq || r.router.Cluster.NotReadyReason() != "" || len(r.router.Runners.List()) < len(w.runners) {
 				return false
 			}
 		}
@@ -169,15 +169,15 @@
 	return p.seq
 }
 
-func (w *whole) startFull(r *fullRouter) {
+func (w *fullFleet) startFullRouter(r *fullRouter) {
 	n, crash := w.w.Net(r.addr)
 	ctx, end := context.WithCancel(w.ctx)
 	born := uint64(time.Now().UnixNano())
-	if r.born > 0 {
-		born = r.born
+	if r.runID > 0 {
+		born = r.runID
 	}
 	ec := daemon.Context{Context: ctx, Name: r.name, Zone: r.zone, RunID: born, Log: w.log.With("at", r.name), Net: n}
-	run := router.New(ec, r.addr, r.face, []string{w.founder[0], w.founder[1], "10.0.1.1:1"}, func(ctx context.Context, _, addr string) (net.Conn, error) {
+	run := router.New(ec, r.addr, r.httpAddr, []string{w.founder[0], w.founder[1], "10.0.1.1:1"}, func(ctx context.Context, _, addr string) (net.Conn, error) {
 		return n.Dial(ctx, addr)
 	})
 	l, err := n.Listen(r.addr)
@@ -185,21 +185,21 @@
 		w.t.Fatal(err)
 	}
 	heartbeats := http.HandlerFunc((&runner.API{Cluster: run.Cluster, KeyHash: func() string { return "" }}).Heartbeat)
-	lb, err := n.Listen(r.face)
+	lb, err := n.Listen(r.httpAddr)
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	srv := &http.Server{Handler: heartbeats, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, 0)}
 	go func() { _ = srv.Serve(lb) }()
 	r.mu.Lock()
-	r.r, r.up = run, true
+	r.router, r.up = run, true
 	r.crash = func() { end(); crash(); _ = srv.Close() }
 	r.mu.Unlock()
 	go wire.Serve(ctx, l, run.Cluster.Serve)
 	run.Start()
 }
 
-func (w *whole) crashFull(r *fullRouter) {
+func (w *fullFleet) crashFullRouter(r *fullRouter) {
 	r.mu.Lock()
 	up := r.up
 	r.up = false
@@ -217,9 +217,9 @@
 	}
 	ctx, end := context.WithCancel(s.w.ctx)
 	s.mu.Lock()
-	s.ear = l
-	s.born++
-	s.state, s.said, s.up, s.active, s.queued = "ready", time.Time{}, true, 0, 0
+	s.listener = l
+	s.run++
+	s.state, s.leavingAcked, s.up, s.active, s.queuedTokens = "ready", time.Time{}, true, 0, 0
 	s.cache = map[[32]byte]bool{}
 	s.mu.Unlock()
 	srv := &http.Server{Handler: s, BaseContext: func(net.Listener) context.Context { return ctx }, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, 0)}
@@ -230,7 +230,7 @@
 		defer cli.CloseIdleConnections()
 		for at := 0; ctx.Err() == nil; {
 			s.mu.Lock()
-			mute := s.mute
+			mute := s.muted
 			s.mu.Unlock()
 			if !mute && !s.heartbeat(ctx, cli, at) {
 				at++
@@ -242,18 +242,18 @@
 	}()
 }
 
-// deaf closes the listener; heartbeats go on from the same address.
-func (s *simRunner) deaf() { _ = s.ear.Close() }
+// closeListener closes the listener; heartbeats go on from the same address.
+func (s *simRunner) closeListener() { _ = s.listener.Close() }
 
-// hear listens again, as the same run.
-func (s *simRunner) hear() {
+// reopenListener listens again, as the same run.
+func (s *simRunner) reopenListener() {
 	n, crash := s.w.w.Net(s.addr)
 	l, err := n.Listen(s.addr)
 	if err != nil {
 		s.w.t.Fatal(err)
 	}
 	s.mu.Lock()
-	s.ear = l
+	s.listener = l
 	old := s.crash
 	s.crash = func() { old(); crash() }
 	s.mu.Unlock()
@@ -276,16 +276,16 @@
 	var to []string
 	for _, r := range s.w.full {
 		if r.zone == s.zone {
-			to = append([]string{r.face}, to...)
+			to = append([]string{r.httpAddr}, to...)
 		} else {
-			to = append(to, r.face)
+			to = append(to, r.httpAddr)
 		}
 	}
 	s.mu.Lock()
-	s.turn++
+	s.sequence++
 	state := s.state
-	raw, _ := json.Marshal(map[string]any{"name": s.name, "addr": s.addr, "born": strconv.Itoa(s.born), "turn": s.turn, "labels": s.labels,
-		"state": s.state, "room": s.room, "max_length": max(s.most, 1), "queued_tokens": s.queued})
+	raw, _ := json.Marshal(map[string]any{"name": s.name, "addr": s.addr, "born": strconv.Itoa(s.run), "turn": s.sequence, "labels": s.labels,
+		"state": s.state, "room": s.capacity, "max_length": max(s.maxLength, 1), "queued_tokens": s.queuedTokens})
 	s.mu.Unlock()
 	ctx, end := context.WithTimeout(ctx, time.Second)
 	defer end()
@@ -298,8 +298,8 @@
 	_ = ans.Body.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if state == "leaving" && ans.StatusCode == 200 && s.said.IsZero() {
-		s.said = time.Now()
+	if state == "leaving" && ans.StatusCode == 200 && s.leavingAcked.IsZero() {
+		s.leavingAcked = time.Now()
 	}
 	return ans.StatusCode == 200
 }
@@ -307,27 +307,27 @@
 func (s *simRunner) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	n, _ := strconv.ParseUint(r.Header.Get("X-N"), 10, 64)
-	s.w.diary.mu.Lock()
-	s.w.diary.all = append(s.w.diary.all, seen{n, r.Header.Get(runner.RequestHeader), r.Header.Get(runner.TenantHeader), s.name, time.Now(), s.addr})
-	s.w.diary.mu.Unlock()
+	s.w.arrivalLog.mu.Lock()
+	s.w.arrivalLog.all = append(s.w.arrivalLog.all, arrival{n, r.Header.Get(runner.RequestHeader), r.Header.Get(runner.TenantHeader), s.name, time.Now(), s.addr})
+	s.w.arrivalLog.mu.Unlock()
 	if err != nil {
 		return
 	}
 	tokens := int(gjson.GetBytes(body, "max_tokens").Int())
 	s.mu.Lock()
-	if !s.said.IsZero() && time.Since(s.said) > 2*time.Second {
-		s.w.t.Errorf("%s got a query %s after its word that it leaves", s.addr, time.Since(s.said))
+	if !s.leavingAcked.IsZero() && time.Since(s.leavingAcked) > 2*time.Second {
+		s.w.t.Errorf("%s got a query %s after its word that it leaves", s.addr, time.Since(s.leavingAcked))
 	}
 	hang := s.hang
-	if tokens > max(s.most, 1) {
-		s.long++
+	if tokens > max(s.maxLength, 1) {
+		s.tooLong++
 	}
 	s.active++
 	s.peak = max(s.peak, s.active)
-	if s.active > s.room {
-		s.over++
+	if s.active > s.capacity {
+		s.overCapacity++
 	}
-	s.queued += tokens
+	s.queuedTokens += tokens
 	miss := 0
 	text := gjson.GetBytes(body, "prompt").Str
 	h := sha256.New()
@@ -348,21 +348,21 @@
 	defer func() {
 		s.mu.Lock()
 		s.active--
-		s.queued -= left
+		s.queuedTokens -= left
 		s.mu.Unlock()
 	}()
 	if hang {
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	}
-	runloop.Sleep(r.Context(), time.Duration(miss)*s.cold)
-	if s.raw != "" {
+	runloop.Sleep(r.Context(), time.Duration(miss)*s.prefillTime)
+	if s.rawAnswer != "" {
 		con, _, err := http.NewResponseController(rw).Hijack()
 		if err != nil {
 			s.w.t.Error(err)
 			return
 		}
-		_, _ = io.WriteString(con, strings.ReplaceAll(s.raw, "#", strconv.FormatUint(n, 10)))
+		_, _ = io.WriteString(con, strings.ReplaceAll(s.rawAnswer, "#", strconv.FormatUint(n, 10)))
 		_ = con.Close()
 		return
 	}
@@ -371,33 +371,33 @@
 		rw.Header().Set("Content-Type", "text/event-stream")
 	}
 	s.mu.Lock()
-	steps := max(tokens-s.odd, 1)
+	steps := max(tokens-s.shortBy, 1)
 	s.mu.Unlock()
 	for i := range steps {
 		s.mu.Lock()
-		d := s.step + time.Duration(s.slow*float64(s.active-1)*float64(s.step))
+		d := s.step + time.Duration(s.batchSlowdown*float64(s.active-1)*float64(s.step))
 		s.mu.Unlock()
 		if !runloop.Sleep(r.Context(), d) {
 			panic(http.ErrAbortHandler)
 		}
 		if tokens > 0 {
 			s.mu.Lock()
-			s.queued--
+			s.queuedTokens--
 			s.mu.Unlock()
 			left--
 		}
 		if stream {
 			mark := ""
-			if s.pause != nil {
-				runloop.Sleep(r.Context(), s.pause(i))
+			if s.pauseBefore != nil {
+				runloop.Sleep(r.Context(), s.pauseBefore(i))
 			}
 			s.mu.Lock()
-			differ := s.differ
+			differ := s.differFrom
 			s.mu.Unlock()
 			if differ > 0 && i+1 >= differ {
 				mark = fmt.Sprintf(`,"run":%q`, r.Header.Get(runner.RequestHeader))
 			}
-			if i == steps-1 && !s.bare {
+			if i == steps-1 && !s.omitLast {
 				mark += `,"last":true`
 			}
 			// A router that has gone shows in the request's context.
@@ -413,35 +413,35 @@
 	_, _ = fmt.Fprintf(rw, `{"n":%d,"usage":{"completion_tokens":%d}}`, n, tokens)
 }
 
-// ask is one query of an origin.
-type ask struct {
-	n      uint64
-	tenant string
-	path   string
-	method string
-	key    string
-	body   map[string]any
-	raw    []byte
-	head   map[string]string
+// query is one query of an origin.
+type query struct {
+	n       uint64
+	tenant  string
+	path    string
+	method  string
+	key     string
+	body    map[string]any
+	raw     []byte
+	headers map[string]string
 }
 
-// got is its answer.
-type got struct {
-	ask
-	status int
-	code   string
-	run    string
-	retry  string
-	id     string
-	body   []byte
-	begun  time.Time
-	took   time.Duration
-	torn   bool // the connection was broken off
+// result is its answer.
+type result struct {
+	query
+	status     int
+	code       string
+	run        string
+	retryAfter string
+	id         string
+	body       []byte
+	begun      time.Time
+	took       time.Duration
+	aborted    bool // the connection was broken off
 }
 
 // send puts a query to a router's face, as its origin would.
-func (w *whole) send(ctx context.Context, r *fullRouter, a ask) (g got) {
-	g = got{ask: a, begun: time.Now()}
+func (w *fullFleet) send(ctx context.Context, r *fullRouter, a query) (g result) {
+	g = result{query: a, begun: time.Now()}
 	raw := a.raw
 	if raw == nil && a.body != nil {
 		raw, _ = json.Marshal(a.body)
@@ -459,11 +459,11 @@
 	if a.key != "" {
 		req.Header.Set("Idempotency-Key", a.key)
 	}
-	for k, v := range a.head {
+	for k, v := range a.headers {
 		req.Header.Set(k, v)
 	}
 	rec := httptest.NewRecorder()
-	run := r.now()
+	run := r.current()
 	if run == nil {
 		return g // nobody listens
 	}
@@ -472,7 +472,7 @@
 			switch e := recover(); e {
 			case nil:
 			case http.ErrAbortHandler:
-				g.torn = true
+				g.aborted = true
 			default:
 				panic(e)
 			}
@@ -480,27 +480,27 @@
 		run.Clients.ServeHTTP(rec, req)
 	}()
 	g.took = time.Since(g.begun)
-	g.status, g.body, g.retry, g.id = rec.Code, rec.Body.Bytes(), rec.Header().Get("Retry-After"), rec.Header().Get(runner.RequestHeader)
-	if g.torn && len(g.body) == 0 {
+	g.status, g.body, g.retryAfter, g.id = rec.Code, rec.Body.Bytes(), rec.Header().Get("Retry-After"), rec.Header().Get(runner.RequestHeader)
+	if g.aborted && len(g.body) == 0 {
 		g.status = 0
 	}
 	g.code, g.run = gjson.GetBytes(g.body, "error.code").Str, gjson.GetBytes(g.body, "error.run").Str
 	return g
 }
 
-// seen copies what runners saw so far.
-func (w *whole) seen() []seen {
-	w.diary.mu.Lock()
-	defer w.diary.mu.Unlock()
-	return append([]seen{}, w.diary.all...)
+// arrivals copies what runners saw so far.
+func (w *fullFleet) arrivals() []arrival {
+	w.arrivalLog.mu.Lock()
+	defer w.arrivalLog.mu.Unlock()
+	return append([]arrival{}, w.arrivalLog.all...)
 }
 
-// saw counts how often runners saw a query of an origin.
-func (w *whole) saw(n uint64) int {
-	w.diary.mu.Lock()
-	defer w.diary.mu.Unlock()
+// arrivalCount counts how often runners arrivalCount a query of an origin.
+func (w *fullFleet) arrivalCount(n uint64) int {
+	w.arrivalLog.mu.Lock()
+	defer w.arrivalLog.mu.Unlock()
 	k := 0
-	for _, s := range w.diary.all {
+	for _, s := range w.arrivalLog.all {
 		if s.n == n {
 			k++
 		}
@@ -512,37 +512,37 @@
 	return map[string]any{"model": "m", "prompt": "hello", "max_tokens": tokens}
 }
 
-func key(tenant string) string { return fleetconfig.HashKey("demo-" + tenant) }
+func keyHash(tenant string) string { return fleetconfig.HashKey("demo-" + tenant) }
 
-// plainLay is a configuration with one pool of model runners and one of an ordinary application.
-func plainLay(more string) string {
+// testConfig is a configuration with one pool of model runners and one of an ordinary application.
+func testConfig(more string) string {
 	return `{"services":{"model":{},"app":{}},
 	"pools":{"m":{"select":"app=model","service":"model"},"a":{"select":"app=orders","service":"app"}},
 	"lanes":{"ask":{"rank":3,"patience_ms":20000,"tenants":["*"]},"hot":{"rank":1,"patience_ms":20000,"tenants":["*"]},
 	 "notes":{"rank":2,"tenants":["*"],"once":true},"orders":{"rank":1,"patience_ms":5000,"tenants":["*"],"once":true,"plain":true}},
 	"mappings":[{"path":"/ask","lane":"ask","pool":"m"},{"path":"/hot","lane":"hot","pool":"m"},{"path":"/notes","lane":"notes","pool":"m"},{"path":"/orders","lane":"orders","pool":"a"}],
-	"tenants":{"rich":{"funded":true,"keys":["` + key("rich") + `"]},"poor":{"keys":["` + key("poor") + `"]}` + more + `}}`
+	"tenants":{"rich":{"funded":true,"keys":["` + keyHash("rich") + `"]},"poor":{"keys":["` + keyHash("poor") + `"]}` + more + `}}`
 }
 
-func model(room int, step time.Duration) *simRunner {
-	return &simRunner{name: "m", most: 16384, labels: map[string]string{"app": "model", "model": "m"}, room: room, step: step}
+func newModelRunner(room int, step time.Duration) *simRunner {
+	return &simRunner{name: "m", maxLength: 16384, labels: map[string]string{"app": "model", "model": "m"}, capacity: room, step: step}
 }
 
-func orders() *simRunner {
-	return &simRunner{name: "o", labels: map[string]string{"app": "orders"}, room: 100, step: 5 * time.Millisecond, plain: true}
+func newOrderRunner() *simRunner {
+	return &simRunner{name: "o", labels: map[string]string{"app": "orders"}, capacity: 100, step: 5 * time.Millisecond, plain: true}
 }
 
 // Every stream counts once in every router's account of a runner, its own router's included.
 func TestStreamsCountOnce(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		w := newWhole(t, seed, 3, plainLay(""), model(64, 100*time.Millisecond))
+		w := newFullFleet(t, seed, 3, testConfig(""), newModelRunner(64, 100*time.Millisecond))
 		for i := range 6 {
-			go w.send(w.ctx, w.full[i%3], ask{n: uint64(i + 1), tenant: "rich", path: "/ask", body: prompt(100)})
+			go w.send(w.ctx, w.full[i%3], query{n: uint64(i + 1), tenant: "rich", path: "/ask", body: prompt(100)})
 		}
 		time.Sleep(3 * time.Second)
 		for _, r := range w.full {
-			e := r.r.Runners.List()[0]
+			e := r.router.Runners.List()[0]
 			if n, _ := e.Load(); n != 6 {
 				t.Errorf("%s counts %d streams on the runner, there are 6", r.name, n)
 			}
@@ -559,19 +559,19 @@
 func TestClockSetBack(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		w := newWhole(t, seed, 3, plainLay(`,"metered":{"funded":true,"keys":["`+key("metered")+`"],"quota":{"units":30,"window_s":5}}`), model(64, 100*time.Millisecond))
+		w := newFullFleet(t, seed, 3, testConfig(`,"metered":{"funded":true,"keys":["`+keyHash("metered")+`"],"quota":{"units":30,"window_s":5}}`), newModelRunner(64, 100*time.Millisecond))
 		r := w.full[1]
-		w.crashFull(r)
-		r.born = 7 // the clock says 1970
-		w.startFull(r)
-		w.within(5*time.Second, "it is ready", func() bool { return r.r.Cluster.NotReadyReason() == "" && len(r.r.Runners.List()) == 1 })
+		w.crashFullRouter(r)
+		r.runID = 7 // the clock says 1970
+		w.startFullRouter(r)
+		w.within(5*time.Second, "it is ready", func() bool { return r.router.Cluster.NotReadyReason() == "" && len(r.router.Runners.List()) == 1 })
 		time.Sleep(7 * time.Second)
 		for i := range 4 {
-			go w.send(w.ctx, r, ask{n: uint64(i + 1), tenant: "metered", path: "/ask", body: prompt(100)})
+			go w.send(w.ctx, r, query{n: uint64(i + 1), tenant: "metered", path: "/ask", body: prompt(100)})
 		}
 		time.Sleep(3 * time.Second)
 		for _, o := range w.full {
-			if n, _ := o.r.Runners.List()[0].Load(); n != 4 {
+			if n, _ := o.router.Runners.List()[0].Load(); n != 4 {
 				t.Errorf("%s counts %d streams on the runner, there are 4", o.name, n)
 			}
 		}
@@ -583,21 +583,21 @@
 func TestNameTaken(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		w := newWhole(t, seed, 3, plainLay(""), model(8, 10*time.Millisecond))
-		twin := &fullRouter{name: w.full[1].name, zone: "north", addr: "10.0.8.1:1", face: "10.0.8.1:2"}
-		w.startFull(twin)
-		defer w.crashFull(twin)
+		w := newFullFleet(t, seed, 3, testConfig(""), newModelRunner(8, 10*time.Millisecond))
+		twin := &fullRouter{name: w.full[1].name, zone: "north", addr: "10.0.8.1:1", httpAddr: "10.0.8.1:2"}
+		w.startFullRouter(twin)
+		defer w.crashFullRouter(twin)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			if twin.r.Cluster.NotReadyReason() == "" {
+			if twin.router.Cluster.NotReadyReason() == "" {
 				t.Fatal("a second router of the same name is ready")
 			}
-			if n := w.full[0].r.Cluster.Nodes(); len(n) != 3 || n[1].Addr != w.full[1].addr {
+			if n := w.full[0].router.Cluster.Nodes(); len(n) != 3 || n[1].Addr != w.full[1].addr {
 				t.Fatalf("the roll is %v", n)
 			}
 		}
-		w.crashFull(w.full[1])
-		w.within(6*time.Second, "the name is free", func() bool { return twin.r.Cluster.NotReadyReason() == "" })
+		w.crashFullRouter(w.full[1])
+		w.within(6*time.Second, "the name is free", func() bool { return twin.router.Cluster.NotReadyReason() == "" })
 	})
 }
 
--- a/internal/testing/sim/stream_test.go
+++ b/internal/testing/sim/stream_test.go
@@ -21,26 +21,26 @@
 	"yarrowridge/internal/model/fleetconfig"
 )
 
-// tap is an origin's connection: what comes through while its router lives and the origin listens.
-type tap struct {
-	mu   sync.Mutex
-	head http.Header
-	buf  bytes.Buffer
-	shut func() bool
-	code int
+// clientConn is an origin's connection: what comes through while its router lives and the origin listens.
+type clientConn struct {
+	mu     sync.Mutex
+	header http.Header
+	buf    bytes.Buffer
+	closed func() bool
+	code   int
 }
 
-func (p *tap) Header() http.Header { return p.head }
-func (p *tap) Flush()              {}
-func (p *tap) WriteHeader(code int) {
+func (p *clientConn) Header() http.Header { return p.header }
+func (p *clientConn) Flush()              {}
+func (p *clientConn) WriteHeader(code int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.shut() && p.code == 0 {
+	if !p.closed() && p.code == 0 {
 		p.code = code
 	}
 }
-func (p *tap) Write(b []byte) (int, error) {
-	if p.shut() {
+func (p *clientConn) Write(b []byte) (int, error) {
+	if p.closed() {
 		return 0, errors.New("the connection is gone")
 	}
 	p.WriteHeader(200)
@@ -49,10 +49,10 @@
 	return p.buf.Write(b)
 }
 
-// listen asks one router, and takes what comes until the answer ends, the router dies, or the origin
+// receive asks one router, and takes what comes until the answer ends, the router dies, or the origin
 // hangs up by itself.
-func (w *whole) listen(r *fullRouter, req *http.Request, hang time.Duration) (code int, id string, raw string) {
-	run := r.now()
+func (w *fullFleet) receive(r *fullRouter, req *http.Request, hang time.Duration) (code int, id string, raw string) {
+	run := r.current()
 	if run == nil {
 		return 0, "", ""
 	}
@@ -61,10 +61,10 @@
 	until := time.Now().Add(hang)
 	off := false
 	var mu sync.Mutex
-	p := &tap{head: http.Header{}, shut: func() bool {
+	p := &clientConn{header: http.Header{}, closed: func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return off || r.now() != run
+		return off || r.current() != run
 	}}
 	done := make(chan struct{})
 	go func() {
@@ -83,7 +83,7 @@
 		case <-done:
 			live = false
 		case <-t.C:
-			live = r.now() == run && (hang == 0 || time.Now().Before(until))
+			live = r.current() == run && (hang == 0 || time.Now().Before(until))
 		}
 	}
 	mu.Lock()
@@ -92,23 +92,23 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.code != 0 {
-		id = p.head.Get(runner.RequestHeader)
+		id = p.header.Get(runner.RequestHeader)
 	}
 	return p.code, id, p.buf.String()
 }
 
-// told is what an origin made of one stream.
-type told struct {
-	n      uint64
-	id     string
-	pieces []string
-	end    string // "done", a trouble's code, or "" where nobody said anything more
-	bad    string // what must never be
-	asked  int
+// streamResult is what an origin made of one stream.
+type streamResult struct {
+	n         uint64
+	id        string
+	chunks    []string
+	end       string // "done", a trouble's code, or "" where nobody said anything more
+	violation string // what must never be
+	requests  int
 }
 
-// take reads events; only whole ones count, as a client's parser has it.
-func (o *told) take(raw string) {
+// parse reads events; only whole ones count, as a client's parser has it.
+func (o *streamResult) parse(raw string) {
 	for {
 		ev, rest, ok := strings.Cut(raw, "\n\n")
 		if !ok || o.end != "" {
@@ -126,51 +126,51 @@
 			return
 		}
 		_, no, _ := strings.Cut(ev, "\nid: ")
-		i := len(o.pieces)
+		i := len(o.chunks)
 		if no != strconv.Itoa(i+1) || gjson.Get(data, "i").Int() != int64(i) {
-			o.bad = fmt.Sprintf("piece %d came as %q", i+1, ev)
+			o.violation = fmt.Sprintf("piece %d came as %q", i+1, ev)
 		}
 		if gjson.Get(data, "n").Uint() != o.n {
-			o.bad = fmt.Sprintf("piece of another's answer: %q", ev)
+			o.violation = fmt.Sprintf("piece of another's answer: %q", ev)
 		}
-		o.pieces = append(o.pieces, data)
+		o.chunks = append(o.chunks, data)
 	}
 }
 
-// judge looks at the whole: one run, nothing after its last piece, no end before it.
-func (o *told) judge() string {
-	if o.bad != "" {
-		return o.bad
+// verify looks at the whole: one run, nothing after its last piece, no end before it.
+func (o *streamResult) verify() string {
+	if o.violation != "" {
+		return o.violation
 	}
 	run := ""
-	for i, p := range o.pieces {
+	for i, p := range o.chunks {
 		if r := gjson.Get(p, "run").Str; r != "" {
 			if run != "" && r != run {
 				return fmt.Sprintf("joins runs %s and %s at piece %d", run, r, i+1)
 			}
 			run = r
 		}
-		if last := gjson.Get(p, "last").Bool(); last && i < len(o.pieces)-1 {
+		if last := gjson.Get(p, "last").Bool(); last && i < len(o.chunks)-1 {
 			return fmt.Sprintf("goes on after its last piece, %d", i+1)
-		} else if !last && i == len(o.pieces)-1 && o.end == "done" {
+		} else if !last && i == len(o.chunks)-1 && o.end == "done" {
 			return fmt.Sprintf("ended before its last piece, after %d", i+1)
 		}
 	}
-	if o.end == "done" && len(o.pieces) == 0 {
+	if o.end == "done" && len(o.chunks) == 0 {
 		return "ended with no piece"
 	}
 	return ""
 }
 
-// stream asks for a stream at one router and, as often as the connection breaks without a word, for the
+// runStream asks for a runStream at one router and, as often as the connection breaks without a word, for the
 // rest of it at any other.
-func (w *whole) stream(at int, n uint64, path string, tokens int, hang func() time.Duration) *told {
-	o := &told{n: n}
+func (w *fullFleet) runStream(at int, n uint64, path string, tokens int, hang func() time.Duration) *streamResult {
+	o := &streamResult{n: n}
 	stop := time.Now().Add(60 * time.Second)
 	for o.end == "" && time.Now().Before(stop) {
 		r := w.full[at%len(w.full)]
 		at++
-		if r.now() == nil {
+		if r.current() == nil {
 			time.Sleep(20 * time.Millisecond)
 			continue
 		}
@@ -180,18 +180,18 @@
 			req = httptest.NewRequestWithContext(w.ctx, "POST", path, strings.NewReader(body))
 			req.Header.Set("Content-Type", "application/json")
 		} else {
-			req = httptest.NewRequestWithContext(w.ctx, "GET", fmt.Sprintf("/v1/streams/%s?after=%d", o.id, len(o.pieces)), nil)
+			req = httptest.NewRequestWithContext(w.ctx, "GET", fmt.Sprintf("/v1/streams/%s?after=%d", o.id, len(o.chunks)), nil)
 		}
 		req.Header.Set("Authorization", "Bearer demo-rich")
 		req.Header.Set("X-N", strconv.FormatUint(n, 10))
-		o.asked++
-		code, id, raw := w.listen(r, req, hang())
+		o.requests++
+		code, id, raw := w.receive(r, req, hang())
 		switch {
 		case code == 200:
 			if o.id == "" {
 				o.id = id
 			}
-			o.take(raw)
+			o.parse(raw)
 		case code == 404 && o.id != "":
 			o.end = "no-stream"
 		case code != 0 && o.id == "":
@@ -204,16 +204,16 @@
 	return o
 }
 
-func never() time.Duration { return 0 }
+func noHangup() time.Duration { return 0 }
 
-func repeatLay(on bool) string {
-	return strings.Replace(plainLay(""), `"ask":{"rank":3,`, fmt.Sprintf(`"ask":{"rank":3,"repeat":%v,`, on), 1)
+func repeatConfig(on bool) string {
+	return strings.Replace(testConfig(""), `"ask":{"rank":3,`, fmt.Sprintf(`"ask":{"rank":3,"repeat":%v,`, on), 1)
 }
 
 // carrier and replica of a stream, by their own word.
-func (w *whole) holders(id string) (carrier, study *fullRouter) {
+func (w *fullFleet) ownerAndReplica(id string) (carrier, study *fullRouter) {
 	for _, r := range w.full {
-		run := r.now()
+		run := r.current()
 		if run == nil {
 			continue
 		}
@@ -234,30 +234,42 @@
 	t.Parallel()
 	for _, c := range []struct {
 		name  string
-		fault func(w *whole, id, addr string)
+		fault func(w *fullFleet, id, addr string)
 		whole bool // it ends so, with a second run and runs that are alike
 	}{
-		{"runner", func(w *whole, _, addr string) { w.fell(addr) }, true},
-		{"router", func(w *whole, id, _ string) { c, _ := w.holders(id); w.crashFull(c) }, true},
-		{"understudy", func(w *whole, id, _ string) { _, s := w.holders(id); w.crashFull(s) }, true},
-		{"runner and router", func(w *whole, id, addr string) { c, _ := w.holders(id); w.fell(addr); w.crashFull(c) }, true},
-		{"runner and understudy", func(w *whole, id, addr string) { _, s := w.holders(id); w.fell(addr); w.crashFull(s) }, true},
-		{"router and understudy", func(w *whole, id, _ string) { c, s := w.holders(id); w.crashFull(c); w.crashFull(s) }, false},
-		{"router, then who took it over", func(w *whole, id, _ string) {
-			c, _ := w.holders(id)
-			w.crashFull(c)
-			if _, s := w.holders(id); s == nil || ended(s, id) {
+		{"runner", func(w *fullFleet, _, addr string) { w.crashRunnerAt(addr) }, true},
+		{"router", func(w *fullFleet, id, _ string) { c, _ := w.ownerAndReplica(id); w.crashFullRouter(c) }, true},
+		{"understudy", func(w *fullFleet, id, _ string) { _, s := w.ownerAndReplica(id); w.crashFullRouter(s) }, true},
+		{"runner and router", func(w *fullFleet, id, addr string) {
+			c, _ := w.ownerAndReplica(id)
+			w.crashRunnerAt(addr)
+			w.crashFullRouter(c)
+		}, true},
+		{"runner and understudy", func(w *fullFleet, id, addr string) {
+			_, s := w.ownerAndReplica(id)
+			w.crashRunnerAt(addr)
+			w.crashFullRouter(s)
+		}, true},
+		{"router and understudy", func(w *fullFleet, id, _ string) {
+			c, s := w.ownerAndReplica(id)
+			w.crashFullRouter(c)
+			w.crashFullRouter(s)
+		}, false},
+		{"router, then who took it over", func(w *fullFleet, id, _ string) {
+			c, _ := w.ownerAndReplica(id)
+			w.crashFullRouter(c)
+			if _, s := w.ownerAndReplica(id); s == nil || ended(s, id) {
 				return // it was over before its router fell
 			}
-			if lay := w.full[0].r.Cluster.Config(); !slices.ContainsFunc(lay.TrafficClasses, func(l fleetconfig.TrafficClass) bool { return l.RepeatLostStreams }) {
+			if lay := w.full[0].router.Cluster.Config(); !slices.ContainsFunc(lay.TrafficClasses, func(l fleetconfig.TrafficClass) bool { return l.RepeatLostStreams }) {
 				return
 			}
 			w.within(9*time.Second, "taken over and guarded again", func() bool {
-				n, s := w.holders(id)
-				return n != nil && n != c && s != nil && slices.ContainsFunc(s.now().Streams.List(), func(h streamstore.Info) bool { return h.RequestID == id && h.Idempotent })
+				n, s := w.ownerAndReplica(id)
+				return n != nil && n != c && s != nil && slices.ContainsFunc(s.current().Streams.List(), func(h streamstore.Info) bool { return h.RequestID == id && h.Idempotent })
 			})
-			n, _ := w.holders(id)
-			w.crashFull(n)
+			n, _ := w.ownerAndReplica(id)
+			w.crashFullRouter(n)
 		}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -270,32 +282,32 @@
 					overSeeds(t, func(t *testing.T, seed uint64) {
 						var all []*simRunner
 						for i := range 4 {
-							m := model(8, 40*time.Millisecond)
+							m := newModelRunner(8, 40*time.Millisecond)
 							switch {
 							case alike:
 							case seed%2 == 0:
-								m.differ = 1 + int(seed)*13%90
+								m.differFrom = 1 + int(seed)*13%90
 							default:
-								m.odd = 30 * i // runs that differ in length
+								m.shortBy = 30 * i // runs that differ in length
 							}
 							all = append(all, m)
 						}
-						w := newWhole(t, seed, 8, repeatLay(repeat), all...)
-						w.earn()
-						ch := make(chan *told, 1)
-						go func() { ch <- w.stream(w.chance(8), 1, "/ask", 100, never) }()
+						w := newFullFleet(t, seed, 8, repeatConfig(repeat), all...)
+						w.earnRetries()
+						ch := make(chan *streamResult, 1)
+						go func() { ch <- w.runStream(w.chance(8), 1, "/ask", 100, noHangup) }()
 						time.Sleep(time.Duration(300+w.chance(3600)) * time.Millisecond)
-						s := w.seen()
-						if w.saw(1) != 1 {
-							t.Fatalf("%d runs", w.saw(1))
+						s := w.arrivals()
+						if w.arrivalCount(1) != 1 {
+							t.Fatalf("%d runs", w.arrivalCount(1))
 						}
 						c.fault(w, s[len(s)-1].id, s[len(s)-1].addr)
 						o := <-ch
-						if bad := o.judge(); bad != "" || o.end == "" {
-							t.Errorf("repeat %v, alike %v: the stream ended %q with %d pieces: %s", repeat, alike, o.end, len(o.pieces), bad)
+						if bad := o.verify(); bad != "" || o.end == "" {
+							t.Errorf("repeat %v, alike %v: the stream ended %q with %d pieces: %s", repeat, alike, o.end, len(o.chunks), bad)
 						}
 						if repeat && alike && c.whole && o.end != "done" {
-							t.Errorf("the stream ended %q after %d pieces", o.end, len(o.pieces))
+							t.Errorf("the stream ended %q after %d pieces", o.end, len(o.chunks))
 						}
 						sum[fmt.Sprintf("repeat %v, alike %v: %s", repeat, alike, o.end)]++
 					})
@@ -306,11 +318,11 @@
 	}
 }
 
-// earn has every router know the others as ready, and earn its part of the second tries by first ones.
-func (w *whole) earn() {
+// earnRetries has every router know the others as ready, and earnRetries its part of the second tries by first ones.
+func (w *fullFleet) earnRetries() {
 	w.within(3*time.Second, "all know all as ready", func() bool {
 		for _, r := range w.full {
-			for _, n := range r.r.Cluster.Nodes() {
+			for _, n := range r.router.Cluster.Nodes() {
 				if !n.Ready {
 					return false
 				}
@@ -321,7 +333,7 @@
 	var all sync.WaitGroup
 	for i := range 30 * len(w.full) {
 		all.Go(func() {
-			w.send(w.ctx, w.full[i%len(w.full)], ask{n: uint64(100000 + i), tenant: "rich", path: "/ask", body: prompt(1)})
+			w.send(w.ctx, w.full[i%len(w.full)], query{n: uint64(100000 + i), tenant: "rich", path: "/ask", body: prompt(1)})
 		})
 	}
 	all.Wait()
@@ -329,11 +341,11 @@
 
 // ended reports whether a router holds a stream's end.
 func ended(r *fullRouter, id string) bool {
-	return slices.ContainsFunc(r.now().Streams.List(), func(h streamstore.Info) bool { return h.RequestID == id && h.Ended })
+	return slices.ContainsFunc(r.current().Streams.List(), func(h streamstore.Info) bool { return h.RequestID == id && h.Ended })
 }
 
-// fell crashes the runner at an address.
-func (w *whole) fell(addr string) {
+// crashRunnerAt crashes the runner at an address.
+func (w *fullFleet) crashRunnerAt(addr string) {
 	for _, s := range w.runners {
 		if s.addr == addr {
 			s.stop()
@@ -348,16 +360,16 @@
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		var all []*simRunner
 		for i := range 5 {
-			m := model(16, 20*time.Millisecond)
+			m := newModelRunner(16, 20*time.Millisecond)
 			switch seed % 3 {
 			case 1:
-				m.differ = 1 + int(seed*13%60)
+				m.differFrom = 1 + int(seed*13%60)
 			case 2:
-				m.odd = i
+				m.shortBy = i
 			}
 			all = append(all, m)
 		}
-		w := newWhole(t, seed, 8, repeatLay(true), all...)
+		w := newFullFleet(t, seed, 8, repeatConfig(true), all...)
 		var mu sync.Mutex
 		sum := map[string]int{}
 		stop := time.Now().Add(40 * time.Second)
@@ -365,14 +377,14 @@
 		for i := range 10 {
 			wg.Go(func() {
 				for k := uint64(1); time.Now().Before(stop); k++ {
-					o := w.stream(i+int(k), uint64(i)*1000+k, "/ask", 80, func() time.Duration {
+					o := w.runStream(i+int(k), uint64(i)*1000+k, "/ask", 80, func() time.Duration {
 						if w.chance(3) > 0 {
 							return 0
 						}
 						return time.Duration(w.chance(3000)) * time.Millisecond
 					})
 					mu.Lock()
-					if bad := o.judge(); bad != "" {
+					if bad := o.verify(); bad != "" {
 						t.Errorf("stream %s (%d) %s", o.id, o.n, bad)
 					}
 					sum[o.end]++
@@ -385,16 +397,16 @@
 			s := w.runners[w.chance(len(w.runners))]
 			switch w.chance(9) {
 			case 0, 1:
-				w.crashFull(r)
+				w.crashFullRouter(r)
 				time.Sleep(time.Duration(w.chance(3000)) * time.Millisecond)
-				w.startFull(r)
+				w.startFullRouter(r)
 			case 2:
-				w.crashFull(r)
-				w.crashFull(q)
+				w.crashFullRouter(r)
+				w.crashFullRouter(q)
 				time.Sleep(time.Duration(w.chance(3000)) * time.Millisecond)
-				w.startFull(r)
+				w.startFullRouter(r)
 				if q != r {
-					w.startFull(q)
+					w.startFullRouter(q)
 				}
 			case 3, 4:
 				s.stop()
@@ -420,71 +432,71 @@
 	})
 }
 
-// play is one stream under a directed course: its origin listens where it is told to.
-type play struct {
-	*whole
-	o              *told
-	owner, far     *fullRouter // far reaches all but the owner
-	study          *fullRouter
-	others, everyb []string // addresses of the other routers; of all other processes but runners
+// streamScenario is one stream under a directed course: its origin listens where it is told to.
+type streamScenario struct {
+	*fullFleet
+	result                     *streamResult
+	owner, third               *fullRouter // far reaches all but the owner
+	replica                    *fullRouter
+	otherAddrs, nonRunnerAddrs []string // addresses of the other routers; of all other processes but runners
 }
 
-// courseTokens is how many pieces the stream of a course has, unless its run is shorter.
-const courseTokens = 200
+// scenarioTokens is how many pieces the stream of a course has, unless its run is shorter.
+const scenarioTokens = 200
 
-// course founds a fleet with second tries earned, and begins a stream of courseTokens pieces at 50 ms.
-func course(t *testing.T, seed uint64, first time.Duration, pause func(int) time.Duration) *play {
+// newStreamScenario founds a fleet with second tries earned, and begins a stream of courseTokens pieces at 50 ms.
+func newStreamScenario(t *testing.T, seed uint64, first time.Duration, pause func(int) time.Duration) *streamScenario {
 	var all []*simRunner
 	for range 4 {
-		m := model(8, 50*time.Millisecond)
-		m.pause = pause
+		m := newModelRunner(8, 50*time.Millisecond)
+		m.pauseBefore = pause
 		all = append(all, m)
 	}
-	p := &play{whole: newWhole(t, seed, 8, repeatLay(true), all...), o: &told{n: 1}}
-	p.earn()
+	p := &streamScenario{fullFleet: newFullFleet(t, seed, 8, repeatConfig(true), all...), result: &streamResult{n: 1}}
+	p.earnRetries()
 	p.owner = p.full[p.chance(8)]
-	p.hear(p.owner, first)
+	p.receiveFor(p.owner, first)
 	var gone *fullRouter
-	gone, p.study = p.holders(p.o.id)
-	if gone != p.owner || p.study == nil {
-		t.Fatalf("carried by %v, standby %v", gone, p.study)
+	gone, p.replica = p.ownerAndReplica(p.result.id)
+	if gone != p.owner || p.replica == nil {
+		t.Fatalf("carried by %v, standby %v", gone, p.replica)
 	}
 	for _, r := range p.full {
 		if r != p.owner {
-			p.others = append(p.others, r.addr)
+			p.otherAddrs = append(p.otherAddrs, r.addr)
 		}
-		if r != p.owner && r != p.study {
-			p.far = r
+		if r != p.owner && r != p.replica {
+			p.third = r
 		}
 	}
-	p.everyb = append(append(p.everyb, p.others...), p.founder...)
+	p.nonRunnerAddrs = append(append(p.nonRunnerAddrs, p.otherAddrs...), p.founder...)
 	return p
 }
 
-// hear has the origin listen at a router for a while.
-func (p *play) hear(r *fullRouter, d time.Duration) {
-	req := httptest.NewRequestWithContext(p.ctx, "POST", "/ask", strings.NewReader(fmt.Sprintf(`{"model":"m","prompt":"a","stream":true,"max_tokens":%d}`, courseTokens)))
-	if p.o.id != "" {
-		req = httptest.NewRequestWithContext(p.ctx, "GET", fmt.Sprintf("/v1/streams/%s?after=%d", p.o.id, len(p.o.pieces)), nil)
+// receiveFor has the origin listen at a router for a while.
+func (p *streamScenario) receiveFor(r *fullRouter, d time.Duration) {
+	req := httptest.NewRequestWithContext(p.ctx, "POST", "/ask", strings.NewReader(fmt.Sprintf(`{"model":"m","prompt":"a","stream":true,"max_tokens":%d}`, scenarioTokens)))
+	if p.result.id != "" {
+		req = httptest.NewRequestWithContext(p.ctx, "GET", fmt.Sprintf("/v1/streams/%s?after=%d", p.result.id, len(p.result.chunks)), nil)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Authorization", "Bearer demo-rich")
 	req.Header.Set("X-N", "1")
-	code, id, raw := p.listen(r, req, d)
+	code, id, raw := p.receive(r, req, d)
 	if code != 200 {
 		return
 	}
-	if p.o.id == "" {
-		p.o.id = id
+	if p.result.id == "" {
+		p.result.id = id
 	}
-	p.o.take(raw)
+	p.result.parse(raw)
 }
 
 // differFrom has runs differ from a piece on, counted from 1.
-func (p *play) differFrom(n int) {
+func (p *streamScenario) differFrom(n int) {
 	for _, s := range p.runners {
 		s.mu.Lock()
-		s.differ = n
+		s.differFrom = n
 		s.mu.Unlock()
 	}
 }
@@ -493,15 +505,15 @@
 func TestTwoCarriers(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		p := course(t, seed, time.Second, nil)
+		p := newStreamScenario(t, seed, time.Second, nil)
 		p.differFrom(60)
-		p.w.Split([]string{p.owner.addr}, []string{p.study.addr, p.far.addr})
-		p.hear(p.owner, 7*time.Second)
-		if len(p.o.pieces) < 100 {
-			t.Errorf("the stream stands at %d pieces, though router and core reach each other", len(p.o.pieces))
+		p.w.Split([]string{p.owner.addr}, []string{p.replica.addr, p.third.addr})
+		p.receiveFor(p.owner, 7*time.Second)
+		if len(p.result.chunks) < 100 {
+			t.Errorf("the stream stands at %d pieces, though router and core reach each other", len(p.result.chunks))
 		}
-		p.hear(p.far, 20*time.Second)
-		if bad := p.o.judge(); bad != "" {
+		p.receiveFor(p.third, 20*time.Second)
+		if bad := p.result.verify(); bad != "" {
 			t.Errorf("the stream %s", bad)
 		}
 	})
@@ -513,27 +525,27 @@
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		var once sync.Once
-		p := course(t, seed, time.Second, func(i int) (d time.Duration) {
+		p := newStreamScenario(t, seed, time.Second, func(i int) (d time.Duration) {
 			if i == 30 {
 				once.Do(func() { d = 9 * time.Second })
 			}
 			return d
 		})
 		p.differFrom(31)
-		p.hear(p.owner, 1200*time.Millisecond) // the 31st piece comes 9 s later, however slow the start was
-		if len(p.o.pieces) != 30 {
-			t.Fatalf("%d pieces before the pause", len(p.o.pieces))
+		p.receiveFor(p.owner, 1200*time.Millisecond) // the 31st piece comes 9 s later, however slow the start was
+		if len(p.result.chunks) != 30 {
+			t.Fatalf("%d pieces before the pause", len(p.result.chunks))
 		}
-		p.w.Split([]string{p.owner.addr}, []string{p.study.addr, p.far.addr})
+		p.w.Split([]string{p.owner.addr}, []string{p.replica.addr, p.third.addr})
 		done := make(chan bool)
-		go func() { p.hear(p.owner, 11*time.Second); done <- true }()
+		go func() { p.receiveFor(p.owner, 11*time.Second); done <- true }()
 		time.Sleep(7 * time.Second)
 		p.w.Heal()
-		p.w.Split([]string{p.owner.addr}, []string{p.far.addr})
+		p.w.Split([]string{p.owner.addr}, []string{p.third.addr})
 		<-done
-		p.hear(p.far, 20*time.Second)
-		if bad := p.o.judge(); bad != "" || p.o.end != "done" {
-			t.Errorf("the stream ended %q with %d pieces: %s", p.o.end, len(p.o.pieces), bad)
+		p.receiveFor(p.third, 20*time.Second)
+		if bad := p.result.verify(); bad != "" || p.result.end != "done" {
+			t.Errorf("the stream ended %q with %d pieces: %s", p.result.end, len(p.result.chunks), bad)
 		}
 	})
 }
@@ -543,24 +555,24 @@
 func TestShorterRun(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		p := course(t, seed, time.Second, nil)
-		heard := len(p.o.pieces) // fewer where the start was slow; the second run has 1 to 10 pieces less
+		p := newStreamScenario(t, seed, time.Second, nil)
+		heard := len(p.result.chunks) // fewer where the start was slow; the second run has 1 to 10 pieces less
 		if heard <= 10 {
 			t.Fatalf("%d pieces heard before the second run", heard)
 		}
 		for _, s := range p.runners {
 			s.mu.Lock()
-			s.odd, s.bare = courseTokens-heard+1+p.chance(10), true
+			s.shortBy, s.omitLast = scenarioTokens-heard+1+p.chance(10), true
 			s.mu.Unlock()
 		}
-		for _, s := range p.seen() {
+		for _, s := range p.arrivals() {
 			if s.n == 1 {
-				p.fell(s.addr)
+				p.crashRunnerAt(s.addr)
 			}
 		}
-		p.hear(p.far, 20*time.Second)
-		if p.o.end != "run-differs" {
-			t.Errorf("the stream ended %q with %d pieces, run-differs expected", p.o.end, len(p.o.pieces))
+		p.receiveFor(p.third, 20*time.Second)
+		if p.result.end != "run-differs" {
+			t.Errorf("the stream ended %q with %d pieces, run-differs expected", p.result.end, len(p.result.chunks))
 		}
 	})
 }
@@ -569,23 +581,23 @@
 func TestShownIsHeld(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		p := course(t, seed, time.Second, nil)
-		p.w.Split([]string{p.owner.addr}, p.everyb)
+		p := newStreamScenario(t, seed, time.Second, nil)
+		p.w.Split([]string{p.owner.addr}, p.nonRunnerAddrs)
 		n := 0
-		for _, h := range p.study.now().Streams.List() {
-			if h.RequestID == p.o.id {
+		for _, h := range p.replica.current().Streams.List() {
+			if h.RequestID == p.result.id {
 				n = h.Chunks
 			}
 		}
 		p.differFrom(n + 1)
-		p.hear(p.owner, 350*time.Millisecond)
-		if len(p.o.pieces) > n {
-			t.Errorf("the origin saw %d pieces, the standby holds %d", len(p.o.pieces), n)
+		p.receiveFor(p.owner, 350*time.Millisecond)
+		if len(p.result.chunks) > n {
+			t.Errorf("the origin saw %d pieces, the standby holds %d", len(p.result.chunks), n)
 		}
 		time.Sleep(5 * time.Second) // the replica finds its router gone
-		p.hear(p.far, 20*time.Second)
-		if bad := p.o.judge(); bad != "" || p.o.end != "done" {
-			t.Errorf("the stream ended %q with %d pieces: %s", p.o.end, len(p.o.pieces), bad)
+		p.receiveFor(p.third, 20*time.Second)
+		if bad := p.result.verify(); bad != "" || p.result.end != "done" {
+			t.Errorf("the stream ended %q with %d pieces: %s", p.result.end, len(p.result.chunks), bad)
 		}
 	})
 }
@@ -597,12 +609,12 @@
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		var all []*simRunner
 		for range 8 {
-			m := model(16, 20*time.Millisecond)
-			m.differ = int(seed%2) * (1 + int(seed*13%60))
+			m := newModelRunner(16, 20*time.Millisecond)
+			m.differFrom = int(seed%2) * (1 + int(seed*13%60))
 			all = append(all, m)
 		}
-		w := newWhole(t, seed, 8, repeatLay(true), all...)
-		w.earn()
+		w := newFullFleet(t, seed, 8, repeatConfig(true), all...)
+		w.earnRetries()
 		n := uint64(0)
 		var wg sync.WaitGroup
 		var mu sync.Mutex
@@ -613,12 +625,12 @@
 				no := n
 				wg.Go(func() {
 					begun := time.Now()
-					o := w.stream(i, no, "/ask", 100, never)
-					if bad := o.judge(); bad != "" || o.end == "" {
+					o := w.runStream(i, no, "/ask", 100, noHangup)
+					if bad := o.verify(); bad != "" || o.end == "" {
 						t.Errorf("a stream begun in zone %s ended %q: %s", r.zone, o.end, bad)
 					}
-					if whole && (o.end != "done" || o.asked != 1) {
-						t.Errorf("a stream begun in zone %s ended %q with %d pieces after %d asks", r.zone, o.end, len(o.pieces), o.asked)
+					if whole && (o.end != "done" || o.requests != 1) {
+						t.Errorf("a stream begun in zone %s ended %q with %d pieces after %d asks", r.zone, o.end, len(o.chunks), o.requests)
 					}
 					mu.Lock()
 					defer mu.Unlock()
@@ -630,7 +642,7 @@
 		}
 		round(false)
 		time.Sleep(time.Duration(w.chance(2000)) * time.Millisecond)
-		w.w.Split(w.sides("east"))
+		w.w.Split(w.zoneAddrs("east"))
 		time.Sleep(7 * time.Second) // silent runners are found out
 		round(true)
 		time.Sleep(time.Duration(w.chance(9000)) * time.Millisecond)
