--- a/internal/testing/sim/answer_test.go
+++ b/internal/testing/sim/answer_test.go
@@ -15,9 +15,9 @@
 	"yarrowridge/internal/dataplane/runner"
 )
 
-// A whole answer sends nothing until it is finished. However long the length asked for takes, it is
-// neither lost nor held against its runner, which goes on getting queries meanwhile.
-func TestLongWhole(t *testing.T) {
+// A runner sends nothing of a non-streamed answer before the answer is complete. A long answer must neither fail nor count
+// against the health of its runner, which keeps receiving queries in the meantime.
+func TestLongUnstreamedAnswers(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		w := newFullFleet(t, seed, 2, strings.ReplaceAll(testConfig(""), `"patience_ms":20000`, `"patience_ms":2000`), newModelRunner(8, 60*time.Millisecond))
@@ -31,7 +31,7 @@
 		time.Sleep(time.Duration(20+w.chance(40)) * time.Second)
 		for i, r := range w.full {
 			if why := r.router.Runners.List()[0].Health(); why != "" {
-				t.Errorf("%s: the runner at work on long answers is %s", r.name, why)
+				t.Errorf("%s: the runner that produces long answers has health %q", r.name, why)
 			}
 			l.add(w.send(w.ctx, r, query{n: uint64(10 + i), tenant: "rich", path: "/ask", body: prompt(2)}))
 		}
@@ -45,9 +45,9 @@
 	})
 }
 
-// A lane says how long a runner may say nothing; a runner that hangs is given up after that, with
-// the time that the length asked for may take where the answer comes whole.
-func TestLaneSilence(t *testing.T) {
+// A traffic class limits how long a runner may send nothing. A query to a hanging runner fails after that time; for a
+// non-streamed answer, the time that the requested length may take is added.
+func TestRunnerSilenceLimit(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		a := newModelRunner(8, 10*time.Millisecond)
@@ -64,14 +64,14 @@
 			body["stream"] = c.stream
 			g := w.send(w.ctx, w.full[0], query{n: uint64(i + 1), tenant: "rich", path: "/ask", body: body})
 			if g.code != "runner-silent" || g.run != "unknown" || g.took < c.wait || g.took > c.wait+time.Second {
-				t.Errorf("stream %v: %d %s (%s) after %s, runner-silent after %s expected", c.stream, g.status, g.code, g.run, g.took, c.wait)
+				t.Errorf("stream %v: got %d %s (%s) after %s, want runner-silent after %s", c.stream, g.status, g.code, g.run, g.took, c.wait)
 			}
-			time.Sleep(20 * time.Second) // its bad standing passes
+			time.Sleep(20 * time.Second) // until the runner counts as healthy again
 		}
 	})
 }
 
-// stalledConn is an origin's connection that takes so many bytes and then nothing more.
+// stalledConn is a client's connection that accepts up to limit bytes. A write beyond them blocks until the write deadline.
 type stalledConn struct {
 	*httptest.ResponseRecorder
 	mu            sync.Mutex
@@ -94,15 +94,15 @@
 		return d.ResponseRecorder.Write(b)
 	}
 	if until.IsZero() {
-		select {} // as a socket without a deadline
+		select {} // like a socket without a deadline
 	}
 	time.Sleep(time.Until(until))
 	return 0, os.ErrDeadlineExceeded
 }
 
-// An origin that stops reading holds up neither its runner nor the copy at the replica, and the
-// runner does not pay for it with its standing.
-func TestOriginStopsReading(t *testing.T) {
+// A client that stops reading blocks neither its runner nor replication to the replica, and does not affect the health of
+// the runner.
+func TestClientStopsReading(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		w := newFullFleet(t, seed, 4, testConfig(""), newModelRunner(1, 50*time.Millisecond))
@@ -112,52 +112,53 @@
 		req.Header.Set("Authorization", "Bearer demo-rich")
 		req.Header.Set("Content-Type", "application/json")
 		req.Header.Set("X-N", "1")
-		over := make(chan time.Time, 1)
+		ended := make(chan time.Time, 1)
 		begun := time.Now()
 		go func() {
-			defer func() { _ = recover(); over <- time.Now() }()
+			defer func() { _ = recover(); ended <- time.Now() }()
 			r.router.Clients.ServeHTTP(d, req)
 		}()
 		time.Sleep(18 * time.Second)
 		e := r.router.Runners.List()[0]
 		if n, _ := e.Load(); n != 0 || e.Health() != "" {
-			t.Errorf("18 s into a stream of 15 s the runner has %d streams and is %q", n, e.Health())
+			t.Errorf("18 s after the start of a stream of 15 s, the runner has %d streams and health %q", n, e.Health())
 		}
 		g := w.send(w.ctx, w.full[2], query{n: 2, tenant: "rich", path: "/v1/streams/" + d.Header().Get(runner.RequestHeader), method: "GET"})
 		if n := strings.Count(string(g.body), "data: {"); n != 300 || !strings.HasSuffix(string(g.body), "data: [DONE]\n\n") {
-			t.Errorf("resumed elsewhere: %d pieces of 300, ended %q", n, tail(g.body))
+			t.Errorf("resumed at another router: %d of 300 chunks, ended with %q", n, tail(g.body))
 		}
 		select {
-		case at := <-over:
+		case at := <-ended:
 			t.Logf("the handler ended after %s", at.Sub(begun))
 		default:
-			t.Error("the handler still waits for the origin")
+			t.Error("the handler still waits for the client")
 		}
 	})
 }
 
-// Answers that can't be told from cut ones never become a success, and those that can do.
+// An answer that cannot be distinguished from a truncated one is never reported as a success; every other complete answer
+// is.
 func TestFraming(t *testing.T) {
 	t.Parallel()
-	const head, json = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n", "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
-	one := "data: {\"i\":0,\"n\":#}\n\n"
+	const jsonHead, streamHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n", "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
+	event := "data: {\"i\":0,\"n\":#}\n\n"
 	for name, c := range map[string]struct {
 		raw    string
 		stream bool
 		code   string
 	}{
-		"whole by length":                {head + "Content-Length: 7\r\n\r\n{\"n\":#}", false, ""},
-		"whole by chunks":                {head + "Transfer-Encoding: chunked\r\n\r\n7\r\n{\"n\":#}\r\n0\r\n\r\n", false, ""},
-		"by the connection's end":        {head + "\r\n{\"n\":#}", false, "answer-unframed"},
-		"by the end, said to be closed":  {head + "Connection: close\r\n\r\n{\"n\":#}", false, "answer-unframed"},
+		"whole by length":                {jsonHead + "Content-Length: 7\r\n\r\n{\"n\":#}", false, ""},
+		"whole by chunks":                {jsonHead + "Transfer-Encoding: chunked\r\n\r\n7\r\n{\"n\":#}\r\n0\r\n\r\n", false, ""},
+		"by the connection's end":        {jsonHead + "\r\n{\"n\":#}", false, "answer-unframed"},
+		"by the end, said to be closed":  {jsonHead + "Connection: close\r\n\r\n{\"n\":#}", false, "answer-unframed"},
 		"old protocol, no length":        {"HTTP/1.0 200 OK\r\nContent-Type: application/json\r\n\r\n{\"n\":#}", false, "answer-unframed"},
-		"shorter than its length":        {head + "Content-Length: 9\r\n\r\n{\"n\":#}", false, "runner-lost"},
-		"chunks without the last":        {head + "Transfer-Encoding: chunked\r\n\r\n7\r\n{\"n\":#}\r\n", false, "runner-lost"},
-		"chunk cut in the middle":        {head + "Transfer-Encoding: chunked\r\n\r\n9\r\n{\"n\":#}", false, "runner-lost"},
-		"stream by chunks":               {json + "Transfer-Encoding: chunked\r\n\r\n15\r\n" + one + "\r\ne\r\ndata: [DONE]\n\n\r\n0\r\n\r\n", true, ""},
-		"stream by the connection's end": {json + "\r\n" + one + "data: [DONE]\n\n", true, "answer-unframed"},
-		"stream without the last chunk":  {json + "Transfer-Encoding: chunked\r\n\r\n15\r\n" + one + "\r\ne\r\ndata: [DONE]\n\n\r\n", true, "runner-lost"},
-		"stream without its end":         {json + "Transfer-Encoding: chunked\r\n\r\n15\r\n" + one + "\r\n0\r\n\r\n", true, "runner-lost"},
+		"shorter than its length":        {jsonHead + "Content-Length: 9\r\n\r\n{\"n\":#}", false, "runner-lost"},
+		"chunks without the last":        {jsonHead + "Transfer-Encoding: chunked\r\n\r\n7\r\n{\"n\":#}\r\n", false, "runner-lost"},
+		"chunk cut in the middle":        {jsonHead + "Transfer-Encoding: chunked\r\n\r\n9\r\n{\"n\":#}", false, "runner-lost"},
+		"stream by chunks":               {streamHead + "Transfer-Encoding: chunked\r\n\r\n15\r\n" + event + "\r\ne\r\ndata: [DONE]\n\n\r\n0\r\n\r\n", true, ""},
+		"stream by the connection's end": {streamHead + "\r\n" + event + "data: [DONE]\n\n", true, "answer-unframed"},
+		"stream without the last chunk":  {streamHead + "Transfer-Encoding: chunked\r\n\r\n15\r\n" + event + "\r\ne\r\ndata: [DONE]\n\n\r\n", true, "runner-lost"},
+		"stream without its end":         {streamHead + "Transfer-Encoding: chunked\r\n\r\n15\r\n" + event + "\r\n0\r\n\r\n", true, "runner-lost"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			overSeeds(t, func(t *testing.T, seed uint64) {
@@ -176,7 +177,7 @@
 					}
 				}
 				if code != c.code || strings.Contains(string(g.body), "[DONE]") != (c.stream && c.code == "") || !c.stream && (g.status == http.StatusOK) != (c.code == "") {
-					t.Errorf("answered %d, code %q: %s; code %q expected", g.status, code, g.body, c.code)
+					t.Errorf("got status %d, code %q, body %s; want code %q", g.status, code, g.body, c.code)
 				}
 				w.checkResults(l)
 			})
@@ -184,10 +185,10 @@
 	}
 }
 
-// A withdrawn key ends all that runs under it within 2 s: a stream in which nothing comes, one
-// that is being resumed elsewhere, and a whole answer. A once-only query runs to its end, so that its
-// outcome is known, but its answer is not handed over.
-func TestWithdrawnQuiet(t *testing.T) {
+// Withdrawing a key ends everything that runs under it within 2 s: a stream without output, a stream that is being resumed
+// at another router, and a non-streamed answer. A query that may run only once completes, so that its outcome is known,
+// but its answer is not delivered.
+func TestWithdrawnKeyEndsIdleQueries(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		gone := `,"gone":{"funded":true,"keys":["` + keyHash("gone") + `"]}`
@@ -222,18 +223,18 @@
 		for _, g := range l.list() {
 			ended := g.begun.Add(g.took).Sub(acked)
 			if g.n != 3 && ended > 2*time.Second {
-				t.Errorf("query %d ran on for %s under a withdrawn key", g.n, ended)
+				t.Errorf("query %d ended %s after its key was withdrawn", g.n, ended)
 			}
 			if !strings.Contains(string(g.body), "key-withdrawn") || strings.Contains(string(g.body), "[DONE]") {
 				t.Errorf("query %d ended with %d %q", g.n, g.status, tail(g.body))
 			}
 		}
 		w.checkResults(l)
-		// The key comes back: what became of the once-only query is known.
+		// The key is added again: the outcome of the query that may run only once is known.
 		w.applyConfig(testConfig(gone))
 		g := w.send(w.ctx, w.full[2], query{n: 3, tenant: "gone", path: "/notes", key: "k", body: prompt(4)})
 		if g.status != 200 || w.arrivalCount(3) != 1 {
-			t.Errorf("asked again: %d %s, the runner saw it %d times", g.status, g.code, w.arrivalCount(3))
+			t.Errorf("repeated query: got %d %s, %d runs", g.status, g.code, w.arrivalCount(3))
 		}
 	})
 }
--- a/internal/testing/sim/day_test.go
+++ b/internal/testing/sim/day_test.go
@@ -16,9 +16,9 @@
 	"yarrowridge/internal/testing/sim"
 )
 
-var courseFlag = flag.String("course", "", "a day's events for TestDays, comma-separated, in place of those drawn")
+var courseFlag = flag.String("course", "", "comma-separated events for TestDays, in place of those drawn from the seed")
 
-// dayEvents are what a simulated day may bring. Each ends by itself; what fell is up again after it.
+// dayEvents are the faults and changes of a simulated day, by name. Each event restarts what it stopped before it returns.
 var dayEvents = map[string]func(w *fullFleet){
 	"router": func(w *fullFleet) {
 		r := w.full[w.chance(len(w.full))]
@@ -78,7 +78,7 @@
 			p.disk = sim.NewDisk()
 			w.sleepUpTo(3000)
 			w.startCore(p)
-			time.Sleep(10 * time.Second) // until it has a seat again: a second disk may be lost only then
+			time.Sleep(10 * time.Second) // until it is a member again: only then may a second disk be lost
 		}
 	},
 	"swap": func(w *fullFleet) {
@@ -110,7 +110,7 @@
 	"leave": func(w *fullFleet) {
 		s := w.runners[w.chance(len(w.runners))]
 		s.mu.Lock()
-		s.state = "leaving" // the next heartbeat says so; ServeHTTP minds the two seconds
+		s.state = "leaving" // the next heartbeat reports it; ServeHTTP checks the two seconds
 		s.mu.Unlock()
 		w.sleepUpTo(8000)
 		s.stop()
@@ -143,10 +143,10 @@
 	},
 }
 
-// sleepUpTo lets up to so many milliseconds go by.
+// sleepUpTo sleeps for a random time of at most ms milliseconds.
 func (w *fullFleet) sleepUpTo(ms int) { time.Sleep(time.Duration(1+w.chance(ms)) * time.Millisecond) }
 
-// drawCourse is the course that a seed gives.
+// drawCourse draws the events of a day from its seed.
 func drawCourse(seed uint64) []string {
 	names := []string{"router", "routers", "runners", "dark", "primary", "cores", "wipe", "swap", "stall", "full", "cut", "oneway", "leave", "crowd", "deaf"}
 	rnd := rand.New(rand.NewPCG(seed, 21))
@@ -157,13 +157,13 @@
 	return append(out, []string{"cores", "routers", "cut"}[rnd.IntN(3)]) // the closing fault
 }
 
-// checkVersionsIncrease looks at every router all the time: none goes back to an older configuration in one life.
+// checkVersionsIncrease checks until over that no router returns to an older configuration within one run.
 func (w *fullFleet) checkVersionsIncrease(over func() bool) {
-	type life struct {
+	type runVersion struct {
 		run *router.Router
 		seq uint64
 	}
-	was := make([]life, len(w.full))
+	last := make([]runVersion, len(w.full))
 	for ; !over(); time.Sleep(20 * time.Millisecond) {
 		for i, r := range w.full {
 			run := r.current()
@@ -171,16 +171,16 @@
 				continue
 			}
 			seq := run.Cluster.Config().Version
-			if was[i].run == run && seq < was[i].seq {
-				w.t.Errorf("%s went back from sequence %d to %d", r.name, was[i].seq, seq)
+			if last[i].run == run && seq < last[i].seq {
+				w.t.Errorf("%s returned from configuration version %d to %d", r.name, last[i].seq, seq)
 			}
-			was[i] = life{run, seq}
+			last[i] = runVersion{run, seq}
 		}
 	}
 }
 
-// runDay plays a course under traffic of every kind and holds all promises that the simulated origins and
-// runners can see.
+// runDay runs the events of a course under traffic of every kind, and checks all guarantees that clients and runners can
+// observe.
 func runDay(t *testing.T, seed uint64, course []string) {
 	synctest.Test(t, func(t *testing.T) {
 		var all []*simRunner
@@ -189,8 +189,8 @@
 			m.differFrom = int(seed+uint64(i)) % 3 * 20
 			all = append(all, m)
 		}
-		lay := strings.Replace(repeatConfig(true), `"poor":`, `"metered":{"funded":true,"keys":["`+keyHash("metered")+`"],"quota":{"units":30,"window_s":5}},"poor":`, 1)
-		w := newFullFleet(t, seed, 8, lay, append(all, newOrderRunner(), newOrderRunner())...)
+		config := strings.Replace(repeatConfig(true), `"poor":`, `"metered":{"funded":true,"keys":["`+keyHash("metered")+`"],"quota":{"units":30,"window_s":5}},"poor":`, 1)
+		w := newFullFleet(t, seed, 8, config, append(all, newOrderRunner(), newOrderRunner())...)
 		l := &resultLog{}
 		var over atomic.Bool
 		var wg sync.WaitGroup
@@ -204,18 +204,18 @@
 				for k := uint64(1); !over.Load(); k++ {
 					o := w.runStream(i*3+int(k), uint64(900+i)*100000+k, "/ask", 60, noHangup)
 					if bad := o.verify(); bad != "" {
-						t.Errorf("stream %s %s", o.id, bad)
+						t.Errorf("stream %s: %s", o.id, bad)
 					}
 				}
 			})
 		}
 		b := &book{}
-		var mark atomic.Int64
+		var marker atomic.Int64
 		for range 2 {
 			wg.Go(func() {
 				for o := w.operator(); !over.Load(); w.sleepUpTo(1500) {
-					// Whole configurations, each unlike all others; half of them on condition of what was read last.
-					in := &coreapi.WriteRequest{Raw: []byte(strings.Replace(lay, `{"services"`, fmt.Sprintf(`{"limits":{"queue":%d},"services"`, 2000+mark.Add(1)), 1)), AnyVersion: w.chance(2) == 0}
+					// Complete configurations, all different. Half of the writes require that the version read last is still current.
+					in := &coreapi.WriteRequest{Raw: []byte(strings.Replace(config, `{"services"`, fmt.Sprintf(`{"limits":{"queue":%d},"services"`, 2000+marker.Add(1)), 1)), AnyVersion: w.chance(2) == 0}
 					if o.look(b); !in.AnyVersion {
 						b.mu.Lock()
 						if n := len(b.looks); n > 0 {
@@ -242,26 +242,26 @@
 		}
 		over.Store(true)
 		wg.Wait()
-		w.applyConfig(lay) // obeyed everywhere within 2 s
+		w.applyConfig(config) // fails unless all routers apply it within 2 s
 		w.checkResults(l)
 		w.check(b)
 		if n := w.maxInWindow("metered", 5*time.Second); n > 30 {
-			t.Errorf("%d queries in a window of a quota of 30", n)
+			t.Errorf("%d queries in one window of a quota of 30", n)
 		}
-		sum := 0
+		answered := 0
 		for _, g := range l.list() {
 			if g.status == 200 {
-				sum++
+				answered++
 			}
 		}
-		if sum < 100 {
-			t.Errorf("only %d queries were answered", sum)
+		if answered < 100 {
+			t.Errorf("only %d queries were answered", answered)
 		}
 	})
 }
 
-// A whole day in simulated time: a course of faults out of the seed, and a closing one. If a promise
-// breaks, the seed, its course and the shortest part of it that still breaks are printed.
+// A day in simulated time: a sequence of events drawn from the seed, and a closing fault. If a check fails, the test drops
+// events one by one as long as a check still fails, and prints the seed and the remaining sequence.
 func TestDays(t *testing.T) {
 	t.Parallel()
 	for i := range uint64(*seeds) {
@@ -273,16 +273,16 @@
 		if t.Run(fmt.Sprintf("seed%d", seed), func(t *testing.T) { runDay(t, seed, course) }) {
 			continue
 		}
-		for short := true; short; {
-			short = false
+		for shortened := true; shortened; {
+			shortened = false
 			for j := range course {
-				less := append(append([]string{}, course[:j]...), course[j+1:]...)
-				if len(less) > 0 && !t.Run(fmt.Sprintf("seed%d without %s", seed, course[j]), func(t *testing.T) { runDay(t, seed, less) }) {
-					course, short = less, true
+				shorter := append(append([]string{}, course[:j]...), course[j+1:]...)
+				if len(shorter) > 0 && !t.Run(fmt.Sprintf("seed%d without %s", seed, course[j]), func(t *testing.T) { runDay(t, seed, shorter) }) {
+					course, shortened = shorter, true
 					break
 				}
 			}
 		}
-		t.Errorf("broken; the shortest course found: go test ./internal/testing/sim -run TestDays -seed %d -seeds 1 -course %s", seed, strings.Join(course, ","))
+		t.Errorf("failed; shortest failing sequence of events found: go test ./internal/testing/sim -run TestDays -seed %d -seeds 1 -course %s", seed, strings.Join(course, ","))
 	}
 }
--- a/internal/testing/sim/fulldisk_test.go
+++ b/internal/testing/sim/fulldisk_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// The primary's disk refuses every write, and takes writes again later. Of two cores each has to hold every write: none
-// is acknowledged meanwhile, and writes are taken afterwards only if the core reads its disk anew and takes part again.
-func TestFullDiskTakesPartAgain(t *testing.T) {
+// The primary's disk is full for a while. With two cores, both have to store every write: no write is acknowledged while the
+// disk is full, and writes succeed afterwards only if the core reads its disk again and rejoins.
+func TestCoreRejoinsAfterFullDisk(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		f := grown(t, seed, 2, 1) // each of the two holds every write
+		f := grown(t, seed, 2, 1) // both cores store every write
 		o, b := f.operator(), &book{}
 		f.acknowledged(o, b)
 		full := f.primary()
@@ -19,11 +19,11 @@
 		refused := o.put(2, 0, "refused")
 		b.add(refused)
 		if refused.code == 200 {
-			t.Error("a write was acknowledged with one disk of two")
+			t.Error("a write was acknowledged although only one of two disks stored it")
 		}
 		time.Sleep(3 * time.Second)
 		full.disk.SetFull(false)
-		f.within(5*time.Second, "a primary with a sound disk", func() bool { return f.whole(1) })
+		f.within(5*time.Second, "primary with a working disk", func() bool { return f.whole(1) })
 		var last put
 		for mark := 3; last.code != 200 && mark < 60; mark++ {
 			last = o.put(mark, 0, fmt.Sprint("after-", mark))
@@ -31,7 +31,7 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		if last.code != 200 {
-			t.Fatalf("no write is taken once the disk takes writes: %d", last.code)
+			t.Fatalf("no write succeeded after the disk became writable again: status %d", last.code)
 		}
 		f.check(b)
 	})
--- a/internal/testing/sim/heartbeat_test.go
+++ b/internal/testing/sim/heartbeat_test.go
@@ -9,53 +9,53 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// The answer to a heartbeat holds the view only where the router does not know it.
-func TestViewIsToldOnce(t *testing.T) {
+// The answer to a heartbeat contains the view only if the router does not know it.
+func TestViewIsSentOnce(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 1)
-		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
+		f.within(5*time.Second, "a primary is ready", func() bool { return f.primary() != nil })
 		o := f.operator()
 		heartbeat := func(known uint64) coreapi.HeartbeatResponse {
 			ctx, end := context.WithTimeout(f.ctx, 5*time.Second)
 			defer end()
-			var told coreapi.HeartbeatResponse
+			var response coreapi.HeartbeatResponse
 			in := coreapi.HeartbeatRequest{Node: coreapi.Node{Name: "n", Zone: "h", Addr: o.addr, Run: 7}, ViewEpoch: known}
-			if err := o.cli.Call(ctx, "core.beat", &in, &told, true); err != nil {
+			if err := o.cli.Call(ctx, "core.beat", &in, &response, true); err != nil {
 				t.Fatal(err)
 			}
-			return told
+			return response
 		}
 		first := heartbeat(0).View
 		if first.Epoch == 0 || first.Addr(first.Primary) == "" {
-			t.Fatalf("a router that knows no view was told %+v", first)
+			t.Fatalf("a router that knows no view got view %+v", first)
 		}
 		if again := heartbeat(first.Epoch).View; again.Epoch != 0 || len(again.Members) != 0 {
-			t.Errorf("a view that was known was told again: %+v", again)
+			t.Errorf("a router got a view that it knows already: %+v", again)
 		}
 		if older := heartbeat(first.Epoch + 1).View; older.Epoch != first.Epoch {
-			t.Errorf("a router with another view was told %+v", older)
+			t.Errorf("a router with another view got view %+v", older)
 		}
 	})
 }
 
-// A new configuration reaches routers by relays. They do not all fetch it from the primary as well, as soon as a heartbeat
-// has told them of it; one that relays do not reach fetches it. It runs beside no other test: traffic is counted over
-// the whole process.
+// Routers receive a new configuration from each other. A router fetches it from the primary only if it is not relayed to
+// it; a heartbeat that announces the configuration must not make all routers fetch it. The test is not parallel, because
+// traffic is counted for the whole process.
 func TestRelaysComeFirst(t *testing.T) {
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 40)
-		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
+		f.within(5*time.Second, "a primary is ready", func() bool { return f.primary() != nil })
 		time.Sleep(5 * time.Second) // every router knows the others
 		o := f.operator()
 		if p := o.put(1, 0, ""); p.code != 200 {
-			t.Fatalf("the first write was answered %d", p.code)
+			t.Fatalf("the first write got status %d", p.code)
 		}
 		time.Sleep(2 * time.Second)
 		before := wire.TrafficByKind()["core.layout"]
 		for mark := range 10 {
 			if p := o.put(mark+2, 0, ""); p.code != 200 {
-				t.Fatalf("a write was answered %d", p.code)
+				t.Fatalf("a write got status %d", p.code)
 			}
 			time.Sleep(time.Duration(100+f.chance(400)) * time.Millisecond)
 		}
--- a/internal/testing/sim/load_test.go
+++ b/internal/testing/sim/load_test.go
@@ -15,9 +15,9 @@
 	dto "github.com/prometheus/client_model/go"
 )
 
-// Runners that refuse every connection, under a crowd: second tries stay under a fifth of the first
-// ones and the fleet's small allowance in any ten seconds, counted over all routers together.
-func TestSecondTries(t *testing.T) {
+// Runners refuse every connection under high load. In any ten seconds, all routers together must make at most 0.2 retries
+// per first attempt, plus the fixed budget of the fleet.
+func TestRetryBudget(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		var all []*simRunner
@@ -25,12 +25,12 @@
 			all = append(all, newModelRunner(50, 5*time.Millisecond))
 		}
 		w := newFullFleet(t, seed, 6, testConfig(""), all...)
-		// The runners' listeners are gone, their heartbeats go on: every dial is refused.
+		// The runners' listeners are closed, but their heartbeats continue: every dial is refused.
 		for _, s := range all {
 			s.closeListener()
 		}
-		// Half of the time some listen and some do not, so that first tries come in numbers too.
-		second, worst := 0.0, 0.0
+		// Half of the time one runner listens, so that there are many first attempts as well.
+		retries, worst := 0.0, 0.0
 		stop := time.Now().Add(60 * time.Second)
 		for i := uint64(1); time.Now().Before(stop); i++ {
 			go w.send(w.ctx, w.full[i%6], query{n: i, tenant: "rich", path: "/ask", body: map[string]any{"model": "m", "max_tokens": 1, "prompt": fmt.Sprint(i)}})
@@ -40,49 +40,49 @@
 			} else if i%1000 == 0 {
 				all[0].closeListener()
 			}
-			first, again := 0, 0
+			first, retried := 0, 0
 			for _, r := range w.full {
 				f, a := r.router.Clients.Retries.Counts("model")
-				first, again = first+f, again+a
+				first, retried = first+f, retried+a
 			}
-			if most := 0.2*float64(first) + 20; float64(again) > most {
-				t.Fatalf("%d second tries beside %d first ones in ten seconds", again, first)
+			if limit := 0.2*float64(first) + 20; float64(retried) > limit {
+				t.Fatalf("%d retries and %d first attempts in ten seconds", retried, first)
 			}
 			if first > 0 {
-				worst = math.Max(worst, float64(again)/float64(first))
+				worst = math.Max(worst, float64(retried)/float64(first))
 			}
 		}
 		denied := 0.0
 		for _, r := range w.full {
-			second += testutil.ToFloat64(r.router.Metrics.RetryDecisions.WithLabelValues("model", "yes"))
+			retries += testutil.ToFloat64(r.router.Metrics.RetryDecisions.WithLabelValues("model", "yes"))
 			denied += testutil.ToFloat64(r.router.Metrics.RetryDecisions.WithLabelValues("model", "no"))
 		}
-		t.Logf("%g second tries made, %g wanted and not made; at worst %.2f of the first ones in ten seconds", second, denied, worst)
-		if second == 0 || denied == 0 {
-			t.Error("the bound was never reached: nothing was shown")
+		t.Logf("%g retries made, %g denied; at most %.2f retries per first attempt in ten seconds", retries, denied, worst)
+		if retries == 0 || denied == 0 {
+			t.Error("the limit was never reached: the test shows nothing")
 		}
 	})
 }
 
-// A crowd of ten times the capacity: the first rank keeps its goodput, all runners stay busy, the
-// queue stays bounded, and every rejection comes with its Retry-After as soon as it is certain.
-func TestCrowd(t *testing.T) {
+// Under a load of ten times the capacity, queries of the first rank still succeed, all runners stay busy, the queue stays
+// bounded, and every rejection carries Retry-After and is sent within the patience of its traffic class.
+func TestTenfoldOverload(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		// Two runners of 4 streams, 50 ms a token, 4 tokens: 40 queries a second.
-		lay := strings.Replace(testConfig(""), `{"services"`, `{"limits":{"queue":60},"services"`, 1)
-		lay = strings.ReplaceAll(lay, `"patience_ms":20000`, `"patience_ms":2000`)
-		w := newFullFleet(t, seed, 2, lay, newModelRunner(4, 50*time.Millisecond), newModelRunner(4, 50*time.Millisecond))
+		// Capacity: two runners with 4 streams each, 50 ms per token and 4 tokens per query, that is 40 queries per second.
+		config := strings.Replace(testConfig(""), `{"services"`, `{"limits":{"queue":60},"services"`, 1)
+		config = strings.ReplaceAll(config, `"patience_ms":20000`, `"patience_ms":2000`)
+		w := newFullFleet(t, seed, 2, config, newModelRunner(4, 50*time.Millisecond), newModelRunner(4, 50*time.Millisecond))
 		l := &resultLog{}
 		var all sync.WaitGroup
 		n := uint64(0)
 		begun := time.Now()
 		stop := begun.Add(20 * time.Second)
-		most := 0
+		longestQueue := 0
 		for time.Now().Before(stop) {
 			n++
 			a := query{n: n, tenant: "rich", path: "/ask", body: prompt(4)}
-			if n%20 == 0 { // 20 a second of the first rank, half of the capacity
+			if n%20 == 0 { // 20 queries per second of the first rank, half of the capacity
 				a.path = "/hot"
 			}
 			r := w.full[n%2]
@@ -92,13 +92,13 @@
 			all.Go(func() { l.add(w.send(w.ctx, r, a)) })
 			for _, r := range w.full {
 				q, _ := r.router.Scheduler.Waiting()
-				most = max(most, q)
+				longestQueue = max(longestQueue, q)
 			}
 			time.Sleep(2500 * time.Microsecond)
 		}
 		all.Wait()
 		hot, hotDone, done := 0, 0, 0
-		slow := time.Duration(0)
+		slowest := time.Duration(0)
 		for _, g := range l.list() {
 			if g.path == "/hot" {
 				hot++
@@ -109,44 +109,44 @@
 					hotDone++
 				}
 			} else {
-				slow = max(slow, g.took)
+				slowest = max(slowest, g.took)
 			}
 		}
-		full := 40 * 20
+		capacity := 40 * 20
 		for _, s := range w.runners {
-			t.Logf("%s: at most %d of a room of %d at once, %d came over it", s.addr, s.peak, s.capacity, s.overCapacity)
+			t.Logf("%s: at most %d queries at once with a capacity of %d, %d queries above it", s.addr, s.peak, s.capacity, s.overCapacity)
 			if s.overCapacity > 40 {
-				t.Errorf("%s: %d queries came while its room was full", s.addr, s.overCapacity)
+				t.Errorf("%s: %d queries arrived while the runner was at capacity", s.addr, s.overCapacity)
 			}
 		}
-		t.Logf("%d of a capacity of %d done (%.2f), first rank %d of %d, longest queue %d, slowest rejection %s",
-			done, full, float64(done)/float64(full), hotDone, hot, most, slow)
-		if float64(done) < 0.9*float64(full) {
-			t.Errorf("goodput %d of a capacity of %d", done, full)
+		t.Logf("%d queries of a capacity of %d succeeded (%.2f), first rank %d of %d, longest queue %d, slowest rejection %s",
+			done, capacity, float64(done)/float64(capacity), hotDone, hot, longestQueue, slowest)
+		if float64(done) < 0.9*float64(capacity) {
+			t.Errorf("%d queries of a capacity of %d succeeded", done, capacity)
 		}
 		if float64(hotDone) < 0.98*float64(hot) {
-			t.Errorf("first rank: %d of %d done", hotDone, hot)
+			t.Errorf("first rank: %d of %d queries succeeded", hotDone, hot)
 		}
-		if most > 60 {
-			t.Errorf("%d queries waited where 60 may", most)
+		if longestQueue > 60 {
+			t.Errorf("%d queries waited, the limit is 60", longestQueue)
 		}
-		if slow > 2100*time.Millisecond {
-			t.Errorf("a rejection took %s, patience is 2 s", slow)
+		if slowest > 2100*time.Millisecond {
+			t.Errorf("a rejection took %s, the patience is 2 s", slowest)
 		}
 		w.checkResults(l)
 	})
 }
 
-// From acknowledgement to the last router, also when the primary dies with its answer: within 2 s,
-// for 14, 50 and 200 routers. The log gives the time and the messages a configuration costs.
-func TestReach(t *testing.T) {
+// A configuration reaches all of 14, 50 and 200 routers within 2 s of its acknowledgement, also if the primary crashes right
+// after the acknowledgement. The test logs the time and the messages that one configuration takes.
+func TestConfigReachesAllRouters(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{14, 50, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			overSeeds(t, func(t *testing.T, seed uint64) {
 				f := newFleet(t, seed, n)
-				f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
-				f.within(10*time.Second, "all on the roll", func() bool {
+				f.within(5*time.Second, "a primary is ready", func() bool { return f.primary() != nil })
+				f.within(10*time.Second, "all routers know each other", func() bool {
 					for _, r := range f.routers {
 						if len(r.hub.Nodes()) < n {
 							return false
@@ -157,11 +157,11 @@
 				time.Sleep(3 * time.Second)
 				reach := func(p put) time.Duration {
 					if p.code != 200 {
-						t.Fatalf("write answered %d", p.code)
+						t.Fatalf("the write got status %d", p.code)
 					}
-					return f.within(2*time.Second, "all routers obey", func() bool {
+					return f.within(2*time.Second, "all routers apply the configuration", func() bool {
 						for _, r := range f.routers {
-							if lay := r.hub.Config(); lay == nil || lay.Version < p.seq {
+							if config := r.hub.Config(); config == nil || config.Version < p.seq {
 								return false
 							}
 						}
@@ -174,20 +174,20 @@
 				idle = f.w.Sent() - idle
 				before := f.w.Sent()
 				at := time.Now()
-				calm := reach(o.put(1, 0, ""))
-				calls := f.w.Sent() - before
-				share := int(time.Since(at).Seconds() / 2 * float64(idle))
+				took := reach(o.put(1, 0, ""))
+				messages := f.w.Sent() - before
+				heartbeats := int(time.Since(at).Seconds() / 2 * float64(idle))
 				p := o.put(2, 0, "")
 				f.crashCore(f.primary())
-				dead := reach(p)
-				t.Logf("%d routers: %s; primary dead with its answer: %s; %d messages, some %d of them heartbeats (%d a second when idle)", n, calm, dead, calls, share, idle/2)
+				tookAfterCrash := reach(p)
+				t.Logf("%d routers: %s; with a crash of the primary: %s; %d messages, about %d of them heartbeats (%d per second when idle)", n, took, tookAfterCrash, messages, heartbeats, idle/2)
 			})
 		})
 	}
 }
 
-// While there is no core, what each router asks of the fleet does not grow with the queries that wait for
-// it: a hundred look for a primary as one does, and are served once there is one.
+// While no core is up, the traffic of a router does not grow with the number of queries that wait for a core: for a hundred
+// waiting queries it looks for a primary as often as for one. All of them are served once a primary is back.
 func TestNoHerd(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -199,7 +199,7 @@
 		l := &resultLog{}
 		n := uint64(0)
 		var all sync.WaitGroup
-		cost := func(more int) (sent, dialled int) {
+		measure := func(more int) (sent, dialled int) {
 			for range more {
 				n++
 				a := query{n: n, tenant: "rich", path: "/notes", body: prompt(2), key: fmt.Sprint("k", n)}
@@ -211,11 +211,11 @@
 			time.Sleep(time.Second)
 			return w.w.Sent() - sent, w.w.Dialled() - dialled
 		}
-		s1, d1 := cost(4)
-		s2, d2 := cost(400)
-		t.Logf("a second without a core: one query at each router, %d messages and %d dials; a hundred more, %d and %d", s1, d1, s2, d2)
+		s1, d1 := measure(4)
+		s2, d2 := measure(400)
+		t.Logf("per second without a core: %d messages and %d dials with one query at each router, %d and %d with a hundred more", s1, d1, s2, d2)
 		if s2 > 2*s1+100 || d2 > 2*d1+100 {
-			t.Errorf("%d messages and %d dials a second, %d and %d with one query at each router", s2, d2, s1, d1)
+			t.Errorf("%d messages and %d dials per second, but %d and %d with one query at each router", s2, d2, s1, d1)
 		}
 		for _, c := range w.cores {
 			w.startCore(c)
@@ -223,21 +223,21 @@
 		all.Wait()
 		for _, g := range l.list() {
 			if g.status != 200 {
-				t.Fatalf("a query that waited for the core was answered %d %s", g.status, g.code)
+				t.Fatalf("a query that waited for the core got %d %s", g.status, g.code)
 			}
 		}
 		w.checkResults(l)
 	})
 }
 
-// A configuration near the largest size goes through, one beyond it does not.
-func TestLargeLayout(t *testing.T) {
+// A configuration just below the size limit is applied, a larger one is rejected.
+func TestLargeConfig(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 6)
-		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
-		var ten []string
-		for i := 0; len(strings.Join(ten, ",")) < 1<<20-400; i += 100 {
+		f.within(5*time.Second, "a primary is ready", func() bool { return f.primary() != nil })
+		var tenants []string
+		for i := 0; len(strings.Join(tenants, ",")) < 1<<20-400; i += 100 {
 			var b strings.Builder
 			for j := range 100 {
 				if j > 0 {
@@ -245,105 +245,106 @@
 				}
 				fmt.Fprintf(&b, `"t%d":{"keys":["%064x"],"funded":true}`, i+j, i+j+1)
 			}
-			if len(strings.Join(ten, ","))+b.Len() > 1<<20-400 {
+			if len(strings.Join(tenants, ","))+b.Len() > 1<<20-400 {
 				break
 			}
-			ten = append(ten, b.String())
+			tenants = append(tenants, b.String())
 		}
-		lay := `{"tenants":{` + strings.Join(ten, ",") + `}}`
+		config := `{"tenants":{` + strings.Join(tenants, ",") + `}}`
 		o := f.operator()
-		p := o.raw([]byte(lay), "")
+		p := o.raw([]byte(config), "")
 		if p.code != 200 {
-			t.Fatalf("a configuration of %d bytes was answered %d", len(lay), p.code)
+			t.Fatalf("a configuration of %d bytes got status %d", len(config), p.code)
 		}
-		f.within(2*time.Second, "all obey", func() bool {
+		f.within(2*time.Second, "all routers apply the configuration", func() bool {
 			for _, r := range f.routers {
-				if l := r.hub.Config(); l == nil || l.Version < p.seq {
+				if config := r.hub.Config(); config == nil || config.Version < p.seq {
 					return false
 				}
 			}
 			return true
 		})
-		if q := o.raw([]byte(lay+strings.Repeat(" ", 1<<20)), ""); q.code != 413 {
-			t.Errorf("too large a configuration was answered %d", q.code)
+		if q := o.raw([]byte(config+strings.Repeat(" ", 1<<20)), ""); q.code != 413 {
+			t.Errorf("a configuration above the size limit got status %d", q.code)
 		}
 	})
 }
 
-// Many operators put configurations near the largest size at once: each is answered, and none of it costs
-// the primary its backup.
-func TestLargeStorm(t *testing.T) {
+// Many operators write configurations just below the size limit at the same time. Every write succeeds, and the load does
+// not make the primary remove a backup from the view.
+func TestConcurrentLargeConfigs(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 2)
-		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
+		f.within(5*time.Second, "a primary is ready", func() bool { return f.primary() != nil })
 		epoch := f.primary().srv.State().View.Epoch
 		codes := make(chan int, 12)
 		for i := range 12 {
 			o := f.operator()
 			go func() {
-				lay := fmt.Sprintf(`{"limits":{"queue":%d}%s}`, i+1, strings.Repeat(" ", 1<<20-100))
-				codes <- o.raw([]byte(lay), fmt.Sprintf("big%d", i)).code
+				config := fmt.Sprintf(`{"limits":{"queue":%d}%s}`, i+1, strings.Repeat(" ", 1<<20-100))
+				codes <- o.raw([]byte(config), fmt.Sprintf("big%d", i)).code
 			}()
 		}
-		sum := map[int]int{}
+		counts := map[int]int{}
 		for range 12 {
-			sum[<-codes]++
+			counts[<-codes]++
 		}
-		if sum[200] != 12 {
-			t.Errorf("twelve large configurations were answered %v", sum)
+		if counts[200] != 12 {
+			t.Errorf("want 12 large configurations with status 200, got counts by status %v", counts)
 		}
 		if e := f.primary().srv.State().View.Epoch; e != epoch {
-			t.Errorf("the view went from epoch %d to %d", epoch, e)
+			t.Errorf("the view changed from epoch %d to %d", epoch, e)
 		}
 	})
 }
 
-// A damaged version on a core's disk: the core says so, counts as blank, and the fleet loses nothing.
-func TestDamagedDisk(t *testing.T) {
+// A stored version on a core's disk is corrupt. The core sets the file aside and rejoins as a new process, and the fleet
+// loses no acknowledged write.
+func TestCorruptedDisk(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 2)
-		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
+		f.within(5*time.Second, "a primary is ready", func() bool { return f.primary() != nil })
 		o := f.operator()
 		b := &book{}
 		for i := range 5 {
 			b.add(o.put(i+1, 0, ""))
 		}
 		p := f.primary()
-		was := p.srv.State().ID
+		oldID := p.srv.State().ID
 		f.crashCore(p)
-		bad := ""
+		corrupted := ""
 		for _, n := range p.disk.Names() {
-			if strings.HasPrefix(n, "v-") && (bad == "" || f.chance(2) == 0) {
-				bad = n
+			if strings.HasPrefix(n, "v-") && (corrupted == "" || f.chance(2) == 0) {
+				corrupted = n
 			}
 		}
-		if !p.disk.FlipBit(bad, f.chance(1000)) {
-			t.Fatal("nothing to spoil")
+		if !p.disk.FlipBit(corrupted, f.chance(1000)) {
+			t.Fatal("there is no file to corrupt")
 		}
 		f.startCore(p)
-		if p.srv.State().ID == was {
-			t.Error("a core with a damaged state kept its identity")
+		if p.srv.State().ID == oldID {
+			t.Error("a core with corrupt files kept its process ID")
 		}
-		f.within(15*time.Second, "five members again, the damaged one as a new process", func() bool {
+		f.within(15*time.Second, "five members again, the core with the corrupt disk as a new process", func() bool {
 			q := f.primary()
 			return q != nil && len(q.srv.State().View.Members) == 5 && q.srv.State().View.HasMember(p.srv.State().ID)
 		})
 		b.add(o.put(9, 0, ""))
 		f.check(b)
-		kept := false
+		setAside := false
 		for _, n := range p.disk.Names() {
-			kept = kept || n == "bad-"+bad
+			setAside = setAside || n == "bad-"+corrupted
 		}
-		if !kept {
-			t.Errorf("%s was not set aside: %v", bad, p.disk.Names())
+		if !setAside {
+			t.Errorf("%s was not set aside: %v", corrupted, p.disk.Names())
 		}
 	})
 }
 
-// Prefixes: how much of the prompts runners find in their caches, and how even the load is, against
-// least-loaded and plain rendezvous placement on the same traffic. The log gives the figures.
+// Placement by prompt prefix: runners must find most prompt blocks in their caches, and no runner may get too large a share
+// of the load, although one prefix has a third of the traffic. The test logs both figures.
 func TestPrefixHits(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -360,7 +361,7 @@
 		for i := range uint64(2000) {
 			doc := rnd.IntN(40)
 			if rnd.IntN(3) == 0 {
-				doc = 0 // one key takes a third of the traffic
+				doc = 0 // one prefix has a third of the traffic
 			}
 			text := strings.Repeat(fmt.Sprintf("sheet %d line; ", doc), 200) + fmt.Sprint(" question ", i)
 			wg.Go(func() {
@@ -377,36 +378,36 @@
 			s.mu.Unlock()
 		}
 		rate := float64(hits) / float64(blocks)
-		t.Logf("prefix hits %.3f of blocks, busiest runner %.2f of the mean", rate, float64(most)*float64(len(w.runners))/float64(blocks))
+		t.Logf("cache hits for %.3f of the blocks, busiest runner at %.2f times the mean load", rate, float64(most)*float64(len(w.runners))/float64(blocks))
 		if rate < 0.85 {
-			t.Errorf("hits %.3f", rate)
+			t.Errorf("cache hits for %.3f of the blocks, want at least 0.85", rate)
 		}
 		if f := float64(most) * 8 / float64(blocks); f > 3.2 {
-			t.Errorf("the busiest runner took %.2f of the mean", f)
+			t.Errorf("the busiest runner got %.2f times the mean load, want at most 3.2", f)
 		}
 		w.checkResults(l)
 	})
 }
 
-// probe sends one query, and tells the wait it was estimated, at once, and the one it has until a runner
-// sees it, in time.
-func (w *fullFleet) probe(r *fullRouter, a query) (est time.Duration, wait chan time.Duration) {
-	sum := func() (all float64) {
+// probe sends one query. It returns the wait that the router estimates for the query, and a channel that delivers the actual
+// wait until the query arrives at a runner.
+func (w *fullFleet) probe(r *fullRouter, a query) (estimate time.Duration, wait chan time.Duration) {
+	estimated := func() (total float64) {
 		for _, kind := range []string{"funded", "unfunded"} {
 			var m dto.Metric
 			if err := r.router.Metrics.AllowanceWait.WithLabelValues(kind).(prometheus.Metric).Write(&m); err != nil {
 				w.t.Error(err)
 			}
-			all += m.Histogram.GetSampleSum()
+			total += m.Histogram.GetSampleSum()
 		}
-		return all
+		return total
 	}
-	before := sum()
+	before := estimated()
 	wait = make(chan time.Duration, 1)
 	go func() {
 		g := w.send(w.ctx, r, a)
 		if g.status != 200 {
-			w.t.Errorf("a probe was answered %d %s", g.status, g.body)
+			w.t.Errorf("a probe got %d %s", g.status, g.body)
 		}
 		for _, s := range w.arrivals() {
 			if s.n == a.n {
@@ -415,13 +416,13 @@
 		}
 		close(wait)
 	}()
-	synctest.Wait() // it is judged by now, and nothing else has happened
-	return time.Duration((sum() - before) * float64(time.Second)), wait
+	synctest.Wait() // the estimate has been made by now, and nothing else has happened
+	return time.Duration((estimated() - before) * float64(time.Second)), wait
 }
 
-// The allowance's estimate against the wait then seen, for new runners, full batches, prefix hits
-// and other routers' streams. The log gives the ratio of estimate to wait; the bounds are wide, they
-// catch an estimate that has come loose altogether.
+// Compares the wait that the allowance estimates with the actual wait, for new runners, full batches, cached prefixes and
+// streams of other routers. The test logs the ratio of estimate to wait. The limits are wide and catch only an estimate that
+// is entirely wrong.
 func TestEstimate(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -434,8 +435,8 @@
 			a, b := newModelRunner(4, 50*time.Millisecond), newModelRunner(4, 50*time.Millisecond)
 			a.batchSlowdown, b.batchSlowdown = 0.2, 0.2
 			a.prefillTime, b.prefillTime = 200*time.Millisecond, 200*time.Millisecond
-			lay := strings.ReplaceAll(testConfig(""), `"patience_ms":20000`, `"patience_ms":600000`)
-			w := newFullFleet(t, seed, c.routers, lay, a, b)
+			config := strings.ReplaceAll(testConfig(""), `"patience_ms":20000`, `"patience_ms":600000`)
+			w := newFullFleet(t, seed, c.routers, config, a, b)
 			text := func(i int) string {
 				if c.shared {
 					return strings.Repeat("shared ", 200)
@@ -443,7 +444,7 @@
 				return strings.Repeat(fmt.Sprintf("own %d ", i), 200)
 			}
 			n := uint64(0)
-			put := func(wg *sync.WaitGroup, i int) {
+			send := func(wg *sync.WaitGroup, i int) {
 				n++
 				no := n
 				wg.Go(func() {
@@ -453,17 +454,17 @@
 			if c.warm {
 				var wg sync.WaitGroup
 				for i := range 16 {
-					put(&wg, i)
+					send(&wg, i)
 				}
 				wg.Wait()
 				time.Sleep(time.Second)
 			}
 			var wg sync.WaitGroup
 			for i := range 60 {
-				put(&wg, i)
+				send(&wg, i)
 			}
 			time.Sleep(1500 * time.Millisecond)
-			// One more: its estimate at arrival, and its dispatch as seen.
+			// One more query: its estimate at arrival, and the actual wait until its dispatch.
 			n++
 			est, ch := w.probe(w.full[0], query{n: n, tenant: "poor", path: "/ask", body: map[string]any{"model": "m", "max_tokens": 41, "prompt": text(int(n))}})
 			wait := <-ch
@@ -471,7 +472,7 @@
 			ratio := est.Seconds() / wait.Seconds()
 			t.Logf("%s: estimated %.1f s, waited %.1f s, ratio %.2f", c.name, est.Seconds(), wait.Seconds(), ratio)
 			if ratio < 0.4 || ratio > 5 {
-				t.Errorf("%s: the estimate is off by a factor of %.2f", c.name, ratio)
+				t.Errorf("%s: the ratio of estimate to wait is %.2f, want 0.4 to 5", c.name, ratio)
 			}
 			w.stopRoutersAndRunners()
 			w.stop()
@@ -479,37 +480,37 @@
 	})
 }
 
-// The estimate where it decides something: waits of a minute and more, behind a tenant's own backlog of each
-// kind of query that the deployments have, on runners that were measured under half a load of the same. The
-// log gives the ratio of estimate to wait.
+// Compares the estimate with the actual wait in the range in which the estimate matters: waits of a minute and more, caused
+// by the tenant's own backlog of one kind of query. Before that, the runners are measured under half their load of the same
+// kind. The kinds are those of the deployments. The test logs estimates, waits and their largest ratio.
 func TestEstimateBacklog(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		for _, c := range []struct {
-			name   string
-			tokens int
-			stream bool
-			docs   int           // shared prompts
-			every  time.Duration // under half a load
-			crowd  int
-			step   time.Duration
-			odd    int     // so many pieces fewer than were asked for
-			most   float64 // that the estimate may be off by
+			name     string
+			tokens   int
+			stream   bool
+			docs     int           // number of shared prompt prefixes
+			every    time.Duration // mean interval of queries at half the load
+			backlog  int           // queries of the backlog
+			step     time.Duration // time per token
+			shortBy  int           // number of tokens by which answers are shorter than requested
+			maxRatio float64       // largest allowed ratio between estimate and wait
 		}{
 			{"checks", 2, false, 24, 90 * time.Millisecond, 1500, 400 * time.Millisecond, 0, 3},
 			{"notes", 12, false, 40, 500 * time.Millisecond, 500, 400 * time.Millisecond, 0, 3},
 			{"write-ups", 600, true, 4, 2500 * time.Millisecond, 150, 40 * time.Millisecond, 0, 3},
-			{"long whole answers", 600, false, 4, 2500 * time.Millisecond, 150, 40 * time.Millisecond, 0, 3},
-			{"write-ups a tenth as long as asked for", 4000, true, 4, 2500 * time.Millisecond, 150, 40 * time.Millisecond, 3600, 8},
+			{"long non-streamed answers", 600, false, 4, 2500 * time.Millisecond, 150, 40 * time.Millisecond, 0, 3},
+			{"write-ups of a tenth of the requested length", 4000, true, 4, 2500 * time.Millisecond, 150, 40 * time.Millisecond, 3600, 8},
 		} {
 			var all []*simRunner
 			for range 4 {
 				m := newModelRunner(8, c.step)
-				m.batchSlowdown, m.prefillTime, m.shortBy = 0.1, c.step/4, c.odd
+				m.batchSlowdown, m.prefillTime, m.shortBy = 0.1, c.step/4, c.shortBy
 				all = append(all, m)
 			}
-			lay := strings.ReplaceAll(testConfig(""), `"patience_ms":20000`, `"patience_ms":1000000`)
-			w := newFullFleet(t, seed, 4, strings.Replace(lay, `{"services"`, `{"limits":{"queue":100000,"open":100000},"services"`, 1), all...)
+			config := strings.ReplaceAll(testConfig(""), `"patience_ms":20000`, `"patience_ms":1000000`)
+			w := newFullFleet(t, seed, 4, strings.Replace(config, `{"services"`, `{"limits":{"queue":100000,"open":100000},"services"`, 1), all...)
 			rnd := rand.New(rand.NewPCG(seed, 5))
 			n := uint64(0)
 			next := func() query {
@@ -522,7 +523,7 @@
 				a, r := next(), w.full[rnd.IntN(4)]
 				wg.Go(func() { w.send(w.ctx, r, a) })
 			}
-			for range c.crowd {
+			for range c.backlog {
 				a, r := next(), w.full[rnd.IntN(4)]
 				wg.Go(func() { w.send(w.ctx, r, a) })
 			}
@@ -539,9 +540,9 @@
 				})
 			}
 			wg.Wait()
-			t.Logf("%s: estimate and wait %v, off by %.2f at worst", c.name, out, worst)
-			if !(worst < c.most) {
-				t.Errorf("%s: the estimate is off by %.2f", c.name, worst)
+			t.Logf("%s: estimates and waits %v, largest ratio %.2f", c.name, out, worst)
+			if !(worst < c.maxRatio) {
+				t.Errorf("%s: estimate and wait differ by a factor of %.2f, want less than %g", c.name, worst, c.maxRatio)
 			}
 			w.stopRoutersAndRunners()
 			w.stop()
--- a/internal/testing/sim/promise_test.go
+++ b/internal/testing/sim/promise_test.go
@@ -15,9 +15,9 @@
 	"yarrowridge/internal/dataplane/runner"
 )
 
-var isolationTime = flag.Duration("cut", 10*time.Minute, "how long a hall is cut off, in simulated time")
+var isolationTime = flag.Duration("cut", 10*time.Minute, "how long a zone is isolated, in simulated time")
 
-// resultLog is all outcomes that origins had.
+// resultLog records the results of all clients.
 type resultLog struct {
 	mu  sync.Mutex
 	all []result
@@ -35,8 +35,9 @@
 	return append([]result{}, l.all...)
 }
 
-// checkResults holds outcomes against what runners saw: once-only queries ran once at most, what was said
-// not to have run did not, answers belong to their queries, and none came twice to a runner.
+// checkResults compares the results of clients with the queries that arrived at runners: a query that may run only once ran
+// at most once, a query reported as "not run" did not run, every answer belongs to its query, no request reached runners
+// twice, and rejections carry Retry-After.
 func (w *fullFleet) checkResults(l *resultLog) {
 	w.arrivalLog.mu.Lock()
 	defer w.arrivalLog.mu.Unlock()
@@ -47,7 +48,7 @@
 	}
 	for id, n := range ids {
 		if n > 1 {
-			w.t.Errorf("query %s came to runners %d times", id, n)
+			w.t.Errorf("request %s reached runners %d times", id, n)
 		}
 	}
 	once := map[uint64]bool{}
@@ -56,27 +57,27 @@
 			once[g.n] = true
 		}
 		if g.run == "not run" && ids[g.id] > 0 {
-			w.t.Errorf("query %s (%d) was said not to have run (%s), but it did", g.id, g.n, g.code)
+			w.t.Errorf("request %s (query %d) was reported as not run (%s), but it ran", g.id, g.n, g.code)
 		}
 		if g.status == 200 && g.code == "" && !bytes.Contains(g.body, []byte(fmt.Sprintf(`"n":%d`, g.n))) {
-			w.t.Errorf("query %d was answered %s", g.n, g.body)
+			w.t.Errorf("query %d got the answer %s", g.n, g.body)
 		}
 		if (g.status == 503 || g.status == 429) && g.retryAfter == "" {
-			w.t.Errorf("query %d was rejected with %s and no Retry-After", g.n, g.code)
+			w.t.Errorf("query %d was rejected with %s without Retry-After", g.n, g.code)
 		}
 	}
 	for n := range once {
 		if ran[n] > 1 {
-			w.t.Errorf("query %d may run once and ran %d times", n, ran[n])
+			w.t.Errorf("query %d may run only once and ran %d times", n, ran[n])
 		}
 	}
 }
 
-// maxInWindow is the most that runners saw of a tenant in any window.
+// maxInWindow returns the largest number of a tenant's queries that arrived at runners within any one window.
 func (w *fullFleet) maxInWindow(tenant string, window time.Duration) int {
 	w.arrivalLog.mu.Lock()
 	defer w.arrivalLog.mu.Unlock()
-	most := 0
+	largest := 0
 	var at []time.Time
 	for _, s := range w.arrivalLog.all {
 		if s.tenant != tenant {
@@ -86,13 +87,13 @@
 		for at[len(at)-1].Sub(at[0]) >= window {
 			at = at[1:]
 		}
-		most = max(most, len(at))
+		largest = max(largest, len(at))
 	}
-	return most
+	return largest
 }
 
-// Everything at once: cores, routers and runners crash, hang and are cut off while origins ask and
-// ask again elsewhere. Once-only stays once-only, "not run" stays true, answers stay whole.
+// Cores, routers and runners crash, hang and are cut off while clients send queries and retry them at other routers. Queries
+// that may run only once run at most once, "not run" is true, and answers are complete.
 func TestQueryStorm(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -131,17 +132,17 @@
 		all.Wait()
 		w.checkResults(l)
 		if n := w.maxInWindow("metered", 5*time.Second); n > 30 {
-			t.Errorf("%d queries in a window of a quota of 30", n)
+			t.Errorf("%d queries in one window of a quota of 30", n)
 		}
-		sum := map[string]int{}
+		counts := map[string]int{}
 		for _, g := range l.list() {
-			sum[fmt.Sprint(g.status, g.code)]++
+			counts[fmt.Sprint(g.status, g.code)]++
 		}
-		t.Logf("outcomes %v", sum)
-		if sum["200"] < 200 {
-			t.Errorf("only %d queries were answered", sum["200"])
+		t.Logf("outcomes %v", counts)
+		if counts["200"] < 200 {
+			t.Errorf("only %d queries were answered", counts["200"])
 		}
-		// And after all of it, service: every router answers a once-only query soon.
+		// After all faults, every router soon serves a query that may run only once.
 		for i, r := range w.full {
 			w.within(12*time.Second, r.name+" serves", func() bool {
 				n := 900000 + machines.Add(1)
@@ -151,7 +152,8 @@
 	})
 }
 
-// runClient asks queries of all kinds, each again elsewhere until it has an outcome, until it is over.
+// runClient sends queries of all kinds until over. It retries each query at other routers until it has an outcome, up to four
+// attempts.
 func (w *fullFleet) runClient(i int, l *resultLog, over func() bool) {
 	for k := uint64(1); !over(); k++ {
 		a := query{n: uint64(i)*100000 + k, tenant: "rich", path: "/ask", body: prompt(5)}
@@ -173,7 +175,7 @@
 			g := w.send(ctx, r, a)
 			end()
 			if r.current() == nil {
-				g = result{query: a} // its router died: the origin heard nothing
+				g = result{query: a} // the router crashed: the client got no answer
 			}
 			l.add(g)
 			if g.status == 200 || a.key == "" && g.run != "not run" {
@@ -186,30 +188,31 @@
 
 func pause50ms() { time.Sleep(50 * time.Millisecond) }
 
-// zoneAddrs lists the addresses of a zone's processes, and those of all others.
-func (w *fullFleet) zoneAddrs(zone string) (in, out []string) {
-	put := func(at, addr string) {
+// zoneAddrs returns the addresses of the processes in a zone and of those in all other zones.
+func (w *fullFleet) zoneAddrs(zone string) (inside, outside []string) {
+	add := func(at, addr string) {
 		if at == zone {
-			in = append(in, addr)
+			inside = append(inside, addr)
 		} else {
-			out = append(out, addr)
+			outside = append(outside, addr)
 		}
 	}
 	for _, c := range w.cores {
-		put(c.zone, c.addr)
+		add(c.zone, c.addr)
 	}
 	for _, r := range w.full {
-		put(r.zone, r.addr)
+		add(r.zone, r.addr)
 	}
 	for _, s := range w.runners {
-		put(s.zone, s.addr)
+		add(s.zone, s.addr)
 	}
-	return in, out
+	return inside, outside
 }
 
-// A zone is cut off for long: it serves on with its last configuration, marked stale, spends its own share
-// of quotas, rejects keyed once-only queries as not run, and upon rejoining obeys the newest configuration.
-func TestCutHall(t *testing.T) {
+// A zone is isolated for a long time. It keeps serving with its last configuration, which counts as stale, uses only its own
+// share of quotas, and rejects keyed queries that may run only once as not run. After it rejoins, it applies the newest
+// configuration.
+func TestIsolatedZone(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		quota := func(n int) string {
@@ -217,12 +220,12 @@
 		}
 		w := newFullFleet(t, seed, 8, testConfig(quota(40)), newModelRunner(8, 10*time.Millisecond), newModelRunner(8, 10*time.Millisecond), newModelRunner(8, 10*time.Millisecond), newModelRunner(8, 10*time.Millisecond), newOrderRunner(), newOrderRunner())
 		time.Sleep(3 * time.Second)
-		inside := map[string]bool{"east": true}
-		in, out := w.zoneAddrs("east")
+		isolated := map[string]bool{"east": true}
+		inZone, outside := w.zoneAddrs("east")
 		l := &resultLog{}
 		n := uint64(0)
 		round := func(path, tenant string, keyed bool) map[string]int {
-			sum := map[string]int{}
+			counts := map[string]int{}
 			var all sync.WaitGroup
 			var mu sync.Mutex
 			for _, r := range w.full {
@@ -237,24 +240,24 @@
 					mu.Lock()
 					defer mu.Unlock()
 					where := "out "
-					if inside[r.zone] {
+					if isolated[r.zone] {
 						where = "in "
 					}
-					sum[where+fmt.Sprint(g.status)+g.code]++
+					counts[where+fmt.Sprint(g.status)+g.code]++
 				})
 			}
 			all.Wait()
-			return sum
+			return counts
 		}
-		w.w.Split(in, out)
-		time.Sleep(8 * time.Second) // silent runners are found out, a primary inside is replaced
+		w.w.Split(inZone, outside)
+		time.Sleep(8 * time.Second) // until unreachable runners are detected and a primary inside the zone is replaced
 		until := time.Now().Add(*isolationTime)
 		for time.Now().Before(until) {
 			if s := round("/ask", "rich", false); s["in 200"] != 2 || s["out 200"] != 6 {
-				t.Fatalf("unkeyed queries during the cut: %v", s)
+				t.Fatalf("unkeyed queries while the zone is isolated: %v", s)
 			}
 			if s := round("/notes", "rich", true); s["in 503no-core"] != 2 || s["out 200"] != 6 {
-				t.Fatalf("keyed once-only queries during the cut: %v", s)
+				t.Fatalf("keyed queries that may run only once while the zone is isolated: %v", s)
 			}
 			for range 10 {
 				round("/ask", "metered", false)
@@ -263,17 +266,17 @@
 			time.Sleep(time.Duration(w.chance(50)) * time.Second)
 		}
 		for _, r := range w.full {
-			if r.router.Cluster.CoreTimedOut() != inside[r.zone] {
-				t.Errorf("%s: stale %v", r.name, r.router.Cluster.CoreTimedOut())
+			if r.router.Cluster.CoreTimedOut() != isolated[r.zone] {
+				t.Errorf("%s: stale is %v", r.name, r.router.Cluster.CoreTimedOut())
 			}
 		}
 		o := w.operator()
 		p := o.raw([]byte(testConfig(quota(20))), "")
 		if p.code != 200 {
-			t.Fatalf("the greater part took no configuration: %d", p.code)
+			t.Fatalf("the majority rejected a configuration with status %d", p.code)
 		}
 		w.w.Heal()
-		w.within(2*time.Second, "all obey the newest layout", func() bool {
+		w.within(2*time.Second, "all routers apply the newest configuration", func() bool {
 			for _, r := range w.full {
 				if r.router.Cluster.Config().Version < p.seq || r.router.Cluster.CoreTimedOut() {
 					return false
@@ -282,25 +285,25 @@
 			return true
 		})
 		if got := w.maxInWindow("metered", 10*time.Second); got > 40 {
-			t.Errorf("%d queries in a window of a quota of 40", got)
+			t.Errorf("%d queries in one window of a quota of 40", got)
 		}
 		time.Sleep(10 * time.Second)
-		mark := len(w.arrivals())
+		before := len(w.arrivals())
 		for range 30 {
 			round("/ask", "metered", false)
 			time.Sleep(500 * time.Millisecond)
 		}
 		w.arrivalLog.mu.Lock()
-		w.arrivalLog.all = w.arrivalLog.all[mark:]
+		w.arrivalLog.all = w.arrivalLog.all[before:]
 		w.arrivalLog.mu.Unlock()
 		if got := w.maxInWindow("metered", 10*time.Second); got > 20 || got < 10 {
-			t.Errorf("after rejoining %d queries in a window of a quota of 20", got)
+			t.Errorf("after rejoining, %d queries in one window of a quota of 20", got)
 		}
 		w.checkResults(l)
 	})
 }
 
-// A withdrawn key is rejected at once on whatever connection, and its running streams end explicitly.
+// Every router rejects a withdrawn key at once, and its running streams end with an error event within 2 s.
 func TestWithdrawnKey(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -316,12 +319,12 @@
 		acked := time.Now()
 		for i, r := range w.full {
 			if g := w.send(w.ctx, r, query{n: uint64(10 + i), tenant: "gone", path: "/ask", body: prompt(1)}); g.status != 401 {
-				t.Errorf("%s answered a withdrawn key with %d", r.name, g.status)
+				t.Errorf("%s: a query with a withdrawn key got status %d, want 401", r.name, g.status)
 			}
 		}
 		g := <-done
 		if took := time.Since(acked); took > 2*time.Second {
-			t.Errorf("the stream ran on for %s", took)
+			t.Errorf("the stream ended %s after its key was withdrawn", took)
 		}
 		if !strings.Contains(string(g.body), "event: trouble") || !strings.Contains(string(g.body), "key-withdrawn") || strings.Contains(string(g.body), "[DONE]") {
 			t.Errorf("the stream ended with %q", tail(g.body))
@@ -329,10 +332,11 @@
 	})
 }
 
+// tail returns the last 200 bytes of b.
 func tail(b []byte) string { return string(b[max(0, len(b)-200):]) }
 
-// A runner that sends heartbeats but answers nothing is found out by its answers, and does not come back into
-// standing by its heartbeats alone.
+// A runner that sends heartbeats but answers no query becomes unhealthy by its missing answers, and its heartbeats alone do
+// not make it healthy again.
 func TestStuckRunner(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -342,19 +346,19 @@
 		a.mu.Lock()
 		a.hang = true
 		a.mu.Unlock()
-		flips, was := 0, ""
+		changes, lastHealth := 0, ""
 		for i := range 600 {
 			i := i
 			go w.send(w.ctx, w.full[i%2], query{n: uint64(i + 1), tenant: "rich", path: "/ask", body: map[string]any{"model": "m", "max_tokens": 2, "prompt": fmt.Sprint(i)}})
 			time.Sleep(100 * time.Millisecond)
 			for _, e := range w.full[0].router.Runners.List() {
 				if e.Address == a.addr && i == 300 && e.Health() == "" {
-					t.Error("after 30 s of silence the runner is in good standing")
+					t.Error("the runner is healthy after 30 s without an answer")
 				}
 				if e.Address == a.addr {
-					if why := e.Health(); why != was {
-						was = why
-						flips++
+					if health := e.Health(); health != lastHealth {
+						lastHealth = health
+						changes++
 					}
 				}
 			}
@@ -368,12 +372,12 @@
 		}
 		total := len(w.arrivalLog.all)
 		w.arrivalLog.mu.Unlock()
-		t.Logf("%d of %d queries went to the stuck runner after 20 s; its standing changed %d times in 60 s", late, total, flips)
+		t.Logf("%d of %d queries went to the stuck runner after 20 s; its health changed %d times in 60 s", late, total, changes)
 		if late > 8 {
-			t.Errorf("%d queries went to a runner that had answered nothing for 20 s", late)
+			t.Errorf("%d queries went to a runner that had not answered for 20 s", late)
 		}
-		if flips > 8 {
-			t.Errorf("standing changed %d times", flips)
+		if changes > 8 {
+			t.Errorf("the health of the runner changed %d times", changes)
 		}
 		if total < 500 {
 			t.Errorf("only %d queries reached a runner", total)
@@ -381,23 +385,24 @@
 	})
 }
 
-// A leaving runner's word, told to a router that dies at once, binds every other within 2 s.
-func TestLeavingWord(t *testing.T) {
+// A runner reports to one router that it is leaving, and the router crashes at once. Within 2 s, every other router stops
+// sending queries to the runner.
+func TestLeavingReportSurvivesRouterCrash(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		a, b := newModelRunner(8, 5*time.Millisecond), newModelRunner(8, 5*time.Millisecond)
 		a.name, b.name = "a", "b"
 		w := newFullFleet(t, seed, 6, testConfig(""), a, b)
-		told := w.full[w.chance(len(w.full))]
-		face := &runner.API{Cluster: told.router.Cluster, KeyHash: func() string { return "" }}
+		receiver := w.full[w.chance(len(w.full))]
+		api := &runner.API{Cluster: receiver.router.Cluster, KeyHash: func() string { return "" }}
 		a.mu.Lock()
 		a.state, a.muted = "leaving", true
 		raw := fmt.Sprintf(`{"name":"a","addr":%q,"born":"1","turn":%d,"state":"leaving","room":8,"labels":{"app":"model","model":"m"}}`, a.addr, a.sequence+1)
 		a.mu.Unlock()
-		if code := post(face.Heartbeat, raw); code != 200 {
-			t.Fatalf("the word was answered %d", code)
+		if code := post(api.Heartbeat, raw); code != 200 {
+			t.Fatalf("the heartbeat got status %d", code)
 		}
-		w.crashFullRouter(told)
+		w.crashFullRouter(receiver)
 		at := time.Now()
 		time.Sleep(2 * time.Second)
 		for i := range 60 {
@@ -411,7 +416,7 @@
 		}
 		for _, s := range w.arrivals() {
 			if s.runner == "a" && s.at.Sub(at) > 2*time.Second {
-				t.Fatalf("the leaving runner got a query after %s", s.at.Sub(at))
+				t.Fatalf("the leaving runner got a query %s after its report", s.at.Sub(at))
 			}
 		}
 		if len(w.arrivals()) < 100 {
@@ -420,53 +425,55 @@
 	})
 }
 
-// Queries of one kind differ in length: a runner gets none that is longer than it serves, also from
-// a queue in which shorter ones stand before it.
-func TestLengths(t *testing.T) {
+// Queries of one kind request outputs of different lengths. A runner gets no query that requests more than its maximum
+// length, also if shorter queries precede it in the queue.
+func TestRunnerMaxLength(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		short, long := newModelRunner(2, 20*time.Millisecond), newModelRunner(2, 20*time.Millisecond)
 		short.maxLength, long.maxLength = 50, 5000
-		lay := strings.ReplaceAll(testConfig(""), `"patience_ms":20000`, `"patience_ms":600000`)
-		w := newFullFleet(t, seed, 1, lay, short, long)
+		config := strings.ReplaceAll(testConfig(""), `"patience_ms":20000`, `"patience_ms":600000`)
+		w := newFullFleet(t, seed, 1, config, short, long)
 		l := &resultLog{}
 		var all sync.WaitGroup
 		for i := range uint64(80) {
-			n := 10
+			tokens := 10
 			if w.chance(2) == 0 {
-				n = 60
+				tokens = 60
 			}
-			who := []string{"rich", "poor"}[w.chance(2)]
-			all.Go(func() { l.add(w.send(w.ctx, w.full[0], query{n: i + 1, tenant: who, path: "/ask", body: prompt(n)})) })
+			tenant := []string{"rich", "poor"}[w.chance(2)]
+			all.Go(func() {
+				l.add(w.send(w.ctx, w.full[0], query{n: i + 1, tenant: tenant, path: "/ask", body: prompt(tokens)}))
+			})
 		}
 		all.Wait()
 		for _, g := range l.list() {
 			if g.status != 200 {
-				t.Fatalf("%d %s", g.status, g.body)
+				t.Fatalf("a query got %d %s", g.status, g.body)
 			}
 		}
 		if short.tooLong > 0 {
-			t.Errorf("%d queries were too long for the runner that got them", short.tooLong)
+			t.Errorf("%d queries requested more than the maximum length of their runner", short.tooLong)
 		}
 		w.checkResults(l)
 	})
 }
 
-// A query that waits obeys the configuration in force when it goes, not the one it came under.
-func TestQueuedObeyNewLayout(t *testing.T) {
+// A queued query is dispatched under the configuration of that time, not under the one that was current when it arrived.
+func TestQueuedQueriesUseNewConfig(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		a, b := newModelRunner(1, 100*time.Millisecond), newModelRunner(1, 100*time.Millisecond)
 		a.name, b.name = "a", "b"
 		a.labels, b.labels = map[string]string{"app": "model", "model": "m", "set": "a"}, map[string]string{"app": "model", "model": "m", "set": "b"}
-		more := `,"gone":{"funded":true,"keys":["` + keyHash("gone") + `"]}`
-		w := newFullFleet(t, seed, 2, testConfig(more), a, b)
+		withGone := `,"gone":{"funded":true,"keys":["` + keyHash("gone") + `"]}`
+		w := newFullFleet(t, seed, 2, testConfig(withGone), a, b)
 		l := &resultLog{}
 		var all sync.WaitGroup
 		for i := range uint64(24) {
-			who := []string{"rich", "gone"}[i%2]
+			tenant := []string{"rich", "gone"}[i%2]
 			all.Go(func() {
-				l.add(w.send(w.ctx, w.full[i%2], query{n: i + 1, tenant: who, path: "/ask", body: prompt(10)}))
+				l.add(w.send(w.ctx, w.full[i%2], query{n: i + 1, tenant: tenant, path: "/ask", body: prompt(10)}))
 			})
 		}
 		time.Sleep(1500 * time.Millisecond)
@@ -475,26 +482,26 @@
 		all.Wait()
 		for _, s := range w.arrivals() {
 			if s.runner == "a" && s.at.Sub(acked) > 2*time.Second {
-				t.Errorf("a runner that the configuration left out got query %d %s after it", s.n, s.at.Sub(acked))
+				t.Errorf("a runner that the new configuration excludes got query %d %s after the change", s.n, s.at.Sub(acked))
 			}
 			if s.tenant == "gone" && s.at.Sub(acked) > 2*time.Second {
-				t.Errorf("query %d of a withdrawn key went to a runner %s after it", s.n, s.at.Sub(acked))
+				t.Errorf("query %d reached a runner %s after its key was withdrawn", s.n, s.at.Sub(acked))
 			}
 		}
-		sum := map[string]int{}
+		counts := map[string]int{}
 		for _, g := range l.list() {
-			sum[fmt.Sprint(g.tenant, " ", g.status, g.code)]++
+			counts[fmt.Sprint(g.tenant, " ", g.status, g.code)]++
 		}
-		t.Logf("outcomes %v", sum)
-		if sum["rich 200"] < 12 || sum["gone 401unknown-key"] == 0 {
-			t.Errorf("outcomes %v", sum)
+		t.Logf("outcomes %v", counts)
+		if counts["rich 200"] < 12 || counts["gone 401unknown-key"] == 0 {
+			t.Errorf("outcomes %v, want at least 12 of tenant rich with 200 and one of tenant gone with unknown-key", counts)
 		}
 		w.checkResults(l)
 	})
 }
 
-// Beyond the bound on queries under way, a crowd is rejected before its bodies are read.
-func TestTooMany(t *testing.T) {
+// Queries above the limit on open queries are rejected at once, before their bodies are read.
+func TestTooManyOpenQueries(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		w := newFullFleet(t, seed, 1, strings.Replace(testConfig(""), `{"services"`, `{"limits":{"open":5},"services"`, 1), newModelRunner(8, 100*time.Millisecond))
@@ -507,30 +514,30 @@
 			time.Sleep(time.Millisecond)
 		}
 		all.Wait()
-		sum := map[string]int{}
+		counts := map[string]int{}
 		for _, g := range l.list() {
-			sum[fmt.Sprint(g.status, g.code)]++
+			counts[fmt.Sprint(g.status, g.code)]++
 			if g.code == "too-many" && g.took > 0 {
-				t.Errorf("the rejection took %s", g.took)
+				t.Errorf("a rejection took %s, want no delay", g.took)
 			}
 		}
-		if sum["200"] != 5 || sum["503too-many"] != 15 {
-			t.Errorf("twenty queries where five may be open: %v", sum)
+		if counts["200"] != 5 || counts["503too-many"] != 15 {
+			t.Errorf("outcomes of 20 queries with a limit of 5 open ones: %v", counts)
 		}
 		w.checkResults(l)
 	})
 }
 
-// Every bad query gets its own answer, and none of them reaches a runner.
-func TestBounces(t *testing.T) {
+// Every kind of invalid query gets its own error code, and none of them reaches a runner.
+func TestInvalidQueries(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		w := newFullFleet(t, seed, 1, strings.Replace(testConfig(""), `{"services"`, `{"limits":{"body_bytes":2000},"services"`, 1), newModelRunner(8, 5*time.Millisecond))
 		big := map[string]any{"model": "m", "max_tokens": 1, "prompt": strings.Repeat("x", 3000)}
 		for i, c := range []struct {
-			ask  query
-			code int
-			name string
+			query query
+			code  int
+			name  string
 		}{
 			{query{tenant: "nobody", path: "/ask", body: prompt(1)}, 401, "unknown-key"},
 			{query{tenant: "rich", path: "/nowhere", body: prompt(1)}, 404, "unknown-path"},
@@ -556,52 +563,53 @@
 			{query{tenant: "rich", path: "/v1/streams/none", method: "GET"}, 404, "no-stream"},
 			{query{tenant: "rich", path: "/v1/streams/none?after=x", method: "GET"}, 400, "bad-piece"},
 		} {
-			c.ask.n = uint64(i + 1)
-			g := w.send(w.ctx, w.full[0], c.ask)
+			c.query.n = uint64(i + 1)
+			g := w.send(w.ctx, w.full[0], c.query)
 			if g.status != c.code || g.code != c.name {
-				t.Errorf("%s %s %.60s: answered %d %s, expected %d %s", c.ask.method, c.ask.path, c.ask.raw, g.status, g.code, c.code, c.name)
+				t.Errorf("%s %s %.60s: got %d %s, want %d %s", c.query.method, c.query.path, c.query.raw, g.status, g.code, c.code, c.name)
 			}
 			if g.code != "no-stream" && g.run != "not run" {
-				t.Errorf("%s: said %q", g.code, g.run)
+				t.Errorf("%s: the run status is %q, want \"not run\"", g.code, g.run)
 			}
-			if n := w.arrivalCount(c.ask.n); n != 0 {
-				t.Errorf("%s: a runner saw it", g.code)
+			if n := w.arrivalCount(c.query.n); n != 0 {
+				t.Errorf("%s: the query reached a runner", g.code)
 			}
 		}
 		g := w.send(w.ctx, w.full[0], query{n: 99, tenant: "poor", path: "/ask", body: prompt(5000)})
 		if !strings.Contains(gjson.GetBytes(g.body, "error.message").Str, "4096 tokens") {
-			t.Errorf("the refusal does not state the allowance: %s", g.body)
+			t.Errorf("the rejection does not state the allowance: %s", g.body)
 		}
-		// Lowered with the origin's leave: that one field and nothing else, and it is said.
+		// If the client allows it, max_tokens is lowered to the allowance.
 		raw := []byte("{\"prompt\":\"a\" , \"max_tokens\" : 5000,\n\"allow_downgrade\":true,\"model\":\"m\"}")
 		if g := w.send(w.ctx, w.full[0], query{n: 100, tenant: "poor", path: "/ask", raw: raw}); g.status != 200 || !bytes.Contains(g.body, []byte(`"completion_tokens":4096`)) {
-			t.Errorf("lowered: %d %s", g.status, g.body)
+			t.Errorf("a query that allows a lower max_tokens got %d %s", g.status, g.body)
 		}
 	})
 }
 
-// A word that reached one node only, behind a router that is then gone, still comes to all in 2 s.
-func TestWordBehindDeadRouter(t *testing.T) {
+// A router that can reach only one other router receives a runner's report that it is leaving, and crashes. The report still
+// reaches all routers within 2 s.
+func TestLeavingReportBehindCrashedRouter(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		a := newModelRunner(8, 5*time.Millisecond)
-		a.zone = "south" // it sends heartbeats to another zone than the one in question
+		a.zone = "south" // it sends its own heartbeats to a router in another zone than the one that crashes
 		w := newFullFleet(t, seed, 6, testConfig(""), a)
-		told, leaf := w.full[0], w.full[4] // the first of zone east, and its only child there
+		receiver, neighbour := w.full[0], w.full[4] // the first router in zone east, and the only other one there
 		for _, r := range w.full {
-			if r != told && r != leaf {
-				w.w.Split([]string{told.addr}, []string{r.addr})
+			if r != receiver && r != neighbour {
+				w.w.Split([]string{receiver.addr}, []string{r.addr})
 			}
 		}
 		a.mu.Lock()
 		a.state, a.muted = "leaving", true
 		raw := fmt.Sprintf(`{"name":"m","addr":%q,"born":"1","turn":%d,"state":"leaving","room":8,"labels":{"app":"model","model":"m"}}`, a.addr, a.sequence+1)
 		a.mu.Unlock()
-		if code := post((&runner.API{Cluster: told.router.Cluster, KeyHash: func() string { return "" }}).Heartbeat, raw); code != 200 {
-			t.Fatalf("the word was answered %d", code)
+		if code := post((&runner.API{Cluster: receiver.router.Cluster, KeyHash: func() string { return "" }}).Heartbeat, raw); code != 200 {
+			t.Fatalf("the heartbeat got status %d", code)
 		}
-		w.crashFullRouter(told)
-		w.within(2*time.Second, "all know", func() bool {
+		w.crashFullRouter(receiver)
+		w.within(2*time.Second, "all routers know that the runner is leaving", func() bool {
 			for _, r := range w.full[1:] {
 				if r.router.Runners.List()[0].Health() != "leaving" {
 					return false
@@ -612,30 +620,30 @@
 	})
 }
 
-// A runner whose late report can't be true (more output queued than its room times its longest answer)
-// is not believed: one wrong figure must not take the allowance of all who use its model.
+// A report with an impossible queue (more output than the runner's capacity times its maximum length) is ignored: one wrong
+// figure must not lower the allowance of all tenants that use the model.
 func TestWrongReports(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		liar := newModelRunner(8, 10*time.Millisecond)
-		liar.name = "liar"
-		w := newFullFleet(t, seed, 2, testConfig(""), liar, newModelRunner(8, 10*time.Millisecond), newModelRunner(8, 10*time.Millisecond))
-		liar.mu.Lock()
-		liar.queuedTokens = 100_000_000_000
-		liar.mu.Unlock()
+		faulty := newModelRunner(8, 10*time.Millisecond)
+		faulty.name = "liar"
+		w := newFullFleet(t, seed, 2, testConfig(""), faulty, newModelRunner(8, 10*time.Millisecond), newModelRunner(8, 10*time.Millisecond))
+		faulty.mu.Lock()
+		faulty.queuedTokens = 100_000_000_000
+		faulty.mu.Unlock()
 		time.Sleep(3 * time.Second)
 		for i, r := range w.full {
 			if g := w.send(w.ctx, r, query{n: uint64(i + 1), tenant: "poor", path: "/ask", body: prompt(4096)}); g.status != 200 {
-				t.Errorf("%s: an idle fleet answered %d %s", r.name, g.status, g.body)
+				t.Errorf("%s: a query to an idle fleet got %d %s", r.name, g.status, g.body)
 			}
-			time.Sleep(2 * time.Second) // the next router hears that it is over
+			time.Sleep(2 * time.Second) // until the next router knows that the query has ended
 		}
 	})
 }
 
-// Standing does not flap: heartbeats that come late but within 5 s change nothing, and a runner that
-// refuses every connection while its heartbeats go on is tried ever more rarely.
-func TestStandingHolds(t *testing.T) {
+// The health of runners does not flap. Heartbeats that are late by less than 5 s change nothing, and a runner that refuses
+// every connection while its heartbeats continue is tried at increasing intervals.
+func TestRunnerHealthDoesNotFlap(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		var all []*simRunner
@@ -643,19 +651,19 @@
 			all = append(all, newModelRunner(50, 5*time.Millisecond))
 		}
 		w := newFullFleet(t, seed, 4, testConfig(""), all...)
-		late, deaf := all[0], all[1]
-		deaf.closeListener()
+		late, refusing := all[0], all[1]
+		refusing.closeListener()
 		l := &resultLog{}
-		turns := map[string]int{}
-		was := map[string]string{}
-		mute := time.Now()
+		changes := map[string]int{}
+		last := map[string]string{}
+		nextToggle := time.Now()
 		for i, begun := uint64(1), time.Now(); time.Since(begun) < 60*time.Second; i++ {
-			if time.Now().After(mute) {
+			if time.Now().After(nextToggle) {
 				late.mu.Lock()
 				late.muted = !late.muted
-				mute = time.Now().Add(1100 * time.Millisecond)
+				nextToggle = time.Now().Add(1100 * time.Millisecond)
 				if late.muted {
-					mute = time.Now().Add(time.Duration(1+w.chance(2300)) * time.Millisecond)
+					nextToggle = time.Now().Add(time.Duration(1+w.chance(2300)) * time.Millisecond)
 				}
 				late.mu.Unlock()
 			}
@@ -667,10 +675,10 @@
 				for _, e := range r.router.Runners.List() {
 					key := r.name + " " + e.Address
 					now := e.Health()
-					if old, ok := was[key]; ok && old != now && now != "on trial" {
-						turns[e.Address]++
+					if old, ok := last[key]; ok && old != now && now != "on trial" {
+						changes[e.Address]++
 					}
-					was[key] = now
+					last[key] = now
 				}
 			}
 		}
@@ -681,15 +689,15 @@
 				done++
 			}
 		}
-		t.Logf("in 60 s, over 4 routers: %d changes for a runner of late heartbeats, %d for one that refuses all; %d of %d queries answered", turns[late.addr], turns[deaf.addr], done, len(l.list()))
-		if turns[late.addr] > 0 {
-			t.Errorf("the standing of a runner whose heartbeats are late changed %d times", turns[late.addr])
+		t.Logf("health changes in 60 s at 4 routers: %d of a runner with late heartbeats, %d of one that refuses all connections; %d of %d queries answered", changes[late.addr], changes[refusing.addr], done, len(l.list()))
+		if changes[late.addr] > 0 {
+			t.Errorf("the health of a runner with late heartbeats changed %d times", changes[late.addr])
 		}
-		if turns[deaf.addr] > 4*16 {
-			t.Errorf("the standing of a runner that refuses all changed %d times", turns[deaf.addr])
+		if changes[refusing.addr] > 4*16 {
+			t.Errorf("the health of a runner that refuses all connections changed %d times", changes[refusing.addr])
 		}
 		if done < len(l.list())*99/100 {
-			t.Errorf("%d of %d queries answered", done, len(l.list()))
+			t.Errorf("only %d of %d queries were answered", done, len(l.list()))
 		}
 	})
 }
--- a/internal/testing/sim/router_test.go
+++ b/internal/testing/sim/router_test.go
@@ -27,7 +27,7 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// fullFleet is a simulated fleet whose routers are fullFleet, with runners and origins.
+// fullFleet is a simulated fleet with complete routers, runners and clients.
 type fullFleet struct {
 	*fleet
 	full       []*fullRouter
@@ -38,6 +38,7 @@
 	}
 }
 
+// arrival is a query that arrived at a runner.
 type arrival struct {
 	n      uint64
 	id     string
@@ -47,16 +48,17 @@
 	addr   string // of the runner
 }
 
+// fullRouter is a simulated machine that runs a complete router.
 type fullRouter struct {
 	name, zone, addr, httpAddr string
-	runID                      uint64     // of the next run; 0: by the clock
-	mu                         sync.Mutex // guards what follows
+	runID                      uint64     // of the next run; 0: taken from the clock
+	mu                         sync.Mutex // guards the fields below
 	router                     *router.Router
 	crash                      func()
 	up                         bool
 }
 
-// current is the router's present run, or nil while it is down.
+// current returns the router's current run, or nil while it is down.
 func (r *fullRouter) current() *router.Router {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,7 +68,7 @@
 	return r.router
 }
 
-// simRunner serves in simulated time: a token each step, slower as the batch fills.
+// simRunner is a simulated runner. It produces one token per step; steps take longer the more queries are active.
 type simRunner struct {
 	w             *fullFleet
 	name          string
@@ -74,26 +76,26 @@
 	zone          string
 	labels        map[string]string
 	capacity      int
-	maxLength     int // longest output it serves
+	maxLength     int // longest output that it serves, in tokens
 	step          time.Duration
 	batchSlowdown float64
-	prefillTime   time.Duration // reading a block of prompt that is not in the cache
+	prefillTime   time.Duration // time to process a prompt block that is not in the cache
 	plain         bool
-	differFrom    int                           // from this piece on, counted from 1, pieces carry the run's mark; 0: all runs are alike
-	pauseBefore   func(piece int) time.Duration // before a stream's piece, counted from 0
-	shortBy       int                           // so many pieces fewer than were asked for
-	omitLast      bool                          // its last piece is not marked as such
-	rawAnswer     string                        // sent as it is, and the connection closed, in place of an answer
+	differFrom    int                           // from this chunk on, counted from 1, chunks contain the run's ID; 0: all runs are identical
+	pauseBefore   func(chunk int) time.Duration // pause before a chunk of a stream, counted from 0
+	shortBy       int                           // number of tokens by which answers are shorter than requested
+	omitLast      bool                          // the last chunk is not marked as the last
+	rawAnswer     string                        // sent verbatim in place of an answer, before the connection is closed; # stands for the query number
 
 	mu           sync.Mutex
 	run          int
 	sequence     int
-	tooLong      int // queries that asked for more than it serves
+	tooLong      int // queries that requested more than maxLength
 	state        string
-	leavingAcked time.Time // when its word that it leaves was first taken
+	leavingAcked time.Time // when a router first accepted its report that it is leaving
 	active       int
-	peak         int // the most that were active at once
-	overCapacity int // queries that came while the room was full
+	peak         int // largest number of queries active at once
+	overCapacity int // queries that arrived while the runner was at capacity
 	queuedTokens int
 	hang         bool
 	muted        bool
@@ -105,8 +107,8 @@
 	up           bool
 }
 
-// newFullFleet founds a fleet of five cores, n routers and the runners given, and puts a configuration.
-func newFullFleet(t *testing.T, seed uint64, n int, lay string, runners ...*simRunner) *fullFleet {
+// newFullFleet starts a fleet of five cores, n routers and the given runners, and applies a configuration.
+func newFullFleet(t *testing.T, seed uint64, n int, config string, runners ...*simRunner) *fullFleet {
 	w := &fullFleet{fleet: newFleet(t, seed, 0)}
 	for i := range n {
 		r := &fullRouter{name: fmt.Sprintf("r%02d", i), zone: w.zones[i%4], addr: fmt.Sprintf("10.0.1.%d:1", i+1), httpAddr: fmt.Sprintf("10.0.1.%d:2", i+1)}
@@ -123,8 +125,8 @@
 		s.start()
 	}
 	t.Cleanup(w.stopRoutersAndRunners)
-	w.within(5*time.Second, "founding", func() bool { return w.primary() != nil })
-	w.within(5*time.Second, "the roll is known", func() bool {
+	w.within(5*time.Second, "a primary is ready", func() bool { return w.primary() != nil })
+	w.within(5*time.Second, "all routers know each other", func() bool {
 		for _, r := range w.full {
 			if len(r.router.Cluster.Nodes()) < n {
 				return false
@@ -132,11 +134,11 @@
 		}
 		return true
 	})
-	w.applyConfig(lay)
+	w.applyConfig(config)
 	return w
 }
 
-// stopRoutersAndRunners ends all routers and runners.
+// stopRoutersAndRunners crashes all routers and runners that are up.
 func (w *fullFleet) stopRoutersAndRunners() {
 	for _, r := range w.full {
 		w.crashFullRouter(r)
@@ -146,21 +148,22 @@
 	}
 }
 
-// applyConfig puts a configuration and waits until every router that is up obeys it.
-func (w *fullFleet) applyConfig(lay string) uint64 {
+// applyConfig writes a configuration, waits until every router that is up applies it and knows all runners, and returns its
+// version.
+func (w *fullFleet) applyConfig(config string) uint64 {
 	w.t.Helper()
 	o := w.operator()
-	p := o.raw([]byte(lay), "")
+	p := o.raw([]byte(config), "")
 	if p.code != 200 {
-		w.t.Fatalf("configuration answered %d", p.code)
+		w.t.Fatalf("the configuration got status %d", p.code)
 	}
-	w.within(2*time.Second, "routers obey, and know the runners", func() bool {
+	w.within(2*time.Second, "all routers apply the configuration and know the runners", func() bool {
 		for _, r := range w.full {
 			if r.current() == nil {
 				continue
 			}
-			l := r.router.Cluster.Config()
-			if l == nil || l.Version < p.seq || r.router.Cluster.NotReadyReason() != "" || len(r.router.Runners.List()) < len(w.runners) {
+			config := r.router.Cluster.Config()
+			if config == nil || config.Version < p.seq || r.router.Cluster.NotReadyReason() != "" || len(r.router.Runners.List()) < len(w.runners) {
 				return false
 			}
 		}
@@ -172,11 +175,11 @@
 func (w *fullFleet) startFullRouter(r *fullRouter) {
 	n, crash := w.w.Net(r.addr)
 	ctx, end := context.WithCancel(w.ctx)
-	born := uint64(time.Now().UnixNano())
+	runID := uint64(time.Now().UnixNano())
 	if r.runID > 0 {
-		born = r.runID
+		runID = r.runID
 	}
-	ec := daemon.Context{Context: ctx, Name: r.name, Zone: r.zone, RunID: born, Log: w.log.With("at", r.name), Net: n}
+	ec := daemon.Context{Context: ctx, Name: r.name, Zone: r.zone, RunID: runID, Log: w.log.With("at", r.name), Net: n}
 	run := router.New(ec, r.addr, r.httpAddr, []string{w.founder[0], w.founder[1], "10.0.1.1:1"}, func(ctx context.Context, _, addr string) (net.Conn, error) {
 		return n.Dial(ctx, addr)
 	})
@@ -228,12 +231,12 @@
 	cli := &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) { return n.Dial(ctx, addr) }}}
 	go func() {
 		defer cli.CloseIdleConnections()
-		for at := 0; ctx.Err() == nil; {
+		for attempt := 0; ctx.Err() == nil; {
 			s.mu.Lock()
 			mute := s.muted
 			s.mu.Unlock()
-			if !mute && !s.heartbeat(ctx, cli, at) {
-				at++
+			if !mute && !s.heartbeat(ctx, cli, attempt) {
+				attempt++
 				runloop.Sleep(ctx, 50*time.Millisecond)
 				continue
 			}
@@ -242,10 +245,10 @@
 	}()
 }
 
-// closeListener closes the listener; heartbeats go on from the same address.
+// closeListener closes the listener; heartbeats continue from the same address.
 func (s *simRunner) closeListener() { _ = s.listener.Close() }
 
-// reopenListener listens again, as the same run.
+// reopenListener listens again within the same run.
 func (s *simRunner) reopenListener() {
 	n, crash := s.w.w.Net(s.addr)
 	l, err := n.Listen(s.addr)
@@ -271,8 +274,9 @@
 	}
 }
 
-// heartbeat tells a router of the own zone, or in need another, how this runner stands.
-func (s *simRunner) heartbeat(ctx context.Context, cli *http.Client, at int) bool {
+// heartbeat sends the state of the runner to a router, and reports whether it was accepted. Attempt 0 goes to a router of
+// its own zone if there is one, later attempts go to the other routers in turn.
+func (s *simRunner) heartbeat(ctx context.Context, cli *http.Client, attempt int) bool {
 	var to []string
 	for _, r := range s.w.full {
 		if r.zone == s.zone {
@@ -289,7 +293,7 @@
 	s.mu.Unlock()
 	ctx, end := context.WithTimeout(ctx, time.Second)
 	defer end()
-	req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+to[at%len(to)]+"/v1/runners/beat", bytes.NewReader(raw))
+	req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+to[attempt%len(to)]+"/v1/runners/beat", bytes.NewReader(raw))
 	ans, err := cli.Do(req)
 	if err != nil {
 		return false
@@ -304,6 +308,7 @@
 	return ans.StatusCode == 200
 }
 
+// ServeHTTP records the query and answers it as the settings of the runner say.
 func (s *simRunner) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	n, _ := strconv.ParseUint(r.Header.Get("X-N"), 10, 64)
@@ -316,7 +321,7 @@
 	tokens := int(gjson.GetBytes(body, "max_tokens").Int())
 	s.mu.Lock()
 	if !s.leavingAcked.IsZero() && time.Since(s.leavingAcked) > 2*time.Second {
-		s.w.t.Errorf("%s got a query %s after its word that it leaves", s.addr, time.Since(s.leavingAcked))
+		s.w.t.Errorf("%s got a query %s after its report that it is leaving", s.addr, time.Since(s.leavingAcked))
 	}
 	hang := s.hang
 	if tokens > max(s.maxLength, 1) {
@@ -387,7 +392,7 @@
 			left--
 		}
 		if stream {
-			mark := ""
+			fields := ""
 			if s.pauseBefore != nil {
 				runloop.Sleep(r.Context(), s.pauseBefore(i))
 			}
@@ -395,13 +400,13 @@
 			differ := s.differFrom
 			s.mu.Unlock()
 			if differ > 0 && i+1 >= differ {
-				mark = fmt.Sprintf(`,"run":%q`, r.Header.Get(runner.RequestHeader))
+				fields = fmt.Sprintf(`,"run":%q`, r.Header.Get(runner.RequestHeader))
 			}
 			if i == steps-1 && !s.omitLast {
-				mark += `,"last":true`
+				fields += `,"last":true`
 			}
-			// A router that has gone shows in the request's context.
-			_, _ = fmt.Fprintf(rw, "data: {\"i\":%d,\"n\":%d%s}\n\n", i, n, mark)
+			// A write error is ignored: if the router has gone, the request's context ends.
+			_, _ = fmt.Fprintf(rw, "data: {\"i\":%d,\"n\":%d%s}\n\n", i, n, fields)
 			_ = http.NewResponseController(rw).Flush()
 		}
 	}
@@ -413,7 +418,7 @@
 	_, _ = fmt.Fprintf(rw, `{"n":%d,"usage":{"completion_tokens":%d}}`, n, tokens)
 }
 
-// query is one query of an origin.
+// query is one query of a client.
 type query struct {
 	n       uint64
 	tenant  string
@@ -425,7 +430,7 @@
 	headers map[string]string
 }
 
-// result is its answer.
+// result is the answer to a query, as the client received it.
 type result struct {
 	query
 	status     int
@@ -436,10 +441,10 @@
 	body       []byte
 	begun      time.Time
 	took       time.Duration
-	aborted    bool // the connection was broken off
+	aborted    bool // the router aborted the connection
 }
 
-// send puts a query to a router's face, as its origin would.
+// send sends a query to a router as its client would, and returns the result.
 func (w *fullFleet) send(ctx context.Context, r *fullRouter, a query) (g result) {
 	g = result{query: a, begun: time.Now()}
 	raw := a.raw
@@ -465,7 +470,7 @@
 	rec := httptest.NewRecorder()
 	run := r.current()
 	if run == nil {
-		return g // nobody listens
+		return g // the router is down
 	}
 	func() {
 		defer func() {
@@ -488,51 +493,54 @@
 	return g
 }
 
-// arrivals copies what runners saw so far.
+// arrivals returns a copy of all arrivals at runners so far.
 func (w *fullFleet) arrivals() []arrival {
 	w.arrivalLog.mu.Lock()
 	defer w.arrivalLog.mu.Unlock()
 	return append([]arrival{}, w.arrivalLog.all...)
 }
 
-// arrivalCount counts how often runners arrivalCount a query of an origin.
+// arrivalCount returns how often a query arrived at runners.
 func (w *fullFleet) arrivalCount(n uint64) int {
 	w.arrivalLog.mu.Lock()
 	defer w.arrivalLog.mu.Unlock()
-	k := 0
+	count := 0
 	for _, s := range w.arrivalLog.all {
 		if s.n == n {
-			k++
+			count++
 		}
 	}
-	return k
+	return count
 }
 
+// prompt returns the body of a query that requests a number of tokens.
 func prompt(tokens int) map[string]any {
 	return map[string]any{"model": "m", "prompt": "hello", "max_tokens": tokens}
 }
 
+// keyHash returns the hash of a tenant's API key.
 func keyHash(tenant string) string { return fleetconfig.HashKey("demo-" + tenant) }
 
-// testConfig is a configuration with one pool of model runners and one of an ordinary application.
-func testConfig(more string) string {
+// testConfig returns a configuration with one pool of model runners and one of an ordinary application. More tenants may be
+// added as JSON fields, each with a leading comma.
+func testConfig(moreTenants string) string {
 	return `{"services":{"model":{},"app":{}},
 	"pools":{"m":{"select":"app=model","service":"model"},"a":{"select":"app=orders","service":"app"}},
 	"lanes":{"ask":{"rank":3,"patience_ms":20000,"tenants":["*"]},"hot":{"rank":1,"patience_ms":20000,"tenants":["*"]},
 	 "notes":{"rank":2,"tenants":["*"],"once":true},"orders":{"rank":1,"patience_ms":5000,"tenants":["*"],"once":true,"plain":true}},
 	"mappings":[{"path":"/ask","lane":"ask","pool":"m"},{"path":"/hot","lane":"hot","pool":"m"},{"path":"/notes","lane":"notes","pool":"m"},{"path":"/orders","lane":"orders","pool":"a"}],
-	"tenants":{"rich":{"funded":true,"keys":["` + keyHash("rich") + `"]},"poor":{"keys":["` + keyHash("poor") + `"]}` + more + `}}`
+	"tenants":{"rich":{"funded":true,"keys":["` + keyHash("rich") + `"]},"poor":{"keys":["` + keyHash("poor") + `"]}` + moreTenants + `}}`
 }
 
-func newModelRunner(room int, step time.Duration) *simRunner {
-	return &simRunner{name: "m", maxLength: 16384, labels: map[string]string{"app": "model", "model": "m"}, capacity: room, step: step}
+func newModelRunner(capacity int, step time.Duration) *simRunner {
+	return &simRunner{name: "m", maxLength: 16384, labels: map[string]string{"app": "model", "model": "m"}, capacity: capacity, step: step}
 }
 
 func newOrderRunner() *simRunner {
 	return &simRunner{name: "o", labels: map[string]string{"app": "orders"}, capacity: 100, step: 5 * time.Millisecond, plain: true}
 }
 
-// Every stream counts once in every router's account of a runner, its own router's included.
+// Every router counts each query at a runner exactly once, including the router that sent it.
 func TestStreamsCountOnce(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -544,27 +552,27 @@
 		for _, r := range w.full {
 			e := r.router.Runners.List()[0]
 			if n, _ := e.Load(); n != 6 {
-				t.Errorf("%s counts %d streams on the runner, there are 6", r.name, n)
+				t.Errorf("%s counts %d streams at the runner, want 6", r.name, n)
 			}
-			// Whole answers settle at their end, so all that was asked is still ahead.
+			// The tokens of a non-streamed answer are subtracted only at its end, so all requested tokens are still queued.
 			if q, _ := e.QueuedTokens(); q != 600 {
-				t.Errorf("%s counts %g tokens ahead, there are 600", r.name, q)
+				t.Errorf("%s counts %g queued tokens, want 600", r.name, q)
 			}
 		}
 	})
 }
 
-// A router that starts again after its machine's clock was set back is heard as before: its streams
-// count at the others, its lease and its quota go on.
+// A router restarts after the clock of its machine was set back, so that its run ID is lower than before. The other routers
+// must still accept its updates and count its streams, and it keeps its lease and quota.
 func TestClockSetBack(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		w := newFullFleet(t, seed, 3, testConfig(`,"metered":{"funded":true,"keys":["`+keyHash("metered")+`"],"quota":{"units":30,"window_s":5}}`), newModelRunner(64, 100*time.Millisecond))
 		r := w.full[1]
 		w.crashFullRouter(r)
-		r.runID = 7 // the clock says 1970
+		r.runID = 7 // as if the clock were in 1970
 		w.startFullRouter(r)
-		w.within(5*time.Second, "it is ready", func() bool { return r.router.Cluster.NotReadyReason() == "" && len(r.router.Runners.List()) == 1 })
+		w.within(5*time.Second, "the router is ready", func() bool { return r.router.Cluster.NotReadyReason() == "" && len(r.router.Runners.List()) == 1 })
 		time.Sleep(7 * time.Second)
 		for i := range 4 {
 			go w.send(w.ctx, r, query{n: uint64(i + 1), tenant: "metered", path: "/ask", body: prompt(100)})
@@ -572,14 +580,14 @@
 		time.Sleep(3 * time.Second)
 		for _, o := range w.full {
 			if n, _ := o.router.Runners.List()[0].Load(); n != 4 {
-				t.Errorf("%s counts %d streams on the runner, there are 4", o.name, n)
+				t.Errorf("%s counts %d streams at the runner, want 4", o.name, n)
 			}
 		}
 	})
 }
 
-// Two routers with one name: the one that holds the lease keeps it, the other never becomes ready,
-// and the roll does not flap.
+// Two routers have the same name: the lease holder keeps the lease, the other never becomes ready while it does, and the
+// list of routers does not flap.
 func TestNameTaken(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -590,10 +598,10 @@
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
 			if twin.router.Cluster.NotReadyReason() == "" {
-				t.Fatal("a second router of the same name is ready")
+				t.Fatal("a second router with the same name is ready")
 			}
 			if n := w.full[0].router.Cluster.Nodes(); len(n) != 3 || n[1].Addr != w.full[1].addr {
-				t.Fatalf("the roll is %v", n)
+				t.Fatalf("the list of routers is %v", n)
 			}
 		}
 		w.crashFullRouter(w.full[1])
@@ -601,7 +609,7 @@
 	})
 }
 
-// post hands a body to a handler and tells the status.
+// post passes a body to a handler and returns the status.
 func post(h http.HandlerFunc, raw string) int {
 	rec := httptest.NewRecorder()
 	h(rec, httptest.NewRequest("POST", "/", bytes.NewReader([]byte(raw))))
--- a/internal/testing/sim/stream_test.go
+++ b/internal/testing/sim/stream_test.go
@@ -21,7 +21,8 @@
 	"yarrowridge/internal/model/fleetconfig"
 )
 
-// clientConn is an origin's connection: what comes through while its router lives and the origin listens.
+// clientConn is a client's connection. It records what arrives until closed returns true: the router has crashed or the
+// client has hung up.
 type clientConn struct {
 	mu     sync.Mutex
 	header http.Header
@@ -41,7 +42,7 @@
 }
 func (p *clientConn) Write(b []byte) (int, error) {
 	if p.closed() {
-		return 0, errors.New("the connection is gone")
+		return 0, errors.New("the connection is closed")
 	}
 	p.WriteHeader(200)
 	p.mu.Lock()
@@ -49,22 +50,22 @@
 	return p.buf.Write(b)
 }
 
-// receive asks one router, and takes what comes until the answer ends, the router dies, or the origin
-// hangs up by itself.
-func (w *fullFleet) receive(r *fullRouter, req *http.Request, hang time.Duration) (code int, id string, raw string) {
+// receive sends a request to one router, and returns what arrives until the answer ends, the router crashes or, if hangup
+// is not 0, that time has passed and the client hangs up.
+func (w *fullFleet) receive(r *fullRouter, req *http.Request, hangup time.Duration) (code int, id string, raw string) {
 	run := r.current()
 	if run == nil {
 		return 0, "", ""
 	}
 	ctx, end := context.WithCancel(req.Context())
 	defer end()
-	until := time.Now().Add(hang)
-	off := false
+	until := time.Now().Add(hangup)
+	hungUp := false
 	var mu sync.Mutex
 	p := &clientConn{header: http.Header{}, closed: func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return off || r.current() != run
+		return hungUp || r.current() != run
 	}}
 	done := make(chan struct{})
 	go func() {
@@ -83,11 +84,11 @@
 		case <-done:
 			live = false
 		case <-t.C:
-			live = r.current() == run && (hang == 0 || time.Now().Before(until))
+			live = r.current() == run && (hangup == 0 || time.Now().Before(until))
 		}
 	}
 	mu.Lock()
-	off = true
+	hungUp = true
 	mu.Unlock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,47 +98,48 @@
 	return p.code, id, p.buf.String()
 }
 
-// streamResult is what an origin made of one stream.
+// streamResult is what a client received of one stream.
 type streamResult struct {
 	n         uint64
 	id        string
 	chunks    []string
-	end       string // "done", a trouble's code, or "" where nobody said anything more
-	violation string // what must never be
+	end       string // "done", the code of an error event, or "" if the stream broke off without an end
+	violation string // the guarantee that was broken, if any
 	requests  int
 }
 
-// parse reads events; only whole ones count, as a client's parser has it.
+// parse adds the complete events of raw to the result, and ignores an incomplete one, as a client's parser does.
 func (o *streamResult) parse(raw string) {
 	for {
-		ev, rest, ok := strings.Cut(raw, "\n\n")
+		event, rest, ok := strings.Cut(raw, "\n\n")
 		if !ok || o.end != "" {
 			return
 		}
 		raw = rest
-		if strings.HasPrefix(ev, "event: trouble") {
-			_, data, _ := strings.Cut(ev, "data: ")
+		if strings.HasPrefix(event, "event: trouble") {
+			_, data, _ := strings.Cut(event, "data: ")
 			o.end = gjson.Get(data, "error.code").Str
 			return
 		}
-		data, _, _ := strings.Cut(strings.TrimPrefix(ev, "data: "), "\n")
+		data, _, _ := strings.Cut(strings.TrimPrefix(event, "data: "), "\n")
 		if data == "[DONE]" {
 			o.end = "done"
 			return
 		}
-		_, no, _ := strings.Cut(ev, "\nid: ")
+		_, eventID, _ := strings.Cut(event, "\nid: ")
 		i := len(o.chunks)
-		if no != strconv.Itoa(i+1) || gjson.Get(data, "i").Int() != int64(i) {
-			o.violation = fmt.Sprintf("piece %d came as %q", i+1, ev)
+		if eventID != strconv.Itoa(i+1) || gjson.Get(data, "i").Int() != int64(i) {
+			o.violation = fmt.Sprintf("chunk %d arrived as %q", i+1, event)
 		}
 		if gjson.Get(data, "n").Uint() != o.n {
-			o.violation = fmt.Sprintf("piece of another's answer: %q", ev)
+			o.violation = fmt.Sprintf("chunk of another query's answer: %q", event)
 		}
 		o.chunks = append(o.chunks, data)
 	}
 }
 
-// verify looks at the whole: one run, nothing after its last piece, no end before it.
+// verify returns which guarantee the stream broke, or "": all chunks come from one run, and the stream ends after the last
+// chunk of the run, neither earlier nor later.
 func (o *streamResult) verify() string {
 	if o.violation != "" {
 		return o.violation
@@ -146,25 +148,25 @@
 	for i, p := range o.chunks {
 		if r := gjson.Get(p, "run").Str; r != "" {
 			if run != "" && r != run {
-				return fmt.Sprintf("joins runs %s and %s at piece %d", run, r, i+1)
+				return fmt.Sprintf("joins runs %s and %s at chunk %d", run, r, i+1)
 			}
 			run = r
 		}
 		if last := gjson.Get(p, "last").Bool(); last && i < len(o.chunks)-1 {
-			return fmt.Sprintf("goes on after its last piece, %d", i+1)
+			return fmt.Sprintf("continues after the last chunk of its run, %d", i+1)
 		} else if !last && i == len(o.chunks)-1 && o.end == "done" {
-			return fmt.Sprintf("ended before its last piece, after %d", i+1)
+			return fmt.Sprintf("ended before the last chunk of its run, after %d", i+1)
 		}
 	}
 	if o.end == "done" && len(o.chunks) == 0 {
-		return "ended with no piece"
+		return "ended without a chunk"
 	}
 	return ""
 }
 
-// runStream asks for a runStream at one router and, as often as the connection breaks without a word, for the
-// rest of it at any other.
-func (w *fullFleet) runStream(at int, n uint64, path string, tokens int, hang func() time.Duration) *streamResult {
+// runStream requests a stream from one router. Whenever the connection breaks off without an end, it requests the rest of
+// the stream from the next router.
+func (w *fullFleet) runStream(at int, n uint64, path string, tokens int, hangup func() time.Duration) *streamResult {
 	o := &streamResult{n: n}
 	stop := time.Now().Add(60 * time.Second)
 	for o.end == "" && time.Now().Before(stop) {
@@ -185,7 +187,7 @@
 		req.Header.Set("Authorization", "Bearer demo-rich")
 		req.Header.Set("X-N", strconv.FormatUint(n, 10))
 		o.requests++
-		code, id, raw := w.receive(r, req, hang())
+		code, id, raw := w.receive(r, req, hangup())
 		switch {
 		case code == 200:
 			if o.id == "" {
@@ -210,8 +212,8 @@
 	return strings.Replace(testConfig(""), `"ask":{"rank":3,`, fmt.Sprintf(`"ask":{"rank":3,"repeat":%v,`, on), 1)
 }
 
-// carrier and replica of a stream, by their own word.
-func (w *fullFleet) ownerAndReplica(id string) (carrier, study *fullRouter) {
+// ownerAndReplica returns the owner and the replica of a stream, according to the routers themselves.
+func (w *fullFleet) ownerAndReplica(id string) (owner, replica *fullRouter) {
 	for _, r := range w.full {
 		run := r.current()
 		if run == nil {
@@ -219,52 +221,53 @@
 		}
 		for _, h := range run.Streams.List() {
 			if h.RequestID == id && h.Own {
-				carrier = r
+				owner = r
 			} else if h.RequestID == id {
-				study = r
+				replica = r
 			}
 		}
 	}
-	return carrier, study
+	return owner, replica
 }
 
-// What becomes of a stream when its router, runner, replica or two of them fall at any moment, with
-// and without a second run. The log is the table of docs/measurements.md.
-func TestCarryOn(t *testing.T) {
+// The runner, the owner or the replica of a stream crash at any time, alone or two of them, with and without a permitted
+// rerun. No stream may break a guarantee, and with identical reruns permitted the stream must end complete unless owner and
+// replica crash together. The log is the table in docs/measurements.md.
+func TestStreamSurvivesCrashes(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		name  string
-		fault func(w *fullFleet, id, addr string)
-		whole bool // it ends so, with a second run and runs that are alike
+		name     string
+		fault    func(w *fullFleet, id, addr string)
+		complete bool // whether the stream must end complete if identical reruns are permitted
 	}{
 		{"runner", func(w *fullFleet, _, addr string) { w.crashRunnerAt(addr) }, true},
 		{"router", func(w *fullFleet, id, _ string) { c, _ := w.ownerAndReplica(id); w.crashFullRouter(c) }, true},
-		{"understudy", func(w *fullFleet, id, _ string) { _, s := w.ownerAndReplica(id); w.crashFullRouter(s) }, true},
+		{"replica", func(w *fullFleet, id, _ string) { _, s := w.ownerAndReplica(id); w.crashFullRouter(s) }, true},
 		{"runner and router", func(w *fullFleet, id, addr string) {
 			c, _ := w.ownerAndReplica(id)
 			w.crashRunnerAt(addr)
 			w.crashFullRouter(c)
 		}, true},
-		{"runner and understudy", func(w *fullFleet, id, addr string) {
+		{"runner and replica", func(w *fullFleet, id, addr string) {
 			_, s := w.ownerAndReplica(id)
 			w.crashRunnerAt(addr)
 			w.crashFullRouter(s)
 		}, true},
-		{"router and understudy", func(w *fullFleet, id, _ string) {
+		{"router and replica", func(w *fullFleet, id, _ string) {
 			c, s := w.ownerAndReplica(id)
 			w.crashFullRouter(c)
 			w.crashFullRouter(s)
 		}, false},
-		{"router, then who took it over", func(w *fullFleet, id, _ string) {
+		{"router, then the router that took over", func(w *fullFleet, id, _ string) {
 			c, _ := w.ownerAndReplica(id)
 			w.crashFullRouter(c)
 			if _, s := w.ownerAndReplica(id); s == nil || ended(s, id) {
-				return // it was over before its router fell
+				return // the stream had ended before its router crashed
 			}
-			if lay := w.full[0].router.Cluster.Config(); !slices.ContainsFunc(lay.TrafficClasses, func(l fleetconfig.TrafficClass) bool { return l.RepeatLostStreams }) {
+			if config := w.full[0].router.Cluster.Config(); !slices.ContainsFunc(config.TrafficClasses, func(l fleetconfig.TrafficClass) bool { return l.RepeatLostStreams }) {
 				return
 			}
-			w.within(9*time.Second, "taken over and guarded again", func() bool {
+			w.within(9*time.Second, "the stream has a new owner and a replica with permission to rerun", func() bool {
 				n, s := w.ownerAndReplica(id)
 				return n != nil && n != c && s != nil && slices.ContainsFunc(s.current().Streams.List(), func(h streamstore.Info) bool { return h.RequestID == id && h.Idempotent })
 			})
@@ -273,10 +276,10 @@
 		}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			sum := map[string]int{}
+			counts := map[string]int{}
 			for _, repeat := range []bool{false, true} {
-				for _, alike := range []bool{true, false} {
-					if !repeat && !alike {
+				for _, identical := range []bool{true, false} {
+					if !repeat && !identical {
 						continue
 					}
 					overSeeds(t, func(t *testing.T, seed uint64) {
@@ -284,11 +287,11 @@
 						for i := range 4 {
 							m := newModelRunner(8, 40*time.Millisecond)
 							switch {
-							case alike:
+							case identical:
 							case seed%2 == 0:
 								m.differFrom = 1 + int(seed)*13%90
 							default:
-								m.shortBy = 30 * i // runs that differ in length
+								m.shortBy = 30 * i // runs of different length
 							}
 							all = append(all, m)
 						}
@@ -304,23 +307,24 @@
 						c.fault(w, s[len(s)-1].id, s[len(s)-1].addr)
 						o := <-ch
 						if bad := o.verify(); bad != "" || o.end == "" {
-							t.Errorf("repeat %v, alike %v: the stream ended %q with %d pieces: %s", repeat, alike, o.end, len(o.chunks), bad)
+							t.Errorf("repeat %v, identical %v: the stream ended %q with %d chunks: %s", repeat, identical, o.end, len(o.chunks), bad)
 						}
-						if repeat && alike && c.whole && o.end != "done" {
-							t.Errorf("the stream ended %q after %d pieces", o.end, len(o.chunks))
+						if repeat && identical && c.complete && o.end != "done" {
+							t.Errorf("the stream ended %q after %d chunks, want a complete one", o.end, len(o.chunks))
 						}
-						sum[fmt.Sprintf("repeat %v, alike %v: %s", repeat, alike, o.end)]++
+						counts[fmt.Sprintf("repeat %v, identical %v: %s", repeat, identical, o.end)]++
 					})
 				}
 			}
-			t.Logf("%v", sum)
+			t.Logf("%v", counts)
 		})
 	}
 }
 
-// earnRetries has every router know the others as ready, and earnRetries its part of the second tries by first ones.
+// earnRetries waits until every router knows the others as ready, and sends first attempts through every router, so that
+// each earns its share of the retry budget.
 func (w *fullFleet) earnRetries() {
-	w.within(3*time.Second, "all know all as ready", func() bool {
+	w.within(3*time.Second, "all routers know each other as ready", func() bool {
 		for _, r := range w.full {
 			for _, n := range r.router.Cluster.Nodes() {
 				if !n.Ready {
@@ -339,7 +343,7 @@
 	all.Wait()
 }
 
-// ended reports whether a router holds a stream's end.
+// ended reports whether a router knows the end of a stream.
 func ended(r *fullRouter, id string) bool {
 	return slices.ContainsFunc(r.current().Streams.List(), func(h streamstore.Info) bool { return h.RequestID == id && h.Ended })
 }
@@ -353,8 +357,8 @@
 	}
 }
 
-// Everything falls at once and again, origins come and go: no stream loses a piece, repeats one, joins
-// two runs or claims an end that is none, whether runs are alike or not.
+// Routers, runners, cores and links fail repeatedly and at the same time, and clients hang up and resume. No stream may lose
+// or repeat a chunk, join two runs, or end before its last chunk, whether runs are identical or not.
 func TestStreamStorm(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -371,7 +375,7 @@
 		}
 		w := newFullFleet(t, seed, 8, repeatConfig(true), all...)
 		var mu sync.Mutex
-		sum := map[string]int{}
+		counts := map[string]int{}
 		stop := time.Now().Add(40 * time.Second)
 		var wg sync.WaitGroup
 		for i := range 10 {
@@ -385,9 +389,9 @@
 					})
 					mu.Lock()
 					if bad := o.verify(); bad != "" {
-						t.Errorf("stream %s (%d) %s", o.id, o.n, bad)
+						t.Errorf("stream %s (%d): %s", o.id, o.n, bad)
 					}
-					sum[o.end]++
+					counts[o.end]++
 					mu.Unlock()
 				}
 			})
@@ -413,7 +417,7 @@
 				time.Sleep(time.Duration(w.chance(1000)) * time.Millisecond)
 				s.start()
 			case 5:
-				w.w.Cut(r.addr, q.addr) // one way
+				w.w.Cut(r.addr, q.addr) // one direction only
 			case 6:
 				w.w.Split([]string{r.addr}, append([]string{q.addr, s.addr}, w.founder[:1+w.chance(4)]...))
 			case 7:
@@ -425,26 +429,27 @@
 		}
 		w.settle()
 		wg.Wait()
-		t.Logf("ends %v", sum)
-		if sum["done"] < 20 {
-			t.Errorf("only %d streams ended whole", sum["done"])
+		t.Logf("stream ends %v", counts)
+		if counts["done"] < 20 {
+			t.Errorf("only %d streams ended complete", counts["done"])
 		}
 	})
 }
 
-// streamScenario is one stream under a directed course: its origin listens where it is told to.
+// streamScenario is one stream under scripted faults. Its client receives from the routers that the test names.
 type streamScenario struct {
 	*fullFleet
 	result                     *streamResult
-	owner, third               *fullRouter // far reaches all but the owner
+	owner, third               *fullRouter // third is neither owner nor replica
 	replica                    *fullRouter
-	otherAddrs, nonRunnerAddrs []string // addresses of the other routers; of all other processes but runners
+	otherAddrs, nonRunnerAddrs []string // addresses of the other routers; of these and the cores
 }
 
-// scenarioTokens is how many pieces the stream of a course has, unless its run is shorter.
+// scenarioTokens is the number of chunks of a stream, unless its run is shorter.
 const scenarioTokens = 200
 
-// newStreamScenario founds a fleet with second tries earned, and begins a stream of courseTokens pieces at 50 ms.
+// newStreamScenario starts a fleet that has earned retries, begins a stream of scenarioTokens chunks, one every 50 ms, and
+// receives it for a first period.
 func newStreamScenario(t *testing.T, seed uint64, first time.Duration, pause func(int) time.Duration) *streamScenario {
 	var all []*simRunner
 	for range 4 {
@@ -456,10 +461,10 @@
 	p.earnRetries()
 	p.owner = p.full[p.chance(8)]
 	p.receiveFor(p.owner, first)
-	var gone *fullRouter
-	gone, p.replica = p.ownerAndReplica(p.result.id)
-	if gone != p.owner || p.replica == nil {
-		t.Fatalf("carried by %v, standby %v", gone, p.replica)
+	var owner *fullRouter
+	owner, p.replica = p.ownerAndReplica(p.result.id)
+	if owner != p.owner || p.replica == nil {
+		t.Fatalf("the owner is %v, the replica %v", owner, p.replica)
 	}
 	for _, r := range p.full {
 		if r != p.owner {
@@ -473,7 +478,7 @@
 	return p
 }
 
-// receiveFor has the origin listen at a router for a while.
+// receiveFor requests the stream, or the rest of it, from a router and receives for a duration.
 func (p *streamScenario) receiveFor(r *fullRouter, d time.Duration) {
 	req := httptest.NewRequestWithContext(p.ctx, "POST", "/ask", strings.NewReader(fmt.Sprintf(`{"model":"m","prompt":"a","stream":true,"max_tokens":%d}`, scenarioTokens)))
 	if p.result.id != "" {
@@ -492,7 +497,7 @@
 	p.result.parse(raw)
 }
 
-// differFrom has runs differ from a piece on, counted from 1.
+// differFrom makes the runs of all runners differ from the n-th chunk on, counted from 1.
 func (p *streamScenario) differFrom(n int) {
 	for _, s := range p.runners {
 		s.mu.Lock()
@@ -501,8 +506,8 @@
 	}
 }
 
-// A replica that is cut off from a living router must not carry its stream on beside it.
-func TestTwoCarriers(t *testing.T) {
+// A replica that is cut off from a live owner must not take over the stream while the owner continues it.
+func TestNoTwoStreamOwners(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		p := newStreamScenario(t, seed, time.Second, nil)
@@ -510,7 +515,7 @@
 		p.w.Split([]string{p.owner.addr}, []string{p.replica.addr, p.third.addr})
 		p.receiveFor(p.owner, 7*time.Second)
 		if len(p.result.chunks) < 100 {
-			t.Errorf("the stream stands at %d pieces, though router and core reach each other", len(p.result.chunks))
+			t.Errorf("the stream stopped at %d chunks, although its owner reaches the core", len(p.result.chunks))
 		}
 		p.receiveFor(p.third, 20*time.Second)
 		if bad := p.result.verify(); bad != "" {
@@ -519,9 +524,9 @@
 	})
 }
 
-// A router that was quiet while its replica took over learns of it before it shows another piece;
-// the origin has the rest of the second run.
-func TestLateCarrier(t *testing.T) {
+// An owner whose stream is idle while the replica takes it over must notice the takeover before it delivers another chunk.
+// The client receives the rest from the second run.
+func TestOldOwnerStopsAfterTakeover(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		var once sync.Once
@@ -532,9 +537,9 @@
 			return d
 		})
 		p.differFrom(31)
-		p.receiveFor(p.owner, 1200*time.Millisecond) // the 31st piece comes 9 s later, however slow the start was
+		p.receiveFor(p.owner, 1200*time.Millisecond) // the 31st chunk follows 9 s later, however slow the start was
 		if len(p.result.chunks) != 30 {
-			t.Fatalf("%d pieces before the pause", len(p.result.chunks))
+			t.Fatalf("%d chunks before the pause, want 30", len(p.result.chunks))
 		}
 		p.w.Split([]string{p.owner.addr}, []string{p.replica.addr, p.third.addr})
 		done := make(chan bool)
@@ -545,24 +550,24 @@
 		<-done
 		p.receiveFor(p.third, 20*time.Second)
 		if bad := p.result.verify(); bad != "" || p.result.end != "done" {
-			t.Errorf("the stream ended %q with %d pieces: %s", p.result.end, len(p.result.chunks), bad)
+			t.Errorf("the stream ended %q with %d chunks: %s", p.result.end, len(p.result.chunks), bad)
 		}
 	})
 }
 
-// A second run that comes to its end before it has repeated what was handed over is not the same run:
-// its end is not the stream's.
+// A second run that ends before it has repeated all delivered chunks differs from the first run: its end is not the end of
+// the stream.
 func TestShorterRun(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		p := newStreamScenario(t, seed, time.Second, nil)
-		heard := len(p.result.chunks) // fewer where the start was slow; the second run has 1 to 10 pieces less
-		if heard <= 10 {
-			t.Fatalf("%d pieces heard before the second run", heard)
+		received := len(p.result.chunks) // fewer if the start was slow; the second run has 1 to 10 chunks less
+		if received <= 10 {
+			t.Fatalf("only %d chunks received before the second run", received)
 		}
 		for _, s := range p.runners {
 			s.mu.Lock()
-			s.shortBy, s.omitLast = scenarioTokens-heard+1+p.chance(10), true
+			s.shortBy, s.omitLast = scenarioTokens-received+1+p.chance(10), true
 			s.mu.Unlock()
 		}
 		for _, s := range p.arrivals() {
@@ -572,13 +577,13 @@
 		}
 		p.receiveFor(p.third, 20*time.Second)
 		if p.result.end != "run-differs" {
-			t.Errorf("the stream ended %q with %d pieces, run-differs expected", p.result.end, len(p.result.chunks))
+			t.Errorf("the stream ended %q with %d chunks, want run-differs", p.result.end, len(p.result.chunks))
 		}
 	})
 }
 
-// No reader sees a piece that the replica does not hold, resumed at the router itself neither.
-func TestShownIsHeld(t *testing.T) {
+// No client receives a chunk that the replica does not hold, not even a client that resumes the stream at its owner.
+func TestDeliveredChunksAreReplicated(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		p := newStreamScenario(t, seed, time.Second, nil)
@@ -592,19 +597,20 @@
 		p.differFrom(n + 1)
 		p.receiveFor(p.owner, 350*time.Millisecond)
 		if len(p.result.chunks) > n {
-			t.Errorf("the origin saw %d pieces, the standby holds %d", len(p.result.chunks), n)
+			t.Errorf("the client received %d chunks, the replica holds %d", len(p.result.chunks), n)
 		}
-		time.Sleep(5 * time.Second) // the replica finds its router gone
+		time.Sleep(5 * time.Second) // until the replica detects the loss of the owner
 		p.receiveFor(p.third, 20*time.Second)
 		if bad := p.result.verify(); bad != "" || p.result.end != "done" {
-			t.Errorf("the stream ended %q with %d pieces: %s", p.result.end, len(p.result.chunks), bad)
+			t.Errorf("the stream ended %q with %d chunks: %s", p.result.end, len(p.result.chunks), bad)
 		}
 	})
 }
 
-// A zone cut off serves streams on, on repeatable lanes too: those that begin during the cut end whole on
-// both sides, those that run when it comes are told to nobody as joined or as whole before their end.
-func TestCutStreams(t *testing.T) {
+// An isolated zone keeps serving streams, also of traffic classes that permit reruns. Streams that begin while the zone is
+// isolated end complete on both sides. Streams that are running when it becomes isolated must not join two runs or end
+// before their last chunk.
+func TestStreamsInIsolatedZone(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		var all []*simRunner
@@ -618,24 +624,24 @@
 		n := uint64(0)
 		var wg sync.WaitGroup
 		var mu sync.Mutex
-		slow := map[string]time.Duration{}
-		round := func(whole bool) {
+		slowest := map[string]time.Duration{}
+		round := func(wantComplete bool) {
 			for i, r := range w.full {
 				n++
-				no := n
+				number := n
 				wg.Go(func() {
 					begun := time.Now()
-					o := w.runStream(i, no, "/ask", 100, noHangup)
+					o := w.runStream(i, number, "/ask", 100, noHangup)
 					if bad := o.verify(); bad != "" || o.end == "" {
-						t.Errorf("a stream begun in zone %s ended %q: %s", r.zone, o.end, bad)
+						t.Errorf("a stream that began in zone %s ended %q: %s", r.zone, o.end, bad)
 					}
-					if whole && (o.end != "done" || o.requests != 1) {
-						t.Errorf("a stream begun in zone %s ended %q with %d pieces after %d asks", r.zone, o.end, len(o.chunks), o.requests)
+					if wantComplete && (o.end != "done" || o.requests != 1) {
+						t.Errorf("a stream that began in zone %s ended %q with %d chunks after %d requests", r.zone, o.end, len(o.chunks), o.requests)
 					}
 					mu.Lock()
 					defer mu.Unlock()
-					if side := fmt.Sprint("inside ", r.zone == "east"); whole {
-						slow[side] = max(slow[side], time.Since(begun))
+					if side := fmt.Sprint("inside ", r.zone == "east"); wantComplete {
+						slowest[side] = max(slowest[side], time.Since(begun))
 					}
 				})
 			}
@@ -643,11 +649,11 @@
 		round(false)
 		time.Sleep(time.Duration(w.chance(2000)) * time.Millisecond)
 		w.w.Split(w.zoneAddrs("east"))
-		time.Sleep(7 * time.Second) // silent runners are found out
+		time.Sleep(7 * time.Second) // until unreachable runners are detected
 		round(true)
 		time.Sleep(time.Duration(w.chance(9000)) * time.Millisecond)
 		w.w.Heal()
 		wg.Wait()
-		t.Logf("slowest stream of 2 s: %v", slow)
+		t.Logf("slowest of the streams, which take 2 s without a fault: %v", slowest)
 	})
 }
