--- a/internal/testing/drill/fault_test.go
+++ b/internal/testing/drill/fault_test.go
@@ -100,7 +100,7 @@
 }
 
 // A runner says to one router that it leaves, and that router dies at once: soon no router sends it
-// anything new. The two seconds of the promise are held in simulated time (TestLeavingWord); the
+// anything new. The two seconds of the promise are held in simulated time (TestLeavingReportSurvivesRouterCrash); the
 // bound here leaves room for a slow machine.
 func TestLeavingRunner(t *testing.T) {
 	takeFleetSlot(t)
