--- a/internal/testing/sim/day_test.go
+++ b/internal/testing/sim/day_test.go
@@ -110,7 +110,7 @@
 	"leave": func(w *fullFleet) {
 		s := w.runners[w.chance(len(w.runners))]
 		s.mu.Lock()
-		s.state = "leaving" // the next heartbeat reports it; ServeHTTP checks the two seconds
+		s.state = "leaving" // the next heartbeat reports it; ServeHTTP checks that no query arrives 2 s after that
 		s.mu.Unlock()
 		w.sleepUpTo(8000)
 		s.stop()
--- a/internal/testing/sim/router_test.go
+++ b/internal/testing/sim/router_test.go
@@ -76,9 +76,9 @@
 	zone          string
 	labels        map[string]string
 	capacity      int
-	maxLength     int // longest output that it serves, in tokens
-	step          time.Duration
-	batchSlowdown float64
+	maxLength     int           // longest output that it serves, in tokens
+	step          time.Duration // time per token with one active query
+	batchSlowdown float64       // fraction of a step by which each further active query lengthens a step
 	prefillTime   time.Duration // time to process a prompt block that is not in the cache
 	plain         bool
 	differFrom    int                           // from this chunk on, counted from 1, chunks contain the run's ID; 0: all runs are identical
@@ -88,8 +88,8 @@
 	rawAnswer     string                        // sent verbatim in place of an answer, before the connection is closed; # stands for the query number
 
 	mu           sync.Mutex
-	run          int
-	sequence     int
+	run          int // counts the starts; identifies the run
+	sequence     int // of the last heartbeat
 	tooLong      int // queries that requested more than maxLength
 	state        string
 	leavingAcked time.Time // when a router first accepted its report that it is leaving
@@ -97,11 +97,11 @@
 	peak         int // largest number of queries active at once
 	overCapacity int // queries that arrived while the runner was at capacity
 	queuedTokens int
-	hang         bool
-	muted        bool
-	cache        map[[32]byte]bool
-	hits         int
-	blocks       int
+	hang         bool              // it accepts queries but never answers
+	muted        bool              // it sends no heartbeats
+	cache        map[[32]byte]bool // by the hash of the prompt up to and including a block
+	hits         int               // prompt blocks that were in the cache
+	blocks       int               // prompt blocks of all queries
 	crash        func()
 	listener     net.Listener
 	up           bool
@@ -172,6 +172,7 @@
 	return p.seq
 }
 
+// startFullRouter starts a new run of a router.
 func (w *fullFleet) startFullRouter(r *fullRouter) {
 	n, crash := w.w.Net(r.addr)
 	ctx, end := context.WithCancel(w.ctx)
@@ -202,6 +203,7 @@
 	run.Start()
 }
 
+// crashFullRouter crashes a router if it is up.
 func (w *fullFleet) crashFullRouter(r *fullRouter) {
 	r.mu.Lock()
 	up := r.up
@@ -212,6 +214,7 @@
 	}
 }
 
+// start starts a new run of the runner, with an empty cache.
 func (s *simRunner) start() {
 	n, crash := s.w.w.Net(s.addr)
 	l, err := n.Listen(s.addr)
@@ -233,9 +236,9 @@
 		defer cli.CloseIdleConnections()
 		for attempt := 0; ctx.Err() == nil; {
 			s.mu.Lock()
-			mute := s.muted
+			muted := s.muted
 			s.mu.Unlock()
-			if !mute && !s.heartbeat(ctx, cli, attempt) {
+			if !muted && !s.heartbeat(ctx, cli, attempt) {
 				attempt++
 				runloop.Sleep(ctx, 50*time.Millisecond)
 				continue
@@ -264,6 +267,7 @@
 	go func() { _ = srv.Serve(l) }()
 }
 
+// stop crashes the runner if it is up.
 func (s *simRunner) stop() {
 	s.mu.Lock()
 	up := s.up
--- a/internal/testing/sim/stream_test.go
+++ b/internal/testing/sim/stream_test.go
@@ -206,8 +206,10 @@
 	return o
 }
 
+// noHangup makes a client receive until the end of the answer.
 func noHangup() time.Duration { return 0 }
 
+// repeatConfig is testConfig with reruns of lost streams allowed or not for /ask.
 func repeatConfig(on bool) string {
 	return strings.Replace(testConfig(""), `"ask":{"rank":3,`, fmt.Sprintf(`"ask":{"rank":3,"repeat":%v,`, on), 1)
 }
@@ -440,7 +442,7 @@
 type streamScenario struct {
 	*fullFleet
 	result                     *streamResult
-	owner, third               *fullRouter // third is neither owner nor replica
+	owner, third               *fullRouter // third is neither owner nor replica; faults cut it off from the owner at most
 	replica                    *fullRouter
 	otherAddrs, nonRunnerAddrs []string // addresses of the other routers; of these and the cores
 }
