--- a/internal/testing/sim/promise_test.go
+++ b/internal/testing/sim/promise_test.go
@@ -579,7 +579,7 @@
 		if !strings.Contains(gjson.GetBytes(g.body, "error.message").Str, "4096 tokens") {
 			t.Errorf("the rejection does not state the allowance: %s", g.body)
 		}
-		// If the client allows it, max_tokens is lowered to the allowance.
+		// If the client allows it, max_tokens is lowered to the allowance. No other field changes, and the answer reports it.
 		raw := []byte("{\"prompt\":\"a\" , \"max_tokens\" : 5000,\n\"allow_downgrade\":true,\"model\":\"m\"}")
 		if g := w.send(w.ctx, w.full[0], query{n: 100, tenant: "poor", path: "/ask", raw: raw}); g.status != 200 || !bytes.Contains(g.body, []byte(`"completion_tokens":4096`)) {
 			t.Errorf("a query that allows a lower max_tokens got %d %s", g.status, g.body)
--- a/internal/testing/sim/router_test.go
+++ b/internal/testing/sim/router_test.go
@@ -279,7 +279,7 @@
 }
 
 // heartbeat sends the state of the runner to a router, and reports whether it was accepted. Attempt 0 goes to a router of
-// its own zone if there is one, later attempts go to the other routers in turn.
+// the runner's zone if there is one, later attempts go to the other routers in turn.
 func (s *simRunner) heartbeat(ctx context.Context, cli *http.Client, attempt int) bool {
 	var to []string
 	for _, r := range s.w.full {
