--- a/internal/testing/modelcheck/fleet_test.go
+++ b/internal/testing/modelcheck/fleet_test.go
@@ -134,7 +134,7 @@
 	p.endRun()
 	p.crash()
 	p.disk.Open() // whatever the dead run still does to its disk is lost
-	p.thaw()     // its goroutines end
+	p.thaw()      // its goroutines end
 }
 
 // start starts a process where it can.
