--- a/internal/testing/drill/fault_test.go
+++ b/internal/testing/drill/fault_test.go
@@ -101,7 +101,7 @@
 }
 
 // A runner announces to one router that it leaves, and that router is killed at once. Soon no other router sends the
-// runner new requests either. The promised 2 s are checked in simulated time (TestLeavingWord in package sim); the limit
+// runner new requests either. The promised 2 s are checked in simulated time (TestLeavingReportSurvivesRouterCrash in package sim); the limit
 // here is longer to allow for a slow machine.
 func TestLeavingRunner(t *testing.T) {
 	takeFleetSlot(t)
--- a/internal/testing/modelcheck/faults_test.go
+++ b/internal/testing/modelcheck/faults_test.go
@@ -271,25 +271,25 @@
 
 func stallDisk(f *fleet, event Event) {
 	if p := f.pick(event); p != nil {
-		p.disk.Stall()
+		p.disk.StallWrites()
 		time.Sleep(event.span())
-		p.disk.Flow()
+		p.disk.ResumeWrites()
 	}
 }
 
 func fillDisk(f *fleet, event Event) {
 	if p := f.pick(event); p != nil {
-		p.disk.Full(true)
+		p.disk.SetFull(true)
 		time.Sleep(event.span())
-		p.disk.Full(false)
+		p.disk.SetFull(false)
 	}
 }
 
 func slowDisk(f *fleet, event Event) {
 	if p := f.pick(event); p != nil {
-		p.disk.Slow(time.Duration(event.Count*20) * time.Millisecond)
+		p.disk.SetWriteDelay(time.Duration(event.Count*20) * time.Millisecond)
 		time.Sleep(event.span())
-		p.disk.Slow(0)
+		p.disk.SetWriteDelay(0)
 	}
 }
 
--- a/internal/testing/modelcheck/fleet_test.go
+++ b/internal/testing/modelcheck/fleet_test.go
@@ -133,8 +133,8 @@
 	p.running = false
 	p.endRun()
 	p.crash()
-	p.disk.Use() // whatever the dead run still does to its disk is lost
-	p.thaw()     // its goroutines end
+	p.disk.Open() // whatever the dead run still does to its disk is lost
+	p.thaw()      // its goroutines end
 }
 
 // start starts a process where it can.
@@ -224,9 +224,9 @@
 	p.mu.Lock()
 	p.crashAt = 0
 	p.mu.Unlock()
-	p.disk.Flow()
-	p.disk.Full(false)
-	p.disk.Slow(0)
+	p.disk.ResumeWrites()
+	p.disk.SetFull(false)
+	p.disk.SetWriteDelay(0)
 	for f.start(p); !p.running && !p.retired && f.ctx.Err() == nil; f.start(p) {
 		time.Sleep(restartPause)
 	}
@@ -236,7 +236,7 @@
 func (f *fleet) end() {
 	f.cancel()
 	for _, p := range f.machines {
-		p.disk.Flow()
+		p.disk.ResumeWrites()
 		f.stop(p)
 	}
 	time.Sleep(30 * time.Second) // simulated: every task sees the end
--- a/internal/testing/modelcheck/process_test.go
+++ b/internal/testing/modelcheck/process_test.go
@@ -71,7 +71,7 @@
 // die ends the process in the middle of a write: nothing that it still does is seen by anyone.
 func (p *process) die() error {
 	p.fleet.stop(p)
-	return sim.ErrDead
+	return sim.ErrCrashed
 }
 
 // start runs a process on the machine. A disk in trouble may keep it from starting for a while.
@@ -83,7 +83,7 @@
 		LeaseTerm: p.term, LostAfter: lostAfter, Codec: toleranceCodec{}}
 	p.first = false
 	where := daemon.Context{Context: ctx, Name: p.addr, Zone: p.zone, RunID: uint64(time.Now().UnixNano()), Log: p.fleet.log.With("at", p.addr), Net: network}
-	disk := gatedDisk{faultyDisk{p.disk.Use(), p}, gate}
+	disk := gatedDisk{faultyDisk{p.disk.Open(), p}, gate}
 	server, err := core.Open(where, settings, disk)
 	if err != nil {
 		cancel()
@@ -145,7 +145,7 @@
 
 // loseDisk gives the machine an empty disk. Its process does not run.
 func (p *process) loseDisk() {
-	p.disk.Flow() // a write that hangs there ends
+	p.disk.ResumeWrites() // a write that hangs there ends
 	p.disk = sim.NewDisk()
 }
 
--- a/internal/testing/sim/fleet_test.go
+++ b/internal/testing/sim/fleet_test.go
@@ -138,7 +138,7 @@
 func (f *fleet) stop() {
 	f.end()
 	for _, c := range f.cores {
-		c.disk.Flow()
+		c.disk.ResumeWrites()
 		f.crashCore(c)
 	}
 	for _, r := range f.routers {
@@ -160,7 +160,7 @@
 		set = f.place(c)
 	}
 	for range 40 { // a stalled or full disk keeps a process from starting
-		srv, err = core.Open(ec.WithComponent("core"), set, c.disk.Use())
+		srv, err = core.Open(ec.WithComponent("core"), set, c.disk.Open())
 		if err == nil {
 			break
 		}
@@ -182,7 +182,7 @@
 	if c.up {
 		c.up = false
 		c.crash()
-		c.disk.Use() // whatever the dead run still does to its disk is lost
+		c.disk.Open() // whatever the dead run still does to its disk is lost
 	}
 }
 
@@ -257,9 +257,9 @@
 func (f *fleet) settle() time.Duration {
 	f.w.Heal()
 	for _, c := range f.cores {
-		c.disk.Flow()
-		c.disk.Full(false)
-		c.disk.Slow(0)
+		c.disk.ResumeWrites()
+		c.disk.SetFull(false)
+		c.disk.SetWriteDelay(0)
 		if !c.up {
 			f.startCore(c)
 		}
