--- a/internal/testing/sim/load_test.go
+++ b/internal/testing/sim/load_test.go
@@ -148,20 +148,20 @@
 				f.within(5*time.Second, "a primary is ready", func() bool { return f.primary() != nil })
 				f.within(10*time.Second, "all routers know each other", func() bool {
 					for _, r := range f.routers {
-						if len(r.hub.Nodes()) < n {
+						if len(r.member.Nodes()) < n {
 							return false
 						}
 					}
 					return true
 				})
 				time.Sleep(3 * time.Second)
-				reach := func(p put) time.Duration {
+				reach := func(p writeRecord) time.Duration {
 					if p.code != 200 {
 						t.Fatalf("the write got status %d", p.code)
 					}
 					return f.within(2*time.Second, "all routers apply the configuration", func() bool {
 						for _, r := range f.routers {
-							if config := r.hub.Config(); config == nil || config.Version < p.seq {
+							if config := r.member.Config(); config == nil || config.Version < p.version {
 								return false
 							}
 						}
@@ -252,19 +252,19 @@
 		}
 		config := `{"tenants":{` + strings.Join(tenants, ",") + `}}`
 		o := f.operator()
-		p := o.raw([]byte(config), "")
+		p := o.putRaw([]byte(config), "")
 		if p.code != 200 {
 			t.Fatalf("a configuration of %d bytes got status %d", len(config), p.code)
 		}
 		f.within(2*time.Second, "all routers apply the configuration", func() bool {
 			for _, r := range f.routers {
-				if config := r.hub.Config(); config == nil || config.Version < p.seq {
+				if config := r.member.Config(); config == nil || config.Version < p.version {
 					return false
 				}
 			}
 			return true
 		})
-		if q := o.raw([]byte(config+strings.Repeat(" ", 1<<20)), ""); q.code != 413 {
+		if q := o.putRaw([]byte(config+strings.Repeat(" ", 1<<20)), ""); q.code != 413 {
 			t.Errorf("a configuration above the size limit got status %d", q.code)
 		}
 	})
@@ -283,7 +283,7 @@
 			o := f.operator()
 			go func() {
 				config := fmt.Sprintf(`{"limits":{"queue":%d}%s}`, i+1, strings.Repeat(" ", 1<<20-100))
-				codes <- o.raw([]byte(config), fmt.Sprintf("big%d", i)).code
+				codes <- o.putRaw([]byte(config), fmt.Sprintf("big%d", i)).code
 			}()
 		}
 		counts := map[int]int{}
@@ -307,7 +307,7 @@
 		f := newFleet(t, seed, 2)
 		f.within(5*time.Second, "a primary is ready", func() bool { return f.primary() != nil })
 		o := f.operator()
-		b := &book{}
+		b := &history{}
 		for i := range 5 {
 			b.add(o.put(i+1, 0, ""))
 		}
--- a/internal/testing/sim/promise_test.go
+++ b/internal/testing/sim/promise_test.go
@@ -145,7 +145,7 @@
 		// After all faults, every router soon serves a query that may run only once.
 		for i, r := range w.full {
 			w.within(12*time.Second, r.name+" serves", func() bool {
-				n := 900000 + machines.Add(1)
+				n := 900000 + lastID.Add(1)
 				return w.send(w.ctx, r, query{n: n, tenant: "rich", path: "/orders", key: fmt.Sprintf("end%d-%d", i, n), body: map[string]any{"n": n}}).status == 200
 			})
 		}
@@ -271,14 +271,14 @@
 			}
 		}
 		o := w.operator()
-		p := o.raw([]byte(testConfig(quota(20))), "")
+		p := o.putRaw([]byte(testConfig(quota(20))), "")
 		if p.code != 200 {
 			t.Fatalf("the majority rejected a configuration with status %d", p.code)
 		}
 		w.w.Heal()
 		w.within(2*time.Second, "all routers apply the newest configuration", func() bool {
 			for _, r := range w.full {
-				if r.router.Cluster.Config().Version < p.seq || r.router.Cluster.CoreTimedOut() {
+				if r.router.Cluster.Config().Version < p.version || r.router.Cluster.CoreTimedOut() {
 					return false
 				}
 			}
--- a/internal/testing/sim/registry_test.go
+++ b/internal/testing/sim/registry_test.go
@@ -16,15 +16,16 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// heartbeatSender is a runner that sends its heartbeats to one core, whichever is primary.
+// heartbeatSender simulates a runner that sends all its heartbeats to the same core, whether that is the primary or not.
 type heartbeatSender struct {
 	f      *fleet
 	client *coreclient.Client
 	mu     sync.Mutex
 	runner routing.Runner
-	mute   bool
+	muted  bool
 }
 
+// heartbeatSender starts the simulated runner with number i.
 func (f *fleet) heartbeatSender(i int) *heartbeatSender {
 	c := f.cores[i%5]
 	n, _ := f.w.Net(fmt.Sprintf("10.0.7.%d:1", i+1))
@@ -35,23 +36,23 @@
 	return b
 }
 
-// heartbeat sends one heartbeat and reports whether it was acknowledged.
+// heartbeat sends one heartbeat unless the sender is muted, and reports whether it was acknowledged.
 func (b *heartbeatSender) heartbeat() bool {
 	b.mu.Lock()
-	if b.mute {
+	if b.muted {
 		b.mu.Unlock()
 		return false
 	}
 	b.runner.Sequence++
 	runner := b.runner
 	b.mu.Unlock()
-	ctx, end := context.WithTimeout(b.f.ctx, 6*time.Second)
-	defer end()
+	ctx, cancel := context.WithTimeout(b.f.ctx, 6*time.Second)
+	defer cancel()
 	return b.client.SendRunnerHeartbeat(ctx, runner) == nil
 }
 
-// say sets the state and sends heartbeats until it is acknowledged.
-func (b *heartbeatSender) say(state routing.RunnerState) {
+// sendState changes the runner's state and sends heartbeats until one is acknowledged.
+func (b *heartbeatSender) sendState(state routing.RunnerState) {
 	b.mu.Lock()
 	b.runner.State = state
 	b.mu.Unlock()
@@ -62,14 +63,16 @@
 	}
 }
 
-func (b *heartbeatSender) hush(mute bool) {
+// setMuted stops or resumes the heartbeats.
+func (b *heartbeatSender) setMuted(muted bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.mute = mute
+	b.muted = muted
 }
 
-// knownAs reports whether every router that is up knows a runner in this state; "" stands for not at all.
-func (f *fleet) knownAs(regs map[string]*registry.Registry, id string, state routing.RunnerState) bool {
+// allRoutersKnow reports whether the registry of every running router has the runner in this state. An empty state means that
+// the runner is absent.
+func (f *fleet) allRoutersKnow(regs map[string]*registry.Registry, id string, state routing.RunnerState) bool {
 	for _, r := range f.routers {
 		found := routing.RunnerState("")
 		for _, runner := range regs[r.name].List() {
@@ -84,21 +87,22 @@
 	return true
 }
 
+// newRegistryFleet starts a fleet whose routers have registries, which are returned by router name.
 func newRegistryFleet(t *testing.T, seed uint64, routers int) (*fleet, map[string]*registry.Registry) {
 	regs := map[string]*registry.Registry{}
-	f := newFleetOf(t, seed, routers, func(f *fleet) {
+	f := newFleetWith(t, seed, routers, func(f *fleet) {
 		f.options = func(r *routerProc) []cluster.Option {
 			regs[r.name] = registry.New(nil)
 			return []cluster.Option{cluster.WithRegistry(regs[r.name])}
 		}
 	})
-	f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
+	f.within(5*time.Second, "a primary is ready after bootstrap", func() bool { return f.primary() != nil })
 	return f, regs
 }
 
-// Runners send heartbeats to any core. Every router knows them, learns of one that drains within 1.5 s of its
-// acknowledgement though the primary falls right then, of one that fell silent, of its return, and of one
-// that left; a new router knows them too, and what is over is forgotten.
+// Runners send heartbeats to any core, and every router learns of them. A runner's change to draining reaches all routers
+// within 1.5 s of its acknowledgement, even if the primary crashes right then. So do a runner's silence, its return and its
+// leaving. A restarted router learns all of it too, and runners that are gone are removed eventually.
 func TestRunnersAreKnownEverywhere(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -109,114 +113,114 @@
 		}
 		everyoneReady := func() bool {
 			for _, b := range all {
-				if !f.knownAs(regs, b.runner.ID, routing.RunnerReady) {
+				if !f.allRoutersKnow(regs, b.runner.ID, routing.RunnerReady) {
 					return false
 				}
 			}
 			return true
 		}
-		f.within(3*time.Second, "all runners are known", everyoneReady)
+		f.within(3*time.Second, "every router knows all runners", everyoneReady)
 		time.Sleep(time.Duration(f.chance(8000)) * time.Millisecond)
-		drains := func(b *heartbeatSender, what string, crash bool) {
-			b.say(routing.RunnerDraining)
+		drain := func(b *heartbeatSender, what string, crash bool) {
+			b.sendState(routing.RunnerDraining)
 			p := f.primary()
 			if crash && p != nil {
 				f.crashCore(p)
 			}
-			took := f.within(1500*time.Millisecond, what, func() bool { return f.knownAs(regs, b.runner.ID, routing.RunnerDraining) })
+			took := f.within(1500*time.Millisecond, what, func() bool { return f.allRoutersKnow(regs, b.runner.ID, routing.RunnerDraining) })
 			t.Logf("%s: %s", what, took)
 			if crash {
 				f.settle()
 			}
 		}
-		drains(all[0], "draining is known", false)
-		drains(all[1], "draining is known, though the primary fell", true)
-		f.within(3*time.Second, "the others stay ready", func() bool {
+		drain(all[0], "every router knows that the runner drains", false)
+		drain(all[1], "every router knows that the runner drains, after a crash of the primary", true)
+		f.within(3*time.Second, "the other runners are ready", func() bool {
 			for _, b := range all[2:] {
-				if !f.knownAs(regs, b.runner.ID, routing.RunnerReady) {
+				if !f.allRoutersKnow(regs, b.runner.ID, routing.RunnerReady) {
 					return false
 				}
 			}
 			return true
 		})
-		// Many at the same moment, while a router does not answer.
-		f.w.Split([]string{f.routers[8].addr}, append(f.founder, f.routers[0].addr, f.routers[1].addr))
-		begun := time.Now()
+		// Many changes at the same time while a router is unreachable.
+		f.w.Split([]string{f.routers[8].addr}, append(f.founders, f.routers[0].addr, f.routers[1].addr))
+		start := time.Now()
 		var many sync.WaitGroup
 		for _, b := range all[2:10] {
-			many.Go(func() { b.say(routing.RunnerDraining) })
+			many.Go(func() { b.sendState(routing.RunnerDraining) })
 		}
 		many.Wait()
-		if took := time.Since(begun); took > time.Second {
-			t.Errorf("eight changes at once were acknowledged after %s", took)
+		if took := time.Since(start); took > time.Second {
+			t.Errorf("eight concurrent changes were acknowledged after %s, want at most 1s", took)
 		}
 		f.settle()
 		for _, b := range all[:10] {
-			f.within(1500*time.Millisecond, "all that drain are known", func() bool { return f.knownAs(regs, b.runner.ID, routing.RunnerDraining) })
+			f.within(1500*time.Millisecond, "every router knows all draining runners", func() bool { return f.allRoutersKnow(regs, b.runner.ID, routing.RunnerDraining) })
 		}
-		// Silence and return, once the new primary has heard all.
+		// A runner falls silent and returns, after the new primary has received heartbeats of all runners.
 		time.Sleep(3 * time.Second)
-		all[10].hush(true)
+		all[10].setMuted(true)
 		time.Sleep(3 * time.Second)
-		if !f.knownAs(regs, all[10].runner.ID, routing.RunnerReady) {
-			t.Error("a runner unheard for 3 s is not ready any more")
-		}
-		f.within(2500*time.Millisecond, "the silent one is known", func() bool { return f.knownAs(regs, all[10].runner.ID, routing.RunnerTimedOut) })
-		all[10].hush(false)
-		f.within(1500*time.Millisecond, "its return is known", func() bool { return f.knownAs(regs, all[10].runner.ID, routing.RunnerReady) })
-		// Leaving is final, also for a late word and for a router that starts anew.
-		all[11].say(routing.RunnerGone)
-		all[11].hush(true)
-		f.within(1500*time.Millisecond, "the one that left is known", func() bool { return f.knownAs(regs, all[11].runner.ID, routing.RunnerGone) })
+		if !f.allRoutersKnow(regs, all[10].runner.ID, routing.RunnerReady) {
+			t.Error("a runner is not ready after 3 s without a heartbeat")
+		}
+		f.within(2500*time.Millisecond, "every router knows that the runner is silent", func() bool { return f.allRoutersKnow(regs, all[10].runner.ID, routing.RunnerTimedOut) })
+		all[10].setMuted(false)
+		f.within(1500*time.Millisecond, "every router knows that the runner is back", func() bool { return f.allRoutersKnow(regs, all[10].runner.ID, routing.RunnerReady) })
+		// Leaving is final, even after a late heartbeat, and a restarted router learns of it.
+		all[11].sendState(routing.RunnerGone)
+		all[11].setMuted(true)
+		f.within(1500*time.Millisecond, "every router knows that the runner has left", func() bool { return f.allRoutersKnow(regs, all[11].runner.ID, routing.RunnerGone) })
 		all[11].runner.Sequence += 10
-		all[11].hush(false)
-		all[11].say(routing.RunnerReady)
-		all[11].hush(true)
+		all[11].setMuted(false)
+		all[11].sendState(routing.RunnerReady)
+		all[11].setMuted(true)
 		f.crashRouter(f.routers[4])
 		f.startRouter(f.routers[4])
-		f.within(3*time.Second, "the new router knows them", func() bool {
-			return f.knownAs(regs, all[11].runner.ID, routing.RunnerGone) && f.knownAs(regs, all[0].runner.ID, routing.RunnerDraining)
+		f.within(3*time.Second, "the restarted router knows the runners that left or drain", func() bool {
+			return f.allRoutersKnow(regs, all[11].runner.ID, routing.RunnerGone) && f.allRoutersKnow(regs, all[0].runner.ID, routing.RunnerDraining)
 		})
-		// What is over is forgotten, what lives is not.
-		all[0].hush(true)
+		// Runners that left or stopped are removed, the others are not.
+		all[0].setMuted(true)
 		time.Sleep(80 * time.Second)
 		for _, b := range []*heartbeatSender{all[0], all[11]} {
-			if !f.knownAs(regs, b.runner.ID, "") {
-				t.Errorf("%s is still known", b.runner.ID)
+			if !f.allRoutersKnow(regs, b.runner.ID, "") {
+				t.Errorf("%s has not been removed", b.runner.ID)
 			}
 		}
-		if !f.knownAs(regs, all[10].runner.ID, routing.RunnerReady) || !f.knownAs(regs, all[1].runner.ID, routing.RunnerDraining) {
-			t.Error("a living runner is not known any more")
+		if !f.allRoutersKnow(regs, all[10].runner.ID, routing.RunnerReady) || !f.allRoutersKnow(regs, all[1].runner.ID, routing.RunnerDraining) {
+			t.Error("a live runner has been removed")
 		}
 	})
 }
 
-// A runner that dies together with the primary was never heard by the next one. Routers drop it with the first
-// whole list, five seconds into the next primary's time.
+// A runner dies together with the primary, so the next primary never receives a heartbeat of it. Routers drop it on the first
+// full list of runners, five seconds after the next primary has started.
 func TestRunnerDiesWithThePrimary(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f, regs := newRegistryFleet(t, seed, 5)
-		dies, lives := f.heartbeatSender(0), f.heartbeatSender(1)
+		dying, live := f.heartbeatSender(0), f.heartbeatSender(1)
 		both := func() bool {
-			return f.knownAs(regs, dies.runner.ID, routing.RunnerReady) && f.knownAs(regs, lives.runner.ID, routing.RunnerReady)
+			return f.allRoutersKnow(regs, dying.runner.ID, routing.RunnerReady) && f.allRoutersKnow(regs, live.runner.ID, routing.RunnerReady)
 		}
-		f.within(3*time.Second, "both are known", both)
+		f.within(3*time.Second, "every router knows both runners", both)
 		time.Sleep(time.Duration(3000+f.chance(8000)) * time.Millisecond)
-		dies.hush(true)
+		dying.setMuted(true)
 		f.crashCore(f.primary())
-		took := f.within(10*time.Second, "the dead one is not ready any more", func() bool {
-			if !f.knownAs(regs, lives.runner.ID, routing.RunnerReady) {
-				t.Fatal("the living runner is not known as ready")
+		took := f.within(10*time.Second, "the dead runner is not ready", func() bool {
+			if !f.allRoutersKnow(regs, live.runner.ID, routing.RunnerReady) {
+				t.Fatal("the live runner is not known as ready")
 			}
-			return f.knownAs(regs, dies.runner.ID, "") || f.knownAs(regs, dies.runner.ID, routing.RunnerTimedOut)
+			return f.allRoutersKnow(regs, dying.runner.ID, "") || f.allRoutersKnow(regs, dying.runner.ID, routing.RunnerTimedOut)
 		})
-		t.Logf("not ready after %s", took)
+		t.Logf("the dead runner was dropped after %s", took)
 	})
 }
 
-// Primaries fall one after the other. No router loses a runner that lives, whole lists notwithstanding,
-// and one that died meanwhile is dropped in the end.
+// The primary crashes several times in a row. No router drops a live runner, even though new primaries send full lists, and a
+// runner that died meanwhile is removed eventually.
 func TestLivingRunnersStayThroughChanges(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -227,27 +231,27 @@
 		}
 		known := func() bool {
 			for _, b := range all[1:] {
-				if !f.knownAs(regs, b.runner.ID, routing.RunnerReady) {
+				if !f.allRoutersKnow(regs, b.runner.ID, routing.RunnerReady) {
 					return false
 				}
 			}
 			return true
 		}
-		f.within(3*time.Second, "all runners are known", known)
-		all[0].hush(true)
+		f.within(3*time.Second, "every router knows all runners", known)
+		all[0].setMuted(true)
 		for range 4 {
 			f.crashCore(f.primary())
 			for end := time.Now().Add(time.Duration(2000+f.chance(8000)) * time.Millisecond); time.Now().Before(end); {
 				if !known() {
-					t.Fatal("a living runner is not known as ready")
+					t.Fatal("a live runner is not known as ready")
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
 			f.settle()
 		}
-		f.within(80*time.Second, "the dead one is dropped", func() bool { return f.knownAs(regs, all[0].runner.ID, "") })
+		f.within(80*time.Second, "the dead runner is removed", func() bool { return f.allRoutersKnow(regs, all[0].runner.ID, "") })
 		if !known() {
-			t.Error("a living runner is not known as ready")
+			t.Error("a live runner is not known as ready")
 		}
 	})
 }
--- a/internal/testing/sim/router_test.go
+++ b/internal/testing/sim/router_test.go
@@ -113,7 +113,7 @@
 	for i := range n {
 		r := &fullRouter{name: fmt.Sprintf("r%02d", i), zone: w.zones[i%4], addr: fmt.Sprintf("10.0.1.%d:1", i+1), httpAddr: fmt.Sprintf("10.0.1.%d:2", i+1)}
 		w.full = append(w.full, r)
-		w.more = append(w.more, r.addr)
+		w.extraAddrs = append(w.extraAddrs, r.addr)
 		w.startFullRouter(r)
 	}
 	for i, s := range runners {
@@ -153,7 +153,7 @@
 func (w *fullFleet) applyConfig(config string) uint64 {
 	w.t.Helper()
 	o := w.operator()
-	p := o.raw([]byte(config), "")
+	p := o.putRaw([]byte(config), "")
 	if p.code != 200 {
 		w.t.Fatalf("the configuration got status %d", p.code)
 	}
@@ -163,13 +163,13 @@
 				continue
 			}
 			config := r.router.Cluster.Config()
-			if config == nil || config.Version < p.seq || r.router.Cluster.NotReadyReason() != "" || len(r.router.Runners.List()) < len(w.runners) {
+			if config == nil || config.Version < p.version || r.router.Cluster.NotReadyReason() != "" || len(r.router.Runners.List()) < len(w.runners) {
 				return false
 			}
 		}
 		return true
 	})
-	return p.seq
+	return p.version
 }
 
 // startFullRouter starts a new run of a router.
@@ -181,7 +181,7 @@
 		runID = r.runID
 	}
 	ec := daemon.Context{Context: ctx, Name: r.name, Zone: r.zone, RunID: runID, Log: w.log.With("at", r.name), Net: n}
-	run := router.New(ec, r.addr, r.httpAddr, []string{w.founder[0], w.founder[1], "10.0.1.1:1"}, func(ctx context.Context, _, addr string) (net.Conn, error) {
+	run := router.New(ec, r.addr, r.httpAddr, []string{w.founders[0], w.founders[1], "10.0.1.1:1"}, func(ctx context.Context, _, addr string) (net.Conn, error) {
 		return n.Dial(ctx, addr)
 	})
 	l, err := n.Listen(r.addr)
--- a/internal/testing/sim/stream_test.go
+++ b/internal/testing/sim/stream_test.go
@@ -421,7 +421,7 @@
 			case 5:
 				w.w.Cut(r.addr, q.addr) // one direction only
 			case 6:
-				w.w.Split([]string{r.addr}, append([]string{q.addr, s.addr}, w.founder[:1+w.chance(4)]...))
+				w.w.Split([]string{r.addr}, append([]string{q.addr, s.addr}, w.founders[:1+w.chance(4)]...))
 			case 7:
 				w.w.Heal()
 			default:
@@ -476,7 +476,7 @@
 			p.third = r
 		}
 	}
-	p.nonRunnerAddrs = append(append(p.nonRunnerAddrs, p.otherAddrs...), p.founder...)
+	p.nonRunnerAddrs = append(append(p.nonRunnerAddrs, p.otherAddrs...), p.founders...)
 	return p
 }
 
