--- a/internal/testing/sim/core_test.go
+++ b/internal/testing/sim/core_test.go
@@ -18,12 +18,12 @@
 
 // Faults of every kind, at random, under operators who race: no acknowledged configuration is lost, no
 // rejected one is ever obeyed, no router goes back, and service returns in time.
-func TestCoreStorm(t *testing.T) {
+func TestCoreUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 6)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
-		b := &book{}
+		b := &history{}
 		stop := time.Now().Add(60 * time.Second)
 		for i := range 3 {
 			o := f.operator()
@@ -43,7 +43,7 @@
 			o := f.operator()
 			go func() {
 				for time.Now().Before(stop) {
-					o.look(b)
+					o.read(b)
 					time.Sleep(time.Duration(5+f.chance(30)) * time.Millisecond)
 				}
 			}()
@@ -63,7 +63,7 @@
 		b.add(p)
 		f.within(2*time.Second, "every router obeys the acknowledged layout", func() bool {
 			for _, r := range f.routers {
-				if lay := r.hub.Config(); lay == nil || lay.Version < p.seq {
+				if lay := r.member.Config(); lay == nil || lay.Version < p.version {
 					return false
 				}
 			}
@@ -72,14 +72,14 @@
 		time.Sleep(100 * time.Millisecond)
 		f.check(b)
 		ok := 0
-		for _, q := range b.all {
+		for _, q := range b.writes {
 			if q.code == 200 {
 				ok++
 			}
 		}
-		t.Logf("%d writes, %d acknowledged", len(b.all), ok)
+		t.Logf("%d writes, %d acknowledged", len(b.writes), ok)
 		if ok < 20 {
-			t.Errorf("only %d of %d writes were acknowledged", ok, len(b.all))
+			t.Errorf("only %d of %d writes were acknowledged", ok, len(b.writes))
 		}
 	})
 }
@@ -99,7 +99,7 @@
 	for _, r := range f.routers {
 		rest = append(rest, r.addr)
 	}
-	rest = append(rest, f.more...)
+	rest = append(rest, f.extraAddrs...)
 	switch f.chance(11) {
 	case 0, 1:
 		f.crashCore(c)
@@ -152,12 +152,12 @@
 
 // A core's disk is lost, again and again: a blank core at a new address gets the seat, unattended,
 // until all five machines have been swapped, while routers know the old seeds only.
-func TestSwapAll(t *testing.T) {
+func TestEveryCoreIsReplaced(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 4)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
-		b := &book{}
+		b := &history{}
 		o := f.operator()
 		for i, k := range f.perm() {
 			p := o.put(i+1, 0, "")
@@ -170,7 +170,7 @@
 			next := &coreProc{addr: fmt.Sprintf("10.0.2.%d:1", i+1), zone: old.zone, disk: sim.NewDisk()}
 			f.cores[k] = next
 			f.startCore(next)
-			took := f.within(2*f.lost, "the blank core has the lost one's seat", func() bool {
+			took := f.within(2*f.lostAfter, "the blank core has the lost one's seat", func() bool {
 				p := f.primary()
 				if p == nil {
 					return false
@@ -185,7 +185,7 @@
 				}
 				return has && len(v.Members) == 5
 			})
-			t.Logf("seat taken over after %s, lost after %s", took, f.lost)
+			t.Logf("seat taken over after %s, lost after %s", took, f.lostAfter)
 		}
 		p := o.put(77, 0, "")
 		b.add(p)
@@ -194,7 +194,7 @@
 		}
 		f.within(2*time.Second, "routers follow to the new machines", func() bool {
 			for _, r := range f.routers {
-				if lay := r.hub.Config(); lay == nil || lay.Version != p.seq || r.hub.CoreTimedOut() {
+				if lay := r.member.Config(); lay == nil || lay.Version != p.version || r.member.CoreTimedOut() {
 					return false
 				}
 			}
@@ -203,7 +203,7 @@
 		// Every router starts again with seeds that name machines long gone; then every process does.
 		ready := func() bool {
 			for _, r := range f.routers {
-				if lay := r.hub.Config(); lay == nil || lay.Version < p.seq || r.hub.NotReadyReason() != "" {
+				if lay := r.member.Config(); lay == nil || lay.Version < p.version || r.member.NotReadyReason() != "" {
 					return false
 				}
 			}
@@ -239,7 +239,7 @@
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 4)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
-		b := &book{}
+		b := &history{}
 		o := f.operator()
 		for i := range 3 {
 			p := o.put(i+1, 0, "")
@@ -260,7 +260,7 @@
 			}
 			f.within(2*time.Second, "every router obeys the acknowledged layout", func() bool {
 				for _, r := range f.routers {
-					if lay := r.hub.Config(); lay == nil || lay.Version < p.seq {
+					if lay := r.member.Config(); lay == nil || lay.Version < p.version {
 						return false
 					}
 				}
@@ -282,10 +282,10 @@
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 2)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
-		b := &book{}
+		b := &history{}
 		near, far := f.operator(), f.operator()
 		b.add(near.put(1, 0, ""))
-		near.look(b)
+		near.read(b)
 		old := f.primary()
 		var rest []string
 		for _, c := range f.cores {
@@ -295,16 +295,16 @@
 		}
 		f.w.Split([]string{old.addr}, append(rest, far.addr, f.routers[0].addr, f.routers[1].addr))
 		for range 60 {
-			b.add(far.put(len(b.all)+1, 0, ""))
-			near.look(b)
+			b.add(far.put(len(b.writes)+1, 0, ""))
+			near.read(b)
 			time.Sleep(50 * time.Millisecond)
 		}
-		if n := len(b.looks); n < 2 {
+		if n := len(b.reads); n < 2 {
 			t.Errorf("%d reads answered, at least those before the cut expected", n)
 		}
 		f.settle()
 		f.check(b)
-		if b.all[len(b.all)-1].code != 200 {
+		if b.writes[len(b.writes)-1].code != 200 {
 			t.Error("the rest of the core did not take a write")
 		}
 	})
@@ -312,13 +312,13 @@
 
 // A primary that reaches its backup but no majority must let the backup go on: the backup can
 // reach the others, and the fleet must not wait for the primary's links.
-func TestHeldBackup(t *testing.T) {
+func TestBackupTakesOverFromPrimaryWithoutMajority(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 2)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
 		o := f.operator()
-		b := &book{}
+		b := &history{}
 		b.add(o.put(1, 0, ""))
 		old := f.primary()
 		v := old.srv.State().View
@@ -336,7 +336,7 @@
 		})
 		t.Logf("took %s", took)
 		f.within(3*time.Second, "a write", func() bool {
-			p := o.put(2+len(b.all), 0, "")
+			p := o.put(2+len(b.writes), 0, "")
 			b.add(p)
 			return p.code == 200
 		})
@@ -347,7 +347,7 @@
 
 // A claim let go before its own taking has arrived (the taking was long under way) must not stand
 // afterwards: nobody would ever end it, and the key could not be used again.
-func TestLateClaim(t *testing.T) {
+func TestClaimArrivesAfterItsRelease(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 1)
@@ -382,13 +382,13 @@
 
 // A once-only key is known with its outcome for as long as documented, over a hand-over, and that it
 // ran for far longer; then, and when its query was let go unsent, it may be taken anew.
-func TestKeysAreKept(t *testing.T) {
+func TestIdempotencyKeyRetention(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 1)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
 		o := f.operator()
-		if p := o.raw([]byte(`{"limits":{"claim_keep_s":60,"ran_keep_s":1500}}`), ""); p.code != 200 {
+		if p := o.putRaw([]byte(`{"limits":{"claim_keep_s":60,"ran_keep_s":1500}}`), ""); p.code != 200 {
 			t.Fatal(p.code)
 		}
 		call := func(kind string, in msgp.Marshaler, out msgp.Unmarshaler) {
@@ -460,7 +460,7 @@
 
 // When as many keys that ran are kept as allowed, a new key is refused in plain words, and none of
 // the old ones is forgotten.
-func TestKeysFull(t *testing.T) {
+func TestNewKeyRejectedAtKeyLimit(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		w := newWhole(t, seed, 1, strings.Replace(plainLay(""), `{"services"`, `{"limits":{"claim_keep_s":10,"ran_most":5},"services"`, 1), orders())
@@ -490,13 +490,13 @@
 
 // After a hand-over an hour's claims end at once: in batches that fit a frame, so that none of it costs
 // the primary its backup.
-func TestManyClaimsEnd(t *testing.T) {
+func TestManyClaimsExpireAtOnce(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 1)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
 		o := f.operator()
-		if p := o.raw([]byte(`{"limits":{"claim_keep_s":20}}`), ""); p.code != 200 {
+		if p := o.putRaw([]byte(`{"limits":{"claim_keep_s":20}}`), ""); p.code != 200 {
 			t.Fatal(p.code)
 		}
 		const many = 5000
@@ -527,7 +527,7 @@
 
 // A write to the backup that was long under way arrives after that backup has taken over: its primary's
 // lease can't help any more, the epoch has to.
-func TestLateHold(t *testing.T) {
+func TestLateReplicationFromDeposedPrimary(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 2)
@@ -542,7 +542,7 @@
 		if heir.addr != v.Addr(v.FirstBackup) {
 			t.Fatalf("%s leads, %s was backup", heir.addr, v.Addr(v.FirstBackup))
 		}
-		late, err := (&coreapi.StoredConfig{Version: first.seq + 1, Raw: sheet(99)}).MarshalMsg(nil)
+		late, err := (&coreapi.StoredConfig{Version: first.version + 1, Raw: testConfig(99)}).MarshalMsg(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -555,8 +555,8 @@
 			t.Error("a deposed primary's write was held")
 		}
 		// What is read is what a change is made against.
-		if p := o.put(2, first.seq, ""); p.code != 200 || p.seq != first.seq+1 {
-			t.Errorf("a change against sequence %d was answered %d at %d", first.seq, p.code, p.seq)
+		if p := o.put(2, first.version, ""); p.code != 200 || p.version != first.version+1 {
+			t.Errorf("a change against sequence %d was answered %d at %d", first.version, p.code, p.version)
 		}
 	})
 }
--- a/internal/testing/sim/day_test.go
+++ b/internal/testing/sim/day_test.go
@@ -84,7 +84,7 @@
 	"swap": func(w *whole) {
 		old := w.cores[w.chance(len(w.cores))]
 		w.crashCore(old)
-		old.addr, old.disk = fmt.Sprintf("10.0.7.%d:1", machines.Add(1)), sim.NewDisk()
+		old.addr, old.disk = fmt.Sprintf("10.0.7.%d:1", lastID.Add(1)), sim.NewDisk()
 		w.startCore(old)
 		time.Sleep(15 * time.Second)
 	},
@@ -127,7 +127,7 @@
 	},
 	"crowd": func(w *whole) {
 		for range 400 {
-			n := 80000000 + machines.Add(1)
+			n := 80000000 + lastID.Add(1)
 			go w.send(w.ctx, w.full[w.chance(len(w.full))], ask{n: n, tenant: "rich", path: "/ask", body: map[string]any{"model": "m", "max_tokens": 5, "prompt": fmt.Sprint(n)}})
 		}
 		w.pass(3000)
@@ -209,17 +209,17 @@
 				}
 			})
 		}
-		b := &book{}
+		b := &history{}
 		var mark atomic.Int64
 		for range 2 {
 			wg.Go(func() {
 				for o := w.operator(); !over.Load(); w.pass(1500) {
 					// Whole configurations, each unlike all others; half of them on condition of what was read last.
 					in := &coreapi.WriteRequest{Raw: []byte(strings.Replace(lay, `{"services"`, fmt.Sprintf(`{"limits":{"queue":%d},"services"`, 2000+mark.Add(1)), 1)), AnyVersion: w.chance(2) == 0}
-					if o.look(b); !in.AnyVersion {
+					if o.read(b); !in.AnyVersion {
 						b.mu.Lock()
-						if n := len(b.looks); n > 0 {
-							in.BaseVersion = b.looks[n-1].seq
+						if n := len(b.reads); n > 0 {
+							in.BaseVersion = b.reads[n-1].version
 						}
 						b.mu.Unlock()
 					}
@@ -236,7 +236,7 @@
 		w.settle()
 		for i, r := range w.full {
 			w.within(12*time.Second, r.name+" serves after the closing fault", func() bool {
-				n := 90000000 + machines.Add(1)
+				n := 90000000 + lastID.Add(1)
 				return w.send(w.ctx, r, ask{n: n, tenant: "rich", path: "/orders", key: fmt.Sprintf("end%d-%d", i, n), body: map[string]any{"n": n}}).status == 200
 			})
 		}
@@ -264,8 +264,8 @@
 // breaks, the seed, its course and the shortest part of it that still breaks are printed.
 func TestDays(t *testing.T) {
 	t.Parallel()
-	for i := range uint64(*seeds) {
-		seed := *first + i
+	for i := range uint64(*seedCount) {
+		seed := *firstSeed + i
 		course := drawn(seed)
 		if *plan != "" {
 			course = strings.Split(*plan, ",")
--- a/internal/testing/sim/document_test.go
+++ b/internal/testing/sim/document_test.go
@@ -16,11 +16,11 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// lines is a codec of documents that number themselves: the first line is the sequence, then come the
+// lineCodec is a codec of documents that number themselves: the first line is the sequence, then come the
 // units of tenants, one a line. A line "bad" is a flaw.
-type lines struct{}
+type lineCodec struct{}
 
-func (lines) Check(raw []byte) (doc configuration.Document, flaws []coreapi.ConfigError) {
+func (lineCodec) Check(raw []byte) (doc configuration.Document, flaws []coreapi.ConfigError) {
 	doc.Quotas, doc.Windows = map[string]int{}, map[string]time.Duration{}
 	for i, line := range strings.Split(string(raw), "\n") {
 		var name string
@@ -38,36 +38,36 @@
 	return doc, nil
 }
 
-func (lines) Merge(_, _ []byte) ([]byte, error) {
+func (lineCodec) Merge(_, _ []byte) ([]byte, error) {
 	return nil, errors.New("no partial changes")
 }
 
-func (lines) MaxBytes() int { return 4 << 20 }
+func (lineCodec) MaxBytes() int { return 4 << 20 }
 
-// taken is what one router's hub passed on, in order.
-type taken struct {
-	mu  sync.Mutex
-	all []uint64
-	raw []byte
+// acceptedConfigs is what one router's hub passed on, in order.
+type acceptedConfigs struct {
+	mu       sync.Mutex
+	versions []uint64
+	latest   []byte
 }
 
-func newDocumentFleet(t *testing.T, seed uint64, routers int) (*fleet, map[string]*taken) {
-	got := map[string]*taken{}
-	f := newFleetOf(t, seed, routers, func(f *fleet) {
-		f.codec = lines{}
+func newDocumentFleet(t *testing.T, seed uint64, routers int) (*fleet, map[string]*acceptedConfigs) {
+	got := map[string]*acceptedConfigs{}
+	f := newFleetWith(t, seed, routers, func(f *fleet) {
+		f.codec = lineCodec{}
 		f.options = func(r *routerProc) []cluster.Option {
-			mine := &taken{}
+			mine := &acceptedConfigs{}
 			got[r.name] = mine
 			return []cluster.Option{cluster.WithConfigHandler(func(sequence uint64, raw []byte) error {
 				mine.mu.Lock()
 				defer mine.mu.Unlock()
-				if n := len(mine.all); n > 0 && mine.all[n-1] >= sequence {
-					t.Errorf("%s took %d after %d", r.name, sequence, mine.all[n-1])
+				if n := len(mine.versions); n > 0 && mine.versions[n-1] >= sequence {
+					t.Errorf("%s took %d after %d", r.name, sequence, mine.versions[n-1])
 				}
 				if bytes.Contains(raw, []byte("strange")) {
 					return errors.New("not understood")
 				}
-				mine.all, mine.raw = append(mine.all, sequence), raw
+				mine.versions, mine.latest = append(mine.versions, sequence), raw
 				return nil
 			})}
 		}
@@ -79,7 +79,7 @@
 func (f *fleet) everyRouterAt(sequence uint64) func() bool {
 	return func() bool {
 		for _, r := range f.routers {
-			if r.hub.ConfigVersion() != sequence || r.hub.NotReadyReason() != "" {
+			if r.member.ConfigVersion() != sequence || r.member.NotReadyReason() != "" {
 				return false
 			}
 		}
@@ -183,16 +183,16 @@
 		f.crashRouter(r)
 		f.startRouter(r)
 		f.within(3*time.Second, "a new router has it", f.everyRouterAt(last+1))
-		if mine := got[r.name]; !bytes.Equal(mine.raw, huge) || r.hub.Config() != nil || r.hub.Self().ConfigVersion != last+1 {
-			t.Errorf("the new router has %d bytes", len(mine.raw))
+		if mine := got[r.name]; !bytes.Equal(mine.latest, huge) || r.member.Config() != nil || r.member.Self().ConfigVersion != last+1 {
+			t.Errorf("the new router has %d bytes", len(mine.latest))
 		}
 
 		// One that routers don't understand: the old one stays in force, the next is taken.
-		_, hash := r.hub.ConfigVersionAndHash()
+		_, hash := r.member.ConfigVersionAndHash()
 		write(coreapi.WriteRequest{AnyVersion: true, Raw: whole(last+2, "strange")}, 200, last+2)
 		time.Sleep(time.Second)
-		if version, now := r.hub.ConfigVersionAndHash(); version != last+1 || now != hash || r.hub.NotReadyReason() != "" {
-			t.Errorf("after a strange document the router is at %d, %q", r.hub.ConfigVersion(), r.hub.NotReadyReason())
+		if version, now := r.member.ConfigVersionAndHash(); version != last+1 || now != hash || r.member.NotReadyReason() != "" {
+			t.Errorf("after a strange document the router is at %d, %q", r.member.ConfigVersion(), r.member.NotReadyReason())
 		}
 		write(coreapi.WriteRequest{AnyVersion: true, Raw: whole(last+3, "a 10")}, 200, last+3)
 		f.within(2*time.Second, "every router takes the next", f.everyRouterAt(last+3))
--- a/internal/testing/sim/fleet_test.go
+++ b/internal/testing/sim/fleet_test.go
@@ -29,15 +29,15 @@
 )
 
 var (
-	seeds = flag.Int("seeds", 4, "how many seeds each simulated run takes")
-	first = flag.Uint64("seed", 1, "first seed")
-	loud  = flag.Bool("loud", false, "print the processes' logs")
+	seedCount = flag.Int("seeds", 4, "how many seeds each simulated run takes")
+	firstSeed = flag.Uint64("seed", 1, "first seed")
+	printLogs = flag.Bool("loud", false, "print the processes' logs")
 )
 
 // overSeeds runs a simulated history for every seed, each in a bubble of its own.
 func overSeeds(t *testing.T, run func(t *testing.T, seed uint64)) {
-	for i := range uint64(*seeds) {
-		seed := *first + i
+	for i := range uint64(*seedCount) {
+		seed := *firstSeed + i
 		t.Run(fmt.Sprintf("seed%d", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { run(t, seed) })
 		})
@@ -46,22 +46,22 @@
 
 // fleet is a simulated fleet: real code of cores and routers in a made world.
 type fleet struct {
-	t       *testing.T
-	w       *sim.World
-	rnd     *rand.Rand
-	dice    sync.Mutex // guards rnd
-	log     *slog.Logger
-	cores   []*coreProc
-	routers []*routerProc
-	zones   []string
-	ctx     context.Context
-	end     context.CancelFunc
-	lost    time.Duration
-	founder []string
-	codec   configuration.Codec                // of the cores; nil: configurations
-	options func(*routerProc) []cluster.Option // of the routers' hubs
-	place   func(c *coreProc) core.Settings    // in place of the usual settings of a core
-	more    []string                           // addresses that a fault may cut off from a core, besides cores and routers
+	t            *testing.T
+	w            *sim.World
+	rnd          *rand.Rand
+	rndMu        sync.Mutex // guards rnd
+	log          *slog.Logger
+	cores        []*coreProc
+	routers      []*routerProc
+	zones        []string
+	ctx          context.Context
+	cancel       context.CancelFunc
+	lostAfter    time.Duration
+	founders     []string
+	codec        configuration.Codec                // of the cores; nil: configurations
+	options      func(*routerProc) []cluster.Option // of the routers' hubs
+	coreSettings func(c *coreProc) core.Settings    // in place of the usual settings of a core
+	extraAddrs   []string                           // addresses that a fault may cut off from a core, besides cores and routers
 }
 
 type coreProc struct {
@@ -74,33 +74,33 @@
 
 type routerProc struct {
 	name, addr, zone string
-	hub              *cluster.Member
+	member           *cluster.Member
 	crash            func()
 	up               bool
 	mu               sync.Mutex
-	seen             []uint64
-	raw              map[uint64]string
+	versions         []uint64
+	rawByVersion     map[uint64]string
 }
 
 // emptyFleet is a made world without any process yet.
 func emptyFleet(t *testing.T, seed uint64) *fleet {
-	f := &fleet{t: t, w: sim.NewWorld(seed), rnd: rand.New(rand.NewPCG(seed, 1)), zones: []string{"east", "north", "south", "west"}, lost: 6 * time.Second}
+	f := &fleet{t: t, w: sim.NewWorld(seed), rnd: rand.New(rand.NewPCG(seed, 1)), zones: []string{"east", "north", "south", "west"}, lostAfter: 6 * time.Second}
 	out := io.Discard
-	if *loud {
+	if *printLogs {
 		out = os.Stderr
 	}
 	f.log = logging.New(out, slog.LevelDebug)
-	f.ctx, f.end = context.WithCancel(t.Context())
+	f.ctx, f.cancel = context.WithCancel(t.Context())
 	t.Cleanup(f.stop)
 	return f
 }
 
 func newFleet(t *testing.T, seed uint64, routers int) *fleet {
-	return newFleetOf(t, seed, routers, nil)
+	return newFleetWith(t, seed, routers, nil)
 }
 
-// newFleetOf starts a fleet that prepare has changed first.
-func newFleetOf(t *testing.T, seed uint64, routers int, prepare func(*fleet)) *fleet {
+// newFleetWith starts a fleet that prepare has changed first.
+func newFleetWith(t *testing.T, seed uint64, routers int, prepare func(*fleet)) *fleet {
 	f := emptyFleet(t, seed)
 	if prepare != nil {
 		prepare(f)
@@ -108,13 +108,13 @@
 	for i := range 5 {
 		c := &coreProc{addr: fmt.Sprintf("10.0.0.%d:1", i+1), zone: f.zones[i%4], disk: sim.NewDisk()}
 		f.cores = append(f.cores, c)
-		f.founder = append(f.founder, c.addr)
+		f.founders = append(f.founders, c.addr)
 	}
 	for _, c := range f.cores {
 		f.startCore(c)
 	}
 	for i := range routers {
-		r := &routerProc{name: fmt.Sprintf("r%02d", i), addr: fmt.Sprintf("10.0.1.%d:1", i+1), zone: f.zones[i%4], raw: map[uint64]string{}}
+		r := &routerProc{name: fmt.Sprintf("r%02d", i), addr: fmt.Sprintf("10.0.1.%d:1", i+1), zone: f.zones[i%4], rawByVersion: map[uint64]string{}}
 		f.routers = append(f.routers, r)
 		f.startRouter(r)
 	}
@@ -123,20 +123,20 @@
 
 // chance draws a number below n from the run's seed.
 func (f *fleet) chance(n int) int {
-	f.dice.Lock()
-	defer f.dice.Unlock()
+	f.rndMu.Lock()
+	defer f.rndMu.Unlock()
 	return f.rnd.IntN(n)
 }
 
 // perm draws an order of the five cores.
 func (f *fleet) perm() []int {
-	f.dice.Lock()
-	defer f.dice.Unlock()
+	f.rndMu.Lock()
+	defer f.rndMu.Unlock()
 	return f.rnd.Perm(5)
 }
 
 func (f *fleet) stop() {
-	f.end()
+	f.cancel()
 	for _, c := range f.cores {
 		c.disk.Flow()
 		f.crashCore(c)
@@ -155,9 +155,9 @@
 	ec := daemon.Context{Context: ctx, Name: c.addr, Zone: c.zone, RunID: uint64(time.Now().UnixNano()), Log: f.log.With("at", c.addr), Net: n}
 	var srv *core.Server
 	var err error
-	set := core.Settings{Addr: c.addr, Founders: f.founder, Seeds: []string{"10.0.1.1:1", "10.0.1.2:1", f.founder[0]}, LostAfter: f.lost, Codec: f.codec}
-	if f.place != nil {
-		set = f.place(c)
+	set := core.Settings{Addr: c.addr, Founders: f.founders, Seeds: []string{"10.0.1.1:1", "10.0.1.2:1", f.founders[0]}, LostAfter: f.lostAfter, Codec: f.codec}
+	if f.coreSettings != nil {
+		set = f.coreSettings(c)
 	}
 	for range 40 { // a stalled or full disk keeps a process from starting
 		srv, err = core.Open(ec.WithComponent("core"), set, c.disk.Use())
@@ -195,18 +195,18 @@
 	if f.options != nil {
 		options = f.options(r)
 	}
-	r.hub = cluster.NewMember(ec.WithComponent("node"), r.addr, r.addr, []string{f.founder[0], f.founder[1], "10.0.1.1:1"}, func(dissemination.Record) {}, options...)
+	r.member = cluster.NewMember(ec.WithComponent("node"), r.addr, r.addr, []string{f.founders[0], f.founders[1], "10.0.1.1:1"}, func(dissemination.Record) {}, options...)
 	r.mu.Lock()
-	r.seen = nil
+	r.versions = nil
 	r.mu.Unlock()
 	l, err := n.Listen(r.addr)
 	if err != nil {
 		f.t.Fatalf("router %s: %v", r.name, err)
 	}
 	r.up = true
-	go wire.Serve(ctx, l, r.hub.Serve)
-	go r.hub.Run()
-	hub := r.hub
+	go wire.Serve(ctx, l, r.member.Serve)
+	go r.member.Run()
+	hub := r.member
 	go runloop.Run(ctx, nil, 20*time.Millisecond, func(struct{}) {}, func() {
 		lay := hub.Config()
 		if lay == nil {
@@ -214,12 +214,12 @@
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if n := len(r.seen); n > 0 && r.seen[n-1] > lay.Version {
-			f.t.Errorf("%s went back from sequence %d to %d", r.name, r.seen[n-1], lay.Version)
+		if n := len(r.versions); n > 0 && r.versions[n-1] > lay.Version {
+			f.t.Errorf("%s went back from sequence %d to %d", r.name, r.versions[n-1], lay.Version)
 		}
-		if n := len(r.seen); n == 0 || r.seen[n-1] != lay.Version {
-			r.seen = append(r.seen, lay.Version)
-			r.raw[lay.Version] = string(lay.Raw)
+		if n := len(r.versions); n == 0 || r.versions[n-1] != lay.Version {
+			r.versions = append(r.versions, lay.Version)
+			r.rawByVersion[lay.Version] = string(lay.Raw)
 		}
 	})
 }
@@ -279,41 +279,41 @@
 	cli  *coreclient.Client
 }
 
-// machines counts the machines and requests that runs have made beside those of their fleets; runs are parallel.
-var machines atomic.Uint64
+// lastID counts the lastID and requests that runs have made beside those of their fleets; runs are parallel.
+var lastID atomic.Uint64
 
 func (f *fleet) operator() *operator {
-	addr := fmt.Sprintf("10.0.9.%d:1", machines.Add(1))
+	addr := fmt.Sprintf("10.0.9.%d:1", lastID.Add(1))
 	n, _ := f.w.Net(addr)
 	ec := daemon.Context{Context: f.ctx, Name: "op", Log: f.log, Net: n}
-	return &operator{f, addr, coreclient.NewClient(ec, wire.NewCaller(n), append([]string{"10.0.1.1:1", "10.0.1.2:1", "10.0.1.3:1"}, f.founder...))}
+	return &operator{f, addr, coreclient.NewClient(ec, wire.NewCaller(n), append([]string{"10.0.1.1:1", "10.0.1.2:1", "10.0.1.3:1"}, f.founders...))}
 }
 
-// sheet is a small configuration that differs from all others by its mark.
-func sheet(mark int) []byte { return []byte(fmt.Sprintf(`{"limits":{"queue":%d}}`, mark)) }
+// testConfig is a small configuration that differs from all others by its mark.
+func testConfig(mark int) []byte { return []byte(fmt.Sprintf(`{"limits":{"queue":%d}}`, mark)) }
 
-// put is one write as its operator saw it.
-type put struct {
-	mark       int
+// writeRecord is one write as its operator saw it.
+type writeRecord struct {
+	number     int
 	begun, end time.Time
 	code       int // 200, 412, 503 surely not taken, 504 in doubt
-	seq        uint64
+	version    uint64
 	raw        string
 }
 
-func (o *operator) put(mark int, match uint64, id string) put {
-	p := o.write(&coreapi.WriteRequest{ID: id, BaseVersion: match, AnyVersion: match == 0, Raw: sheet(mark)})
-	p.mark = mark
+func (o *operator) put(mark int, match uint64, id string) writeRecord {
+	p := o.write(&coreapi.WriteRequest{ID: id, BaseVersion: match, AnyVersion: match == 0, Raw: testConfig(mark)})
+	p.number = mark
 	return p
 }
 
-// raw puts a whole configuration.
-func (o *operator) raw(lay []byte, id string) put {
+// putRaw puts a whole configuration.
+func (o *operator) putRaw(lay []byte, id string) writeRecord {
 	return o.write(&coreapi.WriteRequest{ID: id, AnyVersion: true, Raw: lay})
 }
 
-func (o *operator) write(in *coreapi.WriteRequest) put {
-	p := put{begun: time.Now(), raw: string(in.Raw)}
+func (o *operator) write(in *coreapi.WriteRequest) writeRecord {
+	p := writeRecord{begun: time.Now(), raw: string(in.Raw)}
 	ctx, end := context.WithTimeout(o.f.ctx, 6*time.Second)
 	defer end()
 	var out coreapi.WriteResponse
@@ -321,7 +321,7 @@
 	p.end = time.Now()
 	switch {
 	case err == nil:
-		p.code, p.seq = out.Code, out.Version
+		p.code, p.version = out.Code, out.Version
 	case coreapi.IsOutcomeUnknown(err):
 		p.code = 504
 	default:
@@ -330,64 +330,64 @@
 	return p
 }
 
-// look is one read as its operator saw it.
-type look struct {
-	begun time.Time
-	seq   uint64
-	raw   string
+// readRecord is one read as its operator saw it.
+type readRecord struct {
+	begun   time.Time
+	version uint64
+	raw     string
 }
 
-// look reads the configuration back.
-func (o *operator) look(b *book) {
-	l := look{begun: time.Now()}
+// read reads the configuration back.
+func (o *operator) read(b *history) {
+	l := readRecord{begun: time.Now()}
 	ctx, end := context.WithTimeout(o.f.ctx, 2*time.Second)
 	defer end()
 	var out coreapi.StoredConfig
 	if o.cli.Call(ctx, "core.layout", &coreapi.ConfigRequest{}, &out, true) != nil {
 		return
 	}
-	l.seq, l.raw = out.Version, string(out.Raw)
+	l.version, l.raw = out.Version, string(out.Raw)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.looks = append(b.looks, l)
+	b.reads = append(b.reads, l)
 }
 
-// book is the history of all writes and reads.
-type book struct {
-	mu    sync.Mutex
-	all   []put
-	looks []look
+// history is the history of all writes and reads.
+type history struct {
+	mu     sync.Mutex
+	writes []writeRecord
+	reads  []readRecord
 }
 
-func (b *book) add(p put) {
+func (b *history) add(p writeRecord) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.all = append(b.all, p)
+	b.writes = append(b.writes, p)
 }
 
 // check holds a history against a register that writes in doubt may or may not have changed.
-func (f *fleet) check(b *book) {
+func (f *fleet) check(b *history) {
 	t := f.t
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	acked := map[uint64]put{}
-	byRaw := map[string]put{}
-	var done []put
-	for _, p := range b.all {
+	acked := map[uint64]writeRecord{}
+	byRaw := map[string]writeRecord{}
+	var done []writeRecord
+	for _, p := range b.writes {
 		byRaw[p.raw] = p
 		if p.code != 200 {
 			continue
 		}
-		if o, twice := acked[p.seq]; twice {
-			t.Errorf("sequence %d acknowledged for marks %d and %d", p.seq, o.mark, p.mark)
+		if o, twice := acked[p.version]; twice {
+			t.Errorf("sequence %d acknowledged for marks %d and %d", p.version, o.number, p.number)
 		}
-		acked[p.seq] = p
+		acked[p.version] = p
 		done = append(done, p)
 	}
 	for _, p := range done {
 		for _, q := range done {
-			if p.end.Before(q.begun) && p.seq >= q.seq {
-				t.Errorf("mark %d was acknowledged as %d before mark %d began, which got %d", p.mark, p.seq, q.mark, q.seq)
+			if p.end.Before(q.begun) && p.version >= q.version {
+				t.Errorf("mark %d was acknowledged as %d before mark %d began, which got %d", p.number, p.version, q.number, q.version)
 			}
 		}
 	}
@@ -398,23 +398,23 @@
 		}
 		told[seq] = raw
 		if p, ok := byRaw[raw]; ok && (p.code == 412 || p.code == 503) {
-			t.Errorf("%s obeyed mark %d, which was answered %d", who, p.mark, p.code)
+			t.Errorf("%s obeyed mark %d, which was answered %d", who, p.number, p.code)
 		}
 		if p, ok := acked[seq]; ok && p.raw != raw {
-			t.Errorf("%s: sequence %d is %q, acknowledged was mark %d", who, seq, raw, p.mark)
+			t.Errorf("%s: sequence %d is %q, acknowledged was mark %d", who, seq, raw, p.number)
 		}
 	}
-	for _, l := range b.looks {
-		see("a reader", l.seq, l.raw)
+	for _, l := range b.reads {
+		see("a reader", l.version, l.raw)
 		for _, p := range done {
-			if p.end.Before(l.begun) && p.seq > l.seq {
-				t.Errorf("read sequence %d after %d had been acknowledged", l.seq, p.seq)
+			if p.end.Before(l.begun) && p.version > l.version {
+				t.Errorf("read sequence %d after %d had been acknowledged", l.version, p.version)
 			}
 		}
 	}
 	for _, r := range f.routers {
 		r.mu.Lock()
-		for seq, raw := range r.raw {
+		for seq, raw := range r.rawByVersion {
 			see(r.name, seq, raw)
 		}
 		r.mu.Unlock()
@@ -428,8 +428,8 @@
 		t.Fatalf("reading back: %v", err)
 	}
 	see("the core", last.Version, string(last.Raw))
-	sort.Slice(done, func(i, j int) bool { return done[i].seq < done[j].seq })
-	if n := len(done); n > 0 && done[n-1].seq > last.Version {
-		t.Errorf("read back sequence %d, but %d was acknowledged", last.Version, done[n-1].seq)
+	sort.Slice(done, func(i, j int) bool { return done[i].version < done[j].version })
+	if n := len(done); n > 0 && done[n-1].version > last.Version {
+		t.Errorf("read back sequence %d, but %d was acknowledged", last.Version, done[n-1].version)
 	}
 }
--- a/internal/testing/sim/fulldisk_test.go
+++ b/internal/testing/sim/fulldisk_test.go
@@ -11,9 +11,9 @@
 func TestFullDiskTakesPartAgain(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		f := grown(t, seed, 2, 1) // each of the two holds every write
-		o, b := f.operator(), &book{}
-		f.acknowledged(o, b)
+		f := newJoinedFleet(t, seed, 2, 1) // each of the two holds every write
+		o, b := f.operator(), &history{}
+		f.mustWrite(o, b)
 		full := f.primary()
 		full.disk.Full(true)
 		refused := o.put(2, 0, "refused")
@@ -23,8 +23,8 @@
 		}
 		time.Sleep(3 * time.Second)
 		full.disk.Full(false)
-		f.within(5*time.Second, "a primary with a sound disk", func() bool { return f.whole(1) })
-		var last put
+		f.within(5*time.Second, "a primary with a sound disk", func() bool { return f.hasAllMembers(1) })
+		var last writeRecord
 		for mark := 3; last.code != 200 && mark < 60; mark++ {
 			last = o.put(mark, 0, fmt.Sprint("after-", mark))
 			b.add(last)
--- a/internal/testing/sim/load_test.go
+++ b/internal/testing/sim/load_test.go
@@ -148,20 +148,20 @@
 				f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
 				f.within(10*time.Second, "all on the roll", func() bool {
 					for _, r := range f.routers {
-						if len(r.hub.Nodes()) < n {
+						if len(r.member.Nodes()) < n {
 							return false
 						}
 					}
 					return true
 				})
 				time.Sleep(3 * time.Second)
-				reach := func(p put) time.Duration {
+				reach := func(p writeRecord) time.Duration {
 					if p.code != 200 {
 						t.Fatalf("write answered %d", p.code)
 					}
 					return f.within(2*time.Second, "all routers obey", func() bool {
 						for _, r := range f.routers {
-							if lay := r.hub.Config(); lay == nil || lay.Version < p.seq {
+							if lay := r.member.Config(); lay == nil || lay.Version < p.version {
 								return false
 							}
 						}
@@ -252,19 +252,19 @@
 		}
 		lay := `{"tenants":{` + strings.Join(ten, ",") + `}}`
 		o := f.operator()
-		p := o.raw([]byte(lay), "")
+		p := o.putRaw([]byte(lay), "")
 		if p.code != 200 {
 			t.Fatalf("a configuration of %d bytes was answered %d", len(lay), p.code)
 		}
 		f.within(2*time.Second, "all obey", func() bool {
 			for _, r := range f.routers {
-				if l := r.hub.Config(); l == nil || l.Version < p.seq {
+				if l := r.member.Config(); l == nil || l.Version < p.version {
 					return false
 				}
 			}
 			return true
 		})
-		if q := o.raw([]byte(lay+strings.Repeat(" ", 1<<20)), ""); q.code != 413 {
+		if q := o.putRaw([]byte(lay+strings.Repeat(" ", 1<<20)), ""); q.code != 413 {
 			t.Errorf("too large a configuration was answered %d", q.code)
 		}
 	})
@@ -283,7 +283,7 @@
 			o := f.operator()
 			go func() {
 				lay := fmt.Sprintf(`{"limits":{"queue":%d}%s}`, i+1, strings.Repeat(" ", 1<<20-100))
-				codes <- o.raw([]byte(lay), fmt.Sprintf("big%d", i)).code
+				codes <- o.putRaw([]byte(lay), fmt.Sprintf("big%d", i)).code
 			}()
 		}
 		sum := map[int]int{}
@@ -306,7 +306,7 @@
 		f := newFleet(t, seed, 2)
 		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
 		o := f.operator()
-		b := &book{}
+		b := &history{}
 		for i := range 5 {
 			b.add(o.put(i+1, 0, ""))
 		}
--- a/internal/testing/sim/membership_test.go
+++ b/internal/testing/sim/membership_test.go
@@ -12,35 +12,35 @@
 	"yarrowridge/internal/testing/sim"
 )
 
-// seedFleet is a world of cores that are told the first three addresses only; none runs yet.
-func seedFleet(t *testing.T, seed uint64, cores, losses int) *fleet {
+// newUnstartedFleet is a world of cores that are told the first three addresses only; none runs yet.
+func newUnstartedFleet(t *testing.T, seed uint64, cores, losses int) *fleet {
 	f := emptyFleet(t, seed)
-	f.lost = 2 * time.Second
+	f.lostAfter = 2 * time.Second
 	for i := range cores {
 		f.cores = append(f.cores, &coreProc{addr: fmt.Sprintf("10.0.0.%d:1", i+1), zone: f.zones[i%4], disk: sim.NewDisk()})
 	}
 	for _, c := range f.cores[:min(3, cores)] {
-		f.founder = append(f.founder, c.addr)
+		f.founders = append(f.founders, c.addr)
 	}
-	f.place = func(c *coreProc) core.Settings {
-		return core.Settings{Addr: c.addr, Seeds: f.founder, Bootstrap: true, Losses: losses, LostAfter: f.lost}
+	f.coreSettings = func(c *coreProc) core.Settings {
+		return core.Settings{Addr: c.addr, Seeds: f.founders, Bootstrap: true, Losses: losses, LostAfter: f.lostAfter}
 	}
 	return f
 }
 
-// grown is such a world with all cores started, once all are members and one of them is primary.
-func grown(t *testing.T, seed uint64, cores, losses int) *fleet {
-	f := seedFleet(t, seed, cores, losses)
+// newJoinedFleet is such a world with all cores started, once all are members and one of them is primary.
+func newJoinedFleet(t *testing.T, seed uint64, cores, losses int) *fleet {
+	f := newUnstartedFleet(t, seed, cores, losses)
 	for _, c := range f.cores {
 		f.startCore(c)
 	}
-	f.within(5*time.Second, "all cores are members", func() bool { return f.whole(losses) })
+	f.within(5*time.Second, "all cores are members", func() bool { return f.hasAllMembers(losses) })
 	return f
 }
 
-// whole reports whether a primary is ready whose members are exactly the cores that run, with as many
+// hasAllMembers reports whether a primary is ready whose members are exactly the cores that run, with as many
 // backups as losses are to be borne.
-func (f *fleet) whole(losses int) bool {
+func (f *fleet) hasAllMembers(losses int) bool {
 	p := f.primary()
 	if p == nil {
 		return false
@@ -58,29 +58,29 @@
 	return len(v.Members) == up && len(v.Backups()) == losses
 }
 
-// at is the core process that holds an identity.
-func (f *fleet) at(id string) *coreProc {
-	c := f.holds(id)
+// coreByID is the core process that holds an identity.
+func (f *fleet) coreByID(id string) *coreProc {
+	c := f.findCore(id)
 	if c == nil {
 		f.t.Fatalf("no core holds identity %s", id)
 	}
 	return c
 }
 
-// wipe gives cores empty disks; they are down.
-func wipe(cores ...*coreProc) {
+// wipeDisks gives cores empty disks; they are down.
+func wipeDisks(cores ...*coreProc) {
 	for _, c := range cores {
 		c.disk = sim.NewDisk()
 	}
 }
 
-// outage writes for a while and tells the longest time without an acknowledgement.
-func (f *fleet) outage(o *operator, b *book, d time.Duration) time.Duration {
+// longestOutage writes for a while and tells the longest time without an acknowledgement.
+func (f *fleet) longestOutage(o *operator, b *history, d time.Duration) time.Duration {
 	begun := time.Now()
 	last, gap := begun, time.Duration(0)
 	for time.Since(begun) < d {
 		b.mu.Lock()
-		mark := len(b.all) + 1
+		mark := len(b.writes) + 1
 		b.mu.Unlock()
 		p := o.put(mark, 0, fmt.Sprint("id-", mark))
 		b.add(p)
@@ -99,7 +99,7 @@
 	for _, n := range []int{3, 5, 9} {
 		t.Run(fmt.Sprint(n, " cores"), func(t *testing.T) {
 			overSeeds(t, func(t *testing.T, seed uint64) {
-				f := seedFleet(t, seed, n, 1)
+				f := newUnstartedFleet(t, seed, n, 1)
 				var lastSeed time.Time
 				seeds, founding := 0, time.Duration(-1)
 				look := func() bool {
@@ -122,9 +122,9 @@
 				if founding > time.Second {
 					t.Errorf("founded %s after the last seed", founding)
 				}
-				f.within(1500*time.Millisecond, "all cores are members", func() bool { return f.whole(1) })
+				f.within(1500*time.Millisecond, "all cores are members", func() bool { return f.hasAllMembers(1) })
 				t.Logf("founded %s after the last seed, whole %s after the last core", founding, time.Since(lastCore))
-				b := &book{}
+				b := &history{}
 				if p := f.operator().put(1, 0, ""); p.code != 200 {
 					t.Errorf("a write was answered %d", p.code)
 				} else {
@@ -141,11 +141,11 @@
 func TestNoFoundingWithoutBootstrap(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		f := seedFleet(t, seed, 5, 1)
-		seeds := [][]string{f.founder, {"10.0.0.9:1"}, {f.founder[0], f.founder[0]}, nil, f.founder}
-		f.place = func(c *coreProc) core.Settings {
+		f := newUnstartedFleet(t, seed, 5, 1)
+		seeds := [][]string{f.founders, {"10.0.0.9:1"}, {f.founders[0], f.founders[0]}, nil, f.founders}
+		f.coreSettings = func(c *coreProc) core.Settings {
 			i := slices.Index(f.cores, c)
-			return core.Settings{Addr: c.addr, Seeds: seeds[i], LostAfter: f.lost, Bootstrap: i == 1 || i == 4}
+			return core.Settings{Addr: c.addr, Seeds: seeds[i], LostAfter: f.lostAfter, Bootstrap: i == 1 || i == 4}
 		}
 		for _, c := range f.cores {
 			f.startCore(c)
@@ -163,14 +163,14 @@
 func TestNothingAcknowledgedAlone(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		f := grown(t, seed, 3, 2)
-		o, b := f.operator(), &book{}
+		f := newJoinedFleet(t, seed, 3, 2)
+		o, b := f.operator(), &history{}
 		b.add(o.put(1, 0, ""))
-		if b.all[0].code != 200 {
-			t.Fatalf("a write was answered %d", b.all[0].code)
+		if b.writes[0].code != 200 {
+			t.Fatalf("a write was answered %d", b.writes[0].code)
 		}
 		v := f.primary().srv.State().View
-		c := f.at(v.Backups()[f.chance(2)])
+		c := f.coreByID(v.Backups()[f.chance(2)])
 		f.crashCore(c)
 		for i := range 4 {
 			p := o.put(2+i, 0, "")
@@ -180,7 +180,7 @@
 			}
 		}
 		f.startCore(c)
-		f.within(5*time.Second, "all three are back", func() bool { return f.whole(2) })
+		f.within(5*time.Second, "all three are back", func() bool { return f.hasAllMembers(2) })
 		f.check(b)
 	})
 }
@@ -189,39 +189,39 @@
 // them back after a crash, and hands all over to the core that comes in its place.
 func TestOnlyCore(t *testing.T) {
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		f := seedFleet(t, seed, 1, 1)
-		f.place = func(c *coreProc) core.Settings {
-			return core.Settings{Addr: c.addr, Seeds: f.founder, Bootstrap: c.addr == f.founder[0], Losses: 1, AllowNoBackup: true, LostAfter: f.lost}
+		f := newUnstartedFleet(t, seed, 1, 1)
+		f.coreSettings = func(c *coreProc) core.Settings {
+			return core.Settings{Addr: c.addr, Seeds: f.founders, Bootstrap: c.addr == f.founders[0], Losses: 1, AllowNoBackup: true, LostAfter: f.lostAfter}
 		}
 		first := f.cores[0]
 		f.startCore(first)
 		f.within(2*time.Second, "founding", func() bool { return f.primary() == first })
-		o, b := f.operator(), &book{}
+		o, b := f.operator(), &history{}
 		b.add(o.put(1, 0, ""))
-		if b.all[0].code != 200 {
-			t.Fatalf("a write was answered %d", b.all[0].code)
+		if b.writes[0].code != 200 {
+			t.Fatalf("a write was answered %d", b.writes[0].code)
 		}
 		f.crashCore(first)
 		time.Sleep(time.Duration(f.chance(3000)) * time.Millisecond)
 		f.startCore(first)
 		f.within(5*time.Second, "the core leads again", func() bool { return f.primary() == first })
-		o.look(b)
+		o.read(b)
 
 		second := &coreProc{addr: "10.0.0.2:1", zone: f.zones[1], disk: sim.NewDisk()}
 		f.cores = append(f.cores, second)
 		f.startCore(second)
-		f.founder = append(f.founder, second.addr)
+		f.founders = append(f.founders, second.addr)
 		o = f.operator()
-		f.within(5*time.Second, "the second holds a copy", func() bool { return f.whole(1) })
+		f.within(5*time.Second, "the second holds a copy", func() bool { return f.hasAllMembers(1) })
 		b.add(o.put(2, 0, ""))
 		first.srv.StepDown()
 		f.crashCore(first)
-		f.within(5*time.Second, "the second leads alone", func() bool { return f.primary() == second && f.whole(0) })
-		o.look(b)
+		f.within(5*time.Second, "the second leads alone", func() bool { return f.primary() == second && f.hasAllMembers(0) })
+		o.read(b)
 		b.add(o.put(3, 0, ""))
-		for _, p := range b.all {
+		for _, p := range b.writes {
 			if p.code != 200 {
-				t.Errorf("write %d was answered %d", p.seq, p.code)
+				t.Errorf("write %d was answered %d", p.version, p.code)
 			}
 		}
 		f.check(b)
@@ -237,8 +237,8 @@
 		for _, who := range []string{"primary first", "backups only"} {
 			t.Run(fmt.Sprintf("%d %s", losses, who), func(t *testing.T) {
 				overSeeds(t, func(t *testing.T, seed uint64) {
-					f := grown(t, seed, 5, losses)
-					o, b := f.operator(), &book{}
+					f := newJoinedFleet(t, seed, 5, losses)
+					o, b := f.operator(), &history{}
 					for round := range 3 {
 						p := o.put(round+1, 0, "")
 						b.add(p)
@@ -255,12 +255,12 @@
 						}
 						var gone []*coreProc
 						for _, id := range holders[:losses] {
-							gone = append(gone, f.at(id))
+							gone = append(gone, f.coreByID(id))
 						}
 						for _, c := range f.cores {
 							f.crashCore(c)
 						}
-						wipe(gone...)
+						wipeDisks(gone...)
 						down := time.Now()
 						for _, k := range f.rnd.Perm(5) {
 							f.startCore(f.cores[k])
@@ -268,12 +268,12 @@
 						}
 						f.within(5*time.Second-time.Since(down), "a primary", func() bool { return f.primary() != nil })
 						t.Logf("read again after %s", time.Since(down))
-						n := len(b.looks)
-						o.look(b)
-						if len(b.looks) == n || b.looks[n].seq < p.seq {
-							t.Errorf("sequence %d was acknowledged and is not read back: %+v", p.seq, b.looks[n:])
+						n := len(b.reads)
+						o.read(b)
+						if len(b.reads) == n || b.reads[n].version < p.version {
+							t.Errorf("sequence %d was acknowledged and is not read back: %+v", p.version, b.reads[n:])
 						}
-						f.within(5*time.Second, "all are members", func() bool { return f.whole(losses) })
+						f.within(5*time.Second, "all are members", func() bool { return f.hasAllMembers(losses) })
 					}
 					f.check(b)
 				})
@@ -284,20 +284,20 @@
 
 // The primary is lost with its disk, and the backup that takes over right after it has: with two losses
 // to bear, the other backup leads on with all that was acknowledged.
-func TestHeirLost(t *testing.T) {
+func TestNewPrimaryLostAfterTakeover(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		f := grown(t, seed, 5, 2)
-		o, b := f.operator(), &book{}
+		f := newJoinedFleet(t, seed, 5, 2)
+		o, b := f.operator(), &history{}
 		for i := range 3 {
 			b.add(o.put(i+1, 0, ""))
 		}
-		if n := len(b.all); b.all[n-1].code != 200 {
-			t.Fatalf("a write was answered %d", b.all[n-1].code)
+		if n := len(b.writes); b.writes[n-1].code != 200 {
+			t.Fatalf("a write was answered %d", b.writes[n-1].code)
 		}
 		lost := f.primary()
 		f.crashCore(lost)
-		wipe(lost)
+		wipeDisks(lost)
 		var heir *coreProc
 		f.within(4*time.Second, "a backup takes over", func() bool {
 			for _, c := range f.cores {
@@ -309,23 +309,23 @@
 			return heir != nil
 		})
 		f.crashCore(heir)
-		wipe(heir)
+		wipeDisks(heir)
 		took := f.within(5*time.Second, "the other backup leads", func() bool { return f.primary() != nil })
 		t.Logf("took %s", took)
 		f.startCore(lost)
 		f.startCore(heir)
-		f.within(5*time.Second, "all are members", func() bool { return f.whole(2) })
+		f.within(5*time.Second, "all are members", func() bool { return f.hasAllMembers(2) })
 		f.check(b)
 	})
 }
 
 // A write reaches one of two backups only before the primary is lost, and is in doubt. Once it was read
 // from the backup that took over, it must be with the other one too: no reader goes back.
-func TestHeirCopiesWhatItShows(t *testing.T) {
+func TestNewPrimaryReplicatesBeforeReads(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		f := grown(t, seed, 5, 2)
-		o, b := f.operator(), &book{}
+		f := newJoinedFleet(t, seed, 5, 2)
+		o, b := f.operator(), &history{}
 		b.add(o.put(1, 0, ""))
 		lost := f.primary()
 		v := lost.srv.State().View
@@ -333,18 +333,18 @@
 		go func() { b.add(o.put(2, 0, "")) }()
 		time.Sleep(40 * time.Millisecond)
 		f.crashCore(lost)
-		wipe(lost)
+		wipeDisks(lost)
 		f.within(4*time.Second, "a backup leads", func() bool { return f.primary() != nil })
-		o.look(b)
+		o.read(b)
 		heir := f.primary()
 		f.crashCore(heir)
-		wipe(heir)
+		wipeDisks(heir)
 		f.within(5*time.Second, "the other backup leads", func() bool { return f.primary() != nil })
-		o.look(b)
-		if n := len(b.looks); n != 2 || b.looks[1].seq < b.looks[0].seq {
-			t.Errorf("reads went back: %+v", b.looks)
+		o.read(b)
+		if n := len(b.reads); n != 2 || b.reads[1].version < b.reads[0].version {
+			t.Errorf("reads went back: %+v", b.reads)
 		}
-		t.Logf("%s of %v led, sequence %d read", heir.addr, addresses(v, v.Backups()), b.looks[0].seq)
+		t.Logf("%s of %v led, sequence %d read", heir.addr, addresses(v, v.Backups()), b.reads[0].version)
 		time.Sleep(7 * time.Second) // the write in doubt ends
 		f.check(b)
 	})
@@ -366,9 +366,9 @@
 		for _, same := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%d cores, %d losses, same address %v", c.cores, c.losses, same), func(t *testing.T) {
 				overSeeds(t, func(t *testing.T, seed uint64) {
-					f := grown(t, seed, c.cores, c.losses)
-					old := f.place
-					f.place = func(p *coreProc) core.Settings {
+					f := newJoinedFleet(t, seed, c.cores, c.losses)
+					old := f.coreSettings
+					f.coreSettings = func(p *coreProc) core.Settings {
 						set := old(p)
 						set.Bootstrap = false
 						set.Seeds = nil
@@ -379,14 +379,14 @@
 						}
 						return set
 					}
-					f.founder = nil
+					f.founders = nil
 					for _, p := range f.cores {
-						f.founder = append(f.founder, p.addr)
+						f.founders = append(f.founders, p.addr)
 					}
-					o, b := f.operator(), &book{}
+					o, b := f.operator(), &history{}
 					var gap time.Duration
 					var all sync.WaitGroup
-					all.Go(func() { gap = f.outage(o, b, time.Duration(c.cores+1)*5*time.Second) })
+					all.Go(func() { gap = f.longestOutage(o, b, time.Duration(c.cores+1)*5*time.Second) })
 					for i := range c.cores + 1 {
 						k := f.chance(c.cores)
 						if p := f.primary(); p != nil && f.chance(2) == 0 {
@@ -401,17 +401,17 @@
 						}
 						f.cores[k] = next
 						f.startCore(next)
-						took := f.within(5*time.Second, "the members are the cores that live", func() bool { return f.whole(c.losses) })
+						took := f.within(5*time.Second, "the members are the cores that live", func() bool { return f.hasAllMembers(c.losses) })
 						time.Sleep(5*time.Second - min(took, 5*time.Second))
 					}
 					all.Wait()
-					t.Logf("%d writes, longest time without one %s", len(b.all), gap)
+					t.Logf("%d writes, longest time without one %s", len(b.writes), gap)
 					if gap > 5*time.Second {
 						t.Errorf("%s without a write", gap)
 					}
-					f.founder = f.founder[:0]
+					f.founders = f.founders[:0]
 					for _, p := range f.cores {
-						f.founder = append(f.founder, p.addr)
+						f.founders = append(f.founders, p.addr)
 					}
 					f.check(b)
 				})
@@ -427,14 +427,14 @@
 	for _, again := range []bool{false, true} {
 		t.Run(fmt.Sprint("started again ", again), func(t *testing.T) {
 			overSeeds(t, func(t *testing.T, seed uint64) {
-				f := grown(t, seed, 5, 1)
-				b := &book{}
+				f := newJoinedFleet(t, seed, 5, 1)
+				b := &history{}
 				o := f.operator()
 				b.add(o.put(1, 0, ""))
 				cut := f.cores[f.chance(5)]
 				id := cut.srv.State().ID
 				next := &coreProc{addr: "10.0.0.20:1", zone: "west", disk: sim.NewDisk()}
-				f.w.Split([]string{cut.addr}, append(f.rest(cut), o.addr, next.addr))
+				f.w.Split([]string{cut.addr}, append(f.addrsExcept(cut), o.addr, next.addr))
 				f.cores = append(f.cores, next)
 				f.startCore(next)
 				f.within(8*time.Second, "the newcomer in place of the one cut off", func() bool {
@@ -454,7 +454,7 @@
 				if again {
 					f.startCore(cut)
 				}
-				f.within(8*time.Second, "all six are members", func() bool { return f.whole(1) })
+				f.within(8*time.Second, "all six are members", func() bool { return f.hasAllMembers(1) })
 				b.add(o.put(3, 0, ""))
 				f.check(b)
 			})
@@ -464,24 +464,24 @@
 
 // A core that comes back with an empty disk at its address proves gone what it was: it is a member in
 // its own place at once, long before a silent member would count as lost.
-func TestBlankCoreTakesItsOwnPlace(t *testing.T) {
+func TestBlankCoreReplacesItself(t *testing.T) {
 	t.Parallel()
 	for _, role := range []string{"primary", "backup", "member"} {
 		t.Run(role, func(t *testing.T) {
 			overSeeds(t, func(t *testing.T, seed uint64) {
-				f := seedFleet(t, seed, 5, 1)
-				f.lost = time.Minute
-				old := f.place
+				f := newUnstartedFleet(t, seed, 5, 1)
+				f.lostAfter = time.Minute
+				old := f.coreSettings
 				for _, c := range f.cores {
 					f.startCore(c)
 				}
-				f.within(5*time.Second, "all cores are members", func() bool { return f.whole(1) })
-				f.place = func(c *coreProc) core.Settings {
+				f.within(5*time.Second, "all cores are members", func() bool { return f.hasAllMembers(1) })
+				f.coreSettings = func(c *coreProc) core.Settings {
 					set := old(c)
 					set.Bootstrap = false
 					return set
 				}
-				o, b := f.operator(), &book{}
+				o, b := f.operator(), &history{}
 				for round := range 4 {
 					b.add(o.put(round+1, 0, ""))
 					v := f.primary().srv.State().View
@@ -493,9 +493,9 @@
 						}
 					}
 					f.crashCore(lost)
-					wipe(lost)
+					wipeDisks(lost)
 					f.startCore(lost)
-					took := f.within(4*time.Second, "the blank core in its own place", func() bool { return f.whole(1) })
+					took := f.within(4*time.Second, "the blank core in its own place", func() bool { return f.hasAllMembers(1) })
 					t.Logf("took %s", took)
 				}
 				f.check(b)
@@ -505,12 +505,12 @@
 }
 
 // More cores than may be members wait, and one of them takes the place of one that is lost.
-func TestMostMembers(t *testing.T) {
+func TestMaxMembers(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		f := seedFleet(t, seed, 7, 1)
-		old := f.place
-		f.place = func(c *coreProc) core.Settings {
+		f := newUnstartedFleet(t, seed, 7, 1)
+		old := f.coreSettings
+		f.coreSettings = func(c *coreProc) core.Settings {
 			set := old(c)
 			set.MaxMembers = 5
 			return set
@@ -543,7 +543,7 @@
 func TestLostMemberStaysWithoutNewcomer(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		f := grown(t, seed, 5, 1)
+		f := newJoinedFleet(t, seed, 5, 1)
 		f.crashCore(f.cores[f.chance(5)])
 		time.Sleep(10 * time.Second)
 		if n := len(f.primary().srv.State().View.Members); n != 5 {
@@ -553,10 +553,10 @@
 }
 
 // What the fleet may go without writes after a fault, over the seeds.
-func TestTroubles(t *testing.T) {
+func TestLongestOutagePerFault(t *testing.T) {
 	t.Parallel()
 	cut := func(f *fleet, lead *coreProc, out, in bool) {
-		for _, a := range f.rest(lead) {
+		for _, a := range f.addrsExcept(lead) {
 			if out {
 				f.w.Cut(lead.addr, a)
 			}
@@ -594,24 +594,24 @@
 		for _, losses := range []int{1, 2} {
 			t.Run(fmt.Sprintf("%s, %d losses", c.name, losses), func(t *testing.T) {
 				overSeeds(t, func(t *testing.T, seed uint64) {
-					f := grown(t, seed, 5, losses)
-					o, b := f.operator(), &book{}
+					f := newJoinedFleet(t, seed, 5, losses)
+					o, b := f.operator(), &history{}
 					b.add(o.put(1, 0, ""))
 					time.Sleep(time.Duration(f.chance(2000)) * time.Millisecond)
 					lead := f.primary()
 					var back []*coreProc
 					for _, id := range lead.srv.State().View.Backups() {
-						back = append(back, f.at(id))
+						back = append(back, f.coreByID(id))
 					}
 					begun := time.Now()
 					c.fault(f, lead, back)
-					gap := f.outage(o, b, 10*time.Second-time.Since(begun))
+					gap := f.longestOutage(o, b, 10*time.Second-time.Since(begun))
 					t.Logf("%s without a write", gap)
 					if gap > c.most {
 						t.Errorf("%s without a write, %s at most expected", gap, c.most)
 					}
 					f.settle()
-					f.within(8*time.Second, "all as before", func() bool { return f.whole(losses) })
+					f.within(8*time.Second, "all as before", func() bool { return f.hasAllMembers(losses) })
 					f.check(b)
 				})
 			})
@@ -621,11 +621,11 @@
 
 // Faults of every kind at random, on a fleet of seven founded from three seeds that bears two losses,
 // while cores are replaced for good: no acknowledged configuration is lost.
-func TestMembershipStorm(t *testing.T) {
+func TestMembershipUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		f := grown(t, seed, 7, 2)
-		b := &book{}
+		f := newJoinedFleet(t, seed, 7, 2)
+		b := &history{}
 		stop := time.Now().Add(60 * time.Second)
 		for i := range 2 {
 			o := f.operator()
@@ -640,7 +640,7 @@
 			o := f.operator()
 			go func() {
 				for time.Now().Before(stop) {
-					o.look(b)
+					o.read(b)
 					time.Sleep(time.Duration(5+f.chance(30)) * time.Millisecond)
 				}
 			}()
@@ -648,13 +648,13 @@
 		for time.Now().Before(stop) {
 			if f.chance(3) == 0 {
 				f.settle()
-				f.within(10*time.Second, "all as before", func() bool { return f.whole(2) })
+				f.within(10*time.Second, "all as before", func() bool { return f.hasAllMembers(2) })
 				lost := f.cores[f.chance(len(f.cores))]
 				if p := f.primary(); p != nil && f.chance(2) == 0 {
 					lost = p
 				}
 				f.crashCore(lost)
-				wipe(lost)
+				wipeDisks(lost)
 				f.startCore(lost)
 			} else {
 				f.fault()
@@ -664,7 +664,7 @@
 		f.settle()
 		time.Sleep(7 * time.Second) // operators' last calls end
 		f.settle()
-		f.within(10*time.Second, "all as before", func() bool { return f.whole(2) })
+		f.within(10*time.Second, "all as before", func() bool { return f.hasAllMembers(2) })
 		p := f.operator().put(99999, 0, "last")
 		b.add(p)
 		if p.code != 200 {
@@ -672,12 +672,12 @@
 		}
 		f.check(b)
 		ok := 0
-		for _, q := range b.all {
+		for _, q := range b.writes {
 			if q.code == 200 {
 				ok++
 			}
 		}
-		t.Logf("%d writes, %d acknowledged", len(b.all), ok)
+		t.Logf("%d writes, %d acknowledged", len(b.writes), ok)
 	})
 }
 
@@ -686,9 +686,9 @@
 func TestClientOutlivesTheMembersItKnew(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		f := grown(t, seed, 3, 1)
-		old := f.place
-		f.place = func(p *coreProc) core.Settings {
+		f := newJoinedFleet(t, seed, 3, 1)
+		old := f.coreSettings
+		f.coreSettings = func(p *coreProc) core.Settings {
 			set := old(p)
 			set.Bootstrap, set.Seeds = false, nil
 			for _, o := range f.cores {
@@ -698,7 +698,7 @@
 			}
 			return set
 		}
-		o, b := f.operator(), &book{}
+		o, b := f.operator(), &history{}
 		b.add(o.put(1, 0, ""))
 		primary := f.primary()
 		mark := 2
@@ -740,9 +740,9 @@
 	for _, others := range []string{"down", "cut off"} {
 		t.Run(others, func(t *testing.T) {
 			overSeeds(t, func(t *testing.T, seed uint64) {
-				f := grown(t, seed, 5, 1)
-				o, b := f.operator(), &book{}
-				acknowledged := f.acknowledged(o, b)
+				f := newJoinedFleet(t, seed, 5, 1)
+				o, b := f.operator(), &history{}
+				acknowledged := f.mustWrite(o, b)
 				blank := f.cores[0] // the seed with the lowest address proposes the first view
 				f.loseDisk(blank)
 				for _, c := range f.cores[1:] {
@@ -750,7 +750,7 @@
 						f.crashCore(c)
 					}
 				}
-				f.w.Split([]string{blank.addr}, f.rest(blank))
+				f.w.Split([]string{blank.addr}, f.addrsExcept(blank))
 				f.startCore(blank)
 				for range 100 {
 					time.Sleep(50 * time.Millisecond)
@@ -764,7 +764,7 @@
 						f.startCore(c)
 					}
 				}
-				f.readsBack(b, acknowledged)
+				f.expectReadBack(b, acknowledged)
 			})
 		})
 	}
--- a/internal/testing/sim/moment_test.go
+++ b/internal/testing/sim/moment_test.go
@@ -13,7 +13,7 @@
 // Router, runner and the core's primary fall at each moment of a query's way, one by one, for once-only,
 // plain and streamed queries. The log tells in which states those queries were that ended badly; queued,
 // nominated (which lasts until the runner's headers are there) and answering have to be among them.
-func TestFallAtEachMoment(t *testing.T) {
+func TestFailureInEachRequestState(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
 	hit := map[string]int{}
--- a/internal/testing/sim/overload_test.go
+++ b/internal/testing/sim/overload_test.go
@@ -16,55 +16,55 @@
 )
 
 const (
-	crowdTenants   = 40
-	crowdTransfers = 10 // of one call
-	crowdInterval  = 100 * time.Millisecond
-	triggerSpan    = 5 * time.Second
-	recoverySpan   = 2 * time.Second // after the trigger is over
-	measureSpan    = 2 * time.Second
+	loadTenants      = 40
+	transfersPerCall = 10 // of one call
+	callInterval     = 100 * time.Millisecond
+	triggerDuration  = 5 * time.Second
+	recoveryDuration = 2 * time.Second // after the trigger is over
+	measureDuration  = 2 * time.Second
 )
 
-// crowd is many holders of quota units, each with one call of transfers under way at most, as a router has.
-type crowd struct {
-	f    *fleet
-	done atomic.Int64 // transfers that were answered
+// quotaLoad is many holders of quota units, each with one call of transfers under way at most, as a router has.
+type quotaLoad struct {
+	f        *fleet
+	answered atomic.Int64 // transfers that were answered
 }
 
-// join adds holders, whose calls all begin at the same moments.
-func (c *crowd) join(holders int) {
+// addHolders adds holders, whose calls all begin at the same moments.
+func (c *quotaLoad) addHolders(holders int) {
 	for range holders {
-		addr := fmt.Sprintf("10.0.9.%d:1", machines.Add(1))
+		addr := fmt.Sprintf("10.0.9.%d:1", lastID.Add(1))
 		network, _ := c.f.w.Net(addr)
 		ctx := daemon.Context{Context: c.f.ctx, Name: addr, Log: c.f.log, Net: network}
-		client := coreclient.NewClient(ctx, wire.NewCaller(network), c.f.founder)
-		go c.transferAlways(client, addr)
+		client := coreclient.NewClient(ctx, wire.NewCaller(network), c.f.founders)
+		go c.transferUntilEnd(client, addr)
 	}
 }
 
-// transferAlways acquires and returns units until the fleet ends. What was not answered is repeated as it was.
-func (c *crowd) transferAlways(client *coreclient.Client, holder string) {
+// transferUntilEnd acquires and returns units until the fleet ends. What was not answered is repeated as it was.
+func (c *quotaLoad) transferUntilEnd(client *coreclient.Client, holder string) {
 	for sequence := uint64(1); c.f.ctx.Err() == nil; {
 		request := coreapi.QuotaTransfersRequest{Holder: holder}
-		for i := range crowdTransfers {
-			tenant := fmt.Sprint("tenant", (int(sequence)+i)%crowdTenants)
+		for i := range transfersPerCall {
+			tenant := fmt.Sprint("tenant", (int(sequence)+i)%loadTenants)
 			request.Transfers = append(request.Transfers, coreapi.QuotaTransfer{Tenant: tenant, Sequence: sequence, Units: 1, Return: sequence%2 == 0})
 		}
 		ctx, cancel := context.WithTimeout(c.f.ctx, 5*time.Second)
 		err := client.Call(ctx, "core.moves", &request, &coreapi.QuotaTransfersResponse{}, true)
 		cancel()
 		if err == nil {
-			c.done.Add(crowdTransfers)
+			c.answered.Add(transfersPerCall)
 			sequence++
 		}
-		time.Sleep(time.Until(time.Now().Truncate(crowdInterval).Add(crowdInterval)))
+		time.Sleep(time.Until(time.Now().Truncate(callInterval).Add(callInterval)))
 	}
 }
 
 // rate is how many transfers a second are answered over a span from now.
-func (c *crowd) rate(span time.Duration) float64 {
-	before := c.done.Load()
+func (c *quotaLoad) rate(span time.Duration) float64 {
+	before := c.answered.Load()
 	time.Sleep(span)
-	return float64(c.done.Load()-before) / span.Seconds()
+	return float64(c.answered.Load()-before) / span.Seconds()
 }
 
 // slowestWrite has an operator write again and again for a span, and gives how long the slowest write took, and how many were
@@ -94,17 +94,19 @@
 // brought the overload about is over, as much is done as before.
 func TestPrimaryUnderOverload(t *testing.T) {
 	for _, test := range []struct {
-		name      string
-		begin     func(f *fleet, c *crowd, primary *coreProc)
-		end       func(f *fleet, primary *coreProc)
-		mostWrite time.Duration // that a write may take
+		name     string
+		begin    func(f *fleet, c *quotaLoad, primary *coreProc)
+		end      func(f *fleet, primary *coreProc)
+		maxWrite time.Duration // that a write may take
 	}{
-		{"primary's disk slowed tenfold", func(_ *fleet, _ *crowd, primary *coreProc) { primary.disk.Slow(100 * time.Millisecond) },
+		{"primary's disk slowed tenfold", func(_ *fleet, _ *quotaLoad, primary *coreProc) { primary.disk.Slow(100 * time.Millisecond) },
 			func(_ *fleet, primary *coreProc) { primary.disk.Slow(0) }, 350 * time.Millisecond},
-		{"a crowd of new holders", func(_ *fleet, c *crowd, _ *coreProc) { c.join(300) }, func(*fleet, *coreProc) {}, 50 * time.Millisecond},
-		{"primary cut off", func(f *fleet, _ *crowd, primary *coreProc) { f.w.Split([]string{primary.addr}, f.rest(primary)) },
+		{"a crowd of new holders", func(_ *fleet, c *quotaLoad, _ *coreProc) { c.addHolders(300) }, func(*fleet, *coreProc) {}, 50 * time.Millisecond},
+		{"primary cut off", func(f *fleet, _ *quotaLoad, primary *coreProc) {
+			f.w.Split([]string{primary.addr}, f.addrsExcept(primary))
+		},
 			func(f *fleet, _ *coreProc) { f.w.Heal() }, 3 * time.Second},
-		{"primary killed", func(f *fleet, _ *crowd, primary *coreProc) { f.crashCore(primary) },
+		{"primary killed", func(f *fleet, _ *quotaLoad, primary *coreProc) { f.crashCore(primary) },
 			func(f *fleet, primary *coreProc) { f.startCore(primary) }, 800 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -112,26 +114,26 @@
 			synctest.Test(t, func(t *testing.T) {
 				f, _ := newDocumentFleet(t, 1, 0)
 				var quotas strings.Builder
-				for tenant := range crowdTenants {
+				for tenant := range loadTenants {
 					fmt.Fprintf(&quotas, "tenant%d 100000\n", tenant)
 				}
 				var version atomic.Uint64
 				if _, written := slowestWrite(f, time.Millisecond, &version, quotas.String()); written != 1 {
 					t.Fatal("the first configuration was not taken")
 				}
-				c := &crowd{f: f}
-				c.join(300)
-				time.Sleep(recoverySpan)
-				before := c.rate(measureSpan)
+				c := &quotaLoad{f: f}
+				c.addHolders(300)
+				time.Sleep(recoveryDuration)
+				before := c.rate(measureDuration)
 				primary := f.primary()
 				test.begin(f, c, primary)
-				slowest, written := slowestWrite(f, triggerSpan, &version, quotas.String())
+				slowest, written := slowestWrite(f, triggerDuration, &version, quotas.String())
 				test.end(f, primary)
-				if slowest > test.mostWrite || written == 0 {
-					t.Errorf("got %d writes of operators acknowledged, the slowest after %s, want it within %s", written, slowest, test.mostWrite)
+				if slowest > test.maxWrite || written == 0 {
+					t.Errorf("got %d writes of operators acknowledged, the slowest after %s, want it within %s", written, slowest, test.maxWrite)
 				}
-				time.Sleep(recoverySpan)
-				if after := c.rate(measureSpan); after < 0.9*before {
+				time.Sleep(recoveryDuration)
+				if after := c.rate(measureDuration); after < 0.9*before {
 					t.Errorf("got %.0f transfers/s after it was over, want at least nine tenths of %.0f", after, before)
 				} else {
 					t.Logf("%.0f transfers/s before, %.0f after; slowest of %d writes %s", before, after, written, slowest)
--- a/internal/testing/sim/promise_test.go
+++ b/internal/testing/sim/promise_test.go
@@ -144,7 +144,7 @@
 		// And after all of it, service: every router answers a once-only query soon.
 		for i, r := range w.full {
 			w.within(12*time.Second, r.name+" serves", func() bool {
-				n := 900000 + machines.Add(1)
+				n := 900000 + lastID.Add(1)
 				return w.send(w.ctx, r, ask{n: n, tenant: "rich", path: "/orders", key: fmt.Sprintf("end%d-%d", i, n), body: map[string]any{"n": n}}).status == 200
 			})
 		}
@@ -268,14 +268,14 @@
 			}
 		}
 		o := w.operator()
-		p := o.raw([]byte(plainLay(quota(20))), "")
+		p := o.putRaw([]byte(plainLay(quota(20))), "")
 		if p.code != 200 {
 			t.Fatalf("the greater part took no configuration: %d", p.code)
 		}
 		w.w.Heal()
 		w.within(2*time.Second, "all obey the newest layout", func() bool {
 			for _, r := range w.full {
-				if r.r.Cluster.Config().Version < p.seq || r.r.Cluster.CoreTimedOut() {
+				if r.r.Cluster.Config().Version < p.version || r.r.Cluster.CoreTimedOut() {
 					return false
 				}
 			}
--- a/internal/testing/sim/quota_test.go
+++ b/internal/testing/sim/quota_test.go
@@ -29,13 +29,13 @@
 		t.Fatal(err)
 	}
 	f.within(2*time.Second, "every router is there", f.everyRouterAt(5))
-	r.late = coreapi.HeartbeatRequest{Node: r.router.hub.Self(), AgeMs: 60_000}
+	r.late = coreapi.HeartbeatRequest{Node: r.router.member.Self(), AgeMs: 60_000}
 	f.crashRouter(r.router)
 	time.Sleep(time.Second)
 	f.startRouter(r.router)
 	f.within(5*time.Second, "the new run is there", f.everyRouterAt(5))
 
-	living := coreapi.Holder(r.router.hub.Self())
+	living := coreapi.Holder(r.router.member.Self())
 	held := 0
 	for sequence := range uint64(30) {
 		held = r.acquire(living, sequence+1)
--- a/internal/testing/sim/recovery_test.go
+++ b/internal/testing/sim/recovery_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// darkBackupMost bounds the time without a write where a backup gives no sign of life.
-const darkBackupMost = 500 * time.Millisecond
+// maxOutageBackupUnreachable bounds the time without a write where a backup gives no sign of life.
+const maxOutageBackupUnreachable = 500 * time.Millisecond
 
-// handoverMost bounds the time without a write where the primary hands over to a backup: less than the term of its lease.
-const handoverMost = 800 * time.Millisecond
+// maxOutageHandover bounds the time without a write where the primary hands over to a backup: less than the term of its lease.
+const maxOutageHandover = 800 * time.Millisecond
 
 // The longest time without a write being taken after each fault, over the seeds: 12 s at most.
 // The log is the table of docs/measurements.md.
@@ -26,11 +26,11 @@
 	}{
 		{"primary killed", func(f *fleet, lead, _ *coreProc) { f.crashCore(lead) }, 0},
 		{"backup killed", func(f *fleet, _, back *coreProc) { f.crashCore(back) }, 0},
-		{"backup dark", func(f *fleet, _, back *coreProc) { f.w.Split([]string{back.addr}, f.rest(back)) }, darkBackupMost},
-		{"primary cut off", func(f *fleet, lead, _ *coreProc) { f.w.Split([]string{lead.addr}, f.rest(lead)) }, 0},
+		{"backup dark", func(f *fleet, _, back *coreProc) { f.w.Split([]string{back.addr}, f.addrsExcept(back)) }, maxOutageBackupUnreachable},
+		{"primary cut off", func(f *fleet, lead, _ *coreProc) { f.w.Split([]string{lead.addr}, f.addrsExcept(lead)) }, 0},
 		{"primary reaches its backup only", func(f *fleet, lead, back *coreProc) {
-			f.w.Split([]string{lead.addr}, f.rest(lead, back))
-		}, handoverMost},
+			f.w.Split([]string{lead.addr}, f.addrsExcept(lead, back))
+		}, maxOutageHandover},
 		{"primary's disk stalls", func(_ *fleet, lead, _ *coreProc) { lead.disk.Stall() }, 0},
 		{"primary's disk is full", func(_ *fleet, lead, _ *coreProc) { lead.disk.Full(true) }, 0},
 		{"backup's disk stalls", func(_ *fleet, _, back *coreProc) { back.disk.Stall() }, 0},
@@ -54,9 +54,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var all []time.Duration
-			for i := range uint64(*seeds) {
+			for i := range uint64(*seedCount) {
 				synctest.Test(t, func(t *testing.T) {
-					f := newFleet(t, *first+i, 2)
+					f := newFleet(t, *firstSeed+i, 2)
 					f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
 					o := f.operator()
 					if p := o.put(1, 0, ""); p.code != 200 {
@@ -94,8 +94,8 @@
 	}
 }
 
-// rest is every machine but those given.
-func (f *fleet) rest(but ...*coreProc) []string {
+// addrsExcept is every machine but those given.
+func (f *fleet) addrsExcept(but ...*coreProc) []string {
 	var out []string
 	for _, c := range f.cores {
 		in := true
@@ -109,5 +109,5 @@
 	for _, r := range f.routers {
 		out = append(out, r.addr)
 	}
-	return append(out, f.more...)
+	return append(out, f.extraAddrs...)
 }
--- a/internal/testing/sim/registry_test.go
+++ b/internal/testing/sim/registry_test.go
@@ -22,7 +22,7 @@
 	client *coreclient.Client
 	mu     sync.Mutex
 	runner routing.Runner
-	mute   bool
+	muted  bool
 }
 
 func (f *fleet) heartbeatSender(i int) *heartbeatSender {
@@ -38,7 +38,7 @@
 // heartbeat sends one heartbeat and reports whether it was acknowledged.
 func (b *heartbeatSender) heartbeat() bool {
 	b.mu.Lock()
-	if b.mute {
+	if b.muted {
 		b.mu.Unlock()
 		return false
 	}
@@ -50,8 +50,8 @@
 	return b.client.SendRunnerHeartbeat(ctx, runner) == nil
 }
 
-// say sets the state and sends heartbeats until it is acknowledged.
-func (b *heartbeatSender) say(state routing.RunnerState) {
+// sendState sets the state and sends heartbeats until it is acknowledged.
+func (b *heartbeatSender) sendState(state routing.RunnerState) {
 	b.mu.Lock()
 	b.runner.State = state
 	b.mu.Unlock()
@@ -62,14 +62,14 @@
 	}
 }
 
-func (b *heartbeatSender) hush(mute bool) {
+func (b *heartbeatSender) setMuted(mute bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.mute = mute
+	b.muted = mute
 }
 
-// knownAs reports whether every router that is up knows a runner in this state; "" stands for not at all.
-func (f *fleet) knownAs(regs map[string]*registry.Registry, id string, state routing.RunnerState) bool {
+// allRoutersKnow reports whether every router that is up knows a runner in this state; "" stands for not at all.
+func (f *fleet) allRoutersKnow(regs map[string]*registry.Registry, id string, state routing.RunnerState) bool {
 	for _, r := range f.routers {
 		found := routing.RunnerState("")
 		for _, runner := range regs[r.name].List() {
@@ -86,7 +86,7 @@
 
 func newRegistryFleet(t *testing.T, seed uint64, routers int) (*fleet, map[string]*registry.Registry) {
 	regs := map[string]*registry.Registry{}
-	f := newFleetOf(t, seed, routers, func(f *fleet) {
+	f := newFleetWith(t, seed, routers, func(f *fleet) {
 		f.options = func(r *routerProc) []cluster.Option {
 			regs[r.name] = registry.New(nil)
 			return []cluster.Option{cluster.WithRegistry(regs[r.name])}
@@ -109,7 +109,7 @@
 		}
 		everyoneReady := func() bool {
 			for _, b := range all {
-				if !f.knownAs(regs, b.runner.ID, routing.RunnerReady) {
+				if !f.allRoutersKnow(regs, b.runner.ID, routing.RunnerReady) {
 					return false
 				}
 			}
@@ -118,12 +118,12 @@
 		f.within(3*time.Second, "all runners are known", everyoneReady)
 		time.Sleep(time.Duration(f.chance(8000)) * time.Millisecond)
 		drains := func(b *heartbeatSender, what string, crash bool) {
-			b.say(routing.RunnerDraining)
+			b.sendState(routing.RunnerDraining)
 			p := f.primary()
 			if crash && p != nil {
 				f.crashCore(p)
 			}
-			took := f.within(1500*time.Millisecond, what, func() bool { return f.knownAs(regs, b.runner.ID, routing.RunnerDraining) })
+			took := f.within(1500*time.Millisecond, what, func() bool { return f.allRoutersKnow(regs, b.runner.ID, routing.RunnerDraining) })
 			t.Logf("%s: %s", what, took)
 			if crash {
 				f.settle()
@@ -133,18 +133,18 @@
 		drains(all[1], "draining is known, though the primary fell", true)
 		f.within(3*time.Second, "the others stay ready", func() bool {
 			for _, b := range all[2:] {
-				if !f.knownAs(regs, b.runner.ID, routing.RunnerReady) {
+				if !f.allRoutersKnow(regs, b.runner.ID, routing.RunnerReady) {
 					return false
 				}
 			}
 			return true
 		})
 		// Many at the same moment, while a router does not answer.
-		f.w.Split([]string{f.routers[8].addr}, append(f.founder, f.routers[0].addr, f.routers[1].addr))
+		f.w.Split([]string{f.routers[8].addr}, append(f.founders, f.routers[0].addr, f.routers[1].addr))
 		begun := time.Now()
 		var many sync.WaitGroup
 		for _, b := range all[2:10] {
-			many.Go(func() { b.say(routing.RunnerDraining) })
+			many.Go(func() { b.sendState(routing.RunnerDraining) })
 		}
 		many.Wait()
 		if took := time.Since(begun); took > time.Second {
@@ -152,40 +152,40 @@
 		}
 		f.settle()
 		for _, b := range all[:10] {
-			f.within(1500*time.Millisecond, "all that drain are known", func() bool { return f.knownAs(regs, b.runner.ID, routing.RunnerDraining) })
+			f.within(1500*time.Millisecond, "all that drain are known", func() bool { return f.allRoutersKnow(regs, b.runner.ID, routing.RunnerDraining) })
 		}
 		// Silence and return, once the new primary has heard all.
 		time.Sleep(3 * time.Second)
-		all[10].hush(true)
+		all[10].setMuted(true)
 		time.Sleep(3 * time.Second)
-		if !f.knownAs(regs, all[10].runner.ID, routing.RunnerReady) {
+		if !f.allRoutersKnow(regs, all[10].runner.ID, routing.RunnerReady) {
 			t.Error("a runner unheard for 3 s is not ready any more")
 		}
-		f.within(2500*time.Millisecond, "the silent one is known", func() bool { return f.knownAs(regs, all[10].runner.ID, routing.RunnerSilent) })
-		all[10].hush(false)
-		f.within(1500*time.Millisecond, "its return is known", func() bool { return f.knownAs(regs, all[10].runner.ID, routing.RunnerReady) })
+		f.within(2500*time.Millisecond, "the silent one is known", func() bool { return f.allRoutersKnow(regs, all[10].runner.ID, routing.RunnerSilent) })
+		all[10].setMuted(false)
+		f.within(1500*time.Millisecond, "its return is known", func() bool { return f.allRoutersKnow(regs, all[10].runner.ID, routing.RunnerReady) })
 		// Leaving is final, also for a late word and for a router that starts anew.
-		all[11].say(routing.RunnerGone)
-		all[11].hush(true)
-		f.within(1500*time.Millisecond, "the one that left is known", func() bool { return f.knownAs(regs, all[11].runner.ID, routing.RunnerGone) })
+		all[11].sendState(routing.RunnerGone)
+		all[11].setMuted(true)
+		f.within(1500*time.Millisecond, "the one that left is known", func() bool { return f.allRoutersKnow(regs, all[11].runner.ID, routing.RunnerGone) })
 		all[11].runner.Sequence += 10
-		all[11].hush(false)
-		all[11].say(routing.RunnerReady)
-		all[11].hush(true)
+		all[11].setMuted(false)
+		all[11].sendState(routing.RunnerReady)
+		all[11].setMuted(true)
 		f.crashRouter(f.routers[4])
 		f.startRouter(f.routers[4])
 		f.within(3*time.Second, "the new router knows them", func() bool {
-			return f.knownAs(regs, all[11].runner.ID, routing.RunnerGone) && f.knownAs(regs, all[0].runner.ID, routing.RunnerDraining)
+			return f.allRoutersKnow(regs, all[11].runner.ID, routing.RunnerGone) && f.allRoutersKnow(regs, all[0].runner.ID, routing.RunnerDraining)
 		})
 		// What is over is forgotten, what lives is not.
-		all[0].hush(true)
+		all[0].setMuted(true)
 		time.Sleep(80 * time.Second)
 		for _, b := range []*heartbeatSender{all[0], all[11]} {
-			if !f.knownAs(regs, b.runner.ID, "") {
+			if !f.allRoutersKnow(regs, b.runner.ID, "") {
 				t.Errorf("%s is still known", b.runner.ID)
 			}
 		}
-		if !f.knownAs(regs, all[10].runner.ID, routing.RunnerReady) || !f.knownAs(regs, all[1].runner.ID, routing.RunnerDraining) {
+		if !f.allRoutersKnow(regs, all[10].runner.ID, routing.RunnerReady) || !f.allRoutersKnow(regs, all[1].runner.ID, routing.RunnerDraining) {
 			t.Error("a living runner is not known any more")
 		}
 	})
@@ -199,17 +199,17 @@
 		f, regs := newRegistryFleet(t, seed, 5)
 		dies, lives := f.heartbeatSender(0), f.heartbeatSender(1)
 		both := func() bool {
-			return f.knownAs(regs, dies.runner.ID, routing.RunnerReady) && f.knownAs(regs, lives.runner.ID, routing.RunnerReady)
+			return f.allRoutersKnow(regs, dies.runner.ID, routing.RunnerReady) && f.allRoutersKnow(regs, lives.runner.ID, routing.RunnerReady)
 		}
 		f.within(3*time.Second, "both are known", both)
 		time.Sleep(time.Duration(3000+f.chance(8000)) * time.Millisecond)
-		dies.hush(true)
+		dies.setMuted(true)
 		f.crashCore(f.primary())
 		took := f.within(10*time.Second, "the dead one is not ready any more", func() bool {
-			if !f.knownAs(regs, lives.runner.ID, routing.RunnerReady) {
+			if !f.allRoutersKnow(regs, lives.runner.ID, routing.RunnerReady) {
 				t.Fatal("the living runner is not known as ready")
 			}
-			return f.knownAs(regs, dies.runner.ID, "") || f.knownAs(regs, dies.runner.ID, routing.RunnerSilent)
+			return f.allRoutersKnow(regs, dies.runner.ID, "") || f.allRoutersKnow(regs, dies.runner.ID, routing.RunnerSilent)
 		})
 		t.Logf("not ready after %s", took)
 	})
@@ -227,14 +227,14 @@
 		}
 		known := func() bool {
 			for _, b := range all[1:] {
-				if !f.knownAs(regs, b.runner.ID, routing.RunnerReady) {
+				if !f.allRoutersKnow(regs, b.runner.ID, routing.RunnerReady) {
 					return false
 				}
 			}
 			return true
 		}
 		f.within(3*time.Second, "all runners are known", known)
-		all[0].hush(true)
+		all[0].setMuted(true)
 		for range 4 {
 			f.crashCore(f.primary())
 			for end := time.Now().Add(time.Duration(2000+f.chance(8000)) * time.Millisecond); time.Now().Before(end); {
@@ -245,7 +245,7 @@
 			}
 			f.settle()
 		}
-		f.within(80*time.Second, "the dead one is dropped", func() bool { return f.knownAs(regs, all[0].runner.ID, "") })
+		f.within(80*time.Second, "the dead one is dropped", func() bool { return f.allRoutersKnow(regs, all[0].runner.ID, "") })
 		if !known() {
 			t.Error("a living runner is not known as ready")
 		}
--- a/internal/testing/sim/restart_test.go
+++ b/internal/testing/sim/restart_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// restart is a fleet with a configuration whose processes have all been killed at one moment.
-func restart(t *testing.T, seed uint64, routers int) (f *fleet, lead, back *coreProc) {
+// newKilledFleet is a fleet with a configuration whose processes have all been killed at one moment.
+func newKilledFleet(t *testing.T, seed uint64, routers int) (f *fleet, lead, back *coreProc) {
 	f = newFleet(t, seed, routers)
 	f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
 	if p := f.operator().put(1, 0, ""); p.code != 200 {
@@ -29,8 +29,8 @@
 	return f, lead, back
 }
 
-// soon is the time until something holds, looked at often; it fails where that is more than the limit.
-func (f *fleet) soon(limit time.Duration, what string, ok func() bool) {
+// expectWithin is the time until something holds, looked at often; it fails where that is more than the limit.
+func (f *fleet) expectWithin(limit time.Duration, what string, ok func() bool) {
 	begun := time.Now()
 	for !ok() {
 		if time.Since(begun) > 5*time.Second {
@@ -43,9 +43,9 @@
 	}
 }
 
-func (f *fleet) served() bool {
+func (f *fleet) allRoutersServe() bool {
 	for _, r := range f.routers {
-		if r.hub.UnavailableReason() != "" {
+		if r.member.UnavailableReason() != "" {
 			return false
 		}
 	}
@@ -56,20 +56,20 @@
 // backup: no step waits for a tick.
 func TestPrimaryIsReadySoon(t *testing.T) {
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		f, _, _ := restart(t, seed, 1)
+		f, _, _ := newKilledFleet(t, seed, 1)
 		for _, c := range f.cores {
 			f.startCore(c)
 		}
-		f.soon(60*time.Millisecond, "a primary", func() bool { return f.primary() != nil })
+		f.expectWithin(60*time.Millisecond, "a primary", func() bool { return f.primary() != nil })
 	})
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		f, _, back := restart(t, seed, 1)
+		f, _, back := newKilledFleet(t, seed, 1)
 		for _, c := range f.cores {
 			if c != back {
 				f.startCore(c)
 			}
 		}
-		f.soon(120*time.Millisecond, "a primary without its former backup", func() bool { return f.primary() != nil })
+		f.expectWithin(120*time.Millisecond, "a primary without its former backup", func() bool { return f.primary() != nil })
 	})
 }
 
@@ -77,10 +77,10 @@
 // core is dark: neither their first heartbeat nor their search for a primary waits for its time.
 func TestRoutersFollowThePrimary(t *testing.T) {
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		f, lead, back := restart(t, seed, 8)
+		f, lead, back := newKilledFleet(t, seed, 8)
 		for _, c := range f.cores {
 			if c != lead && c != back {
-				f.w.Split([]string{c.addr}, f.rest(c))
+				f.w.Split([]string{c.addr}, f.addrsExcept(c))
 				break
 			}
 		}
@@ -91,22 +91,22 @@
 		for _, c := range f.cores {
 			f.startCore(c)
 		}
-		f.soon(5*time.Second, "a primary", func() bool { return f.primary() != nil })
-		f.soon(100*time.Millisecond, "all routers serve", f.served)
+		f.expectWithin(5*time.Second, "a primary", func() bool { return f.primary() != nil })
+		f.expectWithin(100*time.Millisecond, "all routers serve", f.allRoutersServe)
 	})
 }
 
 // A router that starts while a primary is ready serves after some round trips.
 func TestRouterServesSoon(t *testing.T) {
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		f, _, _ := restart(t, seed, 8)
+		f, _, _ := newKilledFleet(t, seed, 8)
 		for _, c := range f.cores {
 			f.startCore(c)
 		}
-		f.soon(5*time.Second, "a primary", func() bool { return f.primary() != nil })
+		f.expectWithin(5*time.Second, "a primary", func() bool { return f.primary() != nil })
 		for _, r := range f.routers {
 			f.startRouter(r)
 		}
-		f.soon(100*time.Millisecond, "all routers serve", f.served)
+		f.expectWithin(100*time.Millisecond, "all routers serve", f.allRoutersServe)
 	})
 }
--- a/internal/testing/sim/router_test.go
+++ b/internal/testing/sim/router_test.go
@@ -111,7 +111,7 @@
 	for i := range n {
 		r := &fullRouter{name: fmt.Sprintf("r%02d", i), zone: w.zones[i%4], addr: fmt.Sprintf("10.0.1.%d:1", i+1), face: fmt.Sprintf("10.0.1.%d:2", i+1)}
 		w.full = append(w.full, r)
-		w.more = append(w.more, r.addr)
+		w.extraAddrs = append(w.extraAddrs, r.addr)
 		w.startFull(r)
 	}
 	for i, s := range runners {
@@ -150,7 +150,7 @@
 func (w *whole) put(lay string) uint64 {
 	w.t.Helper()
 	o := w.operator()
-	p := o.raw([]byte(lay), "")
+	p := o.putRaw([]byte(lay), "")
 	if p.code != 200 {
 		w.t.Fatalf("configuration answered %d", p.code)
 	}
@@ -160,13 +160,13 @@
 				continue
 			}
 			l := r.r.Cluster.Config()
-			if l == nil || l.Version < p.seq || r.r.Cluster.NotReadyReason() != "" || len(r.r.Runners.List()) < len(w.runners) {
+			if l == nil || l.Version < p.version || r.r.Cluster.NotReadyReason() != "" || len(r.r.Runners.List()) < len(w.runners) {
 				return false
 			}
 		}
 		return true
 	})
-	return p.seq
+	return p.version
 }
 
 func (w *whole) startFull(r *fullRouter) {
@@ -177,7 +177,7 @@
 		born = r.born
 	}
 	ec := daemon.Context{Context: ctx, Name: r.name, Zone: r.zone, RunID: born, Log: w.log.With("at", r.name), Net: n}
-	run := router.New(ec, r.addr, r.face, []string{w.founder[0], w.founder[1], "10.0.1.1:1"}, func(ctx context.Context, _, addr string) (net.Conn, error) {
+	run := router.New(ec, r.addr, r.face, []string{w.founders[0], w.founders[1], "10.0.1.1:1"}, func(ctx context.Context, _, addr string) (net.Conn, error) {
 		return n.Dial(ctx, addr)
 	})
 	l, err := n.Listen(r.addr)
--- a/internal/testing/sim/secondloss_test.go
+++ b/internal/testing/sim/secondloss_test.go
@@ -9,17 +9,17 @@
 	"yarrowridge/internal/testing/sim"
 )
 
-// cutOff cuts a core off from all others, routers and operators too.
-func (f *fleet) cutOff(c *coreProc, operators ...*operator) {
-	others := f.rest(c)
+// isolate cuts a core off from all others, routers and operators too.
+func (f *fleet) isolate(c *coreProc, operators ...*operator) {
+	others := f.addrsExcept(c)
 	for _, o := range operators {
 		others = append(others, o.addr)
 	}
 	f.w.Split([]string{c.addr}, others)
 }
 
-// acknowledged makes the first write of a fleet that has no trouble.
-func (f *fleet) acknowledged(o *operator, b *book) put {
+// mustWrite makes the first write of a fleet that has no trouble.
+func (f *fleet) mustWrite(o *operator, b *history) writeRecord {
 	f.t.Helper()
 	p := o.put(1, 0, "")
 	b.add(p)
@@ -32,19 +32,19 @@
 // loseDisk crashes a core and takes its disk away.
 func (f *fleet) loseDisk(c *coreProc) {
 	f.crashCore(c)
-	wipe(c)
+	wipeDisks(c)
 }
 
-// readsBack waits for a primary and holds what is read against the newest acknowledged write.
-func (f *fleet) readsBack(b *book, p put) {
+// expectReadBack waits for a primary and holds what is read against the newest acknowledged write.
+func (f *fleet) expectReadBack(b *history, p writeRecord) {
 	f.t.Helper()
 	took := f.within(12*time.Second, "a primary after the second loss", func() bool { return f.primary() != nil })
 	f.t.Logf("service is back after %s", took)
 	o := f.operator()
-	seen := len(b.looks)
-	o.look(b)
-	if len(b.looks) == seen || b.looks[seen].seq < p.seq {
-		f.t.Errorf("sequence %d was acknowledged and is not read back: %+v", p.seq, b.looks[seen:])
+	seen := len(b.reads)
+	o.read(b)
+	if len(b.reads) == seen || b.reads[seen].version < p.version {
+		f.t.Errorf("sequence %d was acknowledged and is not read back: %+v", p.version, b.reads[seen:])
 	}
 	time.Sleep(7 * time.Second) // writes in doubt end
 	f.check(b)
@@ -55,11 +55,11 @@
 func TestNewPrimaryLostBeforeItCopied(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		f := grown(t, seed, 5, 1)
-		o, b := f.operator(), &book{}
-		acknowledged := f.acknowledged(o, b)
+		f := newJoinedFleet(t, seed, 5, 1)
+		o, b := f.operator(), &history{}
+		acknowledged := f.mustWrite(o, b)
 		old := f.primary()
-		f.cutOff(old, o)
+		f.isolate(old, o)
 		var next *coreProc
 		for next == nil {
 			time.Sleep(time.Millisecond / 4)
@@ -73,7 +73,7 @@
 		time.Sleep(time.Duration(f.chance(2000)) * time.Millisecond)
 		f.w.Heal()
 		f.startCore(next)
-		f.readsBack(b, acknowledged)
+		f.expectReadBack(b, acknowledged)
 	})
 }
 
@@ -82,12 +82,12 @@
 func TestPrimaryLostWhileItReplacesABackup(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		f := grown(t, seed, 5, 1)
-		o, b := f.operator(), &book{}
-		acknowledged := f.acknowledged(o, b)
+		f := newJoinedFleet(t, seed, 5, 1)
+		o, b := f.operator(), &history{}
+		acknowledged := f.mustWrite(o, b)
 		primary := f.primary()
-		backup := f.at(primary.srv.View().Backups()[0])
-		f.cutOff(backup, o)
+		backup := f.coreByID(primary.srv.View().Backups()[0])
+		f.isolate(backup, o)
 		go func() { b.add(o.put(2, 0, "second")) }()
 		for primary.srv.State().Ready {
 			time.Sleep(time.Millisecond / 4)
@@ -97,7 +97,7 @@
 		time.Sleep(time.Duration(f.chance(2000)) * time.Millisecond)
 		f.w.Heal()
 		f.startCore(primary)
-		f.readsBack(b, acknowledged)
+		f.expectReadBack(b, acknowledged)
 	})
 }
 
@@ -106,8 +106,8 @@
 func TestRestartedPrimaryBeginsAnEpoch(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		f := grown(t, seed, 5, 1)
-		o, b := f.operator(), &book{}
+		f := newJoinedFleet(t, seed, 5, 1)
+		o, b := f.operator(), &history{}
 		b.add(o.put(1, 0, ""))
 		primary := f.primary()
 		before := primary.srv.View()
@@ -130,8 +130,8 @@
 		for _, replaced := range []int{1, 2} {
 			t.Run(fmt.Sprintf("%d cores, %d replaced", cores, replaced), func(t *testing.T) {
 				overSeeds(t, func(t *testing.T, seed uint64) {
-					f := grown(t, seed, cores, 1)
-					o, b := f.operator(), &book{}
+					f := newJoinedFleet(t, seed, cores, 1)
+					o, b := f.operator(), &history{}
 					b.add(o.put(1, 0, ""))
 					for i := range replaced {
 						old := f.cores[f.chance(len(f.cores))]
@@ -145,9 +145,9 @@
 						time.Sleep(4 * time.Second)
 					}
 					f.crashCore(f.cores[f.chance(cores)])
-					acknowledged := put{}
+					acknowledged := writeRecord{}
 					f.within(6*time.Second, "a write after the loss", func() bool {
-						acknowledged = o.put(10+len(b.all), 0, "")
+						acknowledged = o.put(10+len(b.writes), 0, "")
 						b.add(acknowledged)
 						return acknowledged.code == 200
 					})
--- a/internal/testing/sim/sessions_test.go
+++ b/internal/testing/sim/sessions_test.go
@@ -17,9 +17,9 @@
 func TestSessionsAreKept(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		f := grown(t, seed, 5, 1)
+		f := newJoinedFleet(t, seed, 5, 1)
 		network, _ := f.w.Net("10.0.7.1:1")
-		client := coreclient.NewClient(daemon.Context{Context: f.ctx, Name: "router", Log: f.log, Net: network}, wire.NewCaller(network), f.founder)
+		client := coreclient.NewClient(daemon.Context{Context: f.ctx, Name: "router", Log: f.log, Net: network}, wire.NewCaller(network), f.founders)
 		keep := func(body []byte) error {
 			ctx, end := context.WithTimeout(f.ctx, 2*time.Second)
 			defer end()
--- a/internal/testing/sim/stream_test.go
+++ b/internal/testing/sim/stream_test.go
@@ -403,7 +403,7 @@
 			case 5:
 				w.w.Cut(r.addr, q.addr) // one way
 			case 6:
-				w.w.Split([]string{r.addr}, append([]string{q.addr, s.addr}, w.founder[:1+w.chance(4)]...))
+				w.w.Split([]string{r.addr}, append([]string{q.addr, s.addr}, w.founders[:1+w.chance(4)]...))
 			case 7:
 				w.w.Heal()
 			default:
@@ -457,7 +457,7 @@
 			p.far = r
 		}
 	}
-	p.everyb = append(append(p.everyb, p.others...), p.founder...)
+	p.everyb = append(append(p.everyb, p.others...), p.founders...)
 	return p
 }
 
--- a/internal/testing/sim/worstdays_test.go
+++ b/internal/testing/sim/worstdays_test.go
@@ -22,7 +22,7 @@
 			overSeeds(t, func(t *testing.T, seed uint64) {
 				f := newFleet(t, seed, 2)
 				f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
-				o, b := f.operator(), &book{}
+				o, b := f.operator(), &history{}
 				b.add(o.put(1, 0, "first"))
 				old := f.primary()
 				for _, c := range f.cores {
@@ -36,21 +36,21 @@
 				begun := time.Now()
 				near := newDirectCaller(f)
 				for time.Since(begun) < 20*time.Second {
-					b.add(o.put(len(b.all)+1, 0, fmt.Sprint("order-", len(b.all))))
-					o.look(b)
+					b.add(o.put(len(b.writes)+1, 0, fmt.Sprint("order-", len(b.writes))))
+					o.read(b)
 					if time.Since(begun) > 2*time.Second { // its lease is over, at its own clock and at all voters
-						near.expectRefusals(t, old.addr, len(b.all))
+						near.expectRefusals(t, old.addr, len(b.writes))
 					}
 					time.Sleep(200 * time.Millisecond)
 				}
 				acknowledged := 0
-				for _, p := range b.all {
+				for _, p := range b.writes {
 					if p.code == 200 {
 						acknowledged++
 					}
 				}
-				if acknowledged < len(b.all)*8/10 {
-					t.Errorf("%d of %d changes were acknowledged by the rest of the core", acknowledged, len(b.all))
+				if acknowledged < len(b.writes)*8/10 {
+					t.Errorf("%d of %d changes were acknowledged by the rest of the core", acknowledged, len(b.writes))
 				}
 				f.settle()
 				f.check(b)
@@ -66,7 +66,7 @@
 }
 
 func newDirectCaller(f *fleet) *directCaller {
-	network, _ := f.w.Net(fmt.Sprintf("10.0.9.%d:1", machines.Add(1)))
+	network, _ := f.w.Net(fmt.Sprintf("10.0.9.%d:1", lastID.Add(1)))
 	return &directCaller{f.ctx, wire.NewCaller(network)}
 }
 
@@ -76,7 +76,7 @@
 	runner := routing.Runner{ID: "i-1", Service: "s", Address: "10.9.0.1:80", State: routing.RunnerGone, Sequence: 9}
 	for kind, request := range map[string]msgp.Marshaler{
 		"core.layout": &coreapi.ConfigRequest{},
-		"core.write":  &coreapi.WriteRequest{ID: fmt.Sprint("near-", number), AnyVersion: true, Raw: sheet(100000 + number)},
+		"core.write":  &coreapi.WriteRequest{ID: fmt.Sprint("near-", number), AnyVersion: true, Raw: testConfig(100000 + number)},
 		"core.beat":   &coreapi.HeartbeatRequest{Node: coreapi.Node{Name: "r99", Addr: "10.0.1.99:1", Run: 1}},
 		"core.runner": &coreapi.RunnerHeartbeat{Runner: runner},
 		"core.move":   &coreapi.QuotaTransfer{},
@@ -93,25 +93,25 @@
 
 // The acknowledgement of a change is lost, and its primary with it: sent again to whoever leads now, after many other changes
 // too, and after all processes were killed, it is acknowledged under the same number. Another change for the base loses.
-func TestRepeatedOrderIsAcknowledgedAgain(t *testing.T) {
+func TestRepeatedWriteIsAcknowledgedAgain(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		f := grown(t, seed, 5, 1)
-		o, b := f.operator(), &book{}
+		f := newJoinedFleet(t, seed, 5, 1)
+		o, b := f.operator(), &history{}
 		base := o.put(1, 0, "first")
 		b.add(base)
-		taken := o.write(&coreapi.WriteRequest{ID: "order", BaseVersion: base.seq, Raw: sheet(2)})
+		taken := o.write(&coreapi.WriteRequest{ID: "order", BaseVersion: base.version, Raw: testConfig(2)})
 		b.add(taken)
 		if taken.code != 200 {
 			t.Fatalf("the order was answered %d", taken.code)
 		}
 		again := func(when string) {
 			t.Helper()
-			repeat := f.operator().write(&coreapi.WriteRequest{ID: "order", BaseVersion: base.seq, Raw: sheet(2)})
-			if repeat.code != 200 || repeat.seq != taken.seq {
-				t.Errorf("%s the order was answered %d at %d, first it was %d", when, repeat.code, repeat.seq, taken.seq)
+			repeat := f.operator().write(&coreapi.WriteRequest{ID: "order", BaseVersion: base.version, Raw: testConfig(2)})
+			if repeat.code != 200 || repeat.version != taken.version {
+				t.Errorf("%s the order was answered %d at %d, first it was %d", when, repeat.code, repeat.version, taken.version)
 			}
-			if rival := f.operator().write(&coreapi.WriteRequest{ID: "rival", BaseVersion: base.seq, Raw: sheet(3)}); rival.code != 412 {
+			if rival := f.operator().write(&coreapi.WriteRequest{ID: "rival", BaseVersion: base.version, Raw: testConfig(3)}); rival.code != 412 {
 				t.Errorf("%s a rival on the same base was answered %d", when, rival.code)
 			}
 		}
@@ -141,14 +141,14 @@
 	for _, role := range []string{"backup", "primary"} {
 		t.Run(role, func(t *testing.T) {
 			overSeeds(t, func(t *testing.T, seed uint64) {
-				f := grown(t, seed, 3, 1)
-				o, b := f.operator(), &book{}
+				f := newJoinedFleet(t, seed, 3, 1)
+				o, b := f.operator(), &history{}
 				for i := range 70 { // so that it has folded once
 					b.add(o.put(1+i, 0, ""))
 				}
 				away := f.primary()
 				if role == "backup" {
-					away = f.at(away.srv.View().Backups()[0])
+					away = f.coreByID(away.srv.View().Backups()[0])
 				}
 				away.disk.Keep(true) // nothing is removed any more: its files are half folded when it dies
 				for i := range 70 {
@@ -157,20 +157,20 @@
 				f.crashCore(away)
 				away.disk.Keep(false)
 				f.within(6*time.Second, "a primary", func() bool { return f.primary() != nil })
-				var newest put
+				var newest writeRecord
 				for i := range 500 {
 					newest = o.put(1000+i, 0, "")
 					b.add(newest)
 				}
 				f.startCore(away)
-				f.within(5*time.Second, "it is a member again", func() bool { return f.whole(1) })
+				f.within(5*time.Second, "it is a member again", func() bool { return f.hasAllMembers(1) })
 				primary := f.primary()
 				f.loseDisk(primary)
 				f.startCore(primary)
-				f.readsBack(b, newest)
-				f.within(8*time.Second, "all cores are members", func() bool { return f.whole(1) })
+				f.expectReadBack(b, newest)
+				f.within(8*time.Second, "all cores are members", func() bool { return f.hasAllMembers(1) })
 				f.makePrimary(away)
-				f.readsBack(b, newest)
+				f.expectReadBack(b, newest)
 				f.check(b)
 			})
 		})
@@ -181,9 +181,9 @@
 func (f *fleet) makePrimary(next *coreProc) {
 	f.t.Helper()
 	for range 12 {
-		f.within(8*time.Second, "all cores are members", func() bool { return f.whole(1) })
+		f.within(8*time.Second, "all cores are members", func() bool { return f.hasAllMembers(1) })
 		primary := f.primary()
-		backup := f.at(primary.srv.View().Backups()[0])
+		backup := f.coreByID(primary.srv.View().Backups()[0])
 		switch {
 		case primary == next:
 			return
@@ -194,7 +194,7 @@
 			f.crashCore(backup)
 			f.within(4*time.Second, "another backup", func() bool {
 				p := f.primary()
-				return p != nil && f.holds(p.srv.View().Backups()[0]) != nil
+				return p != nil && f.findCore(p.srv.View().Backups()[0]) != nil
 			})
 			f.startCore(backup)
 		}
@@ -202,8 +202,8 @@
 	f.t.Errorf("%s does not get to lead", next.addr)
 }
 
-// holds is the running core with an identity, or nil.
-func (f *fleet) holds(id string) *coreProc {
+// findCore is the running core with an identity, or nil.
+func (f *fleet) findCore(id string) *coreProc {
 	for _, c := range f.cores {
 		if c.up && c.srv.State().ID == id {
 			return c
