--- a/internal/testing/sim/core_test.go
+++ b/internal/testing/sim/core_test.go
@@ -16,25 +16,25 @@
 	"yarrowridge/internal/testing/sim"
 )
 
-// Faults of every kind, at random, under operators who race: no acknowledged configuration is lost, no
-// rejected one is ever obeyed, no router goes back, and service returns in time.
+// Random faults of every kind while operators write concurrently: no acknowledged configuration is lost, no rejected one
+// is applied, no router goes back to an older version, and service recovers in time.
 func TestCoreUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 6)
-		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
+		f.within(5*time.Second, "a primary is ready after bootstrap", func() bool { return f.primary() != nil })
 		b := &history{}
 		stop := time.Now().Add(60 * time.Second)
 		for i := range 3 {
 			o := f.operator()
 			go func() {
 				for n := 1; time.Now().Before(stop); n++ {
-					mark := i*1000 + n
+					number := i*1000 + n
 					id := ""
 					if n%2 == 0 {
-						id = fmt.Sprintf("w-%d", mark)
+						id = fmt.Sprintf("w-%d", number)
 					}
-					b.add(o.put(mark, 0, id))
+					b.add(o.put(number, 0, id))
 					time.Sleep(time.Duration(30+f.chance(200)) * time.Millisecond)
 				}
 			}()
@@ -53,17 +53,17 @@
 			time.Sleep(time.Duration(200+f.chance(2500)) * time.Millisecond)
 		}
 		f.settle()
-		time.Sleep(7 * time.Second) // operators' last calls end
+		time.Sleep(7 * time.Second) // until the operators' last calls have ended
 		f.settle()
 		o := f.operator()
 		p := o.put(99999, 0, "last")
 		if p.code != 200 {
-			t.Fatalf("a calm fleet answered %d", p.code)
+			t.Fatalf("a write without any fault was answered with code %d", p.code)
 		}
 		b.add(p)
-		f.within(2*time.Second, "every router obeys the acknowledged layout", func() bool {
+		f.within(2*time.Second, "every router has applied the acknowledged configuration", func() bool {
 			for _, r := range f.routers {
-				if lay := r.member.Config(); lay == nil || lay.Version < p.version {
+				if config := r.member.Config(); config == nil || config.Version < p.version {
 					return false
 				}
 			}
@@ -84,7 +84,7 @@
 	})
 }
 
-// fault brings about one fault, or heals what stands.
+// fault injects a random fault or ends all current ones.
 func (f *fleet) fault() {
 	c := f.cores[f.chance(len(f.cores))]
 	if p := f.primary(); p != nil && f.chance(2) == 0 {
@@ -103,7 +103,7 @@
 	switch f.chance(11) {
 	case 0, 1:
 		f.crashCore(c)
-	case 2: // everything of the core at once
+	case 2: // all cores at once
 		for _, o := range f.cores {
 			f.crashCore(o)
 		}
@@ -111,7 +111,7 @@
 		f.settle()
 	case 3:
 		f.w.Split([]string{c.addr}, rest)
-	case 4: // one way only
+	case 4: // asymmetric: one direction per machine
 		for _, a := range rest {
 			if f.chance(2) == 0 {
 				f.w.Cut(c.addr, a)
@@ -119,11 +119,11 @@
 				f.w.Cut(a, c.addr)
 			}
 		}
-	case 5: // the core in two parts
-		cut := 1 + f.chance(4)
+	case 5: // a partition among the cores
+		size := 1 + f.chance(4)
 		var a, b []string
 		for i, k := range f.perm() {
-			if i < cut {
+			if i < size {
 				a = append(a, f.cores[k].addr)
 			} else {
 				b = append(b, f.cores[k].addr)
@@ -150,19 +150,19 @@
 	}
 }
 
-// A core's disk is lost, again and again: a blank core at a new address gets the seat, unattended,
-// until all five machines have been swapped, while routers know the old seeds only.
+// The cores are lost with their disks one by one, and a blank core at a new address automatically replaces each as a member.
+// Finally all five machines have been replaced, while the routers' seeds still name the old ones.
 func TestEveryCoreIsReplaced(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 4)
-		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
+		f.within(5*time.Second, "a primary is ready after bootstrap", func() bool { return f.primary() != nil })
 		b := &history{}
 		o := f.operator()
 		for i, k := range f.perm() {
 			p := o.put(i+1, 0, "")
 			if p.code != 200 {
-				t.Fatalf("write %d answered %d", i, p.code)
+				t.Fatalf("write %d was answered with code %d", i, p.code)
 			}
 			b.add(p)
 			old := f.cores[k]
@@ -170,7 +170,7 @@
 			next := &coreProc{addr: fmt.Sprintf("10.0.2.%d:1", i+1), zone: old.zone, disk: sim.NewDisk()}
 			f.cores[k] = next
 			f.startCore(next)
-			took := f.within(2*f.lostAfter, "the blank core has the lost one's seat", func() bool {
+			took := f.within(2*f.lostAfter, "the blank core has replaced the lost one as a member", func() bool {
 				p := f.primary()
 				if p == nil {
 					return false
@@ -185,36 +185,36 @@
 				}
 				return has && len(v.Members) == 5
 			})
-			t.Logf("seat taken over after %s, lost after %s", took, f.lostAfter)
+			t.Logf("member replaced after %s, with members counted as lost after %s", took, f.lostAfter)
 		}
 		p := o.put(77, 0, "")
 		b.add(p)
 		if p.code != 200 {
-			t.Fatalf("after the swap a write was answered %d", p.code)
+			t.Fatalf("after all cores had been replaced a write was answered with code %d", p.code)
 		}
-		f.within(2*time.Second, "routers follow to the new machines", func() bool {
+		f.within(2*time.Second, "routers have found the new cores", func() bool {
 			for _, r := range f.routers {
-				if lay := r.member.Config(); lay == nil || lay.Version != p.version || r.member.CoreTimedOut() {
+				if config := r.member.Config(); config == nil || config.Version != p.version || r.member.CoreTimedOut() {
 					return false
 				}
 			}
 			return true
 		})
-		// Every router starts again with seeds that name machines long gone; then every process does.
+		// All routers restart, while the cores that their seeds name no longer exist. Then all routers and cores restart.
 		ready := func() bool {
 			for _, r := range f.routers {
-				if lay := r.member.Config(); lay == nil || lay.Version < p.version || r.member.NotReadyReason() != "" {
+				if config := r.member.Config(); config == nil || config.Version < p.version || r.member.NotReadyReason() != "" {
 					return false
 				}
 			}
 			return true
 		}
-		for _, cores := range []bool{false, true} {
+		for _, restartCores := range []bool{false, true} {
 			for _, r := range f.routers {
 				f.crashRouter(r)
 			}
 			for _, c := range f.cores {
-				if cores {
+				if restartCores {
 					f.crashCore(c)
 				}
 			}
@@ -222,51 +222,51 @@
 				f.startRouter(r)
 			}
 			for _, c := range f.cores {
-				if cores {
+				if restartCores {
 					f.startCore(c)
 				}
 			}
-			f.within(12*time.Second, fmt.Sprintf("routers find the new machines, cores killed too: %v", cores), ready)
+			f.within(12*time.Second, fmt.Sprintf("routers find the new cores, cores restarted too: %v", restartCores), ready)
 		}
 		f.check(b)
 	})
 }
 
-// The primary's machine, disk and all, is gone right after an acknowledgement: nothing is lost,
-// and service is back in time. Primary and backup never stand in one zone where they need not.
+// The primary is lost with its disk right after an acknowledgement: nothing is lost, and service recovers in time. Primary
+// and backup are never in one zone while a core in another zone is available.
 func TestPrimaryLost(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 4)
-		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
+		f.within(5*time.Second, "a primary is ready after bootstrap", func() bool { return f.primary() != nil })
 		b := &history{}
 		o := f.operator()
 		for i := range 3 {
 			p := o.put(i+1, 0, "")
 			if p.code != 200 {
-				t.Fatalf("write answered %d", p.code)
+				t.Fatalf("a write was answered with code %d", p.code)
 			}
 			b.add(p)
 			lost := f.primary()
 			if v := lost.srv.State().View; v.ZoneOf(v.Primary) == v.ZoneOf(v.FirstBackup) {
-				t.Errorf("primary and backup both stand in zone %s", v.ZoneOf(v.Primary))
+				t.Errorf("primary and backup are both in zone %s", v.ZoneOf(v.Primary))
 			}
 			f.crashCore(lost)
 			lost.disk = sim.NewDisk()
-			took := f.within(6*time.Second, "another primary", func() bool { return f.primary() != nil })
+			took := f.within(6*time.Second, "another core is primary", func() bool { return f.primary() != nil })
 			f.startCore(lost) // blank, at the old address
 			if i == 0 {
 				t.Logf("takeover took %s", took)
 			}
-			f.within(2*time.Second, "every router obeys the acknowledged layout", func() bool {
+			f.within(2*time.Second, "every router has applied the acknowledged configuration", func() bool {
 				for _, r := range f.routers {
-					if lay := r.member.Config(); lay == nil || lay.Version < p.version {
+					if config := r.member.Config(); config == nil || config.Version < p.version {
 						return false
 					}
 				}
 				return true
 			})
-			f.within(15*time.Second, "five members again", func() bool {
+			f.within(15*time.Second, "the fleet has five members again", func() bool {
 				p := f.primary()
 				return p != nil && len(p.srv.State().View.Members) == 5 && p.srv.State().View.Addr(lost.srv.State().ID) != ""
 			})
@@ -275,13 +275,13 @@
 	})
 }
 
-// A primary cut off from the other cores, but not from its readers, answers nothing once its
-// lease is over: whoever reaches it must not read what another primary has replaced.
+// A primary that is partitioned from the other cores, but not from its clients, answers nothing once its lease has expired:
+// clients that still reach it must not read a configuration that another primary has replaced.
 func TestStalePrimary(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 2)
-		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
+		f.within(5*time.Second, "a primary is ready after bootstrap", func() bool { return f.primary() != nil })
 		b := &history{}
 		near, far := f.operator(), f.operator()
 		b.add(near.put(1, 0, ""))
@@ -300,23 +300,23 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		if n := len(b.reads); n < 2 {
-			t.Errorf("%d reads answered, at least those before the cut expected", n)
+			t.Errorf("%d reads were answered, want at least 2", n)
 		}
 		f.settle()
 		f.check(b)
 		if b.writes[len(b.writes)-1].code != 200 {
-			t.Error("the rest of the core did not take a write")
+			t.Error("the other cores did not acknowledge a write")
 		}
 	})
 }
 
-// A primary that reaches its backup but no majority must let the backup go on: the backup can
-// reach the others, and the fleet must not wait for the primary's links.
+// A primary that reaches its backup but no majority must let the backup take over: the backup reaches the other cores, and
+// the fleet must not wait until the primary reaches them again.
 func TestBackupTakesOverFromPrimaryWithoutMajority(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 2)
-		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
+		f.within(5*time.Second, "a primary is ready after bootstrap", func() bool { return f.primary() != nil })
 		o := f.operator()
 		b := &history{}
 		b.add(o.put(1, 0, ""))
@@ -330,12 +330,12 @@
 		}
 		f.w.Split([]string{old.addr}, rest)
 		time.Sleep(100 * time.Millisecond)
-		took := f.within(12*time.Second, "the backup leads", func() bool {
+		took := f.within(12*time.Second, "the backup is primary", func() bool {
 			p := f.primary()
 			return p != nil && p != old
 		})
-		t.Logf("took %s", took)
-		f.within(3*time.Second, "a write", func() bool {
+		t.Logf("takeover took %s", took)
+		f.within(3*time.Second, "a write is acknowledged", func() bool {
 			p := o.put(2+len(b.writes), 0, "")
 			b.add(p)
 			return p.code == 200
@@ -345,17 +345,17 @@
 	})
 }
 
-// A claim let go before its own taking has arrived (the taking was long under way) must not stand
-// afterwards: nobody would ever end it, and the key could not be used again.
+// The release of a claim overtakes its delayed claim request. The claim must not be granted then: it would never be
+// released, and the key would stay unusable.
 func TestClaimArrivesAfterItsRelease(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 1)
-		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
+		f.within(5*time.Second, "a primary is ready after bootstrap", func() bool { return f.primary() != nil })
 		o := f.operator()
 		call := func(kind string, in msgp.Marshaler, out msgp.Unmarshaler) {
-			ctx, end := context.WithTimeout(f.ctx, 5*time.Second)
-			defer end()
+			ctx, cancel := context.WithTimeout(f.ctx, 5*time.Second)
+			defer cancel()
 			if err := o.cli.Call(ctx, kind, in, out, true); err != nil {
 				t.Fatalf("%s: %v", kind, err)
 			}
@@ -367,60 +367,60 @@
 		var late, next, third coreapi.ClaimResponse
 		call("core.take", &coreapi.ClaimRequest{Key: "t/k", Claim: claim("late")}, &late)
 		if late.Granted {
-			t.Error("a claim that had been let go was granted")
+			t.Error("a released claim was granted")
 		}
 		call("core.take", &coreapi.ClaimRequest{Key: "t/k", Claim: claim("next")}, &next)
 		if !next.Granted {
-			t.Errorf("the key could not be used again: %+v", next)
+			t.Errorf("a key was not granted again after its release: %+v", next)
 		}
 		call("core.take", &coreapi.ClaimRequest{Key: "t/k", Claim: claim("third")}, &third)
 		if third.Granted {
-			t.Error("a standing claim was granted to another")
+			t.Error("a key was granted to a second claimant")
 		}
 	})
 }
 
-// A once-only key is known with its outcome for as long as documented, over a hand-over, and that it
-// ran for far longer; then, and when its query was let go unsent, it may be taken anew.
+// An idempotency key keeps its outcome for at least claim_keep_s, across a change of the primary, and the fact that its
+// request ran for ran_keep_s. After that, or once its claim was released unsent, the key may be claimed again.
 func TestIdempotencyKeyRetention(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 1)
-		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
+		f.within(5*time.Second, "a primary is ready after bootstrap", func() bool { return f.primary() != nil })
 		o := f.operator()
 		if p := o.putRaw([]byte(`{"limits":{"claim_keep_s":60,"ran_keep_s":1500}}`), ""); p.code != 200 {
 			t.Fatal(p.code)
 		}
 		call := func(kind string, in msgp.Marshaler, out msgp.Unmarshaler) {
-			ctx, end := context.WithTimeout(f.ctx, 5*time.Second)
-			defer end()
+			ctx, cancel := context.WithTimeout(f.ctx, 5*time.Second)
+			defer cancel()
 			if err := o.cli.Call(ctx, kind, in, out, true); err != nil {
 				t.Fatal(err)
 			}
 		}
 		id := 0
-		take := func(key string) (out coreapi.ClaimResponse, c coreapi.Claim) {
+		claim := func(key string) (out coreapi.ClaimResponse, c coreapi.Claim) {
 			id++
 			c = coreapi.Claim{RequestHash: "s", Claimant: fmt.Sprint(id), Node: "n", NodeRun: 1}
 			call("core.take", &coreapi.ClaimRequest{Key: key, Claim: c}, &out)
 			return out, c
 		}
-		expect := func(key, when string, got, ran bool) {
+		expect := func(key, when string, granted, ran bool) {
 			t.Helper()
-			if out, _ := take(key); out.Granted != got || out.AlreadyRan != ran {
-				t.Errorf("%s %s: granted %v, ran %v", key, when, out.Granted, out.AlreadyRan)
+			if out, _ := claim(key); out.Granted != granted || out.AlreadyRan != ran {
+				t.Errorf("%s %s: granted %v, already ran %v", key, when, out.Granted, out.AlreadyRan)
 			}
 		}
 		expect("t/k", "at first", true, false)
-		_, c := take("t/done")
+		_, c := claim("t/done")
 		c.State, c.Status, c.HasResponse = coreapi.ClaimDone, 200, true
 		call("core.settle", &coreapi.CompleteClaimRequest{Key: "t/done", Claim: c}, nil)
-		_, c = take("t/free")
+		_, c = claim("t/free")
 		call("core.settle", &coreapi.CompleteClaimRequest{Key: "t/free", Release: true, Claim: c}, nil)
 		time.Sleep(50 * time.Second)
 		expect("t/k", "within the span", false, false)
 		f.crashCore(f.primary())
-		f.within(6*time.Second, "another primary", func() bool { return f.primary() != nil })
+		f.within(6*time.Second, "another core is primary", func() bool { return f.primary() != nil })
 		time.Sleep(40 * time.Second)
 		expect("t/k", "after a hand-over", false, false)
 		time.Sleep(45 * time.Second)
@@ -428,10 +428,10 @@
 			expect(k, "after the span", false, true)
 		}
 		expect("t/free", "let go unsent", true, false)
-		// Many more keys come and end, so that parts merge, and the primary changes twice.
+		// Many more keys are claimed and expire, so that chunks of finished keys merge, and the primary changes several times.
 		for i := range 40 {
 			for j := range 30 {
-				if out, _ := take(fmt.Sprintf("t/%d-%d", i, j)); !out.Granted {
+				if out, _ := claim(fmt.Sprintf("t/%d-%d", i, j)); !out.Granted {
 					t.Fatal("a new key was not granted")
 				}
 			}
@@ -443,23 +443,22 @@
 						f.startCore(c)
 					}
 				}
-				f.within(6*time.Second, "another primary", func() bool { return f.primary() != nil })
+				f.within(6*time.Second, "another core is primary", func() bool { return f.primary() != nil })
 			}
 		}
 		time.Sleep(200 * time.Second)
 		for _, k := range []string{"t/k", "t/done", "t/0-0", "t/17-29", "t/39-3"} {
 			expect(k, "much later", false, true)
 		}
-		if parts := f.primary().srv.State().FinishedKeyChunks; parts > 20 {
-			t.Errorf("%d parts after forty sweeps", parts)
+		if chunks := f.primary().srv.State().FinishedKeyChunks; chunks > 20 {
+			t.Errorf("%d chunks of finished keys after forty rounds of claims", chunks)
 		}
 		time.Sleep(1600 * time.Second)
 		expect("t/k", "after the long span", true, false)
 	})
 }
 
-// When as many keys that ran are kept as allowed, a new key is refused in plain words, and none of
-// the old ones is forgotten.
+// Once ran_most keys that ran are kept, a new key is rejected with its own error code, and no old key is forgotten.
 func TestNewKeyRejectedAtKeyLimit(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -472,29 +471,29 @@
 		}
 		for n := range uint64(5) {
 			if g := order(n + 1); g.status != 200 {
-				t.Fatalf("%d %s", g.status, g.code)
+				t.Fatalf("request answered %d %s", g.status, g.code)
 			}
 		}
 		time.Sleep(45 * time.Second)
 		for n := range uint64(5) {
 			if g := order(n + 1); g.code != "ran-before" || g.run != "unknown" {
-				t.Errorf("asked again: %d %s %s", g.status, g.code, g.run)
+				t.Errorf("repeated request: %d %s %s", g.status, g.code, g.run)
 			}
 		}
 		if g := order(6); g.code != "keys-full" || g.run != "not run" || g.retry == "" {
-			t.Errorf("a sixth key where five are kept: %d %s, %s, Retry-After %q", g.status, g.code, g.run, g.retry)
+			t.Errorf("sixth key with a limit of five: %d %s, %s, Retry-After %q", g.status, g.code, g.run, g.retry)
 		}
 		w.honest(l)
 	})
 }
 
-// After a hand-over an hour's claims end at once: in batches that fit a frame, so that none of it costs
-// the primary its backup.
+// After a change of the primary, thousands of claims expire at the same time. They are removed in batches that fit a frame,
+// so that the primary does not lose its backup over them.
 func TestManyClaimsExpireAtOnce(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 1)
-		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
+		f.within(5*time.Second, "a primary is ready after bootstrap", func() bool { return f.primary() != nil })
 		o := f.operator()
 		if p := o.putRaw([]byte(`{"limits":{"claim_keep_s":20}}`), ""); p.code != 200 {
 			t.Fatal(p.code)
@@ -505,58 +504,58 @@
 		for i := range 200 {
 			all.Go(func() {
 				for j := range many / 200 {
-					ctx, end := context.WithTimeout(f.ctx, 20*time.Second)
+					ctx, cancel := context.WithTimeout(f.ctx, 20*time.Second)
 					var out coreapi.ClaimResponse
 					if err := o.cli.Call(ctx, "core.take", &coreapi.ClaimRequest{Key: fmt.Sprintf("t/%s-%d-%d", long, i, j), Claim: coreapi.Claim{RequestHash: "s", Claimant: fmt.Sprint(i, j), Node: "n", NodeRun: 1}}, &out, true); err != nil || !out.Granted {
 						t.Error(err, out)
 					}
-					end()
+					cancel()
 				}
 			})
 		}
 		all.Wait()
 		f.crashCore(f.primary())
-		f.within(6*time.Second, "another primary", func() bool { return f.primary() != nil })
+		f.within(6*time.Second, "another core is primary", func() bool { return f.primary() != nil })
 		epoch := f.primary().srv.State().View.Epoch
-		f.within(60*time.Second, "all claims have ended", func() bool { p := f.primary(); return p != nil && p.srv.State().Claims == 0 })
+		f.within(60*time.Second, "all claims have expired", func() bool { p := f.primary(); return p != nil && p.srv.State().Claims == 0 })
 		if e := f.primary().srv.State().View.Epoch; e != epoch {
-			t.Errorf("the view went from epoch %d to %d", epoch, e)
+			t.Errorf("the view changed from epoch %d to %d", epoch, e)
 		}
 	})
 }
 
-// A write to the backup that was long under way arrives after that backup has taken over: its primary's
-// lease can't help any more, the epoch has to.
+// A delayed replication request arrives after the backup has taken over. The lease of its primary no longer protects the
+// backup then, so the backup has to reject the request by its epoch.
 func TestLateReplicationFromDeposedPrimary(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 2)
-		f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
+		f.within(5*time.Second, "a primary is ready after bootstrap", func() bool { return f.primary() != nil })
 		o := f.operator()
 		first := o.put(1, 0, "")
 		lost := f.primary()
 		v := lost.srv.State().View
 		f.crashCore(lost)
-		f.within(6*time.Second, "the backup leads", func() bool { p := f.primary(); return p != nil && p != lost })
-		heir := f.primary()
-		if heir.addr != v.Addr(v.FirstBackup) {
-			t.Fatalf("%s leads, %s was backup", heir.addr, v.Addr(v.FirstBackup))
+		f.within(6*time.Second, "the backup is primary", func() bool { p := f.primary(); return p != nil && p != lost })
+		successor := f.primary()
+		if successor.addr != v.Addr(v.FirstBackup) {
+			t.Fatalf("%s is primary, but %s was the backup", successor.addr, v.Addr(v.FirstBackup))
 		}
 		late, err := (&coreapi.StoredConfig{Version: first.version + 1, Raw: testConfig(99)}).MarshalMsg(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		in := replication.ReplicateRequest{View: v, Primary: v.Primary, Batch: store.Batch{Version: heir.srv.State().StoreVersion + 1, Mutations: []store.Mutation{{Key: "layout", Value: late}}}}
+		in := replication.ReplicateRequest{View: v, Primary: v.Primary, Batch: store.Batch{Version: successor.srv.State().StoreVersion + 1, Mutations: []store.Mutation{{Key: "layout", Value: late}}}}
 		raw, err := in.MarshalMsg(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := heir.srv.Handle(f.ctx, "core.hold", raw); err == nil {
-			t.Error("a deposed primary's write was held")
+		if _, err := successor.srv.Handle(f.ctx, "core.hold", raw); err == nil {
+			t.Error("a deposed primary's write was accepted")
 		}
-		// What is read is what a change is made against.
+		// The rejected write has not changed the version that later writes are based on.
 		if p := o.put(2, first.version, ""); p.code != 200 || p.version != first.version+1 {
-			t.Errorf("a change against sequence %d was answered %d at %d", first.version, p.code, p.version)
+			t.Errorf("a write based on version %d was answered with code %d at version %d", first.version, p.code, p.version)
 		}
 	})
 }
--- a/internal/testing/sim/fleet_test.go
+++ b/internal/testing/sim/fleet_test.go
@@ -29,12 +29,12 @@
 )
 
 var (
-	seedCount = flag.Int("seeds", 4, "how many seeds each simulated run takes")
+	seedCount = flag.Int("seeds", 4, "number of seeds to run each simulation with")
 	firstSeed = flag.Uint64("seed", 1, "first seed")
-	printLogs = flag.Bool("loud", false, "print the processes' logs")
+	printLogs = flag.Bool("loud", false, "print the logs of the simulated processes")
 )
 
-// overSeeds runs a simulated history for every seed, each in a bubble of its own.
+// overSeeds runs a simulation as a subtest for each seed, each in its own synctest bubble.
 func overSeeds(t *testing.T, run func(t *testing.T, seed uint64)) {
 	for i := range uint64(*seedCount) {
 		seed := *firstSeed + i
@@ -44,7 +44,7 @@
 	}
 }
 
-// fleet is a simulated fleet: real code of cores and routers in a made world.
+// fleet runs the production code of cores and routers on simulated networks, disks and clocks.
 type fleet struct {
 	t            *testing.T
 	w            *sim.World
@@ -58,10 +58,10 @@
 	cancel       context.CancelFunc
 	lostAfter    time.Duration
 	founders     []string
-	codec        configuration.Codec                // of the cores; nil: configurations
-	options      func(*routerProc) []cluster.Option // of the routers' hubs
-	coreSettings func(c *coreProc) core.Settings    // in place of the usual settings of a core
-	extraAddrs   []string                           // addresses that a fault may cut off from a core, besides cores and routers
+	codec        configuration.Codec                // of the cores' configuration documents; nil: the default codec
+	options      func(*routerProc) []cluster.Option // of the routers' cluster members
+	coreSettings func(c *coreProc) core.Settings    // replaces the default settings of a core if set
+	extraAddrs   []string                           // further addresses that network faults include, besides cores and routers
 }
 
 type coreProc struct {
@@ -82,7 +82,7 @@
 	rawByVersion     map[uint64]string
 }
 
-// emptyFleet is a made world without any process yet.
+// emptyFleet returns a fleet without any process.
 func emptyFleet(t *testing.T, seed uint64) *fleet {
 	f := &fleet{t: t, w: sim.NewWorld(seed), rnd: rand.New(rand.NewPCG(seed, 1)), zones: []string{"east", "north", "south", "west"}, lostAfter: 6 * time.Second}
 	out := io.Discard
@@ -95,11 +95,12 @@
 	return f
 }
 
+// newFleet starts five cores and a number of routers.
 func newFleet(t *testing.T, seed uint64, routers int) *fleet {
 	return newFleetWith(t, seed, routers, nil)
 }
 
-// newFleetWith starts a fleet that prepare has changed first.
+// newFleetWith is newFleet with a function that adjusts the fleet before any process starts.
 func newFleetWith(t *testing.T, seed uint64, routers int, prepare func(*fleet)) *fleet {
 	f := emptyFleet(t, seed)
 	if prepare != nil {
@@ -121,14 +122,14 @@
 	return f
 }
 
-// chance draws a number below n from the run's seed.
+// chance returns a random number in [0, n) from the generator of the run's seed.
 func (f *fleet) chance(n int) int {
 	f.rndMu.Lock()
 	defer f.rndMu.Unlock()
 	return f.rnd.IntN(n)
 }
 
-// perm draws an order of the five cores.
+// perm returns a random permutation of the indices of five cores.
 func (f *fleet) perm() []int {
 	f.rndMu.Lock()
 	defer f.rndMu.Unlock()
@@ -144,14 +145,14 @@
 	for _, r := range f.routers {
 		f.crashRouter(r)
 	}
-	time.Sleep(10 * time.Second) // simulated: let every task see the end
+	time.Sleep(10 * time.Second) // simulated time for every goroutine to notice the cancellation
 	synctest.Wait()
 }
 
 func (f *fleet) startCore(c *coreProc) {
 	n, crash := f.w.Net(c.addr)
-	ctx, end := context.WithCancel(f.ctx)
-	c.crash = func() { end(); crash() }
+	ctx, cancel := context.WithCancel(f.ctx)
+	c.crash = func() { cancel(); crash() }
 	ec := daemon.Context{Context: ctx, Name: c.addr, Zone: c.zone, RunID: uint64(time.Now().UnixNano()), Log: f.log.With("at", c.addr), Net: n}
 	var srv *core.Server
 	var err error
@@ -159,7 +160,7 @@
 	if f.coreSettings != nil {
 		set = f.coreSettings(c)
 	}
-	for range 40 { // a stalled or full disk keeps a process from starting
+	for range 40 { // a process can't start while its disk is stalled or full
 		srv, err = core.Open(ec.WithComponent("core"), set, c.disk.Use())
 		if err == nil {
 			break
@@ -182,14 +183,14 @@
 	if c.up {
 		c.up = false
 		c.crash()
-		c.disk.Use() // whatever the dead run still does to its disk is lost
+		c.disk.Use() // discards later disk operations of the crashed process
 	}
 }
 
 func (f *fleet) startRouter(r *routerProc) {
 	n, crash := f.w.Net(r.addr)
-	ctx, end := context.WithCancel(f.ctx)
-	r.crash = func() { end(); crash() }
+	ctx, cancel := context.WithCancel(f.ctx)
+	r.crash = func() { cancel(); crash() }
 	ec := daemon.Context{Context: ctx, Name: r.name, Zone: r.zone, RunID: uint64(time.Now().UnixNano()), Log: f.log.With("at", r.name), Net: n}
 	var options []cluster.Option
 	if f.options != nil {
@@ -206,20 +207,20 @@
 	r.up = true
 	go wire.Serve(ctx, l, r.member.Serve)
 	go r.member.Run()
-	hub := r.member
+	member := r.member
 	go runloop.Run(ctx, nil, 20*time.Millisecond, func(struct{}) {}, func() {
-		lay := hub.Config()
-		if lay == nil {
+		config := member.Config()
+		if config == nil {
 			return
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if n := len(r.versions); n > 0 && r.versions[n-1] > lay.Version {
-			f.t.Errorf("%s went back from sequence %d to %d", r.name, r.versions[n-1], lay.Version)
+		if n := len(r.versions); n > 0 && r.versions[n-1] > config.Version {
+			f.t.Errorf("%s went back from configuration version %d to %d", r.name, r.versions[n-1], config.Version)
 		}
-		if n := len(r.versions); n == 0 || r.versions[n-1] != lay.Version {
-			r.versions = append(r.versions, lay.Version)
-			r.rawByVersion[lay.Version] = string(lay.Raw)
+		if n := len(r.versions); n == 0 || r.versions[n-1] != config.Version {
+			r.versions = append(r.versions, config.Version)
+			r.rawByVersion[config.Version] = string(config.Raw)
 		}
 	})
 }
@@ -231,7 +232,7 @@
 	}
 }
 
-// primary is the core that says it is ready to answer as primary.
+// primary returns the running core that reports itself ready as primary, or nil.
 func (f *fleet) primary() *coreProc {
 	for _, c := range f.cores {
 		if c.up && c.srv.State().Ready {
@@ -241,19 +242,19 @@
 	return nil
 }
 
-// within waits, in simulated time, until ok holds.
+// within polls ok until it returns true and returns the simulated time that took. The test fails after d.
 func (f *fleet) within(d time.Duration, what string, ok func() bool) time.Duration {
-	begun := time.Now()
+	start := time.Now()
 	for !ok() {
-		if time.Since(begun) > d {
-			f.t.Fatalf("not within %s: %s", d, what)
+		if time.Since(start) > d {
+			f.t.Fatalf("condition not met within %s: %s", d, what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return time.Since(begun)
+	return time.Since(start)
 }
 
-// settle heals every fault and waits until the fleet answers again.
+// settle ends every fault, restarts crashed processes, and waits for a primary. It returns how long that took.
 func (f *fleet) settle() time.Duration {
 	f.w.Heal()
 	for _, c := range f.cores {
@@ -269,17 +270,17 @@
 			f.startRouter(r)
 		}
 	}
-	return f.within(12*time.Second, "a primary that answers", func() bool { return f.primary() != nil })
+	return f.within(12*time.Second, "a primary is ready", func() bool { return f.primary() != nil })
 }
 
-// operator is a client on a machine of its own.
+// operator is a client of the core at an address of its own.
 type operator struct {
 	f    *fleet
 	addr string
 	cli  *coreclient.Client
 }
 
-// lastID counts the lastID and requests that runs have made beside those of their fleets; runs are parallel.
+// lastID numbers client addresses and requests uniquely across parallel runs.
 var lastID atomic.Uint64
 
 func (f *fleet) operator() *operator {
@@ -289,33 +290,34 @@
 	return &operator{f, addr, coreclient.NewClient(ec, wire.NewCaller(n), append([]string{"10.0.1.1:1", "10.0.1.2:1", "10.0.1.3:1"}, f.founders...))}
 }
 
-// testConfig is a small configuration that differs from all others by its mark.
-func testConfig(mark int) []byte { return []byte(fmt.Sprintf(`{"limits":{"queue":%d}}`, mark)) }
+// testConfig returns a small configuration that is unique to its number.
+func testConfig(number int) []byte { return []byte(fmt.Sprintf(`{"limits":{"queue":%d}}`, number)) }
 
-// writeRecord is one write as its operator saw it.
+// writeRecord is a write and its outcome as observed by the operator.
 type writeRecord struct {
 	number     int
-	begun, end time.Time
-	code       int // 200, 412, 503 surely not taken, 504 in doubt
+	start, end time.Time
+	code       int // 200; 412; 503: not applied; 504: outcome unknown
 	version    uint64
 	raw        string
 }
 
-func (o *operator) put(mark int, match uint64, id string) writeRecord {
-	p := o.write(&coreapi.WriteRequest{ID: id, BaseVersion: match, AnyVersion: match == 0, Raw: testConfig(mark)})
-	p.number = mark
+// put writes the test configuration of a number. A base version of 0 stands for any version.
+func (o *operator) put(number int, baseVersion uint64, id string) writeRecord {
+	p := o.write(&coreapi.WriteRequest{ID: id, BaseVersion: baseVersion, AnyVersion: baseVersion == 0, Raw: testConfig(number)})
+	p.number = number
 	return p
 }
 
-// putRaw puts a whole configuration.
-func (o *operator) putRaw(lay []byte, id string) writeRecord {
-	return o.write(&coreapi.WriteRequest{ID: id, AnyVersion: true, Raw: lay})
+// putRaw writes a complete configuration on any version.
+func (o *operator) putRaw(config []byte, id string) writeRecord {
+	return o.write(&coreapi.WriteRequest{ID: id, AnyVersion: true, Raw: config})
 }
 
 func (o *operator) write(in *coreapi.WriteRequest) writeRecord {
-	p := writeRecord{begun: time.Now(), raw: string(in.Raw)}
-	ctx, end := context.WithTimeout(o.f.ctx, 6*time.Second)
-	defer end()
+	p := writeRecord{start: time.Now(), raw: string(in.Raw)}
+	ctx, cancel := context.WithTimeout(o.f.ctx, 6*time.Second)
+	defer cancel()
 	var out coreapi.WriteResponse
 	err := o.cli.Call(ctx, "core.write", in, &out, in.ID != "")
 	p.end = time.Now()
@@ -330,18 +332,18 @@
 	return p
 }
 
-// readRecord is one read as its operator saw it.
+// readRecord is the result of a successful read.
 type readRecord struct {
-	begun   time.Time
+	start   time.Time
 	version uint64
 	raw     string
 }
 
-// read reads the configuration back.
+// read reads the current configuration and appends it to the history if the read succeeds.
 func (o *operator) read(b *history) {
-	l := readRecord{begun: time.Now()}
-	ctx, end := context.WithTimeout(o.f.ctx, 2*time.Second)
-	defer end()
+	l := readRecord{start: time.Now()}
+	ctx, cancel := context.WithTimeout(o.f.ctx, 2*time.Second)
+	defer cancel()
 	var out coreapi.StoredConfig
 	if o.cli.Call(ctx, "core.layout", &coreapi.ConfigRequest{}, &out, true) != nil {
 		return
@@ -352,7 +354,7 @@
 	b.reads = append(b.reads, l)
 }
 
-// history is the history of all writes and reads.
+// history records the writes and reads of a run.
 type history struct {
 	mu     sync.Mutex
 	writes []writeRecord
@@ -365,71 +367,72 @@
 	b.writes = append(b.writes, p)
 }
 
-// check holds a history against a register that writes in doubt may or may not have changed.
+// check verifies a history, and what the routers applied, against a linearizable register. A write with an unknown outcome
+// may or may not have taken effect.
 func (f *fleet) check(b *history) {
 	t := f.t
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	acked := map[uint64]writeRecord{}
+	acknowledged := map[uint64]writeRecord{}
 	byRaw := map[string]writeRecord{}
-	var done []writeRecord
+	var completed []writeRecord
 	for _, p := range b.writes {
 		byRaw[p.raw] = p
 		if p.code != 200 {
 			continue
 		}
-		if o, twice := acked[p.version]; twice {
-			t.Errorf("sequence %d acknowledged for marks %d and %d", p.version, o.number, p.number)
+		if o, duplicate := acknowledged[p.version]; duplicate {
+			t.Errorf("version %d was acknowledged for writes %d and %d", p.version, o.number, p.number)
 		}
-		acked[p.version] = p
-		done = append(done, p)
+		acknowledged[p.version] = p
+		completed = append(completed, p)
 	}
-	for _, p := range done {
-		for _, q := range done {
-			if p.end.Before(q.begun) && p.version >= q.version {
-				t.Errorf("mark %d was acknowledged as %d before mark %d began, which got %d", p.number, p.version, q.number, q.version)
+	for _, p := range completed {
+		for _, q := range completed {
+			if p.end.Before(q.start) && p.version >= q.version {
+				t.Errorf("write %d was acknowledged as version %d before write %d began, which got version %d", p.number, p.version, q.number, q.version)
 			}
 		}
 	}
-	told := map[uint64]string{}
-	see := func(who string, seq uint64, raw string) {
-		if was, ok := told[seq]; ok && was != raw {
-			t.Errorf("%s: sequence %d is %q here, %q elsewhere", who, seq, raw, was)
+	rawByVersion := map[uint64]string{}
+	observe := func(reader string, version uint64, raw string) {
+		if other, ok := rawByVersion[version]; ok && other != raw {
+			t.Errorf("%s: version %d is %q here, %q elsewhere", reader, version, raw, other)
 		}
-		told[seq] = raw
+		rawByVersion[version] = raw
 		if p, ok := byRaw[raw]; ok && (p.code == 412 || p.code == 503) {
-			t.Errorf("%s obeyed mark %d, which was answered %d", who, p.number, p.code)
+			t.Errorf("%s applied write %d, which was answered with code %d", reader, p.number, p.code)
 		}
-		if p, ok := acked[seq]; ok && p.raw != raw {
-			t.Errorf("%s: sequence %d is %q, acknowledged was mark %d", who, seq, raw, p.number)
+		if p, ok := acknowledged[version]; ok && p.raw != raw {
+			t.Errorf("%s: version %d is %q, but it was acknowledged for write %d", reader, version, raw, p.number)
 		}
 	}
 	for _, l := range b.reads {
-		see("a reader", l.version, l.raw)
-		for _, p := range done {
-			if p.end.Before(l.begun) && p.version > l.version {
-				t.Errorf("read sequence %d after %d had been acknowledged", l.version, p.version)
+		observe("a reader", l.version, l.raw)
+		for _, p := range completed {
+			if p.end.Before(l.start) && p.version > l.version {
+				t.Errorf("read version %d after version %d had been acknowledged", l.version, p.version)
 			}
 		}
 	}
 	for _, r := range f.routers {
 		r.mu.Lock()
-		for seq, raw := range r.rawByVersion {
-			see(r.name, seq, raw)
+		for version, raw := range r.rawByVersion {
+			observe(r.name, version, raw)
 		}
 		r.mu.Unlock()
 	}
-	// What is read back at the end is the newest acknowledged, or a later one in doubt.
+	// The final read returns the newest acknowledged write, or a later one with an unknown outcome.
 	o := f.operator()
-	ctx, end := context.WithTimeout(f.ctx, 10*time.Second)
-	defer end()
+	ctx, cancel := context.WithTimeout(f.ctx, 10*time.Second)
+	defer cancel()
 	var last coreapi.StoredConfig
 	if err := o.cli.Call(ctx, "core.layout", &coreapi.ConfigRequest{}, &last, true); err != nil {
-		t.Fatalf("reading back: %v", err)
+		t.Fatalf("reading the configuration at the end: %v", err)
 	}
-	see("the core", last.Version, string(last.Raw))
-	sort.Slice(done, func(i, j int) bool { return done[i].version < done[j].version })
-	if n := len(done); n > 0 && done[n-1].version > last.Version {
-		t.Errorf("read back sequence %d, but %d was acknowledged", last.Version, done[n-1].version)
+	observe("the core", last.Version, string(last.Raw))
+	sort.Slice(completed, func(i, j int) bool { return completed[i].version < completed[j].version })
+	if n := len(completed); n > 0 && completed[n-1].version > last.Version {
+		t.Errorf("the final read returned version %d, but version %d was acknowledged", last.Version, completed[n-1].version)
 	}
 }
