--- a/internal/testing/sim/membership_test.go
+++ b/internal/testing/sim/membership_test.go
@@ -12,7 +12,7 @@
 	"yarrowridge/internal/testing/sim"
 )
 
-// newUnstartedFleet is a world of cores that are told the first three addresses only; none runs yet.
+// newUnstartedFleet returns a fleet of cores that know only the first three addresses as seeds. No core runs yet.
 func newUnstartedFleet(t *testing.T, seed uint64, cores, losses int) *fleet {
 	f := emptyFleet(t, seed)
 	f.lostAfter = 2 * time.Second
@@ -28,7 +28,7 @@
 	return f
 }
 
-// newJoinedFleet is such a world with all cores started, once all are members and one of them is primary.
+// newJoinedFleet starts all cores of such a fleet, and waits until all are members and one of them is primary.
 func newJoinedFleet(t *testing.T, seed uint64, cores, losses int) *fleet {
 	f := newUnstartedFleet(t, seed, cores, losses)
 	for _, c := range f.cores {
@@ -38,8 +38,8 @@
 	return f
 }
 
-// hasAllMembers reports whether a primary is ready whose members are exactly the cores that run, with as many
-// backups as losses are to be borne.
+// hasAllMembers reports whether a primary is ready whose members are exactly the running cores, and that has one backup for
+// each disk loss to tolerate.
 func (f *fleet) hasAllMembers(losses int) bool {
 	p := f.primary()
 	if p == nil {
@@ -58,42 +58,42 @@
 	return len(v.Members) == up && len(v.Backups()) == losses
 }
 
-// coreByID is the core process that holds an identity.
+// coreByID returns the running core with an ID. The test fails if there is none.
 func (f *fleet) coreByID(id string) *coreProc {
 	c := f.findCore(id)
 	if c == nil {
-		f.t.Fatalf("no core holds identity %s", id)
+		f.t.Fatalf("no running core has ID %s", id)
 	}
 	return c
 }
 
-// wipeDisks gives cores empty disks; they are down.
+// wipeDisks replaces the disks of stopped cores with empty ones.
 func wipeDisks(cores ...*coreProc) {
 	for _, c := range cores {
 		c.disk = sim.NewDisk()
 	}
 }
 
-// longestOutage writes for a while and tells the longest time without an acknowledgement.
+// longestOutage writes repeatedly for the given time and returns the longest interval without an acknowledgement.
 func (f *fleet) longestOutage(o *operator, b *history, d time.Duration) time.Duration {
-	begun := time.Now()
-	last, gap := begun, time.Duration(0)
-	for time.Since(begun) < d {
+	start := time.Now()
+	last, longest := start, time.Duration(0)
+	for time.Since(start) < d {
 		b.mu.Lock()
-		mark := len(b.writes) + 1
+		number := len(b.writes) + 1
 		b.mu.Unlock()
-		p := o.put(mark, 0, fmt.Sprint("id-", mark))
+		p := o.put(number, 0, fmt.Sprint("id-", number))
 		b.add(p)
 		if p.code == 200 {
-			gap, last = max(gap, time.Since(last)), time.Now()
+			longest, last = max(longest, time.Since(last)), time.Now()
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return max(gap, time.Since(last))
+	return max(longest, time.Since(last))
 }
 
-// Cores that know three seeds only, started in any order, become one fleet: founded within a second of
-// the last seed, and all cores are members within a second and a half more.
+// Cores that know only three seeds form one fleet, in whatever order they start. A primary is ready within a second of the
+// start of the last seed, and all cores are members within another 1.5 s.
 func TestFoundingFromSeeds(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{3, 5, 9} {
@@ -101,32 +101,32 @@
 			overSeeds(t, func(t *testing.T, seed uint64) {
 				f := newUnstartedFleet(t, seed, n, 1)
 				var lastSeed time.Time
-				seeds, founding := 0, time.Duration(-1)
-				look := func() bool {
-					if founding < 0 && seeds == 3 && f.primary() != nil {
-						founding = time.Since(lastSeed)
+				startedSeeds, bootstrapTime := 0, time.Duration(-1)
+				hasPrimary := func() bool {
+					if bootstrapTime < 0 && startedSeeds == 3 && f.primary() != nil {
+						bootstrapTime = time.Since(lastSeed)
 					}
-					return founding >= 0
+					return bootstrapTime >= 0
 				}
 				for _, k := range f.rnd.Perm(n) {
 					f.startCore(f.cores[k])
 					if k < 3 {
-						seeds, lastSeed = seeds+1, time.Now()
+						startedSeeds, lastSeed = startedSeeds+1, time.Now()
 					}
-					for wait := time.Now().Add(time.Duration(f.chance(700)) * time.Millisecond); time.Now().Before(wait); look() {
+					for wait := time.Now().Add(time.Duration(f.chance(700)) * time.Millisecond); time.Now().Before(wait); hasPrimary() {
 						time.Sleep(10 * time.Millisecond)
 					}
 				}
 				lastCore := time.Now()
-				f.within(time.Second, "founding", look)
-				if founding > time.Second {
-					t.Errorf("founded %s after the last seed", founding)
+				f.within(time.Second, "a primary is ready after bootstrap", hasPrimary)
+				if bootstrapTime > time.Second {
+					t.Errorf("a primary was ready %s after the last seed", bootstrapTime)
 				}
 				f.within(1500*time.Millisecond, "all cores are members", func() bool { return f.hasAllMembers(1) })
-				t.Logf("founded %s after the last seed, whole %s after the last core", founding, time.Since(lastCore))
+				t.Logf("a primary was ready %s after the last seed, all cores were members %s after the last core", bootstrapTime, time.Since(lastCore))
 				b := &history{}
 				if p := f.operator().put(1, 0, ""); p.code != 200 {
-					t.Errorf("a write was answered %d", p.code)
+					t.Errorf("a write was answered with code %d", p.code)
 				} else {
 					b.add(p)
 				}
@@ -136,8 +136,8 @@
 	}
 }
 
-// A core that is told to ask only founds nothing, whoever it is; seeds that are unlike its address,
-// stand there twice, or are none at all, do it no harm.
+// A core without Bootstrap never bootstraps a fleet, whatever its address. Seeds that don't contain the core's own address,
+// duplicate seeds and an empty list of seeds do no harm.
 func TestNoFoundingWithoutBootstrap(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -153,13 +153,14 @@
 		time.Sleep(5 * time.Second)
 		for _, c := range f.cores {
 			if e := c.srv.State().View.Epoch; e > 0 {
-				t.Errorf("%s knows epoch %d", c.addr, e)
+				t.Errorf("%s has a view with epoch %d, want none", c.addr, e)
 			}
 		}
 	})
 }
 
-// With fewer cores alive than hold a write and may be lost, nothing is acknowledged.
+// A write is acknowledged only if the primary and one backup for each tolerated loss have it: with two losses tolerated, two
+// of three cores acknowledge nothing.
 func TestNothingAcknowledgedAlone(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -167,7 +168,7 @@
 		o, b := f.operator(), &history{}
 		b.add(o.put(1, 0, ""))
 		if b.writes[0].code != 200 {
-			t.Fatalf("a write was answered %d", b.writes[0].code)
+			t.Fatalf("a write was answered with code %d", b.writes[0].code)
 		}
 		v := f.primary().srv.State().View
 		c := f.coreByID(v.Backups()[f.chance(2)])
@@ -176,17 +177,17 @@
 			p := o.put(2+i, 0, "")
 			b.add(p)
 			if p.code == 200 {
-				t.Error("acknowledged with two of three disks")
+				t.Error("a write was acknowledged by two of three cores")
 			}
 		}
 		f.startCore(c)
-		f.within(5*time.Second, "all three are back", func() bool { return f.hasAllMembers(2) })
+		f.within(5*time.Second, "all three cores are members", func() bool { return f.hasAllMembers(2) })
 		f.check(b)
 	})
 }
 
-// Where no loss is to be borne, a core that is the only one founds its fleet, acknowledges writes, reads
-// them back after a crash, and hands all over to the core that comes in its place.
+// With AllowNoBackup, a single core bootstraps its fleet, acknowledges writes, reads them back after a crash, and hands its
+// state over to the core that replaces it.
 func TestOnlyCore(t *testing.T) {
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newUnstartedFleet(t, seed, 1, 1)
@@ -195,16 +196,16 @@
 		}
 		first := f.cores[0]
 		f.startCore(first)
-		f.within(2*time.Second, "founding", func() bool { return f.primary() == first })
+		f.within(2*time.Second, "a primary is ready after bootstrap", func() bool { return f.primary() == first })
 		o, b := f.operator(), &history{}
 		b.add(o.put(1, 0, ""))
 		if b.writes[0].code != 200 {
-			t.Fatalf("a write was answered %d", b.writes[0].code)
+			t.Fatalf("a write was answered with code %d", b.writes[0].code)
 		}
 		f.crashCore(first)
 		time.Sleep(time.Duration(f.chance(3000)) * time.Millisecond)
 		f.startCore(first)
-		f.within(5*time.Second, "the core leads again", func() bool { return f.primary() == first })
+		f.within(5*time.Second, "the core is primary again", func() bool { return f.primary() == first })
 		o.read(b)
 
 		second := &coreProc{addr: "10.0.0.2:1", zone: f.zones[1], disk: sim.NewDisk()}
@@ -212,25 +213,24 @@
 		f.startCore(second)
 		f.founders = append(f.founders, second.addr)
 		o = f.operator()
-		f.within(5*time.Second, "the second holds a copy", func() bool { return f.hasAllMembers(1) })
+		f.within(5*time.Second, "the second core is the backup", func() bool { return f.hasAllMembers(1) })
 		b.add(o.put(2, 0, ""))
 		first.srv.StepDown()
 		f.crashCore(first)
-		f.within(5*time.Second, "the second leads alone", func() bool { return f.primary() == second && f.hasAllMembers(0) })
+		f.within(5*time.Second, "the second core is primary without a backup", func() bool { return f.primary() == second && f.hasAllMembers(0) })
 		o.read(b)
 		b.add(o.put(3, 0, ""))
 		for _, p := range b.writes {
 			if p.code != 200 {
-				t.Errorf("write %d was answered %d", p.version, p.code)
+				t.Errorf("write of version %d was answered with code %d", p.version, p.code)
 			}
 		}
 		f.check(b)
 	})
 }
 
-// As many disks as may be lost go right after an acknowledgement, and the power of all cores with
-// them: the state is read again within five seconds, and the blank cores become members in place of
-// what they were.
+// Right after an acknowledgement all cores crash, and as many disks are lost as the fleet tolerates. The write is read back
+// within five seconds, and the blank cores become members in place of the lost ones.
 func TestWipedAfterAcknowledgement(t *testing.T) {
 	t.Parallel()
 	for _, losses := range []int{1, 2} {
@@ -243,37 +243,37 @@
 						p := o.put(round+1, 0, "")
 						b.add(p)
 						if p.code != 200 {
-							t.Fatalf("round %d: a write was answered %d", round, p.code)
+							t.Fatalf("round %d: a write was answered with code %d", round, p.code)
 						}
 						v := f.primary().srv.State().View
 						if len(v.Backups()) != losses {
-							t.Fatalf("%d backups", len(v.Backups()))
+							t.Fatalf("got %d backups, want %d", len(v.Backups()), losses)
 						}
-						holders := append([]string{v.Primary}, v.Backups()...)
+						replicas := append([]string{v.Primary}, v.Backups()...)
 						if who == "backups only" {
-							holders = holders[1:]
+							replicas = replicas[1:]
 						}
-						var gone []*coreProc
-						for _, id := range holders[:losses] {
-							gone = append(gone, f.coreByID(id))
+						var lost []*coreProc
+						for _, id := range replicas[:losses] {
+							lost = append(lost, f.coreByID(id))
 						}
 						for _, c := range f.cores {
 							f.crashCore(c)
 						}
-						wipeDisks(gone...)
+						wipeDisks(lost...)
 						down := time.Now()
 						for _, k := range f.rnd.Perm(5) {
 							f.startCore(f.cores[k])
 							time.Sleep(time.Duration(f.chance(150)) * time.Millisecond)
 						}
-						f.within(5*time.Second-time.Since(down), "a primary", func() bool { return f.primary() != nil })
-						t.Logf("read again after %s", time.Since(down))
+						f.within(5*time.Second-time.Since(down), "a primary is ready", func() bool { return f.primary() != nil })
+						t.Logf("a primary was ready after %s", time.Since(down))
 						n := len(b.reads)
 						o.read(b)
 						if len(b.reads) == n || b.reads[n].version < p.version {
-							t.Errorf("sequence %d was acknowledged and is not read back: %+v", p.version, b.reads[n:])
+							t.Errorf("version %d was acknowledged, but not read back: %+v", p.version, b.reads[n:])
 						}
-						f.within(5*time.Second, "all are members", func() bool { return f.hasAllMembers(losses) })
+						f.within(5*time.Second, "all cores are members", func() bool { return f.hasAllMembers(losses) })
 					}
 					f.check(b)
 				})
@@ -282,8 +282,8 @@
 	}
 }
 
-// The primary is lost with its disk, and the backup that takes over right after it has: with two losses
-// to bear, the other backup leads on with all that was acknowledged.
+// The primary is lost with its disk, and so is the backup that takes over, right after its takeover. With two losses tolerated,
+// the other backup becomes primary with all acknowledged writes.
 func TestNewPrimaryLostAfterTakeover(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -293,34 +293,34 @@
 			b.add(o.put(i+1, 0, ""))
 		}
 		if n := len(b.writes); b.writes[n-1].code != 200 {
-			t.Fatalf("a write was answered %d", b.writes[n-1].code)
+			t.Fatalf("a write was answered with code %d", b.writes[n-1].code)
 		}
 		lost := f.primary()
 		f.crashCore(lost)
 		wipeDisks(lost)
-		var heir *coreProc
-		f.within(4*time.Second, "a backup takes over", func() bool {
+		var successor *coreProc
+		f.within(4*time.Second, "a backup has taken over", func() bool {
 			for _, c := range f.cores {
 				if c.up && c.srv.State().View.Primary == c.srv.State().ID {
-					heir = c
+					successor = c
 				}
 			}
 			time.Sleep(time.Duration(f.chance(5)) * time.Millisecond)
-			return heir != nil
+			return successor != nil
 		})
-		f.crashCore(heir)
-		wipeDisks(heir)
-		took := f.within(5*time.Second, "the other backup leads", func() bool { return f.primary() != nil })
+		f.crashCore(successor)
+		wipeDisks(successor)
+		took := f.within(5*time.Second, "the other backup is primary", func() bool { return f.primary() != nil })
 		t.Logf("took %s", took)
 		f.startCore(lost)
-		f.startCore(heir)
-		f.within(5*time.Second, "all are members", func() bool { return f.hasAllMembers(2) })
+		f.startCore(successor)
+		f.within(5*time.Second, "all cores are members", func() bool { return f.hasAllMembers(2) })
 		f.check(b)
 	})
 }
 
-// A write reaches one of two backups only before the primary is lost, and is in doubt. Once it was read
-// from the backup that took over, it must be with the other one too: no reader goes back.
+// A write reaches only one of two backups before the primary is lost, so its outcome is unknown. Once it has been read from the
+// backup that took over, the other backup must have it too: no later read returns an older version.
 func TestNewPrimaryReplicatesBeforeReads(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -334,22 +334,23 @@
 		time.Sleep(40 * time.Millisecond)
 		f.crashCore(lost)
 		wipeDisks(lost)
-		f.within(4*time.Second, "a backup leads", func() bool { return f.primary() != nil })
+		f.within(4*time.Second, "a backup is primary", func() bool { return f.primary() != nil })
 		o.read(b)
-		heir := f.primary()
-		f.crashCore(heir)
-		wipeDisks(heir)
-		f.within(5*time.Second, "the other backup leads", func() bool { return f.primary() != nil })
+		successor := f.primary()
+		f.crashCore(successor)
+		wipeDisks(successor)
+		f.within(5*time.Second, "the other backup is primary", func() bool { return f.primary() != nil })
 		o.read(b)
 		if n := len(b.reads); n != 2 || b.reads[1].version < b.reads[0].version {
-			t.Errorf("reads went back: %+v", b.reads)
+			t.Errorf("a later read returned an older version: %+v", b.reads)
 		}
-		t.Logf("%s of %v led, sequence %d read", heir.addr, addresses(v, v.Backups()), b.reads[0].version)
-		time.Sleep(7 * time.Second) // the write in doubt ends
+		t.Logf("%s of %v became primary, version %d was read", successor.addr, addresses(v, v.Backups()), b.reads[0].version)
+		time.Sleep(7 * time.Second) // until the write with an unknown outcome has ended
 		f.check(b)
 	})
 }
 
+// addresses returns the addresses of the members with these IDs.
 func addresses(v view.View, ids []string) []string {
 	var out []string
 	for _, id := range ids {
@@ -358,35 +359,35 @@
 	return out
 }
 
-// One core after the other is lost for good and replaced, at a new address or at its own with an empty
-// disk: writes go on, nothing is lost, and the members are the cores that live.
+// Cores are lost one after the other, each replaced by a core with an empty disk at the same or a new address. Writes go on,
+// nothing is lost, and the members are the running cores.
 func TestSerialReplacement(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ cores, losses int }{{3, 1}, {5, 1}, {5, 2}, {9, 2}} {
-		for _, same := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%d cores, %d losses, same address %v", c.cores, c.losses, same), func(t *testing.T) {
+		for _, sameAddr := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%d cores, %d losses, same address %v", c.cores, c.losses, sameAddr), func(t *testing.T) {
 				overSeeds(t, func(t *testing.T, seed uint64) {
 					f := newJoinedFleet(t, seed, c.cores, c.losses)
-					old := f.coreSettings
+					previous := f.coreSettings
 					f.coreSettings = func(p *coreProc) core.Settings {
-						set := old(p)
-						set.Bootstrap = false
-						set.Seeds = nil
+						settings := previous(p)
+						settings.Bootstrap = false
+						settings.Seeds = nil
 						for _, o := range f.cores {
-							if o != p && len(set.Seeds) < 3 {
-								set.Seeds = append(set.Seeds, o.addr)
+							if o != p && len(settings.Seeds) < 3 {
+								settings.Seeds = append(settings.Seeds, o.addr)
 							}
 						}
-						return set
+						return settings
 					}
 					f.founders = nil
 					for _, p := range f.cores {
 						f.founders = append(f.founders, p.addr)
 					}
 					o, b := f.operator(), &history{}
-					var gap time.Duration
+					var longest time.Duration
 					var all sync.WaitGroup
-					all.Go(func() { gap = f.longestOutage(o, b, time.Duration(c.cores+1)*5*time.Second) })
+					all.Go(func() { longest = f.longestOutage(o, b, time.Duration(c.cores+1)*5*time.Second) })
 					for i := range c.cores + 1 {
 						k := f.chance(c.cores)
 						if p := f.primary(); p != nil && f.chance(2) == 0 {
@@ -396,18 +397,18 @@
 						f.crashCore(lost)
 						time.Sleep(time.Duration(f.chance(1000)) * time.Millisecond)
 						next := &coreProc{addr: lost.addr, zone: lost.zone, disk: sim.NewDisk()}
-						if !same {
+						if !sameAddr {
 							next.addr = fmt.Sprintf("10.0.3.%d:1", i+1)
 						}
 						f.cores[k] = next
 						f.startCore(next)
-						took := f.within(5*time.Second, "the members are the cores that live", func() bool { return f.hasAllMembers(c.losses) })
+						took := f.within(5*time.Second, "the members are the running cores", func() bool { return f.hasAllMembers(c.losses) })
 						time.Sleep(5*time.Second - min(took, 5*time.Second))
 					}
 					all.Wait()
-					t.Logf("%d writes, longest time without one %s", len(b.writes), gap)
-					if gap > 5*time.Second {
-						t.Errorf("%s without a write", gap)
+					t.Logf("%d writes, at most %s without an acknowledgement", len(b.writes), longest)
+					if longest > 5*time.Second {
+						t.Errorf("no write was acknowledged for %s", longest)
 					}
 					f.founders = f.founders[:0]
 					for _, p := range f.cores {
@@ -420,26 +421,26 @@
 	}
 }
 
-// A member that was only cut off is dropped for a newcomer; it comes back as a member once it is heard,
-// also where it was started again meanwhile and knows the old view only.
+// A partitioned member is replaced by a new core. It becomes a member again once the partition ends, even if it has restarted
+// meanwhile and knows only the old view.
 func TestDroppedMemberReturns(t *testing.T) {
 	t.Parallel()
-	for _, again := range []bool{false, true} {
-		t.Run(fmt.Sprint("started again ", again), func(t *testing.T) {
+	for _, restarted := range []bool{false, true} {
+		t.Run(fmt.Sprint("started again ", restarted), func(t *testing.T) {
 			overSeeds(t, func(t *testing.T, seed uint64) {
 				f := newJoinedFleet(t, seed, 5, 1)
 				b := &history{}
 				o := f.operator()
 				b.add(o.put(1, 0, ""))
-				cut := f.cores[f.chance(5)]
-				id := cut.srv.State().ID
+				partitioned := f.cores[f.chance(5)]
+				id := partitioned.srv.State().ID
 				next := &coreProc{addr: "10.0.0.20:1", zone: "west", disk: sim.NewDisk()}
-				f.w.Split([]string{cut.addr}, append(f.addrsExcept(cut), o.addr, next.addr))
+				f.w.Split([]string{partitioned.addr}, append(f.addrsExcept(partitioned), o.addr, next.addr))
 				f.cores = append(f.cores, next)
 				f.startCore(next)
-				f.within(8*time.Second, "the newcomer in place of the one cut off", func() bool {
+				f.within(8*time.Second, "the new core has replaced the partitioned member", func() bool {
 					for _, c := range f.cores {
-						if c != cut && c.srv.State().Ready {
+						if c != partitioned && c.srv.State().Ready {
 							v := c.srv.State().View
 							return v.Addr(id) == "" && v.HasMember(next.srv.State().ID) && len(v.Members) == 5
 						}
@@ -447,14 +448,14 @@
 					return false
 				})
 				b.add(o.put(2, 0, ""))
-				if again {
-					f.crashCore(cut)
+				if restarted {
+					f.crashCore(partitioned)
 				}
 				f.w.Heal()
-				if again {
-					f.startCore(cut)
+				if restarted {
+					f.startCore(partitioned)
 				}
-				f.within(8*time.Second, "all six are members", func() bool { return f.hasAllMembers(1) })
+				f.within(8*time.Second, "all six cores are members", func() bool { return f.hasAllMembers(1) })
 				b.add(o.put(3, 0, ""))
 				f.check(b)
 			})
@@ -462,8 +463,8 @@
 	}
 }
 
-// A core that comes back with an empty disk at its address proves gone what it was: it is a member in
-// its own place at once, long before a silent member would count as lost.
+// A core that restarts with an empty disk at its address proves that the member it was before is lost. It replaces that member
+// at once, long before a silent member counts as lost.
 func TestBlankCoreReplacesItself(t *testing.T) {
 	t.Parallel()
 	for _, role := range []string{"primary", "backup", "member"} {
@@ -471,15 +472,15 @@
 			overSeeds(t, func(t *testing.T, seed uint64) {
 				f := newUnstartedFleet(t, seed, 5, 1)
 				f.lostAfter = time.Minute
-				old := f.coreSettings
+				previous := f.coreSettings
 				for _, c := range f.cores {
 					f.startCore(c)
 				}
 				f.within(5*time.Second, "all cores are members", func() bool { return f.hasAllMembers(1) })
 				f.coreSettings = func(c *coreProc) core.Settings {
-					set := old(c)
-					set.Bootstrap = false
-					return set
+					settings := previous(c)
+					settings.Bootstrap = false
+					return settings
 				}
 				o, b := f.operator(), &history{}
 				for round := range 4 {
@@ -495,7 +496,7 @@
 					f.crashCore(lost)
 					wipeDisks(lost)
 					f.startCore(lost)
-					took := f.within(4*time.Second, "the blank core in its own place", func() bool { return f.hasAllMembers(1) })
+					took := f.within(4*time.Second, "the blank core has replaced its former self as a member", func() bool { return f.hasAllMembers(1) })
 					t.Logf("took %s", took)
 				}
 				f.check(b)
@@ -504,16 +505,16 @@
 	}
 }
 
-// More cores than may be members wait, and one of them takes the place of one that is lost.
+// Cores beyond MaxMembers wait, and one of them replaces a lost member.
 func TestMaxMembers(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newUnstartedFleet(t, seed, 7, 1)
-		old := f.coreSettings
+		previous := f.coreSettings
 		f.coreSettings = func(c *coreProc) core.Settings {
-			set := old(c)
-			set.MaxMembers = 5
-			return set
+			settings := previous(c)
+			settings.MaxMembers = 5
+			return settings
 		}
 		for _, c := range f.cores {
 			f.startCore(c)
@@ -524,22 +525,22 @@
 			}
 			return nil
 		}
-		f.within(5*time.Second, "five members", func() bool { return len(members()) == 5 })
+		f.within(5*time.Second, "the fleet has five members", func() bool { return len(members()) == 5 })
 		time.Sleep(3 * time.Second)
 		if n := len(members()); n != 5 {
-			t.Fatalf("%d members", n)
+			t.Fatalf("got %d members, want 5", n)
 		}
 		lost := f.primary()
 		id := lost.srv.State().ID
 		f.crashCore(lost)
-		f.within(6*time.Second, "another in place of the lost one", func() bool {
+		f.within(6*time.Second, "another core has replaced the lost member", func() bool {
 			all := members()
 			return len(all) == 5 && !slices.ContainsFunc(all, func(m view.Member) bool { return m.ID == id })
 		})
 	})
 }
 
-// A member lost for good, with nobody to take its place, stays a member: the others lose no safety.
+// A lost member stays a member as long as no core can replace it, so that the other members lose no safety.
 func TestLostMemberStaysWithoutNewcomer(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -547,39 +548,39 @@
 		f.crashCore(f.cores[f.chance(5)])
 		time.Sleep(10 * time.Second)
 		if n := len(f.primary().srv.State().View.Members); n != 5 {
-			t.Errorf("%d members", n)
+			t.Errorf("got %d members, want 5", n)
 		}
 	})
 }
 
-// What the fleet may go without writes after a fault, over the seeds.
+// Checks the longest time without an acknowledged write after each fault, over the seeds.
 func TestLongestOutagePerFault(t *testing.T) {
 	t.Parallel()
-	cut := func(f *fleet, lead *coreProc, out, in bool) {
-		for _, a := range f.addrsExcept(lead) {
-			if out {
-				f.w.Cut(lead.addr, a)
+	cut := func(f *fleet, primary *coreProc, outbound, inbound bool) {
+		for _, a := range f.addrsExcept(primary) {
+			if outbound {
+				f.w.Cut(primary.addr, a)
 			}
-			if in {
-				f.w.Cut(a, lead.addr)
+			if inbound {
+				f.w.Cut(a, primary.addr)
 			}
 		}
 	}
 	for _, c := range []struct {
-		name  string
-		most  time.Duration
-		fault func(f *fleet, lead *coreProc, back []*coreProc)
+		name      string
+		maxOutage time.Duration
+		fault     func(f *fleet, primary *coreProc, backups []*coreProc)
 	}{
-		{"primary cut off both ways", 4 * time.Second, func(f *fleet, lead *coreProc, _ []*coreProc) { cut(f, lead, true, true) }},
-		{"primary sends but does not receive", 4 * time.Second, func(f *fleet, lead *coreProc, _ []*coreProc) { cut(f, lead, false, true) }},
-		{"primary receives but does not send", 4 * time.Second, func(f *fleet, lead *coreProc, _ []*coreProc) { cut(f, lead, true, false) }},
-		{"a backup's disk stalls", 2 * time.Second, func(_ *fleet, _ *coreProc, back []*coreProc) {
-			back[0].disk.Stall()
-			time.AfterFunc(3500*time.Millisecond, back[0].disk.Flow)
+		{"primary cut off both ways", 4 * time.Second, func(f *fleet, primary *coreProc, _ []*coreProc) { cut(f, primary, true, true) }},
+		{"primary sends but does not receive", 4 * time.Second, func(f *fleet, primary *coreProc, _ []*coreProc) { cut(f, primary, false, true) }},
+		{"primary receives but does not send", 4 * time.Second, func(f *fleet, primary *coreProc, _ []*coreProc) { cut(f, primary, true, false) }},
+		{"a backup's disk stalls", 2 * time.Second, func(_ *fleet, _ *coreProc, backups []*coreProc) {
+			backups[0].disk.Stall()
+			time.AfterFunc(3500*time.Millisecond, backups[0].disk.Flow)
 		}},
-		{"the primary's disk stalls", 3 * time.Second, func(_ *fleet, lead *coreProc, _ []*coreProc) {
-			lead.disk.Stall()
-			time.AfterFunc(3500*time.Millisecond, lead.disk.Flow)
+		{"the primary's disk stalls", 3 * time.Second, func(_ *fleet, primary *coreProc, _ []*coreProc) {
+			primary.disk.Stall()
+			time.AfterFunc(3500*time.Millisecond, primary.disk.Flow)
 		}},
 		{"all killed at once, back within a second", 3 * time.Second, func(f *fleet, _ *coreProc, _ []*coreProc) {
 			for _, o := range f.cores {
@@ -598,20 +599,20 @@
 					o, b := f.operator(), &history{}
 					b.add(o.put(1, 0, ""))
 					time.Sleep(time.Duration(f.chance(2000)) * time.Millisecond)
-					lead := f.primary()
-					var back []*coreProc
-					for _, id := range lead.srv.State().View.Backups() {
-						back = append(back, f.coreByID(id))
+					primary := f.primary()
+					var backups []*coreProc
+					for _, id := range primary.srv.State().View.Backups() {
+						backups = append(backups, f.coreByID(id))
 					}
-					begun := time.Now()
-					c.fault(f, lead, back)
-					gap := f.longestOutage(o, b, 10*time.Second-time.Since(begun))
-					t.Logf("%s without a write", gap)
-					if gap > c.most {
-						t.Errorf("%s without a write, %s at most expected", gap, c.most)
+					start := time.Now()
+					c.fault(f, primary, backups)
+					longest := f.longestOutage(o, b, 10*time.Second-time.Since(start))
+					t.Logf("longest time without an acknowledged write: %s", longest)
+					if longest > c.maxOutage {
+						t.Errorf("no write was acknowledged for %s, want at most %s", longest, c.maxOutage)
 					}
 					f.settle()
-					f.within(8*time.Second, "all as before", func() bool { return f.hasAllMembers(losses) })
+					f.within(8*time.Second, "all cores are members", func() bool { return f.hasAllMembers(losses) })
 					f.check(b)
 				})
 			})
@@ -619,8 +620,8 @@
 	}
 }
 
-// Faults of every kind at random, on a fleet of seven founded from three seeds that bears two losses,
-// while cores are replaced for good: no acknowledged configuration is lost.
+// Random faults of every kind in a fleet of seven cores with three seeds and two tolerated losses, while cores
+// lose their disks and restart empty: no acknowledged configuration is lost.
 func TestMembershipUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -648,7 +649,7 @@
 		for time.Now().Before(stop) {
 			if f.chance(3) == 0 {
 				f.settle()
-				f.within(10*time.Second, "all as before", func() bool { return f.hasAllMembers(2) })
+				f.within(10*time.Second, "all cores are members", func() bool { return f.hasAllMembers(2) })
 				lost := f.cores[f.chance(len(f.cores))]
 				if p := f.primary(); p != nil && f.chance(2) == 0 {
 					lost = p
@@ -662,13 +663,13 @@
 			time.Sleep(time.Duration(200+f.chance(2500)) * time.Millisecond)
 		}
 		f.settle()
-		time.Sleep(7 * time.Second) // operators' last calls end
+		time.Sleep(7 * time.Second) // until the operators' last calls have ended
 		f.settle()
-		f.within(10*time.Second, "all as before", func() bool { return f.hasAllMembers(2) })
+		f.within(10*time.Second, "all cores are members", func() bool { return f.hasAllMembers(2) })
 		p := f.operator().put(99999, 0, "last")
 		b.add(p)
 		if p.code != 200 {
-			t.Errorf("a calm fleet answered %d", p.code)
+			t.Errorf("a write without any fault was answered with code %d", p.code)
 		}
 		f.check(b)
 		ok := 0
@@ -681,35 +682,35 @@
 	})
 }
 
-// While one primary stays, all cores that a client knew are replaced one after the other. Once the primary is lost too, the
-// client finds the next one: it has asked for the view meanwhile.
+// All cores that a client knew, except the primary, are replaced one by one. When the primary is lost too, the client finds the
+// next one, because it has requested the view meanwhile.
 func TestClientOutlivesTheMembersItKnew(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newJoinedFleet(t, seed, 3, 1)
-		old := f.coreSettings
+		previous := f.coreSettings
 		f.coreSettings = func(p *coreProc) core.Settings {
-			set := old(p)
-			set.Bootstrap, set.Seeds = false, nil
+			settings := previous(p)
+			settings.Bootstrap, settings.Seeds = false, nil
 			for _, o := range f.cores {
-				if o != p && len(set.Seeds) < 3 {
-					set.Seeds = append(set.Seeds, o.addr)
+				if o != p && len(settings.Seeds) < 3 {
+					settings.Seeds = append(settings.Seeds, o.addr)
 				}
 			}
-			return set
+			return settings
 		}
 		o, b := f.operator(), &history{}
 		b.add(o.put(1, 0, ""))
 		primary := f.primary()
-		mark := 2
+		number := 2
 		replace := func(k int) {
 			lost := f.cores[k]
 			f.crashCore(lost)
 			next := &coreProc{addr: fmt.Sprintf("10.0.3.%d:1", k+1), zone: lost.zone, disk: sim.NewDisk()}
 			f.cores[k] = next
 			f.startCore(next)
-			for begun := time.Now(); time.Since(begun) < 8*time.Second; mark++ {
-				b.add(o.put(mark, 0, fmt.Sprint(mark)))
+			for start := time.Now(); time.Since(start) < 8*time.Second; number++ {
+				b.add(o.put(number, 0, fmt.Sprint(number)))
 				time.Sleep(100 * time.Millisecond)
 			}
 		}
@@ -723,18 +724,18 @@
 		}
 		f.crashCore(primary)
 		lost := time.Now()
-		for o.put(mark, 0, fmt.Sprint(mark)).code != 200 && time.Since(lost) < 10*time.Second {
-			mark++
+		for o.put(number, 0, fmt.Sprint(number)).code != 200 && time.Since(lost) < 10*time.Second {
+			number++
 			time.Sleep(20 * time.Millisecond)
 		}
 		if took := time.Since(lost); took > 5*time.Second {
-			t.Errorf("no write for %s after the loss of the last member that the client had known", took)
+			t.Errorf("no write was acknowledged for %s after the loss of the last member that the client knew at first", took)
 		}
 	})
 }
 
-// A seed that starts with an empty disk, alone and still told to found, founds nothing: the fleet that it cannot
-// reach may hold acknowledged writes. It joins once the others are back.
+// A seed with an empty disk and Bootstrap set that can't reach the other cores does not bootstrap a new fleet: the existing one
+// may have acknowledged writes. It joins once the others are reachable again.
 func TestBlankSeedFoundsNothingAlone(t *testing.T) {
 	t.Parallel()
 	for _, others := range []string{"down", "cut off"} {
@@ -755,7 +756,7 @@
 				for range 100 {
 					time.Sleep(50 * time.Millisecond)
 					if v := blank.srv.View(); v.Epoch > 0 {
-						t.Fatalf("a blank seed founded epoch %d alone", v.Epoch)
+						t.Fatalf("a blank seed bootstrapped a fleet alone, at epoch %d", v.Epoch)
 					}
 				}
 				f.w.Heal()
--- a/internal/testing/sim/moment_test.go
+++ b/internal/testing/sim/moment_test.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// Router, runner and the core's primary fall at each moment of a query's way, one by one, for once-only,
-// plain and streamed queries. The log tells in which states those queries were that ended badly; queued,
-// nominated (which lasts until the runner's headers are there) and answering have to be among them.
+// A router, a runner or the primary core fails at various times during a request, for requests with an idempotency key, plain
+// and streamed ones. The log output lists the states that requests were in when the failure hit. The states queued, nominated
+// (which lasts until the runner's response headers arrive) and answering must be among them.
 func TestFailureInEachRequestState(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
-	hit := map[string]int{}
+	failuresByState := map[string]int{}
 	for _, kind := range []string{"/orders", "/notes", "/ask", "stream"} {
 		for _, victim := range []string{"router", "runner", "primary"} {
 			t.Run(strings.Trim(kind, "/")+" "+victim, func(t *testing.T) {
@@ -36,7 +36,7 @@
 						n := uint64(i*100 + 1)
 						r := w.full[i%4]
 						before := len(r.now().RequestLog.All())
-						// Both runners are busy for a while, so that the query waits.
+						// Both runners are busy for a while, so that the request waits in the queue.
 						path := kind
 						if kind == "stream" {
 							path = "/ask"
@@ -45,11 +45,11 @@
 							go w.send(w.ctx, w.full[(i+1)%4], ask{n: n + 50 + k, tenant: "rich", path: path, body: prompt(4)})
 						}
 						time.Sleep(15 * time.Millisecond)
-						var mine sync.WaitGroup
-						var o *told
-						mine.Go(func() {
+						var clientDone sync.WaitGroup
+						var stream *told
+						clientDone.Go(func() {
 							if kind == "stream" {
-								o = w.stream(i%4, n, "/ask", 8, never)
+								stream = w.stream(i%4, n, "/ask", 8, never)
 								return
 							}
 							a := ask{n: n, tenant: "rich", path: kind, body: prompt(4)}
@@ -58,11 +58,11 @@
 							}
 							for try := 0; try < 5; try++ {
 								to := w.full[(i+try)%4]
-								ctx, end := context.WithTimeout(w.ctx, 15*time.Second)
+								ctx, cancel := context.WithTimeout(w.ctx, 15*time.Second)
 								g := w.send(ctx, to, a)
-								end()
+								cancel()
 								if to.now() == nil {
-									g = got{ask: a} // the origin heard nothing
+									g = got{ask: a} // the router is down, so the client has received no response
 								}
 								l.add(g)
 								if g.status == 200 || a.key == "" && g.run != "not run" {
@@ -73,16 +73,16 @@
 						})
 						time.Sleep(at)
 						run := r.now()
-						fell := time.Now()
-						var back func()
+						failedAt := time.Now()
+						var restore func()
 						switch victim {
 						case "router":
 							w.crashFull(r)
-							back = func() { w.startFull(r) }
+							restore = func() { w.startFull(r) }
 						case "primary":
 							p := w.primary()
 							w.crashCore(p)
-							back = func() { w.startCore(p) }
+							restore = func() { w.startCore(p) }
 						case "runner":
 							s := w.runners[0]
 							for _, d := range w.seen() {
@@ -95,28 +95,28 @@
 								}
 							}
 							s.stop()
-							back = func() { s.start() }
+							restore = func() { s.start() }
 						}
 						time.Sleep(time.Second)
-						back()
-						mine.Wait()
-						if o != nil {
-							if bad := o.judge(); bad != "" || o.end == "" {
-								t.Errorf("%s fell after %s: the stream ended %q with %d pieces: %s", victim, at, o.end, len(o.pieces), bad)
+						restore()
+						clientDone.Wait()
+						if stream != nil {
+							if bad := stream.judge(); bad != "" || stream.end == "" {
+								t.Errorf("%s failed after %s: the stream ended with %q after %d chunks: %s", victim, at, stream.end, len(stream.pieces), bad)
 							}
 						}
 						for _, rec := range run.RequestLog.All()[before:] {
 							state := ""
 							for _, st := range rec.Steps {
-								if fell.Add(-at).Add(st.After).Before(fell) {
+								if failedAt.Add(-at).Add(st.After).Before(failedAt) {
 									state = string(st.State)
 								}
 							}
 							mu.Lock()
-							hit[victim+" in "+state]++
+							failuresByState[victim+" in "+state]++
 							mu.Unlock()
 						}
-						w.within(12*time.Second, "service", func() bool {
+						w.within(12*time.Second, "a request succeeds after the failure", func() bool {
 							n += 7
 							return w.primary() != nil && w.send(w.ctx, w.full[(i+2)%4], ask{n: n + 5000, tenant: "rich", path: "/orders", key: fmt.Sprint("s", n), body: prompt(1)}).status == 200
 						})
@@ -126,15 +126,15 @@
 			})
 		}
 	}
-	var list []string
-	for k, n := range hit {
-		list = append(list, fmt.Sprintf("%s %d", k, n))
+	var lines []string
+	for k, n := range failuresByState {
+		lines = append(lines, fmt.Sprintf("%s %d", k, n))
 	}
-	sort.Strings(list)
-	t.Logf("fell: %v", list)
+	sort.Strings(lines)
+	t.Logf("failures by victim and request state: %v", lines)
 	for _, s := range []string{"queued", "nominated", "answering"} {
-		if hit["router in "+s]+hit["runner in "+s]+hit["primary in "+s] == 0 {
-			t.Errorf("nothing fell while a query was %s", s)
+		if failuresByState["router in "+s]+failuresByState["runner in "+s]+failuresByState["primary in "+s] == 0 {
+			t.Errorf("no failure hit a request in state %s", s)
 		}
 	}
 }
--- a/internal/testing/sim/quota_test.go
+++ b/internal/testing/sim/quota_test.go
@@ -11,13 +11,13 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// replacedRun is a fleet in which a router has started again, and its living run holds all units of a tenant's quota.
+// replacedRun is a fleet in which a router has restarted, and its current run holds all units of a tenant's quota.
 type replacedRun struct {
 	*fleet
 	t        *testing.T
 	operator *operator
 	router   *routerProc
-	late     coreapi.HeartbeatRequest // of the run that has ended
+	late     coreapi.HeartbeatRequest // heartbeat of the ended run that arrives late
 }
 
 func newReplacedRun(t *testing.T, seed uint64) *replacedRun {
@@ -28,25 +28,25 @@
 	if err := r.operator.cli.Call(f.ctx, "core.write", write, &coreapi.WriteResponse{}, true); err != nil {
 		t.Fatal(err)
 	}
-	f.within(2*time.Second, "every router is there", f.everyRouterAt(5))
+	f.within(2*time.Second, "every router has the configuration", f.everyRouterAt(5))
 	r.late = coreapi.HeartbeatRequest{Node: r.router.member.Self(), AgeMs: 60_000}
 	f.crashRouter(r.router)
 	time.Sleep(time.Second)
 	f.startRouter(r.router)
-	f.within(5*time.Second, "the new run is there", f.everyRouterAt(5))
+	f.within(5*time.Second, "the new run of the router has the configuration", f.everyRouterAt(5))
 
-	living := coreapi.Holder(r.router.member.Self())
+	current := coreapi.Holder(r.router.member.Self())
 	held := 0
 	for sequence := range uint64(30) {
-		held = r.acquire(living, sequence+1)
+		held = r.acquire(current, sequence+1)
 	}
 	if held != units {
-		t.Fatalf("got %d units held by the living run, want all %d", held, units)
+		t.Fatalf("got %d units held by the current run, want all %d", held, units)
 	}
 	return r
 }
 
-// acquire asks for units for a holder, and returns how many it has then.
+// acquire requests units for a holder and returns how many it holds then.
 func (r *replacedRun) acquire(holder string, sequence uint64) int {
 	r.t.Helper()
 	var result coreapi.QuotaTransferResult
@@ -57,22 +57,23 @@
 	return result.HeldUnits
 }
 
-// sendLateHeartbeat has the heartbeat of the ended run arrive now.
+// sendLateHeartbeat sends the heartbeat of the ended run.
 func (r *replacedRun) sendLateHeartbeat() error {
 	return r.operator.cli.Call(r.ctx, "core.beat", &r.late, &coreapi.HeartbeatResponse{}, true)
 }
 
-// wantNothingFree waits for longer than units cool, and fails where another holder gets units that the living run holds.
+// wantNothingFree waits for longer than units cool down, and fails the test if another holder gets units then that the
+// current run holds.
 func (r *replacedRun) wantNothingFree() {
 	r.t.Helper()
 	time.Sleep(5 * time.Second)
 	if units := r.acquire("other", 1); units > 0 {
-		r.t.Errorf("got %d units for another holder, want none of those that the living run holds", units)
+		r.t.Errorf("got %d units for another holder, want none of those that the current run holds", units)
 	}
 }
 
-// A heartbeat of a run that has ended, which comes after the next run at its address has acquired units, sets nothing of
-// them cooling: the living run spends them, and nobody else may have them.
+// A heartbeat of an ended run arrives after the next run at its address has acquired units. It must not start their cool-down:
+// the current run still spends them, so no other holder may get them.
 func TestLateHeartbeatOfAnEndedRun(t *testing.T) {
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		r := newReplacedRun(t, seed)
@@ -83,8 +84,8 @@
 	})
 }
 
-// A late heartbeat of a run that has ended proves nothing of the next run at its address, also where that can't be asked: it
-// is cut off from the core, and spends on. A primary that has just begun has not heard of it either.
+// A late heartbeat of an ended run must not release the units of the next run at its address, even if that run is partitioned
+// from the cores and still spends them. A new primary has never received a heartbeat of that run.
 func TestLateHeartbeatWhileTheLivingRunIsCutOff(t *testing.T) {
 	for _, primaryChanges := range []bool{false, true} {
 		t.Run(fmt.Sprintf("new primary %t", primaryChanges), func(t *testing.T) {
@@ -96,18 +97,18 @@
 				}
 				if primaryChanges {
 					r.crashCore(r.primary())
-					r.within(5*time.Second, "there is another primary", func() bool { return r.primary() != nil })
+					r.within(5*time.Second, "another core is primary", func() bool { return r.primary() != nil })
 				}
-				_ = r.sendLateHeartbeat() // taken or not
+				_ = r.sendLateHeartbeat() // may be accepted or rejected
 				r.wantNothingFree()
 			})
 		})
 	}
 }
 
-// A router is cut off from a runner while a request is on its way. The client leaves, the router gives the request up, and
-// its unit is free again after the window. The runner gets the request after the cut all the same, beside as many as the
-// quota allows by then.
+// A router is partitioned from a runner while a request is in flight. The client disconnects, the router cancels the request,
+// and its unit is free again after the window. Once the partition ends, the runner still receives the delayed request, in
+// addition to as many new ones as the quota allows by then.
 func TestQuotaOfRequestsHeldBackByACut(t *testing.T) {
 	t.Parallel()
 	const units, window = 3, 5 * time.Second
@@ -121,7 +122,7 @@
 		}
 		time.Sleep(time.Second) // until the router has acquired units
 		if first := send(w.ctx); first.status != 200 {
-			t.Fatalf("got %d %s before the cut, want 200", first.status, first.code)
+			t.Fatalf("got %d %s before the partition, want 200", first.status, first.code)
 		}
 		w.w.Cut(w.full[0].addr, w.runners[0].addr)
 		ctx, cancel := context.WithTimeout(w.ctx, time.Second)
@@ -131,7 +132,7 @@
 		w.w.Heal()
 		for range units {
 			if response := send(w.ctx); response.status != 200 {
-				t.Errorf("got %d %s after the cut, want 200", response.status, response.code)
+				t.Errorf("got %d %s after the partition, want 200", response.status, response.code)
 			}
 		}
 		time.Sleep(time.Second)
--- a/internal/testing/sim/recovery_test.go
+++ b/internal/testing/sim/recovery_test.go
@@ -9,31 +9,32 @@
 	"time"
 )
 
-// maxOutageBackupUnreachable bounds the time without a write where a backup gives no sign of life.
+// maxOutageBackupUnreachable is the longest allowed time without an acknowledged write when a backup is unreachable.
 const maxOutageBackupUnreachable = 500 * time.Millisecond
 
-// maxOutageHandover bounds the time without a write where the primary hands over to a backup: less than the term of its lease.
+// maxOutageHandover is the longest allowed time without an acknowledged write when the primary hands over to a backup. It is
+// less than the duration of a lease: nothing has to wait for the lease to expire.
 const maxOutageHandover = 800 * time.Millisecond
 
-// The longest time without a write being taken after each fault, over the seeds: 12 s at most.
-// The log is the table of docs/measurements.md.
+// Measures the longest time without an acknowledged write after each fault, over the seeds: 12 s at most, or the fault's own
+// bound. The log output is the source of the table in docs/measurements.md.
 func TestRecovery(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		name  string
-		fault func(f *fleet, lead, back *coreProc)
-		most  time.Duration // without a write; 0: the bound of all
+		name      string
+		fault     func(f *fleet, primary, backup *coreProc)
+		maxOutage time.Duration // 0: 12 s
 	}{
-		{"primary killed", func(f *fleet, lead, _ *coreProc) { f.crashCore(lead) }, 0},
-		{"backup killed", func(f *fleet, _, back *coreProc) { f.crashCore(back) }, 0},
-		{"backup dark", func(f *fleet, _, back *coreProc) { f.w.Split([]string{back.addr}, f.addrsExcept(back)) }, maxOutageBackupUnreachable},
-		{"primary cut off", func(f *fleet, lead, _ *coreProc) { f.w.Split([]string{lead.addr}, f.addrsExcept(lead)) }, 0},
-		{"primary reaches its backup only", func(f *fleet, lead, back *coreProc) {
-			f.w.Split([]string{lead.addr}, f.addrsExcept(lead, back))
+		{"primary killed", func(f *fleet, primary, _ *coreProc) { f.crashCore(primary) }, 0},
+		{"backup killed", func(f *fleet, _, backup *coreProc) { f.crashCore(backup) }, 0},
+		{"backup dark", func(f *fleet, _, backup *coreProc) { f.w.Split([]string{backup.addr}, f.addrsExcept(backup)) }, maxOutageBackupUnreachable},
+		{"primary cut off", func(f *fleet, primary, _ *coreProc) { f.w.Split([]string{primary.addr}, f.addrsExcept(primary)) }, 0},
+		{"primary reaches its backup only", func(f *fleet, primary, backup *coreProc) {
+			f.w.Split([]string{primary.addr}, f.addrsExcept(primary, backup))
 		}, maxOutageHandover},
-		{"primary's disk stalls", func(_ *fleet, lead, _ *coreProc) { lead.disk.Stall() }, 0},
-		{"primary's disk is full", func(_ *fleet, lead, _ *coreProc) { lead.disk.Full(true) }, 0},
-		{"backup's disk stalls", func(_ *fleet, _, back *coreProc) { back.disk.Stall() }, 0},
+		{"primary's disk stalls", func(_ *fleet, primary, _ *coreProc) { primary.disk.Stall() }, 0},
+		{"primary's disk is full", func(_ *fleet, primary, _ *coreProc) { primary.disk.Full(true) }, 0},
+		{"backup's disk stalls", func(_ *fleet, _, backup *coreProc) { backup.disk.Stall() }, 0},
 		{"all killed and started again", func(f *fleet, _, _ *coreProc) {
 			for _, o := range f.cores {
 				f.crashCore(o)
@@ -42,10 +43,10 @@
 				f.startCore(o)
 			}
 		}, 0},
-		{"two of five killed, the primary one of them", func(f *fleet, lead, back *coreProc) {
-			f.crashCore(lead)
+		{"two of five killed, the primary one of them", func(f *fleet, primary, backup *coreProc) {
+			f.crashCore(primary)
 			for _, o := range f.cores {
-				if o != lead && o != back {
+				if o != primary && o != backup {
 					f.crashCore(o)
 					break
 				}
@@ -57,35 +58,35 @@
 			for i := range uint64(*seedCount) {
 				synctest.Test(t, func(t *testing.T) {
 					f := newFleet(t, *firstSeed+i, 2)
-					f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
+					f.within(5*time.Second, "a primary is ready after bootstrap", func() bool { return f.primary() != nil })
 					o := f.operator()
 					if p := o.put(1, 0, ""); p.code != 200 {
-						t.Fatalf("before the fault a write was answered %d", p.code)
+						t.Fatalf("a write before the fault was answered with code %d", p.code)
 					}
 					time.Sleep(time.Duration(f.chance(2000)) * time.Millisecond)
-					lead := f.primary()
-					v := lead.srv.State().View
-					var back *coreProc
+					primary := f.primary()
+					v := primary.srv.State().View
+					var backup *coreProc
 					for _, o := range f.cores {
 						if o.addr == v.Addr(v.FirstBackup) {
-							back = o
+							backup = o
 						}
 					}
-					begun := time.Now()
-					c.fault(f, lead, back)
+					start := time.Now()
+					c.fault(f, primary, backup)
 
-					// Writes go on for 15 s: the longest time without one is the outage, whenever it begins.
-					last, gap := begun, time.Duration(0)
-					for mark := 2; time.Since(begun) < 15*time.Second; mark++ {
-						if o.put(mark, 0, fmt.Sprint(mark)).code == 200 {
-							gap, last = max(gap, time.Since(last)), time.Now()
+					// The longest interval without an acknowledged write within 15 s of the fault, whenever it begins.
+					last, longest := start, time.Duration(0)
+					for number := 2; time.Since(start) < 15*time.Second; number++ {
+						if o.put(number, 0, fmt.Sprint(number)).code == 200 {
+							longest, last = max(longest, time.Since(last)), time.Now()
 						}
 						time.Sleep(20 * time.Millisecond)
 					}
-					if gap = max(gap, time.Since(last)); gap > cmp.Or(c.most, 12*time.Second) {
-						t.Errorf("%s without a write", gap)
+					if longest = max(longest, time.Since(last)); longest > cmp.Or(c.maxOutage, 12*time.Second) {
+						t.Errorf("no write was acknowledged for %s", longest)
 					}
-					all = append(all, gap)
+					all = append(all, longest)
 				})
 			}
 			sort.Slice(all, func(i, j int) bool { return all[i] < all[j] })
@@ -94,20 +95,20 @@
 	}
 }
 
-// addrsExcept is every machine but those given.
-func (f *fleet) addrsExcept(but ...*coreProc) []string {
-	var out []string
+// addrsExcept returns the addresses of all processes of the fleet, including extraAddrs, except those of the given cores.
+func (f *fleet) addrsExcept(except ...*coreProc) []string {
+	var addrs []string
 	for _, c := range f.cores {
-		in := true
-		for _, b := range but {
-			in = in && b != c
+		include := true
+		for _, b := range except {
+			include = include && b != c
 		}
-		if in {
-			out = append(out, c.addr)
+		if include {
+			addrs = append(addrs, c.addr)
 		}
 	}
 	for _, r := range f.routers {
-		out = append(out, r.addr)
+		addrs = append(addrs, r.addr)
 	}
-	return append(out, f.extraAddrs...)
+	return append(addrs, f.extraAddrs...)
 }
--- a/internal/testing/sim/registry_test.go
+++ b/internal/testing/sim/registry_test.go
@@ -16,7 +16,7 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// heartbeatSender is a runner that sends its heartbeats to one core, whichever is primary.
+// heartbeatSender simulates a runner that sends all its heartbeats to the same core, whether that is the primary or not.
 type heartbeatSender struct {
 	f      *fleet
 	client *coreclient.Client
@@ -25,6 +25,7 @@
 	muted  bool
 }
 
+// heartbeatSender starts the simulated runner with number i.
 func (f *fleet) heartbeatSender(i int) *heartbeatSender {
 	c := f.cores[i%5]
 	n, _ := f.w.Net(fmt.Sprintf("10.0.7.%d:1", i+1))
@@ -35,7 +36,7 @@
 	return b
 }
 
-// heartbeat sends one heartbeat and reports whether it was acknowledged.
+// heartbeat sends one heartbeat unless the sender is muted, and reports whether it was acknowledged.
 func (b *heartbeatSender) heartbeat() bool {
 	b.mu.Lock()
 	if b.muted {
@@ -45,12 +46,12 @@
 	b.runner.Sequence++
 	runner := b.runner
 	b.mu.Unlock()
-	ctx, end := context.WithTimeout(b.f.ctx, 6*time.Second)
-	defer end()
+	ctx, cancel := context.WithTimeout(b.f.ctx, 6*time.Second)
+	defer cancel()
 	return b.client.SendRunnerHeartbeat(ctx, runner) == nil
 }
 
-// sendState sets the state and sends heartbeats until it is acknowledged.
+// sendState changes the runner's state and sends heartbeats until one is acknowledged.
 func (b *heartbeatSender) sendState(state routing.RunnerState) {
 	b.mu.Lock()
 	b.runner.State = state
@@ -62,13 +63,15 @@
 	}
 }
 
-func (b *heartbeatSender) setMuted(mute bool) {
+// setMuted stops or resumes the heartbeats.
+func (b *heartbeatSender) setMuted(muted bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.muted = mute
+	b.muted = muted
 }
 
-// allRoutersKnow reports whether every router that is up knows a runner in this state; "" stands for not at all.
+// allRoutersKnow reports whether the registry of every running router has the runner in this state. An empty state means that
+// the runner is absent.
 func (f *fleet) allRoutersKnow(regs map[string]*registry.Registry, id string, state routing.RunnerState) bool {
 	for _, r := range f.routers {
 		found := routing.RunnerState("")
@@ -84,6 +87,7 @@
 	return true
 }
 
+// newRegistryFleet starts a fleet whose routers have registries, which are returned by router name.
 func newRegistryFleet(t *testing.T, seed uint64, routers int) (*fleet, map[string]*registry.Registry) {
 	regs := map[string]*registry.Registry{}
 	f := newFleetWith(t, seed, routers, func(f *fleet) {
@@ -92,13 +96,13 @@
 			return []cluster.Option{cluster.WithRegistry(regs[r.name])}
 		}
 	})
-	f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
+	f.within(5*time.Second, "a primary is ready after bootstrap", func() bool { return f.primary() != nil })
 	return f, regs
 }
 
-// Runners send heartbeats to any core. Every router knows them, learns of one that drains within 1.5 s of its
-// acknowledgement though the primary falls right then, of one that fell silent, of its return, and of one
-// that left; a new router knows them too, and what is over is forgotten.
+// Runners send heartbeats to any core, and every router learns of them. A runner's change to draining reaches all routers
+// within 1.5 s of its acknowledgement, even if the primary crashes right then. So do a runner's silence, its return and its
+// leaving. A restarted router learns all of it too, and runners that are gone are removed eventually.
 func TestRunnersAreKnownEverywhere(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -115,9 +119,9 @@
 			}
 			return true
 		}
-		f.within(3*time.Second, "all runners are known", everyoneReady)
+		f.within(3*time.Second, "every router knows all runners", everyoneReady)
 		time.Sleep(time.Duration(f.chance(8000)) * time.Millisecond)
-		drains := func(b *heartbeatSender, what string, crash bool) {
+		drain := func(b *heartbeatSender, what string, crash bool) {
 			b.sendState(routing.RunnerDraining)
 			p := f.primary()
 			if crash && p != nil {
@@ -129,9 +133,9 @@
 				f.settle()
 			}
 		}
-		drains(all[0], "draining is known", false)
-		drains(all[1], "draining is known, though the primary fell", true)
-		f.within(3*time.Second, "the others stay ready", func() bool {
+		drain(all[0], "every router knows that the runner drains", false)
+		drain(all[1], "every router knows that the runner drains, after a crash of the primary", true)
+		f.within(3*time.Second, "the other runners are ready", func() bool {
 			for _, b := range all[2:] {
 				if !f.allRoutersKnow(regs, b.runner.ID, routing.RunnerReady) {
 					return false
@@ -139,84 +143,84 @@
 			}
 			return true
 		})
-		// Many at the same moment, while a router does not answer.
+		// Many changes at the same time while a router is unreachable.
 		f.w.Split([]string{f.routers[8].addr}, append(f.founders, f.routers[0].addr, f.routers[1].addr))
-		begun := time.Now()
+		start := time.Now()
 		var many sync.WaitGroup
 		for _, b := range all[2:10] {
 			many.Go(func() { b.sendState(routing.RunnerDraining) })
 		}
 		many.Wait()
-		if took := time.Since(begun); took > time.Second {
-			t.Errorf("eight changes at once were acknowledged after %s", took)
+		if took := time.Since(start); took > time.Second {
+			t.Errorf("eight concurrent changes were acknowledged after %s, want at most 1s", took)
 		}
 		f.settle()
 		for _, b := range all[:10] {
-			f.within(1500*time.Millisecond, "all that drain are known", func() bool { return f.allRoutersKnow(regs, b.runner.ID, routing.RunnerDraining) })
+			f.within(1500*time.Millisecond, "every router knows all draining runners", func() bool { return f.allRoutersKnow(regs, b.runner.ID, routing.RunnerDraining) })
 		}
-		// Silence and return, once the new primary has heard all.
+		// A runner falls silent and returns, after the new primary has received heartbeats of all runners.
 		time.Sleep(3 * time.Second)
 		all[10].setMuted(true)
 		time.Sleep(3 * time.Second)
 		if !f.allRoutersKnow(regs, all[10].runner.ID, routing.RunnerReady) {
-			t.Error("a runner unheard for 3 s is not ready any more")
+			t.Error("a runner is not ready after 3 s without a heartbeat")
 		}
-		f.within(2500*time.Millisecond, "the silent one is known", func() bool { return f.allRoutersKnow(regs, all[10].runner.ID, routing.RunnerSilent) })
+		f.within(2500*time.Millisecond, "every router knows that the runner is silent", func() bool { return f.allRoutersKnow(regs, all[10].runner.ID, routing.RunnerSilent) })
 		all[10].setMuted(false)
-		f.within(1500*time.Millisecond, "its return is known", func() bool { return f.allRoutersKnow(regs, all[10].runner.ID, routing.RunnerReady) })
-		// Leaving is final, also for a late word and for a router that starts anew.
+		f.within(1500*time.Millisecond, "every router knows that the runner is back", func() bool { return f.allRoutersKnow(regs, all[10].runner.ID, routing.RunnerReady) })
+		// Leaving is final, even after a late heartbeat, and a restarted router learns of it.
 		all[11].sendState(routing.RunnerGone)
 		all[11].setMuted(true)
-		f.within(1500*time.Millisecond, "the one that left is known", func() bool { return f.allRoutersKnow(regs, all[11].runner.ID, routing.RunnerGone) })
+		f.within(1500*time.Millisecond, "every router knows that the runner has left", func() bool { return f.allRoutersKnow(regs, all[11].runner.ID, routing.RunnerGone) })
 		all[11].runner.Sequence += 10
 		all[11].setMuted(false)
 		all[11].sendState(routing.RunnerReady)
 		all[11].setMuted(true)
 		f.crashRouter(f.routers[4])
 		f.startRouter(f.routers[4])
-		f.within(3*time.Second, "the new router knows them", func() bool {
+		f.within(3*time.Second, "the restarted router knows the runners that left or drain", func() bool {
 			return f.allRoutersKnow(regs, all[11].runner.ID, routing.RunnerGone) && f.allRoutersKnow(regs, all[0].runner.ID, routing.RunnerDraining)
 		})
-		// What is over is forgotten, what lives is not.
+		// Runners that left or stopped are removed, the others are not.
 		all[0].setMuted(true)
 		time.Sleep(80 * time.Second)
 		for _, b := range []*heartbeatSender{all[0], all[11]} {
 			if !f.allRoutersKnow(regs, b.runner.ID, "") {
-				t.Errorf("%s is still known", b.runner.ID)
+				t.Errorf("%s has not been removed", b.runner.ID)
 			}
 		}
 		if !f.allRoutersKnow(regs, all[10].runner.ID, routing.RunnerReady) || !f.allRoutersKnow(regs, all[1].runner.ID, routing.RunnerDraining) {
-			t.Error("a living runner is not known any more")
+			t.Error("a live runner has been removed")
 		}
 	})
 }
 
-// A runner that dies together with the primary was never heard by the next one. Routers drop it with the first
-// whole list, five seconds into the next primary's time.
+// A runner dies together with the primary, so the next primary never receives a heartbeat of it. Routers drop it on the first
+// full list of runners, five seconds after the next primary has started.
 func TestRunnerDiesWithThePrimary(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f, regs := newRegistryFleet(t, seed, 5)
-		dies, lives := f.heartbeatSender(0), f.heartbeatSender(1)
+		dying, live := f.heartbeatSender(0), f.heartbeatSender(1)
 		both := func() bool {
-			return f.allRoutersKnow(regs, dies.runner.ID, routing.RunnerReady) && f.allRoutersKnow(regs, lives.runner.ID, routing.RunnerReady)
+			return f.allRoutersKnow(regs, dying.runner.ID, routing.RunnerReady) && f.allRoutersKnow(regs, live.runner.ID, routing.RunnerReady)
 		}
-		f.within(3*time.Second, "both are known", both)
+		f.within(3*time.Second, "every router knows both runners", both)
 		time.Sleep(time.Duration(3000+f.chance(8000)) * time.Millisecond)
-		dies.setMuted(true)
+		dying.setMuted(true)
 		f.crashCore(f.primary())
-		took := f.within(10*time.Second, "the dead one is not ready any more", func() bool {
-			if !f.allRoutersKnow(regs, lives.runner.ID, routing.RunnerReady) {
-				t.Fatal("the living runner is not known as ready")
+		took := f.within(10*time.Second, "the dead runner is not ready", func() bool {
+			if !f.allRoutersKnow(regs, live.runner.ID, routing.RunnerReady) {
+				t.Fatal("the live runner is not known as ready")
 			}
-			return f.allRoutersKnow(regs, dies.runner.ID, "") || f.allRoutersKnow(regs, dies.runner.ID, routing.RunnerSilent)
+			return f.allRoutersKnow(regs, dying.runner.ID, "") || f.allRoutersKnow(regs, dying.runner.ID, routing.RunnerSilent)
 		})
-		t.Logf("not ready after %s", took)
+		t.Logf("the dead runner was dropped after %s", took)
 	})
 }
 
-// Primaries fall one after the other. No router loses a runner that lives, whole lists notwithstanding,
-// and one that died meanwhile is dropped in the end.
+// The primary crashes several times in a row. No router drops a live runner, even though new primaries send full lists, and a
+// runner that died meanwhile is removed eventually.
 func TestLivingRunnersStayThroughChanges(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -233,21 +237,21 @@
 			}
 			return true
 		}
-		f.within(3*time.Second, "all runners are known", known)
+		f.within(3*time.Second, "every router knows all runners", known)
 		all[0].setMuted(true)
 		for range 4 {
 			f.crashCore(f.primary())
 			for end := time.Now().Add(time.Duration(2000+f.chance(8000)) * time.Millisecond); time.Now().Before(end); {
 				if !known() {
-					t.Fatal("a living runner is not known as ready")
+					t.Fatal("a live runner is not known as ready")
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
 			f.settle()
 		}
-		f.within(80*time.Second, "the dead one is dropped", func() bool { return f.allRoutersKnow(regs, all[0].runner.ID, "") })
+		f.within(80*time.Second, "the dead runner is removed", func() bool { return f.allRoutersKnow(regs, all[0].runner.ID, "") })
 		if !known() {
-			t.Error("a living runner is not known as ready")
+			t.Error("a live runner is not known as ready")
 		}
 	})
 }
--- a/internal/testing/sim/restart_test.go
+++ b/internal/testing/sim/restart_test.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// newKilledFleet is a fleet with a configuration whose processes have all been killed at one moment.
-func newKilledFleet(t *testing.T, seed uint64, routers int) (f *fleet, lead, back *coreProc) {
+// newKilledFleet returns a fleet with a configuration and all processes killed at the same time, and the cores that were its
+// primary and its first backup.
+func newKilledFleet(t *testing.T, seed uint64, routers int) (f *fleet, primary, backup *coreProc) {
 	f = newFleet(t, seed, routers)
-	f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
+	f.within(5*time.Second, "a primary is ready after bootstrap", func() bool { return f.primary() != nil })
 	if p := f.operator().put(1, 0, ""); p.code != 200 {
-		t.Fatalf("the first write was answered %d", p.code)
+		t.Fatalf("the first write was answered with code %d", p.code)
 	}
 	time.Sleep(3 * time.Second)
-	lead = f.primary()
-	view := lead.srv.State().View
+	primary = f.primary()
+	view := primary.srv.State().View
 	for _, c := range f.cores {
 		if c.addr == view.Addr(view.FirstBackup) {
-			back = c
+			backup = c
 		}
 	}
 	for _, c := range f.cores {
@@ -26,23 +27,25 @@
 	for _, r := range f.routers {
 		f.crashRouter(r)
 	}
-	return f, lead, back
+	return f, primary, backup
 }
 
-// expectWithin is the time until something holds, looked at often; it fails where that is more than the limit.
+// expectWithin polls ok every millisecond until it returns true. The test fails if that takes longer than the limit, and stops
+// after 5 s.
 func (f *fleet) expectWithin(limit time.Duration, what string, ok func() bool) {
-	begun := time.Now()
+	start := time.Now()
 	for !ok() {
-		if time.Since(begun) > 5*time.Second {
-			f.t.Fatalf("not within 5s: %s", what)
+		if time.Since(start) > 5*time.Second {
+			f.t.Fatalf("condition not met within 5s: %s", what)
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if took := time.Since(begun); took > limit {
-		f.t.Errorf("%s: after %s, %s at most expected", what, took, limit)
+	if took := time.Since(start); took > limit {
+		f.t.Errorf("%s: after %s, want at most %s", what, took, limit)
 	}
 }
 
+// allRoutersServe reports whether every router is available.
 func (f *fleet) allRoutersServe() bool {
 	for _, r := range f.routers {
 		if r.member.UnavailableReason() != "" {
@@ -52,34 +55,34 @@
 	return true
 }
 
-// A core whose processes have all started again has its primary after some round trips, with and without the
-// backup: no step waits for a tick.
+// After a restart of all cores, with or without the former backup, a primary is ready after a few round trips: no step waits
+// for a periodic timer.
 func TestPrimaryIsReadySoon(t *testing.T) {
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f, _, _ := newKilledFleet(t, seed, 1)
 		for _, c := range f.cores {
 			f.startCore(c)
 		}
-		f.expectWithin(60*time.Millisecond, "a primary", func() bool { return f.primary() != nil })
+		f.expectWithin(60*time.Millisecond, "a primary is ready", func() bool { return f.primary() != nil })
 	})
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		f, _, back := newKilledFleet(t, seed, 1)
+		f, _, backup := newKilledFleet(t, seed, 1)
 		for _, c := range f.cores {
-			if c != back {
+			if c != backup {
 				f.startCore(c)
 			}
 		}
-		f.expectWithin(120*time.Millisecond, "a primary without its former backup", func() bool { return f.primary() != nil })
+		f.expectWithin(120*time.Millisecond, "a primary is ready without its former backup", func() bool { return f.primary() != nil })
 	})
 }
 
-// Routers that have started before the core serve as soon as the primary is ready, also while another machine of the
-// core is dark: neither their first heartbeat nor their search for a primary waits for its time.
+// Routers that started before the cores serve as soon as the primary is ready, even if another core is unreachable: neither
+// their first heartbeat nor their search for a primary waits for a timeout or a periodic timer.
 func TestRoutersFollowThePrimary(t *testing.T) {
 	overSeeds(t, func(t *testing.T, seed uint64) {
-		f, lead, back := newKilledFleet(t, seed, 8)
+		f, primary, backup := newKilledFleet(t, seed, 8)
 		for _, c := range f.cores {
-			if c != lead && c != back {
+			if c != primary && c != backup {
 				f.w.Split([]string{c.addr}, f.addrsExcept(c))
 				break
 			}
@@ -91,22 +94,22 @@
 		for _, c := range f.cores {
 			f.startCore(c)
 		}
-		f.expectWithin(5*time.Second, "a primary", func() bool { return f.primary() != nil })
-		f.expectWithin(100*time.Millisecond, "all routers serve", f.allRoutersServe)
+		f.expectWithin(5*time.Second, "a primary is ready", func() bool { return f.primary() != nil })
+		f.expectWithin(100*time.Millisecond, "all routers are available", f.allRoutersServe)
 	})
 }
 
-// A router that starts while a primary is ready serves after some round trips.
+// A router that starts while a primary is ready serves after a few round trips.
 func TestRouterServesSoon(t *testing.T) {
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f, _, _ := newKilledFleet(t, seed, 8)
 		for _, c := range f.cores {
 			f.startCore(c)
 		}
-		f.expectWithin(5*time.Second, "a primary", func() bool { return f.primary() != nil })
+		f.expectWithin(5*time.Second, "a primary is ready", func() bool { return f.primary() != nil })
 		for _, r := range f.routers {
 			f.startRouter(r)
 		}
-		f.expectWithin(100*time.Millisecond, "all routers serve", f.allRoutersServe)
+		f.expectWithin(100*time.Millisecond, "all routers are available", f.allRoutersServe)
 	})
 }
--- a/internal/testing/sim/secondloss_test.go
+++ b/internal/testing/sim/secondloss_test.go
@@ -9,7 +9,7 @@
 	"yarrowridge/internal/testing/sim"
 )
 
-// isolate cuts a core off from all others, routers and operators too.
+// isolate partitions a core from all other cores, the routers and the given operators.
 func (f *fleet) isolate(c *coreProc, operators ...*operator) {
 	others := f.addrsExcept(c)
 	for _, o := range operators {
@@ -18,40 +18,41 @@
 	f.w.Split([]string{c.addr}, others)
 }
 
-// mustWrite makes the first write of a fleet that has no trouble.
+// mustWrite makes the first write and fails the test unless it is acknowledged.
 func (f *fleet) mustWrite(o *operator, b *history) writeRecord {
 	f.t.Helper()
 	p := o.put(1, 0, "")
 	b.add(p)
 	if p.code != 200 {
-		f.t.Fatalf("a write was answered %d", p.code)
+		f.t.Fatalf("a write was answered with code %d", p.code)
 	}
 	return p
 }
 
-// loseDisk crashes a core and takes its disk away.
+// loseDisk crashes a core and replaces its disk with an empty one.
 func (f *fleet) loseDisk(c *coreProc) {
 	f.crashCore(c)
 	wipeDisks(c)
 }
 
-// expectReadBack waits for a primary and holds what is read against the newest acknowledged write.
+// expectReadBack waits for a primary, checks that a read returns the given acknowledged write or a later one, and checks the
+// history.
 func (f *fleet) expectReadBack(b *history, p writeRecord) {
 	f.t.Helper()
-	took := f.within(12*time.Second, "a primary after the second loss", func() bool { return f.primary() != nil })
-	f.t.Logf("service is back after %s", took)
+	took := f.within(12*time.Second, "a primary is ready after the second loss", func() bool { return f.primary() != nil })
+	f.t.Logf("a primary was ready after %s", took)
 	o := f.operator()
-	seen := len(b.reads)
+	before := len(b.reads)
 	o.read(b)
-	if len(b.reads) == seen || b.reads[seen].version < p.version {
-		f.t.Errorf("sequence %d was acknowledged and is not read back: %+v", p.version, b.reads[seen:])
+	if len(b.reads) == before || b.reads[before].version < p.version {
+		f.t.Errorf("version %d was acknowledged, but not read back: %+v", p.version, b.reads[before:])
 	}
-	time.Sleep(7 * time.Second) // writes in doubt end
+	time.Sleep(7 * time.Second) // until the writes with an unknown outcome have ended
 	f.check(b)
 }
 
-// The primary is cut off, a backup takes over, and that one's disk is lost before it has copied anything to anybody:
-// the old primary, back from the cut, still holds all that was acknowledged and must be able to lead.
+// The primary is partitioned, a backup takes over, and its disk is lost before it has replicated anything. Once the partition
+// ends, the old primary still has all acknowledged writes and must be able to become primary again.
 func TestNewPrimaryLostBeforeItCopied(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -77,8 +78,8 @@
 	})
 }
 
-// A backup is cut off, and the primary's disk is lost while it replaces that backup: the one that was cut off holds all
-// that was acknowledged and must be able to lead once it is back.
+// A backup is partitioned, and the primary loses its disk while it replaces that backup. Once the partition ends, the old
+// backup still has all acknowledged writes and must be able to become primary.
 func TestPrimaryLostWhileItReplacesABackup(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -101,8 +102,8 @@
 	})
 }
 
-// A primary that starts again leads on in an epoch of its own: what its last run sent may still be under way, and the
-// backups must know it for old.
+// A restarted primary that stays primary begins a new epoch: messages of its previous run may still be in flight, and the
+// backups must recognize them as stale.
 func TestRestartedPrimaryBeginsAnEpoch(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -113,17 +114,17 @@
 		before := primary.srv.View()
 		f.crashCore(primary)
 		f.startCore(primary)
-		took := f.within(2*time.Second, "the same core leads again", func() bool { return primary.srv.State().Ready })
+		took := f.within(2*time.Second, "the same core is primary again", func() bool { return primary.srv.State().Ready })
 		if after := primary.srv.View(); after.Epoch <= before.Epoch {
-			t.Errorf("it leads epoch %d again, which its last run led", after.Epoch)
+			t.Errorf("the restarted primary is in epoch %d, want a later one than its previous run's", after.Epoch)
 		}
 		t.Logf("ready after %s", took)
 		f.check(b)
 	})
 }
 
-// A machine is replaced as planned, the new one first, and after the time that this may take another is lost: the members
-// that are left must still be a majority. The old machine is gone for good, and must not count for ever.
+// A core is replaced as planned: the new one starts before the old one stops. Then another core is lost. The remaining members
+// must still be a majority, so the old core must have been removed from the members by then.
 func TestLossAfterAPlannedReplacement(t *testing.T) {
 	t.Parallel()
 	for _, cores := range []int{3, 5} {
@@ -146,7 +147,7 @@
 					}
 					f.crashCore(f.cores[f.chance(cores)])
 					acknowledged := writeRecord{}
-					f.within(6*time.Second, "a write after the loss", func() bool {
+					f.within(6*time.Second, "a write is acknowledged after the loss", func() bool {
 						acknowledged = o.put(10+len(b.writes), 0, "")
 						b.add(acknowledged)
 						return acknowledged.code == 200
--- a/internal/testing/sim/worstdays_test.go
+++ b/internal/testing/sim/worstdays_test.go
@@ -13,15 +13,16 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// The primary is cut off from the other cores for 20 s, one way or both, while all others reach it: from the end of its lease on
-// it answers no read, takes no change, no heartbeat and no leaving, and deals no quota units. The rest goes on without it.
+// The primary is partitioned from the other cores for 20 s, in one or both directions, while all other processes reach it. Once
+// its lease has expired it rejects reads, writes, heartbeats, runners that leave, quota transfers and claims. The other cores
+// continue without it.
 func TestPrimaryCutOffForTwentySeconds(t *testing.T) {
 	t.Parallel()
 	for _, way := range []string{"both", "hears nobody", "heard by nobody"} {
 		t.Run(way, func(t *testing.T) {
 			overSeeds(t, func(t *testing.T, seed uint64) {
 				f := newFleet(t, seed, 2)
-				f.within(5*time.Second, "founding", func() bool { return f.primary() != nil })
+				f.within(5*time.Second, "a primary is ready after bootstrap", func() bool { return f.primary() != nil })
 				o, b := f.operator(), &history{}
 				b.add(o.put(1, 0, "first"))
 				old := f.primary()
@@ -33,13 +34,13 @@
 						f.w.Cut(c.addr, old.addr)
 					}
 				}
-				begun := time.Now()
-				near := newDirectCaller(f)
-				for time.Since(begun) < 20*time.Second {
+				start := time.Now()
+				direct := newDirectCaller(f)
+				for time.Since(start) < 20*time.Second {
 					b.add(o.put(len(b.writes)+1, 0, fmt.Sprint("order-", len(b.writes))))
 					o.read(b)
-					if time.Since(begun) > 2*time.Second { // its lease is over, at its own clock and at all voters
-						near.expectRefusals(t, old.addr, len(b.writes))
+					if time.Since(start) > 2*time.Second { // its lease has expired, by its own clock and by those of all voters
+						direct.expectRejections(t, old.addr, len(b.writes))
 					}
 					time.Sleep(200 * time.Millisecond)
 				}
@@ -50,7 +51,7 @@
 					}
 				}
 				if acknowledged < len(b.writes)*8/10 {
-					t.Errorf("%d of %d changes were acknowledged by the rest of the core", acknowledged, len(b.writes))
+					t.Errorf("%d of %d writes were acknowledged by the other cores, want at least 80%%", acknowledged, len(b.writes))
 				}
 				f.settle()
 				f.check(b)
@@ -59,7 +60,7 @@
 	}
 }
 
-// directCaller calls one core, whether it is the primary or not.
+// directCaller calls a given core, whether it is the primary or not.
 type directCaller struct {
 	ctx    context.Context
 	caller *wire.Caller
@@ -70,8 +71,8 @@
 	return &directCaller{f.ctx, wire.NewCaller(network)}
 }
 
-// expectRefusals makes each kind of call that only a primary may answer.
-func (d *directCaller) expectRefusals(t *testing.T, addr string, number int) {
+// expectRejections makes each kind of call that only a primary may answer, and expects a rejection.
+func (d *directCaller) expectRejections(t *testing.T, addr string, number int) {
 	t.Helper()
 	runner := routing.Runner{ID: "i-1", Service: "s", Address: "10.9.0.1:80", State: routing.RunnerGone, Sequence: 9}
 	for kind, request := range map[string]msgp.Marshaler{
@@ -86,13 +87,14 @@
 		err := d.caller.Call(ctx, addr, kind, request, nil)
 		cancel()
 		if !wire.HasCode(err, coreapi.CodeNotReady) && !wire.HasCode(err, coreapi.CodeNotPrimary) {
-			t.Errorf("%s was answered %v", kind, err)
+			t.Errorf("%s returned %v, want a rejection as not ready or not primary", kind, err)
 		}
 	}
 }
 
-// The acknowledgement of a change is lost, and its primary with it: sent again to whoever leads now, after many other changes
-// too, and after all processes were killed, it is acknowledged under the same number. Another change for the base loses.
+// The acknowledgement of a write is lost, and then its primary. The write is repeated to the current primary, also after many
+// other writes and after a restart of all processes, and acknowledged with the same version each time. A different write on the
+// same base version is rejected.
 func TestRepeatedWriteIsAcknowledgedAgain(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -100,42 +102,42 @@
 		o, b := f.operator(), &history{}
 		base := o.put(1, 0, "first")
 		b.add(base)
-		taken := o.write(&coreapi.WriteRequest{ID: "order", BaseVersion: base.version, Raw: testConfig(2)})
-		b.add(taken)
-		if taken.code != 200 {
-			t.Fatalf("the order was answered %d", taken.code)
+		acknowledged := o.write(&coreapi.WriteRequest{ID: "order", BaseVersion: base.version, Raw: testConfig(2)})
+		b.add(acknowledged)
+		if acknowledged.code != 200 {
+			t.Fatalf("the write was answered with code %d", acknowledged.code)
 		}
-		again := func(when string) {
+		repeat := func(when string) {
 			t.Helper()
-			repeat := f.operator().write(&coreapi.WriteRequest{ID: "order", BaseVersion: base.version, Raw: testConfig(2)})
-			if repeat.code != 200 || repeat.version != taken.version {
-				t.Errorf("%s the order was answered %d at %d, first it was %d", when, repeat.code, repeat.version, taken.version)
+			repeated := f.operator().write(&coreapi.WriteRequest{ID: "order", BaseVersion: base.version, Raw: testConfig(2)})
+			if repeated.code != 200 || repeated.version != acknowledged.version {
+				t.Errorf("%s the repeated write was answered with code %d at version %d, want 200 at version %d", when, repeated.code, repeated.version, acknowledged.version)
 			}
 			if rival := f.operator().write(&coreapi.WriteRequest{ID: "rival", BaseVersion: base.version, Raw: testConfig(3)}); rival.code != 412 {
-				t.Errorf("%s a rival on the same base was answered %d", when, rival.code)
+				t.Errorf("%s another write on the same base version was answered with code %d, want 412", when, rival.code)
 			}
 		}
-		again("At once")
+		repeat("Immediately")
 		lost := f.primary()
 		f.loseDisk(lost)
-		f.within(6*time.Second, "another primary", func() bool { return f.primary() != nil })
+		f.within(6*time.Second, "another core is primary", func() bool { return f.primary() != nil })
 		f.startCore(lost)
-		again("After the loss of its primary")
+		repeat("After the loss of its primary")
 		for i := range 300 {
 			b.add(o.put(10+i, 0, ""))
 		}
-		again("After 300 changes")
+		repeat("After 300 writes")
 		for _, c := range f.cores {
 			f.crashCore(c)
 		}
 		f.settle()
-		again("After the loss of all processes")
+		repeat("After a restart of all processes")
 		f.check(b)
 	})
 }
 
-// A member is away for 500 changes, dies in the middle of folding its files when it is back, and then the primary's disk is lost.
-// Whoever leads has the newest configuration, and the member that was away catches up.
+// A member crashes while it compacts its files, misses 500 writes and restarts. Then the primary's disk is lost. Every later
+// primary has the newest configuration, also the restarted member, which has caught up.
 func TestMemberAwayForManyChanges(t *testing.T) {
 	t.Parallel()
 	for _, role := range []string{"backup", "primary"} {
@@ -143,33 +145,33 @@
 			overSeeds(t, func(t *testing.T, seed uint64) {
 				f := newJoinedFleet(t, seed, 3, 1)
 				o, b := f.operator(), &history{}
-				for i := range 70 { // so that it has folded once
+				for i := range 70 { // enough to compact its files once
 					b.add(o.put(1+i, 0, ""))
 				}
-				away := f.primary()
+				restarted := f.primary()
 				if role == "backup" {
-					away = f.coreByID(away.srv.View().Backups()[0])
+					restarted = f.coreByID(restarted.srv.View().Backups()[0])
 				}
-				away.disk.Keep(true) // nothing is removed any more: its files are half folded when it dies
+				restarted.disk.Keep(true) // file removals fail from now on, so that the crash leaves a partial compaction
 				for i := range 70 {
 					b.add(o.put(100+i, 0, ""))
 				}
-				f.crashCore(away)
-				away.disk.Keep(false)
-				f.within(6*time.Second, "a primary", func() bool { return f.primary() != nil })
+				f.crashCore(restarted)
+				restarted.disk.Keep(false)
+				f.within(6*time.Second, "a primary is ready", func() bool { return f.primary() != nil })
 				var newest writeRecord
 				for i := range 500 {
 					newest = o.put(1000+i, 0, "")
 					b.add(newest)
 				}
-				f.startCore(away)
-				f.within(5*time.Second, "it is a member again", func() bool { return f.hasAllMembers(1) })
+				f.startCore(restarted)
+				f.within(5*time.Second, "all cores are members again", func() bool { return f.hasAllMembers(1) })
 				primary := f.primary()
 				f.loseDisk(primary)
 				f.startCore(primary)
 				f.expectReadBack(b, newest)
 				f.within(8*time.Second, "all cores are members", func() bool { return f.hasAllMembers(1) })
-				f.makePrimary(away)
+				f.makePrimary(restarted)
 				f.expectReadBack(b, newest)
 				f.check(b)
 			})
@@ -177,7 +179,8 @@
 	}
 }
 
-// makePrimary has a member lead: backups are killed until it is one, then the primary stops as planned.
+// makePrimary makes a member the primary: it crashes other backups until the member is the backup, and has the primary step
+// down then.
 func (f *fleet) makePrimary(next *coreProc) {
 	f.t.Helper()
 	for range 12 {
@@ -189,20 +192,20 @@
 			return
 		case backup == next:
 			primary.srv.StepDown()
-			f.within(4*time.Second, "another primary", func() bool { return f.primary() != nil })
+			f.within(4*time.Second, "another core is primary", func() bool { return f.primary() != nil })
 		default:
 			f.crashCore(backup)
-			f.within(4*time.Second, "another backup", func() bool {
+			f.within(4*time.Second, "another core is backup", func() bool {
 				p := f.primary()
 				return p != nil && f.findCore(p.srv.View().Backups()[0]) != nil
 			})
 			f.startCore(backup)
 		}
 	}
-	f.t.Errorf("%s does not get to lead", next.addr)
+	f.t.Errorf("%s did not become primary", next.addr)
 }
 
-// findCore is the running core with an identity, or nil.
+// findCore returns the running core with an ID, or nil.
 func (f *fleet) findCore(id string) *coreProc {
 	for _, c := range f.cores {
 		if c.up && c.srv.State().ID == id {
