--- a/internal/testing/sim/fleet_test.go
+++ b/internal/testing/sim/fleet_test.go
@@ -401,7 +401,7 @@
 		}
 		rawByVersion[version] = raw
 		if p, ok := byRaw[raw]; ok && (p.code == 412 || p.code == 503) {
-			t.Errorf("%s applied write %d, which was answered with code %d", reader, p.number, p.code)
+			t.Errorf("%s observed write %d, which was answered with code %d", reader, p.number, p.code)
 		}
 		if p, ok := acknowledged[version]; ok && p.raw != raw {
 			t.Errorf("%s: version %d is %q, but it was acknowledged for write %d", reader, version, raw, p.number)
