--- a/internal/testing/modelcheck/calltrigger_test.go
+++ b/internal/testing/modelcheck/calltrigger_test.go
@@ -12,47 +12,47 @@
 type callTrigger struct {
 	kind  string
 	after bool
-	hit   chan struct{}
+	fired chan struct{}
 }
 
 // awaitCall waits for the call at which an event begins, where it has one.
 func (f *fleet) awaitCall(event Event) {
-	if event.On == "" {
+	if event.TriggerCall == "" {
 		return
 	}
-	trigger := &callTrigger{kind: event.On, after: event.After, hit: make(chan struct{})}
+	trigger := &callTrigger{kind: event.TriggerCall, after: event.AfterCall, fired: make(chan struct{})}
 	f.mu.Lock()
 	f.triggers = append(f.triggers, trigger)
 	f.mu.Unlock()
 	select {
-	case <-trigger.hit:
+	case <-trigger.fired:
 	case <-time.After(triggerTimeout):
-		f.takeTriggers(func(waiting *callTrigger) bool { return waiting == trigger })
+		f.removeTriggers(func(waiting *callTrigger) bool { return waiting == trigger })
 	}
 }
 
 // observeCall begins the events that wait for a call of this kind. They have begun when it returns: simulated time goes on
 // only while every other goroutine waits.
 func (f *fleet) observeCall(kind string, after bool) {
-	hit := f.takeTriggers(func(waiting *callTrigger) bool { return waiting.kind == kind && waiting.after == after })
-	for _, trigger := range hit {
-		close(trigger.hit)
+	fired := f.removeTriggers(func(waiting *callTrigger) bool { return waiting.kind == kind && waiting.after == after })
+	for _, trigger := range fired {
+		close(trigger.fired)
 	}
-	if len(hit) > 0 {
+	if len(fired) > 0 {
 		time.Sleep(time.Nanosecond)
 	}
 }
 
 // takeTriggers removes the triggers that match, and returns them.
-func (f *fleet) takeTriggers(matches func(*callTrigger) bool) (taken []*callTrigger) {
+func (f *fleet) removeTriggers(matches func(*callTrigger) bool) (removed []*callTrigger) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.triggers = slices.DeleteFunc(f.triggers, func(trigger *callTrigger) bool {
 		if matches(trigger) {
-			taken = append(taken, trigger)
+			removed = append(removed, trigger)
 			return true
 		}
 		return false
 	})
-	return taken
+	return removed
 }
--- a/internal/testing/modelcheck/clock_test.go
+++ b/internal/testing/modelcheck/clock_test.go
@@ -19,7 +19,7 @@
 		t.Skip("built with a mechanism disabled")
 	}
 	t.Parallel()
-	out, err := steppedclock.Run(t, "-run=^TestRandomWalks$", fmt.Sprintf("-walks=%d", walksWithClockSteps), fmt.Sprintf("-seed=%d", *first))
+	out, err := steppedclock.Run(t, "-run=^TestRandomWalks$", fmt.Sprintf("-walks=%d", walksWithClockSteps), fmt.Sprintf("-seed=%d", *firstSeed))
 	if passed := strings.Count(out, "        --- PASS: TestRandomWalks/all/"); err != nil || passed != walksWithClockSteps {
 		t.Errorf("got %d schedules passed, want %d, and error %v:\n%s", passed, walksWithClockSteps, err, out)
 	}
--- a/internal/testing/modelcheck/copies_test.go
+++ b/internal/testing/modelcheck/copies_test.go
@@ -8,7 +8,7 @@
 
 // copyMonitor holds a process's copy of the state against invariant I4: within an epoch it never goes back. A copy that does
 // is brought forward again by the next write, so that clients see nothing of it unless the primary is lost just then.
-type copyMonitor struct {
+type replicaMonitor struct {
 	history *history
 
 	mu      sync.Mutex // held while a copy is looked at: two looks are in the order of their results
@@ -17,16 +17,16 @@
 }
 
 // look compares the copy with what it was at the last look.
-func (m *copyMonitor) look(addr string, server *core.Server) {
+func (m *replicaMonitor) check(addr string, server *core.Server) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	before := server.View().Epoch
+	epoch := server.View().Epoch
 	state := server.State()
-	if state.DiskFailed || state.View.Epoch != before || server.View().Epoch != before {
+	if state.DiskFailed || state.View.Epoch != epoch || server.View().Epoch != epoch {
 		return // a view or a disk that changes meanwhile: the next look will tell
 	}
-	if before == m.epoch && state.StoreVersion < m.version {
-		m.history.fail("the copy at %s went back from version %d to %d in epoch %d", addr, m.version, state.StoreVersion, before)
+	if epoch == m.epoch && state.StoreVersion < m.version {
+		m.history.fail("the copy at %s went back from version %d to %d in epoch %d", addr, m.version, state.StoreVersion, epoch)
 	}
-	m.epoch, m.version = before, state.StoreVersion
+	m.epoch, m.version = epoch, state.StoreVersion
 }
--- a/internal/testing/modelcheck/coverage_test.go
+++ b/internal/testing/modelcheck/coverage_test.go
@@ -10,7 +10,7 @@
 )
 
 // messageRun is how many messages that one process logs in a row are a feature of a run.
-const messageRun = 3
+const featureLength = 3
 
 var featureSeed = maphash.MakeSeed()
 
@@ -34,14 +34,14 @@
 	if len(last) > 1 && last[len(last)-1] == message && last[len(last)-2] == message {
 		return
 	}
-	if last = append(last, message); len(last) > messageRun {
+	if last = append(last, message); len(last) > featureLength {
 		last = last[1:]
 	}
 	c.last[process] = last
 	var hash maphash.Hash
 	hash.SetSeed(featureSeed)
-	for _, one := range last {
-		_, _ = hash.WriteString(one) // it never fails
+	for _, part := range last {
+		_, _ = hash.WriteString(part) // it never fails
 		_ = hash.WriteByte(0)
 	}
 	c.features[hash.Sum64()] = true
@@ -78,8 +78,8 @@
 // corpus is the schedules that have shown features which none before them had. New schedules are made of them: what is rare
 // comes about more often than by independent draws. All methods may be called concurrently.
 type corpus struct {
-	kinds []string // that schedules keep to
-	size  size     // of the fleets; zero: all
+	kinds []string  // that schedules keep to
+	size  fleetSize // of the fleets; zero: all
 
 	mu        sync.Mutex
 	random    *rand.Rand
@@ -87,16 +87,16 @@
 	schedules []Schedule
 }
 
-func newCorpus(seed uint64, kinds []string, wanted size) *corpus {
-	return &corpus{kinds: kinds, size: wanted, random: rand.New(rand.NewPCG(seed, 17)), features: map[uint64]bool{}}
+func newCorpus(seed uint64, kinds []string, fleetSize fleetSize) *corpus {
+	return &corpus{kinds: kinds, size: fleetSize, random: rand.New(rand.NewPCG(seed, 17)), features: map[uint64]bool{}}
 }
 
 // keep keeps a schedule if its run has shown a new feature.
-func (c *corpus) keep(s Schedule, shown *coverage) {
+func (c *corpus) addIfNew(s Schedule, covered *coverage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := len(c.features)
-	for feature := range shown.features {
+	for feature := range covered.features {
 		c.features[feature] = true
 	}
 	if len(c.features) > known {
@@ -115,11 +115,11 @@
 	if len(c.schedules) == 0 || c.random.IntN(3) == 0 {
 		return s
 	}
-	return c.mutate(c.pick(), s)
+	return c.mutate(c.pickSchedule(), s)
 }
 
 // pick draws a kept schedule; the newer half is drawn more often. The caller holds the mutex.
-func (c *corpus) pick() Schedule {
+func (c *corpus) pickSchedule() Schedule {
 	from := 0
 	if c.random.IntN(2) == 0 {
 		from = len(c.schedules) / 2
@@ -138,11 +138,11 @@
 		case 0:
 			event.AtMs = max(0, event.AtMs+c.random.IntN(2001)-1000)
 		case 1:
-			event.ForMs = min(longestMs[len(longestMs)-1], event.ForMs/2+c.random.IntN(2*event.ForMs+1))
+			event.DurationMs = min(maxDurationsMs[len(maxDurationsMs)-1], event.DurationMs/2+c.random.IntN(2*event.DurationMs+1))
 		case 2:
-			event.Who = donor.Who
+			event.Target = donor.Target
 		case 3:
-			event.On, event.After = donor.On, donor.After
+			event.TriggerCall, event.AfterCall = donor.TriggerCall, donor.AfterCall
 		case 4:
 			kept.Events = append(kept.Events, donor)
 		case 5:
--- a/internal/testing/modelcheck/fleet_test.go
+++ b/internal/testing/modelcheck/fleet_test.go
@@ -17,12 +17,12 @@
 
 // Times of the checked fleets.
 const (
-	leaseTerm    = 600 * time.Millisecond
-	lostAfter    = 2 * time.Second
-	maxDrift     = 0.09                   // by how much the fastest clock runs faster than the slowest
-	recoverySpan = 12 * time.Second       // service is back within this once all faults are over
-	wholeSpan    = 20 * time.Second       // and all cores are members again
-	restartPause = 300 * time.Millisecond // between two tries to start a process
+	leaseTerm           = 600 * time.Millisecond
+	lostAfter           = 2 * time.Second
+	maxDrift            = 0.09                   // by how much the fastest clock runs faster than the slowest
+	recoveryTimeout     = 12 * time.Second       // service is back within this once all faults are over
+	fullRecoveryTimeout = 20 * time.Second       // and all cores are members again
+	restartPause        = 300 * time.Millisecond // between two tries to start a process
 )
 
 // fleet is a world of cores.
@@ -37,37 +37,37 @@
 	coverage *coverage
 	spends   spendLedger
 
-	mu        sync.Mutex
-	random    *rand.Rand
-	holders   []*holder  // of quota units
-	processes []*process // of the machines that stay
-	machines  []*process // all that there ever were
-	losing    bool       // disks are being lost
-	wiped     bool       // some were lost before
-	messages  messageFaults
-	triggers  []*callTrigger // of events that wait for a call
+	mu            sync.Mutex
+	random        *rand.Rand
+	quotaHolders  []*quotaHolder // of quota units
+	processes     []*process     // of the machines that stay
+	machines      []*process     // all that there ever were
+	losingDisks   bool           // disks are being lost
+	disksLost     bool           // some were lost before
+	messageFaults messageFaults
+	triggers      []*callTrigger // of events that wait for a call
 }
 
 // messageFaults says how many messages are affected, of 100, and by how much at most.
 type messageFaults struct {
-	only                       string // the kind of call that is affected; "": all kinds
-	held, doubled, answersHeld int
-	most                       time.Duration
+	onlyCall                                                 string // the kind of call that is affected; "": all kinds
+	delayedPercent, duplicatedPercent, delayedAnswersPercent int
+	maxDelay                                                 time.Duration
 }
 
 // messageFault is what happens to one message.
 type messageFault struct {
-	hold, again, holdAnswer time.Duration
+	requestDelay, duplicateDelay, answerDelay time.Duration
 }
 
 // newFleet makes a world of cores; none runs yet.
-func newFleet(t *testing.T, seed uint64, cores, losses int, loud bool) *fleet {
-	shown := newCoverage()
-	log := slog.New(coverageHandler{coverage: shown})
-	if loud {
+func newFleet(t *testing.T, seed uint64, cores, losses int, verbose bool) *fleet {
+	covered := newCoverage()
+	log := slog.New(coverageHandler{coverage: covered})
+	if verbose {
 		log = logging.New(os.Stderr, slog.LevelDebug)
 	}
-	f := &fleet{t: t, world: sim.NewWorld(seed), losses: losses, log: log, coverage: shown,
+	f := &fleet{t: t, world: sim.NewWorld(seed), losses: losses, log: log, coverage: covered,
 		random: rand.New(rand.NewPCG(seed, 3)), history: &history{}}
 	f.ctx, f.cancel = context.WithCancel(t.Context())
 	for range cores {
@@ -77,11 +77,11 @@
 }
 
 // newMachine makes a machine with an empty disk.
-func (f *fleet) newMachine(founding bool) *process {
+func (f *fleet) newMachine(bootstrap bool) *process {
 	number := len(f.machines) + 1
-	drift := 1 - maxDrift*float64(f.chance(100))/100
+	drift := 1 - maxDrift*float64(f.randomBelow(100))/100
 	p := &process{fleet: f, addr: fmt.Sprintf("10.0.0.%d:1", number), zone: fmt.Sprint("zone-", number%3), disk: sim.NewDisk(),
-		term: time.Duration(float64(leaseTerm) * drift), first: founding}
+		leaseTerm: time.Duration(float64(leaseTerm) * drift), bootstrap: bootstrap}
 	f.machines = append(f.machines, p)
 	return p
 }
@@ -96,33 +96,33 @@
 }
 
 // chance draws a number below n.
-func (f *fleet) chance(n int) int {
+func (f *fleet) randomBelow(n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.random.IntN(n)
 }
 
 // messageFault draws what happens to a call of a kind.
-func (f *fleet) messageFault(kind string) (fault messageFault) {
+func (f *fleet) drawMessageFault(kind string) (fault messageFault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.messages.only != "" && f.messages.only != kind {
+	if f.messageFaults.onlyCall != "" && f.messageFaults.onlyCall != kind {
 		return messageFault{}
 	}
 	draw := func(percent int) time.Duration {
-		if f.messages.most == 0 || f.random.IntN(100) >= percent {
+		if f.messageFaults.maxDelay == 0 || f.random.IntN(100) >= percent {
 			return 0
 		}
-		return time.Duration(f.random.Int64N(int64(f.messages.most))) + 1
+		return time.Duration(f.random.Int64N(int64(f.messageFaults.maxDelay))) + 1
 	}
-	return messageFault{hold: draw(f.messages.held), again: draw(f.messages.doubled), holdAnswer: draw(f.messages.answersHeld)}
+	return messageFault{requestDelay: draw(f.messageFaults.delayedPercent), duplicateDelay: draw(f.messageFaults.duplicatedPercent), answerDelay: draw(f.messageFaults.delayedAnswersPercent)}
 }
 
 // setMessages sets the message faults.
-func (f *fleet) setMessages(faults messageFaults) {
+func (f *fleet) setMessageFaults(faults messageFaults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.messages = faults
+	f.messageFaults = faults
 }
 
 // stop kills a process.
@@ -148,7 +148,7 @@
 }
 
 // current is the newest view that any running process knows.
-func (f *fleet) current() (newest view.View) {
+func (f *fleet) newestView() (newest view.View) {
 	for _, p := range f.processes {
 		if p.running {
 			if v := p.view(); v.Epoch > newest.Epoch {
@@ -160,7 +160,7 @@
 }
 
 // holder is the running process with an identity, or nil.
-func (f *fleet) holder(id string) *process {
+func (f *fleet) processByID(id string) *process {
 	for _, p := range f.processes {
 		if p.running && p.id() == id {
 			return p
@@ -181,8 +181,8 @@
 
 // isWhole reports whether a primary takes writes whose members are all machines, with all backups, and the losses to bear
 // would leave a majority. One member more than machines may be left of a replacement where it changes no majority.
-func (f *fleet) isWhole() bool {
-	v := f.current()
+func (f *fleet) isHealthy() bool {
+	v := f.newestView()
 	machines := len(f.processes)
 	extra := len(v.Members) - machines
 	if !f.isServing() || len(v.Backups()) != f.losses || extra != 0 && (extra != 1 || machines%2 == 1) {
@@ -200,9 +200,9 @@
 }
 
 // within waits until ok holds, and reports whether it did.
-func (f *fleet) within(span time.Duration, ok func() bool) bool {
-	for begun := time.Now(); !ok(); {
-		if time.Since(begun) > span {
+func (f *fleet) waitFor(timeout time.Duration, condition func() bool) bool {
+	for begun := time.Now(); !condition(); {
+		if time.Since(begun) > timeout {
 			return false
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -211,18 +211,18 @@
 }
 
 // heal ends every fault and starts every process.
-func (f *fleet) heal() {
-	f.setMessages(messageFaults{})
+func (f *fleet) endAllFaults() {
+	f.setMessageFaults(messageFaults{})
 	f.world.Heal()
 	for _, p := range f.processes {
-		f.restore(p)
+		f.repair(p)
 	}
 }
 
 // restore ends what ails a machine and has its process run.
-func (f *fleet) restore(p *process) {
+func (f *fleet) repair(p *process) {
 	p.mu.Lock()
-	p.crashAt = 0
+	p.writesUntilCrash = 0
 	p.mu.Unlock()
 	p.disk.Flow()
 	p.disk.Full(false)
@@ -233,7 +233,7 @@
 }
 
 // end stops the world.
-func (f *fleet) end() {
+func (f *fleet) shutdown() {
 	f.cancel()
 	for _, p := range f.machines {
 		p.disk.Flow()
--- a/internal/testing/modelcheck/history_test.go
+++ b/internal/testing/modelcheck/history_test.go
@@ -21,19 +21,19 @@
 type outcome int
 
 const (
-	done       outcome = iota // read, or written
-	raceLost                  // another version than the base was current
-	notTaken                  // surely not carried out, and never will be
-	inDoubt                   // perhaps carried out, or yet to be
-	unexpected                // an answer that nothing explains
+	succeeded        outcome = iota // read, or written
+	versionConflict                 // another version than the base was current
+	notExecuted                     // surely not carried out, and never will be
+	outcomeUnknown                  // perhaps carried out, or yet to be
+	unexpectedAnswer                // an answer that nothing explains
 )
 
 // operation is what an operator asked for.
 type operation struct {
-	kind  operationKind
-	base  uint64 // of a write: the version that it builds on
-	value string // of a write
-	quota int    // of a write: the units that the value gives to quotaTenant
+	kind        operationKind
+	baseVersion uint64 // of a write: the version that it builds on
+	value       string // of a write
+	quota       int    // of a write: the units that the value gives to quotaTenant
 }
 
 // result is what an operator was told.
@@ -56,10 +56,10 @@
 var coreModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{coreState{}} },
 	Step: func(state, input, output any) []any {
-		if asked, isMove := input.(move); isMove {
-			return state.(coreState).moves(asked, output.(moved))
+		if asked, isMove := input.(quotaTransfer); isMove {
+			return state.(coreState).applyTransfer(asked, output.(transferResult))
 		}
-		return state.(coreState).step(input.(operation), output.(result))
+		return state.(coreState).apply(input.(operation), output.(result))
 	},
 	Equal: func(a, b any) bool { return a == b },
 	DescribeOperation: func(input, output any) string {
@@ -68,26 +68,26 @@
 }
 
 // step gives the states that an operator's operation may leave behind; none: its result is impossible in this state.
-func (before coreState) step(asked operation, told result) []any {
+func (before coreState) apply(op operation, reported result) []any {
 	written := before
-	written.version, written.value, written.quota = before.version+1, asked.value, asked.quota
-	matches := asked.base == before.version
+	written.version, written.value, written.quota = before.version+1, op.value, op.quota
+	matches := op.baseVersion == before.version
 	switch {
-	case asked.kind == readConfig:
-		if told.version == before.version && told.value == before.value {
+	case op.kind == readConfig:
+		if reported.version == before.version && reported.value == before.value {
 			return []any{before}
 		}
-	case told.outcome == done:
-		if matches && told.version == written.version {
+	case reported.outcome == succeeded:
+		if matches && reported.version == written.version {
 			return []any{written}
 		}
-	case told.outcome == raceLost:
+	case reported.outcome == versionConflict:
 		if !matches {
 			return []any{before}
 		}
-	case told.outcome == notTaken:
+	case reported.outcome == notExecuted:
 		return []any{before}
-	case told.outcome == inDoubt:
+	case reported.outcome == outcomeUnknown:
 		if matches {
 			return []any{before, written}
 		}
@@ -101,7 +101,7 @@
 	mu         sync.Mutex
 	clock      int64
 	operations []porcupine.Operation
-	broken     []string // what is wrong whatever the order
+	failures   []string // what is wrong whatever the order
 }
 
 // begin notes the begin of an operation.
@@ -113,33 +113,33 @@
 }
 
 // end notes an operation or a move of quota units, and its result.
-func (h *history) end(client int, begun int64, asked, told any) {
+func (h *history) end(client int, begun int64, input, output any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.clock++
-	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: asked, Call: begun, Output: told, Return: h.clock})
+	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: input, Call: begun, Output: output, Return: h.clock})
 }
 
 // fail notes what is wrong whatever the order.
 func (h *history) fail(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.broken = append(h.broken, fmt.Sprintf(format, args...))
+	h.failures = append(h.failures, fmt.Sprintf(format, args...))
 }
 
 // counts tells how many writes were acknowledged, how many operations of operators there are, and how many moves.
-func (h *history) counts() (acknowledged, all, moves int) {
+func (h *history) counts() (acknowledged, operations, transfers int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, one := range h.operations {
-		asked, isOperation := one.Input.(operation)
+		op, isOperation := one.Input.(operation)
 		if !isOperation {
-			moves++
-		} else if asked.kind == writeConfig && one.Output.(result).outcome == done {
+			transfers++
+		} else if op.kind == writeConfig && one.Output.(result).outcome == succeeded {
 			acknowledged++
 		}
 	}
-	return acknowledged, len(h.operations) - moves, moves
+	return acknowledged, len(h.operations) - transfers, transfers
 }
 
 // searchTimeout bounds the search for an order, in real time.
@@ -149,58 +149,58 @@
 func (h *history) violations() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	broken := h.broken
+	violations := h.failures
 	operations := slices.Clone(h.operations)
 	for i := range operations {
-		if isInDoubt(operations[i].Output) {
+		if isOutcomeUnknown(operations[i].Output) {
 			operations[i].Return = h.clock + 1 // it may take effect at any time
 		}
 	}
 	switch porcupine.CheckOperationsTimeout(coreModel.ToModel(), operations, searchTimeout) {
 	case porcupine.Illegal:
-		broken = append(broken, "the history is not linearizable: "+h.firstOddity())
+		violations = append(violations, "the history is not linearizable: "+h.describeContradiction())
 	case porcupine.Unknown:
-		broken = append(broken, "no order was found in time")
+		violations = append(violations, "no order was found in time")
 	}
-	return broken
+	return violations
 }
 
 // isInDoubt reports whether nobody knows if an operation or a move took effect.
-func isInDoubt(output any) bool {
-	if told, isMove := output.(moved); isMove {
-		return !told.known
+func isOutcomeUnknown(output any) bool {
+	if reported, isMove := output.(transferResult); isMove {
+		return !reported.answered
 	}
-	return output.(result).outcome == inDoubt
+	return output.(result).outcome == outcomeUnknown
 }
 
 // firstOddity describes the plainest contradiction, for a reader of the failure.
-func (h *history) firstOddity() string {
-	type acknowledged struct {
-		asked operation
-		told  result
-		end   int64
+func (h *history) describeContradiction() string {
+	type acknowledgedWrite struct {
+		op       operation
+		reported result
+		end      int64
 	}
-	var writes []acknowledged
+	var writes []acknowledgedWrite
 	operations := slices.DeleteFunc(slices.Clone(h.operations), func(one porcupine.Operation) bool {
-		_, isMove := one.Input.(move)
+		_, isMove := one.Input.(quotaTransfer)
 		return isMove
 	})
 	for _, one := range operations {
-		asked, told := one.Input.(operation), one.Output.(result)
-		if asked.kind == writeConfig && told.outcome == done {
-			writes = append(writes, acknowledged{asked, told, one.Return})
+		op, reported := one.Input.(operation), one.Output.(result)
+		if op.kind == writeConfig && reported.outcome == succeeded {
+			writes = append(writes, acknowledgedWrite{op, reported, one.Return})
 		}
 	}
 	for _, one := range operations {
-		asked, told := one.Input.(operation), one.Output.(result)
+		op, reported := one.Input.(operation), one.Output.(result)
 		for _, write := range writes {
 			switch {
-			case asked.kind == readConfig && write.end < one.Call && told.version < write.told.version:
-				return fmt.Sprintf("version %d read after %d was acknowledged", told.version, write.told.version)
-			case asked.kind == readConfig && told.version == write.told.version && told.value != write.asked.value:
-				return fmt.Sprintf("version %d read as %s, acknowledged as %s", told.version, told.value, write.asked.value)
-			case asked.kind == writeConfig && told.outcome == done && told.version == write.told.version && asked.value != write.asked.value:
-				return fmt.Sprintf("version %d acknowledged twice, for %s and %s", told.version, asked.value, write.asked.value)
+			case op.kind == readConfig && write.end < one.Call && reported.version < write.reported.version:
+				return fmt.Sprintf("version %d read after %d was acknowledged", reported.version, write.reported.version)
+			case op.kind == readConfig && reported.version == write.reported.version && reported.value != write.op.value:
+				return fmt.Sprintf("version %d read as %s, acknowledged as %s", reported.version, reported.value, write.op.value)
+			case op.kind == writeConfig && reported.outcome == succeeded && reported.version == write.reported.version && op.value != write.op.value:
+				return fmt.Sprintf("version %d acknowledged twice, for %s and %s", reported.version, op.value, write.op.value)
 			}
 		}
 	}
--- a/internal/testing/modelcheck/operator_test.go
+++ b/internal/testing/modelcheck/operator_test.go
@@ -13,18 +13,18 @@
 
 // How operators go about it.
 const (
-	callTimeout  = 900 * time.Millisecond // of one try
-	orderTimeout = 8 * time.Second        // of an order with all its tries
+	callTimeout    = 900 * time.Millisecond // of one try
+	requestTimeout = 8 * time.Second        // of an order with all its tries
 )
 
 // operator changes and reads the configuration, through two clients in turn: an order whose answer was lost is sent again
 // by another way.
 type operator struct {
-	fleet   *fleet
-	number  int
-	clients [2]*coreclient.Client
-	known   uint64 // the newest version that it knows of
-	orders  int
+	fleet        *fleet
+	number       int
+	clients      [2]*coreclient.Client
+	knownVersion uint64 // the newest version that it knows of
+	writeCount   int
 }
 
 // newOperator makes an operator on machines of its own.
@@ -32,8 +32,8 @@
 	o := &operator{fleet: f, number: number}
 	for i := range o.clients {
 		network, _ := f.world.Net(operatorAddr(number, i))
-		where := daemon.Context{Context: f.ctx, Name: "operator", Log: f.log, Net: network}
-		o.clients[i] = coreclient.NewClient(where, wire.NewCaller(network), f.seeds())
+		daemonContext := daemon.Context{Context: f.ctx, Name: "operator", Log: f.log, Net: network}
+		o.clients[i] = coreclient.NewClient(daemonContext, wire.NewCaller(network), f.seeds())
 	}
 	return o
 }
@@ -45,21 +45,21 @@
 		writes, pause = 3, 40*time.Millisecond
 	}
 	for time.Now().Before(until) {
-		if o.fleet.chance(100) < writes {
-			o.write(o.base())
+		if o.fleet.randomBelow(100) < writes {
+			o.write(o.chooseBaseVersion())
 		} else {
 			o.read()
 		}
-		time.Sleep(time.Duration(o.fleet.chance(int(pause))))
+		time.Sleep(time.Duration(o.fleet.randomBelow(int(pause))))
 	}
 }
 
 // base is the version that the next order builds on: now and then an old one, which loses.
-func (o *operator) base() uint64 {
-	if o.known > 0 && o.fleet.chance(10) == 0 {
-		return o.known - 1
+func (o *operator) chooseBaseVersion() uint64 {
+	if o.knownVersion > 0 && o.fleet.randomBelow(10) == 0 {
+		return o.knownVersion - 1
 	}
-	return o.known
+	return o.knownVersion
 }
 
 // read reads the configuration once, and reports whether it could.
@@ -68,62 +68,62 @@
 	ctx, cancel := context.WithTimeout(o.fleet.ctx, callTimeout)
 	defer cancel()
 	var config coreapi.StoredConfig
-	client := o.clients[o.fleet.chance(len(o.clients))]
+	client := o.clients[o.fleet.randomBelow(len(o.clients))]
 	if client.Call(ctx, "core.layout", &coreapi.ConfigRequest{}, &config, true) != nil {
 		return false
 	}
-	o.known = max(o.known, config.Version)
+	o.knownVersion = max(o.knownVersion, config.Version)
 	o.fleet.history.end(o.number, begun, operation{kind: readConfig}, result{version: config.Version, value: string(config.Raw)})
 	return true
 }
 
 // write sends one order, again and again until it gets a clear answer, and tells what came of it.
-func (o *operator) write(base uint64) outcome {
-	o.orders++
-	quota := leastQuota + quotaStep*o.fleet.chance(quotasOfWrite)
-	spent := spentLimits[o.fleet.chance(len(spentLimits))]
-	value := fmt.Sprintf(`{"limits":{"queue":%d},`+quotaFormat+`}`, 1000*(o.number+1)+o.orders, quota, spent.units)
-	asked := operation{kind: writeConfig, base: base, value: value, quota: quota}
-	request := coreapi.WriteRequest{ID: fmt.Sprintf("order-%d-%d", o.number, o.orders), BaseVersion: base, Raw: []byte(value)}
+func (o *operator) write(baseVersion uint64) outcome {
+	o.writeCount++
+	quota := minQuota + quotaStep*o.fleet.randomBelow(quotaChoices)
+	spent := spentLimits[o.fleet.randomBelow(len(spentLimits))]
+	value := fmt.Sprintf(`{"limits":{"queue":%d},`+quotaConfigFormat+`}`, 1000*(o.number+1)+o.writeCount, quota, spent.units)
+	op := operation{kind: writeConfig, baseVersion: baseVersion, value: value, quota: quota}
+	request := coreapi.WriteRequest{ID: fmt.Sprintf("order-%d-%d", o.number, o.writeCount), BaseVersion: baseVersion, Raw: []byte(value)}
 	begun := o.fleet.history.begin()
-	told := result{outcome: notTaken}
-	for deadline := time.Now().Add(orderTimeout); time.Now().Before(deadline); {
-		next := o.try(&request)
-		if next.outcome == done || next.outcome == raceLost || next.outcome == unexpected {
-			told = next
+	reported := result{outcome: notExecuted}
+	for deadline := time.Now().Add(requestTimeout); time.Now().Before(deadline); {
+		next := o.attempt(&request)
+		if next.outcome == succeeded || next.outcome == versionConflict || next.outcome == unexpectedAnswer {
+			reported = next
 			break
 		}
-		if next.outcome == inDoubt {
-			told = next
+		if next.outcome == outcomeUnknown {
+			reported = next
 		}
-		time.Sleep(time.Duration(o.fleet.chance(int(200 * time.Millisecond))))
+		time.Sleep(time.Duration(o.fleet.randomBelow(int(200 * time.Millisecond))))
 	}
-	if told.outcome == unexpected {
-		o.fleet.history.fail("order %s on version %d was answered %s", request.ID, base, told.value)
+	if reported.outcome == unexpectedAnswer {
+		o.fleet.history.fail("order %s on version %d was answered %s", request.ID, baseVersion, reported.value)
 	}
-	if told.outcome == done {
-		o.known = max(o.known, told.version)
+	if reported.outcome == succeeded {
+		o.knownVersion = max(o.knownVersion, reported.version)
 	}
-	o.fleet.history.end(o.number, begun, asked, told)
-	return told.outcome
+	o.fleet.history.end(o.number, begun, op, reported)
+	return reported.outcome
 }
 
 // try sends an order once.
-func (o *operator) try(request *coreapi.WriteRequest) result {
+func (o *operator) attempt(request *coreapi.WriteRequest) result {
 	ctx, cancel := context.WithTimeout(o.fleet.ctx, callTimeout)
 	defer cancel()
 	var response coreapi.WriteResponse
-	err := o.clients[o.fleet.chance(len(o.clients))].Call(ctx, "core.write", request, &response, true)
+	err := o.clients[o.fleet.randomBelow(len(o.clients))].Call(ctx, "core.write", request, &response, true)
 	switch {
 	case err != nil && coreapi.IsOutcomeUnknown(err):
-		return result{outcome: inDoubt}
+		return result{outcome: outcomeUnknown}
 	case err != nil:
-		return result{outcome: notTaken}
+		return result{outcome: notExecuted}
 	case response.Code == 200:
-		return result{outcome: done, version: response.Version}
+		return result{outcome: succeeded, version: response.Version}
 	case response.Code == 412:
-		o.known = max(o.known, response.Version)
-		return result{outcome: raceLost, version: response.Version}
+		o.knownVersion = max(o.knownVersion, response.Version)
+		return result{outcome: versionConflict, version: response.Version}
 	}
-	return result{outcome: unexpected, value: fmt.Sprint(response.Code, response.Errors)}
+	return result{outcome: unexpectedAnswer, value: fmt.Sprint(response.Code, response.Errors)}
 }
--- a/internal/testing/modelcheck/planted_test.go
+++ b/internal/testing/modelcheck/planted_test.go
@@ -13,8 +13,8 @@
 )
 
 var (
-	only       = flag.String("mechanism", "", "the one mechanism that TestDisabledMechanisms disables")
-	findWithin = flag.Duration("find", 2*time.Minute, "how long TestDisabledMechanisms looks for the fault of each mechanism")
+	onlyMechanism       = flag.String("mechanism", "", "the one mechanism that TestDisabledMechanisms disables")
+	mechanismSearchTime = flag.Duration("find", 2*time.Minute, "how long TestDisabledMechanisms looks for the fault of each mechanism")
 )
 
 // mechanism is one of those that the protocol rests on, by its name in package faultinjection, with the kinds of fault that the
@@ -22,8 +22,8 @@
 type mechanism struct {
 	name  string
 	kinds []string
-	size  size // of the fleets; zero: all
-	rare  bool // it may take longer than the search in CI: left out with -short
+	size  fleetSize // of the fleets; zero: all
+	rare  bool      // it may take longer than the search in CI: left out with -short
 }
 
 // disabledMechanisms are disabled one by one.
@@ -47,7 +47,7 @@
 	{name: "tolerance-charge"},                                         // a tolerance that may be spent more than once in a window
 	{name: "run-query", rare: true},                                    // a late heartbeat of a router's ended run, taken for its new run
 	{name: "pool-cache"},                                               // a quota pool kept in memory, whatever the store says
-	{name: "late-snapshot", kinds: []string{"late copies", "kill"}, size: size{3, 1}, rare: true}, // a backup that takes snapshots in any order
+	{name: "late-snapshot", kinds: []string{"late copies", "kill"}, size: fleetSize{3, 1}, rare: true}, // a backup that takes snapshots in any order
 }
 
 // unitMechanism is a mechanism whose loss the walks do not show in minutes, and a unit test that fails without it.
@@ -90,17 +90,17 @@
 // TestDisabledMechanisms disables one mechanism after the other: the walks have to find what it guards against.
 func TestDisabledMechanisms(t *testing.T) {
 	for _, mechanism := range disabledMechanisms {
-		if *only != "" && *only != mechanism.name || mechanism.rare && testing.Short() {
+		if *onlyMechanism != "" && *onlyMechanism != mechanism.name || mechanism.rare && testing.Short() {
 			continue
 		}
 		t.Run(mechanism.name, func(t *testing.T) {
 			t.Setenv("YARROWRIDGE_DISABLED_MECHANISM", mechanism.name)
 			begun := time.Now()
-			s, broken, played := find(t, newCorpus(*first, mechanism.kinds, mechanism.size), begun.Add(*findWithin))
-			if broken == "" {
+			s, violation, played := searchForViolation(t, newCorpus(*firstSeed, mechanism.kinds, mechanism.size), begun.Add(*mechanismSearchTime))
+			if violation == "" {
 				t.Fatalf("nothing was found in %d schedules", played)
 			}
-			t.Logf("found after %d schedules and %s: %s; schedule %s", played, time.Since(begun).Round(100*time.Millisecond), broken, s)
+			t.Logf("found after %d schedules and %s: %s; schedule %s", played, time.Since(begun).Round(100*time.Millisecond), violation, s)
 		})
 	}
 }
@@ -114,11 +114,11 @@
 	for name, bounds := range disabled {
 		t.Run(name, func(t *testing.T) {
 			t.Setenv("YARROWRIDGE_DISABLED_MECHANISM", name)
-			e := exploreAll(t, bounds)
-			if e.problem == "" {
-				t.Fatalf("nothing was found in %d courses", e.played)
+			e := exploreVote(t, bounds)
+			if e.violation == "" {
+				t.Fatalf("nothing was found in %d courses", e.executions)
 			}
-			t.Logf("found after %d courses: %s by %q", e.played, e.problem, e.failed)
+			t.Logf("found after %d courses: %s by %q", e.executions, e.violation, e.counterexample)
 		})
 	}
 }
@@ -137,10 +137,10 @@
 			t.Run(fmt.Sprintf("%s same epoch %v, %d backups", name, bounds.sameEpoch, bounds.backups), func(t *testing.T) {
 				t.Setenv("YARROWRIDGE_DISABLED_MECHANISM", name)
 				e := exploreReplication(t, bounds)
-				if e.problem == "" {
-					t.Fatalf("nothing was found in %d courses", e.played)
+				if e.violation == "" {
+					t.Fatalf("nothing was found in %d courses", e.executions)
 				}
-				t.Logf("found after %d courses: %s by %q", e.played, e.problem, e.failed)
+				t.Logf("found after %d courses: %s by %q", e.executions, e.violation, e.counterexample)
 			})
 		}
 	}
@@ -150,9 +150,9 @@
 // a holder without an acknowledged write.
 func TestDisabledDoubt(t *testing.T) {
 	t.Setenv("YARROWRIDGE_DISABLED_MECHANISM", "decision-in-doubt")
-	e := exploreAllWrites(t, voteBounds{attempts: 1, lost: 2})
-	if e.problem == "" {
-		t.Fatalf("nothing was found in %d courses", e.played)
+	e := exploreVoteWithWrite(t, voteBounds{attempts: 1, lost: 2})
+	if e.violation == "" {
+		t.Fatalf("nothing was found in %d courses", e.executions)
 	}
-	t.Logf("found after %d courses: %s by %q", e.played, e.problem, e.failed)
+	t.Logf("found after %d courses: %s by %q", e.executions, e.violation, e.counterexample)
 }
--- a/internal/testing/modelcheck/process_test.go
+++ b/internal/testing/modelcheck/process_test.go
@@ -18,24 +18,24 @@
 
 // process is one core: a machine with a disk, and the process that runs on it now.
 type process struct {
-	fleet *fleet
-	addr  string
-	zone  string
-	term  time.Duration // its lease term: members' clocks run at different speeds
-	disk  *sim.Disk
-
-	server  *core.Server
-	gate    *stepGate // of this run of the process
-	ctx     context.Context
-	endRun  context.CancelFunc
-	crash   func()
-	running bool
-	first   bool // it was never started
-	retired bool // the machine is gone for good
-
-	mu        sync.Mutex
-	crashAt   int // at which write from now on it dies; 0: at none
-	afterSync bool
+	fleet     *fleet
+	addr      string
+	zone      string
+	leaseTerm time.Duration // its lease term: members' clocks run at different speeds
+	disk      *sim.Disk
+
+	server    *core.Server
+	gate      *stepGate // of this run of the process
+	ctx       context.Context
+	endRun    context.CancelFunc
+	crash     func()
+	running   bool
+	bootstrap bool // it was never started
+	retired   bool // the machine is gone for good
+
+	mu               sync.Mutex
+	writesUntilCrash int // at which write from now on it dies; 0: at none
+	crashAfterWrite  bool
 }
 
 // faultyDisk is a disk whose process may die at a write.
@@ -48,11 +48,11 @@
 func (d faultyDisk) Write(name string, data []byte) error {
 	dies, after := d.process.countWrite()
 	if dies && !after {
-		return d.process.die()
+		return d.process.crashDuringWrite()
 	}
 	err := d.Disk.Write(name, data)
 	if dies {
-		return d.process.die()
+		return d.process.crashDuringWrite()
 	}
 	return err
 }
@@ -61,15 +61,15 @@
 func (p *process) countWrite() (dies, after bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.crashAt == 0 {
+	if p.writesUntilCrash == 0 {
 		return false, false
 	}
-	p.crashAt--
-	return p.crashAt == 0, p.afterSync
+	p.writesUntilCrash--
+	return p.writesUntilCrash == 0, p.crashAfterWrite
 }
 
 // die ends the process in the middle of a write: nothing that it still does is seen by anyone.
-func (p *process) die() error {
+func (p *process) crashDuringWrite() error {
 	p.fleet.stop(p)
 	return sim.ErrDead
 }
@@ -79,12 +79,12 @@
 	network, crash := p.fleet.world.Net(p.addr)
 	gate := &stepGate{}
 	ctx, cancel := context.WithCancel(p.fleet.ctx)
-	settings := core.Settings{Addr: p.addr, Seeds: p.fleet.seeds(), Bootstrap: p.first, Losses: p.fleet.losses,
-		LeaseTerm: p.term, LostAfter: lostAfter, Codec: toleranceCodec{}}
-	p.first = false
-	where := daemon.Context{Context: ctx, Name: p.addr, Zone: p.zone, RunID: uint64(time.Now().UnixNano()), Log: p.fleet.log.With("at", p.addr), Net: network}
+	settings := core.Settings{Addr: p.addr, Seeds: p.fleet.seeds(), Bootstrap: p.bootstrap, Losses: p.fleet.losses,
+		LeaseTerm: p.leaseTerm, LostAfter: lostAfter, Codec: toleranceCodec{}}
+	p.bootstrap = false
+	daemonContext := daemon.Context{Context: ctx, Name: p.addr, Zone: p.zone, RunID: uint64(time.Now().UnixNano()), Log: p.fleet.log.With("at", p.addr), Net: network}
 	disk := gatedDisk{faultyDisk{p.disk.Use(), p}, gate}
-	server, err := core.Open(where, settings, disk)
+	server, err := core.Open(daemonContext, settings, disk)
 	if err != nil {
 		cancel()
 		crash()
@@ -102,18 +102,18 @@
 }
 
 // handler passes calls to the server as the fleet's message faults say: late, twice, or without an answer in time.
-func (p *process) handler(run context.Context, server *core.Server, gate *stepGate) wire.Handler {
-	copies := &copyMonitor{history: p.fleet.history}
+func (p *process) handler(runCtx context.Context, server *core.Server, gate *stepGate) wire.Handler {
+	monitor := &replicaMonitor{history: p.fleet.history}
 	return func(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
-		fault := p.fleet.messageFault(kind)
-		if fault.hold > 0 {
-			runloop.Sleep(run, fault.hold)
-			ctx = run // it arrives, whether its caller still waits or not
+		fault := p.fleet.drawMessageFault(kind)
+		if fault.requestDelay > 0 {
+			runloop.Sleep(runCtx, fault.requestDelay)
+			ctx = runCtx // it arrives, whether its caller still waits or not
 		}
-		if fault.again > 0 {
+		if fault.duplicateDelay > 0 {
 			go func() {
-				if runloop.Sleep(run, fault.again) {
-					_, _ = server.Handle(run, kind, body) // nobody waits for the answer to a repeated message
+				if runloop.Sleep(runCtx, fault.duplicateDelay) {
+					_, _ = server.Handle(runCtx, kind, body) // nobody waits for the answer to a repeated message
 				}
 			}()
 		}
@@ -122,10 +122,10 @@
 		response, err := server.Handle(ctx, kind, body)
 		p.fleet.observeCall(kind, true)
 		if kind == "core.copy" || kind == "core.hold" {
-			copies.look(p.addr, server)
+			monitor.check(p.addr, server)
 		}
-		if fault.holdAnswer > 0 {
-			runloop.Sleep(run, fault.holdAnswer)
+		if fault.answerDelay > 0 {
+			runloop.Sleep(runCtx, fault.answerDelay)
 		}
 		return response, err
 	}
--- a/internal/testing/modelcheck/quotarouter_test.go
+++ b/internal/testing/modelcheck/quotarouter_test.go
@@ -86,8 +86,8 @@
 		for ; one.at.Sub(l.spends[first].at) >= spentWindow; first++ {
 			sum -= l.spends[first].units
 		}
-		if most := maxSpent(); sum > most {
-			return []string{fmt.Sprintf("%d units spent in a window of %s, want at most %d with every tolerance", sum, spentWindow, most)}
+		if limit := maxSpent(); sum > limit {
+			return []string{fmt.Sprintf("%d units spent in a window of %s, want at most %d with every tolerance", sum, spentWindow, limit)}
 		}
 	}
 	return nil
@@ -117,9 +117,9 @@
 // work has one run of the router after the other until the time is up.
 func (r *quotaRouter) work(until time.Time) {
 	for time.Now().Before(until) {
-		lifetime := time.Duration(500+r.fleet.chance(5000)) * time.Millisecond
-		r.run(min(lifetime, time.Until(until)), r.fleet.chance(3) == 0)
-		time.Sleep(time.Duration(r.fleet.chance(1000)) * time.Millisecond)
+		lifetime := time.Duration(500+r.fleet.randomBelow(5000)) * time.Millisecond
+		r.run(min(lifetime, time.Until(until)), r.fleet.randomBelow(3) == 0)
+		time.Sleep(time.Duration(r.fleet.randomBelow(1000)) * time.Millisecond)
 	}
 }
 
@@ -130,7 +130,7 @@
 	defer crash()
 	defer cancel()
 	r.runs++
-	where := daemon.Context{Context: ctx, Name: fmt.Sprint("router-", r.number), Zone: "zone-1", RunID: uint64(r.number+1)<<32 | r.runs,
+	daemonContext := daemon.Context{Context: ctx, Name: fmt.Sprint("router-", r.number), Zone: "zone-1", RunID: uint64(r.number+1)<<32 | r.runs,
 		Log: r.fleet.log.With("at", r.addr()), Net: network}
 	listener, err := network.Listen(r.addr())
 	if err != nil {
@@ -138,14 +138,14 @@
 		return
 	}
 	var limit atomic.Int64 // by the configuration in force; 0: none yet
-	member := cluster.NewMember(where, r.addr(), r.addr(), r.fleet.seeds(), nil, cluster.WithConfigHandler(func(_ uint64, raw []byte) error {
+	member := cluster.NewMember(daemonContext, r.addr(), r.addr(), r.fleet.seeds(), nil, cluster.WithConfigHandler(func(_ uint64, raw []byte) error {
 		document, _ := toleranceCodec{}.Check(raw)
 		limit.Store(int64(document.Quotas[spentTenant]))
 		return nil
 	}))
 	go wire.Serve(ctx, listener, member.Serve)
 	go member.Run()
-	shares := quota.NewShares(where, quota.Config{Transfer: transferVia(member), Nodes: func() int { return len(member.Nodes()) },
+	shares := quota.NewShares(daemonContext, quota.Config{Transfer: transferVia(member), Nodes: func() int { return len(member.Nodes()) },
 		ScarceTenants: member.ScarceTenants, RecentContact: member.CoreResponsive, InContact: func() bool { return !member.CoreTimedOut() },
 		Rules: func() []quota.Rule {
 			return []quota.Rule{{Tenant: spentTenant, Units: int(limit.Load()), Window: spentWindow}}
@@ -173,7 +173,7 @@
 // spend has requests of uneven costs come, more than the limit allows, and spends what the share grants.
 func (r *quotaRouter) spend(ctx context.Context, shares *quota.Shares, until time.Time) {
 	for time.Now().Before(until) {
-		units := 1 + r.fleet.chance(maxSpentCost)
+		units := 1 + r.fleet.randomBelow(maxSpentCost)
 		reserveCtx, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 		granted, _ := shares.Reserve(reserveCtx, spentTenant, units)
 		cancel()
@@ -181,6 +181,6 @@
 			r.fleet.spends.add(units)
 			shares.For(spentTenant).Commit(units)
 		}
-		runloop.Sleep(ctx, time.Duration(1+r.fleet.chance(100))*time.Millisecond)
+		runloop.Sleep(ctx, time.Duration(1+r.fleet.randomBelow(100))*time.Millisecond)
 	}
 }
--- a/internal/testing/modelcheck/replication_test.go
+++ b/internal/testing/modelcheck/replication_test.go
@@ -44,38 +44,38 @@
 
 // replicationCall is one message to a backup.
 type replicationCall struct {
-	name string
-	kind string
-	body msgp.Marshaler
-	last bool // of a snapshot
+	name           string
+	kind           string
+	body           msgp.Marshaler
+	lastOfSnapshot bool // of a snapshot
 }
 
 // replicaCourse is one backup, and what the primary knows of it and has sent it.
-type replicaCourse struct {
-	index  int
-	disk   *sim.Disk
-	backup *core.Server
-	took   []string // what this run of the backup has been sent, in order
-
-	holds       bool   // the primary counts the backup's copy as whole
-	everHeld    bool   // it has done so before
-	snapshots   uint64 // the number of the snapshot that it is sent
-	nextPart    int
+type backupReplica struct {
+	index    int
+	disk     *sim.Disk
+	backup   *core.Server
+	received []string // what this run of the backup has been sent, in order
+
+	inSync      bool   // the primary counts the backup's copy as whole
+	wasInSync   bool   // it has done so before
+	snapshot    uint64 // the number of the snapshot that it is sent
+	nextChunk   int
 	outstanding *replicationCall
-	strays      []*replicationCall // calls that the primary waits for no longer
+	abandoned   []*replicationCall // calls that the primary waits for no longer
 }
 
 // replicationCourse is one course: a primary that copies its state and replicates writes, its backups, and a scheduler in
 // between.
-type replicationCourse struct {
+type replicationExecution struct {
 	bounds   replicationBounds
 	ctx      context.Context
-	replicas []*replicaCourse
+	replicas []*backupReplica
 
 	view         view.View
 	values       []string // what the primary's disk holds: the write of each sequence number
 	acknowledged []string // the writes that were acknowledged, as they must stay
-	written      int      // writes ever made
+	writeCount   int      // writes ever made
 	snapshots    uint64   // begun in this run of the primary
 }
 
@@ -83,15 +83,15 @@
 func address(index int) string { return fmt.Sprintf("10.0.0.%d:1", index+1) }
 
 // newReplication begins a course: the primary holds one write, the backups nothing.
-func newReplication(ctx context.Context, t *testing.T, bounds replicationBounds) *replicationCourse {
-	r := &replicationCourse{bounds: bounds, ctx: ctx, values: []string{"first"}, acknowledged: []string{"first"}}
+func newReplication(ctx context.Context, t *testing.T, bounds replicationBounds) *replicationExecution {
+	r := &replicationExecution{bounds: bounds, ctx: ctx, values: []string{"first"}, acknowledged: []string{"first"}}
 	members := []view.Member{{ID: primaryID, Addr: address(0)}}
 	var ids []string
 	for index := range max(1, bounds.backups) {
 		id := fmt.Sprint(backupID, index)
 		ids = append(ids, id)
 		members = append(members, view.Member{ID: id, Addr: address(index + 1)})
-		r.replicas = append(r.replicas, &replicaCourse{index: index, disk: diskOf(t, id)})
+		r.replicas = append(r.replicas, &backupReplica{index: index, disk: newVoterDisk(t, id)})
 	}
 	r.view = view.View{Epoch: 1, Primary: primaryID, Members: members}.WithBackups(ids)
 	for _, replica := range r.replicas {
@@ -101,64 +101,64 @@
 }
 
 // startBackup opens a backup from its disk. Its run loop rests: it only answers calls.
-func (r *replicationCourse) startBackup(t *testing.T, replica *replicaCourse) {
-	where := daemon.Context{Context: r.ctx, Name: fmt.Sprint(backupID, replica.index), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Net: wire.TCP{}}
-	backup, err := core.Open(where, core.Settings{Addr: address(replica.index + 1)}, replica.disk.Use())
+func (r *replicationExecution) startBackup(t *testing.T, replica *backupReplica) {
+	daemonContext := daemon.Context{Context: r.ctx, Name: fmt.Sprint(backupID, replica.index), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Net: wire.TCP{}}
+	backup, err := core.Open(daemonContext, core.Settings{Addr: address(replica.index + 1)}, replica.disk.Use())
 	if err != nil {
 		t.Fatal(err)
 	}
-	replica.backup, replica.took = backup, nil
+	replica.backup, replica.received = backup, nil
 }
 
 // The moves of a course. Those that concern one backup begin with its index.
 const (
-	sendWrite         = "write"
-	sendSnapshot      = "send"
-	deliverCall       = "deliver"
-	giveCallUp        = "give up"
-	restartPrimary    = "restart the primary"
-	restartWithout    = "restart the primary, its last write lost" // it was not on its disk yet
-	restartBackup     = "restart the backup"
-	deliverStray      = "stray "
-	deliverStrayTwice = "stray, and once more later: "
+	sendWrite                 = "write"
+	sendSnapshot              = "send"
+	deliverCall               = "deliver"
+	abandonOutstanding        = "give up"
+	restartPrimary            = "restart the primary"
+	restartPrimaryWithoutLast = "restart the primary, its last write lost" // it was not on its disk yet
+	restartBackup             = "restart the backup"
+	deliverAbandoned          = "stray "
+	deliverAbandonedTwice     = "stray, and once more later: "
 )
 
 // moves lists what may happen next, in a fixed order.
-func (r *replicationCourse) moves() []string {
+func (r *replicationExecution) moves() []string {
 	var moves []string
 	if r.isInSync() && r.bounds.writes > 0 {
 		moves = append(moves, sendWrite)
 	}
 	for _, replica := range r.replicas {
-		for _, move := range r.movesOf(replica) {
+		for _, move := range r.replicaMoves(replica) {
 			moves = append(moves, fmt.Sprint(replica.index, " ", move))
 		}
 	}
 	if r.bounds.primaryRestarts > 0 {
 		moves = append(moves, restartPrimary)
 		if len(r.values) > len(r.acknowledged) {
-			moves = append(moves, restartWithout)
+			moves = append(moves, restartPrimaryWithoutLast)
 		}
 	}
 	return moves
 }
 
 // movesOf lists what may happen next to one backup.
-func (r *replicationCourse) movesOf(replica *replicaCourse) []string {
+func (r *replicationExecution) replicaMoves(replica *backupReplica) []string {
 	var moves []string
 	switch {
 	case replica.outstanding != nil:
 		moves = append(moves, deliverCall)
 		if r.bounds.givenUp > 0 {
-			moves = append(moves, giveCallUp)
+			moves = append(moves, abandonOutstanding)
 		}
-	case !replica.holds:
+	case !replica.inSync:
 		moves = append(moves, sendSnapshot)
 	}
-	for _, stray := range replica.strays {
-		moves = append(moves, deliverStray+stray.name)
+	for _, stray := range replica.abandoned {
+		moves = append(moves, deliverAbandoned+stray.name)
 		if r.bounds.doubled > 0 {
-			moves = append(moves, deliverStrayTwice+stray.name)
+			moves = append(moves, deliverAbandonedTwice+stray.name)
 		}
 	}
 	if r.bounds.backupRestarts > 0 {
@@ -168,19 +168,19 @@
 }
 
 // isInSync reports whether the primary counts all backups' copies as whole, and waits for no call.
-func (r *replicationCourse) isInSync() bool {
-	return !slices.ContainsFunc(r.replicas, func(replica *replicaCourse) bool { return !replica.holds || replica.outstanding != nil })
+func (r *replicationExecution) isInSync() bool {
+	return !slices.ContainsFunc(r.replicas, func(replica *backupReplica) bool { return !replica.inSync || replica.outstanding != nil })
 }
 
 // take makes one move.
-func (r *replicationCourse) take(t *testing.T, move string) {
+func (r *replicationExecution) apply(t *testing.T, move string) {
 	switch move {
 	case sendWrite:
 		r.write()
 		return
-	case restartPrimary, restartWithout:
+	case restartPrimary, restartPrimaryWithoutLast:
 		r.bounds.primaryRestarts--
-		r.restartPrimary(move == restartWithout)
+		r.restartPrimary(move == restartPrimaryWithoutLast)
 		return
 	}
 	number, move, _ := strings.Cut(move, " ")
@@ -188,36 +188,36 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.takeOf(t, r.replicas[index], move)
+	r.applyToReplica(t, r.replicas[index], move)
 }
 
 // takeOf makes one move of a backup.
-func (r *replicationCourse) takeOf(t *testing.T, replica *replicaCourse, move string) {
+func (r *replicationExecution) applyToReplica(t *testing.T, replica *backupReplica, move string) {
 	switch move {
 	case sendSnapshot:
 		r.sendSnapshot(replica)
 	case deliverCall:
 		call := replica.outstanding
 		replica.outstanding = nil
-		r.hear(replica, call, r.deliver(t, replica, call))
-	case giveCallUp:
+		r.handleAnswer(replica, call, r.deliver(t, replica, call))
+	case abandonOutstanding:
 		r.bounds.givenUp--
-		replica.giveUp()
+		replica.abandonCall()
 	case restartBackup:
 		r.bounds.backupRestarts--
-		replica.outstanding, replica.strays, replica.holds = nil, nil, false
+		replica.outstanding, replica.abandoned, replica.inSync = nil, nil, false
 		r.startBackup(t, replica)
 	default:
-		r.deliverLate(t, replica, move)
+		r.deliverAbandonedCall(t, replica, move)
 	}
 }
 
 // write has the primary make a write, and send it to all backups.
-func (r *replicationCourse) write() {
+func (r *replicationExecution) write() {
 	r.bounds.writes--
-	r.written++
-	r.values = append(r.values, fmt.Sprint("write ", r.written))
-	batch := store.Batch{Version: uint64(len(r.values)), Mutations: r.puts(len(r.values)-1, len(r.values))}
+	r.writeCount++
+	r.values = append(r.values, fmt.Sprint("write ", r.writeCount))
+	batch := store.Batch{Version: uint64(len(r.values)), Mutations: r.mutations(len(r.values)-1, len(r.values))}
 	for _, replica := range r.replicas {
 		replica.outstanding = &replicationCall{name: r.values[len(r.values)-1], kind: "core.hold",
 			body: &replication.ReplicateRequest{View: r.view, Primary: primaryID, Batch: batch}}
@@ -225,56 +225,56 @@
 }
 
 // sendSnapshot has the primary send a backup the next part of a snapshot.
-func (r *replicationCourse) sendSnapshot(replica *replicaCourse) {
-	if replica.nextPart == 0 {
+func (r *replicationExecution) sendSnapshot(replica *backupReplica) {
+	if replica.nextChunk == 0 {
 		r.snapshots++
-		replica.snapshots = r.snapshots
+		replica.snapshot = r.snapshots
 	}
-	request := &replication.SnapshotRequest{View: r.view, Primary: primaryID, Snapshot: replica.snapshots, Version: uint64(len(r.values)), Chunk: replica.nextPart}
+	request := &replication.SnapshotRequest{View: r.view, Primary: primaryID, Snapshot: replica.snapshot, Version: uint64(len(r.values)), Chunk: replica.nextChunk}
 	switch {
 	case r.bounds.parts == 1:
-		request.Last, request.Mutations = true, r.puts(0, len(r.values))
-	case replica.nextPart == 0:
-		request.Mutations = r.puts(0, 1)
+		request.Last, request.Mutations = true, r.mutations(0, len(r.values))
+	case replica.nextChunk == 0:
+		request.Mutations = r.mutations(0, 1)
 	default:
-		request.Last, request.Mutations = true, r.puts(1, len(r.values))
+		request.Last, request.Mutations = true, r.mutations(1, len(r.values))
 	}
-	replica.outstanding = &replicationCall{name: fmt.Sprintf("snapshot %d.%d part %d of %d writes", r.view.Epoch, replica.snapshots, replica.nextPart, len(r.values)),
-		kind: "core.copy", body: request, last: request.Last}
-	replica.nextPart = (replica.nextPart + 1) % r.bounds.parts
+	replica.outstanding = &replicationCall{name: fmt.Sprintf("snapshot %d.%d part %d of %d writes", r.view.Epoch, replica.snapshot, replica.nextChunk, len(r.values)),
+		kind: "core.copy", body: request, lastOfSnapshot: request.Last}
+	replica.nextChunk = (replica.nextChunk + 1) % r.bounds.parts
 }
 
 // puts are the primary's writes from one index to another, as its store holds them.
-func (r *replicationCourse) puts(from, to int) []store.Mutation {
-	var puts []store.Mutation
+func (r *replicationExecution) mutations(from, to int) []store.Mutation {
+	var mutations []store.Mutation
 	for i := from; i < to; i++ {
-		puts = append(puts, store.Mutation{Key: writeKey(i), Value: []byte(r.values[i])})
+		mutations = append(mutations, store.Mutation{Key: writeKey(i), Value: []byte(r.values[i])})
 	}
-	return puts
+	return mutations
 }
 
 func writeKey(index int) string { return fmt.Sprint("write/", index) }
 
 // deliver has a backup take a call, and reports whether it did.
-func (r *replicationCourse) deliver(t *testing.T, replica *replicaCourse, call *replicationCall) bool {
+func (r *replicationExecution) deliver(t *testing.T, replica *backupReplica, call *replicationCall) bool {
 	raw, err := call.body.MarshalMsg(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	replica.took = append(replica.took, call.name)
+	replica.received = append(replica.received, call.name)
 	_, err = replica.backup.Handle(r.ctx, call.kind, raw)
 	synctest.Wait() // the backup may fold its files
 	return err == nil
 }
 
 // hear has the primary take the answer to its call. Once all backups hold what it holds, that is acknowledged.
-func (r *replicationCourse) hear(replica *replicaCourse, call *replicationCall, taken bool) {
-	if !taken {
-		replica.holds, replica.nextPart = false, 0
+func (r *replicationExecution) handleAnswer(replica *backupReplica, call *replicationCall, accepted bool) {
+	if !accepted {
+		replica.inSync, replica.nextChunk = false, 0
 		return
 	}
-	if call.last {
-		replica.holds, replica.everHeld = true, true
+	if call.lastOfSnapshot {
+		replica.inSync, replica.wasInSync = true, true
 	}
 	if r.isInSync() {
 		r.acknowledged = slices.Clone(r.values)
@@ -282,17 +282,17 @@
 }
 
 // giveUp has the primary wait for its call no longer. The call stays on its way.
-func (replica *replicaCourse) giveUp() {
+func (replica *backupReplica) abandonCall() {
 	if replica.outstanding != nil {
-		replica.strays = append(replica.strays, replica.outstanding)
+		replica.abandoned = append(replica.abandoned, replica.outstanding)
 	}
-	replica.outstanding, replica.holds, replica.nextPart = nil, false, 0
+	replica.outstanding, replica.inSync, replica.nextChunk = nil, false, 0
 }
 
 // restartPrimary ends the primary's run; the next one begins an epoch. Its last write may be missing on its disk.
-func (r *replicationCourse) restartPrimary(withoutLast bool) {
+func (r *replicationExecution) restartPrimary(withoutLast bool) {
 	for _, replica := range r.replicas {
-		replica.giveUp()
+		replica.abandonCall()
 	}
 	if withoutLast {
 		r.values = r.values[:len(r.values)-1]
@@ -304,23 +304,23 @@
 }
 
 // deliverLate has a call arrive that the primary waits for no longer, and perhaps stay on its way once more.
-func (r *replicationCourse) deliverLate(t *testing.T, replica *replicaCourse, move string) {
-	name, twice := strings.CutPrefix(move, deliverStrayTwice)
+func (r *replicationExecution) deliverAbandonedCall(t *testing.T, replica *backupReplica, move string) {
+	name, twice := strings.CutPrefix(move, deliverAbandonedTwice)
 	if !twice {
-		name = strings.TrimPrefix(move, deliverStray)
+		name = strings.TrimPrefix(move, deliverAbandoned)
 	}
-	i := slices.IndexFunc(replica.strays, func(call *replicationCall) bool { return call.name == name })
-	call := replica.strays[i]
+	i := slices.IndexFunc(replica.abandoned, func(call *replicationCall) bool { return call.name == name })
+	call := replica.abandoned[i]
 	if twice {
 		r.bounds.doubled--
 	} else {
-		replica.strays = slices.Delete(slices.Clone(replica.strays), i, i+1)
+		replica.abandoned = slices.Delete(slices.Clone(replica.abandoned), i, i+1)
 	}
 	r.deliver(t, replica, call)
 }
 
 // held reads the writes that a backup's disk holds. The course ends with it.
-func (replica *replicaCourse) held(t *testing.T) (sequence uint64, values map[string]string) {
+func (replica *backupReplica) readWrites(t *testing.T) (sequence uint64, values map[string]string) {
 	opened, err := store.Open(replica.disk.Use(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -331,7 +331,7 @@
 }
 
 // ownWrites are the primary's writes by their keys.
-func (r *replicationCourse) ownWrites() map[string]string {
+func (r *replicationExecution) expectedWrites() map[string]string {
 	writes := map[string]string{}
 	for i, value := range r.values {
 		writes[writeKey(i)] = value
@@ -341,12 +341,12 @@
 
 // flaw tells which acknowledged write a backup, once it has held everything, holds no longer; or where its copy differs
 // from the primary's state although the primary counts it as whole.
-func (r *replicationCourse) flaw(replica *replicaCourse, sequence uint64, values map[string]string) string {
-	if replica.holds && replica.outstanding == nil && (int(sequence) != len(r.values) || !maps.Equal(values, r.ownWrites())) {
+func (r *replicationExecution) findViolation(replica *backupReplica, sequence uint64, values map[string]string) string {
+	if replica.inSync && replica.outstanding == nil && (int(sequence) != len(r.values) || !maps.Equal(values, r.expectedWrites())) {
 		return fmt.Sprintf("the primary counts the copy of backup %d as whole and is at %q, the backup is at %d with %v", replica.index, r.values, sequence, values)
 	}
 	for i, value := range r.acknowledged {
-		if replica.everHeld && values[writeKey(i)] != value {
+		if replica.wasInSync && values[writeKey(i)] != value {
 			return fmt.Sprintf("%q was acknowledged, backup %d holds %q in its place", value, replica.index, values[writeKey(i)])
 		}
 	}
@@ -355,61 +355,61 @@
 
 // check reads what each backup holds. It gives the first flaw, or "", and a description of all that what follows depends on:
 // courses in which the backups have changed places are the same. The course ends with it.
-func (r *replicationCourse) check(t *testing.T) (flaw, state string) {
+func (r *replicationExecution) check(t *testing.T) (violation, state string) {
 	var replicas []string
 	for _, replica := range r.replicas {
-		sequence, values := replica.held(t)
-		if flaw := r.flaw(replica, sequence, values); flaw != "" {
-			return flaw, ""
+		sequence, values := replica.readWrites(t)
+		if violation := r.findViolation(replica, sequence, values); violation != "" {
+			return violation, ""
 		}
-		replicas = append(replicas, replica.state(sequence, values))
+		replicas = append(replicas, replica.fingerprint(sequence, values))
 	}
 	slices.Sort(replicas)
-	return "", fmt.Sprint(r.bounds, r.view.Epoch, r.values, r.acknowledged, r.written, r.snapshots, replicas)
+	return "", fmt.Sprint(r.bounds, r.view.Epoch, r.values, r.acknowledged, r.writeCount, r.snapshots, replicas)
 }
 
 // state describes one backup and what is on its way to it.
-func (replica *replicaCourse) state(sequence uint64, values map[string]string) string {
+func (replica *backupReplica) fingerprint(sequence uint64, values map[string]string) string {
 	var state strings.Builder
-	fmt.Fprint(&state, replica.holds, replica.everHeld, replica.snapshots, replica.nextPart, sequence)
+	fmt.Fprint(&state, replica.inSync, replica.wasInSync, replica.snapshot, replica.nextChunk, sequence)
 	for _, key := range slices.Sorted(maps.Keys(values)) {
 		fmt.Fprint(&state, "|", key, values[key])
 	}
 	if replica.outstanding != nil {
 		fmt.Fprint(&state, "|outstanding ", replica.outstanding.name)
 	}
-	for _, stray := range replica.strays {
+	for _, stray := range replica.abandoned {
 		fmt.Fprint(&state, "|stray ", stray.name)
 	}
-	fmt.Fprint(&state, "|took ", strings.Join(replica.took, ", "))
+	fmt.Fprint(&state, "|took ", strings.Join(replica.received, ", "))
 	return state.String()
 }
 
 // replicationExploration walks through all courses of replication within bounds.
 type replicationExploration struct {
-	bounds  replicationBounds
-	seen    map[string]bool
-	played  int
-	most    int      // writes acknowledged in one course
-	failed  []string // the moves of a course that loses an acknowledged write
-	problem string
+	bounds          replicationBounds
+	seen            map[string]bool
+	executions      int
+	maxAcknowledged int      // writes acknowledged in one course
+	counterexample  []string // the moves of a course that loses an acknowledged write
+	violation       string
 }
 
 // explore plays the course of the given moves, and all that may follow.
 func (e *replicationExploration) explore(ctx context.Context, t *testing.T, moves []string) {
-	if e.problem != "" {
+	if e.violation != "" {
 		return
 	}
 	r := newReplication(ctx, t, e.bounds)
 	for _, move := range moves {
-		r.take(t, move)
+		r.apply(t, move)
 	}
-	e.played++
-	e.most = max(e.most, len(r.acknowledged))
+	e.executions++
+	e.maxAcknowledged = max(e.maxAcknowledged, len(r.acknowledged))
 	next := r.moves()
 	var state string
-	if e.problem, state = r.check(t); e.problem != "" {
-		e.failed = moves
+	if e.violation, state = r.check(t); e.violation != "" {
+		e.counterexample = moves
 		return
 	}
 	if e.seen[state] {
@@ -449,13 +449,13 @@
 		t.Run(fmt.Sprintf("%+v", bounds), func(t *testing.T) {
 			t.Parallel()
 			e := exploreReplication(t, bounds)
-			if e.problem != "" {
-				t.Errorf("%s after %q", e.problem, e.failed)
+			if e.violation != "" {
+				t.Errorf("%s after %q", e.violation, e.counterexample)
 			}
-			if e.most != bounds.writes+1 {
-				t.Errorf("%d writes were acknowledged at most, %d expected", e.most, bounds.writes+1)
+			if e.maxAcknowledged != bounds.writes+1 {
+				t.Errorf("%d writes were acknowledged at most, %d expected", e.maxAcknowledged, bounds.writes+1)
 			}
-			t.Logf("%d states, %d courses", len(e.seen), e.played)
+			t.Logf("%d states, %d courses", len(e.seen), e.executions)
 		})
 	}
 }
--- a/internal/testing/modelcheck/schedule_test.go
+++ b/internal/testing/modelcheck/schedule_test.go
@@ -10,14 +10,14 @@
 
 // Event is one fault of a schedule, as it is printed and read from a file.
 type Event struct {
-	AtMs  int    `json:"at_ms"` // from when the fleet serves
-	Kind  string `json:"kind"`
-	Who   string `json:"who,omitempty"` // primary, backup, any; where the kind concerns one machine
-	ForMs int    `json:"for_ms,omitempty"`
-	Count int    `json:"count,omitempty"` // at which write; of 100 messages
-	On    string `json:"on,omitempty"`    // kind of call at which the event begins: the first one after at_ms
-	After bool   `json:"after,omitempty"` // it begins once that call was handled, not before
-	Only  string `json:"only,omitempty"`  // of faults of messages: the kind of call that they affect; "": all
+	AtMs        int    `json:"at_ms"` // from when the fleet serves
+	Kind        string `json:"kind"`
+	Target      string `json:"who,omitempty"` // primary, backup, any; where the kind concerns one machine
+	DurationMs  int    `json:"for_ms,omitempty"`
+	Count       int    `json:"count,omitempty"` // at which write; of 100 messages
+	TriggerCall string `json:"on,omitempty"`    // kind of call at which the event begins: the first one after at_ms
+	AfterCall   bool   `json:"after,omitempty"` // it begins once that call was handled, not before
+	OnlyCall    string `json:"only,omitempty"`  // of faults of messages: the kind of call that they affect; "": all
 }
 
 // Schedule is one run: a fleet and its faults.
@@ -29,10 +29,10 @@
 }
 
 // span is how long the operators work: until the last event begins, and for a while after it.
-func (s Schedule) span() time.Duration {
+func (s Schedule) operatorTime() time.Duration {
 	last := 0
 	for _, event := range s.Events {
-		last = max(last, event.AtMs+min(event.ForMs, 4000))
+		last = max(last, event.AtMs+min(event.DurationMs, 4000))
 	}
 	return time.Duration(last) * time.Millisecond
 }
@@ -54,27 +54,27 @@
 	"kill":         killProcess,
 	"kill all":     killAll,
 	"power all":    losePower,
-	"cut":          cutProcess,
-	"cut one way":  cutOneWay,
-	"halves":       cutHalves,
+	"cut":          partitionProcess,
+	"cut one way":  partitionOneWay,
+	"halves":       partitionHalves,
 	"wipe":         wipeDisk,
 	"wipe, power":  wipeAndLosePower,
 	"replace":      replaceMachine,
-	"leave":        replaceAsPlanned,
+	"leave":        replaceGracefully,
 	"stall":        stallDisk,
 	"full":         fillDisk,
 	"slow":         slowDisk,
-	"die at write": dieAtWrite,
-	"late":         lateMessages,
-	"doubled":      doubledMessages,
-	"late answers": lateAnswers,
-	"late writes":  lateWrites,
-	"late copies":  lateCopies,
-	"island":       cutWithReader,
-	"restart rest": restartBehindACut,
-	"late grants":  lateGrants,
+	"die at write": crashAtWrite,
+	"late":         delayMessages,
+	"doubled":      duplicateMessages,
+	"late answers": delayAnswers,
+	"late writes":  delayReplicatedWrites,
+	"late copies":  delaySnapshots,
+	"island":       partitionWithReader,
+	"restart rest": restartOthersDuringPartition,
+	"late grants":  delayLeaseGrants,
 	"freeze":       freezeProcess,
-	"backup only":  cutFromAllButBackup,
+	"backup only":  partitionFromAllButBackup,
 }
 
 // callKinds are the kinds of call between the processes of the walks. A schedule draws from them evenly: a fault at one of the
@@ -90,19 +90,19 @@
 
 // mayBeOfOneCall says which kinds of fault affect messages of all calls or of one kind, as the schedule draws it. The others
 // that affect messages name their kind of call themselves.
-var mayBeOfOneCall = map[string]bool{"late": true, "doubled": true, "late answers": true}
+var mayAffectOneCallKind = map[string]bool{"late": true, "doubled": true, "late answers": true}
 
 // size is how many cores a fleet has, and how many losses it bears.
-type size struct{ cores, losses int }
+type fleetSize struct{ cores, losses int }
 
 // sizes are drawn from evenly.
-var sizes = []size{{5, 1}, {5, 1}, {5, 1}, {3, 1}, {3, 1}, {4, 1}, {5, 2}, {7, 2}, {9, 2}}
+var fleetSizes = []fleetSize{{5, 1}, {5, 1}, {5, 1}, {3, 1}, {3, 1}, {4, 1}, {5, 2}, {7, 2}, {9, 2}}
 
 // newSchedule draws a run of the kinds of fault that are named, of all where none is: faults come alone, and in pairs or
 // threes within half a second. Half of all schedules are narrow ones.
 func newSchedule(seed uint64, kinds ...string) Schedule {
 	random := rand.New(rand.NewPCG(seed, 11))
-	size := sizes[random.IntN(len(sizes))]
+	size := fleetSizes[random.IntN(len(fleetSizes))]
 	s := Schedule{Seed: seed, Cores: size.cores, Losses: size.losses}
 	if len(kinds) == 0 {
 		kinds = slices.Sorted(maps.Keys(faultKinds))
@@ -119,11 +119,11 @@
 // mixedEvents draws events of all kinds and lengths, over the whole run.
 func mixedEvents(random *rand.Rand, kinds []string) (events []Event) {
 	for range 2 + random.IntN(4) {
-		at := random.IntN(faultSpanMs)
+		atMs := random.IntN(faultSpanMs)
 		for range 1 + random.IntN(3) {
-			event := newEvent(random, at, kinds[random.IntN(len(kinds))])
-			event.Who = targets[random.IntN(len(targets))]
-			event.ForMs = 50 + random.IntN(1+random.IntN(4000))
+			event := newEvent(random, atMs, kinds[random.IntN(len(kinds))])
+			event.Target = targets[random.IntN(len(targets))]
+			event.DurationMs = 50 + random.IntN(1+random.IntN(4000))
 			events = append(events, event)
 		}
 	}
@@ -136,20 +136,20 @@
 	kinds = slices.Clone(kinds)
 	random.Shuffle(len(kinds), func(i, k int) { kinds[i], kinds[k] = kinds[k], kinds[i] })
 	kinds = kinds[:min(len(kinds), 2+random.IntN(3))]
-	type habit struct {
-		who    string
-		longMs int
+	type pattern struct {
+		target string
+		maxMs  int
 	}
-	habits := map[string]habit{}
+	patterns := map[string]pattern{}
 	for _, kind := range kinds {
-		habits[kind] = habit{targets[random.IntN(len(targets))], longestMs[random.IntN(len(longestMs))]}
+		patterns[kind] = pattern{targets[random.IntN(len(targets))], maxDurationsMs[random.IntN(len(maxDurationsMs))]}
 	}
 	for range 3 + random.IntN(3) {
-		at := random.IntN(closeSpanMs)
+		atMs := random.IntN(narrowSpanMs)
 		for range 1 + random.IntN(3) {
-			event := newEvent(random, at, kinds[random.IntN(len(kinds))])
-			event.Who = habits[event.Kind].who
-			event.ForMs = habits[event.Kind].longMs/2 + random.IntN(habits[event.Kind].longMs/2)
+			event := newEvent(random, atMs, kinds[random.IntN(len(kinds))])
+			event.Target = patterns[event.Kind].target
+			event.DurationMs = patterns[event.Kind].maxMs/2 + random.IntN(patterns[event.Kind].maxMs/2)
 			events = append(events, event)
 		}
 	}
@@ -160,19 +160,19 @@
 var targets = []string{"primary", "primary", "backup", "any"}
 
 // closeSpanMs is within how long the faults of a narrow schedule begin.
-const closeSpanMs = 6000
+const narrowSpanMs = 6000
 
 // longestMs are the lengths of faults in narrow schedules: about the lease term, and longer than each of the core's times.
-var longestMs = []int{300, 800, 1500, 4000, 9000}
+var maxDurationsMs = []int{300, 800, 1500, 4000, 9000}
 
 // newEvent draws one event of a kind, soon after a moment.
-func newEvent(random *rand.Rand, at int, kind string) Event {
-	event := Event{AtMs: at + random.IntN(500), Kind: kind, Count: 1 + random.IntN(12)}
+func newEvent(random *rand.Rand, atMs int, kind string) Event {
+	event := Event{AtMs: atMs + random.IntN(500), Kind: kind, Count: 1 + random.IntN(12)}
 	if random.IntN(100) < percentAtCall {
-		event.On, event.After = callKinds[random.IntN(len(callKinds))], random.IntN(2) == 0
+		event.TriggerCall, event.AfterCall = callKinds[random.IntN(len(callKinds))], random.IntN(2) == 0
 	}
-	if mayBeOfOneCall[kind] && random.IntN(100) < percentOneKind {
-		event.Only = callKinds[random.IntN(len(callKinds))]
+	if mayAffectOneCallKind[kind] && random.IntN(100) < percentOneKind {
+		event.OnlyCall = callKinds[random.IntN(len(callKinds))]
 	}
 	return event
 }
--- a/internal/testing/modelcheck/search_test.go
+++ b/internal/testing/modelcheck/search_test.go
@@ -10,47 +10,47 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-var searchFor = flag.Duration("search", 0, "how long TestGuidedSearch looks for a fault; 0: it is left out")
+var searchDuration = flag.Duration("search", 0, "how long TestGuidedSearch looks for a fault; 0: it is left out")
 
 // TestGuidedSearch looks for a schedule that fails, among those of the kinds of fault that -kinds names. It makes schedules of
 // those that showed something new, so that two searches differ.
 func TestGuidedSearch(t *testing.T) {
-	if *searchFor == 0 {
+	if *searchDuration == 0 {
 		t.Skip("no -search DURATION")
 	}
 	if faultinjection.Disabled("") {
 		t.Skip("built with a mechanism disabled")
 	}
-	failed, broken, played := find(t, newCorpus(*first, kindsOf(*kinds), size{}), time.Now().Add(*searchFor))
+	failed, violation, played := searchForViolation(t, newCorpus(*firstSeed, splitKinds(*kindList), fleetSize{}), time.Now().Add(*searchDuration))
 	t.Logf("%d schedules", played)
-	if broken != "" {
-		t.Errorf("%s; schedule: %s", broken, failed)
+	if violation != "" {
+		t.Errorf("%s; schedule: %s", violation, failed)
 		t.Logf("shortest schedule that fails: %s", shrink(t, failed))
 	}
 }
 
 // searchers is how many schedules are played side by side.
-const searchers = 8
+const searchWorkers = 8
 
 // find plays schedules until one fails, or the time is up.
-func find(t *testing.T, schedules *corpus, deadline time.Time) (failed Schedule, broken string, played uint64) {
+func searchForViolation(t *testing.T, schedules *corpus, deadline time.Time) (failed Schedule, violation string, played uint64) {
 	var next atomic.Uint64
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	found := func() bool {
+	violationFound := func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return broken != ""
+		return violation != ""
 	}
-	for range searchers {
+	for range searchWorkers {
 		all.Go(func() {
-			for time.Now().Before(deadline) && !found() {
-				s := schedules.next(*first + next.Add(1))
+			for time.Now().Before(deadline) && !violationFound() {
+				s := schedules.next(*firstSeed + next.Add(1))
 				v := play(t, s)
-				schedules.keep(s, v.shown)
+				schedules.addIfNew(s, v.coverage)
 				if len(v.violations) > 0 {
 					mu.Lock()
-					failed, broken = s, v.violations[0]
+					failed, violation = s, v.violations[0]
 					mu.Unlock()
 				}
 			}
@@ -58,5 +58,5 @@
 	}
 	all.Wait()
 	t.Logf("%d of %d schedules showed something new", len(schedules.schedules), next.Load())
-	return failed, broken, next.Load()
+	return failed, violation, next.Load()
 }
--- a/internal/testing/modelcheck/vote_test.go
+++ b/internal/testing/modelcheck/vote_test.go
@@ -24,8 +24,8 @@
 
 // The bounds of the exhaustive exploration of the vote.
 const (
-	votersExplored    = 3
-	proposersExplored = 2
+	voterCount    = 3
+	proposerCount = 2
 )
 
 // voteBounds are how many faults one course of the vote may have.
@@ -53,50 +53,52 @@
 }
 
 // errLost ends a call whose request or answer was lost.
-var errLost = errors.New("modelcheck: message lost")
+var errMessageLost = errors.New("modelcheck: message lost")
 
 // vote is one course of the vote: real voters on disks in memory, real proposals, and a scheduler in between.
 type vote struct {
-	bounds   voteBounds
-	disks    []*sim.Disk
-	voters   []*paxos.Acceptor
-	current  view.View
-	mu       sync.Mutex
-	pending  []*pendingCall
-	next     func(current view.View, proposer int) view.View
-	decided  []string                // what each proposer was told
-	promised map[int]int             // by voter: the proposer that it last said yes to
-	ended    []error                 // how each proposer's last attempt ended without a decision
-	accepted map[string]map[int]bool // by ballot and view: the voters that ever accepted it
-	chosen   map[string]bool         // views that a majority accepted under one ballot
-	running  sync.WaitGroup
+	bounds             voteBounds
+	disks              []*sim.Disk
+	voters             []*paxos.Acceptor
+	current            view.View
+	mu                 sync.Mutex
+	pending            []*pendingCall
+	proposedView       func(current view.View, proposer int) view.View
+	decided            []string                // what each proposer was told
+	lastAgreedProposer map[int]int             // by voter: the proposer that it last said yes to
+	lastErr            []error                 // how each proposer's last attempt ended without a decision
+	accepted           map[string]map[int]bool // by ballot and view: the voters that ever accepted it
+	chosen             map[string]bool         // views that a majority accepted under one ballot
+	running            sync.WaitGroup
 }
 
 // newVote begins a course: nothing has been proposed yet.
-func newVote(t *testing.T, bounds voteBounds) *vote { return newVoteOn(t, bounds, proposeItself) }
+func newVote(t *testing.T, bounds voteBounds) *vote {
+	return newVoteWithProposals(t, bounds, proposeSelf)
+}
 
 // proposeItself is the view in which a proposer is the primary.
-func proposeItself(current view.View, proposer int) view.View {
+func proposeSelf(current view.View, proposer int) view.View {
 	current.Primary = current.Members[proposer].ID
 	return current
 }
 
 // nameOf tells views apart by who holds the state.
-func nameOf(v view.View) string { return fmt.Sprint(v.Primary, v.Backups()) }
+func viewName(v view.View) string { return fmt.Sprint(v.Primary, v.Backups()) }
 
 // newVoteOn begins a course in which the proposers propose given views.
-func newVoteOn(t *testing.T, bounds voteBounds, next func(current view.View, proposer int) view.View) *vote {
-	v := &vote{bounds: bounds, next: next, ended: make([]error, proposersExplored), promised: map[int]int{}, decided: make([]string, proposersExplored), accepted: map[string]map[int]bool{}, chosen: map[string]bool{}}
+func newVoteWithProposals(t *testing.T, bounds voteBounds, proposedView func(current view.View, proposer int) view.View) *vote {
+	v := &vote{bounds: bounds, proposedView: proposedView, lastErr: make([]error, proposerCount), lastAgreedProposer: map[int]int{}, decided: make([]string, proposerCount), accepted: map[string]map[int]bool{}, chosen: map[string]bool{}}
 	v.current = view.View{Epoch: 1}
-	for i := range votersExplored {
+	for i := range voterCount {
 		member := view.Member{ID: fmt.Sprint("member-", i), Addr: fmt.Sprint(i)}
 		v.current.Members = append(v.current.Members, member)
-		v.disks = append(v.disks, diskOf(t, member.ID))
+		v.disks = append(v.disks, newVoterDisk(t, member.ID))
 		v.voters = append(v.voters, nil)
 		v.restart(t, i)
 	}
 	v.current.Primary = v.current.Members[0].ID
-	for i := range proposersExplored {
+	for i := range proposerCount {
 		v.running.Go(func() { v.propose(i) })
 	}
 	return v
@@ -104,7 +106,7 @@
 
 // diskOf is the disk of a voter that has an identity and has never voted: drawn at random, identities would make each
 // course another one.
-func diskOf(t *testing.T, id string) *sim.Disk {
+func newVoterDisk(t *testing.T, id string) *sim.Disk {
 	state := paxos.AcceptorState{ID: id}
 	raw, err := state.MarshalMsg(nil)
 	if err != nil {
@@ -128,7 +130,7 @@
 
 // propose has one member propose itself as primary until something is decided or its attempts are over.
 func (v *vote) propose(proposer int) {
-	next := v.next(v.current, proposer)
+	next := v.proposedView(v.current, proposer)
 	highest := uint64(0)
 	for attempt := range v.bounds.attempts {
 		proposal := paxos.Proposer{ProposerID: v.current.Members[proposer].ID, Current: v.current, Value: next, StepTimeout: time.Hour, HighestNumber: highest,
@@ -139,12 +141,12 @@
 		highest = proposal.HighestNumber
 		if err == nil {
 			v.mu.Lock()
-			v.decided[proposer] = nameOf(decided)
+			v.decided[proposer] = viewName(decided)
 			v.mu.Unlock()
 			return
 		}
 		v.mu.Lock()
-		v.ended[proposer] = err
+		v.lastErr[proposer] = err
 		v.mu.Unlock()
 	}
 }
@@ -169,27 +171,27 @@
 	case *paxos.AcceptRequest:
 		response, err = v.voters[call.voter].Accept(request)
 		if err == nil && response.Agreed {
-			v.noteAccepted(request, call.voter)
+			v.recordAccepted(request, call.voter)
 		}
 	}
 	if err == nil {
 		*call.response = *response
 		if response.Agreed {
-			v.promised[call.voter] = call.proposer
+			v.lastAgreedProposer[call.voter] = call.proposer
 		}
 	}
 	return err
 }
 
 // noteAccepted remembers who accepted what: a majority under one ballot has chosen it.
-func (v *vote) noteAccepted(request *paxos.AcceptRequest, voter int) {
+func (v *vote) recordAccepted(request *paxos.AcceptRequest, voter int) {
 	key := fmt.Sprintf("%d/%s", request.Number.Number, request.Number.Proposer)
 	if v.accepted[key] == nil {
 		v.accepted[key] = map[int]bool{}
 	}
 	v.accepted[key][voter] = true
-	if 2*len(v.accepted[key]) > votersExplored {
-		v.chosen[nameOf(request.Proposed)] = true
+	if 2*len(v.accepted[key]) > voterCount {
+		v.chosen[viewName(request.Proposed)] = true
 	}
 }
 
@@ -203,7 +205,7 @@
 			moves = append(moves, "lose the request "+call.name(), "lose the answer "+call.name())
 		}
 	}
-	for voter := range votersExplored {
+	for voter := range voterCount {
 		if v.bounds.restarts > 0 && len(v.pending) > 0 {
 			moves = append(moves, fmt.Sprint("restart ", voter))
 		}
@@ -212,7 +214,7 @@
 }
 
 // take makes one move.
-func (v *vote) take(t *testing.T, move string) {
+func (v *vote) apply(t *testing.T, move string) {
 	var voter int
 	if n, _ := fmt.Sscanf(move, "restart %d", &voter); n == 1 {
 		v.bounds.restarts--
@@ -228,14 +230,14 @@
 	}
 	if strings.HasPrefix(move, "lose") {
 		v.bounds.lost--
-		err = errLost
+		err = errMessageLost
 	}
 	call.outcome <- err
 	synctest.Wait()
 }
 
 // state describes all that what follows depends on. The course ends with it: its voters lose their disks.
-func (v *vote) state() string {
+func (v *vote) fingerprint() string {
 	var state strings.Builder
 	fmt.Fprint(&state, v.bounds, v.decided, v.chosen)
 	for _, call := range v.pending {
@@ -257,7 +259,7 @@
 		v.pending = nil
 		v.mu.Unlock()
 		for _, call := range calls {
-			call.outcome <- errLost
+			call.outcome <- errMessageLost
 		}
 		synctest.Wait()
 		v.mu.Lock()
@@ -268,7 +270,7 @@
 }
 
 // disagreement tells where two views were chosen or told for one epoch.
-func (v *vote) disagreement() string {
+func (v *vote) violation() string {
 	values := map[string]bool{}
 	for chosen := range v.chosen {
 		values[chosen] = true
@@ -285,42 +287,42 @@
 }
 
 // course is one course of events that an exploration plays: *vote is one.
-type course interface {
+type execution interface {
 	moves() []string // what may happen next, in a fixed order
-	take(t *testing.T, move string)
-	state() string        // all that what follows depends on; the course ends with it
-	disagreement() string // what is wrong; "": nothing
+	apply(t *testing.T, move string)
+	fingerprint() string // all that what follows depends on; the course ends with it
+	violation() string   // what is wrong; "": nothing
 	finish()
 }
 
 // exploration walks through all courses within bounds.
 type exploration struct {
-	begin   func(t *testing.T) course
-	seen    map[string]bool
-	played  int
-	deepest int
-	failed  []string // the moves of a course that decides two views
-	problem string
+	begin          func(t *testing.T) execution
+	seen           map[string]bool
+	executions     int
+	maxMoves       int
+	counterexample []string // the moves of a course that decides two views
+	violation      string
 }
 
 // explore plays the course of the given moves, and all that may follow.
 func (e *exploration) explore(t *testing.T, moves []string) {
-	if e.problem != "" {
+	if e.violation != "" {
 		return
 	}
 	v := e.begin(t)
 	synctest.Wait()
 	for _, move := range moves {
 		v.moves()
-		v.take(t, move)
+		v.apply(t, move)
 	}
-	e.played++
-	e.deepest = max(e.deepest, len(moves))
+	e.executions++
+	e.maxMoves = max(e.maxMoves, len(moves))
 	next := v.moves()
-	state, problem := v.state(), v.disagreement()
+	state, violation := v.fingerprint(), v.violation()
 	v.finish()
-	if problem != "" {
-		e.failed, e.problem = moves, problem
+	if violation != "" {
+		e.counterexample, e.violation = moves, violation
 		return
 	}
 	if e.seen[state] {
@@ -333,12 +335,12 @@
 }
 
 // exploreAll explores everything within bounds.
-func exploreAll(t *testing.T, bounds voteBounds) *exploration {
-	return exploreFrom(t, func(t *testing.T) course { return newVote(t, bounds) })
+func exploreVote(t *testing.T, bounds voteBounds) *exploration {
+	return exploreFrom(t, func(t *testing.T) execution { return newVote(t, bounds) })
 }
 
 // exploreFrom explores everything that may come of a beginning.
-func exploreFrom(t *testing.T, begin func(t *testing.T) course) *exploration {
+func exploreFrom(t *testing.T, begin func(t *testing.T) execution) *exploration {
 	e := &exploration{begin: begin, seen: map[string]bool{}}
 	synctest.Test(t, func(t *testing.T) { e.explore(t, nil) })
 	return e
@@ -353,11 +355,11 @@
 	for _, bounds := range []voteBounds{{attempts: 1}, {attempts: 1, lost: 1}, {attempts: 1, restarts: 1}} {
 		t.Run(fmt.Sprintf("%+v", bounds), func(t *testing.T) {
 			t.Parallel()
-			e := exploreAll(t, bounds)
-			if e.problem != "" {
-				t.Errorf("%s after %q", e.problem, e.failed)
+			e := exploreVote(t, bounds)
+			if e.violation != "" {
+				t.Errorf("%s after %q", e.violation, e.counterexample)
 			}
-			t.Logf("%d states, %d courses, at most %d moves", len(e.seen), e.played, e.deepest)
+			t.Logf("%d states, %d courses, at most %d moves", len(e.seen), e.executions, e.maxMoves)
 		})
 	}
 }
--- a/internal/testing/modelcheck/walk_test.go
+++ b/internal/testing/modelcheck/walk_test.go
@@ -16,41 +16,41 @@
 )
 
 var (
-	walks  = flag.Int("walks", 120, "how many schedules TestRandomWalks plays")
-	first  = flag.Uint64("seed", 1, "seed of the first schedule")
-	replay = flag.String("replay", "", "file with a schedule, as a failed walk prints it, for TestReplay")
-	kinds  = flag.String("kinds", "", "comma-separated kinds of fault that TestRandomWalks keeps to; empty: all")
-	loud   = flag.Bool("loud", false, "print the processes' logs")
+	walkCount  = flag.Int("walks", 120, "how many schedules TestRandomWalks plays")
+	firstSeed  = flag.Uint64("seed", 1, "seed of the first schedule")
+	replayPath = flag.String("replay", "", "file with a schedule, as a failed walk prints it, for TestReplay")
+	kindList   = flag.String("kinds", "", "comma-separated kinds of fault that TestRandomWalks keeps to; empty: all")
+	verbose    = flag.Bool("loud", false, "print the processes' logs")
 )
 
 // operatorCount is how many operators change the configuration at once.
 const operatorCount = 3
 
 // verdict is what came of a run.
-type verdict struct {
-	violations                      []string
-	acknowledged, operations, moves int
-	spent                           int // units that routers spent
-	shown                           *coverage
+type runResult struct {
+	violations                          []string
+	acknowledged, operations, transfers int
+	spent                               int // units that routers spent
+	coverage                            *coverage
 }
 
 // play runs a schedule in simulated time.
-func play(t *testing.T, s Schedule) (v verdict) {
+func play(t *testing.T, schedule Schedule) (v runResult) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, s.Seed, s.Cores, s.Losses, *loud)
-		defer f.end()
-		v.shown = f.coverage
+		f := newFleet(t, schedule.Seed, schedule.Cores, schedule.Losses, *verbose)
+		defer f.shutdown()
+		v.coverage = f.coverage
 		for _, p := range slices.Clone(f.processes) {
 			f.start(p)
-			time.Sleep(time.Duration(f.chance(100)) * time.Millisecond)
+			time.Sleep(time.Duration(f.randomBelow(100)) * time.Millisecond)
 		}
-		if !f.within(recoverySpan, f.isWhole) {
+		if !f.waitFor(recoveryTimeout, f.isHealthy) {
 			v.violations = []string{"the fleet was not founded in time"}
 			return
 		}
-		f.playEvents(s)
-		v.violations = f.recover()
-		v.acknowledged, v.operations, v.moves = f.history.counts()
+		f.playEvents(schedule)
+		v.violations = f.checkRecovery()
+		v.acknowledged, v.operations, v.transfers = f.history.counts()
 		v.spent = f.spends.spent()
 		v.violations = append(v.violations, f.history.violations()...)
 		v.violations = append(v.violations, f.spends.violations()...)
@@ -61,15 +61,15 @@
 // playEvents has operators work while the schedule's faults come.
 func (f *fleet) playEvents(s Schedule) {
 	begun := time.Now()
-	until := begun.Add(s.span() + 2*time.Second)
+	until := begun.Add(s.operatorTime() + 2*time.Second)
 	var all sync.WaitGroup
 	for i := range operatorCount {
 		o := f.newOperator(i)
 		all.Go(func() { o.work(until) })
 	}
-	for i := range quotaHolders {
-		h := f.newHolder(i)
-		f.holders = append(f.holders, h)
+	for i := range quotaHolderCount {
+		h := f.newQuotaHolder(i)
+		f.quotaHolders = append(f.quotaHolders, h)
 		all.Go(func() { h.work(until) })
 	}
 	for i := range quotaRouterCount {
@@ -87,27 +87,27 @@
 }
 
 // recover ends all faults and tells what does not come back in time.
-func (f *fleet) recover() (broken []string) {
-	f.heal()
-	last := f.newOperator(operatorCount)
-	if !f.within(recoverySpan, func() bool { return last.read() }) {
-		return []string{fmt.Sprintf("no read within %s after all faults were over; view %+v", recoverySpan, f.current())}
+func (f *fleet) checkRecovery() (violations []string) {
+	f.endAllFaults()
+	probe := f.newOperator(operatorCount)
+	if !f.waitFor(recoveryTimeout, func() bool { return probe.read() }) {
+		return []string{fmt.Sprintf("no read within %s after all faults were over; view %+v", recoveryTimeout, f.newestView())}
 	}
-	if !f.within(recoverySpan, func() bool { return last.write(last.known) == done || !last.read() }) {
-		broken = append(broken, "no write was acknowledged after all faults were over")
+	if !f.waitFor(recoveryTimeout, func() bool { return probe.write(probe.knownVersion) == succeeded || !probe.read() }) {
+		violations = append(violations, "no write was acknowledged after all faults were over")
 	}
-	if !f.within(wholeSpan, f.isWhole) {
-		broken = append(broken, fmt.Sprintf("not all cores are members after %s; view %+v", wholeSpan, f.current()))
+	if !f.waitFor(fullRecoveryTimeout, f.isHealthy) {
+		violations = append(violations, fmt.Sprintf("not all cores are members after %s; view %+v", fullRecoveryTimeout, f.newestView()))
 	}
-	last.read()
-	for _, h := range f.holders {
-		h.move(move{holder: h.number}, time.Now().Add(recoverySpan)) // it draws nothing: what does it hold?
+	probe.read()
+	for _, h := range f.quotaHolders {
+		h.transfer(quotaTransfer{holder: h.number}, time.Now().Add(recoveryTimeout)) // it draws nothing: what does it hold?
 	}
-	return broken
+	return violations
 }
 
 // shrinkTries is how often a shorter schedule is played before it counts as sound: runs differ a little.
-const shrinkTries = 4
+const shrinkAttempts = 4
 
 // shrink leaves out events for as long as the schedule still fails.
 func shrink(t *testing.T, s Schedule) Schedule {
@@ -125,7 +125,7 @@
 
 // fails reports whether one of a few runs of a schedule shows a violation.
 func fails(t *testing.T, s Schedule) bool {
-	for range shrinkTries {
+	for range shrinkAttempts {
 		if len(play(t, s).violations) > 0 {
 			return true
 		}
@@ -134,7 +134,7 @@
 }
 
 // kindsOf splits the value of -kinds.
-func kindsOf(list string) []string {
+func splitKinds(list string) []string {
 	if list == "" {
 		return nil
 	}
@@ -147,15 +147,15 @@
 		t.Skip("built with a mechanism disabled")
 	}
 	var mu sync.Mutex
-	total := verdict{}
+	total := runResult{}
 	t.Run("all", func(t *testing.T) {
-		for i := range uint64(*walks) {
-			s := newSchedule(*first+i, kindsOf(*kinds)...)
+		for i := range uint64(*walkCount) {
+			s := newSchedule(*firstSeed+i, splitKinds(*kindList)...)
 			t.Run(fmt.Sprint("seed", s.Seed), func(t *testing.T) {
 				t.Parallel()
 				v := play(t, s)
-				for _, broken := range v.violations {
-					t.Error(broken)
+				for _, violation := range v.violations {
+					t.Error(violation)
 				}
 				if len(v.violations) > 0 {
 					t.Logf("schedule: %s", s)
@@ -165,30 +165,30 @@
 				defer mu.Unlock()
 				total.acknowledged += v.acknowledged
 				total.operations += v.operations
-				total.moves += v.moves
+				total.transfers += v.transfers
 				total.spent += v.spent
 			})
 		}
 	})
-	t.Logf("%d schedules, %d operations, %d writes acknowledged, %d moves of quota units, %d units spent by routers", *walks, total.operations,
-		total.acknowledged, total.moves, total.spent)
-	if total.spent < 20**walks {
-		t.Errorf("only %d units were spent by routers in %d schedules", total.spent, *walks)
+	t.Logf("%d schedules, %d operations, %d writes acknowledged, %d moves of quota units, %d units spent by routers", *walkCount, total.operations,
+		total.acknowledged, total.transfers, total.spent)
+	if total.spent < 20**walkCount {
+		t.Errorf("only %d units were spent by routers in %d schedules", total.spent, *walkCount)
 	}
-	if total.moves < 10**walks {
-		t.Errorf("only %d moves of quota units were made in %d schedules", total.moves, *walks)
+	if total.transfers < 10**walkCount {
+		t.Errorf("only %d moves of quota units were made in %d schedules", total.transfers, *walkCount)
 	}
-	if total.acknowledged < *walks {
-		t.Errorf("only %d writes were acknowledged in %d schedules", total.acknowledged, *walks)
+	if total.acknowledged < *walkCount {
+		t.Errorf("only %d writes were acknowledged in %d schedules", total.acknowledged, *walkCount)
 	}
 }
 
 // TestReplay plays a schedule from a file, as a failed walk printed it.
 func TestReplay(t *testing.T) {
-	if *replay == "" {
+	if *replayPath == "" {
 		t.Skip("no -replay FILE")
 	}
-	raw, err := os.ReadFile(*replay)
+	raw, err := os.ReadFile(*replayPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -196,7 +196,7 @@
 	if err := json.Unmarshal(raw, &s); err != nil {
 		t.Fatal(err)
 	}
-	for _, broken := range play(t, s).violations {
-		t.Error(broken)
+	for _, violation := range play(t, s).violations {
+		t.Error(violation)
 	}
 }
