--- a/internal/testing/modelcheck/draws_test.go
+++ b/internal/testing/modelcheck/draws_test.go
@@ -11,34 +11,34 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// The tenant whose units holders draw. Its window outlasts every run: no unit becomes free by itself.
+// The tenant whose units the quota holders draw. Its window outlasts every run, so that no unit becomes free by expiry.
 const (
 	quotaTenant       = "yard"
 	quotaHolderCount  = 3
 	quotaConfigFormat = `"tenants":{"yard":{"quota":{"units":%d,"window_s":3600}},"dock":{"quota":{"units":%d,"window_s":2}}}`
-	drawDivisor       = 8 // a draw gets this part of the free units at most, as in package core
+	drawDivisor       = 8 // a draw gets at most one part in so many of the free units, as in package core
 	minQuota          = 60
-	quotaStep         = 40 // between the quotas that configurations give
-	quotaChoices      = 5  // how many there are
+	quotaStep         = 40 // difference between the quotas that configurations set
+	quotaChoices      = 5  // number of different quotas
 )
 
-// move is a draw or a gift of units by one holder.
+// quotaTransfer is a draw or a return of units by one holder.
 type quotaTransfer struct {
 	holder   int
 	giveBack bool
 	units    int
 }
 
-// moved is what a holder was told of a move.
+// transferResult is what a holder knows of the result of a transfer.
 type transferResult struct {
-	answered  bool // it got an answer
-	heldUnits int  // its units after the move
+	answered  bool // it received an answer
+	heldUnits int  // its units after the transfer
 }
 
-// quotaPool is the units that each holder has.
+// quotaPool is the number of units that each holder has.
 type quotaPool [quotaHolderCount]int
 
-// sum is how many units are out.
+// sum is the number of units that all holders have.
 func (p quotaPool) sum() int {
 	sum := 0
 	for _, units := range p {
@@ -47,7 +47,7 @@
 	return sum
 }
 
-// after is the pool after a move under a quota.
+// afterTransfer is the pool after a transfer under a quota.
 func (p quotaPool) afterTransfer(transfer quotaTransfer, quota int) quotaPool {
 	if transfer.giveBack {
 		p[transfer.holder] -= min(transfer.units, p[transfer.holder])
@@ -57,9 +57,9 @@
 	return p
 }
 
-// moves gives the states that a move may leave behind; none: its result is impossible in this state. A move takes effect
-// once, however often it is sent, and what it gives depends on what all holders have at that moment and on the quota in
-// force. A pool read from an older state would give units twice.
+// applyTransfer returns the states that are possible after a transfer; none if its result is impossible in this state. A
+// transfer takes effect once, however often it is sent, and its result depends on the quota in force and on the units of
+// all holders at that moment. A core that reads its pool from an older state would grant units twice.
 func (before coreState) applyTransfer(transfer quotaTransfer, reported transferResult) []any {
 	after := before
 	after.pool = before.pool.afterTransfer(transfer, before.quota)
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// holder draws units of the tenant's quota and gives some back, as a router does.
+// quotaHolder draws units of the tenant's quota and returns some of them, as a router does.
 type quotaHolder struct {
 	fleet     *fleet
 	number    int
@@ -81,7 +81,7 @@
 	heldUnits int
 }
 
-// newHolder makes a holder on a machine of its own.
+// newQuotaHolder makes a holder on a machine of its own.
 func (f *fleet) newQuotaHolder(number int) *quotaHolder {
 	network, _ := f.world.Net(quotaHolderAddr(number))
 	daemonContext := daemon.Context{Context: f.ctx, Name: "holder", Log: f.log, Net: network}
@@ -90,7 +90,7 @@
 
 func quotaHolderAddr(number int) string { return fmt.Sprintf("10.0.8.%d:1", number+1) }
 
-// work makes moves until the time is up, each until it is answered.
+// work makes transfers until the time is up, and repeats each until it is answered.
 func (h *quotaHolder) work(until time.Time) {
 	for time.Now().Before(until) {
 		transfer := quotaTransfer{holder: h.number, units: 1 + h.fleet.randomBelow(20)}
@@ -98,13 +98,13 @@
 			transfer = quotaTransfer{holder: h.number, giveBack: true, units: 1 + h.fleet.randomBelow(h.heldUnits)}
 		}
 		if !h.transfer(transfer, until.Add(requestTimeout)) {
-			return // nobody knows what it holds now
+			return // it is unknown how many units it holds now
 		}
 		time.Sleep(time.Duration(h.fleet.randomBelow(int(120 * time.Millisecond))))
 	}
 }
 
-// move sends one move until it is answered or the time is up, and reports whether it was.
+// transfer retries one transfer until it is answered or the time is up, and reports whether it was answered.
 func (h *quotaHolder) transfer(transfer quotaTransfer, until time.Time) bool {
 	h.sequence++
 	request := coreapi.QuotaTransfersRequest{Holder: fmt.Sprint("holder-", h.number),
@@ -120,7 +120,7 @@
 	return reported.answered
 }
 
-// try sends a move once.
+// attempt sends a transfer once.
 func (h *quotaHolder) attempt(request *coreapi.QuotaTransfersRequest) transferResult {
 	ctx, cancel := context.WithTimeout(h.fleet.ctx, callTimeout)
 	defer cancel()
--- a/internal/testing/modelcheck/faults_test.go
+++ b/internal/testing/modelcheck/faults_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// pick is the machine that an event concerns, or nil.
+// selectTarget returns the process that an event affects, or nil if there is none now.
 func (f *fleet) selectTarget(event Event) *process {
 	v := f.newestView()
 	switch event.Target {
@@ -21,7 +21,7 @@
 	return f.processes[f.randomBelow(len(f.processes))]
 }
 
-// span is how long a fault lasts.
+// duration is how long a fault lasts.
 func (e Event) duration() time.Duration { return time.Duration(e.DurationMs) * time.Millisecond }
 
 func killProcess(f *fleet, event Event) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// others are the addresses of all cores but one, and of all their clients where these are asked for too.
+// otherAddrs returns the addresses of all cores but one, and optionally those of all their clients.
 func (f *fleet) otherAddrs(p *process, includeClients bool) []string {
 	var addrs []string
 	for _, other := range f.processes {
@@ -78,7 +78,7 @@
 	return addrs
 }
 
-// operatorHost is the address of an operator's machine.
+// operatorHost is the address of an operator's first client. A partition affects all addresses of its machine.
 func operatorHost(number int) string { return operatorAddr(number, 0) }
 
 // operatorAddr is the address of one of an operator's clients.
@@ -92,7 +92,7 @@
 	}
 }
 
-// cutWithReader cuts a machine off together with an operator, who goes on reading there.
+// partitionWithReader partitions a machine, together with an operator that keeps reading there, from all others.
 func partitionWithReader(f *fleet, event Event) {
 	if p := f.selectTarget(event); p != nil {
 		f.isolate(p)
@@ -101,7 +101,8 @@
 	}
 }
 
-// cutFromAllButBackup cuts the primary and an operator off from all others but the first backup, which reaches both sides.
+// partitionFromAllButBackup partitions the primary and an operator from all others except the first backup, which reaches
+// both sides.
 func partitionFromAllButBackup(f *fleet, event Event) {
 	v := f.newestView()
 	primary := f.processByID(v.Primary)
@@ -115,13 +116,14 @@
 	f.world.Heal()
 }
 
-// isolate cuts a machine and the first operator off from all others.
+// isolate partitions a machine and the first operator from all others.
 func (f *fleet) isolate(p *process) {
 	island := []string{p.addr, operatorHost(0)}
 	f.world.Split(island, slices.DeleteFunc(f.otherAddrs(p, true), func(addr string) bool { return addr == operatorHost(0) }))
 }
 
-// restartBehindACut cuts a machine off together with an operator; at the same time all others start again.
+// restartOthersDuringPartition partitions a machine and an operator from all others, and restarts all other processes
+// meanwhile.
 func restartOthersDuringPartition(f *fleet, event Event) {
 	p := f.selectTarget(event)
 	if p == nil {
@@ -165,7 +167,7 @@
 	f.world.Heal()
 }
 
-// loseDisks has disks be lost where all that were lost before are made up for.
+// withDiskLoss calls lose, which loses disks, if the fleet has recovered from every earlier loss of disks.
 func (f *fleet) withDiskLoss(lose func()) {
 	if !f.tryBeginDiskLoss(f.isHealthy()) {
 		return
@@ -176,7 +178,8 @@
 	f.losingDisks = false
 }
 
-// beginLoss notes that disks are being lost, and reports whether they may be: of two events at one moment one loses.
+// tryBeginDiskLoss records that disks are being lost, and reports whether they may be: of two concurrent events only one
+// may lose disks.
 func (f *fleet) tryBeginDiskLoss(isHealthy bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -187,7 +190,7 @@
 	return true
 }
 
-// wipeDisk loses a machine's disk; it comes back at its address.
+// wipeDisk loses a machine's disk; its process restarts at the same address with an empty one.
 func wipeDisk(f *fleet, event Event) {
 	f.withDiskLoss(func() {
 		if p := f.selectTarget(event); p != nil {
@@ -199,12 +202,13 @@
 	})
 }
 
-// wipeAndLosePower loses as many disks as may be lost, the primary's first, and the power of all others.
+// wipeAndLosePower loses as many disks as the fleet tolerates, the primary's first or those of backups only, while all
+// machines lose power.
 func wipeAndLosePower(f *fleet, event Event) {
 	f.withDiskLoss(func() { f.loseReplicaDisksAndPower(event) })
 }
 
-// loseDisksOfHolders is what wipeAndLosePower does.
+// loseReplicaDisksAndPower implements wipeAndLosePower.
 func (f *fleet) loseReplicaDisksAndPower(event Event) {
 	v := f.newestView()
 	lost := []*process{f.processByID(v.Primary)}
@@ -230,7 +234,7 @@
 	}
 }
 
-// replaceMachine takes a machine out for good; an empty one comes at another address.
+// replaceMachine removes a machine for good and adds an empty one at another address.
 func replaceMachine(f *fleet, event Event) {
 	f.withDiskLoss(func() {
 		if p := f.selectTarget(event); p != nil {
@@ -242,7 +246,7 @@
 	})
 }
 
-// replaceAsPlanned adds an empty machine, then stops an old one in order, for good.
+// replaceGracefully adds an empty machine, then has an old one step down and removes it for good.
 func replaceGracefully(f *fleet, event Event) {
 	f.withDiskLoss(func() {
 		p := f.selectTarget(event)
@@ -259,7 +263,7 @@
 	})
 }
 
-// retire takes a machine out for good; another one counts in its place.
+// retire removes a machine for good; next takes its place among the current machines.
 func (f *fleet) retire(p, next *process) {
 	p.retired = true
 	f.stop(p)
@@ -293,7 +297,7 @@
 	}
 }
 
-// dieAtWrite has a process die at one of its next writes.
+// crashAtWrite crashes a process at one of its next writes to disk.
 func crashAtWrite(f *fleet, event Event) {
 	p := f.selectTarget(event)
 	if p == nil {
@@ -323,14 +327,14 @@
 	f.injectMessageFaults(event, messageFaults{onlyCall: "core.copy", delayedPercent: 50})
 }
 
-// lateGrants holds back answers to renewals of the lease, by less than their caller waits.
+// delayLeaseGrants delays the answers to lease renewals by less than the caller's timeout.
 func delayLeaseGrants(f *fleet, event Event) {
 	f.setMessageFaults(messageFaults{onlyCall: "view.renew", delayedAnswersPercent: 80, maxDelay: leaseTerm/2 - 20*time.Millisecond})
 	time.Sleep(event.duration())
 	f.setMessageFaults(messageFaults{})
 }
 
-// spoilMessages sets message faults for a while.
+// injectMessageFaults sets message faults for the duration of an event.
 func (f *fleet) injectMessageFaults(event Event, faults messageFaults) {
 	faults.maxDelay = event.duration()
 	f.setMessageFaults(faults)
@@ -338,7 +342,7 @@
 	f.setMessageFaults(messageFaults{})
 }
 
-// freezeProcess has a process stand still between two of its steps.
+// freezeProcess freezes a process between two of its externally visible steps.
 func freezeProcess(f *fleet, event Event) {
 	if p := f.selectTarget(event); p != nil && p.running {
 		p.freeze()
--- a/internal/testing/modelcheck/fleet_test.go
+++ b/internal/testing/modelcheck/fleet_test.go
@@ -15,17 +15,17 @@
 	"yarrowridge/internal/testing/sim"
 )
 
-// Times of the checked fleets.
+// Timing of the checked fleets.
 const (
 	leaseTerm           = 600 * time.Millisecond
 	lostAfter           = 2 * time.Second
-	maxDrift            = 0.09                   // by how much the fastest clock runs faster than the slowest
-	recoveryTimeout     = 12 * time.Second       // service is back within this once all faults are over
-	fullRecoveryTimeout = 20 * time.Second       // and all cores are members again
-	restartPause        = 300 * time.Millisecond // between two tries to start a process
+	maxDrift            = 0.09                   // the fraction by which the fastest clock runs faster than the slowest
+	recoveryTimeout     = 12 * time.Second       // for service to resume after all faults have ended
+	fullRecoveryTimeout = 20 * time.Second       // for all cores to be members again after that
+	restartPause        = 300 * time.Millisecond // between two attempts to start a process
 )
 
-// fleet is a world of cores.
+// fleet is a simulated network of cores with its operators and routers.
 type fleet struct {
 	t        *testing.T
 	world    *sim.World
@@ -39,28 +39,28 @@
 
 	mu            sync.Mutex
 	random        *rand.Rand
-	quotaHolders  []*quotaHolder // of quota units
-	processes     []*process     // of the machines that stay
-	machines      []*process     // all that there ever were
-	losingDisks   bool           // disks are being lost
-	disksLost     bool           // some were lost before
+	quotaHolders  []*quotaHolder
+	processes     []*process // of the machines that stay
+	machines      []*process // all that there ever were
+	losingDisks   bool       // a fault is losing disks now
+	disksLost     bool       // a fault has lost disks before
 	messageFaults messageFaults
 	triggers      []*callTrigger // of events that wait for a call
 }
 
-// messageFaults says how many messages are affected, of 100, and by how much at most.
+// messageFaults says which percentage of messages is affected by each fault, and for how long at most.
 type messageFaults struct {
-	onlyCall                                                 string // the kind of call that is affected; "": all kinds
+	onlyCall                                                 string // the kind of call that is affected; "": all
 	delayedPercent, duplicatedPercent, delayedAnswersPercent int
 	maxDelay                                                 time.Duration
 }
 
-// messageFault is what happens to one message.
+// messageFault is the faults of one message; a zero duration means that there is none.
 type messageFault struct {
 	requestDelay, duplicateDelay, answerDelay time.Duration
 }
 
-// newFleet makes a world of cores; none runs yet.
+// newFleet makes a fleet of cores; no process runs yet.
 func newFleet(t *testing.T, seed uint64, cores, losses int, verbose bool) *fleet {
 	covered := newCoverage()
 	log := slog.New(coverageHandler{coverage: covered})
@@ -86,7 +86,7 @@
 	return p
 }
 
-// seeds are three machines as an operator's list has them.
+// seeds returns the addresses of up to three machines, as an operator would configure them.
 func (f *fleet) seeds() []string {
 	var seeds []string
 	for _, p := range f.processes[:min(3, len(f.processes))] {
@@ -95,14 +95,14 @@
 	return seeds
 }
 
-// chance draws a number below n.
+// randomBelow draws a number in [0, n).
 func (f *fleet) randomBelow(n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.random.IntN(n)
 }
 
-// messageFault draws what happens to a call of a kind.
+// drawMessageFault draws the faults of one call of a kind.
 func (f *fleet) drawMessageFault(kind string) (fault messageFault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -133,21 +133,21 @@
 	p.running = false
 	p.endRun()
 	p.crash()
-	p.disk.Use() // whatever the dead run still does to its disk is lost
-	p.thaw()     // its goroutines end
+	p.disk.Use() // discards whatever the killed run still does to its disk
+	p.thaw()     // lets its goroutines end
 }
 
-// start starts a process where it can.
+// start starts a process unless it runs already or its machine was retired. The start may fail.
 func (f *fleet) start(p *process) {
 	if !p.running && !p.retired {
 		p.start()
 	}
 	if p.retired {
-		f.stop(p) // it was taken out while it started
+		f.stop(p) // the machine was retired while the process started
 	}
 }
 
-// current is the newest view that any running process knows.
+// newestView returns the view of the highest epoch that any running process knows.
 func (f *fleet) newestView() (newest view.View) {
 	for _, p := range f.processes {
 		if p.running {
@@ -159,7 +159,7 @@
 	return newest
 }
 
-// holder is the running process with an identity, or nil.
+// processByID returns the running process with an identity, or nil.
 func (f *fleet) processByID(id string) *process {
 	for _, p := range f.processes {
 		if p.running && p.id() == id {
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// isServing reports whether a primary takes writes.
+// isServing reports whether any running process is a primary that is ready for writes.
 func (f *fleet) isServing() bool {
 	for _, p := range f.processes {
 		if p.running && p.server.State().Ready {
@@ -179,8 +179,9 @@
 	return false
 }
 
-// isWhole reports whether a primary takes writes whose members are all machines, with all backups, and the losses to bear
-// would leave a majority. One member more than machines may be left of a replacement where it changes no majority.
+// isHealthy reports whether a primary is ready for writes, all machines are members, all backups are in place, and the
+// tolerated losses would leave a majority. A replacement may leave one member more than there are machines if that does
+// not raise the majority.
 func (f *fleet) isHealthy() bool {
 	v := f.newestView()
 	machines := len(f.processes)
@@ -199,7 +200,7 @@
 	return true
 }
 
-// within waits until ok holds, and reports whether it did.
+// waitFor polls until the condition holds, and reports whether it did within the timeout.
 func (f *fleet) waitFor(timeout time.Duration, condition func() bool) bool {
 	for begun := time.Now(); !condition(); {
 		if time.Since(begun) > timeout {
@@ -210,7 +211,7 @@
 	return true
 }
 
-// heal ends every fault and starts every process.
+// endAllFaults ends every fault and starts every process.
 func (f *fleet) endAllFaults() {
 	f.setMessageFaults(messageFaults{})
 	f.world.Heal()
@@ -219,7 +220,7 @@
 	}
 }
 
-// restore ends what ails a machine and has its process run.
+// repair ends all faults of a machine and retries until its process runs.
 func (f *fleet) repair(p *process) {
 	p.mu.Lock()
 	p.writesUntilCrash = 0
@@ -232,12 +233,12 @@
 	}
 }
 
-// end stops the world.
+// shutdown stops all processes of the fleet.
 func (f *fleet) shutdown() {
 	f.cancel()
 	for _, p := range f.machines {
 		p.disk.Flow()
 		f.stop(p)
 	}
-	time.Sleep(30 * time.Second) // simulated: every task sees the end
+	time.Sleep(30 * time.Second) // simulated time, in which every goroutine sees the end
 }
--- a/internal/testing/modelcheck/history_test.go
+++ b/internal/testing/modelcheck/history_test.go
@@ -9,7 +9,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// operationKind says what an operator did.
+// operationKind distinguishes reads from writes.
 type operationKind int
 
 const (
@@ -17,33 +17,33 @@
 	writeConfig
 )
 
-// outcome says what an operator was told of an operation.
+// outcome is the result of an operation as an operator knows it.
 type outcome int
 
 const (
-	succeeded        outcome = iota // read, or written
-	versionConflict                 // another version than the base was current
-	notExecuted                     // surely not carried out, and never will be
-	outcomeUnknown                  // perhaps carried out, or yet to be
-	unexpectedAnswer                // an answer that nothing explains
+	succeeded        outcome = iota // read or written
+	versionConflict                 // the base version was not the current one
+	notExecuted                     // certainly not carried out, now or later
+	outcomeUnknown                  // may have been carried out, or may still be
+	unexpectedAnswer                // an answer that the protocol does not allow
 )
 
-// operation is what an operator asked for.
+// operation is what an operator requested.
 type operation struct {
 	kind        operationKind
-	baseVersion uint64 // of a write: the version that it builds on
-	value       string // of a write
-	quota       int    // of a write: the units that the value gives to quotaTenant
+	baseVersion uint64 // writes: the version that the write builds on
+	value       string // writes
+	quota       int    // writes: the units that the value gives to quotaTenant
 }
 
-// result is what an operator was told.
+// result is the answer that an operator received.
 type result struct {
 	outcome outcome
 	version uint64
-	value   string // of a read
+	value   string // reads
 }
 
-// coreState is what the core keeps: the configuration in force, and the units drawn under its quota.
+// coreState is the state of the core: the configuration in force, and the units drawn under its quota.
 type coreState struct {
 	version uint64
 	value   string
@@ -51,8 +51,9 @@
 	pool    quotaPool
 }
 
-// coreModel is what the core has to be. Its configuration is a register: a write takes effect once, on the version that
-// it names, or not at all; a read gives what is in force. Its pool of quota units is ruled by that configuration.
+// coreModel is the specification of the core. Its configuration is a register: a write takes effect once, on the version
+// that it names, or not at all; a read returns the configuration in force. That configuration also sets the size of the
+// pool of quota units.
 var coreModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{coreState{}} },
 	Step: func(state, input, output any) []any {
@@ -67,7 +68,8 @@
 	},
 }
 
-// step gives the states that an operator's operation may leave behind; none: its result is impossible in this state.
+// apply returns the states that are possible after an operator's operation; none if its result is impossible in this
+// state.
 func (before coreState) apply(op operation, reported result) []any {
 	written := before
 	written.version, written.value, written.quota = before.version+1, op.value, op.quota
@@ -96,15 +98,15 @@
 	return nil
 }
 
-// history is what all operators did, in the order in which it began and ended.
+// history records the operations of all clients, in the order in which they began and ended.
 type history struct {
 	mu         sync.Mutex
 	clock      int64
 	operations []porcupine.Operation
-	failures   []string // what is wrong whatever the order
+	failures   []string // violations that hold in any order of the operations
 }
 
-// begin notes the begin of an operation.
+// begin returns the logical time at which an operation begins.
 func (h *history) begin() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -112,7 +114,7 @@
 	return h.clock
 }
 
-// end notes an operation or a move of quota units, and its result.
+// end records an operation or a quota transfer with its result.
 func (h *history) end(client int, begun int64, input, output any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -120,14 +122,14 @@
 	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: input, Call: begun, Output: output, Return: h.clock})
 }
 
-// fail notes what is wrong whatever the order.
+// fail records a violation that holds in any order of the operations.
 func (h *history) fail(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.failures = append(h.failures, fmt.Sprintf(format, args...))
 }
 
-// counts tells how many writes were acknowledged, how many operations of operators there are, and how many moves.
+// counts returns the numbers of acknowledged writes, of operators' operations and of quota transfers.
 func (h *history) counts() (acknowledged, operations, transfers int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -142,10 +144,10 @@
 	return acknowledged, len(h.operations) - transfers, transfers
 }
 
-// searchTimeout bounds the search for an order, in real time.
+// searchTimeout bounds the search for a linearization, in real time.
 const searchTimeout = 20 * time.Second
 
-// violations tells what no order of the operations explains.
+// violations describes the recorded violations, and whether no order of the operations explains their results.
 func (h *history) violations() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -165,7 +167,7 @@
 	return violations
 }
 
-// isInDoubt reports whether nobody knows if an operation or a move took effect.
+// isOutcomeUnknown reports whether it is unknown if an operation or a quota transfer took effect.
 func isOutcomeUnknown(output any) bool {
 	if reported, isMove := output.(transferResult); isMove {
 		return !reported.answered
@@ -173,7 +175,7 @@
 	return output.(result).outcome == outcomeUnknown
 }
 
-// firstOddity describes the plainest contradiction, for a reader of the failure.
+// describeContradiction describes a pair of operations that contradict each other, to explain a failure.
 func (h *history) describeContradiction() string {
 	type acknowledgedWrite struct {
 		op       operation
--- a/internal/testing/modelcheck/operator_test.go
+++ b/internal/testing/modelcheck/operator_test.go
@@ -11,23 +11,23 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// How operators go about it.
+// Timeouts of operators.
 const (
-	callTimeout    = 900 * time.Millisecond // of one try
-	requestTimeout = 8 * time.Second        // of an order with all its tries
+	callTimeout    = 900 * time.Millisecond // of one attempt
+	requestTimeout = 8 * time.Second        // of a request with all its attempts
 )
 
-// operator changes and reads the configuration, through two clients in turn: an order whose answer was lost is sent again
-// by another way.
+// operator changes and reads the configuration through two clients, chosen at random for each call: a request whose answer
+// was lost may be retried from another address.
 type operator struct {
 	fleet        *fleet
 	number       int
 	clients      [2]*coreclient.Client
-	knownVersion uint64 // the newest version that it knows of
+	knownVersion uint64 // the newest version that it has seen
 	writeCount   int
 }
 
-// newOperator makes an operator on machines of its own.
+// newOperator makes an operator with clients on a machine of its own.
 func (f *fleet) newOperator(number int) *operator {
 	o := &operator{fleet: f, number: number}
 	for i := range o.clients {
@@ -38,7 +38,7 @@
 	return o
 }
 
-// work reads and writes until the time is up. The first operator reads most of the time.
+// work reads and writes until the time is up. The first operator mostly reads.
 func (o *operator) work(until time.Time) {
 	writes, pause := 30, 150*time.Millisecond
 	if o.number == 0 {
@@ -54,7 +54,8 @@
 	}
 }
 
-// base is the version that the next order builds on: now and then an old one, which loses.
+// chooseBaseVersion returns the version that the next write builds on: in one of ten cases an old one, which must be
+// rejected.
 func (o *operator) chooseBaseVersion() uint64 {
 	if o.knownVersion > 0 && o.fleet.randomBelow(10) == 0 {
 		return o.knownVersion - 1
@@ -62,7 +63,7 @@
 	return o.knownVersion
 }
 
-// read reads the configuration once, and reports whether it could.
+// read reads the configuration once, and reports whether that succeeded.
 func (o *operator) read() bool {
 	begun := o.fleet.history.begin()
 	ctx, cancel := context.WithTimeout(o.fleet.ctx, callTimeout)
@@ -77,7 +78,7 @@
 	return true
 }
 
-// write sends one order, again and again until it gets a clear answer, and tells what came of it.
+// write retries one write until it gets a definite answer or times out, and returns the outcome.
 func (o *operator) write(baseVersion uint64) outcome {
 	o.writeCount++
 	quota := minQuota + quotaStep*o.fleet.randomBelow(quotaChoices)
@@ -108,7 +109,7 @@
 	return reported.outcome
 }
 
-// try sends an order once.
+// attempt sends a write once.
 func (o *operator) attempt(request *coreapi.WriteRequest) result {
 	ctx, cancel := context.WithTimeout(o.fleet.ctx, callTimeout)
 	defer cancel()
--- a/internal/testing/modelcheck/process_test.go
+++ b/internal/testing/modelcheck/process_test.go
@@ -16,35 +16,35 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// process is one core: a machine with a disk, and the process that runs on it now.
+// process is one core: a machine with a disk, and its current process.
 type process struct {
 	fleet     *fleet
 	addr      string
 	zone      string
-	leaseTerm time.Duration // its lease term: members' clocks run at different speeds
+	leaseTerm time.Duration // differs between processes, as if their clocks ran at different speeds
 	disk      *sim.Disk
 
 	server    *core.Server
-	gate      *stepGate // of this run of the process
+	gate      *stepGate // of the current run
 	ctx       context.Context
 	endRun    context.CancelFunc
 	crash     func()
 	running   bool
-	bootstrap bool // it was never started
-	retired   bool // the machine is gone for good
+	bootstrap bool // may found the fleet at its first start
+	retired   bool // the machine was removed for good
 
 	mu               sync.Mutex
-	writesUntilCrash int // at which write from now on it dies; 0: at none
+	writesUntilCrash int // the process crashes at this write, counted from now; 0: never
 	crashAfterWrite  bool
 }
 
-// faultyDisk is a disk whose process may die at a write.
+// faultyDisk is a disk whose process may crash at a write.
 type faultyDisk struct {
 	store.Disk
 	process *process
 }
 
-// Write writes, or ends the process before or after it.
+// Write writes the data, and may crash the process before or after that.
 func (d faultyDisk) Write(name string, data []byte) error {
 	dies, after := d.process.countWrite()
 	if dies && !after {
@@ -57,7 +57,7 @@
 	return err
 }
 
-// countWrite reports whether the process dies at this write, and whether after it.
+// countWrite reports whether the process crashes at this write, and if so, whether after it instead of before.
 func (p *process) countWrite() (dies, after bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -68,13 +68,13 @@
 	return p.writesUntilCrash == 0, p.crashAfterWrite
 }
 
-// die ends the process in the middle of a write: nothing that it still does is seen by anyone.
+// crashDuringWrite ends the process at a write: nothing that it does after that is visible outside.
 func (p *process) crashDuringWrite() error {
 	p.fleet.stop(p)
 	return sim.ErrDead
 }
 
-// start runs a process on the machine. A disk in trouble may keep it from starting for a while.
+// start starts a process on the machine. A disk fault may make the start fail.
 func (p *process) start() {
 	network, crash := p.fleet.world.Net(p.addr)
 	gate := &stepGate{}
@@ -101,19 +101,19 @@
 	go server.Run()
 }
 
-// handler passes calls to the server as the fleet's message faults say: late, twice, or without an answer in time.
+// handler passes calls to the server with the fleet's message faults: late, twice, or with a late answer.
 func (p *process) handler(runCtx context.Context, server *core.Server, gate *stepGate) wire.Handler {
 	monitor := &replicaMonitor{history: p.fleet.history}
 	return func(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
 		fault := p.fleet.drawMessageFault(kind)
 		if fault.requestDelay > 0 {
 			runloop.Sleep(runCtx, fault.requestDelay)
-			ctx = runCtx // it arrives, whether its caller still waits or not
+			ctx = runCtx // the call arrives even if its caller has stopped waiting
 		}
 		if fault.duplicateDelay > 0 {
 			go func() {
 				if runloop.Sleep(runCtx, fault.duplicateDelay) {
-					_, _ = server.Handle(runCtx, kind, body) // nobody waits for the answer to a repeated message
+					_, _ = server.Handle(runCtx, kind, body) // the answer to a duplicate has no receiver
 				}
 			}()
 		}
@@ -131,26 +131,26 @@
 	}
 }
 
-// freeze has the process stand still until it is thawed or killed.
+// freeze suspends the process until it is thawed or killed.
 func (p *process) freeze() {
 	p.gate.freeze()
 	p.fleet.world.Freeze(p.addr)
 }
 
-// thaw has the process go on.
+// thaw resumes the process.
 func (p *process) thaw() {
 	p.fleet.world.Thaw(p.addr)
 	p.gate.thaw()
 }
 
-// loseDisk gives the machine an empty disk. Its process does not run.
+// loseDisk gives the machine an empty disk. The process must not be running.
 func (p *process) loseDisk() {
-	p.disk.Flow() // a write that hangs there ends
+	p.disk.Flow() // ends a write that is stalled on the old disk
 	p.disk = sim.NewDisk()
 }
 
-// view is the newest view that the process knows.
+// view returns the newest view that the process knows.
 func (p *process) view() view.View { return p.server.View() }
 
-// id is the identity on the process's disk.
+// id returns the identity on the process's disk.
 func (p *process) id() string { return p.server.State().ID }
--- a/internal/testing/modelcheck/schedule_test.go
+++ b/internal/testing/modelcheck/schedule_test.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Event is one fault of a schedule, as it is printed and read from a file.
+// Event is one fault of a schedule, in the JSON form in which schedules are printed and replayed.
 type Event struct {
-	AtMs        int    `json:"at_ms"` // from when the fleet serves
+	AtMs        int    `json:"at_ms"` // since the fleet began to serve
 	Kind        string `json:"kind"`
-	Target      string `json:"who,omitempty"` // primary, backup, any; where the kind concerns one machine
+	Target      string `json:"who,omitempty"` // primary, backup or any, for kinds that affect one machine
 	DurationMs  int    `json:"for_ms,omitempty"`
-	Count       int    `json:"count,omitempty"` // at which write; of 100 messages
-	TriggerCall string `json:"on,omitempty"`    // kind of call at which the event begins: the first one after at_ms
-	AfterCall   bool   `json:"after,omitempty"` // it begins once that call was handled, not before
-	OnlyCall    string `json:"only,omitempty"`  // of faults of messages: the kind of call that they affect; "": all
+	Count       int    `json:"count,omitempty"` // meaning depends on the kind, such as the write at which to crash
+	TriggerCall string `json:"on,omitempty"`    // kind of call that starts the event: the first one after at_ms
+	AfterCall   bool   `json:"after,omitempty"` // the event starts after that call was handled instead of before
+	OnlyCall    string `json:"only,omitempty"`  // message faults: the kind of call that they affect; "": all
 }
 
-// Schedule is one run: a fleet and its faults.
+// Schedule describes one run: a fleet and its faults.
 type Schedule struct {
 	Seed   uint64  `json:"seed"`
 	Cores  int     `json:"cores"`
@@ -28,7 +28,8 @@
 	Events []Event `json:"events"`
 }
 
-// span is how long the operators work: until the last event begins, and for a while after it.
+// operatorTime is the time until all events have ended, counting at most 4 s of each event. Operators work for a little
+// longer than that.
 func (s Schedule) operatorTime() time.Duration {
 	last := 0
 	for _, event := range s.Events {
@@ -37,7 +38,7 @@
 	return time.Duration(last) * time.Millisecond
 }
 
-// String is the schedule in JSON, as -replay reads it.
+// String returns the schedule in the JSON form that -replay reads.
 func (s Schedule) String() string {
 	raw, err := json.Marshal(s)
 	if err != nil {
@@ -46,10 +47,10 @@
 	return string(raw)
 }
 
-// The last of the faults comes this long after the first may.
+// faultSpanMs is the time span within which the events of a mixed schedule start.
 const faultSpanMs = 16000
 
-// faultKinds are what may happen, by name; each brings one fault about and ends it.
+// faultKinds maps the name of each kind of fault to the function that starts and ends it.
 var faultKinds = map[string]func(f *fleet, event Event){
 	"kill":         killProcess,
 	"kill all":     killAll,
@@ -77,29 +78,29 @@
 	"backup only":  partitionFromAllButBackup,
 }
 
-// callKinds are the kinds of call between the processes of the walks. A schedule draws from them evenly: a fault at one of the
-// few snapshots or votes of a run is as likely as one at its hundreds of writes.
+// callKinds are the kinds of call between the processes of a run. Schedules draw from them evenly, so that a fault at one
+// of the few snapshots or votes of a run is as likely as one at its hundreds of writes.
 var callKinds = []string{"core.beat", "core.copy", "core.hold", "core.join", "core.layout", "core.moves", "core.write",
 	"view.ask", "view.learn", "view.pick", "view.prep", "view.reach", "view.relay", "view.release", "view.renew"}
 
-// Of the events of a schedule so many in 100 begin at a call, and so many faults of messages affect one kind of call.
+// percentAtCall of 100 events start at a call; percentOneKind of 100 message faults affect only one kind of call.
 const (
 	percentAtCall  = 30
 	percentOneKind = 50
 )
 
-// mayBeOfOneCall says which kinds of fault affect messages of all calls or of one kind, as the schedule draws it. The others
-// that affect messages name their kind of call themselves.
+// mayAffectOneCallKind lists the kinds of message fault that affect either all calls or one kind of call, as the schedule
+// draws it. The other kinds of message fault have a fixed kind of call.
 var mayAffectOneCallKind = map[string]bool{"late": true, "doubled": true, "late answers": true}
 
-// size is how many cores a fleet has, and how many losses it bears.
+// fleetSize is the number of cores in a fleet and the number of losses that it tolerates.
 type fleetSize struct{ cores, losses int }
 
-// sizes are drawn from evenly.
+// fleetSizes are drawn from evenly; repeated entries are drawn more often.
 var fleetSizes = []fleetSize{{5, 1}, {5, 1}, {5, 1}, {3, 1}, {3, 1}, {4, 1}, {5, 2}, {7, 2}, {9, 2}}
 
-// newSchedule draws a run of the kinds of fault that are named, of all where none is: faults come alone, and in pairs or
-// threes within half a second. Half of all schedules are narrow ones.
+// newSchedule draws a schedule of the given kinds of fault, or of all kinds if none is given. Faults come alone, or in
+// pairs or threes within half a second. Half of all schedules are narrow (see narrowEvents).
 func newSchedule(seed uint64, kinds ...string) Schedule {
 	random := rand.New(rand.NewPCG(seed, 11))
 	size := fleetSizes[random.IntN(len(fleetSizes))]
@@ -116,7 +117,7 @@
 	return s
 }
 
-// mixedEvents draws events of all kinds and lengths, over the whole run.
+// mixedEvents draws events of all given kinds and of all durations, over the whole run.
 func mixedEvents(random *rand.Rand, kinds []string) (events []Event) {
 	for range 2 + random.IntN(4) {
 		atMs := random.IntN(faultSpanMs)
@@ -130,8 +131,9 @@
 	return events
 }
 
-// narrowEvents draws events of a few kinds, close together, those of one kind all of about one length and at machines in the
-// same place. What needs several certain faults in a row seldom comes of an even mix (Groce et al., "Swarm Testing", 2012).
+// narrowEvents draws events of a few kinds, close together. All events of one kind have the same target and about the same
+// duration. An even mix of faults seldom produces a failure that needs several particular faults in a row (Groce et al.,
+// "Swarm Testing", 2012).
 func narrowEvents(random *rand.Rand, kinds []string) (events []Event) {
 	kinds = slices.Clone(kinds)
 	random.Shuffle(len(kinds), func(i, k int) { kinds[i], kinds[k] = kinds[k], kinds[i] })
@@ -156,16 +158,17 @@
 	return events
 }
 
-// targets are the places of the machines that events concern, drawn from evenly.
+// targets are the values of Event.Target, drawn from evenly; repeated entries are drawn more often.
 var targets = []string{"primary", "primary", "backup", "any"}
 
-// closeSpanMs is within how long the faults of a narrow schedule begin.
+// narrowSpanMs is the time span within which the events of a narrow schedule start.
 const narrowSpanMs = 6000
 
-// longestMs are the lengths of faults in narrow schedules: about the lease term, and longer than each of the core's times.
+// maxDurationsMs are the longest durations of faults in narrow schedules, from below the lease term to longer than each of
+// the core's timeouts.
 var maxDurationsMs = []int{300, 800, 1500, 4000, 9000}
 
-// newEvent draws one event of a kind, soon after a moment.
+// newEvent draws one event of a kind that starts within 500 ms after atMs.
 func newEvent(random *rand.Rand, atMs int, kind string) Event {
 	event := Event{AtMs: atMs + random.IntN(500), Kind: kind, Count: 1 + random.IntN(12)}
 	if random.IntN(100) < percentAtCall {
--- a/internal/testing/modelcheck/walk_test.go
+++ b/internal/testing/modelcheck/walk_test.go
@@ -23,10 +23,10 @@
 	verbose    = flag.Bool("loud", false, "print the processes' logs")
 )
 
-// operatorCount is how many operators change the configuration at once.
+// operatorCount is the number of operators that change the configuration concurrently.
 const operatorCount = 3
 
-// verdict is what came of a run.
+// runResult is the outcome of a run.
 type runResult struct {
 	violations                          []string
 	acknowledged, operations, transfers int
@@ -58,7 +58,7 @@
 	return v
 }
 
-// playEvents has operators work while the schedule's faults come.
+// playEvents runs the operators, quota holders and routers while the schedule's faults happen.
 func (f *fleet) playEvents(s Schedule) {
 	begun := time.Now()
 	until := begun.Add(s.operatorTime() + 2*time.Second)
@@ -86,7 +86,7 @@
 	all.Wait()
 }
 
-// recover ends all faults and tells what does not come back in time.
+// checkRecovery ends all faults and describes what does not recover in time.
 func (f *fleet) checkRecovery() (violations []string) {
 	f.endAllFaults()
 	probe := f.newOperator(operatorCount)
@@ -101,15 +101,16 @@
 	}
 	probe.read()
 	for _, h := range f.quotaHolders {
-		h.transfer(quotaTransfer{holder: h.number}, time.Now().Add(recoveryTimeout)) // it draws nothing: what does it hold?
+		h.transfer(quotaTransfer{holder: h.number}, time.Now().Add(recoveryTimeout)) // draws no units: records how many it holds
 	}
 	return violations
 }
 
-// shrinkTries is how often a shorter schedule is played before it counts as sound: runs differ a little.
+// shrinkAttempts is how often a shorter schedule must pass before it counts as passing: runs of one schedule differ
+// slightly.
 const shrinkAttempts = 4
 
-// shrink leaves out events for as long as the schedule still fails.
+// shrink removes events one by one, as long as the schedule still fails.
 func shrink(t *testing.T, s Schedule) Schedule {
 	for i := 0; i < len(s.Events); {
 		shorter := s
@@ -123,7 +124,7 @@
 	return s
 }
 
-// fails reports whether one of a few runs of a schedule shows a violation.
+// fails reports whether any of shrinkAttempts runs of a schedule shows a violation.
 func fails(t *testing.T, s Schedule) bool {
 	for range shrinkAttempts {
 		if len(play(t, s).violations) > 0 {
@@ -133,7 +134,7 @@
 	return false
 }
 
-// kindsOf splits the value of -kinds.
+// splitKinds splits the value of -kinds.
 func splitKinds(list string) []string {
 	if list == "" {
 		return nil
@@ -141,7 +142,8 @@
 	return strings.Split(list, ",")
 }
 
-// TestRandomWalks plays many schedules of faults: what operators saw is linearizable, and service comes back.
+// TestRandomWalks runs many random schedules of faults, and checks that the operators' history is linearizable, that
+// routers stay within their quota, and that service recovers.
 func TestRandomWalks(t *testing.T) {
 	if faultinjection.Disabled("") {
 		t.Skip("built with a mechanism disabled")
@@ -183,7 +185,7 @@
 	}
 }
 
-// TestReplay plays a schedule from a file, as a failed walk printed it.
+// TestReplay runs a schedule from a file, in the form in which a failed run of TestRandomWalks prints it.
 func TestReplay(t *testing.T) {
 	if *replayPath == "" {
 		t.Skip("no -replay FILE")
