--- a/internal/testing/modelcheck/calltrigger_test.go
+++ b/internal/testing/modelcheck/calltrigger_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// triggerTimeout is how long an event waits for a call of its kind; it begins then in any case.
+// triggerTimeout is how long an event waits for a call of its kind; after that it starts in any case.
 const triggerTimeout = 3 * time.Second
 
-// callTrigger begins an event at a call.
+// callTrigger starts an event at a call.
 type callTrigger struct {
 	kind  string
 	after bool
 	fired chan struct{}
 }
 
-// awaitCall waits for the call at which an event begins, where it has one.
+// awaitCall waits for the call at which an event starts, if the event has one.
 func (f *fleet) awaitCall(event Event) {
 	if event.TriggerCall == "" {
 		return
@@ -31,8 +31,8 @@
 	}
 }
 
-// observeCall begins the events that wait for a call of this kind. They have begun when it returns: simulated time goes on
-// only while every other goroutine waits.
+// observeCall starts the events that wait for a call of this kind. They have started when it returns: simulated time
+// advances only while every other goroutine waits.
 func (f *fleet) observeCall(kind string, after bool) {
 	fired := f.removeTriggers(func(waiting *callTrigger) bool { return waiting.kind == kind && waiting.after == after })
 	for _, trigger := range fired {
@@ -43,7 +43,7 @@
 	}
 }
 
-// takeTriggers removes the triggers that match, and returns them.
+// removeTriggers removes the triggers that match, and returns them.
 func (f *fleet) removeTriggers(matches func(*callTrigger) bool) (removed []*callTrigger) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testing/modelcheck/clock_test.go
+++ b/internal/testing/modelcheck/clock_test.go
@@ -9,11 +9,11 @@
 	"yarrowridge/internal/testing/steppedclock"
 )
 
-// walksWithClockSteps is how many schedules TestClockSteps plays.
+// walksWithClockSteps is the number of schedules that TestClockSteps runs.
 const walksWithClockSteps = 60
 
-// TestClockSteps plays random walks in which the time of day jumps all the time within the lives of all processes: only
-// monotonic clocks decide, so that they pass as ever.
+// TestClockSteps runs random schedules while the wall clocks of all processes jump continually. Decisions depend only on
+// monotonic clocks, so every schedule must still pass.
 func TestClockSteps(t *testing.T) {
 	if faultinjection.Disabled("") {
 		t.Skip("built with a mechanism disabled")
--- a/internal/testing/modelcheck/coverage_test.go
+++ b/internal/testing/modelcheck/coverage_test.go
@@ -9,24 +9,24 @@
 	"sync"
 )
 
-// messageRun is how many messages that one process logs in a row are a feature of a run.
+// featureLength is the maximum number of consecutive log messages of one process that make up a feature of a run.
 const featureLength = 3
 
 var featureSeed = maphash.MakeSeed()
 
-// coverage is which features a run has shown: the rows of messages that its processes logged. It is a slog.Handler for all
-// processes of a fleet, which tells them apart by their attribute "at". All methods may be called concurrently.
+// coverage records the features of a run: the sequences of consecutive messages that its processes logged. Processes are
+// distinguished by the logger's attribute "at". All methods may be called concurrently.
 type coverage struct {
 	mu       sync.Mutex
 	features map[uint64]bool
-	last     map[string][]string // messages, by process
+	last     map[string][]string // the last messages of each process
 }
 
 func newCoverage() *coverage {
 	return &coverage{features: map[uint64]bool{}, last: map[string][]string{}}
 }
 
-// add adds a message of a process. One that comes a third time in a row is left out.
+// add records a message of a process. A message that repeats for at least the third time in a row is ignored.
 func (c *coverage) add(process, message string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,13 +41,13 @@
 	var hash maphash.Hash
 	hash.SetSeed(featureSeed)
 	for _, part := range last {
-		_, _ = hash.WriteString(part) // it never fails
+		_, _ = hash.WriteString(part) // never fails
 		_ = hash.WriteByte(0)
 	}
 	c.features[hash.Sum64()] = true
 }
 
-// coverageHandler is the coverage as one process's logger has it.
+// coverageHandler is the slog.Handler that records one process's messages in a coverage.
 type coverageHandler struct {
 	coverage *coverage
 	process  string
@@ -75,11 +75,11 @@
 // WithGroup implements slog.Handler.
 func (h coverageHandler) WithGroup(string) slog.Handler { return h }
 
-// corpus is the schedules that have shown features which none before them had. New schedules are made of them: what is rare
-// comes about more often than by independent draws. All methods may be called concurrently.
+// corpus holds the schedules that showed features which no schedule before them had shown. New schedules are mutations of
+// these, which reach rare behavior more often than independent draws do. All methods may be called concurrently.
 type corpus struct {
-	kinds []string  // that schedules keep to
-	size  fleetSize // of the fleets; zero: all
+	kinds []string  // the kinds of fault of the schedules
+	size  fleetSize // of the fleets; zero: any
 
 	mu        sync.Mutex
 	random    *rand.Rand
@@ -91,7 +91,7 @@
 	return &corpus{kinds: kinds, size: fleetSize, random: rand.New(rand.NewPCG(seed, 17)), features: map[uint64]bool{}}
 }
 
-// keep keeps a schedule if its run has shown a new feature.
+// addIfNew adds a schedule if its run showed a new feature.
 func (c *corpus) addIfNew(s Schedule, covered *coverage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +104,7 @@
 	}
 }
 
-// next is the schedule to play for a seed: a new one, or one that was kept, changed.
+// next returns the schedule to run for a seed: a new one or a mutation of one in the corpus.
 func (c *corpus) next(seed uint64) Schedule {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,7 +118,7 @@
 	return c.mutate(c.pickSchedule(), s)
 }
 
-// pick draws a kept schedule; the newer half is drawn more often. The caller holds the mutex.
+// pickSchedule draws a schedule of the corpus; those of the newer half are more likely. The caller holds the mutex.
 func (c *corpus) pickSchedule() Schedule {
 	from := 0
 	if c.random.IntN(2) == 0 {
@@ -127,8 +127,8 @@
 	return c.schedules[from+c.random.IntN(len(c.schedules)-from)]
 }
 
-// mutate is a kept schedule with some changes; what it needs of new events it takes from a fresh one. The caller holds the
-// mutex.
+// mutate returns a schedule of the corpus with some changes; values and events that it adds come from a fresh schedule.
+// The caller holds the mutex.
 func (c *corpus) mutate(kept, fresh Schedule) Schedule {
 	kept.Seed, kept.Events = fresh.Seed, slices.Clone(kept.Events)
 	for range 1 + c.random.IntN(4) {
--- a/internal/testing/modelcheck/fleet_test.go
+++ b/internal/testing/modelcheck/fleet_test.go
@@ -40,8 +40,8 @@
 	mu            sync.Mutex
 	random        *rand.Rand
 	quotaHolders  []*quotaHolder
-	processes     []*process // of the machines that stay
-	machines      []*process // all that there ever were
+	processes     []*process // of the current machines
+	machines      []*process // all machines, including replaced ones
 	losingDisks   bool       // a fault is losing disks now
 	disksLost     bool       // a fault has lost disks before
 	messageFaults messageFaults
--- a/internal/testing/modelcheck/freeze_test.go
+++ b/internal/testing/modelcheck/freeze_test.go
@@ -6,15 +6,16 @@
 	"yarrowridge/internal/controlplane/store"
 )
 
-// stepGate lets a process freeze between two steps that others can see: while it is frozen no call is handled or answered and
-// no disk operation begins or ends (the simulated network holds back what it sends). What the process only computes meanwhile
-// nobody sees; its timers run out as they would have by the time that it goes on. The zero value is not frozen.
+// stepGate lets a process freeze between two externally visible steps: while it is frozen, no call is handled or answered
+// and no disk write starts or returns (the simulated network holds back what the process sends). Computation continues
+// meanwhile, but no other process sees its effects; timers expire as they would have by the time of the thaw. The zero
+// value is not frozen.
 type stepGate struct {
 	mu     sync.Mutex
 	thawed chan struct{} // closed by thaw; nil: not frozen
 }
 
-// freeze has the process stand still. A frozen one stays so.
+// freeze closes the gate. Freezing a frozen gate has no effect.
 func (g *stepGate) freeze() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -23,7 +24,7 @@
 	}
 }
 
-// thaw has the process go on.
+// thaw opens the gate.
 func (g *stepGate) thaw() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -33,7 +34,7 @@
 	}
 }
 
-// pass waits while the process is frozen.
+// pass blocks while the gate is frozen.
 func (g *stepGate) pass() {
 	for {
 		g.mu.Lock()
@@ -46,7 +47,7 @@
 	}
 }
 
-// gatedDisk is the disk of a process that may be frozen.
+// gatedDisk is the disk of a process that can be frozen.
 type gatedDisk struct {
 	store.Disk
 	gate *stepGate
--- a/internal/testing/modelcheck/history_test.go
+++ b/internal/testing/modelcheck/history_test.go
@@ -103,7 +103,7 @@
 	mu         sync.Mutex
 	clock      int64
 	operations []porcupine.Operation
-	failures   []string // violations that hold in any order of the operations
+	failures   []string // violations that do not depend on the order of operations
 }
 
 // begin returns the logical time at which an operation begins.
@@ -122,7 +122,7 @@
 	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: input, Call: begun, Output: output, Return: h.clock})
 }
 
-// fail records a violation that holds in any order of the operations.
+// fail records a violation that does not depend on the order of operations.
 func (h *history) fail(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/testing/modelcheck/quotarouter_test.go
+++ b/internal/testing/modelcheck/quotarouter_test.go
@@ -17,8 +17,8 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// The tenant whose units routers spend. Its window is short: units that an ended router may have spent cool for as long, and
-// are free again within a run.
+// The tenant whose units the routers spend. Its window is short: the units that an ended router may have spent stay
+// blocked for one window, and are free again within the run.
 const (
 	spentTenant      = "dock"
 	spentWindow      = 2 * time.Second
@@ -27,17 +27,18 @@
 	maxSpentCost     = 6 // requests cost 1 to 6 units
 )
 
-// spentLimit is a limit of spentTenant as a configuration gives it, with its tolerance.
+// spentLimit is a limit of spentTenant with its tolerance, as a configuration sets it.
 type spentLimit struct{ units, tolerance int }
 
-// spentLimits are those that operators draw from. A lower limit has no higher tolerance than a higher one: what is out under
-// the limit before, with the tolerance of the new one on top, is then never more than the limit before allowed.
+// spentLimits are the limits that operators draw from. A lower limit never has a higher tolerance than a higher one: the
+// units held under an earlier, higher limit plus the tolerance of a new, lower one then never exceed what the earlier
+// limit allowed.
 var spentLimits = []spentLimit{{40, 6}, {40, 6}, {36, 5}, {34, 3}, {28, 0}}
 
-// maxSpent is the most units that routers may spend in a window, whichever configurations were in force.
+// maxSpent is the maximum number of units that routers may spend in a window, whichever configurations were in force.
 func maxSpent() int { return spentLimits[0].units + spentLimits[0].tolerance }
 
-// toleranceOf is the tolerance that goes with a number of units.
+// toleranceOf returns the tolerance that goes with a limit in units.
 func toleranceOf(units int) int {
 	for _, limit := range spentLimits {
 		if limit.units == units {
@@ -47,7 +48,8 @@
 	return 0
 }
 
-// toleranceCodec reads fleet configurations, and gives spentTenant a tolerance, which these have no field for.
+// toleranceCodec reads fleet configurations and adds a tolerance for spentTenant, because the configuration format has no
+// field for it.
 type toleranceCodec struct{ configuration.FleetCodec }
 
 // Check implements configuration.Codec.
@@ -57,13 +59,13 @@
 	return document, configErrors
 }
 
-// spend is units that left for a runner.
+// spend is a number of units that a router spent on one request.
 type spend struct {
 	at    time.Time
 	units int
 }
 
-// spendLedger is what all routers have spent. Its methods may be called concurrently.
+// spendLedger records the units that all routers spent. Its methods may be called concurrently.
 type spendLedger struct {
 	mu     sync.Mutex
 	spends []spend
@@ -75,7 +77,7 @@
 	l.spends = append(l.spends, spend{time.Now(), units})
 }
 
-// violations tells of the windows that saw more than the limit and the tolerance; one is enough.
+// violations describes the first window in which routers spent more than the limit and the tolerance, if there is one.
 func (l *spendLedger) violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,7 +95,7 @@
 	return nil
 }
 
-// spent is how many units were spent.
+// spent returns the total number of units spent.
 func (l *spendLedger) spent() (units int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,8 +105,8 @@
 	return units
 }
 
-// quotaRouter is the part of a router that spends units: its lease at the core and its shares. It is killed, or stops as
-// planned, and starts again with another run.
+// quotaRouter is the part of a router that spends units: its membership and lease at the core, and its quota shares. Its
+// runs end by a kill or a planned leave, and the router then restarts with a new run ID.
 type quotaRouter struct {
 	fleet  *fleet
 	number int
@@ -114,7 +116,7 @@
 // addr is the router's address.
 func (r *quotaRouter) addr() string { return fmt.Sprintf("10.0.7.%d:1", r.number+1) }
 
-// work has one run of the router after the other until the time is up.
+// work starts one run of the router after another until the time is up.
 func (r *quotaRouter) work(until time.Time) {
 	for time.Now().Before(until) {
 		lifetime := time.Duration(500+r.fleet.randomBelow(5000)) * time.Millisecond
@@ -123,7 +125,7 @@
 	}
 }
 
-// run runs the router for a while; planned: it says at its end that it leaves.
+// run runs the router for its lifetime. A planned end announces to the core that the router leaves.
 func (r *quotaRouter) run(lifetime time.Duration, planned bool) {
 	network, crash := r.fleet.world.Net(r.addr())
 	ctx, cancel := context.WithCancel(r.fleet.ctx)
@@ -137,7 +139,7 @@
 		r.fleet.history.fail("router at %s does not listen: %v", r.addr(), err)
 		return
 	}
-	var limit atomic.Int64 // by the configuration in force; 0: none yet
+	var limit atomic.Int64 // of the configuration in force; 0: none yet
 	member := cluster.NewMember(daemonContext, r.addr(), r.addr(), r.fleet.seeds(), nil, cluster.WithConfigHandler(func(_ uint64, raw []byte) error {
 		document, _ := toleranceCodec{}.Check(raw)
 		limit.Store(int64(document.Quotas[spentTenant]))
@@ -157,7 +159,7 @@
 	}
 }
 
-// transferVia makes a router's transfers by calls of its own.
+// transferVia returns a function that sends each quota transfer to the core in a call of its own.
 func transferVia(member *cluster.Member) quota.TransferFunc {
 	return func(ctx context.Context, transfer quota.Transfer) (held, limitBase int, err error) {
 		request := &coreapi.QuotaTransfersRequest{Holder: coreapi.Holder(member.Self()), Transfers: []coreapi.QuotaTransfer{
@@ -170,7 +172,7 @@
 	}
 }
 
-// spend has requests of uneven costs come, more than the limit allows, and spends what the share grants.
+// spend makes requests of various costs, in total more than the limit allows, and spends the units that are granted.
 func (r *quotaRouter) spend(ctx context.Context, shares *quota.Shares, until time.Time) {
 	for time.Now().Before(until) {
 		units := 1 + r.fleet.randomBelow(maxSpentCost)
--- a/internal/testing/modelcheck/search_test.go
+++ b/internal/testing/modelcheck/search_test.go
@@ -12,8 +12,8 @@
 
 var searchDuration = flag.Duration("search", 0, "how long TestGuidedSearch looks for a fault; 0: it is left out")
 
-// TestGuidedSearch looks for a schedule that fails, among those of the kinds of fault that -kinds names. It makes schedules of
-// those that showed something new, so that two searches differ.
+// TestGuidedSearch searches for a schedule that fails, among those of the kinds of fault given by -kinds. It derives
+// schedules from earlier ones that showed new behavior, and its runs differ from each other in this.
 func TestGuidedSearch(t *testing.T) {
 	if *searchDuration == 0 {
 		t.Skip("no -search DURATION")
@@ -29,10 +29,10 @@
 	}
 }
 
-// searchers is how many schedules are played side by side.
+// searchWorkers is the number of schedules that run concurrently.
 const searchWorkers = 8
 
-// find plays schedules until one fails, or the time is up.
+// searchForViolation runs schedules until one fails or the deadline passes.
 func searchForViolation(t *testing.T, schedules *corpus, deadline time.Time) (failed Schedule, violation string, played uint64) {
 	var next atomic.Uint64
 	var mu sync.Mutex
