--- a/internal/testing/modelcheck/doubt_test.go
+++ b/internal/testing/modelcheck/doubt_test.go
@@ -11,20 +11,20 @@
 	"yarrowridge/internal/lib/faultinjection"
 )
 
-// The roles of the members in a course of a vote together with writes: a primary and its backup of the epoch that ends, and
-// a newcomer to which the primary has copied its state before it proposes it in the backup's place.
+// The roles of the members in an execution of a vote with concurrent writes: the primary and the backup of the epoch that
+// ends, and a newcomer. The primary copies its state to the newcomer before it proposes the newcomer as its backup.
 const (
 	oldPrimary = iota
 	oldBackup
 	newcomer
 )
 
-// acknowledgeWrite is the move by which the primary acknowledges one more write in the epoch that ends: its own disk and the
-// backup's hold it, the newcomer's does not.
+// acknowledgeWrite is the move in which the primary acknowledges another write in the epoch that ends: the write is on the
+// disks of the primary and of the old backup, but not on the newcomer's.
 const acknowledgeWrite = "acknowledge a write"
 
-// nextHolders is the view that a member proposes: the primary wants the newcomer in place of its backup, the backup
-// takes over and keeps the former primary.
+// proposedView returns the view that a member proposes: the primary replaces its backup by the newcomer; the old backup
+// takes over, with the former primary as its backup.
 func proposedView(current view.View, proposer int) view.View {
 	if proposer == oldPrimary {
 		return current.WithBackups([]string{current.Members[newcomer].ID})
@@ -34,15 +34,15 @@
 	return next
 }
 
-// votedWrites is one course of a vote, with a primary that may write on.
+// voteWithWrite is one execution of a vote during which the primary may acknowledge another write.
 type voteWithWrite struct {
 	*vote
 	acknowledged bool
 }
 
-// leadsOn reports whether the primary may acknowledge a write in the epoch that ends: it makes no proposal now, does not know
-// the next view, none of its proposals is in doubt, and a majority has promised nothing to another, so that its lease may
-// stand.
+// mayAcknowledge reports whether the primary may acknowledge a write in the epoch that ends: its proposal has ended
+// without a decision and with a known outcome, and no majority has promised the next epoch to another proposer, so that
+// its lease may still be valid.
 func (c *voteWithWrite) mayAcknowledge() bool {
 	if c.decided[oldPrimary] != "" || c.lastErr[oldPrimary] == nil {
 		return false
@@ -67,7 +67,7 @@
 	return moves
 }
 
-// disagreement tells where a view was chosen of which a holder lacks an acknowledged write.
+// violation describes a chosen view in which a member that should hold the state lacks an acknowledged write.
 func (c *voteWithWrite) violation() string {
 	for chosen := range c.chosen {
 		if c.acknowledged && strings.Contains(chosen, c.current.Members[newcomer].ID) {
@@ -77,7 +77,7 @@
 	return c.vote.violation()
 }
 
-// take makes one move.
+// apply makes one move.
 func (c *voteWithWrite) apply(t *testing.T, move string) {
 	if move == acknowledgeWrite {
 		c.acknowledged = true
@@ -90,16 +90,16 @@
 	return fmt.Sprint(c.vote.fingerprint(), c.acknowledged, c.lastErr, c.lastAgreedProposer)
 }
 
-// exploreAllWrites explores everything within bounds.
+// exploreVoteWithWrite explores all executions of a vote with a concurrent write within bounds.
 func exploreVoteWithWrite(t *testing.T, bounds voteBounds) *exploration {
 	return exploreFrom(t, func(t *testing.T) execution {
 		return &voteWithWrite{vote: newVoteWithProposals(t, bounds, proposedView)}
 	})
 }
 
-// TestEveryCourseOfVoteAndWrite plays every order of messages and losses of two proposals, a primary's that replaces its
-// backup and the backup's that takes over, beside a write that the primary acknowledges with the old backup: whatever
-// view is chosen, all its holders have each acknowledged write.
+// TestEveryCourseOfVoteAndWrite explores every order of messages and losses of two proposals, in which the primary
+// replaces its backup and the old backup takes over, while the primary acknowledges a write with the old backup. The
+// primary and the backups of any view that is chosen must have every acknowledged write.
 func TestEveryCourseOfVoteAndWrite(t *testing.T) {
 	if faultinjection.Disabled("") {
 		t.Skip("built with a mechanism disabled")
--- a/internal/testing/modelcheck/draws_test.go
+++ b/internal/testing/modelcheck/draws_test.go
@@ -16,7 +16,7 @@
 	quotaTenant       = "yard"
 	quotaHolderCount  = 3
 	quotaConfigFormat = `"tenants":{"yard":{"quota":{"units":%d,"window_s":3600}},"dock":{"quota":{"units":%d,"window_s":2}}}`
-	drawDivisor       = 8 // a draw gets at most this fraction (1/8) of the free units, as in package core
+	drawDivisor       = 8 // a draw gets at most 1/drawDivisor of the free units, rounded up, as in package core
 	minQuota          = 60
 	quotaStep         = 40 // difference between the quotas that configurations set
 	quotaChoices      = 5  // number of different quotas
--- a/internal/testing/modelcheck/fleet_test.go
+++ b/internal/testing/modelcheck/fleet_test.go
@@ -50,7 +50,8 @@
 
 // messageFaults says which percentage of messages is affected by each fault, and for how long at most.
 type messageFaults struct {
-	onlyCall                                                 string // the kind of call that is affected; "": all
+	onlyCall string // the kind of call that is affected; "": all
+
 	delayedPercent, duplicatedPercent, delayedAnswersPercent int
 	maxDelay                                                 time.Duration
 }
--- a/internal/testing/modelcheck/planted_test.go
+++ b/internal/testing/modelcheck/planted_test.go
@@ -17,56 +17,57 @@
 	mechanismSearchTime = flag.Duration("find", 2*time.Minute, "how long TestDisabledMechanisms looks for the fault of each mechanism")
 )
 
-// mechanism is one of those that the protocol rests on, by its name in package faultinjection, with the kinds of fault that the
-// search keeps to; none: all.
+// mechanism is a mechanism of the protocol, by its name in package faultinjection, with the kinds of fault that the search
+// for its violation uses; none: all.
 type mechanism struct {
 	name  string
 	kinds []string
-	size  fleetSize // of the fleets; zero: all
-	rare  bool      // it may take longer than the search in CI: left out with -short
+	size  fleetSize // of the fleets; zero: any
+	rare  bool      // the search may take longer than CI allows: skipped with -short
 }
 
-// disabledMechanisms are disabled one by one.
+// disabledMechanisms are disabled one at a time. Each comment names the fault that this causes.
 var disabledMechanisms = []mechanism{
-	{name: "read-lease"}, // a read without contact with a majority
-	{name: "lease", kinds: []string{"island", "late"}},                 // a lease that never ends
-	{name: "backup-copy"},                                              // an acknowledgement before the backups hold the write
-	{name: "majority"},                                                 // decisions by one voter less than a majority
-	{name: "proof-of-end", kinds: []string{"island", "late"}},          // a lease ended for its holder's silence
-	{name: "grant-at-restart", kinds: []string{"restart rest"}},        // a voter that forgets its grant when it starts again
-	{name: "old-epoch", kinds: []string{"late writes", "kill", "cut"}}, // a backup that takes writes of an older epoch
-	{name: "write-id"},                                                 // a repeated order taken for a new one
-	{name: "only-holders-lead"},                                        // a takeover by a member that holds no copy
-	{name: "copy-first"},                                               // a new primary that does not bring its backups to its state
-	{name: "former-primary", rare: true},                               // a view without the former primary before others hold a copy
-	{name: "resumed-epoch", rare: true},                                // a run that leads on in the epoch of the run before it
-	{name: "takeover"},                                                 // backups that never take over
-	{name: "race"},                                                     // a change carried out although it lost its race
-	{name: "draw-turn"},                                                // a repeated draw of quota units counted twice
-	{name: "cooling"},                                                  // units of a router that has ended, free at once
-	{name: "tolerance-charge"},                                         // a tolerance that may be spent more than once in a window
-	{name: "run-query", rare: true},                                    // a late heartbeat of a router's ended run, taken for its new run
-	{name: "pool-cache"},                                               // a quota pool kept in memory, whatever the store says
-	{name: "late-snapshot", kinds: []string{"late copies", "kill"}, size: fleetSize{3, 1}, rare: true}, // a backup that takes snapshots in any order
+	{name: "read-lease"}, // reads without contact with a majority
+	{name: "lease", kinds: []string{"island", "late"}},                 // leases that never end
+	{name: "backup-copy"},                                              // writes are acknowledged before the backups have them
+	{name: "majority"},                                                 // decisions by one voter fewer than a majority
+	{name: "proof-of-end", kinds: []string{"island", "late"}},          // a lease is considered ended because its holder does not respond
+	{name: "grant-at-restart", kinds: []string{"restart rest"}},        // a voter forgets its grant when it restarts
+	{name: "old-epoch", kinds: []string{"late writes", "kill", "cut"}}, // a backup accepts writes of an older epoch
+	{name: "write-id"},                                                 // a retried write is treated as a new one
+	{name: "only-holders-lead"},                                        // a member without a copy of the state takes over
+	{name: "copy-first"},                                               // a new primary does not synchronize its backups first
+	{name: "former-primary", rare: true},                               // a view without the former primary, before others have a copy of its state
+	{name: "resumed-epoch", rare: true},                                // a restarted primary continues in the epoch of its previous run
+	{name: "takeover"},                                                 // backups never take over
+	{name: "race"},                                                     // a write is carried out although its base version is not the current one
+	{name: "draw-turn"},                                                // a retried draw of quota units counts twice
+	{name: "cooling"},                                                  // units of a router that has ended become free at once
+	{name: "tolerance-charge"},                                         // a tolerance can be spent more than once in a window
+	{name: "run-query", rare: true},                                    // a late heartbeat of a router's ended run is attributed to its new run
+	{name: "pool-cache"},                                               // a quota pool is cached in memory and may differ from the store
+	{name: "late-snapshot", kinds: []string{"late copies", "kill"}, size: fleetSize{3, 1}, rare: true}, // a backup accepts snapshots in any order
 }
 
-// unitMechanism is a mechanism whose loss the walks do not show in minutes, and a unit test that fails without it.
+// unitMechanism is a mechanism that random schedules take too long to exercise, with a unit test that fails without it.
 type unitMechanism struct{ name, folder, test string }
 
-// unitMechanisms are disabled one by one.
+// unitMechanisms are disabled one at a time. Each comment names the fault that this causes.
 var unitMechanisms = []unitMechanism{
-	{"grant-from-request", "renewal", "TestGrantCountsFromItsRequest"},             // a lease that counts from when it was granted
-	{"grant-after-promise", "paxos", "TestLeaseAndPromiseExcludeOneAnother"},       // a voter that grants the lease after it promised the next epoch to another
-	{"promise-after-grant", "paxos", "TestLeaseAndPromiseExcludeOneAnother"},       // a voter that promises the next epoch while its grant runs
-	{"release-round", "paxos", "TestReleaseLease"},                                 // a late release that ends a newer grant
-	{"end-of-writes", "core", "TestCommitWithoutLeaseEndsWrites"},                  // a primary that goes on after a write that met a gap in its lease
-	{"lost-backup", "membership", "TestLostBackupStaysUntilThereIsAnother"},        // a backup that timed out, dropped like any member
-	{"config-content", "configuration", "TestUncommittedConfigurationIsNotReused"}, // a configuration that is known by its version alone
-	{"handed-over-lease", "leadership", "TestHandOver"},                            // a primary that acts on its lease after it handed over
-	{"run-query", "replacedruns", "TestUnitsCoolOnceTheSuccessorIsConfirmed"},      // a late heartbeat that proves other runs ended
+	{"grant-from-request", "renewal", "TestGrantCountsFromItsRequest"},             // a lease counts from the moment of the grant instead of the request
+	{"grant-after-promise", "paxos", "TestLeaseAndPromiseExcludeOneAnother"},       // a voter grants the lease after it promised the next epoch to another
+	{"promise-after-grant", "paxos", "TestLeaseAndPromiseExcludeOneAnother"},       // a voter promises the next epoch while its grant is valid
+	{"release-round", "paxos", "TestReleaseLease"},                                 // a late release ends a newer grant
+	{"end-of-writes", "core", "TestCommitWithoutLeaseEndsWrites"},                  // a primary continues after a write that met a gap in its lease
+	{"lost-backup", "membership", "TestLostBackupStaysUntilThereIsAnother"},        // a backup that timed out is removed like any other member
+	{"config-content", "configuration", "TestUncommittedConfigurationIsNotReused"}, // a configuration is identified by its version alone
+	{"handed-over-lease", "leadership", "TestHandOver"},                            // a primary acts on its lease after handing over
+	{"run-query", "replacedruns", "TestUnitsCoolOnceTheSuccessorIsConfirmed"},      // a late heartbeat proves that other runs have ended
 }
 
-// TestDisabledInUnitTests disables one mechanism after the other: its unit test has to fail, and to pass with all of them.
+// TestDisabledInUnitTests disables one mechanism at a time: its unit test has to fail, and to pass with all mechanisms
+// enabled.
 func TestDisabledInUnitTests(t *testing.T) {
 	for _, mechanism := range unitMechanisms {
 		t.Run(mechanism.name, func(t *testing.T) {
@@ -87,7 +88,7 @@
 	}
 }
 
-// TestDisabledMechanisms disables one mechanism after the other: the walks have to find what it guards against.
+// TestDisabledMechanisms disables one mechanism at a time: the search has to find a violation.
 func TestDisabledMechanisms(t *testing.T) {
 	for _, mechanism := range disabledMechanisms {
 		if *onlyMechanism != "" && *onlyMechanism != mechanism.name || mechanism.rare && testing.Short() {
@@ -105,11 +106,11 @@
 	}
 }
 
-// TestDisabledVote disables what the vote rests on: the exploration of all its courses has to find two views decided.
+// TestDisabledVote disables mechanisms of the vote: the exploration has to find two views decided for one epoch.
 func TestDisabledVote(t *testing.T) {
 	disabled := map[string]voteBounds{
-		"vote-on-disk": {attempts: 1, restarts: 1}, // a voter that forgets its promise when it starts again
-		"majority":     {attempts: 1},              // decisions by one voter less than a majority
+		"vote-on-disk": {attempts: 1, restarts: 1}, // a voter forgets its promise when it restarts
+		"majority":     {attempts: 1},              // decisions by one voter fewer than a majority
 	}
 	for name, bounds := range disabled {
 		t.Run(name, func(t *testing.T) {
@@ -123,13 +124,13 @@
 	}
 }
 
-// TestDisabledReplication disables what keeps a backup's copy: the exploration of all courses has to find an acknowledged
-// write lost, or a copy that differs.
+// TestDisabledReplication disables mechanisms that protect a backup's copy: the exploration has to find a lost
+// acknowledged write or a copy that differs.
 func TestDisabledReplication(t *testing.T) {
 	disabled := map[string]replicationBounds{
-		"late-snapshot": {writes: 1, parts: 1, givenUp: 1},                                      // a backup that takes snapshots in any order
-		"old-epoch":     {writes: 1, parts: 1, givenUp: 1, primaryRestarts: 1},                  // a backup that takes calls of an older epoch
-		"":              {writes: 1, parts: 1, givenUp: 1, primaryRestarts: 1, sameEpoch: true}, // a run that leads on in the epoch of the run before it
+		"late-snapshot": {writes: 1, parts: 1, givenUp: 1},                                      // a backup accepts snapshots in any order
+		"old-epoch":     {writes: 1, parts: 1, givenUp: 1, primaryRestarts: 1},                  // a backup accepts calls of an older epoch
+		"":              {writes: 1, parts: 1, givenUp: 1, primaryRestarts: 1, sameEpoch: true}, // a restarted primary continues in the epoch of its previous run
 	}
 	for name, bounds := range disabled {
 		for backups := range 2 {
@@ -146,8 +147,8 @@
 	}
 }
 
-// TestDisabledDoubt has a primary lead on after a decision in doubt: the exploration of votes together with writes has to find
-// a holder without an acknowledged write.
+// TestDisabledDoubt lets a primary continue although the outcome of its proposal is unknown: the exploration of votes with
+// a concurrent write has to find a member that holds the state without an acknowledged write.
 func TestDisabledDoubt(t *testing.T) {
 	t.Setenv("YARROWRIDGE_DISABLED_MECHANISM", "decision-in-doubt")
 	e := exploreVoteWithWrite(t, voteBounds{attempts: 1, lost: 2})
--- a/internal/testing/modelcheck/replication_test.go
+++ b/internal/testing/modelcheck/replication_test.go
@@ -24,19 +24,19 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// replicationBounds are how much one course of replication may hold.
+// replicationBounds limits the events in one execution of replication.
 type replicationBounds struct {
 	writes          int
-	parts           int  // of each snapshot, 1 or 2
-	givenUp         int  // calls that the primary waits for no longer: they may arrive at any time, or never
+	parts           int  // chunks of each snapshot, 1 or 2
+	givenUp         int  // calls that the primary abandons: they may arrive at any time, or never
 	doubled         int  // messages that arrive twice
-	primaryRestarts int  // each begins an epoch
-	backupRestarts  int  // what is on its way to the old run is lost
-	backups         int  // 0: one
-	sameEpoch       bool // planted: a restarted primary leads on in the epoch of its last run
+	primaryRestarts int  // each starts an epoch
+	backupRestarts  int  // each loses the messages in flight to the old run
+	backups         int  // 0 means 1
+	sameEpoch       bool // injected fault: a restarted primary continues in the epoch of its last run
 }
 
-// The processes of a course. The primary is played as package core sends; the backups are real ones.
+// The processes of an execution. The primary is a model that sends calls as package core does; the backups are real.
 const (
 	primaryID = "primary"
 	backupID  = "backup"
@@ -47,42 +47,42 @@
 	name           string
 	kind           string
 	body           msgp.Marshaler
-	lastOfSnapshot bool // of a snapshot
+	lastOfSnapshot bool // the last chunk of a snapshot
 }
 
-// replicaCourse is one backup, and what the primary knows of it and has sent it.
+// backupReplica is one backup, with the primary's record of its state and of the calls sent to it.
 type backupReplica struct {
 	index    int
 	disk     *sim.Disk
 	backup   *core.Server
-	received []string // what this run of the backup has been sent, in order
+	received []string // names of the calls that this run of the backup has received, in order
 
-	inSync      bool   // the primary counts the backup's copy as whole
-	wasInSync   bool   // it has done so before
-	snapshot    uint64 // the number of the snapshot that it is sent
+	inSync      bool   // the primary considers the backup's copy complete
+	wasInSync   bool   // it has been in sync at some time
+	snapshot    uint64 // the number of the latest snapshot sent to it
 	nextChunk   int
 	outstanding *replicationCall
-	abandoned   []*replicationCall // calls that the primary waits for no longer
+	abandoned   []*replicationCall // calls in flight that the primary no longer waits for
 }
 
-// replicationCourse is one course: a primary that copies its state and replicates writes, its backups, and a scheduler in
-// between.
+// replicationExecution is one execution: a primary that copies its state and replicates writes, its backups, and a
+// scheduler between them.
 type replicationExecution struct {
 	bounds   replicationBounds
 	ctx      context.Context
 	replicas []*backupReplica
 
 	view         view.View
-	values       []string // what the primary's disk holds: the write of each sequence number
-	acknowledged []string // the writes that were acknowledged, as they must stay
-	writeCount   int      // writes ever made
-	snapshots    uint64   // begun in this run of the primary
+	values       []string // the writes on the primary's disk, by sequence number
+	acknowledged []string // acknowledged writes, which must not be lost
+	writeCount   int      // number of writes ever made
+	snapshots    uint64   // number of snapshots started in this run of the primary
 }
 
-// address is where a process of a course would listen: the primary is the first.
+// address is where a process of an execution would listen; index 0 is the primary.
 func address(index int) string { return fmt.Sprintf("10.0.0.%d:1", index+1) }
 
-// newReplication begins a course: the primary holds one write, the backups nothing.
+// newReplication starts an execution: the primary has one write, the backups have none.
 func newReplication(ctx context.Context, t *testing.T, bounds replicationBounds) *replicationExecution {
 	r := &replicationExecution{bounds: bounds, ctx: ctx, values: []string{"first"}, acknowledged: []string{"first"}}
 	members := []view.Member{{ID: primaryID, Addr: address(0)}}
@@ -100,7 +100,7 @@
 	return r
 }
 
-// startBackup opens a backup from its disk. Its run loop rests: it only answers calls.
+// startBackup opens a backup from its disk. Its run loop is not started: it only answers calls.
 func (r *replicationExecution) startBackup(t *testing.T, replica *backupReplica) {
 	daemonContext := daemon.Context{Context: r.ctx, Name: fmt.Sprint(backupID, replica.index), Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Net: wire.TCP{}}
 	backup, err := core.Open(daemonContext, core.Settings{Addr: address(replica.index + 1)}, replica.disk.Use())
@@ -110,20 +110,20 @@
 	replica.backup, replica.received = backup, nil
 }
 
-// The moves of a course. Those that concern one backup begin with its index.
+// The moves of an execution. Moves of one backup are prefixed with its index.
 const (
 	sendWrite                 = "write"
 	sendSnapshot              = "send"
 	deliverCall               = "deliver"
 	abandonOutstanding        = "give up"
 	restartPrimary            = "restart the primary"
-	restartPrimaryWithoutLast = "restart the primary, its last write lost" // it was not on its disk yet
+	restartPrimaryWithoutLast = "restart the primary, its last write lost" // the write had not reached its disk yet
 	restartBackup             = "restart the backup"
 	deliverAbandoned          = "stray "
 	deliverAbandonedTwice     = "stray, and once more later: "
 )
 
-// moves lists what may happen next, in a fixed order.
+// moves lists the possible next moves in a fixed order.
 func (r *replicationExecution) moves() []string {
 	var moves []string
 	if r.isInSync() && r.bounds.writes > 0 {
@@ -143,7 +143,7 @@
 	return moves
 }
 
-// movesOf lists what may happen next to one backup.
+// replicaMoves lists the possible next moves of one backup.
 func (r *replicationExecution) replicaMoves(replica *backupReplica) []string {
 	var moves []string
 	switch {
@@ -155,10 +155,10 @@
 	case !replica.inSync:
 		moves = append(moves, sendSnapshot)
 	}
-	for _, stray := range replica.abandoned {
-		moves = append(moves, deliverAbandoned+stray.name)
+	for _, call := range replica.abandoned {
+		moves = append(moves, deliverAbandoned+call.name)
 		if r.bounds.doubled > 0 {
-			moves = append(moves, deliverAbandonedTwice+stray.name)
+			moves = append(moves, deliverAbandonedTwice+call.name)
 		}
 	}
 	if r.bounds.backupRestarts > 0 {
@@ -167,12 +167,12 @@
 	return moves
 }
 
-// isInSync reports whether the primary counts all backups' copies as whole, and waits for no call.
+// isInSync reports whether the primary considers all backups' copies complete and has no outstanding call.
 func (r *replicationExecution) isInSync() bool {
 	return !slices.ContainsFunc(r.replicas, func(replica *backupReplica) bool { return !replica.inSync || replica.outstanding != nil })
 }
 
-// take makes one move.
+// apply makes one move.
 func (r *replicationExecution) apply(t *testing.T, move string) {
 	switch move {
 	case sendWrite:
@@ -191,7 +191,7 @@
 	r.applyToReplica(t, r.replicas[index], move)
 }
 
-// takeOf makes one move of a backup.
+// applyToReplica makes one move of a backup.
 func (r *replicationExecution) applyToReplica(t *testing.T, replica *backupReplica, move string) {
 	switch move {
 	case sendSnapshot:
@@ -212,7 +212,7 @@
 	}
 }
 
-// write has the primary make a write, and send it to all backups.
+// write has the primary make a write and send it to all backups.
 func (r *replicationExecution) write() {
 	r.bounds.writes--
 	r.writeCount++
@@ -224,7 +224,7 @@
 	}
 }
 
-// sendSnapshot has the primary send a backup the next part of a snapshot.
+// sendSnapshot has the primary send a backup the next chunk of a snapshot.
 func (r *replicationExecution) sendSnapshot(replica *backupReplica) {
 	if replica.nextChunk == 0 {
 		r.snapshots++
@@ -244,7 +244,7 @@
 	replica.nextChunk = (replica.nextChunk + 1) % r.bounds.parts
 }
 
-// puts are the primary's writes from one index to another, as its store holds them.
+// mutations returns the primary's writes of an index range, as its store holds them.
 func (r *replicationExecution) mutations(from, to int) []store.Mutation {
 	var mutations []store.Mutation
 	for i := from; i < to; i++ {
@@ -255,7 +255,7 @@
 
 func writeKey(index int) string { return fmt.Sprint("write/", index) }
 
-// deliver has a backup take a call, and reports whether it did.
+// deliver passes a call to a backup, and reports whether the backup accepted it.
 func (r *replicationExecution) deliver(t *testing.T, replica *backupReplica, call *replicationCall) bool {
 	raw, err := call.body.MarshalMsg(nil)
 	if err != nil {
@@ -263,11 +263,12 @@
 	}
 	replica.received = append(replica.received, call.name)
 	_, err = replica.backup.Handle(r.ctx, call.kind, raw)
-	synctest.Wait() // the backup may fold its files
+	synctest.Wait() // the backup may be compacting its files
 	return err == nil
 }
 
-// hear has the primary take the answer to its call. Once all backups hold what it holds, that is acknowledged.
+// handleAnswer has the primary handle the answer to its call. Once all backups are in sync, the primary's writes are
+// acknowledged.
 func (r *replicationExecution) handleAnswer(replica *backupReplica, call *replicationCall, accepted bool) {
 	if !accepted {
 		replica.inSync, replica.nextChunk = false, 0
@@ -281,7 +282,7 @@
 	}
 }
 
-// giveUp has the primary wait for its call no longer. The call stays on its way.
+// abandonCall has the primary stop waiting for its outstanding call, which stays in flight.
 func (replica *backupReplica) abandonCall() {
 	if replica.outstanding != nil {
 		replica.abandoned = append(replica.abandoned, replica.outstanding)
@@ -289,7 +290,7 @@
 	replica.outstanding, replica.inSync, replica.nextChunk = nil, false, 0
 }
 
-// restartPrimary ends the primary's run; the next one begins an epoch. Its last write may be missing on its disk.
+// restartPrimary ends the primary's run and starts another in a new epoch. Its last write may be missing on its disk.
 func (r *replicationExecution) restartPrimary(withoutLast bool) {
 	for _, replica := range r.replicas {
 		replica.abandonCall()
@@ -303,7 +304,7 @@
 	}
 }
 
-// deliverLate has a call arrive that the primary waits for no longer, and perhaps stay on its way once more.
+// deliverAbandonedCall delivers a call that the primary no longer waits for. A duplicate of it may stay in flight.
 func (r *replicationExecution) deliverAbandonedCall(t *testing.T, replica *backupReplica, move string) {
 	name, twice := strings.CutPrefix(move, deliverAbandonedTwice)
 	if !twice {
@@ -319,7 +320,7 @@
 	r.deliver(t, replica, call)
 }
 
-// held reads the writes that a backup's disk holds. The course ends with it.
+// readWrites reads the writes from a backup's disk. It ends the execution.
 func (replica *backupReplica) readWrites(t *testing.T) (sequence uint64, values map[string]string) {
 	opened, err := store.Open(replica.disk.Use(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
@@ -330,7 +331,7 @@
 	return opened.Version(), values
 }
 
-// ownWrites are the primary's writes by their keys.
+// expectedWrites returns the primary's writes by their keys.
 func (r *replicationExecution) expectedWrites() map[string]string {
 	writes := map[string]string{}
 	for i, value := range r.values {
@@ -339,8 +340,8 @@
 	return writes
 }
 
-// flaw tells which acknowledged write a backup, once it has held everything, holds no longer; or where its copy differs
-// from the primary's state although the primary counts it as whole.
+// findViolation describes an acknowledged write that a backup has lost after it was in sync, or a copy that the primary
+// considers complete although it differs from the primary's state.
 func (r *replicationExecution) findViolation(replica *backupReplica, sequence uint64, values map[string]string) string {
 	if replica.inSync && replica.outstanding == nil && (int(sequence) != len(r.values) || !maps.Equal(values, r.expectedWrites())) {
 		return fmt.Sprintf("the primary counts the copy of backup %d as whole and is at %q, the backup is at %d with %v", replica.index, r.values, sequence, values)
@@ -353,8 +354,9 @@
 	return ""
 }
 
-// check reads what each backup holds. It gives the first flaw, or "", and a description of all that what follows depends on:
-// courses in which the backups have changed places are the same. The course ends with it.
+// check reads the state of each backup. It returns the first violation, or "", and a description of everything that the
+// rest of the execution depends on; executions that differ only in the order of the backups have the same description. It
+// ends the execution.
 func (r *replicationExecution) check(t *testing.T) (violation, state string) {
 	var replicas []string
 	for _, replica := range r.replicas {
@@ -368,7 +370,7 @@
 	return "", fmt.Sprint(r.bounds, r.view.Epoch, r.values, r.acknowledged, r.writeCount, r.snapshots, replicas)
 }
 
-// state describes one backup and what is on its way to it.
+// fingerprint describes one backup and the messages in flight to it.
 func (replica *backupReplica) fingerprint(sequence uint64, values map[string]string) string {
 	var state strings.Builder
 	fmt.Fprint(&state, replica.inSync, replica.wasInSync, replica.snapshot, replica.nextChunk, sequence)
@@ -378,24 +380,25 @@
 	if replica.outstanding != nil {
 		fmt.Fprint(&state, "|outstanding ", replica.outstanding.name)
 	}
-	for _, stray := range replica.abandoned {
-		fmt.Fprint(&state, "|stray ", stray.name)
+	for _, call := range replica.abandoned {
+		fmt.Fprint(&state, "|stray ", call.name)
 	}
 	fmt.Fprint(&state, "|took ", strings.Join(replica.received, ", "))
 	return state.String()
 }
 
-// replicationExploration walks through all courses of replication within bounds.
+// replicationExploration visits all executions of replication within bounds, and prunes those that reach a state that was
+// seen before.
 type replicationExploration struct {
 	bounds          replicationBounds
 	seen            map[string]bool
 	executions      int
-	maxAcknowledged int      // writes acknowledged in one course
-	counterexample  []string // the moves of a course that loses an acknowledged write
+	maxAcknowledged int      // writes acknowledged in one execution
+	counterexample  []string // the moves of the execution that shows the violation
 	violation       string
 }
 
-// explore plays the course of the given moves, and all that may follow.
+// explore runs the execution of the given moves, and then all its continuations.
 func (e *replicationExploration) explore(ctx context.Context, t *testing.T, moves []string) {
 	if e.violation != "" {
 		return
@@ -421,7 +424,7 @@
 	}
 }
 
-// exploreReplication explores everything within bounds.
+// exploreReplication explores all executions of replication within bounds.
 func exploreReplication(t *testing.T, bounds replicationBounds) *replicationExploration {
 	e := &replicationExploration{bounds: bounds, seen: map[string]bool{}}
 	synctest.Test(t, func(t *testing.T) {
@@ -432,8 +435,8 @@
 	return e
 }
 
-// TestEveryCourseOfReplication plays every order in which a primary's calls arrive at its backup, late ones and those of
-// its earlier runs among them: the backup loses no acknowledged write.
+// TestEveryCourseOfReplication explores every order in which a primary's calls arrive at its backups, including late calls
+// and those of its earlier runs: no backup may lose an acknowledged write.
 func TestEveryCourseOfReplication(t *testing.T) {
 	if faultinjection.Disabled("") {
 		t.Skip("built with a mechanism disabled")
--- a/internal/testing/modelcheck/search_test.go
+++ b/internal/testing/modelcheck/search_test.go
@@ -13,7 +13,7 @@
 var searchDuration = flag.Duration("search", 0, "how long TestGuidedSearch looks for a fault; 0: it is left out")
 
 // TestGuidedSearch searches for a schedule that fails, among those of the kinds of fault given by -kinds. It derives
-// schedules from earlier ones that showed new behavior, and its runs differ from each other in this.
+// schedules from earlier ones that showed new behavior, so two searches with the same seed differ.
 func TestGuidedSearch(t *testing.T) {
 	if *searchDuration == 0 {
 		t.Skip("no -search DURATION")
@@ -46,7 +46,7 @@
 		all.Go(func() {
 			for time.Now().Before(deadline) && !violationFound() {
 				s := schedules.next(*firstSeed + next.Add(1))
-				v := play(t, s)
+				v := runSchedule(t, s)
 				schedules.addIfNew(s, v.coverage)
 				if len(v.violations) > 0 {
 					mu.Lock()
--- a/internal/testing/modelcheck/vote_test.go
+++ b/internal/testing/modelcheck/vote_test.go
@@ -22,20 +22,20 @@
 	"yarrowridge/internal/testing/sim"
 )
 
-// The bounds of the exhaustive exploration of the vote.
+// The size of the voting that is explored exhaustively.
 const (
 	voterCount    = 3
 	proposerCount = 2
 )
 
-// voteBounds are how many faults one course of the vote may have.
+// voteBounds limits the faults in one execution of the vote.
 type voteBounds struct {
 	lost     int // messages lost, requests or answers
 	restarts int // of voters
-	attempts int // of each proposer
+	attempts int // proposals by each proposer
 }
 
-// pendingCall is a message on its way to a voter, or its answer; the scheduler decides what becomes of it.
+// pendingCall is a call to a voter that has not ended yet; the scheduler decides its outcome.
 type pendingCall struct {
 	proposer, attempt, voter int
 	request                  msgp.Marshaler
@@ -43,7 +43,7 @@
 	outcome                  chan error
 }
 
-// name tells calls of one state apart.
+// name identifies the call among the pending calls of one state.
 func (c *pendingCall) name() string {
 	kind := "prepare"
 	if _, ok := c.request.(*paxos.AcceptRequest); ok {
@@ -52,10 +52,10 @@
 	return fmt.Sprintf("%d.%d %s %d", c.proposer, c.attempt, kind, c.voter)
 }
 
-// errLost ends a call whose request or answer was lost.
+// errMessageLost ends a call whose request or answer was lost.
 var errMessageLost = errors.New("modelcheck: message lost")
 
-// vote is one course of the vote: real voters on disks in memory, real proposals, and a scheduler in between.
+// vote is one execution of the vote: real voters on in-memory disks, real proposals, and a scheduler between them.
 type vote struct {
 	bounds             voteBounds
 	disks              []*sim.Disk
@@ -64,29 +64,29 @@
 	mu                 sync.Mutex
 	pending            []*pendingCall
 	proposedView       func(current view.View, proposer int) view.View
-	decided            []string                // what each proposer was told
-	lastAgreedProposer map[int]int             // by voter: the proposer that it last said yes to
-	lastErr            []error                 // how each proposer's last attempt ended without a decision
-	accepted           map[string]map[int]bool // by ballot and view: the voters that ever accepted it
-	chosen             map[string]bool         // views that a majority accepted under one ballot
+	decided            []string                // the decision that each proposer learned
+	lastAgreedProposer map[int]int             // by voter: the proposer whose request it agreed to last
+	lastErr            []error                 // how each proposer's last attempt without a decision ended
+	accepted           map[string]map[int]bool // by ballot: the voters that ever accepted its proposal
+	chosen             map[string]bool         // names of the views that a majority accepted under one ballot
 	running            sync.WaitGroup
 }
 
-// newVote begins a course: nothing has been proposed yet.
+// newVote starts an execution in which each proposer proposes itself as the primary.
 func newVote(t *testing.T, bounds voteBounds) *vote {
 	return newVoteWithProposals(t, bounds, proposeSelf)
 }
 
-// proposeItself is the view in which a proposer is the primary.
+// proposeSelf returns the view in which the proposer is the primary.
 func proposeSelf(current view.View, proposer int) view.View {
 	current.Primary = current.Members[proposer].ID
 	return current
 }
 
-// nameOf tells views apart by who holds the state.
+// viewName identifies a view by its primary and backups.
 func viewName(v view.View) string { return fmt.Sprint(v.Primary, v.Backups()) }
 
-// newVoteOn begins a course in which the proposers propose given views.
+// newVoteWithProposals starts an execution in which the proposers propose the given views.
 func newVoteWithProposals(t *testing.T, bounds voteBounds, proposedView func(current view.View, proposer int) view.View) *vote {
 	v := &vote{bounds: bounds, proposedView: proposedView, lastErr: make([]error, proposerCount), lastAgreedProposer: map[int]int{}, decided: make([]string, proposerCount), accepted: map[string]map[int]bool{}, chosen: map[string]bool{}}
 	v.current = view.View{Epoch: 1}
@@ -104,8 +104,8 @@
 	return v
 }
 
-// diskOf is the disk of a voter that has an identity and has never voted: drawn at random, identities would make each
-// course another one.
+// newVoterDisk makes the disk of a voter that has the given identity and has never voted. With random identities, every
+// execution would have different states.
 func newVoterDisk(t *testing.T, id string) *sim.Disk {
 	state := paxos.AcceptorState{ID: id}
 	raw, err := state.MarshalMsg(nil)
@@ -128,7 +128,7 @@
 	v.voters[voter] = opened
 }
 
-// propose has one member propose itself as primary until something is decided or its attempts are over.
+// propose has one member propose its view until there is a decision or its attempts are used up.
 func (v *vote) propose(proposer int) {
 	next := v.proposedView(v.current, proposer)
 	highest := uint64(0)
@@ -151,7 +151,7 @@
 	}
 }
 
-// send puts a call before the scheduler and waits for what becomes of it.
+// send hands a call to the scheduler and waits for its outcome.
 func (v *vote) send(proposer, attempt int, addr string, in msgp.Marshaler, out msgp.Unmarshaler) error {
 	call := &pendingCall{proposer: proposer, attempt: attempt, voter: int(addr[0] - '0'), request: in,
 		response: out.(*paxos.AcceptorResponse), outcome: make(chan error, 1)}
@@ -161,7 +161,7 @@
 	return <-call.outcome
 }
 
-// deliver has a voter take a call, and notes what it accepts.
+// deliver passes a call to its voter and records what the voter accepts.
 func (v *vote) deliver(call *pendingCall) error {
 	var response *paxos.AcceptorResponse
 	var err error
@@ -183,7 +183,8 @@
 	return err
 }
 
-// noteAccepted remembers who accepted what: a majority under one ballot has chosen it.
+// recordAccepted records that a voter accepted a proposal: the proposed view is chosen once a majority has accepted it
+// under one ballot.
 func (v *vote) recordAccepted(request *paxos.AcceptRequest, voter int) {
 	key := fmt.Sprintf("%d/%s", request.Number.Number, request.Number.Proposer)
 	if v.accepted[key] == nil {
@@ -195,7 +196,7 @@
 	}
 }
 
-// moves lists what may happen next, in a fixed order.
+// moves lists the possible next moves in a fixed order.
 func (v *vote) moves() []string {
 	slices.SortFunc(v.pending, func(a, b *pendingCall) int { return strings.Compare(a.name(), b.name()) })
 	var moves []string
@@ -213,7 +214,7 @@
 	return moves
 }
 
-// take makes one move.
+// apply makes one move.
 func (v *vote) apply(t *testing.T, move string) {
 	var voter int
 	if n, _ := fmt.Sscanf(move, "restart %d", &voter); n == 1 {
@@ -236,7 +237,8 @@
 	synctest.Wait()
 }
 
-// state describes all that what follows depends on. The course ends with it: its voters lose their disks.
+// fingerprint describes everything that the rest of the execution depends on. It ends the execution, because it takes the
+// disks from the voters.
 func (v *vote) fingerprint() string {
 	var state strings.Builder
 	fmt.Fprint(&state, v.bounds, v.decided, v.chosen)
@@ -251,7 +253,7 @@
 	return state.String()
 }
 
-// finish ends all proposals, so that no task is left.
+// finish ends all proposals, so that no goroutine is left.
 func (v *vote) finish() {
 	for done := false; !done; {
 		v.mu.Lock()
@@ -269,7 +271,7 @@
 	v.running.Wait()
 }
 
-// disagreement tells where two views were chosen or told for one epoch.
+// violation describes a case in which two views were chosen, or learned by proposers, for one epoch.
 func (v *vote) violation() string {
 	values := map[string]bool{}
 	for chosen := range v.chosen {
@@ -286,41 +288,41 @@
 	return fmt.Sprintf("chosen %v, told %v", v.chosen, v.decided)
 }
 
-// course is one course of events that an exploration plays: *vote is one.
+// execution is one run of a protocol that an exploration makes move by move, such as *vote.
 type execution interface {
-	moves() []string // what may happen next, in a fixed order
+	moves() []string // the possible next moves, in a fixed order
 	apply(t *testing.T, move string)
-	fingerprint() string // all that what follows depends on; the course ends with it
-	violation() string   // what is wrong; "": nothing
+	fingerprint() string // everything that the rest of the execution depends on; ends the execution
+	violation() string   // the invariant that is broken; "": none
 	finish()
 }
 
-// exploration walks through all courses within bounds.
+// exploration visits all executions within bounds, and prunes those that reach a state that was seen before.
 type exploration struct {
 	begin          func(t *testing.T) execution
 	seen           map[string]bool
 	executions     int
 	maxMoves       int
-	counterexample []string // the moves of a course that decides two views
+	counterexample []string // the moves of the execution that shows the violation
 	violation      string
 }
 
-// explore plays the course of the given moves, and all that may follow.
+// explore runs the execution of the given moves, and then all its continuations.
 func (e *exploration) explore(t *testing.T, moves []string) {
 	if e.violation != "" {
 		return
 	}
-	v := e.begin(t)
+	run := e.begin(t)
 	synctest.Wait()
 	for _, move := range moves {
-		v.moves()
-		v.apply(t, move)
+		run.moves()
+		run.apply(t, move)
 	}
 	e.executions++
 	e.maxMoves = max(e.maxMoves, len(moves))
-	next := v.moves()
-	state, violation := v.fingerprint(), v.violation()
-	v.finish()
+	next := run.moves()
+	state, violation := run.fingerprint(), run.violation()
+	run.finish()
 	if violation != "" {
 		e.counterexample, e.violation = moves, violation
 		return
@@ -334,20 +336,20 @@
 	}
 }
 
-// exploreAll explores everything within bounds.
+// exploreVote explores all executions of the vote within bounds.
 func exploreVote(t *testing.T, bounds voteBounds) *exploration {
 	return exploreFrom(t, func(t *testing.T) execution { return newVote(t, bounds) })
 }
 
-// exploreFrom explores everything that may come of a beginning.
+// exploreFrom explores all executions that start from the state that begin returns.
 func exploreFrom(t *testing.T, begin func(t *testing.T) execution) *exploration {
 	e := &exploration{begin: begin, seen: map[string]bool{}}
 	synctest.Test(t, func(t *testing.T) { e.explore(t, nil) })
 	return e
 }
 
-// TestEveryCourseOfTheVote plays every order of messages, losses and restarts of two proposals to three voters: never are
-// two views decided for one epoch.
+// TestEveryCourseOfTheVote explores every order of messages, losses and restarts of two proposals to three voters: two
+// views must never be decided for one epoch.
 func TestEveryCourseOfTheVote(t *testing.T) {
 	if faultinjection.Disabled("") {
 		t.Skip("built with a mechanism disabled")
--- a/internal/testing/modelcheck/walk_test.go
+++ b/internal/testing/modelcheck/walk_test.go
@@ -34,8 +34,8 @@
 	coverage                            *coverage
 }
 
-// play runs a schedule in simulated time.
-func play(t *testing.T, schedule Schedule) (v runResult) {
+// runSchedule runs a schedule in simulated time.
+func runSchedule(t *testing.T, schedule Schedule) (v runResult) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, schedule.Seed, schedule.Cores, schedule.Losses, *verbose)
 		defer f.shutdown()
@@ -48,7 +48,7 @@
 			v.violations = []string{"the fleet was not founded in time"}
 			return
 		}
-		f.playEvents(schedule)
+		f.runEvents(schedule)
 		v.violations = f.checkRecovery()
 		v.acknowledged, v.operations, v.transfers = f.history.counts()
 		v.spent = f.spends.spent()
@@ -58,8 +58,8 @@
 	return v
 }
 
-// playEvents runs the operators, quota holders and routers while the schedule's faults happen.
-func (f *fleet) playEvents(s Schedule) {
+// runEvents runs the operators, quota holders and routers while the schedule's faults happen.
+func (f *fleet) runEvents(s Schedule) {
 	begun := time.Now()
 	until := begun.Add(s.operatorTime() + 2*time.Second)
 	var all sync.WaitGroup
@@ -127,7 +127,7 @@
 // fails reports whether any of shrinkAttempts runs of a schedule shows a violation.
 func fails(t *testing.T, s Schedule) bool {
 	for range shrinkAttempts {
-		if len(play(t, s).violations) > 0 {
+		if len(runSchedule(t, s).violations) > 0 {
 			return true
 		}
 	}
@@ -155,7 +155,7 @@
 			s := newSchedule(*firstSeed+i, splitKinds(*kindList)...)
 			t.Run(fmt.Sprint("seed", s.Seed), func(t *testing.T) {
 				t.Parallel()
-				v := play(t, s)
+				v := runSchedule(t, s)
 				for _, violation := range v.violations {
 					t.Error(violation)
 				}
@@ -198,7 +198,7 @@
 	if err := json.Unmarshal(raw, &s); err != nil {
 		t.Fatal(err)
 	}
-	for _, violation := range play(t, s).violations {
+	for _, violation := range runSchedule(t, s).violations {
 		t.Error(violation)
 	}
 }
