--- a/internal/testing/modelcheck/coverage_test.go
+++ b/internal/testing/modelcheck/coverage_test.go
@@ -146,9 +146,9 @@
 		case 4:
 			kept.Events = append(kept.Events, donor)
 		case 5:
-			again := *event
-			again.AtMs += c.random.IntN(4000)
-			kept.Events = append(kept.Events, again)
+			duplicate := *event
+			duplicate.AtMs += c.random.IntN(4000)
+			kept.Events = append(kept.Events, duplicate)
 		default:
 			if len(kept.Events) > 2 {
 				kept.Events = slices.Delete(kept.Events, i, i+1)
--- a/internal/testing/modelcheck/fleet_test.go
+++ b/internal/testing/modelcheck/fleet_test.go
@@ -116,10 +116,11 @@
 		}
 		return time.Duration(f.random.Int64N(int64(f.messageFaults.maxDelay))) + 1
 	}
-	return messageFault{requestDelay: draw(f.messageFaults.delayedPercent), duplicateDelay: draw(f.messageFaults.duplicatedPercent), answerDelay: draw(f.messageFaults.delayedAnswersPercent)}
+	return messageFault{requestDelay: draw(f.messageFaults.delayedPercent), duplicateDelay: draw(f.messageFaults.duplicatedPercent),
+		answerDelay: draw(f.messageFaults.delayedAnswersPercent)}
 }
 
-// setMessages sets the message faults.
+// setMessageFaults sets the message faults.
 func (f *fleet) setMessageFaults(faults messageFaults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testing/modelcheck/history_test.go
+++ b/internal/testing/modelcheck/history_test.go
@@ -57,8 +57,8 @@
 var coreModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{coreState{}} },
 	Step: func(state, input, output any) []any {
-		if asked, isMove := input.(quotaTransfer); isMove {
-			return state.(coreState).applyTransfer(asked, output.(transferResult))
+		if transfer, isTransfer := input.(quotaTransfer); isTransfer {
+			return state.(coreState).applyTransfer(transfer, output.(transferResult))
 		}
 		return state.(coreState).apply(input.(operation), output.(result))
 	},
@@ -133,11 +133,11 @@
 func (h *history) counts() (acknowledged, operations, transfers int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, one := range h.operations {
-		op, isOperation := one.Input.(operation)
+	for _, entry := range h.operations {
+		op, isOperation := entry.Input.(operation)
 		if !isOperation {
 			transfers++
-		} else if op.kind == writeConfig && one.Output.(result).outcome == succeeded {
+		} else if op.kind == writeConfig && entry.Output.(result).outcome == succeeded {
 			acknowledged++
 		}
 	}
@@ -169,7 +169,7 @@
 
 // isOutcomeUnknown reports whether it is unknown if an operation or a quota transfer took effect.
 func isOutcomeUnknown(output any) bool {
-	if reported, isMove := output.(transferResult); isMove {
+	if reported, isTransfer := output.(transferResult); isTransfer {
 		return !reported.answered
 	}
 	return output.(result).outcome == outcomeUnknown
@@ -183,21 +183,21 @@
 		end      int64
 	}
 	var writes []acknowledgedWrite
-	operations := slices.DeleteFunc(slices.Clone(h.operations), func(one porcupine.Operation) bool {
-		_, isMove := one.Input.(quotaTransfer)
-		return isMove
+	operations := slices.DeleteFunc(slices.Clone(h.operations), func(entry porcupine.Operation) bool {
+		_, isTransfer := entry.Input.(quotaTransfer)
+		return isTransfer
 	})
-	for _, one := range operations {
-		op, reported := one.Input.(operation), one.Output.(result)
+	for _, entry := range operations {
+		op, reported := entry.Input.(operation), entry.Output.(result)
 		if op.kind == writeConfig && reported.outcome == succeeded {
-			writes = append(writes, acknowledgedWrite{op, reported, one.Return})
+			writes = append(writes, acknowledgedWrite{op, reported, entry.Return})
 		}
 	}
-	for _, one := range operations {
-		op, reported := one.Input.(operation), one.Output.(result)
+	for _, entry := range operations {
+		op, reported := entry.Input.(operation), entry.Output.(result)
 		for _, write := range writes {
 			switch {
-			case op.kind == readConfig && write.end < one.Call && reported.version < write.reported.version:
+			case op.kind == readConfig && write.end < entry.Call && reported.version < write.reported.version:
 				return fmt.Sprintf("version %d read after %d was acknowledged", reported.version, write.reported.version)
 			case op.kind == readConfig && reported.version == write.reported.version && reported.value != write.op.value:
 				return fmt.Sprintf("version %d read as %s, acknowledged as %s", reported.version, reported.value, write.op.value)
--- a/internal/testing/modelcheck/quotarouter_test.go
+++ b/internal/testing/modelcheck/quotarouter_test.go
@@ -83,9 +83,9 @@
 	defer l.mu.Unlock()
 	slices.SortStableFunc(l.spends, func(a, b spend) int { return a.at.Compare(b.at) })
 	first, sum := 0, 0
-	for _, one := range l.spends {
-		sum += one.units
-		for ; one.at.Sub(l.spends[first].at) >= spentWindow; first++ {
+	for _, entry := range l.spends {
+		sum += entry.units
+		for ; entry.at.Sub(l.spends[first].at) >= spentWindow; first++ {
 			sum -= l.spends[first].units
 		}
 		if limit := maxSpent(); sum > limit {
@@ -99,8 +99,8 @@
 func (l *spendLedger) spent() (units int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, one := range l.spends {
-		units += one.units
+	for _, entry := range l.spends {
+		units += entry.units
 	}
 	return units
 }
