--- a/internal/testing/modelcheck/coverage_test.go
+++ b/internal/testing/modelcheck/coverage_test.go
@@ -9,24 +9,24 @@
 	"sync"
 )
 
-// messageRun is how many messages that one process logs in a row are a feature of a run.
-const messageRun = 3
+// featureLength is the maximum number of consecutive log messages of one process that make up a feature of a run.
+const featureLength = 3
 
 var featureSeed = maphash.MakeSeed()
 
-// coverage is which features a run has shown: the rows of messages that its processes logged. It is a slog.Handler for all
-// processes of a fleet, which tells them apart by their attribute "at". All methods may be called concurrently.
+// coverage records the features of a run: the sequences of consecutive messages that its processes logged. Processes are
+// distinguished by the logger's attribute "at". All methods may be called concurrently.
 type coverage struct {
 	mu       sync.Mutex
 	features map[uint64]bool
-	last     map[string][]string // messages, by process
+	last     map[string][]string // the last messages of each process
 }
 
 func newCoverage() *coverage {
 	return &coverage{features: map[uint64]bool{}, last: map[string][]string{}}
 }
 
-// add adds a message of a process. One that comes a third time in a row is left out.
+// add records a message of a process. A message that repeats for at least the third time in a row is ignored.
 func (c *coverage) add(process, message string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -34,20 +34,20 @@
 	if len(last) > 1 && last[len(last)-1] == message && last[len(last)-2] == message {
 		return
 	}
-	if last = append(last, message); len(last) > messageRun {
+	if last = append(last, message); len(last) > featureLength {
 		last = last[1:]
 	}
 	c.last[process] = last
 	var hash maphash.Hash
 	hash.SetSeed(featureSeed)
-	for _, one := range last {
-		_, _ = hash.WriteString(one) // it never fails
+	for _, part := range last {
+		_, _ = hash.WriteString(part) // never fails
 		_ = hash.WriteByte(0)
 	}
 	c.features[hash.Sum64()] = true
 }
 
-// coverageHandler is the coverage as one process's logger has it.
+// coverageHandler is the slog.Handler that records one process's messages in a coverage.
 type coverageHandler struct {
 	coverage *coverage
 	process  string
@@ -75,11 +75,11 @@
 // WithGroup implements slog.Handler.
 func (h coverageHandler) WithGroup(string) slog.Handler { return h }
 
-// corpus is the schedules that have shown features which none before them had. New schedules are made of them: what is rare
-// comes about more often than by independent draws. All methods may be called concurrently.
+// corpus holds the schedules that showed features which no schedule before them had shown. New schedules are mutations of
+// these, which reach rare behavior more often than independent draws do. All methods may be called concurrently.
 type corpus struct {
-	kinds []string // that schedules keep to
-	size  size     // of the fleets; zero: all
+	kinds []string  // the kinds of fault of the schedules
+	size  fleetSize // of the fleets; zero: any
 
 	mu        sync.Mutex
 	random    *rand.Rand
@@ -87,16 +87,16 @@
 	schedules []Schedule
 }
 
-func newCorpus(seed uint64, kinds []string, wanted size) *corpus {
-	return &corpus{kinds: kinds, size: wanted, random: rand.New(rand.NewPCG(seed, 17)), features: map[uint64]bool{}}
+func newCorpus(seed uint64, kinds []string, fleetSize fleetSize) *corpus {
+	return &corpus{kinds: kinds, size: fleetSize, random: rand.New(rand.NewPCG(seed, 17)), features: map[uint64]bool{}}
 }
 
-// keep keeps a schedule if its run has shown a new feature.
-func (c *corpus) keep(s Schedule, shown *coverage) {
+// addIfNew adds a schedule if its run showed a new feature.
+func (c *corpus) addIfNew(s Schedule, covered *coverage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := len(c.features)
-	for feature := range shown.features {
+	for feature := range covered.features {
 		c.features[feature] = true
 	}
 	if len(c.features) > known {
@@ -104,7 +104,7 @@
 	}
 }
 
-// next is the schedule to play for a seed: a new one, or one that was kept, changed.
+// next returns the schedule to run for a seed: a new one or a mutation of one in the corpus.
 func (c *corpus) next(seed uint64) Schedule {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,11 +115,11 @@
 	if len(c.schedules) == 0 || c.random.IntN(3) == 0 {
 		return s
 	}
-	return c.mutate(c.pick(), s)
+	return c.mutate(c.pickSchedule(), s)
 }
 
-// pick draws a kept schedule; the newer half is drawn more often. The caller holds the mutex.
-func (c *corpus) pick() Schedule {
+// pickSchedule draws a schedule of the corpus; those of the newer half are more likely. The caller holds the mutex.
+func (c *corpus) pickSchedule() Schedule {
 	from := 0
 	if c.random.IntN(2) == 0 {
 		from = len(c.schedules) / 2
@@ -127,8 +127,8 @@
 	return c.schedules[from+c.random.IntN(len(c.schedules)-from)]
 }
 
-// mutate is a kept schedule with some changes; what it needs of new events it takes from a fresh one. The caller holds the
-// mutex.
+// mutate returns a schedule of the corpus with some changes; values and events that it adds come from a fresh schedule.
+// The caller holds the mutex.
 func (c *corpus) mutate(kept, fresh Schedule) Schedule {
 	kept.Seed, kept.Events = fresh.Seed, slices.Clone(kept.Events)
 	for range 1 + c.random.IntN(4) {
@@ -138,17 +138,17 @@
 		case 0:
 			event.AtMs = max(0, event.AtMs+c.random.IntN(2001)-1000)
 		case 1:
-			event.ForMs = min(longestMs[len(longestMs)-1], event.ForMs/2+c.random.IntN(2*event.ForMs+1))
+			event.DurationMs = min(maxDurationsMs[len(maxDurationsMs)-1], event.DurationMs/2+c.random.IntN(2*event.DurationMs+1))
 		case 2:
-			event.Who = donor.Who
+			event.Target = donor.Target
 		case 3:
-			event.On, event.After = donor.On, donor.After
+			event.TriggerCall, event.AfterCall = donor.TriggerCall, donor.AfterCall
 		case 4:
 			kept.Events = append(kept.Events, donor)
 		case 5:
-			again := *event
-			again.AtMs += c.random.IntN(4000)
-			kept.Events = append(kept.Events, again)
+			duplicate := *event
+			duplicate.AtMs += c.random.IntN(4000)
+			kept.Events = append(kept.Events, duplicate)
 		default:
 			if len(kept.Events) > 2 {
 				kept.Events = slices.Delete(kept.Events, i, i+1)
--- a/internal/testing/modelcheck/fleet_test.go
+++ b/internal/testing/modelcheck/fleet_test.go
@@ -15,17 +15,17 @@
 	"yarrowridge/internal/testing/sim"
 )
 
-// Times of the checked fleets.
+// Timing of the checked fleets.
 const (
-	leaseTerm    = 600 * time.Millisecond
-	lostAfter    = 2 * time.Second
-	maxDrift     = 0.09                   // by how much the fastest clock runs faster than the slowest
-	recoverySpan = 12 * time.Second       // service is back within this once all faults are over
-	wholeSpan    = 20 * time.Second       // and all cores are members again
-	restartPause = 300 * time.Millisecond // between two tries to start a process
+	leaseTerm           = 600 * time.Millisecond
+	lostAfter           = 2 * time.Second
+	maxDrift            = 0.09                   // the fraction by which the fastest clock runs faster than the slowest
+	recoveryTimeout     = 12 * time.Second       // for service to resume after all faults have ended
+	fullRecoveryTimeout = 20 * time.Second       // for all cores to be members again after that
+	restartPause        = 300 * time.Millisecond // between two attempts to start a process
 )
 
-// fleet is a world of cores.
+// fleet is a simulated network of cores with its operators and routers.
 type fleet struct {
 	t        *testing.T
 	world    *sim.World
@@ -37,37 +37,38 @@
 	coverage *coverage
 	spends   spendLedger
 
-	mu        sync.Mutex
-	random    *rand.Rand
-	holders   []*holder  // of quota units
-	processes []*process // of the machines that stay
-	machines  []*process // all that there ever were
-	losing    bool       // disks are being lost
-	wiped     bool       // some were lost before
-	messages  messageFaults
-	triggers  []*callTrigger // of events that wait for a call
+	mu            sync.Mutex
+	random        *rand.Rand
+	quotaHolders  []*quotaHolder
+	processes     []*process // of the current machines
+	machines      []*process // all machines, including replaced ones
+	losingDisks   bool       // a fault is losing disks now
+	disksLost     bool       // a fault has lost disks before
+	messageFaults messageFaults
+	triggers      []*callTrigger // of events that wait for a call
 }
 
-// messageFaults says how many messages are affected, of 100, and by how much at most.
+// messageFaults says which percentage of messages is affected by each fault, and for how long at most.
 type messageFaults struct {
-	only                       string // the kind of call that is affected; "": all kinds
-	held, doubled, answersHeld int
-	most                       time.Duration
+	onlyCall string // the kind of call that is affected; "": all
+
+	delayedPercent, duplicatedPercent, delayedAnswersPercent int
+	maxDelay                                                 time.Duration
 }
 
-// messageFault is what happens to one message.
+// messageFault is the faults of one message; a zero duration means that there is none.
 type messageFault struct {
-	hold, again, holdAnswer time.Duration
+	requestDelay, duplicateDelay, answerDelay time.Duration
 }
 
-// newFleet makes a world of cores; none runs yet.
-func newFleet(t *testing.T, seed uint64, cores, losses int, loud bool) *fleet {
-	shown := newCoverage()
-	log := slog.New(coverageHandler{coverage: shown})
-	if loud {
+// newFleet makes a fleet of cores; no process runs yet.
+func newFleet(t *testing.T, seed uint64, cores, losses int, verbose bool) *fleet {
+	covered := newCoverage()
+	log := slog.New(coverageHandler{coverage: covered})
+	if verbose {
 		log = logging.New(os.Stderr, slog.LevelDebug)
 	}
-	f := &fleet{t: t, world: sim.NewWorld(seed), losses: losses, log: log, coverage: shown,
+	f := &fleet{t: t, world: sim.NewWorld(seed), losses: losses, log: log, coverage: covered,
 		random: rand.New(rand.NewPCG(seed, 3)), history: &history{}}
 	f.ctx, f.cancel = context.WithCancel(t.Context())
 	for range cores {
@@ -77,16 +78,16 @@
 }
 
 // newMachine makes a machine with an empty disk.
-func (f *fleet) newMachine(founding bool) *process {
+func (f *fleet) newMachine(bootstrap bool) *process {
 	number := len(f.machines) + 1
-	drift := 1 - maxDrift*float64(f.chance(100))/100
+	drift := 1 - maxDrift*float64(f.randomBelow(100))/100
 	p := &process{fleet: f, addr: fmt.Sprintf("10.0.0.%d:1", number), zone: fmt.Sprint("zone-", number%3), disk: sim.NewDisk(),
-		term: time.Duration(float64(leaseTerm) * drift), first: founding}
+		leaseTerm: time.Duration(float64(leaseTerm) * drift), bootstrap: bootstrap}
 	f.machines = append(f.machines, p)
 	return p
 }
 
-// seeds are three machines as an operator's list has them.
+// seeds returns the addresses of up to three machines, as an operator would configure them.
 func (f *fleet) seeds() []string {
 	var seeds []string
 	for _, p := range f.processes[:min(3, len(f.processes))] {
@@ -95,34 +96,35 @@
 	return seeds
 }
 
-// chance draws a number below n.
-func (f *fleet) chance(n int) int {
+// randomBelow draws a number in [0, n).
+func (f *fleet) randomBelow(n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.random.IntN(n)
 }
 
-// messageFault draws what happens to a call of a kind.
-func (f *fleet) messageFault(kind string) (fault messageFault) {
+// drawMessageFault draws the faults of one call of a kind.
+func (f *fleet) drawMessageFault(kind string) (fault messageFault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.messages.only != "" && f.messages.only != kind {
+	if f.messageFaults.onlyCall != "" && f.messageFaults.onlyCall != kind {
 		return messageFault{}
 	}
 	draw := func(percent int) time.Duration {
-		if f.messages.most == 0 || f.random.IntN(100) >= percent {
+		if f.messageFaults.maxDelay == 0 || f.random.IntN(100) >= percent {
 			return 0
 		}
-		return time.Duration(f.random.Int64N(int64(f.messages.most))) + 1
+		return time.Duration(f.random.Int64N(int64(f.messageFaults.maxDelay))) + 1
 	}
-	return messageFault{hold: draw(f.messages.held), again: draw(f.messages.doubled), holdAnswer: draw(f.messages.answersHeld)}
+	return messageFault{requestDelay: draw(f.messageFaults.delayedPercent), duplicateDelay: draw(f.messageFaults.duplicatedPercent),
+		answerDelay: draw(f.messageFaults.delayedAnswersPercent)}
 }
 
-// setMessages sets the message faults.
-func (f *fleet) setMessages(faults messageFaults) {
+// setMessageFaults sets the message faults.
+func (f *fleet) setMessageFaults(faults messageFaults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.messages = faults
+	f.messageFaults = faults
 }
 
 // stop kills a process.
@@ -133,22 +135,22 @@
 	p.running = false
 	p.endRun()
 	p.crash()
-	p.disk.Open() // whatever the dead run still does to its disk is lost
-	p.thaw()      // its goroutines end
+	p.disk.Open() // discards whatever the killed run still does to its disk
+	p.thaw()      // lets its goroutines end
 }
 
-// start starts a process where it can.
+// start starts a process unless it runs already or its machine was retired. The start may fail.
 func (f *fleet) start(p *process) {
 	if !p.running && !p.retired {
 		p.start()
 	}
 	if p.retired {
-		f.stop(p) // it was taken out while it started
+		f.stop(p) // the machine was retired while the process started
 	}
 }
 
-// current is the newest view that any running process knows.
-func (f *fleet) current() (newest view.View) {
+// newestView returns the view of the highest epoch that any running process knows.
+func (f *fleet) newestView() (newest view.View) {
 	for _, p := range f.processes {
 		if p.running {
 			if v := p.view(); v.Epoch > newest.Epoch {
@@ -159,8 +161,8 @@
 	return newest
 }
 
-// holder is the running process with an identity, or nil.
-func (f *fleet) holder(id string) *process {
+// processByID returns the running process with an identity, or nil.
+func (f *fleet) processByID(id string) *process {
 	for _, p := range f.processes {
 		if p.running && p.id() == id {
 			return p
@@ -169,7 +171,7 @@
 	return nil
 }
 
-// isServing reports whether a primary takes writes.
+// isServing reports whether any running process is a primary that is ready for writes.
 func (f *fleet) isServing() bool {
 	for _, p := range f.processes {
 		if p.running && p.server.State().Ready {
@@ -179,10 +181,11 @@
 	return false
 }
 
-// isWhole reports whether a primary takes writes whose members are all machines, with all backups, and the losses to bear
-// would leave a majority. One member more than machines may be left of a replacement where it changes no majority.
-func (f *fleet) isWhole() bool {
-	v := f.current()
+// isHealthy reports whether a primary is ready for writes, all machines are members, all backups are in place, and the
+// tolerated losses would leave a majority. A replacement may leave one member more than there are machines if that does
+// not raise the majority.
+func (f *fleet) isHealthy() bool {
+	v := f.newestView()
 	machines := len(f.processes)
 	extra := len(v.Members) - machines
 	if !f.isServing() || len(v.Backups()) != f.losses || extra != 0 && (extra != 1 || machines%2 == 1) {
@@ -199,10 +202,10 @@
 	return true
 }
 
-// within waits until ok holds, and reports whether it did.
-func (f *fleet) within(span time.Duration, ok func() bool) bool {
-	for begun := time.Now(); !ok(); {
-		if time.Since(begun) > span {
+// waitFor polls until the condition holds, and reports whether it did within the timeout.
+func (f *fleet) waitFor(timeout time.Duration, condition func() bool) bool {
+	for begun := time.Now(); !condition(); {
+		if time.Since(begun) > timeout {
 			return false
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -210,19 +213,19 @@
 	return true
 }
 
-// heal ends every fault and starts every process.
-func (f *fleet) heal() {
-	f.setMessages(messageFaults{})
+// endAllFaults ends every fault and starts every process.
+func (f *fleet) endAllFaults() {
+	f.setMessageFaults(messageFaults{})
 	f.world.Heal()
 	for _, p := range f.processes {
-		f.restore(p)
+		f.repair(p)
 	}
 }
 
-// restore ends what ails a machine and has its process run.
-func (f *fleet) restore(p *process) {
+// repair ends all faults of a machine and retries until its process runs.
+func (f *fleet) repair(p *process) {
 	p.mu.Lock()
-	p.crashAt = 0
+	p.writesUntilCrash = 0
 	p.mu.Unlock()
 	p.disk.ResumeWrites()
 	p.disk.SetFull(false)
@@ -232,12 +235,12 @@
 	}
 }
 
-// end stops the world.
-func (f *fleet) end() {
+// shutdown stops all processes of the fleet.
+func (f *fleet) shutdown() {
 	f.cancel()
 	for _, p := range f.machines {
 		p.disk.ResumeWrites()
 		f.stop(p)
 	}
-	time.Sleep(30 * time.Second) // simulated: every task sees the end
+	time.Sleep(30 * time.Second) // simulated time, in which every goroutine sees the end
 }
--- a/internal/testing/modelcheck/process_test.go
+++ b/internal/testing/modelcheck/process_test.go
@@ -16,75 +16,75 @@
 	"yarrowridge/internal/transport/wire"
 )
 
-// process is one core: a machine with a disk, and the process that runs on it now.
+// process is one core: a machine with a disk, and its current process.
 type process struct {
-	fleet *fleet
-	addr  string
-	zone  string
-	term  time.Duration // its lease term: members' clocks run at different speeds
-	disk  *sim.Disk
-
-	server  *core.Server
-	gate    *stepGate // of this run of the process
-	ctx     context.Context
-	endRun  context.CancelFunc
-	crash   func()
-	running bool
-	first   bool // it was never started
-	retired bool // the machine is gone for good
-
-	mu        sync.Mutex
-	crashAt   int // at which write from now on it dies; 0: at none
-	afterSync bool
+	fleet     *fleet
+	addr      string
+	zone      string
+	leaseTerm time.Duration // differs between processes, as if their clocks ran at different speeds
+	disk      *sim.Disk
+
+	server    *core.Server
+	gate      *stepGate // of the current run
+	ctx       context.Context
+	endRun    context.CancelFunc
+	crash     func()
+	running   bool
+	bootstrap bool // may found the fleet at its first start
+	retired   bool // the machine was removed for good
+
+	mu               sync.Mutex
+	writesUntilCrash int // the process crashes at this write, counted from now; 0: never
+	crashAfterWrite  bool
 }
 
-// faultyDisk is a disk whose process may die at a write.
+// faultyDisk is a disk whose process may crash at a write.
 type faultyDisk struct {
 	store.Disk
 	process *process
 }
 
-// Write writes, or ends the process before or after it.
+// Write writes the data, and may crash the process before or after that.
 func (d faultyDisk) Write(name string, data []byte) error {
 	dies, after := d.process.countWrite()
 	if dies && !after {
-		return d.process.die()
+		return d.process.crashDuringWrite()
 	}
 	err := d.Disk.Write(name, data)
 	if dies {
-		return d.process.die()
+		return d.process.crashDuringWrite()
 	}
 	return err
 }
 
-// countWrite reports whether the process dies at this write, and whether after it.
+// countWrite reports whether the process crashes at this write, and if so, whether after it instead of before.
 func (p *process) countWrite() (dies, after bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.crashAt == 0 {
+	if p.writesUntilCrash == 0 {
 		return false, false
 	}
-	p.crashAt--
-	return p.crashAt == 0, p.afterSync
+	p.writesUntilCrash--
+	return p.writesUntilCrash == 0, p.crashAfterWrite
 }
 
-// die ends the process in the middle of a write: nothing that it still does is seen by anyone.
-func (p *process) die() error {
+// crashDuringWrite ends the process at a write: nothing that it does after that is visible outside.
+func (p *process) crashDuringWrite() error {
 	p.fleet.stop(p)
 	return sim.ErrCrashed
 }
 
-// start runs a process on the machine. A disk in trouble may keep it from starting for a while.
+// start starts a process on the machine. A disk fault may make the start fail.
 func (p *process) start() {
 	network, crash := p.fleet.world.Net(p.addr)
 	gate := &stepGate{}
 	ctx, cancel := context.WithCancel(p.fleet.ctx)
-	settings := core.Settings{Addr: p.addr, Seeds: p.fleet.seeds(), Bootstrap: p.first, Losses: p.fleet.losses,
-		LeaseTerm: p.term, LostAfter: lostAfter, Codec: toleranceCodec{}}
-	p.first = false
-	where := daemon.Context{Context: ctx, Name: p.addr, Zone: p.zone, RunID: uint64(time.Now().UnixNano()), Log: p.fleet.log.With("at", p.addr), Net: network}
+	settings := core.Settings{Addr: p.addr, Seeds: p.fleet.seeds(), Bootstrap: p.bootstrap, Losses: p.fleet.losses,
+		LeaseTerm: p.leaseTerm, LostAfter: lostAfter, Codec: toleranceCodec{}}
+	p.bootstrap = false
+	daemonContext := daemon.Context{Context: ctx, Name: p.addr, Zone: p.zone, RunID: uint64(time.Now().UnixNano()), Log: p.fleet.log.With("at", p.addr), Net: network}
 	disk := gatedDisk{faultyDisk{p.disk.Open(), p}, gate}
-	server, err := core.Open(where, settings, disk)
+	server, err := core.Open(daemonContext, settings, disk)
 	if err != nil {
 		cancel()
 		crash()
@@ -101,19 +101,19 @@
 	go server.Run()
 }
 
-// handler passes calls to the server as the fleet's message faults say: late, twice, or without an answer in time.
-func (p *process) handler(run context.Context, server *core.Server, gate *stepGate) wire.Handler {
-	copies := &copyMonitor{history: p.fleet.history}
+// handler passes calls to the server with the fleet's message faults: late, twice, or with a late answer.
+func (p *process) handler(runCtx context.Context, server *core.Server, gate *stepGate) wire.Handler {
+	monitor := &replicaMonitor{history: p.fleet.history}
 	return func(ctx context.Context, kind string, body []byte) (msgp.Marshaler, error) {
-		fault := p.fleet.messageFault(kind)
-		if fault.hold > 0 {
-			runloop.Sleep(run, fault.hold)
-			ctx = run // it arrives, whether its caller still waits or not
+		fault := p.fleet.drawMessageFault(kind)
+		if fault.requestDelay > 0 {
+			runloop.Sleep(runCtx, fault.requestDelay)
+			ctx = runCtx // the call arrives even if its caller has stopped waiting
 		}
-		if fault.again > 0 {
+		if fault.duplicateDelay > 0 {
 			go func() {
-				if runloop.Sleep(run, fault.again) {
-					_, _ = server.Handle(run, kind, body) // nobody waits for the answer to a repeated message
+				if runloop.Sleep(runCtx, fault.duplicateDelay) {
+					_, _ = server.Handle(runCtx, kind, body) // the answer to a duplicate has no receiver
 				}
 			}()
 		}
@@ -122,35 +122,35 @@
 		response, err := server.Handle(ctx, kind, body)
 		p.fleet.observeCall(kind, true)
 		if kind == "core.copy" || kind == "core.hold" {
-			copies.look(p.addr, server)
+			monitor.check(p.addr, server)
 		}
-		if fault.holdAnswer > 0 {
-			runloop.Sleep(run, fault.holdAnswer)
+		if fault.answerDelay > 0 {
+			runloop.Sleep(runCtx, fault.answerDelay)
 		}
 		return response, err
 	}
 }
 
-// freeze has the process stand still until it is thawed or killed.
+// freeze suspends the process until it is thawed or killed.
 func (p *process) freeze() {
 	p.gate.freeze()
 	p.fleet.world.Freeze(p.addr)
 }
 
-// thaw has the process go on.
+// thaw resumes the process.
 func (p *process) thaw() {
 	p.fleet.world.Thaw(p.addr)
 	p.gate.thaw()
 }
 
-// loseDisk gives the machine an empty disk. Its process does not run.
+// loseDisk gives the machine an empty disk. The process must not be running.
 func (p *process) loseDisk() {
-	p.disk.ResumeWrites() // a write that hangs there ends
+	p.disk.ResumeWrites() // ends a write that is stalled on the old disk
 	p.disk = sim.NewDisk()
 }
 
-// view is the newest view that the process knows.
+// view returns the newest view that the process knows.
 func (p *process) view() view.View { return p.server.View() }
 
-// id is the identity on the process's disk.
+// id returns the identity on the process's disk.
 func (p *process) id() string { return p.server.State().ID }
--- a/internal/testing/sim/worstdays_test.go
+++ b/internal/testing/sim/worstdays_test.go
@@ -77,7 +77,7 @@
 	runner := routing.Runner{ID: "i-1", Service: "s", Address: "10.9.0.1:80", State: routing.RunnerGone, Sequence: 9}
 	for kind, request := range map[string]msgp.Marshaler{
 		"core.layout": &coreapi.ConfigRequest{},
-		"core.write":  &coreapi.WriteRequest{ID: fmt.Sprint("near-", number), AnyVersion: true, Raw: testConfig(100000 + number)},
+		"core.write":  &coreapi.WriteRequest{ID: fmt.Sprint("near-", number), AnyVersion: true, Raw: numberedConfig(100000 + number)},
 		"core.beat":   &coreapi.HeartbeatRequest{Node: coreapi.Node{Name: "r99", Addr: "10.0.1.99:1", Run: 1}},
 		"core.runner": &coreapi.RunnerHeartbeat{Runner: runner},
 		"core.move":   &coreapi.QuotaTransfer{},
