--- a/internal/dataplane/registry/merge.go
+++ b/internal/dataplane/registry/merge.go
@@ -24,7 +24,7 @@
 	return true, !known || !old.runner.EqualForRouting(runner)
 }
 
-// supersedes reports whether a report of a runner replaces the known one. RunnerGone is final. RunnerSilent is set by the
+// supersedes reports whether a report of a runner replaces the known one. RunnerGone is final. RunnerTimedOut is set by the
 // core, with the sequence number of the last heartbeat that it received or has on disk. That number may be lower than the
 // one known here; the report is then accepted only if no report has just arrived by dissemination.
 func supersedes(next routing.Runner, known entry) bool {
