--- a/internal/testing/sim/day_test.go
+++ b/internal/testing/sim/day_test.go
@@ -16,7 +16,7 @@
 	"yarrowridge/internal/testing/sim"
 )
 
-var courseFlag = flag.String("course", "", "comma-separated events for TestDays, in place of those drawn from the seed")
+var eventsFlag = flag.String("course", "", "comma-separated events for TestDays, in place of those drawn from the seed")
 
 // dayEvents are the faults and changes of a simulated day, by name. Each event restarts what it stopped before it returns.
 var dayEvents = map[string]func(w *fullFleet){
@@ -146,8 +146,8 @@
 // sleepUpTo sleeps for a random time of at most ms milliseconds.
 func (w *fullFleet) sleepUpTo(ms int) { time.Sleep(time.Duration(1+w.chance(ms)) * time.Millisecond) }
 
-// drawCourse draws the events of a day from its seed.
-func drawCourse(seed uint64) []string {
+// drawEvents draws the events of a day from its seed.
+func drawEvents(seed uint64) []string {
 	names := []string{"router", "routers", "runners", "dark", "primary", "cores", "wipe", "swap", "stall", "full", "cut", "oneway", "leave", "crowd", "deaf"}
 	rnd := rand.New(rand.NewPCG(seed, 21))
 	var out []string
@@ -179,9 +179,9 @@
 	}
 }
 
-// runDay runs the events of a course under traffic of every kind, and checks all guarantees that clients and runners can
+// runDay runs the given events of a day under traffic of every kind, and checks all guarantees that clients and runners can
 // observe.
-func runDay(t *testing.T, seed uint64, course []string) {
+func runDay(t *testing.T, seed uint64, events []string) {
 	synctest.Test(t, func(t *testing.T) {
 		var all []*simRunner
 		for i := range 4 {
@@ -229,7 +229,7 @@
 		}
 		wg.Go(func() { w.checkVersionsIncrease(over.Load) })
 		time.Sleep(2 * time.Second)
-		for _, n := range course {
+		for _, n := range events {
 			dayEvents[n](w)
 			w.sleepUpTo(2000)
 		}
@@ -266,23 +266,23 @@
 	t.Parallel()
 	for i := range uint64(*seedCount) {
 		seed := *firstSeed + i
-		course := drawCourse(seed)
-		if *courseFlag != "" {
-			course = strings.Split(*courseFlag, ",")
+		events := drawEvents(seed)
+		if *eventsFlag != "" {
+			events = strings.Split(*eventsFlag, ",")
 		}
-		if t.Run(fmt.Sprintf("seed%d", seed), func(t *testing.T) { runDay(t, seed, course) }) {
+		if t.Run(fmt.Sprintf("seed%d", seed), func(t *testing.T) { runDay(t, seed, events) }) {
 			continue
 		}
 		for shortened := true; shortened; {
 			shortened = false
-			for j := range course {
-				shorter := append(append([]string{}, course[:j]...), course[j+1:]...)
-				if len(shorter) > 0 && !t.Run(fmt.Sprintf("seed%d without %s", seed, course[j]), func(t *testing.T) { runDay(t, seed, shorter) }) {
-					course, shortened = shorter, true
+			for j := range events {
+				shorter := append(append([]string{}, events[:j]...), events[j+1:]...)
+				if len(shorter) > 0 && !t.Run(fmt.Sprintf("seed%d without %s", seed, events[j]), func(t *testing.T) { runDay(t, seed, shorter) }) {
+					events, shortened = shorter, true
 					break
 				}
 			}
 		}
-		t.Errorf("failed; shortest failing sequence of events found: go test ./internal/testing/sim -run TestDays -seed %d -seeds 1 -course %s", seed, strings.Join(course, ","))
+		t.Errorf("failed; shortest failing sequence of events found: go test ./internal/testing/sim -run TestDays -seed %d -seeds 1 -course %s", seed, strings.Join(events, ","))
 	}
 }
--- a/internal/testing/sim/fulldisk_test.go
+++ b/internal/testing/sim/fulldisk_test.go
@@ -25,8 +25,8 @@
 		full.disk.SetFull(false)
 		f.within(5*time.Second, "primary with a working disk", func() bool { return f.hasAllMembers(1) })
 		var last writeRecord
-		for mark := 3; last.code != 200 && mark < 60; mark++ {
-			last = o.put(mark, 0, fmt.Sprint("after-", mark))
+		for number := 3; last.code != 200 && number < 60; number++ {
+			last = o.put(number, 0, fmt.Sprint("after-", number))
 			b.add(last)
 			time.Sleep(100 * time.Millisecond)
 		}
--- a/internal/testing/sim/heartbeat_test.go
+++ b/internal/testing/sim/heartbeat_test.go
@@ -53,8 +53,8 @@
 		}
 		time.Sleep(2 * time.Second)
 		before := wire.TrafficByKind()["core.layout"]
-		for mark := range 10 {
-			if p := o.put(mark+2, 0, ""); p.code != 200 {
+		for number := range 10 {
+			if p := o.put(number+2, 0, ""); p.code != 200 {
 				t.Fatalf("a write got status %d", p.code)
 			}
 			time.Sleep(time.Duration(100+f.chance(400)) * time.Millisecond)
--- a/internal/testing/sim/moment_test.go
+++ b/internal/testing/sim/moment_test.go
@@ -56,8 +56,8 @@
 							if kind != "/ask" {
 								a.key = fmt.Sprint("k", n)
 							}
-							for try := 0; try < 5; try++ {
-								to := w.full[(i+try)%4]
+							for attempt := 0; attempt < 5; attempt++ {
+								to := w.full[(i+attempt)%4]
 								ctx, cancel := context.WithTimeout(w.ctx, 15*time.Second)
 								g := w.send(ctx, to, a)
 								cancel()
--- a/internal/testing/sim/net.go
+++ b/internal/testing/sim/net.go
@@ -77,7 +77,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	between := [2]string{host(from), host(to)}
-	if _, isCut := w.cuts[between]; !isCut {
+	if _, blocked := w.cuts[between]; !blocked {
 		w.cuts[between] = time.Now()
 	}
 }
@@ -88,23 +88,23 @@
 	return h
 }
 
-// isCut reports whether no traffic passes from one address's host to the other's. The caller holds the lock.
-func (w *World) isCut(from, to string) bool {
-	_, isCut := w.cutSince(from, to)
-	return isCut
+// isBlocked reports whether no traffic passes from one address's host to the other's. The caller holds the lock.
+func (w *World) isBlocked(from, to string) bool {
+	_, blocked := w.blockedSince(from, to)
+	return blocked
 }
 
-// cutSince reports whether no traffic passes from one address's host to the other's because of a cut or a frozen process,
+// blockedSince reports whether no traffic passes from one address's host to the other's because of a cut or a frozen process,
 // and since when. The caller holds the lock.
-func (w *World) cutSince(from, to string) (since time.Time, isCut bool) {
-	if since, isCut = w.cuts[[2]string{host(from), host(to)}]; isCut {
+func (w *World) blockedSince(from, to string) (since time.Time, blocked bool) {
+	if since, blocked = w.cuts[[2]string{host(from), host(to)}]; blocked {
 		return since, true
 	}
-	if since, isCut = w.frozen[host(from)]; isCut {
+	if since, blocked = w.frozen[host(from)]; blocked {
 		return since, true
 	}
-	since, isCut = w.frozen[host(to)]
-	return since, isCut
+	since, blocked = w.frozen[host(to)]
+	return since, blocked
 }
 
 // Heal ends all cuts. Frozen processes stay frozen.
@@ -240,7 +240,7 @@
 			m.w.mu.Unlock()
 			return nil, ErrRefused
 		}
-		if m.w.isCut(m.addr, addr) || m.w.isCut(addr, m.addr) {
+		if m.w.isBlocked(m.addr, addr) || m.w.isBlocked(addr, m.addr) {
 			m.w.mu.Unlock()
 			wait = 50 * time.Millisecond
 			continue
@@ -329,7 +329,7 @@
 			c.w.mu.Unlock()
 			return 0, io.ErrUnexpectedEOF
 		}
-		if len(c.queue) > 0 && !c.w.isCut(c.to, c.m.addr) {
+		if len(c.queue) > 0 && !c.w.isBlocked(c.to, c.m.addr) {
 			if !c.queue[0].arrives.After(time.Now()) {
 				n := copy(b, c.queue[0].data)
 				if c.queue[0].data = c.queue[0].data[n:]; len(c.queue[0].data) == 0 {
@@ -365,7 +365,7 @@
 // deadline, whichever is earlier. The caller holds the world's lock.
 func (c *connection) setWakeTimer() {
 	var next time.Time
-	if len(c.queue) > 0 && !c.w.isCut(c.to, c.m.addr) {
+	if len(c.queue) > 0 && !c.w.isBlocked(c.to, c.m.addr) {
 		next = c.queue[0].arrives
 	}
 	if !c.readDeadline.IsZero() && (next.IsZero() || c.readDeadline.Before(next)) {
@@ -411,10 +411,10 @@
 		return nil
 	}
 	c.closeLocked()
-	switch since, isCut := c.w.cutSince(c.m.addr, c.to); {
+	switch since, blocked := c.w.blockedSince(c.m.addr, c.to); {
 	case !c.abortOnClose:
 		c.peer.eof = true
-	case isCut:
+	case blocked:
 		c.peer.discardAfter(since)
 	default:
 		c.peer.reset = true
--- a/internal/testing/sim/promise_test.go
+++ b/internal/testing/sim/promise_test.go
@@ -166,8 +166,8 @@
 			a.tenant = "metered"
 		}
 		a.body["nonce"] = a.n
-		for try := range 4 {
-			r := w.full[(i+int(k)+try)%len(w.full)]
+		for attempt := range 4 {
+			r := w.full[(i+int(k)+attempt)%len(w.full)]
 			if r.current() == nil {
 				continue
 			}
