--- a/internal/testing/sim/document_test.go
+++ b/internal/testing/sim/document_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// Documents that contain their own version: a higher version is accepted, by whatever step, any other is rejected. The test
+// Documents that contain their own version: any higher version is accepted, any other is rejected. The test
 // also covers the order of the checks and which documents stay readable, across changes of the primary.
 func TestDocumentsNumberThemselves(t *testing.T) {
 	t.Parallel()
--- a/internal/testing/sim/membership_test.go
+++ b/internal/testing/sim/membership_test.go
@@ -464,7 +464,7 @@
 }
 
 // A core that restarts with an empty disk at its address proves that the member it was before is lost. It replaces that member
-// at once, long before a silent member counts as lost.
+// at once, long before a member without heartbeats counts as lost.
 func TestBlankCoreReplacesItself(t *testing.T) {
 	t.Parallel()
 	for _, role := range []string{"primary", "backup", "member"} {
--- a/internal/testing/sim/promise_test.go
+++ b/internal/testing/sim/promise_test.go
@@ -92,7 +92,7 @@
 	return largest
 }
 
-// Cores, routers and runners crash, hang and are cut off while clients send queries and retry them at other routers. Queries
+// Cores, routers and runners crash, hang and are partitioned while clients send queries and retry them at other routers. Queries
 // that may run only once run at most once, "not run" is true, and answers are complete.
 func TestQueryStorm(t *testing.T) {
 	t.Parallel()
@@ -224,7 +224,7 @@
 		inZone, outside := w.zoneAddrs("east")
 		l := &resultLog{}
 		n := uint64(0)
-		round := func(path, tenant string, keyed bool) map[string]int {
+		queryAllRouters := func(path, tenant string, keyed bool) map[string]int {
 			counts := map[string]int{}
 			var all sync.WaitGroup
 			var mu sync.Mutex
@@ -253,14 +253,14 @@
 		time.Sleep(8 * time.Second) // until unreachable runners are detected and a primary inside the zone is replaced
 		until := time.Now().Add(*isolationTime)
 		for time.Now().Before(until) {
-			if s := round("/ask", "rich", false); s["in 200"] != 2 || s["out 200"] != 6 {
+			if s := queryAllRouters("/ask", "rich", false); s["in 200"] != 2 || s["out 200"] != 6 {
 				t.Fatalf("unkeyed queries while the zone is isolated: %v", s)
 			}
-			if s := round("/notes", "rich", true); s["in 503no-core"] != 2 || s["out 200"] != 6 {
+			if s := queryAllRouters("/notes", "rich", true); s["in 503no-core"] != 2 || s["out 200"] != 6 {
 				t.Fatalf("keyed queries that may run only once while the zone is isolated: %v", s)
 			}
 			for range 10 {
-				round("/ask", "metered", false)
+				queryAllRouters("/ask", "metered", false)
 				time.Sleep(300 * time.Millisecond)
 			}
 			time.Sleep(time.Duration(w.chance(50)) * time.Second)
@@ -290,7 +290,7 @@
 		time.Sleep(10 * time.Second)
 		before := len(w.arrivals())
 		for range 30 {
-			round("/ask", "metered", false)
+			queryAllRouters("/ask", "metered", false)
 			time.Sleep(500 * time.Millisecond)
 		}
 		w.arrivalLog.mu.Lock()
--- a/internal/testing/sim/registry_test.go
+++ b/internal/testing/sim/registry_test.go
@@ -101,8 +101,9 @@
 }
 
 // Runners send heartbeats to any core, and every router learns of them. A runner's change to draining reaches all routers
-// within 1.5 s of its acknowledgement, even if the primary crashes right then. So do a runner's silence, its return and its
-// leaving. A restarted router learns all of it too, and runners that are gone are removed eventually.
+// within 1.5 s of its acknowledgement, even if the primary crashes right then. Every router also learns when a runner stops
+// sending heartbeats, resumes them or leaves. A restarted router learns all of it too, and runners that are gone are removed
+// eventually.
 func TestRunnersAreKnownEverywhere(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -158,14 +159,14 @@
 		for _, b := range all[:10] {
 			f.within(1500*time.Millisecond, "every router knows all draining runners", func() bool { return f.allRoutersKnow(regs, b.runner.ID, routing.RunnerDraining) })
 		}
-		// A runner falls silent and returns, after the new primary has received heartbeats of all runners.
+		// A runner stops its heartbeats and resumes them, after the new primary has received heartbeats of all runners.
 		time.Sleep(3 * time.Second)
 		all[10].setMuted(true)
 		time.Sleep(3 * time.Second)
 		if !f.allRoutersKnow(regs, all[10].runner.ID, routing.RunnerReady) {
 			t.Error("a runner is not ready after 3 s without a heartbeat")
 		}
-		f.within(2500*time.Millisecond, "every router knows that the runner is silent", func() bool { return f.allRoutersKnow(regs, all[10].runner.ID, routing.RunnerTimedOut) })
+		f.within(2500*time.Millisecond, "every router knows that the runner has timed out", func() bool { return f.allRoutersKnow(regs, all[10].runner.ID, routing.RunnerTimedOut) })
 		all[10].setMuted(false)
 		f.within(1500*time.Millisecond, "every router knows that the runner is back", func() bool { return f.allRoutersKnow(regs, all[10].runner.ID, routing.RunnerReady) })
 		// Leaving is final, even after a late heartbeat, and a restarted router learns of it.
--- a/internal/testing/sim/stream_test.go
+++ b/internal/testing/sim/stream_test.go
@@ -232,9 +232,9 @@
 	return owner, replica
 }
 
-// The runner, the owner or the replica of a stream crash at any time, alone or two of them, with and without a permitted
-// rerun. No stream may break a guarantee, and with identical reruns permitted the stream must end complete unless owner and
-// replica crash together. The log is the table in docs/measurements.md.
+// One or two of the runner, the owner and the replica of a stream crash at any time, with and without a permitted rerun. No
+// stream may break a guarantee, and with identical reruns permitted the stream must end complete unless owner and replica
+// crash together. The log output is the source of the table in docs/measurements.md.
 func TestStreamSurvivesCrashes(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -442,7 +442,7 @@
 type streamScenario struct {
 	*fullFleet
 	result                     *streamResult
-	owner, third               *fullRouter // third is neither owner nor replica; faults cut it off from the owner at most
+	owner, third               *fullRouter // third is neither owner nor replica; faults partition it from the owner at most
 	replica                    *fullRouter
 	otherAddrs, nonRunnerAddrs []string // addresses of the other routers; of these and the cores
 }
@@ -508,7 +508,7 @@
 	}
 }
 
-// A replica that is cut off from a live owner must not take over the stream while the owner continues it.
+// A replica that is partitioned from a live owner must not take over the stream while the owner continues it.
 func TestNoTwoStreamOwners(t *testing.T) {
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
@@ -627,7 +627,7 @@
 		var wg sync.WaitGroup
 		var mu sync.Mutex
 		slowest := map[string]time.Duration{}
-		round := func(wantComplete bool) {
+		startStreams := func(wantComplete bool) {
 			for i, r := range w.full {
 				n++
 				number := n
@@ -648,11 +648,11 @@
 				})
 			}
 		}
-		round(false)
+		startStreams(false)
 		time.Sleep(time.Duration(w.chance(2000)) * time.Millisecond)
 		w.w.Split(w.zoneAddrs("east"))
 		time.Sleep(7 * time.Second) // until unreachable runners are detected
-		round(true)
+		startStreams(true)
 		time.Sleep(time.Duration(w.chance(9000)) * time.Millisecond)
 		w.w.Heal()
 		wg.Wait()
