--- a/internal/testing/sim/core_test.go
+++ b/internal/testing/sim/core_test.go
@@ -23,7 +23,7 @@
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 6)
 		f.within(5*time.Second, "a primary is ready after bootstrap", func() bool { return f.primary() != nil })
-		b := &history{}
+		h := &history{}
 		stop := time.Now().Add(60 * time.Second)
 		for i := range 3 {
 			o := f.operator()
@@ -34,7 +34,7 @@
 					if n%2 == 0 {
 						id = fmt.Sprintf("w-%d", number)
 					}
-					b.add(o.put(number, 0, id))
+					h.add(o.put(number, 0, id))
 					time.Sleep(time.Duration(30+f.chance(200)) * time.Millisecond)
 				}
 			}()
@@ -43,7 +43,7 @@
 			o := f.operator()
 			go func() {
 				for time.Now().Before(stop) {
-					o.read(b)
+					o.read(h)
 					time.Sleep(time.Duration(5+f.chance(30)) * time.Millisecond)
 				}
 			}()
@@ -60,7 +60,7 @@
 		if p.code != 200 {
 			t.Fatalf("a write without any fault was answered with code %d", p.code)
 		}
-		b.add(p)
+		h.add(p)
 		f.within(2*time.Second, "every router has applied the acknowledged configuration", func() bool {
 			for _, r := range f.routers {
 				if config := r.member.Config(); config == nil || config.Version < p.version {
@@ -70,16 +70,16 @@
 			return true
 		})
 		time.Sleep(100 * time.Millisecond)
-		f.check(b)
+		f.check(h)
 		ok := 0
-		for _, q := range b.writes {
+		for _, q := range h.writes {
 			if q.code == 200 {
 				ok++
 			}
 		}
-		t.Logf("%d writes, %d acknowledged", len(b.writes), ok)
+		t.Logf("%d writes, %d acknowledged", len(h.writes), ok)
 		if ok < 20 {
-			t.Errorf("only %d of %d writes were acknowledged", ok, len(b.writes))
+			t.Errorf("only %d of %d writes were acknowledged", ok, len(h.writes))
 		}
 	})
 }
@@ -157,14 +157,14 @@
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 4)
 		f.within(5*time.Second, "a primary is ready after bootstrap", func() bool { return f.primary() != nil })
-		b := &history{}
+		h := &history{}
 		o := f.operator()
 		for i, k := range f.perm() {
 			p := o.put(i+1, 0, "")
 			if p.code != 200 {
 				t.Fatalf("write %d was answered with code %d", i, p.code)
 			}
-			b.add(p)
+			h.add(p)
 			old := f.cores[k]
 			f.crashCore(old)
 			next := &coreProc{addr: fmt.Sprintf("10.0.2.%d:1", i+1), zone: old.zone, disk: sim.NewDisk()}
@@ -188,7 +188,7 @@
 			t.Logf("member replaced after %s, with members counted as lost after %s", took, f.lostAfter)
 		}
 		p := o.put(77, 0, "")
-		b.add(p)
+		h.add(p)
 		if p.code != 200 {
 			t.Fatalf("after all cores had been replaced a write was answered with code %d", p.code)
 		}
@@ -228,7 +228,7 @@
 			}
 			f.within(12*time.Second, fmt.Sprintf("routers find the new cores, cores restarted too: %v", restartCores), ready)
 		}
-		f.check(b)
+		f.check(h)
 	})
 }
 
@@ -239,14 +239,14 @@
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 4)
 		f.within(5*time.Second, "a primary is ready after bootstrap", func() bool { return f.primary() != nil })
-		b := &history{}
+		h := &history{}
 		o := f.operator()
 		for i := range 3 {
 			p := o.put(i+1, 0, "")
 			if p.code != 200 {
 				t.Fatalf("a write was answered with code %d", p.code)
 			}
-			b.add(p)
+			h.add(p)
 			lost := f.primary()
 			if v := lost.srv.State().View; v.ZoneOf(v.Primary) == v.ZoneOf(v.FirstBackup) {
 				t.Errorf("primary and backup are both in zone %s", v.ZoneOf(v.Primary))
@@ -271,7 +271,7 @@
 				return p != nil && len(p.srv.State().View.Members) == 5 && p.srv.State().View.Addr(lost.srv.State().ID) != ""
 			})
 		}
-		f.check(b)
+		f.check(h)
 	})
 }
 
@@ -282,10 +282,10 @@
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newFleet(t, seed, 2)
 		f.within(5*time.Second, "a primary is ready after bootstrap", func() bool { return f.primary() != nil })
-		b := &history{}
+		h := &history{}
 		near, far := f.operator(), f.operator()
-		b.add(near.put(1, 0, ""))
-		near.read(b)
+		h.add(near.put(1, 0, ""))
+		near.read(h)
 		old := f.primary()
 		var rest []string
 		for _, c := range f.cores {
@@ -295,16 +295,16 @@
 		}
 		f.w.Split([]string{old.addr}, append(rest, far.addr, f.routers[0].addr, f.routers[1].addr))
 		for range 60 {
-			b.add(far.put(len(b.writes)+1, 0, ""))
-			near.read(b)
+			h.add(far.put(len(h.writes)+1, 0, ""))
+			near.read(h)
 			time.Sleep(50 * time.Millisecond)
 		}
-		if n := len(b.reads); n < 2 {
+		if n := len(h.reads); n < 2 {
 			t.Errorf("%d reads were answered, want at least 2", n)
 		}
 		f.settle()
-		f.check(b)
-		if b.writes[len(b.writes)-1].code != 200 {
+		f.check(h)
+		if h.writes[len(h.writes)-1].code != 200 {
 			t.Error("the other cores did not acknowledge a write")
 		}
 	})
@@ -318,8 +318,8 @@
 		f := newFleet(t, seed, 2)
 		f.within(5*time.Second, "a primary is ready after bootstrap", func() bool { return f.primary() != nil })
 		o := f.operator()
-		b := &history{}
-		b.add(o.put(1, 0, ""))
+		h := &history{}
+		h.add(o.put(1, 0, ""))
 		old := f.primary()
 		v := old.srv.State().View
 		var rest []string
@@ -336,12 +336,12 @@
 		})
 		t.Logf("takeover took %s", took)
 		f.within(3*time.Second, "a write is acknowledged", func() bool {
-			p := o.put(2+len(b.writes), 0, "")
-			b.add(p)
+			p := o.put(2+len(h.writes), 0, "")
+			h.add(p)
 			return p.code == 200
 		})
 		f.settle()
-		f.check(b)
+		f.check(h)
 	})
 }
 
--- a/internal/testing/sim/day_test.go
+++ b/internal/testing/sim/day_test.go
@@ -209,21 +209,21 @@
 				}
 			})
 		}
-		b := &history{}
+		h := &history{}
 		var marker atomic.Int64
 		for range 2 {
 			wg.Go(func() {
 				for o := w.operator(); !over.Load(); w.sleepUpTo(1500) {
 					// Complete configurations, all different. Half of the writes require that the version read last is still current.
 					in := &coreapi.WriteRequest{Raw: []byte(strings.Replace(config, `{"services"`, fmt.Sprintf(`{"limits":{"queue":%d},"services"`, 2000+marker.Add(1)), 1)), AnyVersion: w.chance(2) == 0}
-					if o.read(b); !in.AnyVersion {
-						b.mu.Lock()
-						if n := len(b.reads); n > 0 {
-							in.BaseVersion = b.reads[n-1].version
+					if o.read(h); !in.AnyVersion {
+						h.mu.Lock()
+						if n := len(h.reads); n > 0 {
+							in.BaseVersion = h.reads[n-1].version
 						}
-						b.mu.Unlock()
+						h.mu.Unlock()
 					}
-					b.add(o.write(in))
+					h.add(o.write(in))
 				}
 			})
 		}
@@ -244,7 +244,7 @@
 		wg.Wait()
 		w.applyConfig(config) // fails unless all routers apply it within 2 s
 		w.checkResults(l)
-		w.check(b)
+		w.check(h)
 		if n := w.maxInWindow("metered", 5*time.Second); n > 30 {
 			t.Errorf("%d queries in one window of a quota of 30", n)
 		}
--- a/internal/testing/sim/fleet_test.go
+++ b/internal/testing/sim/fleet_test.go
@@ -340,7 +340,7 @@
 }
 
 // read reads the current configuration and appends it to the history if the read succeeds.
-func (o *operator) read(b *history) {
+func (o *operator) read(h *history) {
 	l := readRecord{start: time.Now()}
 	ctx, cancel := context.WithTimeout(o.f.ctx, 2*time.Second)
 	defer cancel()
@@ -349,9 +349,9 @@
 		return
 	}
 	l.version, l.raw = out.Version, string(out.Raw)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.reads = append(b.reads, l)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.reads = append(h.reads, l)
 }
 
 // history records the writes and reads of a run.
@@ -361,22 +361,22 @@
 	reads  []readRecord
 }
 
-func (b *history) add(p writeRecord) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.writes = append(b.writes, p)
+func (h *history) add(p writeRecord) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.writes = append(h.writes, p)
 }
 
 // check verifies a history, and what the routers applied, against a linearizable register. A write with an unknown outcome
 // may or may not have taken effect.
-func (f *fleet) check(b *history) {
+func (f *fleet) check(h *history) {
 	t := f.t
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	acknowledged := map[uint64]writeRecord{}
 	byRaw := map[string]writeRecord{}
 	var completed []writeRecord
-	for _, p := range b.writes {
+	for _, p := range h.writes {
 		byRaw[p.raw] = p
 		if p.code != 200 {
 			continue
@@ -407,7 +407,7 @@
 			t.Errorf("%s: version %d is %q, but it was acknowledged for write %d", reader, version, raw, p.number)
 		}
 	}
-	for _, l := range b.reads {
+	for _, l := range h.reads {
 		observe("a reader", l.version, l.raw)
 		for _, p := range completed {
 			if p.end.Before(l.start) && p.version > l.version {
--- a/internal/testing/sim/fulldisk_test.go
+++ b/internal/testing/sim/fulldisk_test.go
@@ -12,12 +12,12 @@
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newJoinedFleet(t, seed, 2, 1) // both cores store every write
-		o, b := f.operator(), &history{}
-		f.mustWrite(o, b)
+		o, h := f.operator(), &history{}
+		f.mustWrite(o, h)
 		full := f.primary()
 		full.disk.SetFull(true)
 		refused := o.put(2, 0, "refused")
-		b.add(refused)
+		h.add(refused)
 		if refused.code == 200 {
 			t.Error("a write was acknowledged although only one of two disks stored it")
 		}
@@ -27,12 +27,12 @@
 		var last writeRecord
 		for number := 3; last.code != 200 && number < 60; number++ {
 			last = o.put(number, 0, fmt.Sprint("after-", number))
-			b.add(last)
+			h.add(last)
 			time.Sleep(100 * time.Millisecond)
 		}
 		if last.code != 200 {
 			t.Fatalf("no write succeeded after the disk became writable again: status %d", last.code)
 		}
-		f.check(b)
+		f.check(h)
 	})
 }
--- a/internal/testing/sim/load_test.go
+++ b/internal/testing/sim/load_test.go
@@ -307,9 +307,9 @@
 		f := newFleet(t, seed, 2)
 		f.within(5*time.Second, "a primary is ready", func() bool { return f.primary() != nil })
 		o := f.operator()
-		b := &history{}
+		h := &history{}
 		for i := range 5 {
-			b.add(o.put(i+1, 0, ""))
+			h.add(o.put(i+1, 0, ""))
 		}
 		p := f.primary()
 		oldID := p.srv.State().ID
@@ -331,8 +331,8 @@
 			q := f.primary()
 			return q != nil && len(q.srv.State().View.Members) == 5 && q.srv.State().View.HasMember(p.srv.State().ID)
 		})
-		b.add(o.put(9, 0, ""))
-		f.check(b)
+		h.add(o.put(9, 0, ""))
+		f.check(h)
 		setAside := false
 		for _, n := range p.disk.Names() {
 			setAside = setAside || n == "bad-"+corrupted
--- a/internal/testing/sim/membership_test.go
+++ b/internal/testing/sim/membership_test.go
@@ -75,15 +75,15 @@
 }
 
 // longestOutage writes repeatedly for the given time and returns the longest interval without an acknowledgement.
-func (f *fleet) longestOutage(o *operator, b *history, d time.Duration) time.Duration {
+func (f *fleet) longestOutage(o *operator, h *history, d time.Duration) time.Duration {
 	start := time.Now()
 	last, longest := start, time.Duration(0)
 	for time.Since(start) < d {
-		b.mu.Lock()
-		number := len(b.writes) + 1
-		b.mu.Unlock()
+		h.mu.Lock()
+		number := len(h.writes) + 1
+		h.mu.Unlock()
 		p := o.put(number, 0, fmt.Sprint("id-", number))
-		b.add(p)
+		h.add(p)
 		if p.code == 200 {
 			longest, last = max(longest, time.Since(last)), time.Now()
 		}
@@ -124,13 +124,13 @@
 				}
 				f.within(1500*time.Millisecond, "all cores are members", func() bool { return f.hasAllMembers(1) })
 				t.Logf("a primary was ready %s after the last seed, all cores were members %s after the last core", bootstrapTime, time.Since(lastCore))
-				b := &history{}
+				h := &history{}
 				if p := f.operator().put(1, 0, ""); p.code != 200 {
 					t.Errorf("a write was answered with code %d", p.code)
 				} else {
-					b.add(p)
+					h.add(p)
 				}
-				f.check(b)
+				f.check(h)
 			})
 		})
 	}
@@ -165,24 +165,24 @@
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newJoinedFleet(t, seed, 3, 2)
-		o, b := f.operator(), &history{}
-		b.add(o.put(1, 0, ""))
-		if b.writes[0].code != 200 {
-			t.Fatalf("a write was answered with code %d", b.writes[0].code)
+		o, h := f.operator(), &history{}
+		h.add(o.put(1, 0, ""))
+		if h.writes[0].code != 200 {
+			t.Fatalf("a write was answered with code %d", h.writes[0].code)
 		}
 		v := f.primary().srv.State().View
 		c := f.coreByID(v.Backups()[f.chance(2)])
 		f.crashCore(c)
 		for i := range 4 {
 			p := o.put(2+i, 0, "")
-			b.add(p)
+			h.add(p)
 			if p.code == 200 {
 				t.Error("a write was acknowledged by two of three cores")
 			}
 		}
 		f.startCore(c)
 		f.within(5*time.Second, "all three cores are members", func() bool { return f.hasAllMembers(2) })
-		f.check(b)
+		f.check(h)
 	})
 }
 
@@ -197,16 +197,16 @@
 		first := f.cores[0]
 		f.startCore(first)
 		f.within(2*time.Second, "a primary is ready after bootstrap", func() bool { return f.primary() == first })
-		o, b := f.operator(), &history{}
-		b.add(o.put(1, 0, ""))
-		if b.writes[0].code != 200 {
-			t.Fatalf("a write was answered with code %d", b.writes[0].code)
+		o, h := f.operator(), &history{}
+		h.add(o.put(1, 0, ""))
+		if h.writes[0].code != 200 {
+			t.Fatalf("a write was answered with code %d", h.writes[0].code)
 		}
 		f.crashCore(first)
 		time.Sleep(time.Duration(f.chance(3000)) * time.Millisecond)
 		f.startCore(first)
 		f.within(5*time.Second, "the core is primary again", func() bool { return f.primary() == first })
-		o.read(b)
+		o.read(h)
 
 		second := &coreProc{addr: "10.0.0.2:1", zone: f.zones[1], disk: sim.NewDisk()}
 		f.cores = append(f.cores, second)
@@ -214,18 +214,18 @@
 		f.founders = append(f.founders, second.addr)
 		o = f.operator()
 		f.within(5*time.Second, "the second core is the backup", func() bool { return f.hasAllMembers(1) })
-		b.add(o.put(2, 0, ""))
+		h.add(o.put(2, 0, ""))
 		first.srv.StepDown()
 		f.crashCore(first)
 		f.within(5*time.Second, "the second core is primary without a backup", func() bool { return f.primary() == second && f.hasAllMembers(0) })
-		o.read(b)
-		b.add(o.put(3, 0, ""))
-		for _, p := range b.writes {
+		o.read(h)
+		h.add(o.put(3, 0, ""))
+		for _, p := range h.writes {
 			if p.code != 200 {
 				t.Errorf("write of version %d was answered with code %d", p.version, p.code)
 			}
 		}
-		f.check(b)
+		f.check(h)
 	})
 }
 
@@ -238,10 +238,10 @@
 			t.Run(fmt.Sprintf("%d %s", losses, who), func(t *testing.T) {
 				overSeeds(t, func(t *testing.T, seed uint64) {
 					f := newJoinedFleet(t, seed, 5, losses)
-					o, b := f.operator(), &history{}
+					o, h := f.operator(), &history{}
 					for round := range 3 {
 						p := o.put(round+1, 0, "")
-						b.add(p)
+						h.add(p)
 						if p.code != 200 {
 							t.Fatalf("round %d: a write was answered with code %d", round, p.code)
 						}
@@ -268,14 +268,14 @@
 						}
 						f.within(5*time.Second-time.Since(down), "a primary is ready", func() bool { return f.primary() != nil })
 						t.Logf("a primary was ready after %s", time.Since(down))
-						n := len(b.reads)
-						o.read(b)
-						if len(b.reads) == n || b.reads[n].version < p.version {
-							t.Errorf("version %d was acknowledged, but not read back: %+v", p.version, b.reads[n:])
+						n := len(h.reads)
+						o.read(h)
+						if len(h.reads) == n || h.reads[n].version < p.version {
+							t.Errorf("version %d was acknowledged, but not read back: %+v", p.version, h.reads[n:])
 						}
 						f.within(5*time.Second, "all cores are members", func() bool { return f.hasAllMembers(losses) })
 					}
-					f.check(b)
+					f.check(h)
 				})
 			})
 		}
@@ -288,12 +288,12 @@
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newJoinedFleet(t, seed, 5, 2)
-		o, b := f.operator(), &history{}
+		o, h := f.operator(), &history{}
 		for i := range 3 {
-			b.add(o.put(i+1, 0, ""))
+			h.add(o.put(i+1, 0, ""))
 		}
-		if n := len(b.writes); b.writes[n-1].code != 200 {
-			t.Fatalf("a write was answered with code %d", b.writes[n-1].code)
+		if n := len(h.writes); h.writes[n-1].code != 200 {
+			t.Fatalf("a write was answered with code %d", h.writes[n-1].code)
 		}
 		lost := f.primary()
 		f.crashCore(lost)
@@ -315,7 +315,7 @@
 		f.startCore(lost)
 		f.startCore(successor)
 		f.within(5*time.Second, "all cores are members", func() bool { return f.hasAllMembers(2) })
-		f.check(b)
+		f.check(h)
 	})
 }
 
@@ -325,28 +325,28 @@
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newJoinedFleet(t, seed, 5, 2)
-		o, b := f.operator(), &history{}
-		b.add(o.put(1, 0, ""))
+		o, h := f.operator(), &history{}
+		h.add(o.put(1, 0, ""))
 		lost := f.primary()
 		v := lost.srv.State().View
 		f.w.Split([]string{lost.addr}, []string{v.Addr(v.Backups()[1])})
-		go func() { b.add(o.put(2, 0, "")) }()
+		go func() { h.add(o.put(2, 0, "")) }()
 		time.Sleep(40 * time.Millisecond)
 		f.crashCore(lost)
 		wipeDisks(lost)
 		f.within(4*time.Second, "a backup is primary", func() bool { return f.primary() != nil })
-		o.read(b)
+		o.read(h)
 		successor := f.primary()
 		f.crashCore(successor)
 		wipeDisks(successor)
 		f.within(5*time.Second, "the other backup is primary", func() bool { return f.primary() != nil })
-		o.read(b)
-		if n := len(b.reads); n != 2 || b.reads[1].version < b.reads[0].version {
-			t.Errorf("a later read returned an older version: %+v", b.reads)
+		o.read(h)
+		if n := len(h.reads); n != 2 || h.reads[1].version < h.reads[0].version {
+			t.Errorf("a later read returned an older version: %+v", h.reads)
 		}
-		t.Logf("%s of %v became primary, version %d was read", successor.addr, addresses(v, v.Backups()), b.reads[0].version)
+		t.Logf("%s of %v became primary, version %d was read", successor.addr, addresses(v, v.Backups()), h.reads[0].version)
 		time.Sleep(7 * time.Second) // until the write with an unknown outcome has ended
-		f.check(b)
+		f.check(h)
 	})
 }
 
@@ -384,10 +384,10 @@
 					for _, p := range f.cores {
 						f.founders = append(f.founders, p.addr)
 					}
-					o, b := f.operator(), &history{}
+					o, h := f.operator(), &history{}
 					var longest time.Duration
 					var all sync.WaitGroup
-					all.Go(func() { longest = f.longestOutage(o, b, time.Duration(c.cores+1)*5*time.Second) })
+					all.Go(func() { longest = f.longestOutage(o, h, time.Duration(c.cores+1)*5*time.Second) })
 					for i := range c.cores + 1 {
 						k := f.chance(c.cores)
 						if p := f.primary(); p != nil && f.chance(2) == 0 {
@@ -406,7 +406,7 @@
 						time.Sleep(5*time.Second - min(took, 5*time.Second))
 					}
 					all.Wait()
-					t.Logf("%d writes, at most %s without an acknowledgement", len(b.writes), longest)
+					t.Logf("%d writes, at most %s without an acknowledgement", len(h.writes), longest)
 					if longest > 5*time.Second {
 						t.Errorf("no write was acknowledged for %s", longest)
 					}
@@ -414,7 +414,7 @@
 					for _, p := range f.cores {
 						f.founders = append(f.founders, p.addr)
 					}
-					f.check(b)
+					f.check(h)
 				})
 			})
 		}
@@ -429,9 +429,9 @@
 		t.Run(fmt.Sprint("started again ", restarted), func(t *testing.T) {
 			overSeeds(t, func(t *testing.T, seed uint64) {
 				f := newJoinedFleet(t, seed, 5, 1)
-				b := &history{}
+				h := &history{}
 				o := f.operator()
-				b.add(o.put(1, 0, ""))
+				h.add(o.put(1, 0, ""))
 				partitioned := f.cores[f.chance(5)]
 				id := partitioned.srv.State().ID
 				next := &coreProc{addr: "10.0.0.20:1", zone: "west", disk: sim.NewDisk()}
@@ -447,7 +447,7 @@
 					}
 					return false
 				})
-				b.add(o.put(2, 0, ""))
+				h.add(o.put(2, 0, ""))
 				if restarted {
 					f.crashCore(partitioned)
 				}
@@ -456,8 +456,8 @@
 					f.startCore(partitioned)
 				}
 				f.within(8*time.Second, "all six cores are members", func() bool { return f.hasAllMembers(1) })
-				b.add(o.put(3, 0, ""))
-				f.check(b)
+				h.add(o.put(3, 0, ""))
+				f.check(h)
 			})
 		})
 	}
@@ -482,9 +482,9 @@
 					settings.Bootstrap = false
 					return settings
 				}
-				o, b := f.operator(), &history{}
+				o, h := f.operator(), &history{}
 				for round := range 4 {
-					b.add(o.put(round+1, 0, ""))
+					h.add(o.put(round+1, 0, ""))
 					v := f.primary().srv.State().View
 					var lost *coreProc
 					for _, c := range f.cores {
@@ -499,7 +499,7 @@
 					took := f.within(4*time.Second, "the blank core has replaced its former self as a member", func() bool { return f.hasAllMembers(1) })
 					t.Logf("took %s", took)
 				}
-				f.check(b)
+				f.check(h)
 			})
 		})
 	}
@@ -596,8 +596,8 @@
 			t.Run(fmt.Sprintf("%s, %d losses", c.name, losses), func(t *testing.T) {
 				overSeeds(t, func(t *testing.T, seed uint64) {
 					f := newJoinedFleet(t, seed, 5, losses)
-					o, b := f.operator(), &history{}
-					b.add(o.put(1, 0, ""))
+					o, h := f.operator(), &history{}
+					h.add(o.put(1, 0, ""))
 					time.Sleep(time.Duration(f.chance(2000)) * time.Millisecond)
 					primary := f.primary()
 					var backups []*coreProc
@@ -606,14 +606,14 @@
 					}
 					start := time.Now()
 					c.fault(f, primary, backups)
-					longest := f.longestOutage(o, b, 10*time.Second-time.Since(start))
+					longest := f.longestOutage(o, h, 10*time.Second-time.Since(start))
 					t.Logf("longest time without an acknowledged write: %s", longest)
 					if longest > c.maxOutage {
 						t.Errorf("no write was acknowledged for %s, want at most %s", longest, c.maxOutage)
 					}
 					f.settle()
 					f.within(8*time.Second, "all cores are members", func() bool { return f.hasAllMembers(losses) })
-					f.check(b)
+					f.check(h)
 				})
 			})
 		}
@@ -626,13 +626,13 @@
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newJoinedFleet(t, seed, 7, 2)
-		b := &history{}
+		h := &history{}
 		stop := time.Now().Add(60 * time.Second)
 		for i := range 2 {
 			o := f.operator()
 			go func() {
 				for n := 1; time.Now().Before(stop); n++ {
-					b.add(o.put(i*1000+n, 0, fmt.Sprint("w-", i, "-", n)))
+					h.add(o.put(i*1000+n, 0, fmt.Sprint("w-", i, "-", n)))
 					time.Sleep(time.Duration(30+f.chance(200)) * time.Millisecond)
 				}
 			}()
@@ -641,7 +641,7 @@
 			o := f.operator()
 			go func() {
 				for time.Now().Before(stop) {
-					o.read(b)
+					o.read(h)
 					time.Sleep(time.Duration(5+f.chance(30)) * time.Millisecond)
 				}
 			}()
@@ -667,18 +667,18 @@
 		f.settle()
 		f.within(10*time.Second, "all cores are members", func() bool { return f.hasAllMembers(2) })
 		p := f.operator().put(99999, 0, "last")
-		b.add(p)
+		h.add(p)
 		if p.code != 200 {
 			t.Errorf("a write without any fault was answered with code %d", p.code)
 		}
-		f.check(b)
+		f.check(h)
 		ok := 0
-		for _, q := range b.writes {
+		for _, q := range h.writes {
 			if q.code == 200 {
 				ok++
 			}
 		}
-		t.Logf("%d writes, %d acknowledged", len(b.writes), ok)
+		t.Logf("%d writes, %d acknowledged", len(h.writes), ok)
 	})
 }
 
@@ -699,8 +699,8 @@
 			}
 			return settings
 		}
-		o, b := f.operator(), &history{}
-		b.add(o.put(1, 0, ""))
+		o, h := f.operator(), &history{}
+		h.add(o.put(1, 0, ""))
 		primary := f.primary()
 		number := 2
 		replace := func(k int) {
@@ -710,7 +710,7 @@
 			f.cores[k] = next
 			f.startCore(next)
 			for start := time.Now(); time.Since(start) < 8*time.Second; number++ {
-				b.add(o.put(number, 0, fmt.Sprint(number)))
+				h.add(o.put(number, 0, fmt.Sprint(number)))
 				time.Sleep(100 * time.Millisecond)
 			}
 		}
@@ -742,8 +742,8 @@
 		t.Run(others, func(t *testing.T) {
 			overSeeds(t, func(t *testing.T, seed uint64) {
 				f := newJoinedFleet(t, seed, 5, 1)
-				o, b := f.operator(), &history{}
-				acknowledged := f.mustWrite(o, b)
+				o, h := f.operator(), &history{}
+				acknowledged := f.mustWrite(o, h)
 				blank := f.cores[0] // the seed with the lowest address proposes the first view
 				f.loseDisk(blank)
 				for _, c := range f.cores[1:] {
@@ -765,7 +765,7 @@
 						f.startCore(c)
 					}
 				}
-				f.expectReadBack(b, acknowledged)
+				f.expectReadBack(h, acknowledged)
 			})
 		})
 	}
--- a/internal/testing/sim/secondloss_test.go
+++ b/internal/testing/sim/secondloss_test.go
@@ -19,10 +19,10 @@
 }
 
 // mustWrite makes the first write and fails the test unless it is acknowledged.
-func (f *fleet) mustWrite(o *operator, b *history) writeRecord {
+func (f *fleet) mustWrite(o *operator, h *history) writeRecord {
 	f.t.Helper()
 	p := o.put(1, 0, "")
-	b.add(p)
+	h.add(p)
 	if p.code != 200 {
 		f.t.Fatalf("a write was answered with code %d", p.code)
 	}
@@ -37,18 +37,18 @@
 
 // expectReadBack waits for a primary, checks that a read returns the given acknowledged write or a later one, and checks the
 // history.
-func (f *fleet) expectReadBack(b *history, p writeRecord) {
+func (f *fleet) expectReadBack(h *history, p writeRecord) {
 	f.t.Helper()
 	took := f.within(12*time.Second, "a primary is ready after the second loss", func() bool { return f.primary() != nil })
 	f.t.Logf("a primary was ready after %s", took)
 	o := f.operator()
-	before := len(b.reads)
-	o.read(b)
-	if len(b.reads) == before || b.reads[before].version < p.version {
-		f.t.Errorf("version %d was acknowledged, but not read back: %+v", p.version, b.reads[before:])
+	before := len(h.reads)
+	o.read(h)
+	if len(h.reads) == before || h.reads[before].version < p.version {
+		f.t.Errorf("version %d was acknowledged, but not read back: %+v", p.version, h.reads[before:])
 	}
 	time.Sleep(7 * time.Second) // until the writes with an unknown outcome have ended
-	f.check(b)
+	f.check(h)
 }
 
 // The primary is partitioned, a backup takes over, and its disk is lost before it has replicated anything. Once the partition
@@ -57,8 +57,8 @@
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newJoinedFleet(t, seed, 5, 1)
-		o, b := f.operator(), &history{}
-		acknowledged := f.mustWrite(o, b)
+		o, h := f.operator(), &history{}
+		acknowledged := f.mustWrite(o, h)
 		old := f.primary()
 		f.isolate(old, o)
 		var next *coreProc
@@ -74,7 +74,7 @@
 		time.Sleep(time.Duration(f.chance(2000)) * time.Millisecond)
 		f.w.Heal()
 		f.startCore(next)
-		f.expectReadBack(b, acknowledged)
+		f.expectReadBack(h, acknowledged)
 	})
 }
 
@@ -84,12 +84,12 @@
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newJoinedFleet(t, seed, 5, 1)
-		o, b := f.operator(), &history{}
-		acknowledged := f.mustWrite(o, b)
+		o, h := f.operator(), &history{}
+		acknowledged := f.mustWrite(o, h)
 		primary := f.primary()
 		backup := f.coreByID(primary.srv.View().Backups()[0])
 		f.isolate(backup, o)
-		go func() { b.add(o.put(2, 0, "second")) }()
+		go func() { h.add(o.put(2, 0, "second")) }()
 		for primary.srv.State().Ready {
 			time.Sleep(time.Millisecond / 4)
 		}
@@ -98,7 +98,7 @@
 		time.Sleep(time.Duration(f.chance(2000)) * time.Millisecond)
 		f.w.Heal()
 		f.startCore(primary)
-		f.expectReadBack(b, acknowledged)
+		f.expectReadBack(h, acknowledged)
 	})
 }
 
@@ -108,8 +108,8 @@
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newJoinedFleet(t, seed, 5, 1)
-		o, b := f.operator(), &history{}
-		b.add(o.put(1, 0, ""))
+		o, h := f.operator(), &history{}
+		h.add(o.put(1, 0, ""))
 		primary := f.primary()
 		before := primary.srv.View()
 		f.crashCore(primary)
@@ -119,7 +119,7 @@
 			t.Errorf("the restarted primary is in epoch %d, want a later one than its previous run's", after.Epoch)
 		}
 		t.Logf("ready after %s", took)
-		f.check(b)
+		f.check(h)
 	})
 }
 
@@ -132,8 +132,8 @@
 			t.Run(fmt.Sprintf("%d cores, %d replaced", cores, replaced), func(t *testing.T) {
 				overSeeds(t, func(t *testing.T, seed uint64) {
 					f := newJoinedFleet(t, seed, cores, 1)
-					o, b := f.operator(), &history{}
-					b.add(o.put(1, 0, ""))
+					o, h := f.operator(), &history{}
+					h.add(o.put(1, 0, ""))
 					for i := range replaced {
 						old := f.cores[f.chance(len(f.cores))]
 						next := &coreProc{addr: fmt.Sprintf("10.0.2.%d:1", i+1), zone: old.zone, disk: sim.NewDisk()}
@@ -148,8 +148,8 @@
 					f.crashCore(f.cores[f.chance(cores)])
 					acknowledged := writeRecord{}
 					f.within(6*time.Second, "a write is acknowledged after the loss", func() bool {
-						acknowledged = o.put(10+len(b.writes), 0, "")
-						b.add(acknowledged)
+						acknowledged = o.put(10+len(h.writes), 0, "")
+						h.add(acknowledged)
 						return acknowledged.code == 200
 					})
 				})
--- a/internal/testing/sim/worstdays_test.go
+++ b/internal/testing/sim/worstdays_test.go
@@ -23,8 +23,8 @@
 			overSeeds(t, func(t *testing.T, seed uint64) {
 				f := newFleet(t, seed, 2)
 				f.within(5*time.Second, "a primary is ready after bootstrap", func() bool { return f.primary() != nil })
-				o, b := f.operator(), &history{}
-				b.add(o.put(1, 0, "first"))
+				o, h := f.operator(), &history{}
+				h.add(o.put(1, 0, "first"))
 				old := f.primary()
 				for _, c := range f.cores {
 					if c != old && way != "hears nobody" {
@@ -37,24 +37,24 @@
 				start := time.Now()
 				direct := newDirectCaller(f)
 				for time.Since(start) < 20*time.Second {
-					b.add(o.put(len(b.writes)+1, 0, fmt.Sprint("order-", len(b.writes))))
-					o.read(b)
+					h.add(o.put(len(h.writes)+1, 0, fmt.Sprint("order-", len(h.writes))))
+					o.read(h)
 					if time.Since(start) > 2*time.Second { // its lease has expired, by its own clock and by those of all voters
-						direct.expectRejections(t, old.addr, len(b.writes))
+						direct.expectRejections(t, old.addr, len(h.writes))
 					}
 					time.Sleep(200 * time.Millisecond)
 				}
 				acknowledged := 0
-				for _, p := range b.writes {
+				for _, p := range h.writes {
 					if p.code == 200 {
 						acknowledged++
 					}
 				}
-				if acknowledged < len(b.writes)*8/10 {
-					t.Errorf("%d of %d writes were acknowledged by the other cores, want at least 80%%", acknowledged, len(b.writes))
+				if acknowledged < len(h.writes)*8/10 {
+					t.Errorf("%d of %d writes were acknowledged by the other cores, want at least 80%%", acknowledged, len(h.writes))
 				}
 				f.settle()
-				f.check(b)
+				f.check(h)
 			})
 		})
 	}
@@ -99,11 +99,11 @@
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newJoinedFleet(t, seed, 5, 1)
-		o, b := f.operator(), &history{}
+		o, h := f.operator(), &history{}
 		base := o.put(1, 0, "first")
-		b.add(base)
+		h.add(base)
 		acknowledged := o.write(&coreapi.WriteRequest{ID: "order", BaseVersion: base.version, Raw: numberedConfig(2)})
-		b.add(acknowledged)
+		h.add(acknowledged)
 		if acknowledged.code != 200 {
 			t.Fatalf("the write was answered with code %d", acknowledged.code)
 		}
@@ -124,7 +124,7 @@
 		f.startCore(lost)
 		repeat("After the loss of its primary")
 		for i := range 300 {
-			b.add(o.put(10+i, 0, ""))
+			h.add(o.put(10+i, 0, ""))
 		}
 		repeat("After 300 writes")
 		for _, c := range f.cores {
@@ -132,7 +132,7 @@
 		}
 		f.settle()
 		repeat("After a restart of all processes")
-		f.check(b)
+		f.check(h)
 	})
 }
 
@@ -144,9 +144,9 @@
 		t.Run(role, func(t *testing.T) {
 			overSeeds(t, func(t *testing.T, seed uint64) {
 				f := newJoinedFleet(t, seed, 3, 1)
-				o, b := f.operator(), &history{}
+				o, h := f.operator(), &history{}
 				for i := range 70 { // enough to compact its files once
-					b.add(o.put(1+i, 0, ""))
+					h.add(o.put(1+i, 0, ""))
 				}
 				restarted := f.primary()
 				if role == "backup" {
@@ -154,7 +154,7 @@
 				}
 				restarted.disk.FailRemovals(true) // file removals fail from now on, so that the crash leaves a partial compaction
 				for i := range 70 {
-					b.add(o.put(100+i, 0, ""))
+					h.add(o.put(100+i, 0, ""))
 				}
 				f.crashCore(restarted)
 				restarted.disk.FailRemovals(false)
@@ -162,18 +162,18 @@
 				var newest writeRecord
 				for i := range 500 {
 					newest = o.put(1000+i, 0, "")
-					b.add(newest)
+					h.add(newest)
 				}
 				f.startCore(restarted)
 				f.within(5*time.Second, "all cores are members again", func() bool { return f.hasAllMembers(1) })
 				primary := f.primary()
 				f.loseDisk(primary)
 				f.startCore(primary)
-				f.expectReadBack(b, newest)
+				f.expectReadBack(h, newest)
 				f.within(8*time.Second, "all cores are members", func() bool { return f.hasAllMembers(1) })
 				f.makePrimary(restarted)
-				f.expectReadBack(b, newest)
-				f.check(b)
+				f.expectReadBack(h, newest)
+				f.check(h)
 			})
 		})
 	}
