--- a/internal/testing/sim/promise_test.go
+++ b/internal/testing/sim/promise_test.go
@@ -239,11 +239,11 @@
 					l.add(g)
 					mu.Lock()
 					defer mu.Unlock()
-					where := "out "
+					side := "out "
 					if isolated[r.zone] {
-						where = "in "
+						side = "in "
 					}
-					counts[where+fmt.Sprint(g.status)+g.code]++
+					counts[side+fmt.Sprint(g.status)+g.code]++
 				})
 			}
 			all.Wait()
