--- a/internal/testing/sim/fulldisk_test.go
+++ b/internal/testing/sim/fulldisk_test.go
@@ -12,12 +12,12 @@
 	t.Parallel()
 	overSeeds(t, func(t *testing.T, seed uint64) {
 		f := newJoinedFleet(t, seed, 2, 1) // both cores store every write
-		o, b := f.operator(), &history{}
-		f.mustWrite(o, b)
+		o, h := f.operator(), &history{}
+		f.mustWrite(o, h)
 		full := f.primary()
 		full.disk.SetFull(true)
 		refused := o.put(2, 0, "refused")
-		b.add(refused)
+		h.add(refused)
 		if refused.code == 200 {
 			t.Error("a write was acknowledged although only one of two disks stored it")
 		}
@@ -25,14 +25,14 @@
 		full.disk.SetFull(false)
 		f.within(5*time.Second, "primary with a working disk", func() bool { return f.hasAllMembers(1) })
 		var last writeRecord
-		for mark := 3; last.code != 200 && mark < 60; mark++ {
-			last = o.put(mark, 0, fmt.Sprint("after-", mark))
-			b.add(last)
+		for number := 3; last.code != 200 && number < 60; number++ {
+			last = o.put(number, 0, fmt.Sprint("after-", number))
+			h.add(last)
 			time.Sleep(100 * time.Millisecond)
 		}
 		if last.code != 200 {
 			t.Fatalf("no write succeeded after the disk became writable again: status %d", last.code)
 		}
-		f.check(b)
+		f.check(h)
 	})
 }
