--- a/internal/controlplane/control/metrics.go
+++ b/internal/controlplane/control/metrics.go
@@ -9,7 +9,7 @@
 	"yarrowridge/internal/lib/metrics"
 )
 
-// coreGauge is a gauge with one of a core's figures as its value.
+// coreGauge is a gauge with one of a core's metrics as its value.
 type coreGauge struct {
 	description *prometheus.Desc
 	value       func(core.Metrics) float64
@@ -20,36 +20,36 @@
 }
 
 var coreGauges = []coreGauge{
-	newCoreGauge("yarrowridge_core_epoch", func(f core.Metrics) float64 { return float64(f.Epoch) }),
-	newCoreGauge("yarrowridge_core_members", func(f core.Metrics) float64 { return float64(f.Members) }),
-	newCoreGauge("yarrowridge_core_primary", func(f core.Metrics) float64 { return metrics.FlagValue(f.Primary) }),
-	newCoreGauge("yarrowridge_core_ready", func(f core.Metrics) float64 { return metrics.FlagValue(f.Ready) }),
-	newCoreGauge("yarrowridge_core_disk_failed", func(f core.Metrics) float64 { return metrics.FlagValue(f.DiskFailed) }),
-	newCoreGauge("yarrowridge_core_store_version", func(f core.Metrics) float64 { return float64(f.StoreVersion) }),
-	newCoreGauge("yarrowridge_config_version", func(f core.Metrics) float64 { return float64(f.ConfigVersion) }),
-	newCoreGauge("yarrowridge_core_nodes", func(f core.Metrics) float64 { return float64(f.Nodes) }),
-	newCoreGauge("yarrowridge_runners", func(f core.Metrics) float64 { return float64(f.Runners) }),
+	newCoreGauge("yarrowridge_core_epoch", func(m core.Metrics) float64 { return float64(m.Epoch) }),
+	newCoreGauge("yarrowridge_core_members", func(m core.Metrics) float64 { return float64(m.Members) }),
+	newCoreGauge("yarrowridge_core_primary", func(m core.Metrics) float64 { return metrics.FlagValue(m.Primary) }),
+	newCoreGauge("yarrowridge_core_ready", func(m core.Metrics) float64 { return metrics.FlagValue(m.Ready) }),
+	newCoreGauge("yarrowridge_core_disk_failed", func(m core.Metrics) float64 { return metrics.FlagValue(m.DiskFailed) }),
+	newCoreGauge("yarrowridge_core_store_version", func(m core.Metrics) float64 { return float64(m.StoreVersion) }),
+	newCoreGauge("yarrowridge_config_version", func(m core.Metrics) float64 { return float64(m.ConfigVersion) }),
+	newCoreGauge("yarrowridge_core_nodes", func(m core.Metrics) float64 { return float64(m.Nodes) }),
+	newCoreGauge("yarrowridge_runners", func(m core.Metrics) float64 { return float64(m.Runners) }),
 }
 
-// figuresCollector collects a core's figures as metrics. All of them are read once per scrape, so that they are consistent.
-type figuresCollector func() core.Metrics
+// metricsCollector collects a core's metrics. All of them are read once per scrape, so that they are consistent.
+type metricsCollector func() core.Metrics
 
 // Describe implements prometheus.Collector.
-func (read figuresCollector) Describe(out chan<- *prometheus.Desc) {
+func (read metricsCollector) Describe(out chan<- *prometheus.Desc) {
 	for _, gauge := range coreGauges {
 		out <- gauge.description
 	}
 }
 
 // Collect implements prometheus.Collector.
-func (read figuresCollector) Collect(out chan<- prometheus.Metric) {
-	figures := read()
+func (read metricsCollector) Collect(out chan<- prometheus.Metric) {
+	values := read()
 	for _, gauge := range coreGauges {
-		out <- prometheus.MustNewConstMetric(gauge.description, prometheus.GaugeValue, gauge.value(figures))
+		out <- prometheus.MustNewConstMetric(gauge.description, prometheus.GaugeValue, gauge.value(values))
 	}
 }
 
-// metricsHandler returns a handler that serves a core's figures as metrics.
-func metricsHandler(figures func() core.Metrics) http.Handler {
-	return metrics.NewHandler(nil, figuresCollector(figures))
+// metricsHandler returns a handler that serves a core's metrics.
+func metricsHandler(read func() core.Metrics) http.Handler {
+	return metrics.NewHandler(nil, metricsCollector(read))
 }
--- a/internal/controlplane/control/metrics_test.go
+++ b/internal/controlplane/control/metrics_test.go
@@ -8,11 +8,11 @@
 	"yarrowridge/internal/controlplane/core"
 )
 
-// The metrics contain the core's current figures at the time of the scrape.
+// The metrics contain the core's values at the time of the scrape.
 func TestMetrics(t *testing.T) {
-	figures := core.Metrics{}
-	handler := metricsHandler(func() core.Metrics { return figures })
-	figures = core.Metrics{Epoch: 7, Members: 5, Primary: true, Ready: true, DiskFailed: true, StoreVersion: 900, ConfigVersion: 41, Nodes: 8, Runners: 12}
+	values := core.Metrics{}
+	handler := metricsHandler(func() core.Metrics { return values })
+	values = core.Metrics{Epoch: 7, Members: 5, Primary: true, Ready: true, DiskFailed: true, StoreVersion: 900, ConfigVersion: 41, Nodes: 8, Runners: 12}
 	page := httptest.NewRecorder()
 	handler.ServeHTTP(page, httptest.NewRequest("GET", "/metrics", nil))
 	for _, want := range []string{"core_epoch 7", "core_members 5", "core_primary 1", "core_ready 1", "core_disk_failed 1",
--- a/internal/controlplane/core/backups.go
+++ b/internal/controlplane/core/backups.go
@@ -21,8 +21,8 @@
 	return out
 }
 
-// backupChoice returns what the choice of backups is based on.
-func (s *Server) backupChoice(v view.View, primaryLease *lease.Lease) membership.BackupSelector {
+// backupSelector returns a selector of backups for a view, with what this process knows about its members.
+func (s *Server) backupSelector(v view.View, primaryLease *lease.Lease) membership.BackupSelector {
 	return membership.BackupSelector{View: v, Self: s.acceptor.ID(), Zone: s.ctx.Zone, Predecessor: s.predecessor,
 		SinceContact: primaryLease.TimeSinceContact, FailedWithin: s.replicator.HasFailedWithin, InSync: s.replicator.IsInSync}
 }
@@ -30,12 +30,12 @@
 // backupsToKeep lists the backups that respond and have not failed recently. From time to time it leaves out a backup that a
 // member in a better zone can replace.
 func (s *Server) backupsToKeep(v view.View, primaryLease *lease.Lease, ready bool, ledSince time.Time) []string {
-	choice := s.backupChoice(v, primaryLease)
-	keep := choice.RetainedBackups(ready, ledSince)
+	selector := s.backupSelector(v, primaryLease)
+	keep := selector.RetainedBackups(ready, ledSince)
 	if len(keep) < len(v.Backups()) || !s.leadership.IsReady() || time.Since(s.leadership.ReadySince()) <= minReadyTime {
 		return keep
 	}
-	misplaced := choice.MisplacedBackup()
+	misplaced := selector.MisplacedBackup()
 	if misplaced != "" && s.attemptDue(replaceInterval) {
 		keep = slices.DeleteFunc(keep, func(id string) bool { return id == misplaced })
 	}
@@ -49,7 +49,7 @@
 func (s *Server) reconcileReplicas(v view.View, primaryLease *lease.Lease, keep []string) bool {
 	s.leadership.EndWrites()
 	missing := s.settings.membershipPolicy().BackupCount(v) - len(keep)
-	added := s.backupChoice(v, primaryLease).AdditionalBackups(keep, missing)
+	added := s.backupSelector(v, primaryLease).AdditionalBackups(keep, missing)
 	if len(added) < missing {
 		return false
 	}
--- a/internal/controlplane/core/disk.go
+++ b/internal/controlplane/core/disk.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// replicationHost is this process as the replicationHost of its replication.Backup.
+// replicationHost implements replication.Host.
 type replicationHost struct{ s *Server }
 
 // Store implements replication.Host.
--- a/internal/controlplane/core/server.go
+++ b/internal/controlplane/core/server.go
@@ -102,8 +102,8 @@
 		Call: s.call, Learn: s.learn, LeaseHeld: s.wakeRunLoop})
 	s.handover = handover.New(s.call, settings.LeaseTerm)
 	s.pipeline = pipeline.New(committer{s})
-	search := discovery.Config{Addr: settings.Addr, Founders: settings.Founders, Seeds: settings.Seeds, Bootstrap: settings.Bootstrap, LeaseTerm: settings.LeaseTerm}
-	s.finder = discovery.NewFinder(ctx, search, acceptor, s.call, s.learn)
+	finderConfig := discovery.Config{Addr: settings.Addr, Founders: settings.Founders, Seeds: settings.Seeds, Bootstrap: settings.Bootstrap, LeaseTerm: settings.LeaseTerm}
+	s.finder = discovery.NewFinder(ctx, finderConfig, acceptor, s.call, s.learn)
 	s.service = service.New(ctx, service.Settings{Codec: settings.Codec, RunnerTimeout: settings.RunnerSilentAfter}, serviceHost{s}, s.caller)
 	s.store.Store(opened)
 	s.handlers = wire.Handlers{"view": s.handleView, "core": s.handleCore}
--- a/internal/controlplane/core/settings.go
+++ b/internal/controlplane/core/settings.go
@@ -20,7 +20,7 @@
 	LostAfter     time.Duration // a member that has not responded for this long may be replaced; default 10 s
 
 	Codec             configuration.Codec // reads the configuration; default: fleet configurations
-	RunnerSilentAfter time.Duration       // a runner without a heartbeat for this long counts as silent; default 4 s
+	RunnerSilentAfter time.Duration       // a runner without a heartbeat for this long counts as timed out; default 4 s
 }
 
 // WithDefaults returns the settings with each zero value replaced by its default.
