--- a/internal/dataplane/gateway/allowance.go
+++ b/internal/dataplane/gateway/allowance.go
@@ -28,8 +28,8 @@
 		return nil
 	}
 	estimates := r.gateway.Balancer.Estimates(r.service.Name, r.meta.Model)
-	verdict := allow.Decide(allowanceRule(&r.route.RouteSpec, ceiling), allow.Demand{Tokens: r.meta.OutputTokens}, estimates, 0)
-	switch verdict.Outcome {
+	decision := allow.Decide(allowanceParameters(&r.route.RouteSpec, ceiling), allow.Demand{Tokens: r.meta.OutputTokens}, estimates, 0)
+	switch decision.Outcome {
 	case allow.NoFunds:
 		return reject(CodeAllowanceExceeded)
 	case allow.NoRunner:
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// allowanceRule returns the allowance parameters of a route; ceiling is the largest output requested on it, in tokens.
-func allowanceRule(route *routing.RouteSpec, ceiling int) fleetconfig.Allowance {
+// allowanceParameters returns the allowance parameters of a route; ceiling is the largest output requested on it, in tokens.
+func allowanceParameters(route *routing.RouteSpec, ceiling int) fleetconfig.Allowance {
 	return fleetconfig.Allowance{Ceiling: ceiling, Floor: ceiling / allowanceFloorDivisor, FullUntil: route.TargetLatency,
 		FloorFrom: allowanceFloorWaitFactor * route.TargetLatency, AssumedTokensPerSecond: assumedTokensPerSecond}
 }
--- a/internal/dataplane/gateway/forwarding_test.go
+++ b/internal/dataplane/gateway/forwarding_test.go
@@ -42,10 +42,10 @@
 	for _, c := range []struct{ tenant, route, want int }{{0, 0, 0}, {0, 2, 2}, {1, 0, 3}, {1, 2, 5}, {2, 2, 8}, {3, 3, 9}, {0, -1, 0}} {
 		spec := route(routing.Unsafe, 1, false)
 		spec.Priority = c.route
-		table, problems := routing.Build(routing.Spec{Revision: 1, Routes: []routing.RouteSpec{spec}, Services: []routing.Service{{Name: "desk"}},
+		table, fieldErrors := routing.Build(routing.Spec{Revision: 1, Routes: []routing.RouteSpec{spec}, Services: []routing.Service{{Name: "desk"}},
 			Tenants: []routing.TenantSpec{{Name: "yard", Keys: []string{"k1"}, Rate: 100, Priority: c.tenant}}, Limits: routing.Limits{BodyBytes: 1000}})
-		if len(problems) > 0 {
-			t.Fatal(problems)
+		if len(fieldErrors) > 0 {
+			t.Fatal(fieldErrors)
 		}
 		f.table.Store(table)
 		if response, _, err := f.send("1", "/a/x", "k1", ""); err != nil || response.StatusCode != http.StatusOK {
--- a/internal/dataplane/gateway/fuzz_test.go
+++ b/internal/dataplane/gateway/fuzz_test.go
@@ -35,10 +35,10 @@
 		return gatewaySide, nil
 	}})
 	t.Cleanup(pool.Close)
-	table, problems := routing.Build(routing.Spec{Revision: 1, Services: []routing.Service{{Name: "desk"}},
+	table, fieldErrors := routing.Build(routing.Spec{Revision: 1, Services: []routing.Service{{Name: "desk"}},
 		Routes: []routing.RouteSpec{route(routing.Unsafe, 1, false)}})
-	if len(problems) > 0 {
-		t.Fatal(problems)
+	if len(fieldErrors) > 0 {
+		t.Fatal(fieldErrors)
 	}
 	return New(Options{Dialect: testDialect{}, Table: func() *routing.Table { return table }, NotReadyReason: func() string { return "" }, Balancer: balancer,
 		Pool: pool, Quotas: &fakeQuotas{}, LocalShare: func(n int) int { return n }, Log: slog.New(slog.DiscardHandler)})
--- a/internal/dataplane/gateway/gateway_test.go
+++ b/internal/dataplane/gateway/gateway_test.go
@@ -58,20 +58,20 @@
 	onReserve                 func() // called by Reserve; may be nil
 }
 
-func (q *fakeQuotas) Reserve(_ context.Context, tenant string, _ int) (bool, time.Duration) {
+func (q *fakeQuotas) Reserve(_ context.Context, quota string, _ int) (bool, time.Duration) {
 	if q.onReserve != nil {
 		q.onReserve()
 	}
-	if q.exhausted[tenant] {
+	if q.exhausted[quota] {
 		return false, time.Second
 	}
 	q.reserved.Add(1)
 	return true, 0
 }
-func (q *fakeQuotas) Unanswered(tenant string) bool { return q.unanswered[tenant] }
-func (q *fakeQuotas) Release(string, int)           { q.released.Add(1) }
-func (q *fakeQuotas) Scarce(string) bool            { return false }
-func (q *fakeQuotas) Spend(string, int)             { q.spent.Add(1) }
+func (q *fakeQuotas) Unanswered(quota string) bool { return q.unanswered[quota] }
+func (q *fakeQuotas) Release(string, int)          { q.released.Add(1) }
+func (q *fakeQuotas) Scarce(string) bool           { return false }
+func (q *fakeQuotas) Spend(string, int)            { q.spent.Add(1) }
 
 // fleet is a gateway with the runners that a test adds.
 type fleet struct {
@@ -104,9 +104,9 @@
 	spec := routing.Spec{Revision: revision, Routes: routes, Services: []routing.Service{{Name: "desk"}},
 		Tenants: []routing.TenantSpec{{Name: "yard", Keys: []string{"k1"}, Rate: 100}},
 		Limits:  routing.Limits{BodyBytes: 1000}}
-	table, problems := routing.Build(spec)
-	if len(problems) > 0 {
-		f.Fatal(problems)
+	table, fieldErrors := routing.Build(spec)
+	if len(fieldErrors) > 0 {
+		f.Fatal(fieldErrors)
 	}
 	f.table.Store(table)
 }
--- a/internal/dataplane/gateway/serve.go
+++ b/internal/dataplane/gateway/serve.go
@@ -14,7 +14,7 @@
 // the runner promised that it did not run it. mayRetry decides this and stateChart.advance enforces it.
 func (r *request) serve() error {
 	r.tried = map[int]bool{}
-	r.gateway.retryBudget.RecordFirstAttempt(r.service.Name, r.retryRule())
+	r.gateway.retryBudget.RecordFirstAttempt(r.service.Name, r.retryPolicy())
 	var stream *streamResponse
 	if r.route.Kind == routing.Streaming {
 		stream = &streamResponse{request: r, lastID: r.meta.LastEventID}
@@ -44,8 +44,8 @@
 	}
 }
 
-// retryRule returns this router's share of the fleet-wide retry limit.
-func (r *request) retryRule() retry.Policy {
+// retryPolicy returns this router's share of the fleet-wide retry limit.
+func (r *request) retryPolicy() retry.Policy {
 	bounds := r.gateway.Retries
 	return retry.Policy{Ratio: bounds.Ratio, Burst: r.gateway.LocalShare(bounds.Allowance)}
 }
--- a/internal/dataplane/router/gateway.go
+++ b/internal/dataplane/router/gateway.go
@@ -60,11 +60,11 @@
 // applyRecord applies a disseminated record that holds neither the configuration nor a runner.
 func (g *Gateway) applyRecord(record dissemination.Record) { g.sessions.applyRecord(record) }
 
-// applyTable parses a newer configuration and applies its routing table. A configuration with flaws is rejected.
+// applyTable parses a newer configuration and applies its routing table. A configuration with errors is rejected.
 func (g *Gateway) applyTable(version uint64, raw []byte) error {
-	table, flaws := g.settings.ParseTable(raw)
-	if len(flaws) > 0 {
-		return eris.Wrapf(flaws[0], "router: configuration %d", version)
+	table, fieldErrors := g.settings.ParseTable(raw)
+	if len(fieldErrors) > 0 {
+		return eris.Wrapf(fieldErrors[0], "router: configuration %d", version)
 	}
 	g.table.Store(table)
 	g.QuotaShares.Wake()
--- a/internal/dataplane/router/gatewayquota.go
+++ b/internal/dataplane/router/gatewayquota.go
@@ -36,8 +36,8 @@
 	var rules []quota.Rule
 	for _, tenant := range table.Tenants {
 		if tenant.Rate > 0 {
-			periodic := g.settings.Quota.For(&tenant)
-			rules = append(rules, quota.Rule{Tenant: tenant.QuotaName(), Units: periodic.Units, Window: periodic.Period})
+			tenantQuota := g.settings.Quota.For(&tenant)
+			rules = append(rules, quota.Rule{Tenant: tenant.QuotaName(), Units: tenantQuota.Units, Window: tenantQuota.Period})
 		}
 	}
 	return rules
