--- a/internal/controlplane/replacedruns/tracker_test.go
+++ b/internal/controlplane/replacedruns/tracker_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"io"
 	"log/slog"
+	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -17,9 +18,10 @@
 	"yarrowridge/internal/testing/sim"
 )
 
-// poolRunner applies the operations of a tracker immediately, or drops them.
+// poolRunner applies the operations of a tracker one at a time, as the core's run loop does, or drops them.
 type poolRunner struct {
 	t               *testing.T
+	mu              sync.Mutex // held while an operation is applied
 	pools           *quotapool.Pools
 	committed       *store.Store
 	dropsOperations bool
@@ -37,6 +39,8 @@
 	if r.dropsOperations {
 		return
 	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	tx := transaction.New(r.committed)
 	if err := operation(tx); err != nil {
 		r.t.Error(err)
