--- a/internal/controlplane/quotapool/cache_test.go
+++ b/internal/controlplane/quotapool/cache_test.go
@@ -193,8 +193,7 @@
 	}
 }
 
-// BenchmarkPoolSize reports the size of a pool's record with 360 routers, as stored and compressed. Compare it with the records
-// of BenchmarkSizes in package scale.
+// BenchmarkPoolSize reports the size of a pool's record with 360 routers, as stored and compressed.
 //
 //	go test ./internal/controlplane/quotapool -run XXX -bench PoolSize -benchtime 1x
 func BenchmarkPoolSize(b *testing.B) {
